--- /dev/null
+++ b/crates/watch/tests/recorded.rs
@@ -0,0 +1,26 @@
+//! A set of engines persisted by version 0.2.0 is read by every later build.
+
+use std::net::SocketAddr;
+use std::path::Path;
+use wheelfield::interface::{Micros, Status};
+use wheelfield_config::Names;
+use wheelfield_members::file::Places;
+use wheelfield_watch::disk::kept;
+
+#[test]
+fn a_persisted_set_of_version_0_2_0_is_read_whole() {
+    let names = Names {
+        zones: vec!["a".into(), "b".into()],
+        kinds: vec!["std".into(), "big".into()],
+        ..Names::default()
+    };
+    let places = Places { names, cores: vec![8.0, 16.0], open: false };
+    let path = Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/recorded/kept-engines.toml"));
+    let (set, kept_at) = kept(path, &places).expect("readable").expect("there");
+    assert_eq!((set.version, kept_at), (17, Micros(1_764_652_800_000_000)));
+    let addresses: Vec<SocketAddr> = set.engines.values().map(|known| known.address).collect();
+    let expected = [5501, 5502, 5503].map(|port| SocketAddr::from(([127, 0, 0, 1], port)));
+    assert!(expected.iter().all(|address| addresses.contains(address)), "{addresses:?}");
+    let draining = set.engines.values().filter(|known| known.entry.status == Status::Draining).count();
+    assert_eq!((set.engines.len(), draining), (3, 1));
+}
