--- a/crates/controller/src/event_loop.rs
+++ b/crates/controller/src/event_loop.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tracing::warn;
 use wheelfield_net::{datagrams, listen, Clock};
-use wheelfield_sans_io::{Door, Effect, Inside, Port, Socketed};
+use wheelfield_sans_io::{DatagramSocket, Effect, IoEvent, Listener, Protocol};
 
 /// Events heard at a time, and so often in one turn of the loop. Guards against acting on a part of what has happened: a client's
 /// departure may lie behind all else.
@@ -40,7 +40,7 @@
 /// A listening socket.
 struct Listening {
     socket: TcpListener,
-    door: Door,
+    door: Listener,
     /// More may wait, though the system will not tell so.
     again: Option<i64>,
     /// Connections could not be had, and that was told.
@@ -49,7 +49,13 @@
 
 impl Listening {
     /// Takes those who wait, so many at a time; true if more may wait.
-    fn take(&mut self, sockets: &mut Sockets, core: &mut dyn Inside, registry: &Registry, now: i64) -> bool {
+    fn take(
+        &mut self,
+        sockets: &mut Sockets,
+        core: &mut dyn Protocol,
+        registry: &Registry,
+        now: i64,
+    ) -> bool {
         self.again = None;
         for _ in 0..ACCEPTS {
             match self.socket.accept() {
@@ -121,22 +127,22 @@
     events: Events,
     sockets: Sockets,
     listening: Vec<Listening>,
-    ports: Vec<(Port, UdpSocket)>,
+    ports: Vec<(DatagramSocket, UdpSocket)>,
     bells: Vec<(UnixStream, Hand<C>)>,
     each_turn: Vec<Hand<C>>,
     effects: Vec<Effect>,
     stopped: bool,
 }
 
-fn door_token(door: Door) -> Token {
+fn door_token(door: Listener) -> Token {
     Token(DOORS + door as usize)
 }
 
-fn port_token(port: Port) -> Token {
+fn port_token(port: DatagramSocket) -> Token {
     Token(PORTS + port as usize)
 }
 
-impl<C: Inside> Shell<C> {
+impl<C: Protocol> Shell<C> {
     /// A shell with no sockets yet. `make` is given the time.
     ///
     /// # Errors
@@ -163,7 +169,7 @@
     ///
     /// # Errors
     /// As the system tells.
-    pub fn listen(&mut self, door: Door, mut socket: TcpListener) -> Result<()> {
+    pub fn listen(&mut self, door: Listener, mut socket: TcpListener) -> Result<()> {
         self.poll.registry().register(&mut socket, door_token(door), Interest::READABLE)?;
         self.listening.push(Listening { socket, door, again: None, failing: false });
         Ok(())
@@ -173,7 +179,7 @@
     ///
     /// # Errors
     /// As the system tells.
-    pub fn hear_on(&mut self, port: Port, mut socket: UdpSocket) -> Result<()> {
+    pub fn hear_on(&mut self, port: DatagramSocket, mut socket: UdpSocket) -> Result<()> {
         self.poll.registry().register(&mut socket, port_token(port), Interest::READABLE)?;
         self.ports.push((port, socket));
         Ok(())
@@ -198,12 +204,12 @@
     }
 
     /// Where a door is, if it is open.
-    pub fn address(&self, door: Door) -> Option<SocketAddr> {
+    pub fn address(&self, door: Listener) -> Option<SocketAddr> {
         self.listening.iter().find(|l| l.door == door)?.socket.local_addr().ok()
     }
 
     /// Where a port is.
-    pub fn port(&self, port: Port) -> Option<SocketAddr> {
+    pub fn port(&self, port: DatagramSocket) -> Option<SocketAddr> {
         self.ports.iter().find(|(p, _)| *p == port)?.1.local_addr().ok()
     }
 
@@ -259,7 +265,7 @@
                     Effect::StopListening => {
                         // Guards against breaking connections that the system has taken for us, with their calls: closing resets
                         // whoever still waits.
-                        for l in self.listening.iter_mut().filter(|l| l.door == Door::Clients) {
+                        for l in self.listening.iter_mut().filter(|l| l.door == Listener::Clients) {
                             for _ in 0..BACKLOGS {
                                 if !l.take(sockets, core, registry, now) {
                                     break;
@@ -267,7 +273,7 @@
                             }
                             let _ = registry.deregister(&mut l.socket);
                         }
-                        self.listening.retain(|l| l.door != Door::Clients);
+                        self.listening.retain(|l| l.door != Listener::Clients);
                     }
                     Effect::Stopped => self.stopped = true,
                 }
@@ -300,7 +306,7 @@
         for _ in 0..HEARD {
             match socket.recv_from(&mut buffer) {
                 Ok((n, from)) => {
-                    self.core.socketed(self.now, Socketed::Datagram(*port, from, &buffer[..n]));
+                    self.core.socketed(self.now, IoEvent::Datagram(*port, from, &buffer[..n]));
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 // One that is not there any more shows as an error of the socket.
@@ -312,7 +318,7 @@
     }
 }
 
-impl<C: Inside> Hears for Shell<C> {
+impl<C: Protocol> Hears for Shell<C> {
     fn hear(&mut self, wait: Duration) -> std::io::Result<bool> {
         self.poll.poll(&mut self.events, Some(wait))?;
         Ok(self.events.iter().count() >= EVENTS)
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -4,9 +4,9 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod app;
+mod event_loop;
 mod keys;
-pub mod node;
+pub mod platform;
+pub mod postgres;
 mod record;
-mod shell;
 mod sockets;
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -12,9 +12,9 @@
 use tracing_appender::non_blocking::NonBlockingBuilder;
 use tracing_subscriber::EnvFilter;
 use wheelfield_config::Config;
-use wheelfield_controller::app::App;
-use wheelfield_controller::node::{self, Node};
-use wheelfield_pg_gateway::plant::Plant;
+use wheelfield_controller::platform::{self, Node};
+use wheelfield_controller::postgres::App;
+use wheelfield_pg_gateway::fault_injection::FaultInjection;
 use wheelfield_platform::Launch;
 
 /// Log lines that wait to be written; more are lost.
@@ -50,8 +50,8 @@
     #[command(flatten)]
     logs: Logs,
     /// A fault for the laboratory's judge to find, in builds that have them.
-    #[arg(long, value_name = "FAULT", hide = true, value_parser = Plant::parse)]
-    plant: Option<Plant>,
+    #[arg(long, value_name = "FAULT", hide = true, value_parser = FaultInjection::parse)]
+    plant: Option<FaultInjection>,
 }
 
 #[derive(Subcommand)]
@@ -139,7 +139,7 @@
         let path = config.clone().or_else(|| std::env::var_os("LB_CONFIG").map(PathBuf::from));
         let loaded = path
             .context("no configuration: give --config FILE, or LB_CONFIG")
-            .and_then(|path| Ok((node::load(&path)?, path)));
+            .and_then(|path| Ok((platform::load(&path)?, path)));
         let (launch, path) = match loaded {
             Ok(loaded) => loaded,
             Err(fault) => return unusable(&fault),
--- a/crates/controller/src/platform.rs
+++ b/crates/controller/src/platform.rs
@@ -1,7 +1,7 @@
 //! The controller on the operators' platform, on its sockets: the same shell around [`Platform`]. It listens for clients and for
 //! other controllers, and writes no file.
 
-use crate::shell::{bind, bind_datagrams, Shell};
+use crate::event_loop::{bind, bind_datagrams, Shell};
 use anyhow::{Context, Result};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use tracing::{info, warn};
 use wheelfield_net::Clock;
 use wheelfield_platform::{Launch, Platform};
-use wheelfield_sans_io::{Door, Inside, Port};
+use wheelfield_sans_io::{DatagramSocket, Listener, Protocol};
 
 /// Connections that wait to be taken, at most.
 const BACKLOG: u32 = 1_024;
@@ -57,17 +57,17 @@
         let peers = launch.peer_listen.map(|at| bind_datagrams(at, "messages")).transpose()?;
         let names = bind_datagrams(SocketAddr::new(launch.listen.ip(), 0), "the name service")?;
         let mut shell = Shell::new(Clock::start(), |now| Ok(Platform::new(launch, now)))?;
-        shell.listen(Door::Clients, clients)?;
-        shell.hear_on(Port::Names, names)?;
+        shell.listen(Listener::Clients, clients)?;
+        shell.hear_on(DatagramSocket::Names, names)?;
         if let Some(peers) = peers {
-            shell.hear_on(Port::Peers, peers)?;
+            shell.hear_on(DatagramSocket::Peers, peers)?;
         }
         Ok(Node { shell, config: config.to_path_buf() })
     }
 
     /// Where clients connect; none once it listens no longer.
     pub fn address(&self) -> Option<SocketAddr> {
-        self.shell.address(Door::Clients)
+        self.shell.address(Listener::Clients)
     }
 
     /// A byte on this stream asks the controller to stop: it serves those who do not know yet, answers what it has, and ends.
--- a/crates/controller/src/postgres.rs
+++ b/crates/controller/src/postgres.rs
@@ -1,8 +1,8 @@
-//! The controller of PostgreSQL clients on its sockets: what [`Gate`] needs beside them.
+//! The controller of PostgreSQL clients on its sockets: what [`PgGateway`] needs beside them.
 
+use crate::event_loop::{bind, bind_datagrams, Hand, Shell};
 use crate::keys;
 use crate::record;
-use crate::shell::{bind, bind_datagrams, Hand, Shell};
 use anyhow::{Context, Result};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,16 +16,16 @@
 use wheelfield_endpoints_cli::disk::Place;
 use wheelfield_endpoints_cli::{Watch, Watching};
 use wheelfield_net::Clock;
-use wheelfield_pg_gateway::plant::Plant;
-use wheelfield_pg_gateway::{Gate, Happened, Start};
-use wheelfield_sans_io::{Door, Inside, Port};
+use wheelfield_pg_gateway::fault_injection::FaultInjection;
+use wheelfield_pg_gateway::{GatewayEvent, PgGateway, Start};
+use wheelfield_sans_io::{DatagramSocket, Listener, Protocol};
 
 /// At the start, a first set of engine files is waited for so long.
 const FIRST: Duration = Duration::from_secs(2);
 
 /// A controller on its sockets.
 pub struct App {
-    shell: Shell<Gate>,
+    shell: Shell<PgGateway>,
     files: Option<Rc<Watching>>,
 }
 
@@ -34,7 +34,7 @@
     ///
     /// # Errors
     /// As the system tells.
-    pub fn open(config: Config, seed: u64, plant: Option<Plant>) -> Result<App> {
+    pub fn open(config: Config, seed: u64, plant: Option<FaultInjection>) -> Result<App> {
         let clock = Clock::start();
         let clients = bind(config.listen, config.limits.backlog)?;
         let admin = config.admin.map(|address| bind(address, config.limits.backlog)).transpose()?;
@@ -62,13 +62,13 @@
                 gossip: gossips,
                 plant,
             };
-            Ok(Gate::new(config, start))
+            Ok(PgGateway::new(config, start))
         })?;
-        shell.listen(Door::Clients, clients)?;
+        shell.listen(Listener::Clients, clients)?;
         if let Some(socket) = admin {
-            shell.listen(Door::Admin, socket)?;
+            shell.listen(Listener::Admin, socket)?;
         }
-        for (port, socket) in [(Port::Peers, peers), (Port::Gossip, gossip)] {
+        for (port, socket) in [(DatagramSocket::Peers, peers), (DatagramSocket::Gossip, gossip)] {
             if let Some(socket) = socket {
                 shell.hear_on(port, socket)?;
             }
@@ -76,16 +76,16 @@
         if let Some(keys) = keys {
             shell.each_turn(Box::new(move |gate, now| {
                 while let Ok(news) = keys.news.try_recv() {
-                    gate.happen(now, Happened::Keys(news));
+                    gate.handle(now, GatewayEvent::GossipKeys(news));
                 }
             }));
         }
         let mut watched = None;
         if let Some((watching, bell)) = files {
             let (heard, kept) = (watching.clone(), watching);
-            let told: Hand<Gate> = Box::new(move |gate, now| {
+            let told: Hand<PgGateway> = Box::new(move |gate, now| {
                 while let Ok(news) = heard.news.try_recv() {
-                    gate.happen(now, Happened::Files(news));
+                    gate.handle(now, GatewayEvent::EndpointFiles(news));
                 }
             });
             shell.bell(bell, told)?;
@@ -99,15 +99,15 @@
     /// # Errors
     /// Once it listens no longer.
     pub fn address(&self) -> Result<SocketAddr> {
-        self.shell.address(Door::Clients).context("no longer listening")
+        self.shell.address(Listener::Clients).context("no longer listening")
     }
 
     /// Where everything listens, for whoever started the process.
     pub fn addresses(&self) -> serde_json::Value {
         let told = |a: Option<SocketAddr>| a.map(|a| a.to_string());
         serde_json::json!({
-            "listen": told(self.shell.address(Door::Clients)), "admin": told(self.shell.address(Door::Admin)),
-            "peers": told(self.shell.port(Port::Peers)), "gossip": told(self.shell.port(Port::Gossip)),
+            "listen": told(self.shell.address(Listener::Clients)), "admin": told(self.shell.address(Listener::Admin)),
+            "peers": told(self.shell.port(DatagramSocket::Peers)), "gossip": told(self.shell.port(DatagramSocket::Gossip)),
         })
     }
 
@@ -124,7 +124,7 @@
     /// # Errors
     /// As the system tells.
     pub fn keep_on(&mut self, signal: std::os::unix::net::UnixStream) -> Result<()> {
-        self.shell.bell(signal, Box::new(|gate, now| gate.happen(now, Happened::Keep)))
+        self.shell.bell(signal, Box::new(|gate, now| gate.handle(now, GatewayEvent::CaptureRequested)))
     }
 
     /// Serves until asked to stop and all is answered.
@@ -151,7 +151,7 @@
         let news = watching.news.recv_timeout(FIRST).ok();
         self.shell.now = self.shell.clock.now();
         match news {
-            Some(news) => self.shell.core.happen(self.shell.now, Happened::Files(news)),
+            Some(news) => self.shell.core.handle(self.shell.now, GatewayEvent::EndpointFiles(news)),
             None => warn!("there is no set of engines yet; starting without"),
         }
     }
--- a/crates/controller/src/sockets.rs
+++ b/crates/controller/src/sockets.rs
@@ -5,7 +5,7 @@
 use std::io;
 use std::net::SocketAddr;
 use wheelfield_net::Socket;
-use wheelfield_sans_io::{ConnId, Inside, Socketed};
+use wheelfield_sans_io::{ConnId, IoEvent, Protocol};
 
 /// Rooms of a controller that own connections.
 const ROOMS: usize = 8;
@@ -47,7 +47,7 @@
         id: ConnId,
         tcp: TcpStream,
         registry: &Registry,
-        core: &mut dyn Inside,
+        core: &mut dyn Protocol,
         now: i64,
     ) {
         match Socket::new(tcp, true, registry, token(id)) {
@@ -65,7 +65,7 @@
         id: ConnId,
         to: SocketAddr,
         registry: &Registry,
-        core: &mut dyn Inside,
+        core: &mut dyn Protocol,
         now: i64,
     ) {
         match TcpStream::connect(to).and_then(|tcp| Socket::new(tcp, false, registry, token(id))) {
@@ -75,27 +75,27 @@
     }
 
     /// The system told something of a connection.
-    pub fn on(&mut self, event: &mio::event::Event, core: &mut dyn Inside, now: i64) {
+    pub fn on(&mut self, event: &mio::event::Event, core: &mut dyn Protocol, now: i64) {
         let id = ConnId::of(event.token().0 as u64);
         let Some(socket) = self.get(id) else { return };
         let connecting = matches!(socket.connected(), Ok(false));
         socket.on(event);
         if connecting {
             match socket.connected() {
-                Ok(true) => core.socketed(now, Socketed::Connected(id)),
+                Ok(true) => core.socketed(now, IoEvent::Connected(id)),
                 Ok(false) => return,
                 Err(e) => return broken(id, true, &e, core, now),
             }
         }
         if self.get(id).is_some_and(|s| s.closing()) {
-            core.socketed(now, Socketed::Closing(id));
+            core.socketed(now, IoEvent::Closing(id));
         }
         self.read(id, core, now);
         self.write(id, core, now);
     }
 
     /// Reads what there is, as far as the controller has room.
-    pub fn read(&mut self, id: ConnId, core: &mut dyn Inside, now: i64) {
+    pub fn read(&mut self, id: ConnId, core: &mut dyn Protocol, now: i64) {
         loop {
             if !self.get(id).is_some_and(|s| s.readable()) {
                 return;
@@ -109,9 +109,9 @@
             let got = socket.read(&mut scratch[..room]);
             let ended = socket.ended();
             match got {
-                Ok(0) if ended => core.socketed(now, Socketed::Ended(id)),
+                Ok(0) if ended => core.socketed(now, IoEvent::Ended(id)),
                 Ok(0) => {}
-                Ok(n) => core.socketed(now, Socketed::Received(id, &scratch[..n])),
+                Ok(n) => core.socketed(now, IoEvent::Received(id, &scratch[..n])),
                 Err(e) => broken(id, false, &e, core, now),
             }
             self.scratch = scratch;
@@ -119,7 +119,7 @@
     }
 
     /// Writes what is to go, as far as the other side takes it.
-    pub fn write(&mut self, id: ConnId, core: &mut dyn Inside, now: i64) {
+    pub fn write(&mut self, id: ConnId, core: &mut dyn Protocol, now: i64) {
         loop {
             let Some(socket) = self.get(id).filter(|s| s.writable()) else { return };
             if !matches!(socket.connected(), Ok(true)) {
@@ -142,10 +142,10 @@
     }
 }
 
-fn broken(id: ConnId, writing: bool, e: &io::Error, core: &mut dyn Inside, now: i64) {
+fn broken(id: ConnId, writing: bool, e: &io::Error, core: &mut dyn Protocol, now: i64) {
     core.socketed(
         now,
-        Socketed::Broken {
+        IoEvent::Broken {
             id,
             writing,
             refused: e.kind() == io::ErrorKind::ConnectionRefused,
--- a/crates/controller/tests/common/mod.rs
+++ b/crates/controller/tests/common/mod.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
-use wheelfield_controller::app::App;
+use wheelfield_controller::postgres::App;
 use wheelfield_engine_emulator::host::Host;
 use wheelfield_engine_emulator::setup::Setup;
 use wheelfield_pg::{back, frame, front};
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,10 +1,10 @@
 //! wheelfield decides, for one gateway, which queries enter a pool of engines and where they run.
 //!
-//! A [`choice::Gateway`] takes [`interface::Event`]s with the time at which they happened and answers with
+//! A [`policy::Gateway`] takes [`interface::Event`]s with the time at which they happened and answers with
 //! [`interface::Action`]s. It reads no clock, does no I/O and keeps no global state.
 //!
 //! ```
-//! use wheelfield::choice::Gateway;
+//! use wheelfield::policy::Gateway;
 //! use wheelfield::interface::{Action, Event, Micros, Settings};
 //!
 //! let mut gateway = Gateway::new(Settings::default(), 7);
@@ -19,6 +19,6 @@
 #[cfg(doctest)]
 pub struct ReadmeDoctests;
 
-pub mod choice;
 pub mod interface;
+pub mod policy;
 mod state;
--- a/crates/core/src/policy.rs
+++ b/crates/core/src/policy.rs
@@ -3,7 +3,7 @@
 //! work; a query that fits under the bound of some engine is drawn to one, the rest is refused.
 
 use crate::interface::*;
-use crate::state::{Around, Attempt, ClassView, Engine, KeyLine, Ledger, Live};
+use crate::state::{ActiveQuery, Attempt, ClassView, Engine, FleetConditions, KeyQueue, Ledger};
 use std::collections::BTreeMap;
 
 /// The sampling period of the controller.
@@ -130,9 +130,9 @@
     #[serde(with = "crate::state::chance")]
     random: fastrand::Rng,
     engines: BTreeMap<EngineId, Engine>,
-    queries: BTreeMap<QueryId, Live>,
+    queries: BTreeMap<QueryId, ActiveQuery>,
     classes: Vec<ClassView>,
-    keys: BTreeMap<String, KeyLine>,
+    keys: BTreeMap<String, KeyQueue>,
     ledger: Ledger,
 }
 
@@ -201,7 +201,7 @@
             Event::TimerDue(ROUND) => self.tell_round(now, out),
             Event::TimerDue(token) => {
                 let id = self.ledger.timers.remove(&token);
-                let held = |l: &Live| !l.over && l.attempts.is_empty();
+                let held = |l: &ActiveQuery| !l.over && l.attempts.is_empty();
                 if let Some(id) = id.filter(|id| self.queries.get(id).is_some_and(held)) {
                     self.place(now, id, out);
                 }
@@ -280,7 +280,7 @@
     }
 
     /// Share of an engine's memory that a query will take: its hint, else what the queries there take each.
-    fn memory_share(&self, live: &Live, engine: &Engine) -> f64 {
+    fn memory_share(&self, live: &ActiveQuery, engine: &Engine) -> f64 {
         let threads = self.settings.classes[live.query.class].threads;
         match (live.query.memory_hint, engine.report.memory, engine.report.in_flight) {
             (Some(mb), _, _) if engine.memory_mb > 0.0 => mb * USUAL_GRANT / engine.memory_mb,
@@ -352,7 +352,7 @@
         if let Some(key) = query.key.clone().filter(|_| class.in_order) {
             self.keys.entry(key).or_default().waiting.push_back(id);
         }
-        self.queries.insert(id, Live { query, work, attempts: Vec::new(), over: false });
+        self.queries.insert(id, ActiveQuery { query, work, attempts: Vec::new(), over: false });
         self.place(now, id, out);
     }
 
@@ -421,11 +421,12 @@
             }
             _ => 1.0,
         };
-        self.ledger.around = Around { scarce, shared, heaviest, slack, calm, draw: self.random.f64() };
+        self.ledger.around =
+            FleetConditions { scarce, shared, heaviest, slack, calm, draw: self.random.f64() };
     }
 
     /// d(t) + n <= d_t(k), asked only under pressure, and never of the only query we have there.
-    fn fits(&self, now: Micros, live: &Live, engine: &Engine) -> bool {
+    fn fits(&self, now: Micros, live: &ActiveQuery, engine: &Engine) -> bool {
         // Guards against each gateway putting a query on each engine: the bounds are one and admit by draw.
         let around = &self.ledger.around;
         // Where a short engine pages, one query too many slows all that run there, and the bound on work is
@@ -450,7 +451,7 @@
     }
 
     /// The weight in the draw: capacity over load, leaning to the own zone and to warm tables.
-    fn weight(&self, now: Micros, live: &Live, engine: &Engine) -> f64 {
+    fn weight(&self, now: Micros, live: &ActiveQuery, engine: &Engine) -> f64 {
         let warmth = self.warmth(engine, now);
         let capacity = engine.cores * warmth;
         let load = self.load(engine, now) / warmth;
@@ -488,7 +489,7 @@
     // --- sending: every rule is held here ---
 
     /// Whether the rules let this query go to this engine now.
-    fn may_send(&self, now: Micros, live: &Live, engine: &Engine) -> bool {
+    fn may_send(&self, now: Micros, live: &ActiveQuery, engine: &Engine) -> bool {
         let s = &self.settings;
         let class = &s.classes[live.query.class];
         let entry = &engine.entry;
@@ -525,7 +526,7 @@
     }
 
     /// Whether a query may run at an engine although these attempts of it were made.
-    fn may_repeat(&self, now: Micros, live: &Live, before: &[Attempt], entry: &EngineEntry) -> bool {
+    fn may_repeat(&self, now: Micros, live: &ActiveQuery, before: &[Attempt], entry: &EngineEntry) -> bool {
         let class = &self.settings.classes[live.query.class];
         let Some(ran) = before.iter().find(|a| a.may_have_run()) else { return true };
         let kept = now - ran.sent < class.window;
@@ -607,7 +608,7 @@
     }
 
     /// Priority by worth for each thread-second: short work first, it takes little from the long.
-    fn priority(&self, live: &Live) -> u8 {
+    fn priority(&self, live: &ActiveQuery) -> u8 {
         let all = ClassView::sum(&self.settings.classes, &self.classes);
         let density = self.settings.classes[live.query.class].worth / live.work.max(1e-3);
         let steps = (density * all.work / all.worth.max(1e-9)).log(PRIORITY_STEP).floor();
@@ -759,7 +760,7 @@
     }
 
     /// When to look again for a query that keeps the order of its key; none once its turn has come.
-    fn turn_comes(&self, now: Micros, live: &Live) -> Option<Micros> {
+    fn turn_comes(&self, now: Micros, live: &ActiveQuery) -> Option<Micros> {
         let in_order = self.settings.classes[live.query.class].in_order && live.attempts.is_empty();
         let line = live.query.key.as_ref().filter(|_| in_order).and_then(|key| self.keys.get(key))?;
         let due = live.query.due;
@@ -931,12 +932,12 @@
     }
 
     /// Whether what may have run can be sent again: the class, its attempts and the budget allow it.
-    fn may_try_again(&self, now: Micros, live: &Live) -> bool {
+    fn may_try_again(&self, now: Micros, live: &ActiveQuery) -> bool {
         let class = &self.settings.classes[live.query.class];
         self.attempts_left(live) > 0 && class.effect == Effect::Repeatable && self.budget_left(now)
     }
 
-    fn attempts_left(&self, live: &Live) -> usize {
+    fn attempts_left(&self, live: &ActiveQuery) -> usize {
         let most = if self.settings.max_attempts == 0 { usize::MAX } else { self.settings.max_attempts };
         most.saturating_sub(live.attempts.len())
     }
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -22,14 +22,14 @@
 
 /// A query that is not over, or has attempts out.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Live {
+pub struct ActiveQuery {
     pub query: Query,
     pub work: f64,
     pub attempts: Vec<Attempt>,
     pub over: bool,
 }
 
-impl Live {
+impl ActiveQuery {
     pub fn out(&self) -> usize {
         self.attempts.iter().filter(|a| a.outcome.is_none()).count()
     }
@@ -115,7 +115,7 @@
 
 /// The line of queries of one key.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct KeyLine {
+pub struct KeyQueue {
     pub waiting: VecDeque<QueryId>,
     pub rests_until: Micros,
 }
@@ -139,7 +139,7 @@
 
 /// What a query is weighed by beyond its engine.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Around {
+pub struct FleetConditions {
     /// This gateway's share of an engine is below one query of the heaviest class.
     pub scarce: bool,
     /// The gateways share the news of the engines.
@@ -181,7 +181,7 @@
     pub mean_load: f64,
     pub told: Option<Micros>,
     pub mean_memory: f64,
-    pub around: Around,
+    pub around: FleetConditions,
     /// Threads that end on a busy core while news are acted on.
     pub turnover: f64,
     pub stay: f64,
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A gateway with a few engines, driven by hand.
 #![allow(dead_code)]
 
-use wheelfield::choice::Gateway;
 use wheelfield::interface::*;
+use wheelfield::policy::Gateway;
 
 /// A gateway under test and the time.
 pub struct Rig {
--- a/crates/core/tests/fuzzy.rs
+++ b/crates/core/tests/fuzzy.rs
@@ -1,6 +1,6 @@
 //! The rule base and the controller's output against the paper.
 
-use wheelfield::choice::{fuzzy_output, rule};
+use wheelfield::policy::{fuzzy_output, rule};
 
 /// Table 2 of the paper: rows are the error, columns its change, both from NVL to PVL.
 const TABLE_2: [&str; 9] = [
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -4,7 +4,7 @@
 #[test]
 fn no_decision_rests_on_the_order_of_a_hash_map() {
     let sources = [
-        include_str!("../src/choice.rs"),
+        include_str!("../src/policy.rs"),
         include_str!("../src/state.rs"),
         include_str!("../src/interface.rs"),
         include_str!("../../driver/src/lib.rs"),
@@ -18,7 +18,7 @@
 
 #[test]
 fn the_decision_module_stays_small() {
-    let text = include_str!("../src/choice.rs");
+    let text = include_str!("../src/policy.rs");
     let lines = text.lines().filter(|l| !l.trim().is_empty()).count();
     assert!(lines <= 1_060, "{lines} non-blank lines, 1,060 at most");
     for (i, line) in text.lines().enumerate() {
--- a/crates/driver/src/lib.rs
+++ b/crates/driver/src/lib.rs
@@ -21,11 +21,11 @@
 use books::{Books, Settled, Wake};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use wheelfield::choice::Gateway;
 use wheelfield::interface::{
     Action, Ending, EngineEntry, EngineId, Event, Micros, Note, Outcome, Query, QueryId, Report, Settings,
     Status, Word,
 };
+use wheelfield::policy::Gateway;
 
 /// Memory and priority of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/engine-emulator/src/desk.rs
+++ b/crates/engine-emulator/src/desk.rs
@@ -3,7 +3,7 @@
 use crate::registry::{Registry, Standing};
 use crate::stand::{Do, Entry, NotUp};
 use bytes::{Buf, BytesMut};
-use wheelfield_sans_io::{http, ConnId, Slots};
+use wheelfield_sans_io::{http, ConnId, ConnectionTable};
 
 /// A call may wait so long at most, in milliseconds.
 const LONGEST_WAIT: i64 = 60_000;
@@ -22,7 +22,7 @@
 pub struct Desk {
     /// The list.
     pub registry: Registry,
-    calls: Slots<Call>,
+    calls: ConnectionTable<Call>,
     doing: Vec<Do>,
     journal: Vec<Entry>,
 }
@@ -30,7 +30,7 @@
 impl Desk {
     /// A desk that tells this list.
     pub fn new(registry: Registry) -> Desk {
-        Desk { registry, calls: Slots::new(1), doing: Vec::new(), journal: Vec::new() }
+        Desk { registry, calls: ConnectionTable::new(1), doing: Vec::new(), journal: Vec::new() }
     }
 
     /// What is to be done; `into` is emptied first.
--- a/crates/engine-emulator/src/stand.rs
+++ b/crates/engine-emulator/src/stand.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 use wheelfield_pg::back::Trouble;
-use wheelfield_sans_io::{ConnId, Slots};
+use wheelfield_sans_io::{ConnId, ConnectionTable};
 
 /// Bytes of a session's input that wait to be read.
 const INPUT: usize = 128 << 10;
@@ -133,7 +133,7 @@
     /// Its work.
     pub model: Model,
     faults: Faults,
-    connections: Slots<Connection>,
+    connections: ConnectionTable<Connection>,
     /// Whose query a job is.
     jobs: BTreeMap<u64, ConnId>,
     /// The connection of a session's number.
@@ -156,7 +156,7 @@
             cell: hosted.cell,
             model: Model::new(hosted.spec, now),
             faults: Faults::default(),
-            connections: Slots::new(1),
+            connections: ConnectionTable::new(1),
             jobs: BTreeMap::new(),
             by_pid: BTreeMap::new(),
             next_job: 0,
--- a/crates/pg-gateway/src/admin.rs
+++ b/crates/pg-gateway/src/admin.rs
@@ -1,8 +1,8 @@
 //! What operators ask over HTTP.
 
-use crate::out::{Effect, Out};
-use wheelfield_sans_io::Wire;
-use wheelfield_sans_io::{http, ConnId, Slots};
+use crate::effect_queue::{Effect, EffectQueue};
+use wheelfield_sans_io::ConnectionBuffer;
+use wheelfield_sans_io::{http, ConnId, ConnectionTable};
 
 pub(crate) const ROOM: u8 = 5;
 /// Calls at once; one more is closed.
@@ -22,24 +22,24 @@
 /// The calls of operators.
 #[derive(Debug)]
 pub(crate) struct Admin {
-    calls: Slots<Wire>,
+    calls: ConnectionTable<ConnectionBuffer>,
 }
 
 impl Admin {
     pub fn new() -> Admin {
-        Admin { calls: Slots::new(ROOM) }
+        Admin { calls: ConnectionTable::new(ROOM) }
     }
 
     /// An operator has connected; none if too many have.
     pub fn accept(&mut self) -> Option<ConnId> {
-        (self.calls.len() < MOST).then(|| self.calls.insert(Wire::default()))
+        (self.calls.len() < MOST).then(|| self.calls.insert(ConnectionBuffer::default()))
     }
 
     pub fn len(&self) -> usize {
         self.calls.len()
     }
 
-    pub fn wire(&mut self, id: ConnId) -> Option<&mut Wire> {
+    pub fn wire(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
         self.calls.get_mut(id)
     }
 
@@ -48,7 +48,7 @@
     }
 
     /// The next page that a call asks for; a call that is none is closed.
-    pub fn next(&mut self, id: ConnId, out: &mut Out) -> Option<Page> {
+    pub fn next(&mut self, id: ConnId, out: &mut EffectQueue) -> Option<Page> {
         let wire = self.calls.get_mut(id)?;
         match http::take_request(&mut wire.input, 4096) {
             Ok(Some(request)) => Some(match request.route() {
@@ -78,14 +78,14 @@
     }
 
     /// Bytes have gone to an operator.
-    pub fn wrote(&mut self, id: ConnId, n: usize, out: &mut Out) {
+    pub fn wrote(&mut self, id: ConnId, n: usize, out: &mut EffectQueue) {
         if self.calls.get_mut(id).is_some_and(|w| w.wrote(n) && w.ended) {
             self.remove(id, out);
         }
     }
 
     /// A call is over.
-    pub fn remove(&mut self, id: ConnId, out: &mut Out) {
+    pub fn remove(&mut self, id: ConnId, out: &mut EffectQueue) {
         if self.calls.remove(id).is_some() {
             out.push(Effect::Close(id));
         }
--- a/crates/pg-gateway/src/bootstrap.rs
+++ b/crates/pg-gateway/src/bootstrap.rs
@@ -1,10 +1,10 @@
 //! What a controller starts with.
 
-use crate::plant::Plant;
+use crate::fault_injection::FaultInjection;
 use std::net::SocketAddr;
 use wheelfield_capture::Recorder;
 use wheelfield_gossip::seal::Keys;
-use wheelfield_recorder::Mind;
+use wheelfield_recorder::DecisionEngine;
 
 /// What a controller starts with.
 pub struct Start {
@@ -15,7 +15,7 @@
     /// Makes the keys to cancel: from the system where it must not be guessed.
     pub secret: [u8; 32],
     /// What decides.
-    pub mind: Box<dyn Mind>,
+    pub mind: Box<dyn DecisionEngine>,
     /// Records what that is told and answers.
     pub recorder: Option<Recorder>,
     /// Where words of other controllers come in.
@@ -23,5 +23,5 @@
     /// Where gossip comes in, and its keys.
     pub gossip: Option<(SocketAddr, Keys)>,
     /// A fault for a judge to find.
-    pub plant: Option<Plant>,
+    pub plant: Option<FaultInjection>,
 }
--- a/crates/pg-gateway/src/cancels.rs
+++ b/crates/pg-gateway/src/cancels.rs
@@ -1,12 +1,12 @@
 //! Requests to cancel: connections of their own, over once the engine closes them.
 
-use crate::out::{Effect, Out};
-use crate::wake::Wake;
+use crate::effect_queue::{Effect, EffectQueue};
+use crate::timer_event::TimerEvent;
 use bytes::Bytes;
 use std::net::SocketAddr;
 use wheelfield_pg::front;
-use wheelfield_sans_io::Wire;
-use wheelfield_sans_io::{ConnId, Slots, TimerKey};
+use wheelfield_sans_io::ConnectionBuffer;
+use wheelfield_sans_io::{ConnId, ConnectionTable, TimerKey};
 
 pub(crate) const ROOM: u8 = 3;
 /// Requests under way at once; without room for one the session is closed instead.
@@ -16,7 +16,7 @@
 
 #[derive(Debug)]
 struct Request {
-    wire: Wire,
+    wire: ConnectionBuffer,
     session: ConnId,
     timer: Option<TimerKey>,
 }
@@ -24,12 +24,12 @@
 /// The requests under way.
 #[derive(Debug)]
 pub(crate) struct Cancels {
-    all: Slots<Request>,
+    all: ConnectionTable<Request>,
 }
 
 impl Cancels {
     pub fn new() -> Cancels {
-        Cancels { all: Slots::new(ROOM) }
+        Cancels { all: ConnectionTable::new(ROOM) }
     }
 
     pub fn len(&self) -> usize {
@@ -43,22 +43,22 @@
         to: SocketAddr,
         (pid, key): &(i32, Bytes),
         patience: i64,
-        out: &mut Out,
+        out: &mut EffectQueue,
     ) -> bool {
         if self.all.len() >= MOST {
             return false;
         }
-        let mut wire = Wire::default();
+        let mut wire = ConnectionBuffer::default();
         front::put_cancel(*pid, key, &mut wire.output);
         let id = self.all.insert(Request { wire, session, timer: None });
         if let Some(r) = self.all.get_mut(id) {
-            r.timer = Some(out.wake_after(patience, Wake::Cancel(id)));
+            r.timer = Some(out.wake_after(patience, TimerEvent::Cancel(id)));
         }
         out.push(Effect::Connect(id, to));
         true
     }
 
-    pub fn wire(&mut self, id: ConnId) -> Option<&mut Wire> {
+    pub fn wire(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
         self.all.get_mut(id).map(|r| &mut r.wire)
     }
 
@@ -67,14 +67,14 @@
     }
 
     /// It is connected: the request goes out.
-    pub fn connected(&mut self, id: ConnId, out: &mut Out) {
+    pub fn connected(&mut self, id: ConnId, out: &mut EffectQueue) {
         if let Some(r) = self.all.get_mut(id) {
             r.wire.flush(id, out);
         }
     }
 
     /// Something came that nobody reads.
-    pub fn received(&mut self, id: ConnId, out: &mut Out) {
+    pub fn received(&mut self, id: ConnId, out: &mut EffectQueue) {
         if let Some(r) = self.all.get_mut(id) {
             r.wire.input.clear();
             r.wire.refill(id, READ, out);
@@ -82,7 +82,7 @@
     }
 
     /// A request is over, in whatever way. Its session. `leaks` is a planted fault: the connection stays.
-    pub fn over(&mut self, id: ConnId, leaks: bool, out: &mut Out) -> Option<ConnId> {
+    pub fn over(&mut self, id: ConnId, leaks: bool, out: &mut EffectQueue) -> Option<ConnId> {
         let mut r = self.all.remove(id)?;
         out.call_off(&mut r.timer);
         if !leaks {
--- a/crates/pg-gateway/src/clients.rs
+++ b/crates/pg-gateway/src/clients.rs
@@ -1,8 +1,8 @@
 //! Sessions of clients: their messages in, their answers out, their keys to cancel.
 
-use crate::out::{Effect, Out};
-use crate::seen::Seen;
-use crate::wake::Wake;
+use crate::coverage::Coverage;
+use crate::effect_queue::{Effect, EffectQueue};
+use crate::timer_event::TimerEvent;
 use bytes::{Bytes, BytesMut};
 use rand::rngs::StdRng;
 use rand::RngExt as _;
@@ -12,8 +12,8 @@
 use wheelfield_config::Config;
 use wheelfield_pg::back::Trouble;
 use wheelfield_pg::client::{self, Ask, Session, Unit};
-use wheelfield_sans_io::Wire;
-use wheelfield_sans_io::{ConnId, Slots, TimerKey};
+use wheelfield_sans_io::ConnectionBuffer;
+use wheelfield_sans_io::{ConnId, ConnectionTable, TimerKey};
 
 pub(crate) const ROOM: u8 = 1;
 /// Read ahead of a client whose query runs.
@@ -35,7 +35,7 @@
 
 #[derive(Debug)]
 struct Client {
-    wire: Wire,
+    wire: ConnectionBuffer,
     session: Session,
     pid: i32,
     running: Option<QueryId>,
@@ -70,7 +70,7 @@
 /// All clients.
 #[derive(Debug)]
 pub(crate) struct Clients {
-    all: Slots<Client>,
+    all: ConnectionTable<Client>,
     keys: BTreeMap<i32, (i32, ConnId)>,
     next_pid: i32,
     chance: StdRng,
@@ -87,7 +87,7 @@
     pub fn new(config: &Config, chance: StdRng) -> Clients {
         let l = config.limits;
         Clients {
-            all: Slots::new(ROOM),
+            all: ConnectionTable::new(ROOM),
             keys: BTreeMap::new(),
             next_pid: 0,
             chance,
@@ -105,13 +105,13 @@
     }
 
     /// A client has connected.
-    pub fn accept(&mut self, out: &mut Out) -> ConnId {
+    pub fn accept(&mut self, out: &mut EffectQueue) -> ConnId {
         self.counts.accepted += 1;
         let crowded = self.all.len() >= self.most;
         self.next_pid = self.next_pid.checked_add(1).unwrap_or(1);
         let (pid, key) = (self.next_pid, self.chance.random::<i32>());
         let id = self.all.insert(Client {
-            wire: Wire::default(),
+            wire: ConnectionBuffer::default(),
             session: Session::new(self.limits, pid, key),
             pid,
             running: None,
@@ -120,7 +120,7 @@
             pauses: None,
             moved: out.now,
         });
-        out.saw(if crowded { Seen::ClientTurnedAway } else { Seen::ClientAccepted });
+        out.saw(if crowded { Coverage::ClientTurnedAway } else { Coverage::ClientAccepted });
         let Some(c) = self.all.get_mut(id) else { return id };
         if crowded {
             self.counts.turned_away += 1;
@@ -128,14 +128,14 @@
             c.session.end(&trouble, &mut c.wire.output);
             c.wire.flush(id, out);
         } else {
-            c.startup = Some(out.wake_after(self.startup, Wake::Startup(id)));
+            c.startup = Some(out.wake_after(self.startup, TimerEvent::Startup(id)));
             self.keys.insert(pid, (key, id));
         }
         id
     }
 
     /// What the socket does next with its bytes.
-    pub fn wire(&mut self, id: ConnId) -> Option<&mut Wire> {
+    pub fn wire(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
         self.all.get_mut(id).map(|c| &mut c.wire)
     }
 
@@ -149,14 +149,14 @@
     }
 
     /// Reads a client's messages up to the first thing that must be done for it.
-    pub fn next(&mut self, id: ConnId, out: &mut Out) -> Option<Said> {
+    pub fn next(&mut self, id: ConnId, out: &mut EffectQueue) -> Option<Said> {
         let message = self.limits.message;
         let c = self.all.get_mut(id)?;
         while !c.last {
             match c.session.feed(&mut c.wire.input, &mut c.wire.output) {
                 Err(fault) => {
                     self.counts.malformed += 1;
-                    out.saw(Seen::ClientMalformed);
+                    out.saw(Coverage::ClientMalformed);
                     c.last = true;
                     info!(%fault, "client ended");
                 }
@@ -216,7 +216,7 @@
     }
 
     /// Something went to a client's output.
-    pub fn flush(&mut self, id: ConnId, out: &mut Out) {
+    pub fn flush(&mut self, id: ConnId, out: &mut EffectQueue) {
         if let Some(c) = self.all.get_mut(id) {
             c.wire.flush(id, out);
         }
@@ -239,7 +239,7 @@
     }
 
     /// Bytes have gone to a client. The session with an engine that may go on, and whether the client is done with.
-    pub fn wrote(&mut self, id: ConnId, n: usize, out: &mut Out) -> (Option<ConnId>, bool) {
+    pub fn wrote(&mut self, id: ConnId, n: usize, out: &mut EffectQueue) -> (Option<ConnId>, bool) {
         let Some(c) = self.all.get_mut(id) else { return (None, false) };
         let all = c.wire.wrote(n);
         if n > 0 {
@@ -251,11 +251,11 @@
     }
 
     /// A client's output is full: its engine waits, but not for ever.
-    pub fn pause(&mut self, id: ConnId, session: ConnId, out: &mut Out) {
+    pub fn pause(&mut self, id: ConnId, session: ConnId, out: &mut EffectQueue) {
         if let Some(c) = self.all.get_mut(id) {
-            out.saw(Seen::ClientPaused);
+            out.saw(Coverage::ClientPaused);
             if c.pauses.replace(session).is_none() {
-                out.wake_after(self.patience, Wake::Reader(id));
+                out.wake_after(self.patience, TimerEvent::Reader(id));
             }
             c.wire.flush(id, out);
         }
@@ -274,30 +274,30 @@
     }
 
     /// True for a client that has taken nothing of its answer for too long.
-    pub fn reader_stalled(&mut self, id: ConnId, out: &mut Out) -> bool {
+    pub fn reader_stalled(&mut self, id: ConnId, out: &mut EffectQueue) -> bool {
         let Some(c) = self.all.get(id).filter(|c| c.pauses.is_some()) else { return false };
         if out.now - c.moved >= self.patience {
-            out.saw(Seen::ClientStalled);
+            out.saw(Coverage::ClientStalled);
             info!("a client that takes nothing of its answer is closed");
             return true;
         }
         let at = c.moved + self.patience;
-        out.wake_at(at, Wake::Reader(id));
+        out.wake_at(at, TimerEvent::Reader(id));
         false
     }
 
     /// A client has not introduced itself in time.
-    pub fn startup_late(&mut self, id: ConnId, out: &mut Out) {
+    pub fn startup_late(&mut self, id: ConnId, out: &mut EffectQueue) {
         let Some(c) = self.all.get_mut(id).filter(|c| !c.session.started()) else { return };
         c.startup = None;
-        out.saw(Seen::ClientStartupLate);
+        out.saw(Coverage::ClientStartupLate);
         c.session.end(&Trouble::fatal("08P01", "no startup packet in time"), &mut c.wire.output);
         c.last = true;
         c.wire.flush(id, out);
     }
 
     /// The controller stops: ends all with nothing running.
-    pub fn end_idle(&mut self, out: &mut Out) {
+    pub fn end_idle(&mut self, out: &mut EffectQueue) {
         let all: Vec<ConnId> = self.all.iter().map(|(id, _)| id).collect();
         for id in all {
             self.end(id, out);
@@ -305,9 +305,9 @@
     }
 
     /// The controller stops: ends a client with nothing running.
-    pub fn end(&mut self, id: ConnId, out: &mut Out) {
+    pub fn end(&mut self, id: ConnId, out: &mut EffectQueue) {
         let Some(c) = self.all.get_mut(id).filter(|c| c.running.is_none() && !c.last) else { return };
-        out.saw(Seen::ClientStopped);
+        out.saw(Coverage::ClientStopped);
         let trouble = Trouble::fatal("57P01", "the controller stops").hint("connect again, to another one");
         c.session.end(&trouble, &mut c.wire.output);
         c.last = true;
@@ -315,13 +315,13 @@
     }
 
     /// A client can be told nothing more: its connection closes. The query that it waited for is told.
-    pub fn remove(&mut self, id: ConnId, out: &mut Out) -> Option<QueryId> {
+    pub fn remove(&mut self, id: ConnId, out: &mut EffectQueue) -> Option<QueryId> {
         let mut c = self.all.remove(id)?;
         out.call_off(&mut c.startup);
         if self.keys.get(&c.pid).is_some_and(|(_, of)| *of == id) {
             self.keys.remove(&c.pid);
         }
-        out.saw(if c.running.is_some() { Seen::ClientGoneRunning } else { Seen::ClientGoneIdle });
+        out.saw(if c.running.is_some() { Coverage::ClientGoneRunning } else { Coverage::ClientGoneIdle });
         out.push(Effect::Close(id));
         c.running
     }
--- a/crates/pg-gateway/src/coverage.rs
+++ b/crates/pg-gateway/src/coverage.rs
@@ -5,7 +5,7 @@
     ($($name:ident = $word:literal,)*) => {
         /// Something that came to pass.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-        pub(crate) enum Seen { $($name,)* }
+        pub(crate) enum Coverage { $($name,)* }
         const WORDS: &[&str] = &[$($word,)*];
     };
 }
@@ -84,7 +84,7 @@
 }
 
 impl Counts {
-    pub fn note(&mut self, what: Seen) {
+    pub fn note(&mut self, what: Coverage) {
         self.0[what as usize] += 1;
     }
 
--- a/crates/pg-gateway/src/dispatcher.rs
+++ b/crates/pg-gateway/src/dispatcher.rs
@@ -1,21 +1,21 @@
 //! What goes on between the rooms: words of one are handed to the others until nothing is left to be done.
 
 use crate::admin::{Admin, Page};
+use crate::bootstrap::Start;
 use crate::clients::{Clients, Said};
+use crate::coverage::Coverage;
+use crate::effect_queue::EffectQueue;
+use crate::endpoint_sets::EndpointSets;
 use crate::engines::{self, Engines, Progress, Word};
-use crate::figures::Look;
+use crate::fault_injection::FaultInjection;
 use crate::gossip::Gossip;
-use crate::out::Out;
+use crate::in_flight::{InFlightQueries, InHand};
+use crate::metrics::Look;
 use crate::peering::Peering;
-use crate::plant::Plant;
 use crate::registry::{Call, Told};
-use crate::seen::Seen;
-use crate::sets::Sets;
-use crate::start::Start;
-use crate::stop::Stop;
-use crate::units::{InHand, Units};
-use crate::wake::Wake;
-use crate::{planted, route, words};
+use crate::shutdown::Stop;
+use crate::timer_event::TimerEvent;
+use crate::{injected_faults, peer_load, route};
 use rand::{rngs::StdRng, SeedableRng as _};
 use std::collections::VecDeque;
 use tracing::{debug, info, warn};
@@ -25,21 +25,21 @@
 use wheelfield_endpoints::tracker::{from_registry, Change};
 use wheelfield_pg::back::Trouble;
 use wheelfield_pg::client::Unit;
-use wheelfield_recorder::Tape;
+use wheelfield_recorder::RecordingDriver;
 use wheelfield_sans_io::ConnId;
 
 /// Idle sessions, ages and captures are looked at so often.
 const SWEEP: i64 = 1_000_000;
 
 /// All rooms.
-pub(crate) struct Flow {
+pub(crate) struct Dispatcher {
     pub config: Config,
-    pub out: Out,
-    pub tape: Tape,
+    pub out: EffectQueue,
+    pub tape: RecordingDriver,
     pub clients: Clients,
-    units: Units,
+    units: InFlightQueries,
     pub engines: Engines,
-    pub sets: Sets,
+    pub sets: EndpointSets,
     pub call: Call,
     pub peering: Option<Peering>,
     pub gossip: Option<Gossip>,
@@ -51,22 +51,22 @@
     cancels_heard: u64,
     hints_ignored: u64,
     probes: (u64, u64),
-    plant: Option<Plant>,
+    plant: Option<FaultInjection>,
     planted: u64,
 }
 
-impl Flow {
+impl Dispatcher {
     /// The rooms of a controller that has not started.
-    pub fn new(config: Config, start: Start) -> Flow {
+    pub fn new(config: Config, start: Start) -> Dispatcher {
         let Start { now, seed, secret, mind, recorder, peers, gossip, plant } = start;
         let plant = plant.filter(|_| cfg!(feature = "planted"));
-        Flow {
-            out: Out::new(now),
-            tape: Tape::new(mind, recorder),
+        Dispatcher {
+            out: EffectQueue::new(now),
+            tape: RecordingDriver::new(mind, recorder),
             clients: Clients::new(&config, StdRng::from_seed(secret)),
-            units: Units::default(),
+            units: InFlightQueries::default(),
             engines: Engines::new(&config, plant),
-            sets: Sets::new(&config),
+            sets: EndpointSets::new(&config),
             call: Call::new(&config),
             peering: Peering::new(&config, peers, now),
             gossip: gossip.and_then(|(own, keys)| Gossip::new(&config, own, keys, seed, now, plant)),
@@ -96,50 +96,50 @@
         if let Some(gossip) = &mut self.gossip {
             gossip.tend(&mut self.out);
         }
-        self.out.wake_after(SWEEP, Wake::Sweep);
+        self.out.wake_after(SWEEP, TimerEvent::Sweep);
     }
 
-    pub fn woken(&mut self, wake: Wake) {
+    pub fn woken(&mut self, wake: TimerEvent) {
         let out = &mut self.out;
         match wake {
-            Wake::Startup(id) => self.clients.startup_late(id, out),
-            Wake::Reader(id) => {
+            TimerEvent::Startup(id) => self.clients.startup_late(id, out),
+            TimerEvent::Reader(id) => {
                 if self.clients.reader_stalled(id, out) {
                     self.client_gone(id);
                 }
             }
-            Wake::Connect(id) => self.engines.connect_late(id, out),
-            Wake::Stall(id) => {
+            TimerEvent::Connect(id) => self.engines.connect_late(id, out),
+            TimerEvent::Stall(id) => {
                 let client = self.engines.sessions.get(id).and_then(|s| s.client());
                 let paused = client.is_some_and(|c| self.clients.pauses(c, id));
                 self.engines.stalled(id, paused, out);
             }
-            Wake::Abandon(id) => self.engines.abandon(id, out),
-            Wake::Cancel(id) => self.engines.cancel_late(id, out),
-            Wake::Probe(id) => self.engines.probe_late(id, out),
-            Wake::Registry => self.call.ask(self.sets.registry_version(), out),
-            Wake::Gossip => {
+            TimerEvent::Abandon(id) => self.engines.abandon(id, out),
+            TimerEvent::Cancel(id) => self.engines.cancel_late(id, out),
+            TimerEvent::Probe(id) => self.engines.probe_late(id, out),
+            TimerEvent::Registry => self.call.ask(self.sets.registry_version(), out),
+            TimerEvent::Gossip => {
                 if let Some(gossip) = &mut self.gossip {
                     gossip.tend(out);
                 }
             }
-            Wake::Stop if self.stop == Stop::Stopped => {}
-            Wake::Stop => {
-                out.saw(Seen::StopLate);
+            TimerEvent::Stop if self.stop == Stop::Stopped => {}
+            TimerEvent::Stop => {
+                out.saw(Coverage::StopLate);
                 self.stop.late(self.clients.len(), out);
             }
-            Wake::Sweep => self.sweep(),
+            TimerEvent::Sweep => self.sweep(),
         }
     }
 
     fn sweep(&mut self) {
         let now = self.out.now;
-        self.out.wake_after(SWEEP, Wake::Sweep);
+        self.out.wake_after(SWEEP, TimerEvent::Sweep);
         self.engines.close_idle(&mut self.out);
         let change = self.sets.age(now);
         self.changed(change);
         if let Some((count, index)) = self.gossip.as_mut().and_then(|g| g.news()) {
-            self.out.saw(Seen::GatewaysTold);
+            self.out.saw(Coverage::GatewaysTold);
             self.tape.tell(now, Input::Gateways { count, index });
         }
         self.tape.tend(now);
@@ -162,7 +162,7 @@
             }
         }
         if self.stop == Stop::Stopping && self.out.listening_ended() && self.clients.len() == 0 {
-            self.out.saw(Seen::StopDone);
+            self.out.saw(Coverage::StopDone);
             self.stop.over(&mut self.out);
         }
     }
@@ -217,11 +217,11 @@
                 let outcome = Outcome::Served;
                 self.tape.tell(now, Input::Ended { attempt, outcome, billed_work, report });
                 self.out.saw(if accepted.is_none() {
-                    Seen::Crossed
+                    Coverage::Crossed
                 } else if errored {
-                    Seen::ServedErrored
+                    Coverage::ServedErrored
                 } else {
-                    Seen::Served
+                    Coverage::Served
                 });
                 if accepted.is_some() {
                     self.served(attempt.query, errored);
@@ -239,7 +239,7 @@
             Word::Probed(engine, outcome, report) => {
                 let served = u64::from(outcome == Outcome::Served);
                 self.probes = (self.probes.0 + served, self.probes.1 + 1 - served);
-                self.out.saw(if served > 0 { Seen::Probed } else { Seen::ProbeLost });
+                self.out.saw(if served > 0 { Coverage::Probed } else { Coverage::ProbeLost });
                 self.tape.tell(now, Input::Probed { engine, outcome, report });
             }
             Word::Cut(client) => self.client_gone(client),
@@ -254,11 +254,11 @@
 
     /// Writes an attempt to a session that is there for it.
     fn dispatch(&mut self, session: ConnId, attempt: AttemptId) {
-        let planted = self.plant == Some(Plant::Drained);
+        let planted = self.plant == Some(FaultInjection::Drained);
         if !self.tape.mind().may_write(Micros(self.out.now), attempt) && !planted
             || self.units.get(attempt.query).is_none()
         {
-            self.out.saw(Seen::NotWritten);
+            self.out.saw(Coverage::NotWritten);
             // A repeat that came too late is out still, and was not sent.
             if self.tape.mind().is_out(attempt) {
                 let (outcome, billed_work, report) = (Outcome::Skipped, None, Report::default());
@@ -300,7 +300,7 @@
 
     fn start(&mut self, attempt: AttemptId, engine: EngineId, terms: Terms) {
         if attempt.number > 0 {
-            self.out.saw(Seen::Resent);
+            self.out.saw(Coverage::Resent);
             let name = self.sets.engines().name(engine);
             let id = self.units.label(attempt.query);
             info!(query = attempt.query.0, id, engine = name, attempt = attempt.number, "resend");
@@ -321,13 +321,13 @@
                 Said::Run(unit) => self.take(id, unit),
                 Said::More(query, frames, swallow, sealed) => {
                     self.engines.sessions.more(query, &frames, &swallow, sealed, &mut self.out);
-                    self.out.saw(Seen::UnitMore);
+                    self.out.saw(Coverage::UnitMore);
                     let Some(unit) = self.units.get_mut(query) else { continue };
                     unit.sealed |= sealed;
                     unit.more.push((frames, swallow));
                     if unit.held() > self.config.limits.prepared {
-                        self.out.saw(Seen::UnitTooLong);
-                        self.give_up(id, query, &words::too_long());
+                        self.out.saw(Coverage::UnitTooLong);
+                        self.give_up(id, query, &peer_load::too_long());
                     }
                 }
                 Said::Cancel(pid, key) => self.cancel_of(pid, &key),
@@ -351,16 +351,16 @@
         let class = routed.arrival.class;
         match self.tape.arrive(now, routed.arrival, &label) {
             Ok(query) => {
-                self.out.saw(if unit.open { Seen::UnitOpen } else { Seen::UnitTaken });
+                self.out.saw(if unit.open { Coverage::UnitOpen } else { Coverage::UnitTaken });
                 let (sealed, more, terms) = (!unit.open, Vec::new(), Terms::default());
                 let of = InHand { client: id, unit, more, sealed, terms, label, class, since: now };
                 self.units.put(query, of);
                 self.clients.runs(id, query);
             }
             Err(_) => {
-                self.out.saw(Seen::UnitCrowded);
+                self.out.saw(Coverage::UnitCrowded);
                 info!(id = %label, reason = "the controller holds as many queries as it may", "refused");
-                self.clients.unserved(id, &words::crowded());
+                self.clients.unserved(id, &peer_load::crowded());
             }
         }
     }
@@ -378,16 +378,16 @@
     fn cancel_of(&mut self, pid: i32, key: &[u8]) {
         self.cancels_heard += 1;
         let Some((id, query)) = self.clients.query_of(pid, key) else {
-            return self.out.saw(Seen::CancelUnknown);
+            return self.out.saw(Coverage::CancelUnknown);
         };
         let (id, query) = self.stranger(query).unwrap_or((id, query));
         info!(query = query.0, id = self.units.label(query), "cancelled by its client");
         if self.engines.sessions.amid_row(query) {
-            self.out.saw(Seen::CancelAmidRow);
+            self.out.saw(Coverage::CancelAmidRow);
             return self.client_gone(id);
         }
-        self.out.saw(Seen::CancelTaken);
-        self.give_up(id, query, &words::cancelled());
+        self.out.saw(Coverage::CancelTaken);
+        self.give_up(id, query, &peer_load::cancelled());
     }
 
     fn answer(&mut self, query: QueryId, answer: Answer) {
@@ -397,33 +397,33 @@
         let (id, held_us) = (&unit.label, self.out.now - unit.since);
         match answer {
             Answer::Refused { retry_after } => {
-                self.out.saw(Seen::Refused);
-                let retry_after_ms = words::advice_ms(retry_after);
+                self.out.saw(Coverage::Refused);
+                let retry_after_ms = peer_load::advice_ms(retry_after);
                 info!(query = query.0, id, class, held_us, retry_after_ms, "refused");
             }
             Answer::Failed { may_have_run } => {
-                self.out.saw(if may_have_run { Seen::FailedRun } else { Seen::FailedNotRun });
+                self.out.saw(if may_have_run { Coverage::FailedRun } else { Coverage::FailedNotRun });
                 let reason = if may_have_run { "may have run" } else { "not run" };
                 warn!(query = query.0, id, class, held_us, reason, "failed");
             }
             Answer::Broken => {
-                self.out.saw(Seen::Broken);
+                self.out.saw(Coverage::Broken);
                 warn!(query = query.0, id, class, held_us, reason = "answer broke off", "failed");
             }
         }
-        let trouble = words::of(answer);
+        let trouble = peer_load::of(answer);
         self.clients.unserved(unit.client, &trouble);
-        if self.planted(Plant::Twice, 2) {
+        if self.planted(FaultInjection::Twice, 2) {
             self.clients.sink(unit.client).into_iter().for_each(|sink| trouble.put(sink));
         }
-        if !self.planted(Plant::Wake, 2) {
+        if !self.planted(FaultInjection::TimerEvent, 2) {
             self.ready.push_back(unit.client);
         }
     }
 
     /// The client's query was served; its answer is in its output.
     fn served(&mut self, query: QueryId, errored: bool) {
-        if self.planted(Plant::Lose, 20) {
+        if self.planted(FaultInjection::Lose, 20) {
             self.units.take(query);
             return;
         }
@@ -449,7 +449,7 @@
         match told {
             None => {}
             Some(Told::Unavailable) => {
-                self.out.saw(Seen::ListMissing);
+                self.out.saw(Coverage::ListMissing);
                 self.tape.tell(self.out.now, Input::ListUnavailable);
             }
             Some(Told::List(body)) => {
@@ -461,7 +461,7 @@
                     }
                     Err(fault) => {
                         self.sets.counts.refused += 1;
-                        self.out.saw(Seen::ListRefused);
+                        self.out.saw(Coverage::ListRefused);
                         warn!(%fault, "a list of engines was refused; the last one stays");
                     }
                 }
@@ -474,7 +474,7 @@
         let Some(Change { whole, entries }) = change.filter(|c| c.whole || !c.entries.is_empty()) else {
             return;
         };
-        self.out.saw(Seen::ListTaken);
+        self.out.saw(Coverage::ListTaken);
         let known = self.sets.engines();
         for entry in &entries {
             info!(engine = known.name(entry.engine), status = ?entry.status, "engine list");
@@ -529,22 +529,23 @@
         let (Some(plant), Some(unit)) = (self.plant, self.units.get(attempt.query)) else { return };
         let once = self.config.settings.classes[unit.class].effect == Class::Once;
         let of = (attempt, engine);
-        self.planted += planted::send_more(plant, once, of, &self.units, &mut self.engines, &mut self.out);
+        self.planted +=
+            injected_faults::send_more(plant, once, of, &self.units, &mut self.engines, &mut self.out);
     }
 
     /// Whose query a cancel ends in place of the one that was meant.
     fn stranger(&mut self, query: QueryId) -> Option<(ConnId, QueryId)> {
-        let other = self.planted(Plant::Stranger, 1).then(|| self.units.another(query)).flatten()?;
+        let other = self.planted(FaultInjection::Stranger, 1).then(|| self.units.another(query)).flatten()?;
         Some((self.units.get(other)?.client, other))
     }
 
     /// Whose text is sent in place of a query's own.
     fn swapped(&mut self, query: QueryId) -> Option<QueryId> {
-        self.planted(Plant::Swap, 20).then(|| self.units.another(query)).flatten()
+        self.planted(FaultInjection::Swap, 20).then(|| self.units.another(query)).flatten()
     }
 
     /// Whether a fault strikes now, as one time in so many.
-    pub fn planted(&mut self, plant: Plant, of: u64) -> bool {
+    pub fn planted(&mut self, plant: FaultInjection, of: u64) -> bool {
         if self.plant != Some(plant) {
             return false;
         }
--- a/crates/pg-gateway/src/effect_queue.rs
+++ b/crates/pg-gateway/src/effect_queue.rs
@@ -1,24 +1,24 @@
 //! Where the rooms of a gate put what they want: effects, timers, and the counts of what came to pass.
 
-use crate::seen::{Counts, Seen};
-use crate::wake::Wake;
+use crate::coverage::{Counts, Coverage};
+use crate::timer_event::TimerEvent;
 use std::ops::{Deref, DerefMut};
-pub use wheelfield_sans_io::{Effect, Port};
+pub use wheelfield_sans_io::{DatagramSocket, Effect};
 
-/// [`wheelfield_sans_io::Out`], and what came to pass.
+/// [`wheelfield_sans_io::EffectQueue`], and what came to pass.
 #[derive(Debug)]
-pub(crate) struct Out {
-    wanted: wheelfield_sans_io::Out<Wake>,
+pub(crate) struct EffectQueue {
+    wanted: wheelfield_sans_io::EffectQueue<TimerEvent>,
     seen: Counts,
 }
 
-impl Out {
-    pub fn new(now: i64) -> Out {
-        Out { wanted: wheelfield_sans_io::Out::new(now), seen: Counts::default() }
+impl EffectQueue {
+    pub fn new(now: i64) -> EffectQueue {
+        EffectQueue { wanted: wheelfield_sans_io::EffectQueue::new(now), seen: Counts::default() }
     }
 
     /// Something came to pass.
-    pub fn saw(&mut self, what: Seen) {
+    pub fn saw(&mut self, what: Coverage) {
         self.seen.note(what);
     }
 
@@ -28,14 +28,14 @@
     }
 }
 
-impl Deref for Out {
-    type Target = wheelfield_sans_io::Out<Wake>;
+impl Deref for EffectQueue {
+    type Target = wheelfield_sans_io::EffectQueue<TimerEvent>;
     fn deref(&self) -> &Self::Target {
         &self.wanted
     }
 }
 
-impl DerefMut for Out {
+impl DerefMut for EffectQueue {
     fn deref_mut(&mut self) -> &mut Self::Target {
         &mut self.wanted
     }
--- a/crates/pg-gateway/src/endpoint_sets.rs
+++ b/crates/pg-gateway/src/endpoint_sets.rs
@@ -33,16 +33,16 @@
 
 /// The engines in force.
 #[derive(Debug)]
-pub(crate) struct Sets {
+pub(crate) struct EndpointSets {
     engines: Engines,
     files: Option<Files>,
     pub counts: Counts,
 }
 
-impl Sets {
-    pub fn new(config: &Config) -> Sets {
+impl EndpointSets {
+    pub fn new(config: &Config) -> EndpointSets {
         let files = config.members.as_ref().map(|m| Files { age: m.registry_age, ..Files::default() });
-        Sets { engines: Engines::default(), files, counts: Counts::default() }
+        EndpointSets { engines: Engines::default(), files, counts: Counts::default() }
     }
 
     pub fn engines(&self) -> &Engines {
--- a/crates/pg-gateway/src/engine_sessions.rs
+++ b/crates/pg-gateway/src/engine_sessions.rs
@@ -1,15 +1,15 @@
 //! Sessions with engines, each by itself: one query at a time, its answer read on to its client.
 
-use crate::out::{Effect, Out};
-use crate::wake::Wake;
+use crate::effect_queue::{Effect, EffectQueue};
+use crate::timer_event::TimerEvent;
 use bytes::BytesMut;
 use std::collections::BTreeMap;
 use wheelfield::interface::{EngineId, QueryId};
 use wheelfield_driver::{AttemptId, Terms};
 use wheelfield_pg::backend::{Backend, Heard};
 use wheelfield_pg::front;
-use wheelfield_sans_io::Wire;
-use wheelfield_sans_io::{ConnId, Slots, TimerKey};
+use wheelfield_sans_io::ConnectionBuffer;
+use wheelfield_sans_io::{ConnId, ConnectionTable, TimerKey};
 
 pub(crate) const ROOM: u8 = 2;
 /// Read from an engine at a time.
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub(crate) struct Session {
     pub engine: EngineId,
-    pub wire: Wire,
+    pub wire: ConnectionBuffer,
     pub backend: Backend,
     pub job: Option<Job>,
     terms: Terms,
@@ -88,7 +88,7 @@
 /// All sessions with all engines.
 #[derive(Debug)]
 pub(crate) struct Sessions {
-    all: Slots<Session>,
+    all: ConnectionTable<Session>,
     /// Which session carries an attempt.
     flights: BTreeMap<AttemptId, ConnId>,
     user: String,
@@ -103,7 +103,7 @@
     pub fn new(config: &wheelfield_config::Config) -> Sessions {
         let s = &config.settings;
         Sessions {
-            all: Slots::new(ROOM),
+            all: ConnectionTable::new(ROOM),
             flights: BTreeMap::new(),
             user: config.user.clone(),
             database: config.database.clone(),
@@ -125,7 +125,7 @@
         self.all.get_mut(id)
     }
 
-    pub fn wire(&mut self, id: ConnId) -> Option<&mut Wire> {
+    pub fn wire(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
         self.all.get_mut(id).map(|s| &mut s.wire)
     }
 
@@ -137,8 +137,8 @@
     }
 
     /// Opens a session: the startup is written once it is connected.
-    pub fn open(&mut self, engine: EngineId, out: &mut Out) -> ConnId {
-        let mut wire = Wire::default();
+    pub fn open(&mut self, engine: EngineId, out: &mut EffectQueue) -> ConnId {
+        let mut wire = ConnectionBuffer::default();
         let backend = Backend::start(&self.user, &self.database, &self.label, &mut wire.output);
         self.all.insert(Session {
             engine,
@@ -179,7 +179,13 @@
     }
 
     /// Puts an attempt on a clean session.
-    pub fn put(&mut self, id: ConnId, attempt: AttemptId, unit: &crate::units::InHand, out: &mut Out) {
+    pub fn put(
+        &mut self,
+        id: ConnId,
+        attempt: AttemptId,
+        unit: &crate::in_flight::InHand,
+        out: &mut EffectQueue,
+    ) {
         let termed = self.termed;
         let Some(s) = self.all.get_mut(id) else { return };
         let change = termed && s.terms != unit.terms;
@@ -203,7 +209,7 @@
     }
 
     /// Writes a text of our own to a clean session.
-    pub fn put_own(&mut self, id: ConnId, job: Job, text: &str, out: &mut Out) {
+    pub fn put_own(&mut self, id: ConnId, job: Job, text: &str, out: &mut EffectQueue) {
         let Some(s) = self.all.get_mut(id) else { return };
         let mut frames = BytesMut::new();
         front::put_query(text, &mut frames);
@@ -213,7 +219,14 @@
     }
 
     /// More of an open unit goes to the sessions that carry it.
-    pub fn more(&mut self, query: QueryId, frames: &[u8], swallow: &[bool], sealed: bool, out: &mut Out) {
+    pub fn more(
+        &mut self,
+        query: QueryId,
+        frames: &[u8],
+        swallow: &[bool],
+        sealed: bool,
+        out: &mut EffectQueue,
+    ) {
         for id in self.carriers(query) {
             if let Some(s) = self.all.get_mut(id) {
                 s.backend.more(frames, swallow, sealed, &mut s.wire.output);
@@ -223,7 +236,7 @@
     }
 
     /// Reads on, up to the first thing that must be known. Rows go to `sink`, if somebody wants them.
-    pub fn feed(&mut self, id: ConnId, sink: Option<&mut BytesMut>, out: &mut Out) -> Fed {
+    pub fn feed(&mut self, id: ConnId, sink: Option<&mut BytesMut>, out: &mut EffectQueue) -> Fed {
         let room = self.buffer;
         let Some(s) = self.all.get_mut(id) else { return Fed::Dry };
         let mut nobody = BytesMut::new();
@@ -257,7 +270,7 @@
     }
 
     /// Nobody wants a session's answer any more. The client that did; none if nobody did before.
-    pub fn discard(&mut self, id: ConnId, patience: i64, out: &mut Out) -> Option<ConnId> {
+    pub fn discard(&mut self, id: ConnId, patience: i64, out: &mut EffectQueue) -> Option<ConnId> {
         let s = self.all.get_mut(id)?;
         let was = match &mut s.job {
             Some(Job::Attempt { client, .. }) => Some(client.take()?),
@@ -265,12 +278,12 @@
         };
         s.backend.discard(&mut s.wire.output);
         s.wire.flush(id, out);
-        out.instead(&mut s.timer, patience, Wake::Abandon(id));
+        out.instead(&mut s.timer, patience, TimerEvent::Abandon(id));
         was
     }
 
     /// Closes a session. What it was.
-    pub fn remove(&mut self, id: ConnId, out: &mut Out) -> Option<Session> {
+    pub fn remove(&mut self, id: ConnId, out: &mut EffectQueue) -> Option<Session> {
         let mut s = self.all.remove(id)?;
         out.call_off(&mut s.timer);
         if let Some(Job::Attempt { id: attempt, .. }) = &s.job {
--- a/crates/pg-gateway/src/engines.rs
+++ b/crates/pg-gateway/src/engines.rs
@@ -2,13 +2,13 @@
 //! it comes out as [`Word`]s; nothing here knows of clients but by the numbers of their connections.
 
 use crate::cancels::Cancels;
-use crate::out::{Effect, Out};
-use crate::plant::Plant;
+use crate::coverage::Coverage;
+use crate::effect_queue::{Effect, EffectQueue};
+use crate::engine_sessions::{Fed, Job, Sessions};
+use crate::fault_injection::FaultInjection;
+use crate::in_flight::InHand;
 use crate::pools::Pools;
-use crate::seen::Seen;
-use crate::sessions::{Fed, Job, Sessions};
-use crate::units::InHand;
-use crate::wake::Wake;
+use crate::timer_event::TimerEvent;
 use bytes::BytesMut;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -78,11 +78,11 @@
     heeded: bool,
     timing: wheelfield_config::Timing,
     /// A planted fault.
-    plant: Option<Plant>,
+    plant: Option<FaultInjection>,
 }
 
 impl Engines {
-    pub fn new(config: &Config, plant: Option<Plant>) -> Engines {
+    pub fn new(config: &Config, plant: Option<FaultInjection>) -> Engines {
         Engines {
             sessions: Sessions::new(config),
             pools: Pools::default(),
@@ -101,7 +101,7 @@
     }
 
     /// An engine as it is listed now.
-    pub fn listed(&mut self, engine: EngineId, address: SocketAddr, up: bool, out: &mut Out) {
+    pub fn listed(&mut self, engine: EngineId, address: SocketAddr, up: bool, out: &mut EffectQueue) {
         for id in self.pools.listed(engine, address, up) {
             self.drop(id, out);
         }
@@ -110,18 +110,18 @@
     // --- attempts ---
 
     /// Finds a session for an attempt, or opens one.
-    pub fn launch(&mut self, attempt: AttemptId, engine: EngineId, out: &mut Out) {
+    pub fn launch(&mut self, attempt: AttemptId, engine: EngineId, out: &mut EffectQueue) {
         let Some(pool) = self.pools.get_mut(engine) else {
             return self.ended(attempt, engine, Outcome::ConnectFailed);
         };
         while let Some(id) = pool.idle.pop() {
             if self.sessions.get(id).is_some_and(|s| !s.wire.closing && !s.wire.ended) {
-                out.saw(Seen::SessionReused);
+                out.saw(Coverage::SessionReused);
                 return self.words.push_back(Word::Free(id, attempt));
             }
         }
         if pool.sessions >= self.most {
-            out.saw(Seen::NoneFree);
+            out.saw(Coverage::NoneFree);
             debug!(query = attempt.query.0, engine = engine.0, "no session free");
             return self.ended(attempt, engine, Outcome::Full);
         }
@@ -135,14 +135,14 @@
     }
 
     /// Opens a session with an engine.
-    pub fn open(&mut self, engine: EngineId, out: &mut Out) {
+    pub fn open(&mut self, engine: EngineId, out: &mut EffectQueue) {
         let Some(pool) = self.pools.get_mut(engine) else { return };
         (pool.sessions, pool.connecting) = (pool.sessions + 1, pool.connecting + 1);
         let address = pool.address;
-        out.saw(Seen::SessionOpened);
+        out.saw(Coverage::SessionOpened);
         let id = self.sessions.open(engine, out);
         if let Some(s) = self.sessions.get_mut(id) {
-            out.instead(&mut s.timer, self.timing.connect.0, Wake::Connect(id));
+            out.instead(&mut s.timer, self.timing.connect.0, TimerEvent::Connect(id));
         }
         out.push(Effect::Connect(id, address));
     }
@@ -161,13 +161,13 @@
     }
 
     /// Writes an attempt to a session that is there for it.
-    pub fn put(&mut self, id: ConnId, attempt: AttemptId, unit: &InHand, out: &mut Out) {
+    pub fn put(&mut self, id: ConnId, attempt: AttemptId, unit: &InHand, out: &mut EffectQueue) {
         self.sessions.put(id, attempt, unit, out);
     }
 
     /// A clean session takes the next that waits for one, or rests.
-    pub fn rest(&mut self, id: ConnId, out: &mut Out) {
-        let reused = self.plant == Some(Plant::Reuse);
+    pub fn rest(&mut self, id: ConnId, out: &mut EffectQueue) {
+        let reused = self.plant == Some(FaultInjection::Reuse);
         let Some(s) = self.sessions.get_mut(id).filter(|s| s.free(reused)) else { return };
         out.call_off(&mut s.timer);
         s.idle_since = out.now;
@@ -179,7 +179,7 @@
         if let Some(attempt) = pool.waiting.pop_front() {
             return self.words.push_back(Word::Free(id, attempt));
         }
-        if pool.up || self.plant == Some(Plant::Drained) {
+        if pool.up || self.plant == Some(FaultInjection::Drained) {
             pool.idle.push(id);
         } else {
             self.drop(id, out);
@@ -187,14 +187,14 @@
     }
 
     /// A session is connected: its startup goes out.
-    pub fn connected(&mut self, id: ConnId, out: &mut Out) {
+    pub fn connected(&mut self, id: ConnId, out: &mut EffectQueue) {
         if let Some(s) = self.sessions.get_mut(id) {
             s.wire.flush(id, out);
         }
     }
 
     /// Reads a session on.
-    pub fn read(&mut self, id: ConnId, sink: Option<&mut BytesMut>, out: &mut Out) -> Progress {
+    pub fn read(&mut self, id: ConnId, sink: Option<&mut BytesMut>, out: &mut EffectQueue) -> Progress {
         match self.sessions.feed(id, sink, out) {
             Fed::Dry => Progress::Done,
             Fed::Full(client) => Progress::Full(client),
@@ -209,7 +209,7 @@
         }
     }
 
-    fn heard(&mut self, id: ConnId, heard: Heard, out: &mut Out) {
+    fn heard(&mut self, id: ConnId, heard: Heard, out: &mut EffectQueue) {
         let Some(s) = self.sessions.get_mut(id) else { return };
         let engine = s.engine;
         match heard {
@@ -262,7 +262,11 @@
                     backend::CANCELLED => Outcome::Cancelled,
                     _ => Outcome::Error,
                 };
-                out.saw(if outcome == Outcome::Full { Seen::EngineRefused } else { Seen::EngineErrored });
+                out.saw(if outcome == Outcome::Full {
+                    Coverage::EngineRefused
+                } else {
+                    Coverage::EngineErrored
+                });
                 match s.job.take() {
                     Some(Job::Attempt { id: attempt, .. }) => {
                         self.sessions.landed(attempt);
@@ -287,29 +291,29 @@
     }
 
     /// An answer goes to its client from here on: what was held back goes first.
-    pub fn begin(&mut self, id: ConnId, sink: &mut BytesMut, out: &mut Out) {
+    pub fn begin(&mut self, id: ConnId, sink: &mut BytesMut, out: &mut EffectQueue) {
         let stall = self.timing.stall.0;
         if let Some(s) = self.sessions.get_mut(id) {
             s.backend.begin(sink);
-            out.instead(&mut s.timer, stall, Wake::Stall(id));
+            out.instead(&mut s.timer, stall, TimerEvent::Stall(id));
         }
     }
 
     /// A unit is over: the session is kept if it is clean.
-    pub fn over(&mut self, id: ConnId, clean: bool, out: &mut Out) {
+    pub fn over(&mut self, id: ConnId, clean: bool, out: &mut EffectQueue) {
         if let Some(s) = self.sessions.get_mut(id) {
             out.call_off(&mut s.timer);
         }
         if clean {
             self.rest(id, out);
         } else {
-            out.saw(Seen::Unclean);
+            out.saw(Coverage::Unclean);
             self.drop(id, out);
         }
     }
 
     /// A session broke, or never came about.
-    pub fn lost(&mut self, id: ConnId, outcome: Outcome, reason: &str, out: &mut Out) {
+    pub fn lost(&mut self, id: ConnId, outcome: Outcome, reason: &str, out: &mut EffectQueue) {
         let Some(s) = self.sessions.get_mut(id) else { return };
         let (engine, starting) = (s.engine, s.backend.starting());
         let job = s.job;
@@ -320,11 +324,11 @@
         };
         let (amid_row, unsent) = (s.backend.amid_row(), s.unsent.is_some());
         out.saw(match job {
-            _ if starting => Seen::LostStarting,
-            None => Seen::LostIdle,
-            _ if amid_row => Seen::LostAmidRow,
-            _ if unsent => Seen::LostUnsent,
-            _ => Seen::LostRunning,
+            _ if starting => Coverage::LostStarting,
+            None => Coverage::LostIdle,
+            _ if amid_row => Coverage::LostAmidRow,
+            _ if unsent => Coverage::LostUnsent,
+            _ => Coverage::LostRunning,
         });
         self.drop(id, out);
         if starting {
@@ -346,7 +350,7 @@
     }
 
     /// Its socket broke.
-    pub fn broken(&mut self, id: ConnId, writing: bool, reason: &str, out: &mut Out) {
+    pub fn broken(&mut self, id: ConnId, writing: bool, reason: &str, out: &mut EffectQueue) {
         let Some(s) = self.sessions.get(id) else { return };
         let unsent = s.backend.starting() || (writing && s.unsent.is_some());
         self.lost(id, if unsent { Outcome::ConnectFailed } else { Outcome::Reset }, reason, out);
@@ -362,7 +366,7 @@
     }
 
     /// Closes a session; whatever it did is not told.
-    fn drop(&mut self, id: ConnId, out: &mut Out) {
+    fn drop(&mut self, id: ConnId, out: &mut EffectQueue) {
         if let Some(s) = self.sessions.remove(id, out) {
             self.pools.closed(s.engine, id, s.backend.starting());
         }
@@ -371,12 +375,12 @@
     // --- withdrawing ---
 
     /// Ends an attempt at its engine. While its answer is `wanted`, one that crosses the request still counts.
-    pub fn withdraw(&mut self, attempt: AttemptId, wanted: bool, out: &mut Out) {
+    pub fn withdraw(&mut self, attempt: AttemptId, wanted: bool, out: &mut EffectQueue) {
         let Some(id) = self.sessions.carrier(attempt) else {
-            out.saw(Seen::WithdrawnWaiting);
+            out.saw(Coverage::WithdrawnWaiting);
             return self.pools.forget(attempt);
         };
-        out.saw(Seen::Withdrawn);
+        out.saw(Coverage::Withdrawn);
         if let Some(s) = self.sessions.get_mut(id) {
             s.backend.cancelling();
         }
@@ -389,19 +393,19 @@
     }
 
     /// A query has its final answer: whatever still comes for it goes to nobody, withdrawn or not.
-    pub fn detach(&mut self, query: QueryId, out: &mut Out) {
+    pub fn detach(&mut self, query: QueryId, out: &mut EffectQueue) {
         for id in self.sessions.carriers(query) {
             self.discard(id, out);
         }
     }
 
     /// Nobody wants a session's answer any more.
-    pub fn discard(&mut self, id: ConnId, out: &mut Out) {
+    pub fn discard(&mut self, id: ConnId, out: &mut EffectQueue) {
         let patience = if self.heeded { self.timing.withdraw.0 } else { ABANDON_UNHEEDED };
         // What has not gone whole need not go at all: its engine never runs it, and sees the session end.
         let attempt = |job: Option<Job>| matches!(job, Some(Job::Attempt { .. }));
         if self.sessions.get(id).is_some_and(|s| attempt(s.job) && !s.wire.output.is_empty()) {
-            out.saw(Seen::HalfWritten);
+            out.saw(Coverage::HalfWritten);
             let unsent = self.sessions.get(id).is_some_and(|s| s.unsent.is_some());
             let outcome = if unsent { Outcome::ConnectFailed } else { Outcome::Cancelled };
             return self.lost(id, outcome, "given up before it was written", out);
@@ -411,15 +415,15 @@
         self.words.push_back(Word::Readable(id, client));
     }
 
-    fn send_cancel(&mut self, id: ConnId, out: &mut Out) {
+    fn send_cancel(&mut self, id: ConnId, out: &mut EffectQueue) {
         let Some(s) = self.sessions.get_mut(id).filter(|s| !s.cancelling) else { return };
         let Some(key) = s.backend.key() else { return };
         let Some(to) = self.pools.get(s.engine).map(|p| p.address) else { return };
         if self.cancels.begin(id, to, key, 2 * self.timing.connect.0, out) {
             s.cancelling = true;
-            out.saw(Seen::CancelSent);
+            out.saw(Coverage::CancelSent);
         } else {
-            out.saw(Seen::CancelsFull);
+            out.saw(Coverage::CancelsFull);
             self.lost(id, Outcome::Cancelled, "too many requests to cancel", out);
         }
     }
@@ -435,16 +439,16 @@
     }
 
     /// A request to cancel could not be handed in: the end of its session ends the query.
-    pub fn cancel_failed(&mut self, id: ConnId, out: &mut Out) {
+    pub fn cancel_failed(&mut self, id: ConnId, out: &mut EffectQueue) {
         if let Some(session) = self.cancels.over(id, false, out) {
-            out.saw(Seen::CancelFailed);
+            out.saw(Coverage::CancelFailed);
             self.lost(session, Outcome::Cancelled, "a request to cancel could not be handed in", out);
         }
     }
 
     /// A request to cancel is over: its engine has closed the connection.
-    pub fn cancel_over(&mut self, id: ConnId, out: &mut Out) {
-        let leaks = self.plant == Some(Plant::Leak);
+    pub fn cancel_over(&mut self, id: ConnId, out: &mut EffectQueue) {
+        let leaks = self.plant == Some(FaultInjection::Leak);
         let Some(session) = self.cancels.over(id, leaks, out) else { return };
         if let Some(s) = self.sessions.get_mut(session) {
             s.cancelling = false;
@@ -453,9 +457,9 @@
     }
 
     /// A request that was not taken may yet be, and would then end another query: the session is of no more use.
-    pub fn cancel_late(&mut self, id: ConnId, out: &mut Out) {
+    pub fn cancel_late(&mut self, id: ConnId, out: &mut EffectQueue) {
         if let Some(session) = self.cancels.over(id, false, out) {
-            out.saw(Seen::CancelLate);
+            out.saw(Coverage::CancelLate);
             self.lost(session, Outcome::Cancelled, "a request to cancel was not taken", out);
         }
     }
@@ -463,15 +467,15 @@
     // --- time ---
 
     /// An engine has not let us in in time.
-    pub fn connect_late(&mut self, id: ConnId, out: &mut Out) {
+    pub fn connect_late(&mut self, id: ConnId, out: &mut EffectQueue) {
         if self.sessions.get(id).is_some_and(|s| s.backend.starting()) {
-            out.saw(Seen::ConnectLate);
+            out.saw(Coverage::ConnectLate);
             self.lost(id, Outcome::ConnectFailed, "no session in time", out);
         }
     }
 
     /// Looks whether an engine that has begun an answer goes on; `paused` if it waits for its client.
-    pub fn stalled(&mut self, id: ConnId, paused: bool, out: &mut Out) {
+    pub fn stalled(&mut self, id: ConnId, paused: bool, out: &mut EffectQueue) {
         let stall = self.timing.stall.0;
         let Some(s) = self.sessions.get_mut(id) else { return };
         s.timer = None;
@@ -482,26 +486,26 @@
             s.progress = out.now;
         }
         if out.now - s.progress >= stall {
-            out.saw(Seen::Stalled);
+            out.saw(Coverage::Stalled);
             return self.lost(id, Outcome::TimedOut, "the engine sends nothing more", out);
         }
-        s.timer = Some(out.wake_at(s.progress + stall, Wake::Stall(id)));
+        s.timer = Some(out.wake_at(s.progress + stall, TimerEvent::Stall(id)));
     }
 
     /// An answer that nobody wants does not end.
-    pub fn abandon(&mut self, id: ConnId, out: &mut Out) {
-        out.saw(Seen::Abandoned);
+    pub fn abandon(&mut self, id: ConnId, out: &mut EffectQueue) {
+        out.saw(Coverage::Abandoned);
         self.lost(id, Outcome::Cancelled, "an answer that nobody wants does not end", out);
     }
 
     /// Closes sessions that were not used for long.
-    pub fn close_idle(&mut self, out: &mut Out) {
+    pub fn close_idle(&mut self, out: &mut EffectQueue) {
         let before = out.now - self.timing.session_idle.0;
         let resting = self.pools.iter().flat_map(|(_, p)| &p.idle).copied();
         let old: Vec<ConnId> =
             resting.filter(|id| self.sessions.get(*id).is_some_and(|s| s.idle_since < before)).collect();
         for id in old {
-            out.saw(Seen::IdleClosed);
+            out.saw(Coverage::IdleClosed);
             self.drop(id, out);
         }
     }
@@ -509,7 +513,7 @@
     // --- beside queries ---
 
     /// Asks an engine for its load.
-    pub fn probe(&mut self, engine: EngineId, out: &mut Out) {
+    pub fn probe(&mut self, engine: EngineId, out: &mut EffectQueue) {
         let most = self.most;
         let Some(pool) = self.pools.get_mut(engine) else { return };
         if let Some(id) = pool.idle.pop() {
@@ -522,27 +526,27 @@
         self.open(engine, out);
     }
 
-    fn put_probe(&mut self, id: ConnId, out: &mut Out) {
+    fn put_probe(&mut self, id: ConnId, out: &mut EffectQueue) {
         if let Some(s) = self.sessions.get_mut(id) {
-            out.instead(&mut s.timer, self.timing.probe.0, Wake::Probe(id));
+            out.instead(&mut s.timer, self.timing.probe.0, TimerEvent::Probe(id));
         }
         self.sessions.put_own(id, Job::Probe, "SHOW wheelfield.load", out);
     }
 
     /// A probe did not come back in time.
-    pub fn probe_late(&mut self, id: ConnId, out: &mut Out) {
+    pub fn probe_late(&mut self, id: ConnId, out: &mut EffectQueue) {
         if self.sessions.get(id).is_some_and(|s| matches!(s.job, Some(Job::Probe))) {
             self.lost(id, Outcome::TimedOut, "a probe without an answer", out);
         }
     }
 
     /// Changes the priority of what runs, by a second session.
-    pub fn set_terms(&mut self, attempt: AttemptId, terms: Terms, out: &mut Out) {
+    pub fn set_terms(&mut self, attempt: AttemptId, terms: Terms, out: &mut EffectQueue) {
         let Some(s) = self.sessions.carrier(attempt).and_then(|id| self.sessions.get(id)) else { return };
         let Some((pid, _)) = s.backend.key() else { return };
         let text = format!("SELECT wheelfield.set_priority({pid}, {})", terms.priority);
         let Some(id) = self.pools.get_mut(s.engine).and_then(|p| p.idle.pop()) else { return };
-        out.saw(Seen::TermsSet);
+        out.saw(Coverage::TermsSet);
         self.sessions.put_own(id, Job::Aside, &text, out);
     }
 }
--- a/crates/pg-gateway/src/fault_injection.rs
+++ b/crates/pg-gateway/src/fault_injection.rs
@@ -2,7 +2,7 @@
 
 /// A fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum FaultInjection {
     /// Once-only queries are sent to a second engine too.
     Resend,
     /// Some answers never go out.
@@ -14,7 +14,7 @@
     /// The text of another client's query is sent in place of one's own.
     Swap,
     /// Some refusals and failures are not written until something else happens: a lost wake-up.
-    Wake,
+    TimerEvent,
     /// A session is used again while a request to cancel its last query is under way.
     Reuse,
     /// A client's cancel ends the query of another.
@@ -34,34 +34,37 @@
 }
 
 /// Those about what controllers believe of each other, which show where the roads between them have faults.
-pub const FLEET_PLANTS: [(&str, Plant); 3] =
-    [("sink", Plant::Sink), ("number", Plant::Number), ("goodbye", Plant::Goodbye)];
+pub const FLEET_PLANTS: [(&str, FaultInjection); 3] = [
+    ("sink", FaultInjection::Sink),
+    ("number", FaultInjection::Number),
+    ("goodbye", FaultInjection::Goodbye),
+];
 
 /// Those that one controller shows, by name.
-pub const PLANTS: [(&str, Plant); 11] = [
-    ("resend", Plant::Resend),
-    ("lose", Plant::Lose),
-    ("drained", Plant::Drained),
-    ("budget", Plant::Budget),
-    ("swap", Plant::Swap),
-    ("wake", Plant::Wake),
-    ("reuse", Plant::Reuse),
-    ("stranger", Plant::Stranger),
-    ("leak", Plant::Leak),
-    ("twice", Plant::Twice),
-    ("cut", Plant::Cut),
+pub const FAULT_INJECTIONS: [(&str, FaultInjection); 11] = [
+    ("resend", FaultInjection::Resend),
+    ("lose", FaultInjection::Lose),
+    ("drained", FaultInjection::Drained),
+    ("budget", FaultInjection::Budget),
+    ("swap", FaultInjection::Swap),
+    ("wake", FaultInjection::TimerEvent),
+    ("reuse", FaultInjection::Reuse),
+    ("stranger", FaultInjection::Stranger),
+    ("leak", FaultInjection::Leak),
+    ("twice", FaultInjection::Twice),
+    ("cut", FaultInjection::Cut),
 ];
 
-impl Plant {
+impl FaultInjection {
     /// The fault of a name.
     ///
     /// # Errors
     /// What is known, if the name is not; or that the build has none.
-    pub fn parse(name: &str) -> Result<Plant, String> {
+    pub fn parse(name: &str) -> Result<FaultInjection, String> {
         if !cfg!(feature = "planted") {
             return Err("this build has no planted faults; build with --features planted".to_string());
         }
-        let all = || PLANTS.iter().chain(&FLEET_PLANTS);
+        let all = || FAULT_INJECTIONS.iter().chain(&FLEET_PLANTS);
         let known = all().find(|(n, _)| *n == name).map(|(_, plant)| *plant);
         known.ok_or_else(|| {
             let names: Vec<&str> = all().map(|(n, _)| *n).collect();
--- a/crates/pg-gateway/src/gateway.rs
+++ b/crates/pg-gateway/src/gateway.rs
@@ -1,36 +1,37 @@
 //! The door of a controller: what happened in, effects out.
 
+use crate::bootstrap::Start;
 use crate::clients;
-use crate::flow::Flow;
-use crate::happened::Happened;
-use crate::plant::Plant;
-use crate::seen::Seen;
-use crate::start::Start;
-use crate::stop::Stop;
-use crate::{cancels, registry, sessions};
+use crate::coverage::Coverage;
+use crate::dispatcher::Dispatcher;
+use crate::event::GatewayEvent;
+use crate::fault_injection::FaultInjection;
+use crate::shutdown::Stop;
+use crate::{cancels, engine_sessions, registry};
+use std::net::SocketAddr;
 use tracing::{info, warn};
 use wheelfield_capture::Recorder;
 use wheelfield_config::Config;
 use wheelfield_driver::Input;
-use wheelfield_sans_io::Wire;
-use wheelfield_sans_io::{ConnId, Door, Effect, Inside, Port, Socketed};
+use wheelfield_sans_io::ConnectionBuffer;
+use wheelfield_sans_io::{ConnId, DatagramSocket, Effect, IoEvent, Listener, Protocol};
 
 /// A controller.
-pub struct Gate {
-    flow: Flow,
+pub struct PgGateway {
+    flow: Dispatcher,
 }
 
-impl Gate {
+impl PgGateway {
     /// A controller that has not started.
-    pub fn new(config: Config, start: Start) -> Gate {
-        Gate { flow: Flow::new(config, start) }
+    pub fn new(config: Config, start: Start) -> PgGateway {
+        PgGateway { flow: Dispatcher::new(config, start) }
     }
 
     /// The bytes of a connection.
-    fn wire(&mut self, id: ConnId) -> Option<&mut Wire> {
+    fn wire(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
         match id.room() {
             clients::ROOM => self.flow.clients.wire(id),
-            sessions::ROOM => self.flow.engines.sessions.wire(id),
+            engine_sessions::ROOM => self.flow.engines.sessions.wire(id),
             cancels::ROOM => self.flow.engines.cancels().wire(id),
             registry::ROOM => self.flow.call.wire(id),
             _ => self.flow.admin.wire(id),
@@ -38,10 +39,10 @@
     }
 
     /// Somebody has connected; none if there is no room, and the socket is to be closed. Read from it at once.
-    pub fn accept(&mut self, now: i64, door: Door) -> Option<ConnId> {
+    pub fn accept(&mut self, now: i64, door: Listener) -> Option<ConnId> {
         self.flow.out.now = now;
         match door {
-            Door::Clients => {
+            Listener::Clients => {
                 let id = self.flow.clients.accept(&mut self.flow.out);
                 // It waited to be taken as the word to stop came: it is told, in place of a broken connection.
                 if self.flow.stop != Stop::Not {
@@ -49,7 +50,7 @@
                 }
                 Some(id)
             }
-            Door::Admin => self.flow.admin.accept(),
+            Listener::Admin => self.flow.admin.accept(),
         }
     }
 
@@ -57,7 +58,7 @@
     pub fn room(&mut self, id: ConnId) -> usize {
         match id.room() {
             clients::ROOM => self.flow.clients.room(id),
-            sessions::ROOM => self.flow.engines.sessions.room(id),
+            engine_sessions::ROOM => self.flow.engines.sessions.room(id),
             cancels::ROOM => self.flow.engines.cancels().room(id),
             registry::ROOM => self.flow.call.room(id),
             _ => self.flow.admin.room(id),
@@ -80,7 +81,7 @@
                     self.flow.client_gone(id);
                 }
             }
-            sessions::ROOM => self.flow.engines.wrote(id, n),
+            engine_sessions::ROOM => self.flow.engines.wrote(id, n),
             cancels::ROOM => {
                 self.flow.engines.cancels().wire(id).map(|w| w.wrote(n));
             }
@@ -91,7 +92,7 @@
         }
     }
 
-    /// When [`Gate::due`] is next wanted.
+    /// When [`PgGateway::due`] is next wanted.
     pub fn next_due(&self) -> Option<i64> {
         [self.flow.tape.mind().next_due().map(|t| t.0), self.flow.out.next()].into_iter().flatten().min()
     }
@@ -125,77 +126,24 @@
         self.flow.connections()
     }
 
-    /// Something happened. What comes of it is told by [`Gate::effects`].
-    pub fn happen(&mut self, now: i64, what: Happened<'_>) {
+    /// Handles an event. Its effects are taken by [`PgGateway::effects`].
+    pub fn handle(&mut self, now: i64, event: GatewayEvent<'_>) {
         self.flow.out.now = now;
-        match what {
-            Happened::Started => self.flow.started(),
-            Happened::Connected(id) => match id.room() {
-                sessions::ROOM => self.flow.engines.connected(id, &mut self.flow.out),
-                cancels::ROOM => self.flow.engines.cancels().connected(id, &mut self.flow.out),
-                _ => self.flow.call.connected(id, &mut self.flow.out),
-            },
-            Happened::Received(id, bytes) => self.received(id, bytes, false),
-            Happened::Ended(id) => self.received(id, &[], true),
-            Happened::Closing(id) => match id.room() {
-                clients::ROOM => {
-                    if let Some(wire) = self.flow.clients.wire(id) {
-                        wire.closing = true;
-                        self.flow.ready.push_back(id);
-                    }
-                }
-                sessions::ROOM => {
-                    if let Some(wire) = self.flow.engines.sessions.wire(id) {
-                        wire.closing = true;
-                    }
-                }
-                _ => {}
-            },
-            Happened::Broken { id, writing, reason } => match id.room() {
-                clients::ROOM => self.flow.client_gone(id),
-                sessions::ROOM => self.flow.engines.broken(id, writing, reason, &mut self.flow.out),
-                cancels::ROOM => self.flow.engines.cancel_failed(id, &mut self.flow.out),
-                registry::ROOM => {
-                    let told = self.flow.call.failed(reason, &mut self.flow.out);
-                    self.flow.registry_told(told);
-                }
-                _ => self.flow.admin.remove(id, &mut self.flow.out),
-            },
-            Happened::Words(from, datagram) => {
-                let words = self.flow.peering.as_mut().and_then(|p| p.hear(from, datagram));
-                self.flow.out.saw(if words.is_some() { Seen::WordsHeard } else { Seen::WordsDropped });
-                if let Some(words) = words {
-                    self.flow.tape.tell(now, Input::Told(words));
-                }
-            }
-            Happened::Gossip(from, datagram) => {
-                let words =
-                    self.flow.gossip.as_mut().and_then(|g| g.hear(from, datagram, &mut self.flow.out));
-                if let Some(words) = words {
-                    self.flow.out.saw(Seen::WordsHeard);
-                    self.flow.tape.tell(now, Input::Told(words));
-                }
-            }
-            Happened::Files(news) => {
-                self.flow.out.saw(Seen::FilesTaken);
+        match event {
+            GatewayEvent::Started => self.flow.started(),
+            GatewayEvent::Io(event) => self.handle_io(now, event),
+            GatewayEvent::EndpointFiles(news) => {
+                self.flow.out.saw(Coverage::FilesTaken);
                 let change = self.flow.sets.news(news, now);
                 self.flow.changed(change);
             }
-            Happened::Keys(news) => {
+            GatewayEvent::GossipKeys(keys) => {
                 if let Some(gossip) = &mut self.flow.gossip {
-                    gossip.keys(news);
-                }
-            }
-            Happened::Stop => {
-                if self.flow.stop.begin(
-                    self.flow.clients.len(),
-                    self.flow.config.timing.drain.0,
-                    &mut self.flow.out,
-                ) {
-                    self.flow.clients.end_idle(&mut self.flow.out);
+                    gossip.keys(keys);
                 }
             }
-            Happened::Keep => {
+            GatewayEvent::ShutdownRequested => self.begin_shutdown(),
+            GatewayEvent::CaptureRequested => {
                 if self.flow.tape.ask(now) {
                     info!("the capture in memory is asked for");
                 } else {
@@ -205,6 +153,87 @@
         }
     }
 
+    fn handle_io(&mut self, now: i64, event: IoEvent<'_>) {
+        match event {
+            IoEvent::Connected(id) => self.connected(id),
+            IoEvent::Received(id, bytes) => self.received(id, bytes, false),
+            IoEvent::Ended(id) => self.received(id, &[], true),
+            IoEvent::Closing(id) => self.peer_closing(id),
+            IoEvent::Broken { id, writing, reason, .. } => self.connection_broken(id, writing, reason),
+            IoEvent::Datagram(DatagramSocket::Peers, from, datagram) => {
+                self.peer_datagram(now, from, datagram);
+            }
+            IoEvent::Datagram(DatagramSocket::Gossip, from, datagram) => {
+                self.gossip_datagram(now, from, datagram);
+            }
+            IoEvent::Datagram(DatagramSocket::Names, ..) => {}
+        }
+    }
+
+    fn connected(&mut self, id: ConnId) {
+        match id.room() {
+            engine_sessions::ROOM => self.flow.engines.connected(id, &mut self.flow.out),
+            cancels::ROOM => self.flow.engines.cancels().connected(id, &mut self.flow.out),
+            _ => self.flow.call.connected(id, &mut self.flow.out),
+        }
+    }
+
+    /// The other side has closed, though bytes of it may not have been read yet.
+    fn peer_closing(&mut self, id: ConnId) {
+        match id.room() {
+            clients::ROOM => {
+                if let Some(wire) = self.flow.clients.wire(id) {
+                    wire.closing = true;
+                    self.flow.ready.push_back(id);
+                }
+            }
+            engine_sessions::ROOM => {
+                if let Some(wire) = self.flow.engines.sessions.wire(id) {
+                    wire.closing = true;
+                }
+            }
+            _ => {}
+        }
+    }
+
+    fn connection_broken(&mut self, id: ConnId, writing: bool, reason: &str) {
+        match id.room() {
+            clients::ROOM => self.flow.client_gone(id),
+            engine_sessions::ROOM => self.flow.engines.broken(id, writing, reason, &mut self.flow.out),
+            cancels::ROOM => self.flow.engines.cancel_failed(id, &mut self.flow.out),
+            registry::ROOM => {
+                let told = self.flow.call.failed(reason, &mut self.flow.out);
+                self.flow.registry_told(told);
+            }
+            _ => self.flow.admin.remove(id, &mut self.flow.out),
+        }
+    }
+
+    /// A load report of another controller arrived on the peers' socket.
+    fn peer_datagram(&mut self, now: i64, from: SocketAddr, datagram: &[u8]) {
+        let words = self.flow.peering.as_mut().and_then(|peering| peering.hear(from, datagram));
+        self.flow.out.saw(if words.is_some() { Coverage::WordsHeard } else { Coverage::WordsDropped });
+        if let Some(words) = words {
+            self.flow.tape.tell(now, Input::Told(words));
+        }
+    }
+
+    fn gossip_datagram(&mut self, now: i64, from: SocketAddr, datagram: &[u8]) {
+        let gossip = self.flow.gossip.as_mut();
+        if let Some(words) = gossip.and_then(|gossip| gossip.hear(from, datagram, &mut self.flow.out)) {
+            self.flow.out.saw(Coverage::WordsHeard);
+            self.flow.tape.tell(now, Input::Told(words));
+        }
+    }
+
+    fn begin_shutdown(&mut self) {
+        let clients = self.flow.clients.len();
+        let drain = self.flow.config.timing.drain.0;
+        if self.flow.stop.begin(clients, drain, &mut self.flow.out) {
+            self.flow.clients.end_idle(&mut self.flow.out);
+        }
+    }
+
     /// The controller ends: a goodbye to the others. Its recorder, to be ended too.
     pub fn end(&mut self, now: i64) -> Option<Recorder> {
         self.flow.out.now = now;
@@ -215,13 +244,13 @@
     }
 
     fn received(&mut self, id: ConnId, bytes: &[u8], ended: bool) {
-        let cut = id.room() == sessions::ROOM && self.flow.planted(Plant::Cut, 50);
+        let cut = id.room() == engine_sessions::ROOM && self.flow.planted(FaultInjection::Cut, 50);
         let Some(wire) = self.wire(id) else { return };
         wire.receive(if cut { &bytes[..bytes.len().saturating_sub(1)] } else { bytes });
         wire.ended |= ended;
         match id.room() {
             clients::ROOM => self.flow.ready.push_back(id),
-            sessions::ROOM => {
+            engine_sessions::ROOM => {
                 self.flow.readable.push_back(id);
             }
             cancels::ROOM if ended => self.flow.engines.cancel_over(id, &mut self.flow.out),
@@ -235,45 +264,35 @@
     }
 }
 
-impl Inside for Gate {
+impl Protocol for PgGateway {
     fn started(&mut self, now: i64) {
-        self.happen(now, Happened::Started);
+        self.handle(now, GatewayEvent::Started);
     }
-    fn accept(&mut self, now: i64, door: Door) -> Option<ConnId> {
-        Gate::accept(self, now, door)
+    fn accept(&mut self, now: i64, door: Listener) -> Option<ConnId> {
+        PgGateway::accept(self, now, door)
     }
-    fn socketed(&mut self, now: i64, what: Socketed<'_>) {
-        let what = match what {
-            Socketed::Connected(id) => Happened::Connected(id),
-            Socketed::Received(id, bytes) => Happened::Received(id, bytes),
-            Socketed::Closing(id) => Happened::Closing(id),
-            Socketed::Ended(id) => Happened::Ended(id),
-            Socketed::Broken { id, writing, reason, .. } => Happened::Broken { id, writing, reason },
-            Socketed::Datagram(Port::Peers, from, bytes) => Happened::Words(from, bytes),
-            Socketed::Datagram(Port::Gossip, from, bytes) => Happened::Gossip(from, bytes),
-            Socketed::Datagram(Port::Names, ..) => return,
-        };
-        self.happen(now, what);
+    fn socketed(&mut self, now: i64, event: IoEvent<'_>) {
+        self.handle(now, GatewayEvent::Io(event));
     }
     fn stop(&mut self, now: i64) {
-        self.happen(now, Happened::Stop);
+        self.handle(now, GatewayEvent::ShutdownRequested);
     }
     fn room(&mut self, id: ConnId) -> usize {
-        Gate::room(self, id)
+        PgGateway::room(self, id)
     }
     fn output(&mut self, id: ConnId) -> &[u8] {
-        Gate::output(self, id)
+        PgGateway::output(self, id)
     }
     fn wrote(&mut self, now: i64, id: ConnId, n: usize) {
-        Gate::wrote(self, now, id, n);
+        PgGateway::wrote(self, now, id, n);
     }
     fn next_due(&self) -> Option<i64> {
-        Gate::next_due(self)
+        PgGateway::next_due(self)
     }
     fn due(&mut self, now: i64) {
-        Gate::due(self, now);
+        PgGateway::due(self, now);
     }
     fn effects(&mut self, into: &mut Vec<Effect>) {
-        Gate::effects(self, into);
+        PgGateway::effects(self, into);
     }
 }
--- a/crates/pg-gateway/src/gossip.rs
+++ b/crates/pg-gateway/src/gossip.rs
@@ -1,10 +1,10 @@
 //! Which controllers there are: sealed datagrams in and out, keys that change, and the number for the module.
 
-use crate::figures::Figure;
-use crate::out::{Effect, Out, Port};
+use crate::effect_queue::{DatagramSocket, Effect, EffectQueue};
+use crate::fault_injection::FaultInjection;
+use crate::metrics::Figure;
 use crate::peers::{read, written};
-use crate::plant::Plant;
-use crate::wake::Wake;
+use crate::timer_event::TimerEvent;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use tracing::{debug, info, warn};
@@ -38,7 +38,7 @@
     /// Datagrams of words that were taken, and that were not.
     heard: u64,
     untaken: u64,
-    plant: Option<Plant>,
+    plant: Option<FaultInjection>,
 }
 
 impl Gossip {
@@ -49,7 +49,7 @@
         keys: Keys,
         seed: u64,
         now: i64,
-        plant: Option<Plant>,
+        plant: Option<FaultInjection>,
     ) -> Option<Gossip> {
         let g = config.gossip.as_ref()?;
         let (count, index) = (config.settings.gateways as u32, config.settings.index as u32);
@@ -82,10 +82,10 @@
         })
     }
 
-    fn send(&mut self, packets: Vec<(SocketAddr, Packet)>, out: &mut Out) {
+    fn send(&mut self, packets: Vec<(SocketAddr, Packet)>, out: &mut EffectQueue) {
         for (to, packet) in packets {
             match self.sealer.seal(&packet, &self.keys) {
-                Some(datagram) => out.push(Effect::Send(Port::Gossip, to, datagram)),
+                Some(datagram) => out.push(Effect::Send(DatagramSocket::Gossip, to, datagram)),
                 None => self.unsent += 1,
             }
         }
@@ -112,7 +112,7 @@
     }
 
     /// Does what is due, and asks to be woken for the next.
-    pub fn tend(&mut self, out: &mut Out) {
+    pub fn tend(&mut self, out: &mut EffectQueue) {
         let mut packets = Vec::new();
         if self.node.next() <= out.now {
             self.node.tick(out.now, &mut packets);
@@ -124,11 +124,11 @@
         }
         self.send(packets, out);
         let after = (self.node.next() - out.now).max(1_000);
-        out.instead(&mut self.timer, after, Wake::Gossip);
+        out.instead(&mut self.timer, after, TimerEvent::Gossip);
     }
 
     /// Tells words to all that answer, as far as the ceilings allow.
-    pub fn tell(&mut self, told: &[Word], out: &mut Out) {
+    pub fn tell(&mut self, told: &[Word], out: &mut EffectQueue) {
         let Some(words) = &mut self.words else { return };
         // Who never told of its view is of a build that reads no words.
         let reads = |a: &Acquaintance| a.record.standing == Standing::Alive && a.tag.is_some();
@@ -141,12 +141,13 @@
             }
             // One number for all: each hears it once.
             let Some(datagram) = self.sealer.seal_words(&part, &self.keys) else { continue };
-            whom.into_iter().for_each(|to| out.push(Effect::Send(Port::Gossip, to, datagram.clone())));
+            whom.into_iter()
+                .for_each(|to| out.push(Effect::Send(DatagramSocket::Gossip, to, datagram.clone())));
         }
     }
 
     /// Words came: what they tell, if they are taken.
-    fn listen(&mut self, from: SocketAddr, datagram: &[u8], out: &mut Out) -> Option<Vec<Word>> {
+    fn listen(&mut self, from: SocketAddr, datagram: &[u8], out: &mut EffectQueue) -> Option<Vec<Word>> {
         match self.opener.open_words(from, datagram, &self.keys) {
             Ok((start, sequence, part)) => {
                 let known = self.node.knows(&from);
@@ -164,7 +165,7 @@
         }
     }
 
-    fn dropped(&mut self, from: SocketAddr, why: Dropped, out: &mut Out) {
+    fn dropped(&mut self, from: SocketAddr, why: Dropped, out: &mut EffectQueue) {
         self.dropped += 1;
         debug!(%from, %why, "gossip dropped");
         // Its seal was good: one answer for one datagram is no flood.
@@ -175,13 +176,13 @@
     }
 
     /// A datagram came; words of others, if it was that.
-    pub fn hear(&mut self, from: SocketAddr, datagram: &[u8], out: &mut Out) -> Option<Vec<Word>> {
+    pub fn hear(&mut self, from: SocketAddr, datagram: &[u8], out: &mut EffectQueue) -> Option<Vec<Word>> {
         if is_words(datagram) {
             return self.listen(from, datagram, out);
         }
         match self.opener.open(from, datagram, &self.keys) {
             Ok(mut packet) => {
-                if self.plant == Some(Plant::Goodbye) {
+                if self.plant == Some(FaultInjection::Goodbye) {
                     let gone = packet.riders.iter_mut().filter(|r| r.standing == Standing::Gone);
                     gone.for_each(|r| r.standing = Standing::Left);
                 }
@@ -210,8 +211,8 @@
     fn view(&self) -> View {
         let view = self.node.view();
         match self.plant {
-            Some(Plant::Sink) => View { count: view.alive, ..view },
-            Some(Plant::Number) => View { index: view.index.saturating_sub(1), ..view },
+            Some(FaultInjection::Sink) => View { count: view.alive, ..view },
+            Some(FaultInjection::Number) => View { index: view.index.saturating_sub(1), ..view },
             _ => view,
         }
     }
@@ -235,7 +236,7 @@
     }
 
     /// Says goodbye, so that nobody waits for this one.
-    pub fn leave(&mut self, out: &mut Out) {
+    pub fn leave(&mut self, out: &mut EffectQueue) {
         let mut packets = Vec::new();
         self.node.leave(&mut packets);
         self.send(packets, out);
--- a/crates/pg-gateway/src/in_flight.rs
+++ b/crates/pg-gateway/src/in_flight.rs
@@ -33,11 +33,11 @@
 
 /// All queries whose answer is owed. As many as the driver holds at most.
 #[derive(Debug, Default)]
-pub(crate) struct Units {
+pub(crate) struct InFlightQueries {
     by_query: BTreeMap<QueryId, InHand>,
 }
 
-impl Units {
+impl InFlightQueries {
     pub fn put(&mut self, query: QueryId, unit: InHand) {
         self.by_query.insert(query, unit);
     }
--- a/crates/pg-gateway/src/injected_faults.rs
+++ b/crates/pg-gateway/src/injected_faults.rs
@@ -1,33 +1,33 @@
 //! Faults that are planted for a judge to find: what must not be sent is sent.
 
+use crate::effect_queue::EffectQueue;
+use crate::engine_sessions::Job;
 use crate::engines::Engines;
-use crate::out::Out;
-use crate::plant::Plant;
-use crate::sessions::Job;
-use crate::units::Units;
+use crate::fault_injection::FaultInjection;
+use crate::in_flight::InFlightQueries;
 use wheelfield::interface::EngineId;
 use wheelfield_driver::AttemptId;
 use wheelfield_pg::front;
 
 /// Sends a unit to engines that should not have it, as an attempt of it starts. How often it did.
 pub(crate) fn send_more(
-    plant: Plant,
+    plant: FaultInjection,
     once: bool,
     (attempt, engine): (AttemptId, EngineId),
-    units: &Units,
+    units: &InFlightQueries,
     engines: &mut Engines,
-    out: &mut Out,
+    out: &mut EffectQueue,
 ) -> u64 {
     let wanted = match plant {
-        Plant::Resend if once => 1,
-        Plant::Budget if !once => 2,
-        Plant::Drained => 1,
+        FaultInjection::Resend if once => 1,
+        FaultInjection::Budget if !once => 2,
+        FaultInjection::Drained => 1,
         _ => return 0,
     };
     let others: Vec<EngineId> = engines
         .pools
         .iter()
-        .filter(|(e, p)| if plant == Plant::Drained { !p.up } else { p.up && *e != engine })
+        .filter(|(e, p)| if plant == FaultInjection::Drained { !p.up } else { p.up && *e != engine })
         .map(|(e, _)| e)
         .take(wanted)
         .collect();
--- a/crates/pg-gateway/src/lib.rs
+++ b/crates/pg-gateway/src/lib.rs
@@ -1,13 +1,13 @@
 //! A whole controller without system calls. What happened goes in, with the time; what is to be done comes out.
 //!
-//! [`Gate`] is told by [`Gate::happen`] what its sockets, files and signals brought, and by [`Gate::due`] that time has
-//! passed; the [`Effect`]s that come of it are taken by [`Gate::effects`] and carried out by a shell: the controller's
+//! [`PgGateway`] is told by [`PgGateway::happen`] what its sockets, files and signals brought, and by [`PgGateway::due`] that time has
+//! passed; the [`Effect`]s that come of it are taken by [`PgGateway::effects`] and carried out by a shell: the controller's
 //! process on its sockets, or the laboratory in virtual time. The same happenings, times, seed and configuration give the
 //! same effects and the same bytes.
 //!
 //! Inside it is rooms, each a file and a type that knows of the others by number at most: [`clients`](self) and their
 //! sessions, the units in hand, the side of the engines with its pools, sessions and cancels, the registry, sets of
-//! engines, peers, gossip, admin, the end. A room takes what concerns it and gives words; only [`Gate`] knows all rooms.
+//! engines, peers, gossip, admin, the end. A room takes what concerns it and gives words; only [`PgGateway`] knows all rooms.
 //!
 //! Nothing here decides where a query goes or whether it is tried again: that comes as instructions of the
 //! [`wheelfield_driver::Driver`]. Logs go through the `tracing` facade.
@@ -15,33 +15,33 @@
 #![warn(missing_docs)]
 
 mod admin;
+mod bootstrap;
 mod cancels;
 mod clients;
+mod coverage;
+mod dispatcher;
+mod effect_queue;
+mod endpoint_sets;
+mod engine_sessions;
 mod engines;
-mod figures;
-mod flow;
-mod gate;
+mod event;
+pub mod fault_injection;
+mod gateway;
 mod gossip;
-mod happened;
-mod out;
+mod in_flight;
+mod injected_faults;
+mod metrics;
+mod peer_load;
 mod peering;
 pub mod peers;
-pub mod plant;
-mod planted;
 mod pools;
 mod registry;
 pub mod route;
-mod seen;
-mod sessions;
-mod sets;
-mod start;
-mod stop;
-mod units;
-mod wake;
-mod words;
+mod shutdown;
+mod timer_event;
 
-pub use gate::Gate;
-pub use happened::Happened;
-pub use start::Start;
-pub use wheelfield_recorder::Mind;
-pub use wheelfield_sans_io::{Door, Effect, Port};
+pub use bootstrap::Start;
+pub use event::GatewayEvent;
+pub use gateway::PgGateway;
+pub use wheelfield_recorder::DecisionEngine;
+pub use wheelfield_sans_io::{DatagramSocket, Effect, Listener};
--- a/crates/pg-gateway/src/metrics.rs
+++ b/crates/pg-gateway/src/metrics.rs
@@ -1,14 +1,14 @@
 //! What is held and was counted, as operators read it.
 
 use crate::clients::Clients;
+use crate::endpoint_sets::EndpointSets;
 use crate::engines::Engines;
 use crate::gossip::Gossip;
 use crate::peering::Peering;
 use crate::registry::Call;
-use crate::sets::Sets;
 use serde_json::{json, Map, Value};
 use std::fmt::Write as _;
-use wheelfield_recorder::Tape;
+use wheelfield_recorder::RecordingDriver;
 
 /// A figure: its name, what it means, and how much.
 pub(crate) type Figure = (&'static str, &'static str, u64);
@@ -16,10 +16,10 @@
 /// The rooms that are looked into.
 pub(crate) struct Look<'a> {
     pub now: i64,
-    pub tape: &'a Tape,
+    pub tape: &'a RecordingDriver,
     pub clients: &'a Clients,
     pub engines: &'a Engines,
-    pub sets: &'a Sets,
+    pub sets: &'a EndpointSets,
     pub call: &'a Call,
     pub peering: Option<&'a Peering>,
     pub gossip: Option<&'a Gossip>,
--- a/crates/pg-gateway/src/peering.rs
+++ b/crates/pg-gateway/src/peering.rs
@@ -1,6 +1,6 @@
 //! Words to and from the other controllers.
 
-use crate::out::{Effect, Out, Port};
+use crate::effect_queue::{DatagramSocket, Effect, EffectQueue};
 use crate::peers::{Dropped, Listener, Speaker};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -36,10 +36,10 @@
     }
 
     /// Tells all others.
-    pub fn tell(&mut self, words: &[Word], out: &mut Out) {
+    pub fn tell(&mut self, words: &[Word], out: &mut EffectQueue) {
         for datagram in self.speaker.datagrams(words) {
             for to in &self.addresses {
-                out.push(Effect::Send(Port::Peers, *to, datagram.clone()));
+                out.push(Effect::Send(DatagramSocket::Peers, *to, datagram.clone()));
             }
         }
     }
--- a/crates/pg-gateway/src/registry.rs
+++ b/crates/pg-gateway/src/registry.rs
@@ -1,12 +1,12 @@
 //! The call to the registry that keeps the engine list: asked again and again, or waiting there for a change.
 
-use crate::out::{Effect, Out};
-use crate::wake::Wake;
+use crate::effect_queue::{Effect, EffectQueue};
+use crate::timer_event::TimerEvent;
 use bytes::Bytes;
 use tracing::{debug, warn};
 use wheelfield_config::{Config, Refresh, Registry};
-use wheelfield_sans_io::Wire;
-use wheelfield_sans_io::{http, ConnId, Slots, TimerKey};
+use wheelfield_sans_io::ConnectionBuffer;
+use wheelfield_sans_io::{http, ConnId, ConnectionTable, TimerKey};
 
 pub(crate) const ROOM: u8 = 4;
 /// A call that waits at the registry is answered after so long, changed or not.
@@ -28,7 +28,7 @@
     at: Option<Registry>,
     index: u64,
     /// At most one connection.
-    wires: Slots<Wire>,
+    wires: ConnectionTable<ConnectionBuffer>,
     id: Option<ConnId>,
     connected: bool,
     timer: Option<TimerKey>,
@@ -43,7 +43,7 @@
         Call {
             at: config.registry,
             index: config.settings.index as u64,
-            wires: Slots::new(ROOM),
+            wires: ConnectionTable::new(ROOM),
             id: None,
             connected: false,
             timer: None,
@@ -57,7 +57,7 @@
         self.wires.len()
     }
 
-    pub fn wire(&mut self, id: ConnId) -> Option<&mut Wire> {
+    pub fn wire(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
         self.wires.get_mut(id)
     }
 
@@ -66,12 +66,12 @@
     }
 
     /// Asks for a list newer than this version; on the connection at hand, or a new one.
-    pub fn ask(&mut self, version: u64, out: &mut Out) {
+    pub fn ask(&mut self, version: u64, out: &mut EffectQueue) {
         let Some(at) = self.at else { return };
         let id = match self.id {
             Some(id) => id,
             None => {
-                let id = self.wires.insert(Wire::default());
+                let id = self.wires.insert(ConnectionBuffer::default());
                 (self.id, self.connected) = (Some(id), false);
                 out.push(Effect::Connect(id, at.address));
                 id
@@ -85,10 +85,10 @@
                 wire.flush(id, out);
             }
         }
-        out.instead(&mut self.timer, wait * 1000 + PATIENCE, Wake::Registry);
+        out.instead(&mut self.timer, wait * 1000 + PATIENCE, TimerEvent::Registry);
     }
 
-    pub fn connected(&mut self, id: ConnId, out: &mut Out) {
+    pub fn connected(&mut self, id: ConnId, out: &mut EffectQueue) {
         if let Some(wire) = self.wires.get_mut(id) {
             self.connected = true;
             wire.flush(id, out);
@@ -96,7 +96,7 @@
     }
 
     /// Something came, or will come no more. Ask again while there is word.
-    pub fn read(&mut self, id: ConnId, out: &mut Out) -> Option<Told> {
+    pub fn read(&mut self, id: ConnId, out: &mut EffectQueue) -> Option<Told> {
         let wire = self.wires.get_mut(id)?;
         let response = match http::take_response(&mut wire.input, wheelfield_endpoints::LONGEST) {
             Ok(Some(response)) => response,
@@ -116,12 +116,12 @@
             Some((Refresh::Poll, every)) => every,
             _ => 1_000,
         };
-        out.instead(&mut self.timer, after, Wake::Registry);
+        out.instead(&mut self.timer, after, TimerEvent::Registry);
         Some(Told::List(response.body))
     }
 
     /// A call failed.
-    pub fn failed(&mut self, reason: &str, out: &mut Out) -> Option<Told> {
+    pub fn failed(&mut self, reason: &str, out: &mut EffectQueue) -> Option<Told> {
         if let Some(id) = self.id.take() {
             self.wires.remove(id);
             out.push(Effect::Close(id));
@@ -136,7 +136,7 @@
             return Some(Told::Unavailable);
         }
         let every = self.at.map_or(1_000_000, |r| r.every.0);
-        out.instead(&mut self.timer, every, Wake::Registry);
+        out.instead(&mut self.timer, every, TimerEvent::Registry);
         None
     }
 }
--- a/crates/pg-gateway/src/shutdown.rs
+++ b/crates/pg-gateway/src/shutdown.rs
@@ -1,7 +1,7 @@
 //! The end of a controller: no new clients, what is held is answered, then all is over.
 
-use crate::out::{Effect, Out};
-use crate::wake::Wake;
+use crate::effect_queue::{Effect, EffectQueue};
+use crate::timer_event::TimerEvent;
 use tracing::{info, warn};
 
 /// How far the end has come.
@@ -18,25 +18,25 @@
 
 impl Stop {
     /// A stop was asked for; true if it is the first time.
-    pub fn begin(&mut self, clients: usize, drain: i64, out: &mut Out) -> bool {
+    pub fn begin(&mut self, clients: usize, drain: i64, out: &mut EffectQueue) -> bool {
         if *self != Stop::Not {
             return false;
         }
         *self = Stop::Stopping;
         info!(clients, "stopping");
         out.push(Effect::StopListening);
-        out.wake_after(drain, Wake::Stop);
+        out.wake_after(drain, TimerEvent::Stop);
         true
     }
 
     /// Clients had their time.
-    pub fn late(&mut self, clients: usize, out: &mut Out) {
+    pub fn late(&mut self, clients: usize, out: &mut EffectQueue) {
         warn!(clients, "clients that did not finish in time are closed");
         self.over(out);
     }
 
     /// Nothing is left to be answered.
-    pub fn over(&mut self, out: &mut Out) {
+    pub fn over(&mut self, out: &mut EffectQueue) {
         if std::mem::replace(self, Stop::Stopped) != Stop::Stopped {
             out.push(Effect::Stopped);
         }
--- a/crates/pg-gateway/src/timer_event.rs
+++ b/crates/pg-gateway/src/timer_event.rs
@@ -4,7 +4,7 @@
 
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Wake {
+pub(crate) enum TimerEvent {
     /// The gossip has something due.
     Gossip,
     /// A client must have introduced itself.
--- a/crates/pg-gateway/tests/common/mod.rs
+++ b/crates/pg-gateway/tests/common/mod.rs
@@ -7,8 +7,9 @@
 use wheelfield_engine_emulator::setup::Setup;
 use wheelfield_engine_emulator::stand::{Do, Stand};
 use wheelfield_pg::front;
-use wheelfield_pg_gateway::{Door, Effect, Gate, Happened, Start};
+use wheelfield_pg_gateway::{Effect, GatewayEvent, Listener, PgGateway, Start};
 use wheelfield_sans_io::ConnId;
+use wheelfield_sans_io::IoEvent;
 
 pub const CONFIG: &str = r#"
 listen = "127.0.0.1:0"
@@ -56,7 +57,7 @@
 }
 
 pub struct Wired {
-    pub gate: Gate,
+    pub gate: PgGateway,
     pub stand: Stand,
     pub now: i64,
     /// Bytes go in parts of so many at most.
@@ -74,12 +75,12 @@
     gate_of: HashMap<ConnId, ConnId>,
 }
 
-pub fn gate(now: i64) -> Gate {
+pub fn gate(now: i64) -> PgGateway {
     let config = wheelfield_config::parse("test", CONFIG).unwrap_or_else(|fault| panic!("{fault}"));
     let mind = Box::new(Driver::new(config.settings.clone(), 1, Bounds::default()));
     let start =
         Start { now, seed: 1, secret: [7; 32], mind, recorder: None, peers: None, gossip: None, plant: None };
-    Gate::new(config, start)
+    PgGateway::new(config, start)
 }
 
 impl Wired {
@@ -242,20 +243,23 @@
 }
 
 /// Tells a step to a gate.
-pub fn apply(gate: &mut Gate, now: i64, step: &Step) -> Option<ConnId> {
+pub fn apply(gate: &mut PgGateway, now: i64, step: &Step) -> Option<ConnId> {
     match step {
-        Step::Accept => return gate.accept(now, Door::Clients),
-        Step::Started => gate.happen(now, Happened::Started),
-        Step::Connected(id) => gate.happen(now, Happened::Connected(*id)),
-        Step::Received(id, bytes) => gate.happen(now, Happened::Received(*id, bytes)),
-        Step::Ended(id) => gate.happen(now, Happened::Ended(*id)),
-        Step::Broken(id) => gate.happen(now, Happened::Broken { id: *id, writing: false, reason: "reset" }),
+        Step::Accept => return gate.accept(now, Listener::Clients),
+        Step::Started => gate.handle(now, GatewayEvent::Started),
+        Step::Connected(id) => gate.handle(now, GatewayEvent::Io(IoEvent::Connected(*id))),
+        Step::Received(id, bytes) => gate.handle(now, GatewayEvent::Io(IoEvent::Received(*id, bytes))),
+        Step::Ended(id) => gate.handle(now, GatewayEvent::Io(IoEvent::Ended(*id))),
+        Step::Broken(id) => gate.handle(
+            now,
+            GatewayEvent::Io(IoEvent::Broken { id: *id, writing: false, refused: false, reason: "reset" }),
+        ),
         Step::Wrote(id, n) => gate.wrote(now, *id, *n),
         Step::Room(id) => {
             gate.room(*id);
         }
         Step::Due => gate.due(now),
-        Step::Stop => gate.happen(now, Happened::Stop),
+        Step::Stop => gate.handle(now, GatewayEvent::ShutdownRequested),
         Step::Effects => {}
     }
     None
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -1,9 +1,9 @@
 //! The side of the clients: their connections, one call at a time on each.
 
-use crate::front::{self, Bad, Head, Reply, Wants, LONGEST_BODY, LONGEST_HEAD};
-use crate::wake::Wake;
+use crate::http_server::{self, Bad, Head, Reply, Wants, LONGEST_BODY, LONGEST_HEAD};
+use crate::timer_event::TimerEvent;
 use bytes::{Buf, Bytes};
-use wheelfield_sans_io::{ConnId, Effect, Out, Slots, Wire};
+use wheelfield_sans_io::{ConnId, ConnectionBuffer, ConnectionTable, Effect, EffectQueue};
 
 /// The room of these connections.
 pub const ROOM: u8 = 1;
@@ -37,7 +37,7 @@
 
 #[derive(Debug)]
 struct Client {
-    wire: Wire,
+    wire: ConnectionBuffer,
     state: State,
     /// It has asked something that could be used.
     asked: bool,
@@ -108,7 +108,7 @@
 #[derive(Debug)]
 pub struct Clients {
     most: usize,
-    all: Slots<Client>,
+    all: ConnectionTable<Client>,
     /// What was counted.
     pub counts: Counts,
 }
@@ -116,18 +116,18 @@
 impl Clients {
     /// None yet, and so many at most.
     pub fn new(most: usize) -> Clients {
-        Clients { most, all: Slots::new(ROOM), counts: Counts::default() }
+        Clients { most, all: ConnectionTable::new(ROOM), counts: Counts::default() }
     }
 
     /// Somebody came; none if all others have calls in hand.
-    pub fn accept(&mut self, out: &mut Out<Wake>) -> Option<ConnId> {
+    pub fn accept(&mut self, out: &mut EffectQueue<TimerEvent>) -> Option<ConnId> {
         if self.all.len() >= self.most && !self.evict(out) {
             self.counts.turned_away += 1;
             return None;
         }
         self.counts.accepted += 1;
         Some(self.all.insert(Client {
-            wire: Wire::default(),
+            wire: ConnectionBuffer::default(),
             state: State::Open,
             asked: false,
             since: out.now,
@@ -139,7 +139,7 @@
     }
 
     /// Closes one with no call in hand; false if there is none.
-    fn evict(&mut self, out: &mut Out<Wake>) -> bool {
+    fn evict(&mut self, out: &mut EffectQueue<TimerEvent>) -> bool {
         let spare = self.all.iter().filter_map(|(id, c)| Some((c.spare(out.now)?, id)));
         let Some((_, id)) = spare.min_by_key(|(rank, _)| *rank) else {
             return false;
@@ -155,7 +155,7 @@
     }
 
     /// The bytes of a connection.
-    pub fn wire(&mut self, id: ConnId) -> Option<&mut Wire> {
+    pub fn wire(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
         self.all.get_mut(id).map(|c| &mut c.wire)
     }
 
@@ -180,7 +180,7 @@
     }
 
     /// So much of an answer has gone; a client that had closed its side is let go after the last of it.
-    pub fn wrote(&mut self, id: ConnId, n: usize, out: &mut Out<Wake>) {
+    pub fn wrote(&mut self, id: ConnId, n: usize, out: &mut EffectQueue<TimerEvent>) {
         let Some(c) = self.all.get_mut(id) else { return };
         c.took = out.now;
         if c.wire.wrote(n) && c.wire.ended {
@@ -189,7 +189,7 @@
     }
 
     /// The next call on a connection, if it is whole.
-    pub fn next(&mut self, id: ConnId, out: &mut Out<Wake>) -> Option<Call> {
+    pub fn next(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) -> Option<Call> {
         let c = self.all.get_mut(id)?;
         c.fresh = false;
         if let State::Ending { until, left } = c.state {
@@ -219,7 +219,7 @@
             return None;
         }
         c.begun = c.begun.or(Some(out.now));
-        let head = match front::head(&c.wire.input) {
+        let head = match http_server::head(&c.wire.input) {
             Ok(Some(head)) => head,
             Ok(None) => return None,
             Err(bad) => {
@@ -249,7 +249,7 @@
     }
 
     /// A call that gets nothing.
-    pub fn bad(&mut self, id: ConnId, bad: Bad, out: &mut Out<Wake>) {
+    pub fn bad(&mut self, id: ConnId, bad: Bad, out: &mut EffectQueue<TimerEvent>) {
         self.counts.bad += 1;
         if let Some(c) = self.all.get_mut(id) {
             c.close |= bad.ends();
@@ -258,9 +258,9 @@
     }
 
     /// Answers the call in hand.
-    pub fn answer(&mut self, id: ConnId, reply: &Reply, out: &mut Out<Wake>) {
+    pub fn answer(&mut self, id: ConnId, reply: &Reply, out: &mut EffectQueue<TimerEvent>) {
         let Some(c) = self.all.get_mut(id) else { return };
-        front::put(reply, c.close, &mut c.wire.output);
+        http_server::put(reply, c.close, &mut c.wire.output);
         (c.since, c.took) = (out.now, out.now);
         c.state =
             if c.close { State::Ending { until: out.now + DRAIN_FOR, left: DRAIN } } else { State::Open };
@@ -274,14 +274,14 @@
     }
 
     /// A connection is no more.
-    pub fn close(&mut self, id: ConnId, out: &mut Out<Wake>) {
+    pub fn close(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) {
         if self.all.remove(id).is_some() {
             out.push(Effect::Close(id));
         }
     }
 
     /// Now and then: who is silent, slow, or does not read.
-    pub fn sweep(&mut self, out: &mut Out<Wake>) {
+    pub fn sweep(&mut self, out: &mut EffectQueue<TimerEvent>) {
         let now = out.now;
         let (mut slow, mut over) = (Vec::new(), Vec::new());
         for (id, c) in self.all.iter() {
@@ -303,7 +303,7 @@
     }
 
     /// The end: who has no call in hand is closed, and the others after their answer. Half a call is waited for, as ever.
-    pub fn end(&mut self, out: &mut Out<Wake>) {
+    pub fn end(&mut self, out: &mut EffectQueue<TimerEvent>) {
         let idle: Vec<ConnId> = self.all.iter().filter(|(_, c)| c.rests(out.now)).map(|(id, _)| id).collect();
         idle.into_iter().for_each(|id| self.close(id, out));
     }
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -1,6 +1,6 @@
 //! What the name service tells: the list of executors by DNS, and the number of the event it stands at.
 
-use crate::launch::{started, Listed};
+use crate::bootstrap::{started, Listed};
 use hickory_proto::op::{Message, MessageType, OpCode, Query, ResponseCode};
 use hickory_proto::rr::{Name, RData, RecordType};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/platform/src/dispatcher.rs
+++ b/crates/platform/src/dispatcher.rs
@@ -1,24 +1,24 @@
 //! Hands the words of one room to the others, until nothing is left.
 
+use crate::abandonment::{self, Left};
+use crate::bootstrap::{Launch, Listed};
 use crate::clients::{Call, Clients};
+use crate::discovery::{self, Feed, Unused};
+use crate::executor_protocol::Request;
 use crate::executors::{self, Ended, Executors, Job, Told};
-use crate::front::{Asked, Bad, Reply, Wants};
-use crate::launch::{Launch, Listed};
-use crate::left::{self, Left};
-use crate::lines::Request;
-use crate::names::{self, Feed, Unused};
-use crate::open::{InHand, Open};
+use crate::http_server::{Asked, Bad, Reply, Wants};
+use crate::in_flight::{InHand, Open};
 use crate::peers::Peers;
-use crate::rows;
-use crate::stop::Stop;
+use crate::result_pages;
+use crate::shutdown::Stop;
 use crate::tables::table_group;
-use crate::wake::Wake;
+use crate::timer_event::TimerEvent;
 use std::collections::VecDeque;
 use tracing::{debug, info};
 use wheelfield::interface::{Effect as Repeats, Micros, Outcome};
 use wheelfield_driver::{Answer, Arrival, AttemptId, Bounds, Driver, Input, Instruction};
-use wheelfield_recorder::Tape;
-use wheelfield_sans_io::{ConnId, Effect, Out, Port};
+use wheelfield_recorder::RecordingDriver;
+use wheelfield_sans_io::{ConnId, DatagramSocket, Effect, EffectQueue};
 use wheelfield_settings::{position, Names};
 
 /// An answer leaves so long before its client gives up, in microseconds: it has a network before it.
@@ -35,11 +35,11 @@
 const LINES: u32 = 20;
 
 /// All rooms.
-pub struct Flow {
-    pub out: Out<Wake>,
+pub struct Dispatcher {
+    pub out: EffectQueue<TimerEvent>,
     pub clients: Clients,
     pub executors: Executors,
-    pub tape: Tape,
+    pub tape: RecordingDriver,
     pub ready: VecDeque<ConnId>,
     names: Names,
     /// Of each class, whether its queries may run twice.
@@ -57,8 +57,8 @@
     unused: [u64; 6],
 }
 
-impl Flow {
-    pub fn new(launch: Launch, now: i64) -> Flow {
+impl Dispatcher {
+    pub fn new(launch: Launch, now: i64) -> Dispatcher {
         let free = launch.limits.sockets.saturating_sub(RESERVE).max(16);
         let clients = free * CLIENTS / 10;
         let bounds = Bounds { queries: launch.ceilings.most_held.max(1), ..Bounds::default() };
@@ -66,8 +66,8 @@
         let longest = launch.settings.classes.iter().map(|c| c.deadline.0).max().unwrap_or(0);
         let harmless = launch.settings.classes.iter().map(|c| c.effect == Repeats::Repeatable).collect();
         let driver = Driver::new(launch.settings, launch.seed, bounds);
-        Flow {
-            out: Out::new(now),
+        Dispatcher {
+            out: EffectQueue::new(now),
             clients: Clients::new(clients),
             executors: Executors::new(executors::Bounds {
                 connections: free - clients,
@@ -75,7 +75,7 @@
                 connect: launch.ceilings.connect_timeout_us,
                 idle: launch.ceilings.conn_idle_us,
             }),
-            tape: Tape::new(Box::new(driver), None),
+            tape: RecordingDriver::new(Box::new(driver), None),
             ready: VecDeque::new(),
             names: launch.names,
             harmless,
@@ -97,8 +97,8 @@
         self.tape.tell(self.out.now, Input::Started);
         let list = std::mem::take(&mut self.executors_at_start);
         self.listed(&list);
-        self.out.wake_after(0, Wake::Ask);
-        self.out.wake_after(SWEEP, Wake::Sweep);
+        self.out.wake_after(0, TimerEvent::Ask);
+        self.out.wake_after(SWEEP, TimerEvent::Sweep);
     }
 
     /// The whole list of executors.
@@ -142,7 +142,7 @@
 
     fn ask(&mut self) {
         if let Some((to, question)) = self.feed.ask(self.chance.u16(..)) {
-            self.out.push(Effect::Send(Port::Names, to, question));
+            self.out.push(Effect::Send(DatagramSocket::Names, to, question));
         }
     }
 
@@ -150,10 +150,10 @@
     pub fn stop(&mut self) {
         if let Some((rest, listening)) = self.stop.begin(self.out.now) {
             info!(open = self.open.len(), "asked to stop");
-            self.out.wake_at(rest, Wake::Rest);
-            self.out.wake_at(listening, Wake::Stop);
+            self.out.wake_at(rest, TimerEvent::Rest);
+            self.out.wake_at(listening, TimerEvent::Stop);
             self.stop.last().into_iter().for_each(|at| {
-                self.out.wake_at(at, Wake::Last);
+                self.out.wake_at(at, TimerEvent::Last);
             });
         }
     }
@@ -287,7 +287,7 @@
             Instruction::Tell(words) => {
                 let (datagram, to) = self.peers.tell(&words);
                 for to in to {
-                    self.out.push(Effect::Send(Port::Peers, to, datagram.clone()));
+                    self.out.push(Effect::Send(DatagramSocket::Peers, to, datagram.clone()));
                 }
             }
             Instruction::Log(line) => {
@@ -343,19 +343,19 @@
                 self.tape.tell(self.out.now, Input::Ended { attempt, outcome, billed_work, report });
                 if let Some(unit) = unit {
                     debug!(id = %unit.id, "served");
-                    self.answer(unit.client, &Reply::Rows(rows::answer(&pages)));
+                    self.answer(unit.client, &Reply::Rows(result_pages::answer(&pages)));
                 }
             }
         }
     }
 
-    pub fn woken(&mut self, wake: Wake) {
+    pub fn woken(&mut self, wake: TimerEvent) {
         match wake {
-            Wake::Ask => {
+            TimerEvent::Ask => {
                 self.ask();
-                self.out.wake_after(names::EVERY, Wake::Ask);
+                self.out.wake_after(discovery::EVERY, TimerEvent::Ask);
             }
-            Wake::Sweep => {
+            TimerEvent::Sweep => {
                 self.clients.sweep(&mut self.out);
                 self.executors.sweep(&mut self.out);
                 if self.stop.nobody_comes(self.out.now) {
@@ -364,17 +364,17 @@
                 if self.out.now - self.told_at >= TELL {
                     self.figures();
                 }
-                self.out.wake_after(SWEEP, Wake::Sweep);
+                self.out.wake_after(SWEEP, TimerEvent::Sweep);
             }
-            Wake::Connect(id) => self.executors.unanswered(id, &mut self.out),
-            Wake::Held(attempt) => self.executors.release(attempt, &mut self.out),
-            Wake::Last => {
+            TimerEvent::Connect(id) => self.executors.unanswered(id, &mut self.out),
+            TimerEvent::Held(attempt) => self.executors.release(attempt, &mut self.out),
+            TimerEvent::Last => {
                 for query in self.open.queries() {
                     self.tape.tell(self.out.now, Input::TimeUp(query));
                 }
             }
-            Wake::Rest => self.clients.end(&mut self.out),
-            Wake::Stop => {
+            TimerEvent::Rest => self.clients.end(&mut self.out),
+            TimerEvent::Stop => {
                 // First, so that there is room for those who are taken as listening ends.
                 self.clients.end(&mut self.out);
                 self.out.push(Effect::StopListening);
@@ -388,7 +388,7 @@
     }
 
     /// What was counted of clients that left while their query waited.
-    pub fn left(&self) -> left::Counts {
+    pub fn left(&self) -> abandonment::Counts {
         self.left.counts
     }
 
--- a/crates/platform/src/executor_protocol.rs
+++ b/crates/platform/src/executor_protocol.rs
@@ -1,6 +1,6 @@
 //! The executors' protocol: lines of words that end in CR LF; a length as the last word has so many bytes follow.
 
-use crate::rows::LONGEST_PAGE;
+use crate::result_pages::LONGEST_PAGE;
 use bytes::{Buf, Bytes, BytesMut};
 use std::fmt;
 
--- a/crates/platform/src/executors.rs
+++ b/crates/platform/src/executors.rs
@@ -1,15 +1,15 @@
 //! The side of the executors: connections to them, and the attempts that each carries.
 
-use crate::lines::{self, Answer, RequestId, Spoilt, Word};
-use crate::rows;
-use crate::wake::Wake;
+use crate::executor_protocol::{self, Answer, RequestId, Spoilt, Word};
+use crate::result_pages;
+use crate::timer_event::TimerEvent;
 use bytes::Bytes;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use tracing::debug;
 use wheelfield::interface::{EngineId, Note, Outcome, Report};
 use wheelfield_driver::{AttemptId, Terms};
-use wheelfield_sans_io::{ConnId, Effect, Out, Slots, TimerKey, Wire};
+use wheelfield_sans_io::{ConnId, ConnectionBuffer, ConnectionTable, Effect, EffectQueue, TimerKey};
 use wheelfield_settings::take_figure;
 
 /// The room of these connections.
@@ -121,7 +121,7 @@
 #[derive(Debug)]
 struct Conn {
     engine: EngineId,
-    wire: Wire,
+    wire: ConnectionBuffer,
     up: bool,
     connecting: Option<TimerKey>,
     waiting: Vec<Job>,
@@ -196,7 +196,7 @@
 pub struct Executors {
     bounds: Bounds,
     all: BTreeMap<EngineId, Executor>,
-    conns: Slots<Conn>,
+    conns: ConnectionTable<Conn>,
     places: BTreeMap<AttemptId, (ConnId, RequestId)>,
     told: VecDeque<Told>,
     /// Connections that are up and have attempts waiting to be written.
@@ -216,7 +216,7 @@
         Executors {
             bounds,
             all: BTreeMap::new(),
-            conns: Slots::new(ROOM),
+            conns: ConnectionTable::new(ROOM),
             places: BTreeMap::new(),
             told: VecDeque::new(),
             ready: VecDeque::new(),
@@ -227,7 +227,11 @@
     }
 
     /// The whole list: who is on it, and where.
-    pub fn listed(&mut self, list: impl Iterator<Item = (EngineId, SocketAddr)>, out: &mut Out<Wake>) {
+    pub fn listed(
+        &mut self,
+        list: impl Iterator<Item = (EngineId, SocketAddr)>,
+        out: &mut EffectQueue<TimerEvent>,
+    ) {
         self.all.values_mut().for_each(|e| e.listed = false);
         for (engine, at) in list {
             let e =
@@ -264,13 +268,13 @@
     }
 
     /// The bytes of a connection.
-    pub fn wire(&mut self, id: ConnId) -> Option<&mut Wire> {
+    pub fn wire(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
         self.conns.get_mut(id).map(|c| &mut c.wire)
     }
 
     /// Bytes that may come on a connection.
     pub fn room(&mut self, id: ConnId) -> usize {
-        self.wire(id).map_or(0, |w| w.room(4 * lines::LONGEST_ANSWER))
+        self.wire(id).map_or(0, |w| w.room(4 * executor_protocol::LONGEST_ANSWER))
     }
 
     /// So much of it has gone.
@@ -296,14 +300,14 @@
     }
 
     /// Finds a connection for an attempt. Once that is up it is ready, at once or later.
-    pub fn launch(&mut self, engine: EngineId, job: Job, out: &mut Out<Wake>) {
+    pub fn launch(&mut self, engine: EngineId, job: Job, out: &mut EffectQueue<TimerEvent>) {
         let Some(executor) = self.all.get(&engine) else {
             self.told.push_back(Ended::bare(job.attempt, Outcome::ConnectFailed));
             return;
         };
         self.cut.retain(|(_, _, at)| out.now - at < CUT);
         if self.cut.iter().any(|(id, e, _)| (*id, *e) == (job.id, engine)) {
-            out.wake_after(CUT, Wake::Held(job.attempt));
+            out.wake_after(CUT, TimerEvent::Held(job.attempt));
             self.held.push((engine, job));
             return;
         }
@@ -342,18 +346,18 @@
     }
 
     /// An attempt that was held goes on.
-    pub fn release(&mut self, attempt: AttemptId, out: &mut Out<Wake>) {
+    pub fn release(&mut self, attempt: AttemptId, out: &mut EffectQueue<TimerEvent>) {
         if let Some(at) = self.held.iter().position(|(_, job)| job.attempt == attempt) {
             let (engine, job) = self.held.swap_remove(at);
             self.launch(engine, job, out);
         }
     }
 
-    fn connect(&mut self, engine: EngineId, out: &mut Out<Wake>) -> Option<ConnId> {
+    fn connect(&mut self, engine: EngineId, out: &mut EffectQueue<TimerEvent>) -> Option<ConnId> {
         let executor = self.all.get_mut(&engine)?;
         let id = self.conns.insert(Conn {
             engine,
-            wire: Wire::default(),
+            wire: ConnectionBuffer::default(),
             up: false,
             connecting: None,
             waiting: Vec::new(),
@@ -364,7 +368,7 @@
             idle_since: out.now,
             partial: None,
         });
-        let timer = out.wake_after(self.bounds.connect, Wake::Connect(id));
+        let timer = out.wake_after(self.bounds.connect, TimerEvent::Connect(id));
         self.conns.get_mut(id)?.connecting = Some(timer);
         executor.conns.push(id);
         self.counts.connects += 1;
@@ -374,14 +378,14 @@
 
     /// Closes a connection that carries nothing: one that comes up for nobody any more, else the one that is idle for longest. False
     /// if none is.
-    fn evict(&mut self, out: &mut Out<Wake>) -> bool {
+    fn evict(&mut self, out: &mut EffectQueue<TimerEvent>) -> bool {
         let idle = self.conns.iter().filter(|(_, c)| c.load() == 0);
         let oldest = idle.min_by_key(|(_, c)| (c.up, c.idle_since)).map(|(id, _)| id);
         oldest.map(|id| self.close(id, out)).is_some()
     }
 
     /// A connect is through.
-    pub fn connected(&mut self, id: ConnId, out: &mut Out<Wake>) {
+    pub fn connected(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) {
         if let Some(c) = self.conns.get_mut(id) {
             c.up = true;
             c.idle_since = out.now;
@@ -399,11 +403,17 @@
     }
 
     /// Writes a request.
-    pub fn write(&mut self, id: ConnId, job: &Job, request: &lines::Request<'_>, out: &mut Out<Wake>) {
+    pub fn write(
+        &mut self,
+        id: ConnId,
+        job: &Job,
+        request: &executor_protocol::Request<'_>,
+        out: &mut EffectQueue<TimerEvent>,
+    ) {
         let Some(c) = self.conns.get_mut(id) else { return };
         debug!(id = %job.id, attempt = %job.attempt, to = c.engine.0, limit_ms = request.limit_ms, "written");
         let from = c.put;
-        c.put(|to| lines::put_request(job.id, job.terms.priority, request, to));
+        c.put(|to| executor_protocol::put_request(job.id, job.terms.priority, request, to));
         let again = c.given_up.contains(&job.id);
         let running = Running { job: job.clone(), bytes: (from, c.put), begun: false, hit: None, again };
         c.running.insert(job.id, running);
@@ -412,17 +422,17 @@
     }
 
     /// New terms for an attempt that is out.
-    pub fn set_terms(&mut self, attempt: AttemptId, terms: Terms, out: &mut Out<Wake>) {
+    pub fn set_terms(&mut self, attempt: AttemptId, terms: Terms, out: &mut EffectQueue<TimerEvent>) {
         let Some((id, request)) = self.places.get(&attempt).copied() else { return };
         let Some(c) = self.conns.get_mut(id) else { return };
         if c.running.get(&request).is_some_and(|r| r.hit.is_none()) {
-            c.put(|to| lines::put_priority(request, terms.priority, to));
+            c.put(|to| executor_protocol::put_priority(request, terms.priority, to));
             c.wire.flush(id, out);
         }
     }
 
     /// Gives an attempt up. An answer that crosses the word finds nobody.
-    pub fn withdraw(&mut self, attempt: AttemptId, out: &mut Out<Wake>) {
+    pub fn withdraw(&mut self, attempt: AttemptId, out: &mut EffectQueue<TimerEvent>) {
         self.held.retain(|(_, job)| job.attempt != attempt);
         let Some((id, request)) = self.places.remove(&attempt) else { return };
         let Some(c) = self.conns.get_mut(id) else { return };
@@ -435,8 +445,8 @@
             }
             // A good answer has ended it: the executor keeps its pages only.
             match running.hit {
-                Some(_) => c.put(|to| lines::put_end(request, to)),
-                None => c.put(|to| lines::put_stop(request, to)),
+                Some(_) => c.put(|to| executor_protocol::put_end(request, to)),
+                None => c.put(|to| executor_protocol::put_stop(request, to)),
             }
             c.given_up.push(request);
             c.idle_since = out.now;
@@ -446,7 +456,7 @@
     }
 
     /// Closes a connection that has too many ids given up, once it is idle.
-    fn tidy(&mut self, id: ConnId, out: &mut Out<Wake>) {
+    fn tidy(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) {
         let done = |c: &Conn| c.load() == 0 && c.wire.output.is_empty();
         let worn = |c: &Conn| c.given_up.len() >= GIVEN_UP || c.wire.closing;
         if self.conns.get(id).is_some_and(|c| done(c) && worn(c)) {
@@ -455,15 +465,15 @@
     }
 
     /// Reads the answers that came on a connection.
-    pub fn read(&mut self, id: ConnId, out: &mut Out<Wake>) {
+    pub fn read(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) {
         loop {
             let Some(c) = self.conns.get_mut(id) else { return };
-            let answer = match lines::take(&mut c.wire.input) {
+            let answer = match executor_protocol::take(&mut c.wire.input) {
                 Ok(Some(answer)) => answer,
                 Ok(None) => {
                     let waits = !c.wire.input.is_empty();
                     c.partial = waits.then(|| c.partial.unwrap_or(out.now));
-                    c.wire.refill(id, 4 * lines::LONGEST_ANSWER, out);
+                    c.wire.refill(id, 4 * executor_protocol::LONGEST_ANSWER, out);
                     break;
                 }
                 Err(spoilt) => return self.spoilt(id, spoilt, out),
@@ -480,14 +490,19 @@
         }
     }
 
-    fn spoilt(&mut self, id: ConnId, spoilt: Spoilt, out: &mut Out<Wake>) {
+    fn spoilt(&mut self, id: ConnId, spoilt: Spoilt, out: &mut EffectQueue<TimerEvent>) {
         debug!(%spoilt, "an executor's connection is given up");
         self.counts.spoilt += 1;
         self.broken(id, out);
     }
 
     /// Takes an answer.
-    fn answer(&mut self, id: ConnId, answer: Answer, out: &mut Out<Wake>) -> Result<(), Spoilt> {
+    fn answer(
+        &mut self,
+        id: ConnId,
+        answer: Answer,
+        out: &mut EffectQueue<TimerEvent>,
+    ) -> Result<(), Spoilt> {
         let request = RequestId::read(&answer.id);
         let Some(c) = self.conns.get_mut(id) else { return Ok(()) };
         let Some((request, running)) = request.and_then(|r| Some((r, c.running.get_mut(&r)?))) else {
@@ -517,7 +532,9 @@
             }
             (Word::Hit, None) => {
                 let pages = answer.number("pages").unwrap_or(1.0);
-                if !(1.0..=rows::MOST_PAGES as f64).contains(&pages) || !rows::is_page(&answer.body) {
+                if !(1.0..=result_pages::MOST_PAGES as f64).contains(&pages)
+                    || !result_pages::is_page(&answer.body)
+                {
                     return Err(Spoilt::Line);
                 }
                 let pages = pages as usize;
@@ -534,7 +551,7 @@
                     hit.pages[0] = Some(answer.body);
                     running.hit = Some(hit);
                     for page in 1..pages {
-                        c.put(|to| lines::put_fetch(request, page, to));
+                        c.put(|to| executor_protocol::put_fetch(request, page, to));
                     }
                     c.wire.flush(id, out);
                     return Ok(());
@@ -551,7 +568,7 @@
                     return Ok(());
                 };
                 hit.bytes += answer.body.len();
-                if !rows::is_page(&answer.body) || hit.bytes > rows::LONGEST_RESULT {
+                if !result_pages::is_page(&answer.body) || hit.bytes > result_pages::LONGEST_RESULT {
                     return Err(Spoilt::Line);
                 }
                 *place = Some(answer.body);
@@ -562,7 +579,7 @@
                 }
                 let pages = hit.pages.iter_mut().filter_map(Option::take).collect();
                 let told = Ended::with(attempt, Outcome::Served, hit.billed_work, hit.report, pages);
-                c.put(|to| lines::put_end(request, to));
+                c.put(|to| executor_protocol::put_end(request, to));
                 c.wire.flush(id, out);
                 told
             }
@@ -577,7 +594,7 @@
         };
         if c.running.remove(&request).is_some_and(|r| r.again) {
             // If this was the answer of the one given up, the other goes no further.
-            c.put(|to| lines::put_stop(request, to));
+            c.put(|to| executor_protocol::put_stop(request, to));
             c.wire.flush(id, out);
         }
         debug!(id = %request, %attempt, at = c.engine.0, ended = ?answer.word, "over");
@@ -592,22 +609,22 @@
     }
 
     /// Nobody listens where a connection was to go.
-    pub fn refused(&mut self, id: ConnId, out: &mut Out<Wake>) {
+    pub fn refused(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) {
         self.ends(id, Some(Outcome::ConnectFailed), out);
     }
 
     /// A connection did not come up in time.
-    pub fn unanswered(&mut self, id: ConnId, out: &mut Out<Wake>) {
+    pub fn unanswered(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) {
         self.ends(id, Some(Outcome::Unanswered), out);
     }
 
     /// A connection is no more, or can't be used any more: what each of its attempts knows of itself.
-    pub fn broken(&mut self, id: ConnId, out: &mut Out<Wake>) {
+    pub fn broken(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) {
         self.ends(id, None, out);
     }
 
     /// `in_vain`: why there is no connection to be had there.
-    fn ends(&mut self, id: ConnId, in_vain: Option<Outcome>, out: &mut Out<Wake>) {
+    fn ends(&mut self, id: ConnId, in_vain: Option<Outcome>, out: &mut EffectQueue<TimerEvent>) {
         let Some(c) = self.conns.get_mut(id) else { return };
         let engine = c.engine;
         let (up, written) = (c.up, c.written);
@@ -650,7 +667,7 @@
     }
 
     /// A connection that nothing was sent on, or whose other side has closed, is no more of use once it carries nothing.
-    pub fn closing(&mut self, id: ConnId, out: &mut Out<Wake>) {
+    pub fn closing(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) {
         if let Some(c) = self.conns.get_mut(id) {
             c.wire.closing = true;
             if c.load() == 0 {
@@ -659,7 +676,7 @@
         }
     }
 
-    fn close(&mut self, id: ConnId, out: &mut Out<Wake>) {
+    fn close(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) {
         let Some(mut c) = self.conns.remove(id) else { return };
         out.call_off(&mut c.connecting);
         // The words that gave these up end with the connection, at the latest; what follows under the same id must not overtake
@@ -672,7 +689,7 @@
     }
 
     /// Now and then: connections that are idle for long or belong to nobody, answers that stopped short.
-    pub fn sweep(&mut self, out: &mut Out<Wake>) {
+    pub fn sweep(&mut self, out: &mut EffectQueue<TimerEvent>) {
         let now = out.now;
         let idle = (self.bounds.idle as f64 * IDLE_SHARE) as i64;
         let (mut old, mut stalled) = (Vec::new(), Vec::new());
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -1,20 +1,20 @@
 //! The door of the controller: what happened in, effects out.
 
+use crate::bootstrap::Launch;
 use crate::clients;
-use crate::flow::Flow;
-use crate::launch::Launch;
+use crate::dispatcher::Dispatcher;
 use std::net::SocketAddr;
-use wheelfield_sans_io::{ConnId, Door, Effect, Inside, Port, Socketed, Wire};
+use wheelfield_sans_io::{ConnId, ConnectionBuffer, DatagramSocket, Effect, IoEvent, Listener, Protocol};
 
 /// A controller on the operators' platform.
 pub struct Platform {
-    flow: Flow,
+    flow: Dispatcher,
 }
 
 impl Platform {
     /// A controller that has not started.
     pub fn new(launch: Launch, now: i64) -> Platform {
-        Platform { flow: Flow::new(launch, now) }
+        Platform { flow: Dispatcher::new(launch, now) }
     }
 
     /// The configuration was replaced: its name service is asked from now on.
@@ -35,11 +35,11 @@
     }
 
     /// What was counted of clients that left while their query waited.
-    pub fn left(&self) -> crate::left::Counts {
+    pub fn left(&self) -> crate::abandonment::Counts {
         self.flow.left()
     }
 
-    fn wire(&mut self, id: ConnId) -> Option<&mut Wire> {
+    fn wire(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
         match id.room() {
             clients::ROOM => self.flow.clients.wire(id),
             _ => self.flow.executors.wire(id),
@@ -47,43 +47,43 @@
     }
 }
 
-impl Inside for Platform {
+impl Protocol for Platform {
     fn started(&mut self, now: i64) {
         self.flow.out.now = now;
         self.flow.started();
     }
 
-    fn accept(&mut self, now: i64, _: Door) -> Option<ConnId> {
+    fn accept(&mut self, now: i64, _: Listener) -> Option<ConnId> {
         self.flow.out.now = now;
         self.flow.clients.accept(&mut self.flow.out)
     }
 
-    fn socketed(&mut self, now: i64, what: Socketed<'_>) {
+    fn socketed(&mut self, now: i64, what: IoEvent<'_>) {
         self.flow.out.now = now;
         match what {
-            Socketed::Connected(id) => self.flow.executors.connected(id, &mut self.flow.out),
-            Socketed::Received(id, bytes) => {
+            IoEvent::Connected(id) => self.flow.executors.connected(id, &mut self.flow.out),
+            IoEvent::Received(id, bytes) => {
                 let Some(wire) = self.wire(id) else { return };
                 wire.receive(bytes);
                 self.read(id);
             }
-            Socketed::Ended(id) => {
+            IoEvent::Ended(id) => {
                 let Some(wire) = self.wire(id) else { return };
                 wire.ended = true;
                 self.read(id);
             }
-            Socketed::Closing(id) if id.room() == clients::ROOM => {
+            IoEvent::Closing(id) if id.room() == clients::ROOM => {
                 let Some(wire) = self.wire(id) else { return };
                 wire.closing = true;
                 self.read(id);
             }
-            Socketed::Closing(id) => self.flow.executors.closing(id, &mut self.flow.out),
-            Socketed::Broken { id, .. } if id.room() == clients::ROOM => self.flow.client_gone(id),
-            Socketed::Broken { id, refused: true, .. } => self.flow.executors.refused(id, &mut self.flow.out),
-            Socketed::Broken { id, .. } => self.flow.executors.broken(id, &mut self.flow.out),
-            Socketed::Datagram(Port::Peers, from, bytes) => self.flow.words(from, bytes),
-            Socketed::Datagram(Port::Names, from, bytes) => self.flow.resolved(from, bytes),
-            Socketed::Datagram(Port::Gossip, ..) => {}
+            IoEvent::Closing(id) => self.flow.executors.closing(id, &mut self.flow.out),
+            IoEvent::Broken { id, .. } if id.room() == clients::ROOM => self.flow.client_gone(id),
+            IoEvent::Broken { id, refused: true, .. } => self.flow.executors.refused(id, &mut self.flow.out),
+            IoEvent::Broken { id, .. } => self.flow.executors.broken(id, &mut self.flow.out),
+            IoEvent::Datagram(DatagramSocket::Peers, from, bytes) => self.flow.words(from, bytes),
+            IoEvent::Datagram(DatagramSocket::Names, from, bytes) => self.flow.resolved(from, bytes),
+            IoEvent::Datagram(DatagramSocket::Gossip, ..) => {}
         }
     }
 
--- a/crates/platform/src/http_server.rs
+++ b/crates/platform/src/http_server.rs
@@ -1,6 +1,6 @@
 //! HTTP/1.1 as clients speak it: a call taken apart, and the answers.
 
-use crate::lines::RequestId;
+use crate::executor_protocol::RequestId;
 use bytes::BytesMut;
 use std::fmt::Write as _;
 
--- a/crates/platform/src/in_flight.rs
+++ b/crates/platform/src/in_flight.rs
@@ -1,6 +1,6 @@
 //! The queries in hand: whose they are, and what goes to executors for them.
 
-use crate::lines::RequestId;
+use crate::executor_protocol::RequestId;
 use bytes::Bytes;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use wheelfield::interface::QueryId;
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,7 +1,7 @@
 //! The operators' platform protocol: a whole controller without system calls. What happened goes in, with the time; what is to
 //! be done comes out.
 //!
-//! [`Platform`] has the same door as the controller of PostgreSQL clients ([`wheelfield_sans_io::Inside`]), and the same shell
+//! [`Platform`] has the same door as the controller of PostgreSQL clients ([`wheelfield_sans_io::Protocol`]), and the same shell
 //! carries out what it wants. Clients speak HTTP/1.1 (`front`, `clients`), executors lines of words (`lines`, `executors`), the
 //! name service DNS (`names`), other controllers datagrams (`peers`). A result is fetched whole before its client is told
 //! anything, so that one that is lost on the way can be tried again (`rows`). `flow` hands the words of one room to the others.
@@ -11,21 +11,21 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod abandonment;
+mod bootstrap;
 mod clients;
-mod door;
+mod discovery;
+mod dispatcher;
+mod executor_protocol;
 mod executors;
-mod flow;
-mod front;
-mod launch;
-mod left;
-mod lines;
-mod names;
-mod open;
+mod gateway;
+mod http_server;
+mod in_flight;
 mod peers;
-mod rows;
-mod stop;
+mod result_pages;
+mod shutdown;
 mod tables;
-mod wake;
+mod timer_event;
 
-pub use door::Platform;
-pub use launch::{Launch, LaunchError, Limits, Listed};
+pub use bootstrap::{Launch, LaunchError, Limits, Listed};
+pub use gateway::Platform;
--- a/crates/platform/src/timer_event.rs
+++ b/crates/platform/src/timer_event.rs
@@ -5,7 +5,7 @@
 
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wake {
+pub enum TimerEvent {
     /// The name service is asked again.
     Ask,
     /// Connections are looked through.
--- a/crates/platform/tests/clients.rs
+++ b/crates/platform/tests/clients.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use wheelfield_sans_io::{ConnId, Inside, Socketed};
+use wheelfield_sans_io::{ConnId, IoEvent, Protocol};
 
 #[test]
 fn a_query_is_carried_and_its_pages_come_as_one_answer() {
@@ -70,7 +70,7 @@
     // One that waits for its turn and leaves is never sent.
     let third = rig.client();
     rig.says(third, &post("load", &id(4), "X-Object: rel-7\r\n"));
-    rig.tell(Socketed::Closing(second));
+    rig.tell(IoEvent::Closing(second));
     rig.says(executor, &format!("{} HIT pages=1 0\r\n\r\n", id(1)));
     rig.pass(600_000);
     assert_eq!(status(&rig.read(first)), 200);
@@ -165,13 +165,13 @@
 fn a_client_that_leaves_gives_its_attempt_up_and_half_a_call_is_forgotten() {
     let mut rig = Rig::new(1);
     let (client, executor, _) = rig.asked("look", &id(1));
-    rig.tell(Socketed::Closing(client));
+    rig.tell(IoEvent::Closing(client));
     assert_eq!(rig.read(executor), format!("STOP {}\r\n", id(1)));
     rig.says(executor, &format!("{} HIT pages=1 6\r\na\t1\tx\n\r\n", id(1)));
     assert!(rig.closed.contains(&client) && rig.read(client).is_empty());
     let half = rig.client();
     rig.says(half, &post("look", &id(2), "")[..150]);
-    rig.tell(Socketed::Ended(half));
+    rig.tell(IoEvent::Ended(half));
     assert!(rig.closed.contains(&half) && rig.read(executor).is_empty());
 }
 
@@ -312,8 +312,8 @@
     let waiting = rig.client();
     rig.says(waiting, &post("look", &id(2), ""));
     assert_eq!(rig.connects.len(), 1);
-    rig.tell(Socketed::Closing(waiting));
-    rig.tell(Socketed::Closing(running));
+    rig.tell(IoEvent::Closing(waiting));
+    rig.tell(IoEvent::Closing(running));
     rig.pass(100_000);
     let fresh = rig.connect()[0];
     rig.pass(400_000);
@@ -361,13 +361,13 @@
         if due_after == 20_000 {
             let executor = rig.connect()[0];
             assert!(rig.read(executor).starts_with("REQ "));
-            rig.tell(Socketed::Broken { id: executor, writing: false, refused: false, reason: "reset" });
+            rig.tell(IoEvent::Broken { id: executor, writing: false, refused: false, reason: "reset" });
             assert!(rig.connects.is_empty(), "its executor may not know yet");
         } else {
             assert_eq!(rig.connects.len(), 1);
         }
         rig.now += due_after;
-        rig.platform.socketed(rig.now, Socketed::Closing(client));
+        rig.platform.socketed(rig.now, IoEvent::Closing(client));
         rig.platform.due(rig.now);
         rig.turn();
         rig.connects.retain(|(conn, _)| !rig.closed.contains(conn));
@@ -456,7 +456,7 @@
     let one_more = rig.client();
     assert_eq!(rig.closed[8..], [first]);
     // Who has left goes first of all.
-    rig.platform.socketed(rig.now, Socketed::Ended(keepers[15]));
+    rig.platform.socketed(rig.now, IoEvent::Ended(keepers[15]));
     let last = rig.client();
     assert_eq!(rig.closed[9..], [keepers[15]]);
     assert!([&more[..], &[one_more, last]].concat().iter().all(|c| !rig.closed.contains(c)));
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use wheelfield_platform::{Launch, Platform};
-use wheelfield_sans_io::{ConnId, Door, Effect, Inside, Port, Socketed};
+use wheelfield_sans_io::{ConnId, DatagramSocket, Effect, IoEvent, Listener, Protocol};
 
 pub const RESOLVER: &str = "127.9.0.1:1053";
 
@@ -20,7 +20,7 @@
     /// Connects wanted and not answered yet.
     pub connects: Vec<(ConnId, SocketAddr)>,
     pub closed: Vec<ConnId>,
-    pub datagrams: Vec<(Port, SocketAddr, Vec<u8>)>,
+    pub datagrams: Vec<(DatagramSocket, SocketAddr, Vec<u8>)>,
     pub listening: bool,
     pub stopped: bool,
     /// Calls of clients that wait in the backlog, and are taken as listening ends; and those who asked.
@@ -115,8 +115,8 @@
                     Effect::Send(port, to, bytes) => self.datagrams.push((port, to, bytes)),
                     Effect::StopListening => {
                         for call in std::mem::take(&mut self.backlog) {
-                            let id = self.platform.accept(self.now, Door::Clients).expect("room");
-                            self.platform.socketed(self.now, Socketed::Received(id, call.as_bytes()));
+                            let id = self.platform.accept(self.now, Listener::Clients).expect("room");
+                            self.platform.socketed(self.now, IoEvent::Received(id, call.as_bytes()));
                             self.taken_late.push(id);
                         }
                         self.listening = false;
@@ -143,13 +143,13 @@
         }
     }
 
-    pub fn tell(&mut self, what: Socketed<'_>) {
+    pub fn tell(&mut self, what: IoEvent<'_>) {
         self.platform.socketed(self.now, what);
         self.turn();
     }
 
     pub fn client(&mut self) -> ConnId {
-        let id = self.platform.accept(self.now, Door::Clients).expect("room");
+        let id = self.platform.accept(self.now, Listener::Clients).expect("room");
         self.turn();
         id
     }
@@ -159,7 +159,7 @@
     }
 
     pub fn bytes(&mut self, id: ConnId, bytes: &[u8]) {
-        self.tell(Socketed::Received(id, bytes));
+        self.tell(IoEvent::Received(id, bytes));
     }
 
     /// What was written on a connection since the last look.
@@ -172,7 +172,7 @@
         let mut up = Vec::new();
         while !self.connects.is_empty() {
             let (id, _) = self.connects.remove(0);
-            self.tell(Socketed::Connected(id));
+            self.tell(IoEvent::Connected(id));
             up.push(id);
         }
         up
--- a/crates/platform/tests/executors.rs
+++ b/crates/platform/tests/executors.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use wheelfield_sans_io::{ConnId, Inside, Socketed};
+use wheelfield_sans_io::{ConnId, IoEvent, Protocol};
 
 fn hit(n: u64) -> String {
     format!("{} HIT pages=1,cost=100.0,meter=util:0.3 6\r\na\t1\tx\n\r\n", id(n))
@@ -109,7 +109,7 @@
             assert!(!rig.closed.contains(&conn));
             rig.pass(20_000);
         } else {
-            rig.tell(Socketed::Broken { id: conn, writing: true, refused: true, reason: "refused" });
+            rig.tell(IoEvent::Broken { id: conn, writing: true, refused: true, reason: "refused" });
         }
         assert!(rig.closed.contains(&conn));
         let answer = rig.read(client);
@@ -147,7 +147,7 @@
     rig.says(client, &post("load", &id(1), ""));
     for _ in 0..3 {
         let (conn, _) = rig.connects.remove(0);
-        rig.tell(Socketed::Broken { id: conn, writing: true, refused: false, reason: "reset" });
+        rig.tell(IoEvent::Broken { id: conn, writing: true, refused: false, reason: "reset" });
         assert_eq!(rig.connects.len(), 1, "another connection at once, even for what must not run twice");
     }
     let executor = rig.connect()[0];
@@ -166,7 +166,7 @@
     let (fresh, _) = rig.connects.remove(0);
     rig.says(resting, &hit(1));
     rig.read(resting);
-    rig.tell(Socketed::Broken { id: fresh, writing: true, refused: false, reason: "reset" });
+    rig.tell(IoEvent::Broken { id: fresh, writing: true, refused: false, reason: "reset" });
     assert!(rig.connects.is_empty() && rig.read(resting).starts_with(&format!("REQ {} ", id(2))));
 }
 
@@ -178,7 +178,7 @@
         let client = rig.client();
         rig.says(client, &post("load", &id(1), ""));
         let executor = rig.connect()[0];
-        rig.tell(Socketed::Broken { id: executor, writing: false, refused: false, reason: "reset" });
+        rig.tell(IoEvent::Broken { id: executor, writing: false, refused: false, reason: "reset" });
         rig.connects.clear();
         rig.pass(3_000_000);
         assert_eq!(status(&rig.read(client)), expected);
@@ -199,7 +199,7 @@
     rig.partial = None;
     let answer = names(&asked, 9, &[("e1", 1, 1), ("e2", 2, 0)]).to_vec().expect("bytes");
     let from = RESOLVER.parse().expect("an address");
-    rig.tell(Socketed::Datagram(wheelfield_sans_io::Port::Names, from, &answer));
+    rig.tell(IoEvent::Datagram(wheelfield_sans_io::DatagramSocket::Names, from, &answer));
     assert!(rig.closed.contains(&executor) && rig.read(executor).is_empty());
     let other = rig.connect()[0];
     assert!(rig.read(other).starts_with("REQ "), "it goes to the other one");
@@ -239,11 +239,11 @@
         let answer = names(&asked, 10 + n as u32, &[(&name, (n % 200) as u8 + 1, 0)]);
         let bytes = answer.to_vec().expect("bytes");
         let from = RESOLVER.parse().expect("an address");
-        rig.tell(Socketed::Datagram(wheelfield_sans_io::Port::Names, from, &bytes));
+        rig.tell(IoEvent::Datagram(wheelfield_sans_io::DatagramSocket::Names, from, &bytes));
         let (client, executor, _) = rig.asked("look", &id(n));
         rig.says(executor, &hit(n));
         assert_eq!(status(&rig.read(client)), 200, "query {n}");
-        rig.tell(Socketed::Ended(client));
+        rig.tell(IoEvent::Ended(client));
         rig.closed.retain(|c| *c != client);
     }
     // Of each executor that is gone the connection is closed too.
@@ -265,7 +265,7 @@
     rig.says(executor, &format!("{} INFO tell=pct,v=0.01 0\r\n\r\n", id(2)));
     rig.pass(300_000);
     rig.partial = None;
-    rig.tell(Socketed::Broken { id: executor, writing: true, refused: false, reason: "reset" });
+    rig.tell(IoEvent::Broken { id: executor, writing: true, refused: false, reason: "reset" });
     rig.pass(19_000);
     assert!(rig.read(spare).is_empty() && rig.connects.is_empty(), "a second copy beside the first");
     rig.pass(2_000);
@@ -283,7 +283,7 @@
     let asked = rig.datagrams.last().expect("a question").2.clone();
     let answer = names(&asked, 9, &[("e1", 7, 0)]).to_vec().expect("bytes");
     let from = RESOLVER.parse().expect("an address");
-    rig.tell(Socketed::Datagram(wheelfield_sans_io::Port::Names, from, &answer));
+    rig.tell(IoEvent::Datagram(wheelfield_sans_io::DatagramSocket::Names, from, &answer));
     assert!(rig.closed.contains(&executor), "nothing rests where it was");
     rig.read(client);
     rig.says(client, &post("look", &id(3), ""));
@@ -306,7 +306,7 @@
         let mut rig = Rig::of(&text.to_string());
         let (client, executor, _) = rig.asked("load", &id(1));
         rig.pass(280_000);
-        rig.tell(Socketed::Broken { id: executor, writing: false, refused: false, reason: "reset" });
+        rig.tell(IoEvent::Broken { id: executor, writing: false, refused: false, reason: "reset" });
         rig.pass(20_000);
         assert_eq!(rig.connects.len(), 1, "tried again");
         rig.pass(waits);
--- a/crates/platform/tests/interleavings.rs
+++ b/crates/platform/tests/interleavings.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use wheelfield_invariants::{judge, Asked, End, Evidence, Life, Line, NotUp, OfClass, Tolerance};
 use wheelfield_platform::Launch;
-use wheelfield_sans_io::{ConnId, Door, Inside, Port, Socketed};
+use wheelfield_sans_io::{ConnId, DatagramSocket, IoEvent, Listener, Protocol};
 
 /// A fault on purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -89,7 +89,7 @@
         }
     }
 
-    fn hears(&mut self, what: Socketed<'_>) {
+    fn hears(&mut self, what: IoEvent<'_>) {
         self.rig.platform.socketed(self.rig.now, what);
     }
 
@@ -101,9 +101,9 @@
     }
 
     fn asks(&mut self, class: usize, wait_ms: i64, n: u64) -> Option<ConnId> {
-        let client = self.rig.platform.accept(self.rig.now, Door::Clients)?;
+        let client = self.rig.platform.accept(self.rig.now, Listener::Clients)?;
         let call = post(["look", "load"][class], &id(n), "").replace("2000", &wait_ms.to_string());
-        self.hears(Socketed::Received(client, call.as_bytes()));
+        self.hears(IoEvent::Received(client, call.as_bytes()));
         Some(client)
     }
 
@@ -167,25 +167,20 @@
             Step::Up(which) => {
                 if !self.rig.connects.is_empty() {
                     let (conn, _) = self.rig.connects.remove(which % self.rig.connects.len());
-                    self.hears(Socketed::Connected(conn));
+                    self.hears(IoEvent::Connected(conn));
                 }
             }
             Step::Refused(which) => {
                 if !self.rig.connects.is_empty() {
                     let (conn, _) = self.rig.connects.remove(which % self.rig.connects.len());
-                    self.hears(Socketed::Broken {
-                        id: conn,
-                        writing: true,
-                        refused: true,
-                        reason: "refused",
-                    });
+                    self.hears(IoEvent::Broken { id: conn, writing: true, refused: true, reason: "refused" });
                 }
             }
             Step::Says { which, what } => self.says(which, what),
             Step::Breaks(which) => {
                 let Some(conn) = World::nth(&self.conns, which, |_| true) else { return };
                 self.over(conn);
-                self.hears(Socketed::Broken { id: conn, writing: false, refused: false, reason: "reset" });
+                self.hears(IoEvent::Broken { id: conn, writing: false, refused: false, reason: "reset" });
             }
             Step::Lists { which, status } => {
                 self.status.insert(which, status);
@@ -196,14 +191,16 @@
 
     fn leaves(&mut self, client: ConnId, breaks: bool) {
         self.hears(match breaks {
-            true => Socketed::Broken { id: client, writing: false, refused: false, reason: "reset" },
-            false => Socketed::Closing(client),
+            true => IoEvent::Broken { id: client, writing: false, refused: false, reason: "reset" },
+            false => IoEvent::Closing(client),
         });
     }
 
     /// The name service tells how the executors are.
     fn lists(&mut self) {
-        let Some(question) = self.rig.datagrams.iter().rev().find(|d| d.0 == Port::Names) else { return };
+        let Some(question) = self.rig.datagrams.iter().rev().find(|d| d.0 == DatagramSocket::Names) else {
+            return;
+        };
         self.serial += 1;
         let named: Vec<(String, u8, u16)> = self
             .status
@@ -222,7 +219,7 @@
         self.log.push(Line { t, event, who, not_up, ..Line::default() });
         if self.plant != Some(Plant::DrainUnheard) {
             let from = RESOLVER.parse().expect("an address");
-            self.hears(Socketed::Datagram(Port::Names, from, &bytes));
+            self.hears(IoEvent::Datagram(DatagramSocket::Names, from, &bytes));
         }
     }
 
@@ -259,11 +256,11 @@
         if ends {
             self.line(0, event, &engine, &query);
         }
-        self.hears(Socketed::Received(conn, text.as_bytes()));
+        self.hears(IoEvent::Received(conn, text.as_bytes()));
         if what == 2 {
             // Its end lies right behind.
             self.over(conn);
-            self.hears(Socketed::Ended(conn));
+            self.hears(IoEvent::Ended(conn));
         }
     }
 
--- a/crates/platform/tests/names.rs
+++ b/crates/platform/tests/names.rs
@@ -4,7 +4,7 @@
 use common::*;
 use hickory_proto::op::{Message, ResponseCode};
 use std::net::SocketAddr;
-use wheelfield_sans_io::{Port, Socketed};
+use wheelfield_sans_io::{DatagramSocket, IoEvent};
 
 fn at(address: &str) -> SocketAddr {
     address.parse().expect("an address")
@@ -15,12 +15,12 @@
     rig.datagrams.clear();
     rig.pass(260_000);
     let (port, asked, bytes) = rig.datagrams.last().expect("a question").clone();
-    assert_eq!((port, asked), (Port::Names, at(to)));
+    assert_eq!((port, asked), (DatagramSocket::Names, at(to)));
     bytes
 }
 
 fn hear(rig: &mut Rig, from: &str, bytes: &[u8]) {
-    rig.tell(Socketed::Datagram(Port::Names, at(from), bytes));
+    rig.tell(IoEvent::Datagram(DatagramSocket::Names, at(from), bytes));
 }
 
 /// Where the next query goes; none if it was refused.
--- a/crates/recorder/src/decision_engine.rs
+++ b/crates/recorder/src/decision_engine.rs
@@ -4,7 +4,7 @@
 use wheelfield_driver::{Arrival, AttemptId, Crowded, Driver, Input, Instruction};
 
 /// What a controller asks of whatever decides in it. As the driver's own methods.
-pub trait Mind {
+pub trait DecisionEngine {
     /// Takes a query.
     ///
     /// # Errors
@@ -19,7 +19,7 @@
     fn tell(&mut self, now: Micros, input: Input, out: &mut Vec<Instruction>);
     /// Lets the time pass.
     fn due(&mut self, now: Micros, out: &mut Vec<Instruction>) -> bool;
-    /// When [`Mind::due`] is next wanted.
+    /// When [`DecisionEngine::due`] is next wanted.
     fn next_due(&self) -> Option<Micros>;
     /// Whether an attempt counts still.
     fn is_out(&self, attempt: AttemptId) -> bool;
@@ -33,7 +33,7 @@
     }
 }
 
-impl Mind for Driver {
+impl DecisionEngine for Driver {
     fn arrive(
         &mut self,
         now: Micros,
--- a/crates/recorder/src/lib.rs
+++ b/crates/recorder/src/lib.rs
@@ -2,8 +2,8 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod mind;
-mod tape;
+mod decision_engine;
+mod recording_driver;
 
-pub use mind::Mind;
-pub use tape::Tape;
+pub use decision_engine::DecisionEngine;
+pub use recording_driver::RecordingDriver;
--- a/crates/recorder/src/recording_driver.rs
+++ b/crates/recorder/src/recording_driver.rs
@@ -1,23 +1,23 @@
 //! What decides, and the record of all that it is told and answers.
 
-use crate::mind::Mind;
+use crate::decision_engine::DecisionEngine;
 use std::collections::VecDeque;
 use wheelfield::interface::{EngineId, Micros, QueryId};
 use wheelfield_capture::{Recorder, Told};
 use wheelfield_driver::{Arrival, Crowded, Input, Instruction};
 
 /// The one door to what decides. Whatever goes through it is recorded, where a capture is wanted.
-pub struct Tape {
-    mind: Box<dyn Mind>,
+pub struct RecordingDriver {
+    mind: Box<dyn DecisionEngine>,
     recorder: Option<Recorder>,
     fresh: Vec<Instruction>,
     waiting: VecDeque<Instruction>,
 }
 
-impl Tape {
+impl RecordingDriver {
     /// A tape around what decides.
-    pub fn new(mind: Box<dyn Mind>, recorder: Option<Recorder>) -> Tape {
-        Tape { mind, recorder, fresh: Vec::new(), waiting: VecDeque::new() }
+    pub fn new(mind: Box<dyn DecisionEngine>, recorder: Option<Recorder>) -> RecordingDriver {
+        RecordingDriver { mind, recorder, fresh: Vec::new(), waiting: VecDeque::new() }
     }
 
     /// Tells what happened.
@@ -60,7 +60,7 @@
     }
 
     /// What decides.
-    pub fn mind(&self) -> &dyn Mind {
+    pub fn mind(&self) -> &dyn DecisionEngine {
         &*self.mind
     }
 
--- a/crates/sans-io/src/connection_buffer.rs
+++ b/crates/sans-io/src/connection_buffer.rs
@@ -1,6 +1,6 @@
 //! The bytes of one connection: what came and was not taken, what is to go and has not gone.
 
-use crate::out::{Effect, Out};
+use crate::effect_queue::{Effect, EffectQueue};
 use crate::ConnId;
 use bytes::{Buf, BytesMut};
 
@@ -9,7 +9,7 @@
 
 /// The bytes of a connection. Its socket is elsewhere.
 #[derive(Debug, Default)]
-pub struct Wire {
+pub struct ConnectionBuffer {
     /// What came and was not taken yet.
     pub input: BytesMut,
     /// What is to go.
@@ -24,7 +24,7 @@
     starved: bool,
 }
 
-impl Wire {
+impl ConnectionBuffer {
     /// Takes what came.
     pub fn receive(&mut self, bytes: &[u8]) {
         self.input.extend_from_slice(bytes);
@@ -41,7 +41,7 @@
     }
 
     /// Has the other side read again, if there is room again; gives back the memory of an emptied input.
-    pub fn refill(&mut self, id: ConnId, limit: usize, out: &mut Out<impl Sized>) {
+    pub fn refill(&mut self, id: ConnId, limit: usize, out: &mut EffectQueue<impl Sized>) {
         if self.starved && self.input.len() < limit {
             self.starved = false;
             out.push(Effect::Read(id));
@@ -52,7 +52,7 @@
     }
 
     /// Has what is to go written.
-    pub fn flush(&mut self, id: ConnId, out: &mut Out<impl Sized>) {
+    pub fn flush(&mut self, id: ConnId, out: &mut EffectQueue<impl Sized>) {
         if !self.output.is_empty() && !std::mem::replace(&mut self.asked, true) {
             out.push(Effect::Write(id));
         }
--- a/crates/sans-io/src/connection_table.rs
+++ b/crates/sans-io/src/connection_table.rs
@@ -38,17 +38,17 @@
 
 /// What a room holds of each of its connections. Bounded by whoever inserts.
 #[derive(Debug)]
-pub struct Slots<T> {
+pub struct ConnectionTable<T> {
     room: u8,
     generation: u32,
     places: Slab<(ConnId, T)>,
 }
 
-impl<T> Slots<T> {
+impl<T> ConnectionTable<T> {
     /// An empty room; `room` is 1 to 7.
-    pub fn new(room: u8) -> Slots<T> {
+    pub fn new(room: u8) -> ConnectionTable<T> {
         debug_assert!((1..8).contains(&room));
-        Slots { room, generation: 0, places: Slab::new() }
+        ConnectionTable { room, generation: 0, places: Slab::new() }
     }
 
     /// Gives a connection a place.
@@ -98,7 +98,7 @@
 
     #[test]
     fn a_place_is_used_again_and_its_number_is_not() {
-        let mut slots = Slots::new(3);
+        let mut slots = ConnectionTable::new(3);
         let a = slots.insert('a');
         assert_eq!(slots.remove(a), Some('a'));
         let b = slots.insert('b');
@@ -112,7 +112,7 @@
 
     #[test]
     fn a_generation_that_wraps_stays_within_its_bits() {
-        let mut slots = Slots::new(7);
+        let mut slots = ConnectionTable::new(7);
         slots.generation = u32::MAX;
         let id = slots.insert(());
         assert_eq!((id.room(), id.place(), slots.len()), (7, 0, 1));
--- a/crates/sans-io/src/effect_queue.rs
+++ b/crates/sans-io/src/effect_queue.rs
@@ -5,7 +5,7 @@
 
 /// A listening socket of a controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Door {
+pub enum Listener {
     /// Clients come here.
     Clients,
     /// Operators do.
@@ -14,7 +14,7 @@
 
 /// A datagram socket of a controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Port {
+pub enum DatagramSocket {
     /// Words between controllers.
     Peers,
     /// Which controllers there are.
@@ -26,16 +26,16 @@
 /// Something to be done outside.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Begin to connect; [`crate::Socketed::Connected`] or [`crate::Socketed::Broken`] tells how it went.
+    /// Begin to connect; [`crate::IoEvent::Connected`] or [`crate::IoEvent::Broken`] tells how it went.
     Connect(ConnId, SocketAddr),
-    /// Write what [`crate::Inside::output`] holds, as far as it goes, and tell by [`crate::Inside::wrote`].
+    /// Write what [`crate::Protocol::output`] holds, as far as it goes, and tell by [`crate::Protocol::wrote`].
     Write(ConnId),
-    /// There is room again for what comes: go on reading, as [`crate::Inside::room`] allows.
+    /// There is room again for what comes: go on reading, as [`crate::Protocol::room`] allows.
     Read(ConnId),
     /// Close a connection; it is forgotten here already.
     Close(ConnId),
     /// Send a datagram; one that can't go is lost.
-    Send(Port, SocketAddr, Vec<u8>),
+    Send(DatagramSocket, SocketAddr, Vec<u8>),
     /// Take whoever waits already, and no more clients after them.
     StopListening,
     /// All is over.
@@ -44,7 +44,7 @@
 
 /// Where effects and timers go. Rooms add to it and never look at what others added.
 #[derive(Debug)]
-pub struct Out<W> {
+pub struct EffectQueue<W> {
     /// The time of this turn, in microseconds.
     pub now: i64,
     effects: Vec<Effect>,
@@ -62,10 +62,10 @@
     Ended,
 }
 
-impl<W> Out<W> {
+impl<W> EffectQueue<W> {
     /// With nothing to do.
-    pub fn new(now: i64) -> Out<W> {
-        Out { now, effects: Vec::new(), timers: Timers::default(), door: Listening::On }
+    pub fn new(now: i64) -> EffectQueue<W> {
+        EffectQueue { now, effects: Vec::new(), timers: Timers::default(), door: Listening::On }
     }
 
     /// Wants something done.
--- a/crates/sans-io/src/lib.rs
+++ b/crates/sans-io/src/lib.rs
@@ -3,15 +3,15 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod connection_buffer;
+mod connection_table;
+mod effect_queue;
 pub mod http;
-mod inside;
-mod out;
-mod slots;
+mod protocol;
 mod timers;
-mod wire;
 
-pub use inside::{Inside, Socketed};
-pub use out::{Door, Effect, Out, Port};
-pub use slots::{ConnId, Slots};
+pub use connection_buffer::ConnectionBuffer;
+pub use connection_table::{ConnId, ConnectionTable};
+pub use effect_queue::{DatagramSocket, Effect, EffectQueue, Listener};
+pub use protocol::{IoEvent, Protocol};
 pub use timers::{TimerKey, Timers};
-pub use wire::Wire;
--- a/crates/sans-io/src/protocol.rs
+++ b/crates/sans-io/src/protocol.rs
@@ -1,14 +1,14 @@
 //! What a shell on sockets asks of a controller without I/O, whichever protocol it speaks.
 
-use crate::{ConnId, Door, Effect, Port};
+use crate::{ConnId, DatagramSocket, Effect, Listener};
 use std::net::SocketAddr;
 
 /// What sockets tell.
 #[derive(Clone, Copy, Debug)]
-pub enum Socketed<'a> {
+pub enum IoEvent<'a> {
     /// A connect is through.
     Connected(ConnId),
-    /// Bytes came; at most as many as [`Inside::room`] allowed.
+    /// Bytes came; at most as many as [`Protocol::room`] allowed.
     Received(ConnId, &'a [u8]),
     /// The other side has closed, though bytes of it may still be outside.
     Closing(ConnId),
@@ -26,17 +26,17 @@
         reason: &'a str,
     },
     /// A datagram, and from where.
-    Datagram(Port, SocketAddr, &'a [u8]),
+    Datagram(DatagramSocket, SocketAddr, &'a [u8]),
 }
 
 /// A controller without system calls. What happened goes in, with the time; effects come out.
-pub trait Inside {
+pub trait Protocol {
     /// The process starts; comes first, once.
     fn started(&mut self, now: i64);
     /// Somebody has connected; none if there is no room, and the socket is to be closed. Read from it at once.
-    fn accept(&mut self, now: i64, door: Door) -> Option<ConnId>;
+    fn accept(&mut self, now: i64, door: Listener) -> Option<ConnId>;
     /// Sockets told something.
-    fn socketed(&mut self, now: i64, what: Socketed<'_>);
+    fn socketed(&mut self, now: i64, what: IoEvent<'_>);
     /// The controller is asked to stop.
     fn stop(&mut self, now: i64);
     /// Bytes that may come on a connection now. After none, [`Effect::Read`] tells when some may.
@@ -45,7 +45,7 @@
     fn output(&mut self, id: ConnId) -> &[u8];
     /// So much of it has gone.
     fn wrote(&mut self, now: i64, id: ConnId, n: usize);
-    /// When [`Inside::due`] is next wanted.
+    /// When [`Protocol::due`] is next wanted.
     fn next_due(&self) -> Option<i64>;
     /// Lets the time pass, once all that happened until now is told.
     fn due(&mut self, now: i64);
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -7,9 +7,9 @@
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
 use std::path::PathBuf;
-use tape::{Tally, Tape};
-use wheelfield::choice::Gateway;
+use tape::{RecordingDriver, Tally};
 use wheelfield::interface::{Action, Event, Micros, Settings};
+use wheelfield::policy::Gateway;
 use wire::{Line, ListEntry, Wording};
 
 /// Hosts the decision module on the simulator's wire, standard input to standard output.
@@ -26,7 +26,7 @@
 struct Instance {
     names: Wording,
     gateway: Gateway,
-    tape: Option<Tape>,
+    tape: Option<RecordingDriver>,
 }
 
 #[derive(Default)]
@@ -63,7 +63,10 @@
         match line.word {
             "flush" => {
                 self.now = None;
-                self.instances.values_mut().filter_map(|i| i.tape.as_mut()).for_each(Tape::compare);
+                self.instances
+                    .values_mut()
+                    .filter_map(|i| i.tape.as_mut())
+                    .for_each(RecordingDriver::compare);
                 return Ok(true);
             }
             "for" => self.current = Some(line.number("controller")?),
@@ -114,10 +117,10 @@
         settings: &Settings,
         seed: u64,
         now: Micros,
-    ) -> Result<Option<Tape>, String> {
+    ) -> Result<Option<RecordingDriver>, String> {
         let Some(dir) = &self.captures else { return Ok(None) };
         let life = self.lives.entry(id).and_modify(|n| *n += 1).or_default();
-        let tape = Tape::begin(dir, (id, *life), names, settings, seed, now);
+        let tape = RecordingDriver::begin(dir, (id, *life), names, settings, seed, now);
         tape.map(Some).map_err(|e| format!("cannot write a capture in {}: {e}", dir.display()))
     }
 
--- a/crates/sim-adapter/src/tape.rs
+++ b/crates/sim-adapter/src/tape.rs
@@ -38,7 +38,7 @@
 }
 
 /// One life of an instance.
-pub struct Tape {
+pub struct RecordingDriver {
     name: String,
     driver: Driver,
     recorder: Recorder,
@@ -55,7 +55,7 @@
     now: Micros,
 }
 
-impl Tape {
+impl RecordingDriver {
     /// Begins the capture of an instance's life.
     ///
     /// # Errors
@@ -67,7 +67,7 @@
         settings: &Settings,
         seed: u64,
         now: Micros,
-    ) -> std::io::Result<Tape> {
+    ) -> std::io::Result<RecordingDriver> {
         let name = if life == 0 {
             format!("controller-{instance}")
         } else {
@@ -89,7 +89,7 @@
         let limits = Limits { queue: 1 << 16, ..Limits::default() };
         let path: PathBuf = dir.join(format!("{name}.wfcap"));
         let recorder = Recorder::begin(&path, start, limits, &driver, now)?;
-        Ok(Tape {
+        Ok(RecordingDriver {
             name,
             driver,
             recorder,
--- a/crates/testbed/examples/scale.rs
+++ b/crates/testbed/examples/scale.rs
@@ -11,7 +11,7 @@
 use wheelfield_testbed::day::Day;
 use wheelfield_testbed::plan::Plan;
 use wheelfield_testbed::report::{lines, Line, Plot};
-use wheelfield_testbed::virtual_time::mind::Mind;
+use wheelfield_testbed::virtual_time::mind::DecisionEngine;
 use wheelfield_testbed::virtual_time::{play_with, Conditions};
 
 struct Timed {
@@ -28,7 +28,7 @@
     }
 }
 
-impl Mind for Timed {
+impl DecisionEngine for Timed {
     fn arrive(&mut self, now: Micros, a: Arrival, out: &mut Vec<Instruction>) -> Result<QueryId, Crowded> {
         self.time(|d| Driver::arrive(d, now, a, out))
     }
@@ -59,7 +59,7 @@
     (day.engines, day.controllers) = (engines, controllers);
     let plan = Plan::draw(&day, 1);
     let spent = Rc::new(Cell::new(Duration::ZERO));
-    let minds = |settings: Settings, seed: u64| -> Box<dyn Mind> {
+    let minds = |settings: Settings, seed: u64| -> Box<dyn DecisionEngine> {
         let driver = Driver::new(settings, seed, Bounds::default());
         Box::new(Timed { driver, spent: spent.clone() })
     };
--- a/crates/testbed/src/explore/mod.rs
+++ b/crates/testbed/src/explore/mod.rs
@@ -17,7 +17,7 @@
 use std::sync::Mutex;
 use wheelfield_config::Fault;
 use wheelfield_invariants::End;
-use wheelfield_pg_gateway::plant::Plant;
+use wheelfield_pg_gateway::fault_injection::FaultInjection;
 
 /// What came of a day.
 #[derive(Clone, Debug, Default)]
@@ -49,7 +49,7 @@
 ///
 /// # Errors
 /// The first fault of its script.
-pub fn course(scenario: &Scenario, plant: Option<Plant>) -> Result<(Day, Plan, Played), Fault> {
+pub fn course(scenario: &Scenario, plant: Option<FaultInjection>) -> Result<(Day, Plan, Played), Fault> {
     let day = scenario.day()?;
     let plan = Plan::draw(&day, scenario.seed);
     let visits = scenario.visits_ms as i64 * 1000;
@@ -62,7 +62,7 @@
 ///
 /// # Errors
 /// The first fault of its script.
-pub fn play(scenario: &Scenario, plant: Option<Plant>) -> Result<Outcome, Fault> {
+pub fn play(scenario: &Scenario, plant: Option<FaultInjection>) -> Result<Outcome, Fault> {
     std::panic::catch_unwind(|| judged(scenario, plant)).unwrap_or_else(|panic| {
         let text = panic.downcast_ref::<String>().cloned();
         let text = text.or_else(|| panic.downcast_ref::<&str>().map(|s| (*s).to_string()));
@@ -71,7 +71,7 @@
     })
 }
 
-fn judged(scenario: &Scenario, plant: Option<Plant>) -> Result<Outcome, Fault> {
+fn judged(scenario: &Scenario, plant: Option<FaultInjection>) -> Result<Outcome, Fault> {
     let (day, plan, played) = course(scenario, plant)?;
     let settings = day.settings()?;
     let known = Known { day: &day, settings: &settings, plan: &plan, start: virtual_time::start() };
@@ -126,7 +126,7 @@
 pub fn explore(
     numbers: std::ops::Range<u64>,
     jobs: usize,
-    plant: Option<Plant>,
+    plant: Option<FaultInjection>,
     until: impl Fn(&Explored) -> bool + Sync,
 ) -> Explored {
     let next = AtomicU64::new(numbers.start);
--- a/crates/testbed/src/explore/shrink.rs
+++ b/crates/testbed/src/explore/shrink.rs
@@ -2,7 +2,7 @@
 
 use super::{play, Scenario};
 use crate::virtual_time::network::Weather;
-use wheelfield_pg_gateway::plant::Plant;
+use wheelfield_pg_gateway::fault_injection::FaultInjection;
 
 /// Days that are played at most.
 const TRIES: usize = 400;
@@ -58,7 +58,7 @@
 }
 
 /// Makes a scenario smaller that breaks a rule, and still breaks it. How many days were played for it.
-pub fn shrink(scenario: &Scenario, rule: &str, plant: Option<Plant>) -> (Scenario, usize) {
+pub fn shrink(scenario: &Scenario, rule: &str, plant: Option<FaultInjection>) -> (Scenario, usize) {
     let fails = |s: &Scenario| play(s, plant).is_ok_and(|o| o.wrong.iter().any(|(r, _)| r == rule));
     let mut best = scenario.clone();
     let mut played = 0;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 use wheelfield_config::units::Time;
-use wheelfield_pg_gateway::plant::Plant;
+use wheelfield_pg_gateway::fault_injection::FaultInjection;
 use wheelfield_testbed::day::{Day, KINDS};
 use wheelfield_testbed::experiment::{self, Experiment};
 use wheelfield_testbed::explore::{self, Scenario};
@@ -163,8 +163,8 @@
     #[arg(long)]
     seen: bool,
     /// A fault planted in the controllers, in builds that have them.
-    #[arg(long, value_name = "FAULT", hide = true, value_parser = Plant::parse)]
-    plant: Option<Plant>,
+    #[arg(long, value_name = "FAULT", hide = true, value_parser = FaultInjection::parse)]
+    plant: Option<FaultInjection>,
 }
 
 #[derive(Args)]
@@ -450,7 +450,7 @@
     }
 }
 
-fn tell_course(scenario: &Scenario, plant: Option<Plant>) -> Result<()> {
+fn tell_course(scenario: &Scenario, plant: Option<FaultInjection>) -> Result<()> {
     let (_, _, played) = explore::course(scenario, plant)?;
     let start = wheelfield_testbed::virtual_time::start();
     let ms = |t: i64| (t - start) as f64 / 1e3;
--- a/crates/testbed/src/people.rs
+++ b/crates/testbed/src/people.rs
@@ -11,7 +11,7 @@
 use wheelfield_engine_emulator::answer;
 use wheelfield_invariants::End;
 use wheelfield_pg::{back, frame, front};
-use wheelfield_sans_io::{ConnId, Slots, Timers};
+use wheelfield_sans_io::{ConnId, ConnectionTable, Timers};
 
 /// An answer that is late is still waited for so long, to be told from one that never comes.
 const WAITS_ON: i64 = 1_000_000;
@@ -68,7 +68,7 @@
     manners: Manners,
     start: i64,
     doors: Vec<Door>,
-    connections: Slots<Connection>,
+    connections: ConnectionTable<Connection>,
     /// Ready and unused, by controller and customer.
     idle: BTreeMap<(usize, usize), Vec<ConnId>>,
     /// Tries that wait for a connection, by controller and customer.
@@ -100,7 +100,7 @@
             plan,
             start,
             doors: vec![Door::default(); controllers],
-            connections: Slots::new(1),
+            connections: ConnectionTable::new(1),
             idle: BTreeMap::new(),
             waiting: BTreeMap::new(),
             who: Vec::new(),
--- a/crates/testbed/src/virtual_time/mind.rs
+++ b/crates/testbed/src/virtual_time/mind.rs
@@ -6,7 +6,7 @@
 use wheelfield::interface::{EngineId, Micros, Outcome, QueryId, Settings, Status};
 use wheelfield_driver::{Answer, Arrival, AttemptId, Crowded, Input, Instruction, Terms};
 
-pub use wheelfield_pg_gateway::Mind;
+pub use wheelfield_pg_gateway::DecisionEngine;
 
 /// How engines are chosen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
@@ -127,7 +127,7 @@
     }
 }
 
-impl Mind for Plain {
+impl DecisionEngine for Plain {
     fn arrive(
         &mut self,
         _: Micros,
