--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -1,4 +1,4 @@
-//! A day in one process and in virtual time: the controllers' own code ([`wheelfield_pg_gateway::Gate`]), the stand-ins' and the
+//! A day in one process and in virtual time: the controllers' own code ([`wheelfield_pg_gateway::PgGateway`]), the stand-ins' and the
 //! clients' as on sockets, byte for byte, and a modelled network between them. No sockets, no threads, no clock: the same
 //! day, seed and build give the same tries and log.
 //!
@@ -14,7 +14,7 @@
 use crate::people::People;
 use crate::plan::{Act, Plan};
 use bytes::Bytes;
-use mind::{Mind, Plain, Policy};
+use mind::{DecisionEngine, Plain, Policy};
 pub use network::HOP;
 use network::{At, Network, Passing, Proc, Weather};
 use rand::{RngExt as _, SeedableRng as _};
@@ -33,9 +33,9 @@
 use wheelfield_gossip::seal::Keys;
 use wheelfield_invariants::{End, Life, Line, NotUp};
 use wheelfield_network_faults::Roads;
-use wheelfield_pg_gateway::plant::Plant;
-use wheelfield_pg_gateway::{Gate, Port, Start};
-use wheelfield_sans_io::{ConnId, Slots, TimerKey, Timers};
+use wheelfield_pg_gateway::fault_injection::FaultInjection;
+use wheelfield_pg_gateway::{DatagramSocket, PgGateway, Start};
+use wheelfield_sans_io::{ConnId, ConnectionTable, TimerKey, Timers};
 
 /// A day begins at this time of the virtual clock: 2020-01-01, in microseconds since 1970.
 pub const START: i64 = 1_577_836_800_000_000;
@@ -56,7 +56,7 @@
     Accept(ConnId),
     /// A process reads what an end has.
     Deliver(At),
-    Datagram(Port, SocketAddr, usize, Bytes),
+    Datagram(DatagramSocket, SocketAddr, usize, Bytes),
     GateDue(usize, u64),
     EngineDue(usize),
     DeskDue,
@@ -98,7 +98,7 @@
     config: Config,
     setup: Setup,
     minds: &'a Minds<'a>,
-    plant: Option<Plant>,
+    plant: Option<FaultInjection>,
     seed: u64,
     now: i64,
     events: Timers<Event>,
@@ -107,10 +107,10 @@
     roads: Roads,
     people: People<'a>,
     /// Requests to cancel of clients that wait for their connection.
-    raw: Slots<Bytes>,
+    raw: ConnectionTable<Bytes>,
     stands: Vec<Stand>,
     by_address: HashMap<SocketAddr, Proc>,
-    gates: Vec<Option<Gate>>,
+    gates: Vec<Option<PgGateway>>,
     /// Processes that each controller has had.
     lives: Vec<u64>,
     lived: Vec<Life>,
@@ -133,7 +133,7 @@
     /// How the network behaves.
     pub weather: Weather,
     /// A fault planted in the controllers.
-    pub plant: Option<Plant>,
+    pub plant: Option<FaultInjection>,
     /// Somebody who is no client comes so often, in microseconds; zero for never.
     pub visits: i64,
 }
@@ -145,7 +145,7 @@
 }
 
 /// Makes what decides in a process of a controller, of its settings and its seed.
-pub type Minds<'a> = dyn Fn(Settings, u64) -> Box<dyn Mind> + 'a;
+pub type Minds<'a> = dyn Fn(Settings, u64) -> Box<dyn DecisionEngine> + 'a;
 
 /// Plays a day.
 ///
@@ -168,7 +168,7 @@
 ) -> Result<Played, Fault> {
     let config = day.checked()?;
     let bounds = Bounds { queries: config.limits.queries, withdraw_wait: config.timing.withdraw };
-    let minds = |settings: Settings, seed: u64| -> Box<dyn Mind> {
+    let minds = |settings: Settings, seed: u64| -> Box<dyn DecisionEngine> {
         match policy {
             Policy::Module => Box::new(Driver::new(settings, seed, bounds)),
             _ => Box::new(Plain::new(policy, settings, seed)),
@@ -207,7 +207,7 @@
     for c in 0..world.gates.len() {
         if let Some(gate) = world.gates[c].take() {
             if world.stalled[c].is_none() {
-                leaks += world.net.of(Proc::Gate(c)).saturating_sub(gate.connections());
+                leaks += world.net.of(Proc::Controller(c)).saturating_sub(gate.connections());
             }
             world.note_seen(&gate);
         }
@@ -279,7 +279,7 @@
             net: Network::new(conditions.weather, seed ^ 0x6e65_7477_6f72),
             roads: Roads::new(plan.roads.clone().from(START + LEAD), seed),
             people: People::new(plan, manners, n, start()),
-            raw: Slots::new(2),
+            raw: ConnectionTable::new(2),
             stands,
             by_address,
             gates: (0..n).map(|_| None).collect(),
@@ -314,7 +314,7 @@
                 Event::GateDue(c, life) => {
                     if let Some(gate) = self.gates[c].as_mut().filter(|_| self.lives[c] == life) {
                         gate.due(self.now);
-                        self.after(Proc::Gate(c));
+                        self.after(Proc::Controller(c));
                     }
                 }
                 Event::EngineDue(e) => {
@@ -363,8 +363,8 @@
         let mind = (self.minds)(config.settings.clone(), seed);
         let start =
             Start { now: self.now, seed, secret, mind, recorder: None, peers, gossip, plant: self.plant };
-        let mut gate = Gate::new(config, start);
-        gate.happen(self.now, wheelfield_pg_gateway::Happened::Started);
+        let mut gate = PgGateway::new(config, start);
+        gate.handle(self.now, wheelfield_pg_gateway::GatewayEvent::Started);
         self.gates[c] = Some(gate);
         self.people.up(c);
         self.lived.push(Life {
@@ -378,10 +378,10 @@
             let at = self.now + HOP;
             self.events.set(at, Event::Files(c, life));
         }
-        self.after(Proc::Gate(c));
+        self.after(Proc::Controller(c));
     }
 
-    fn note_seen(&mut self, gate: &Gate) {
+    fn note_seen(&mut self, gate: &PgGateway) {
         for (what, n) in gate.seen() {
             *self.seen.entry(what).or_default() += n;
         }
@@ -396,7 +396,7 @@
         if let Some(life) = self.lived.iter_mut().rev().find(|l| l.controller == c) {
             life.killed = Some(self.now);
         }
-        self.net.kill(self.now, Proc::Gate(c));
+        self.net.kill(self.now, Proc::Controller(c));
     }
 
     fn act(&mut self, i: usize) {
--- a/crates/testbed/src/virtual_time/network.rs
+++ b/crates/testbed/src/virtual_time/network.rs
@@ -5,7 +5,7 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{HashMap, VecDeque};
-use wheelfield_sans_io::{ConnId, Slots};
+use wheelfield_sans_io::{ConnId, ConnectionTable};
 
 /// What a message takes, in microseconds, before its chance part of at most as much.
 pub const HOP: i64 = 60;
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Proc {
     /// The process of a controller.
-    Gate(usize),
+    Controller(usize),
     /// The process of an engine.
     Engine(usize),
     /// The registry.
@@ -136,7 +136,7 @@
 #[derive(Debug)]
 pub struct Network {
     weather: Weather,
-    links: Slots<[End; 2]>,
+    links: ConnectionTable<[End; 2]>,
     by_end: HashMap<(Proc, ConnId), At>,
     chance: Pcg64Mcg,
     /// What is to come to pass, with its time.
@@ -148,7 +148,7 @@
     pub fn new(weather: Weather, seed: u64) -> Network {
         Network {
             weather,
-            links: Slots::new(1),
+            links: ConnectionTable::new(1),
             by_end: HashMap::new(),
             chance: Pcg64Mcg::seed_from_u64(seed),
             passing: Vec::new(),
@@ -393,7 +393,7 @@
     const B: Proc = Proc::Engine(0);
 
     fn joined(weather: Weather) -> (Network, ConnId, ConnId, ConnId) {
-        let mut ids = Slots::new(2);
+        let mut ids = ConnectionTable::new(2);
         let (a, b) = (ids.insert(()), ids.insert(()));
         let mut net = Network::new(weather, 1);
         net.connect(0, A, a, B);
--- a/crates/testbed/src/virtual_time/procs.rs
+++ b/crates/testbed/src/virtual_time/procs.rs
@@ -11,8 +11,8 @@
 use wheelfield_engine_emulator::stand::{Do, Entry};
 use wheelfield_invariants::{Line, NotUp};
 use wheelfield_network_faults::Arrival;
-use wheelfield_pg_gateway::{Door, Effect, Happened, Port};
-use wheelfield_sans_io::ConnId;
+use wheelfield_pg_gateway::{DatagramSocket, Effect, GatewayEvent, Listener};
+use wheelfield_sans_io::{ConnId, IoEvent};
 
 /// A line of a stand-in's journal as the judge reads it.
 fn line_of(e: Entry) -> Line {
@@ -50,11 +50,11 @@
             }
             Event::Net(Passing::Window(at)) | Event::Deliver(at) => self.net.owner(*at).map(|(p, _)| p),
             Event::Accept(link) => self.net.owner((*link, 1)).map(|(p, _)| p),
-            Event::GateDue(c, _) | Event::Files(c, ..) => Some(Proc::Gate(*c)),
+            Event::GateDue(c, _) | Event::Files(c, ..) => Some(Proc::Controller(*c)),
             Event::Datagram(_, _, c, _) if self.stalled[*c].is_some() => return None,
             _ => None,
         };
-        let Some(Proc::Gate(c)) = proc else { return Some(event) };
+        let Some(Proc::Controller(c)) = proc else { return Some(event) };
         match (&mut self.stalled[c], &event) {
             (Some(_), Event::GateDue(..)) => None,
             (Some(waiting), _) => {
@@ -70,7 +70,7 @@
         match passing {
             Passing::Syn(link) => {
                 let listens = match self.net.owner((link, 1)) {
-                    Some((Proc::Gate(c), _)) => self.gates[c].is_some(),
+                    Some((Proc::Controller(c), _)) => self.gates[c].is_some(),
                     Some((Proc::Engine(e), _)) => self.stands[e].model.up(),
                     other => other.is_some(),
                 };
@@ -82,11 +82,11 @@
                 }
             }
             Passing::SynAck(link) => match self.net.owner((link, 0)) {
-                Some((Proc::Gate(c), Some(id))) => {
+                Some((Proc::Controller(c), Some(id))) => {
                     if let Some(gate) = &mut self.gates[c] {
-                        gate.happen(now, Happened::Connected(id));
+                        gate.handle(now, GatewayEvent::Io(IoEvent::Connected(id)));
                     }
-                    self.after(Proc::Gate(c));
+                    self.after(Proc::Controller(c));
                 }
                 Some((Proc::People, Some(id))) if id.room() == 2 => {
                     if let Some(bytes) = self.raw.remove(id) {
@@ -133,9 +133,9 @@
     pub(super) fn accept(&mut self, link: ConnId) {
         let Some((proc, None)) = self.net.owner((link, 1)) else { return };
         let id = match proc {
-            Proc::Gate(c) => {
+            Proc::Controller(c) => {
                 let now = self.now;
-                self.gates[c].as_mut().and_then(|g| g.accept(now, Door::Clients))
+                self.gates[c].as_mut().and_then(|g| g.accept(now, Listener::Clients))
             }
             Proc::Engine(e) => Some(self.stands[e].accept()),
             Proc::Desk => Some(self.desk.accept()),
@@ -160,9 +160,9 @@
         }
         if self.net.closing(at) {
             match proc {
-                Proc::Gate(c) => {
+                Proc::Controller(c) => {
                     if let Some(gate) = &mut self.gates[c] {
-                        gate.happen(now, Happened::Closing(id));
+                        gate.handle(now, GatewayEvent::Io(IoEvent::Closing(id)));
                     }
                 }
                 Proc::People if id.room() == 1 => self.people.closing(id),
@@ -171,15 +171,15 @@
         }
         loop {
             let room = match proc {
-                Proc::Gate(c) => self.gates[c].as_mut().map_or(0, |g| g.room(id)),
+                Proc::Controller(c) => self.gates[c].as_mut().map_or(0, |g| g.room(id)),
                 Proc::Engine(e) => self.stands[e].room(id),
                 Proc::Desk | Proc::People => usize::MAX,
             };
             match self.net.read(now, at, room) {
                 Got::Bytes(bytes) => match proc {
-                    Proc::Gate(c) => {
+                    Proc::Controller(c) => {
                         if let Some(gate) = &mut self.gates[c] {
-                            gate.happen(now, Happened::Received(id, &bytes));
+                            gate.handle(now, GatewayEvent::Io(IoEvent::Received(id, &bytes)));
                         }
                     }
                     Proc::Engine(e) => self.stands[e].receive(id, &bytes, now),
@@ -188,9 +188,9 @@
                 },
                 Got::Fin => {
                     match proc {
-                        Proc::Gate(c) => {
+                        Proc::Controller(c) => {
                             if let Some(gate) = &mut self.gates[c] {
-                                gate.happen(now, Happened::Ended(id));
+                                gate.handle(now, GatewayEvent::Io(IoEvent::Ended(id)));
                             }
                         }
                         _ => self.broke(proc, id, false),
@@ -211,9 +211,10 @@
     fn broke(&mut self, proc: Proc, id: ConnId, writing: bool) {
         let now = self.now;
         match proc {
-            Proc::Gate(c) => {
+            Proc::Controller(c) => {
                 if let Some(gate) = &mut self.gates[c] {
-                    gate.happen(now, Happened::Broken { id, writing, reason: "broken" });
+                    let broken = IoEvent::Broken { id, writing, refused: false, reason: "broken" };
+                    gate.handle(now, GatewayEvent::Io(broken));
                 }
             }
             Proc::Engine(e) => self.stands[e].gone(id, now),
@@ -232,7 +233,7 @@
         let Some(at) = self.net.end_of(proc, id) else { return };
         loop {
             let bytes = match proc {
-                Proc::Gate(c) => self.gates[c].as_mut().map_or(&[][..], |g| g.output(id)),
+                Proc::Controller(c) => self.gates[c].as_mut().map_or(&[][..], |g| g.output(id)),
                 Proc::Engine(e) => self.stands[e].output(id),
                 Proc::Desk => self.desk.output(id),
                 Proc::People => self.people.output(id),
@@ -244,7 +245,7 @@
                 None => return self.broke(proc, id, true),
                 Some(0) => return,
                 Some(n) => match proc {
-                    Proc::Gate(c) => {
+                    Proc::Controller(c) => {
                         if let Some(gate) = &mut self.gates[c] {
                             gate.wrote(now, id, n);
                         }
@@ -257,22 +258,20 @@
         }
     }
 
-    pub(super) fn heard(&mut self, port: Port, from: SocketAddr, to: usize, bytes: &[u8]) {
+    pub(super) fn heard(&mut self, port: DatagramSocket, from: SocketAddr, to: usize, bytes: &[u8]) {
         let Some(gate) = &mut self.gates[to] else { return };
-        let what = match port {
-            Port::Peers => Happened::Words(from, bytes),
-            Port::Gossip => Happened::Gossip(from, bytes),
-            Port::Names => return,
-        };
-        gate.happen(self.now, what);
-        self.after(Proc::Gate(to));
+        if port == DatagramSocket::Names {
+            return;
+        }
+        gate.handle(self.now, GatewayEvent::Io(IoEvent::Datagram(port, from, bytes)));
+        self.after(Proc::Controller(to));
     }
 
     pub(super) fn read_file(&mut self, c: usize, life: u64) {
         let set = Arc::new(self.set.clone());
         let Some(gate) = self.gates[c].as_mut().filter(|_| self.lives[c] == life) else { return };
-        gate.happen(self.now, Happened::Files(News::Set(set)));
-        self.after(Proc::Gate(c));
+        gate.handle(self.now, GatewayEvent::EndpointFiles(News::Set(set)));
+        self.after(Proc::Controller(c));
     }
 
     // --- what processes want ---
@@ -280,8 +279,8 @@
     /// Does what a process wants done, and sees to its next waking.
     pub(super) fn after(&mut self, proc: Proc) {
         let next = match proc {
-            Proc::Gate(c) if self.batch == Some(c) => return,
-            Proc::Gate(c) => self.after_gate(c),
+            Proc::Controller(c) if self.batch == Some(c) => return,
+            Proc::Controller(c) => self.after_gate(c),
             Proc::Engine(e) => self.after_engine(e),
             Proc::Desk => self.after_desk(),
             Proc::People => self.after_people(),
@@ -296,7 +295,7 @@
         }
         if let Some(at) = next {
             let event = match proc {
-                Proc::Gate(c) => Event::GateDue(c, self.lives[c]),
+                Proc::Controller(c) => Event::GateDue(c, self.lives[c]),
                 Proc::Engine(e) => Event::EngineDue(e),
                 Proc::Desk => Event::DeskDue,
                 Proc::People => Event::PeopleDue,
@@ -307,7 +306,7 @@
     }
 
     fn after_gate(&mut self, c: usize) -> Option<i64> {
-        let (now, proc) = (self.now, Proc::Gate(c));
+        let (now, proc) = (self.now, Proc::Controller(c));
         let mut effects = Vec::new();
         loop {
             self.gates[c].as_mut()?.effects(&mut effects);
@@ -335,13 +334,13 @@
         self.gates[c].as_ref()?.next_due()
     }
 
-    fn send(&mut self, port: Port, c: usize, to: SocketAddr, datagram: Vec<u8>) {
+    fn send(&mut self, port: DatagramSocket, c: usize, to: SocketAddr, datagram: Vec<u8>) {
         let peers = self.config.peers.as_ref().map_or(&[][..], |p| &p.addresses);
         let (target, from) = match port {
             // Peers are numbered by their ports, from 1 on.
-            Port::Peers => (usize::from(to.port()).wrapping_sub(1), peers.get(c).copied()),
-            Port::Names => return,
-            Port::Gossip => {
+            DatagramSocket::Peers => (usize::from(to.port()).wrapping_sub(1), peers.get(c).copied()),
+            DatagramSocket::Names => return,
+            DatagramSocket::Gossip => {
                 let own = SocketAddr::new(to.ip(), GOSSIP_PORTS + c as u16);
                 (usize::from(to.port().wrapping_sub(GOSSIP_PORTS)), Some(own))
             }
@@ -351,7 +350,7 @@
         let datagram = Bytes::from(datagram);
         // Roads are between those who gossip; weather is everywhere.
         let arrivals = match port {
-            Port::Gossip => self.roads.carry(c, target, self.now, &datagram),
+            DatagramSocket::Gossip => self.roads.carry(c, target, self.now, &datagram),
             _ => vec![Arrival { at: self.now, bytes: datagram.to_vec() }],
         };
         for arrival in arrivals {
@@ -427,12 +426,12 @@
             }
             for wish in wishes.drain(..) {
                 match wish {
-                    Wish::Connect(id, c) => self.net.connect(now, proc, id, Proc::Gate(c)),
+                    Wish::Connect(id, c) => self.net.connect(now, proc, id, Proc::Controller(c)),
                     Wish::Write(id) => self.write(proc, id),
                     Wish::Close(id) => self.net.close(now, proc, id, false),
                     Wish::Cancel(c, bytes) => {
                         let id = self.raw.insert(bytes);
-                        self.net.connect(now, proc, id, Proc::Gate(c));
+                        self.net.connect(now, proc, id, Proc::Controller(c));
                     }
                 }
             }
--- a/crates/testbed/tests/explore.rs
+++ b/crates/testbed/tests/explore.rs
@@ -1,7 +1,7 @@
 //! Exploration: days of fixed numbers keep the rules, planted faults are found, what fails is made smaller, and cases that
 //! were found stay mended.
 
-use wheelfield_pg_gateway::plant::{Plant, PLANTS};
+use wheelfield_pg_gateway::fault_injection::{FaultInjection, FAULT_INJECTIONS};
 use wheelfield_testbed::explore::{explore, play, shrink, Scenario};
 
 #[test]
@@ -29,7 +29,7 @@
 }
 
 /// Days until a fault is found, and the rule that it broke.
-fn found(plant: Plant) -> Option<(u64, String)> {
+fn found(plant: FaultInjection) -> Option<(u64, String)> {
     (0..600).find_map(|number| {
         let outcome = play(&Scenario::draw(number), Some(plant)).ok()?;
         outcome.rule().map(|rule| (number, rule.to_string()))
@@ -38,18 +38,18 @@
 
 #[test]
 fn each_planted_fault_is_found() {
-    for (name, plant) in PLANTS {
+    for (name, plant) in FAULT_INJECTIONS {
         assert!(found(plant).is_some(), "{name} was not found");
     }
     // And each as what it is, in one of the first days, whatever else it breaks.
     for (plant, rule) in [
-        (Plant::Swap, "answer"),
-        (Plant::Stranger, "answer"),
-        (Plant::Leak, "leak"),
-        (Plant::Resend, "twice"),
-        (Plant::Drained, "drain"),
-        (Plant::Budget, "budget"),
-        (Plant::Lose, "lost"),
+        (FaultInjection::Swap, "answer"),
+        (FaultInjection::Stranger, "answer"),
+        (FaultInjection::Leak, "leak"),
+        (FaultInjection::Resend, "twice"),
+        (FaultInjection::Drained, "drain"),
+        (FaultInjection::Budget, "budget"),
+        (FaultInjection::Lose, "lost"),
     ] {
         let shows = |number: &u64| {
             let outcome = play(&Scenario::draw(*number), Some(plant)).expect("a day");
@@ -61,14 +61,14 @@
 
 #[test]
 fn a_failing_day_is_made_smaller_and_still_fails() {
-    let (number, rule) = found(Plant::Twice).expect("found");
+    let (number, rule) = found(FaultInjection::Twice).expect("found");
     let scenario = Scenario::draw(number);
-    let (small, _) = shrink(&scenario, &rule, Some(Plant::Twice));
+    let (small, _) = shrink(&scenario, &rule, Some(FaultInjection::Twice));
     assert!(small.length_ms < scenario.length_ms && small.troubles.len() <= scenario.troubles.len());
     let text = toml::to_string(&small).expect("TOML");
     let again: Scenario = toml::from_str(&text).expect("read back");
     assert_eq!(again, small);
-    let outcome = play(&again, Some(Plant::Twice)).expect("a day");
+    let outcome = play(&again, Some(FaultInjection::Twice)).expect("a day");
     assert!(outcome.wrong.iter().any(|(r, _)| *r == rule));
     assert!(play(&again, None).expect("a day").sound(), "without the fault nothing is wrong");
 }
--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -6,7 +6,7 @@
 use wheelfield_testbed::day::Day;
 use wheelfield_testbed::plan::Plan;
 use wheelfield_testbed::play::{play_virtual, report_virtual, Report};
-use wheelfield_testbed::virtual_time::mind::{Mind, Policy};
+use wheelfield_testbed::virtual_time::mind::{DecisionEngine, Policy};
 use wheelfield_testbed::virtual_time::{play_with, Conditions};
 
 fn day(name: &str) -> Day {
@@ -59,7 +59,7 @@
 
 /// What is done wrong.
 #[derive(Clone, Copy, PartialEq)]
-enum Plant {
+enum FaultInjection {
     /// Nothing.
     None,
     /// Each second answer is forgotten.
@@ -73,7 +73,7 @@
 /// The driver with a fault planted around it.
 struct Planted {
     driver: Driver,
-    plant: Plant,
+    plant: FaultInjection,
     listed: bool,
     answers: u32,
 }
@@ -81,7 +81,7 @@
 impl Planted {
     fn spoil(&mut self, from: usize, out: &mut Vec<Instruction>) {
         match self.plant {
-            Plant::Mute => {
+            FaultInjection::Mute => {
                 let mut kept = out.split_off(from);
                 kept.retain(|i| {
                     self.answers += u32::from(matches!(i, Instruction::Answer(..)));
@@ -89,7 +89,7 @@
                 });
                 out.append(&mut kept);
             }
-            Plant::Twice => {
+            FaultInjection::Twice => {
                 let twins: Vec<Instruction> = out[from..]
                     .iter()
                     .filter_map(|i| match i {
@@ -102,12 +102,12 @@
                     .collect();
                 out.extend(twins);
             }
-            Plant::None | Plant::Deaf => {}
+            FaultInjection::None | FaultInjection::Deaf => {}
         }
     }
 }
 
-impl Mind for Planted {
+impl DecisionEngine for Planted {
     fn arrive(&mut self, now: Micros, a: Arrival, out: &mut Vec<Instruction>) -> Result<QueryId, Crowded> {
         let from = out.len();
         let taken = Driver::arrive(&mut self.driver, now, a, out);
@@ -117,7 +117,7 @@
     fn tell(&mut self, now: Micros, input: Input, out: &mut Vec<Instruction>) {
         if matches!(input, Input::Engines { .. })
             && std::mem::replace(&mut self.listed, true)
-            && self.plant == Plant::Deaf
+            && self.plant == FaultInjection::Deaf
         {
             return;
         }
@@ -145,10 +145,10 @@
     }
 }
 
-fn planted(name: &str, plant: Plant) -> Report {
+fn planted(name: &str, plant: FaultInjection) -> Report {
     let day = day(name);
     let plan = Plan::draw(&day, 3);
-    let minds = |settings: Settings, seed: u64| -> Box<dyn Mind> {
+    let minds = |settings: Settings, seed: u64| -> Box<dyn DecisionEngine> {
         let driver = Driver::new(settings, seed, Bounds::default());
         Box::new(Planted { driver, plant, listed: false, answers: 0 })
     };
@@ -159,12 +159,12 @@
 #[test]
 fn a_planted_fault_is_found_as_its_own_rules() {
     for name in ["drains", "everything"] {
-        let sound = planted(name, Plant::None);
+        let sound = planted(name, FaultInjection::None);
         assert!(sound.kept(), "{name}: {:?}", sound.breaches);
     }
-    assert!(broken(&planted("everything", Plant::Mute), "lost") > 0);
-    assert!(broken(&planted("drains", Plant::Deaf), "drain") > 0);
-    let twice = planted("everything", Plant::Twice);
+    assert!(broken(&planted("everything", FaultInjection::Mute), "lost") > 0);
+    assert!(broken(&planted("drains", FaultInjection::Deaf), "drain") > 0);
+    let twice = planted("everything", FaultInjection::Twice);
     assert!(broken(&twice, "twice") > 0 && broken(&twice, "budget") > 0, "{:?}", twice.rules);
 }
 
