--- a/crates/capture/src/format.rs
+++ b/crates/capture/src/format.rs
@@ -15,7 +15,7 @@
 
 use serde::{Deserialize, Serialize};
 use wheelfield::interface::{EngineId, Micros, QueryId, Settings};
-use wheelfield_driver::{Arrival, Bounds, Input, Instruction};
+use wheelfield_driver::{Arrival, DriverLimits, Input, Instruction};
 
 /// The version written.
 pub const VERSION: u16 = 3;
@@ -38,7 +38,7 @@
     /// What its module was handed.
     pub settings: Settings,
     /// What its driver is bounded by.
-    pub bounds: Bounds,
+    pub bounds: DriverLimits,
     /// Names of the classes, by position.
     pub classes: Vec<String>,
     /// Names of the tenants, by position.
--- a/crates/capture/src/older.rs
+++ b/crates/capture/src/older.rs
@@ -3,8 +3,8 @@
 
 use crate::format::Start;
 use serde::{Deserialize, Serialize};
-use wheelfield::interface::{AttemptBudget, Class, Micros, Settings};
-use wheelfield_driver::Bounds;
+use wheelfield::interface::{Class, Micros, RetryBudget, Settings};
+use wheelfield_driver::DriverLimits;
 
 /// What a file of version 1 or 2 begins with.
 #[derive(Deserialize)]
@@ -13,7 +13,7 @@
     index: u32,
     seed: u64,
     settings: SettingsOf2,
-    bounds: Bounds,
+    bounds: DriverLimits,
     classes: Vec<String>,
     tenants: Vec<String>,
 }
@@ -53,7 +53,7 @@
     fall_multiple: f64,
     fall_span: Micros,
     order_pause: Micros,
-    attempt_budget: Option<AttemptBudget>,
+    attempt_budget: Option<RetryBudget>,
 }
 
 impl StartOf2 {
--- a/crates/capture/src/trigger.rs
+++ b/crates/capture/src/trigger.rs
@@ -97,7 +97,7 @@
         self.last = Some(at);
         let came = u64::from(told.arrival().is_some());
         let refused =
-            out.iter().filter(|i| matches!(i, Instruction::Answer(_, Answer::Refused { .. }))).count();
+            out.iter().filter(|i| matches!(i, Instruction::Answer(_, Answer::Rejected { .. }))).count();
         if came > 0 || refused > 0 {
             self.count(at, came, refused as u64);
         }
--- a/crates/capture/src/writer.rs
+++ b/crates/capture/src/writer.rs
@@ -307,7 +307,7 @@
             }
         }
         let Some(watch) = &mut self.watch else { return };
-        watch.wants(driver.next_due());
+        watch.wants(driver.next_timer_at());
         if let Some(reason) = watch.ripe(now) {
             self.keep(reason, now);
         }
--- a/crates/capture/tests/watch.rs
+++ b/crates/capture/tests/watch.rs
@@ -20,7 +20,7 @@
 /// A query comes, and is refused or not.
 fn comes(watch: &mut Watch, at: i64, refused: bool) {
     let told = Told::Arrive { arrival: Arrival::default(), label: String::new() };
-    let refusal = Instruction::Answer(QueryId(1), Answer::Refused { retry_after: Micros(0) });
+    let refusal = Instruction::Answer(QueryId(1), Answer::Rejected { retry_after: Micros(0) });
     watch.step(Micros(at), &told, if refused { std::slice::from_ref(&refusal) } else { &[] });
 }
 
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -6,7 +6,9 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use toml::Spanned;
-use wheelfield::interface::{AttemptBudget, Class, DedupScope, Effect, EngineId, Micros, Settings};
+use wheelfield::interface::{
+    Class, DeduplicationScope, EngineId, ExecutionSemantics, Micros, RetryBudget, Settings,
+};
 
 /// A checked configuration.
 #[derive(Clone, Debug)]
@@ -358,26 +360,26 @@
             to.iter().map(|at| self.known(names, at, what)).collect::<Checked<Vec<usize>>>()
         };
         Ok(Class {
-            aim,
-            aim_stretch: c.aim_stretch.max(0.0),
+            latency_objective: aim,
+            latency_objective_stretch: c.aim_stretch.max(0.0),
             deadline,
-            worth: c.worth.unwrap_or(1.0).max(0.0),
-            late_value: c.late_worth.clamp(0.0, 1.0),
-            effect: match c.effect {
-                file::Effect::Repeatable => Effect::Repeatable,
-                file::Effect::ByKey => Effect::ByKey,
-                file::Effect::Once => Effect::Once,
+            value: c.worth.unwrap_or(1.0).max(0.0),
+            late_value_fraction: c.late_worth.clamp(0.0, 1.0),
+            semantics: match c.effect {
+                file::Effect::Repeatable => ExecutionSemantics::Idempotent,
+                file::Effect::ByKey => ExecutionSemantics::IdempotencyKey,
+                file::Effect::Once => ExecutionSemantics::AtMostOnce,
             },
-            scope: match c.dedup.as_ref().map(Spanned::get_ref) {
-                Some(Dedup::Zone) => DedupScope::Zone,
-                Some(Dedup::Cell) => DedupScope::Cell,
-                Some(Dedup::All) | None => DedupScope::All,
+            deduplication_scope: match c.dedup.as_ref().map(Spanned::get_ref) {
+                Some(Dedup::Zone) => DeduplicationScope::Zone,
+                Some(Dedup::Cell) => DeduplicationScope::Cell,
+                Some(Dedup::All) | None => DeduplicationScope::All,
             },
-            window: c.window.as_ref().map_or(Micros(0), |w| w.get_ref().0),
-            in_order: c.in_order,
+            deduplication_window: c.window.as_ref().map_or(Micros(0), |w| w.get_ref().0),
+            ordered_by_key: c.in_order,
             kinds: open(kinds, &c.kinds, "kind")?,
             zones: open(zones, &c.zones, "zone")?,
-            nowhere: false,
+            no_engine_permitted: false,
             threads: c.threads.as_ref().map_or(Ok(1.0), |t| self.within(t, "threads", 1.0, 1024.0))?,
             is_load: c.load,
             waits_for_loads: c.waits_for_loads,
@@ -658,10 +660,16 @@
     let selectors = file.route.select.iter().map(|s| c.selector(s, &names.classes));
     let selectors = selectors.collect::<Checked<Vec<Selector>>>()?;
     // Descriptions run nothing: they are a class of their own, so that they teach nothing about the others.
-    let shortest = classes.iter().map(|c| c.aim).min().unwrap_or(Micros(1_000_000));
+    let shortest = classes.iter().map(|c| c.latency_objective).min().unwrap_or(Micros(1_000_000));
     let deadline = classes[default_class].deadline.max(shortest);
     let describe_class = classes.len();
-    classes.push(Class { aim: shortest, deadline, late_value: 1.0, threads: 1.0, ..Class::default() });
+    classes.push(Class {
+        latency_objective: shortest,
+        deadline,
+        late_value_fraction: 1.0,
+        threads: 1.0,
+        ..Class::default()
+    });
     names.classes.push("describe".to_string());
 
     let count = file.controller.count.as_ref().map_or(1, |n| *n.get_ref());
@@ -681,60 +689,66 @@
     let budget = rules.and_then(|r| r.budget.as_ref());
     let attempt_budget = budget
         .map(|b| {
-            Ok(AttemptBudget {
-                free: b.free.max(0.0),
-                share: b.share.max(0.0),
-                span: c.some(&b.span, "span")?,
+            Ok(RetryBudget {
+                guaranteed: b.free.max(0.0),
+                fraction: b.share.max(0.0),
+                window: c.some(&b.span, "span")?,
             })
         })
         .transpose()?;
     let means = &file.means;
     let settings = Settings {
-        gateways: f64::from(count),
-        index: f64::from(index),
+        gateway_count: f64::from(count),
+        gateway_index: f64::from(index),
         zone,
         classes,
-        allowances: file.tenants.iter().map(|t| t.get_ref().allowance.max(0.0)).collect(),
+        tenant_rates: file.tenants.iter().map(|t| t.get_ref().allowance.max(0.0)).collect(),
         cores,
         memory_mb,
-        max_grant_share: fraction(fleet.most_grant.as_ref(), "most_grant", 1.0, 0.01, 1.0)?,
-        waits: fleet.when_short == Some(WhenShort::Wait),
-        pages: fleet.when_short == Some(WhenShort::Page),
-        grants: means.grants,
+        max_grant_fraction: fraction(fleet.most_grant.as_ref(), "most_grant", 1.0, 0.01, 1.0)?,
+        queues_on_memory_shortage: fleet.when_short == Some(WhenShort::Wait),
+        pages_on_memory_shortage: fleet.when_short == Some(WhenShort::Page),
+        memory_grants: means.grants,
         priorities: means.priorities,
-        bills: file.signals.bills,
-        note_every: file.signals.notes_every.unwrap_or_default().0,
-        cancel: means.cancel,
-        peers: means.messages,
+        reports_work: file.signals.bills,
+        progress_interval: file.signals.notes_every.unwrap_or_default().0,
+        cancellation: means.cancel,
+        peer_messages: means.messages,
         probe_price: file.prices.probe.max(0.0),
         message_price: file.prices.message.max(0.0),
         probes: means.probes,
-        reports: file.signals.reports != Reports::None,
+        load_reports: file.signals.reports != Reports::None,
         reports_utilisation: file.signals.utilisation.unwrap_or(file.signals.reports != Reports::None),
         reports_by_probe: file.signals.reports == Reports::Probe,
         subscribe: means.subscribe,
-        second_copies: means.second_copies,
+        hedged_requests: means.second_copies,
         max_attempts: means.max_attempts as usize,
         max_retry_after: means.max_retry_after.0,
         cross_zone_price: file.prices.cross_zone.max(0.0),
         handshake_price: 0.0,
-        connections_rest: Micros(0),
-        cold_from: fraction(rules.and_then(|r| r.cold_from.as_ref()), "cold_from", 0.3, 0.0, 1.0)?,
-        cold_for: rules.and_then(|r| r.cold_for).unwrap_or_default().0,
-        fall_multiple: fraction(
+        connection_idle_timeout: Micros(0),
+        slow_start_initial_fraction: fraction(
+            rules.and_then(|r| r.cold_from.as_ref()),
+            "cold_from",
+            0.3,
+            0.0,
+            1.0,
+        )?,
+        slow_start_duration: rules.and_then(|r| r.cold_for).unwrap_or_default().0,
+        overload_multiple: fraction(
             rules.and_then(|r| r.fall_multiple.as_ref()),
             "fall_multiple",
             0.0,
             0.0,
             100.0,
         )?,
-        fall_span: rules.and_then(|r| r.fall_span).unwrap_or_default().0,
-        order_pause: rules.and_then(|r| r.order_pause).unwrap_or_default().0,
-        attempt_budget,
+        overload_window: rules.and_then(|r| r.fall_span).unwrap_or_default().0,
+        key_cooldown: rules.and_then(|r| r.order_pause).unwrap_or_default().0,
+        retry_budget: attempt_budget,
     };
     if let Some(rules) = file.rules.as_ref() {
-        let cold = settings.fall_multiple > 0.0;
-        if cold && (settings.cold_for.0 == 0 || settings.fall_span.0 == 0) {
+        let cold = settings.overload_multiple > 0.0;
+        if cold && (settings.slow_start_duration.0 == 0 || settings.overload_window.0 == 0) {
             let mend = "add `cold_for` and `fall_span`, or remove `fall_multiple`";
             return Err(c.wrong(
                 rules,
@@ -743,8 +757,8 @@
             ));
         }
     }
-    let ordered = settings.classes.iter().any(|c| c.in_order);
-    if ordered && settings.order_pause.0 == 0 {
+    let ordered = settings.classes.iter().any(|c| c.ordered_by_key);
+    if ordered && settings.key_cooldown.0 == 0 {
         let mend = "add `order_pause` under [rules], such as \"2s\"";
         return Err(c.wrong(
             &file.classes,
@@ -782,7 +796,7 @@
             "add [members], [registry] or [[engines]]",
         ));
     }
-    let words = (file.gossip.is_some() && settings.peers)
+    let words = (file.gossip.is_some() && settings.peer_messages)
         .then(|| c.words(file.peers.as_ref().map(|at| at.get_ref())))
         .transpose()?;
     // Where there is gossip, nobody listens for words but it; builds before this one read the addresses.
@@ -803,7 +817,7 @@
         Ok(Peers { listen: c.address(listen)?, addresses })
     });
     let peers = peers.transpose()?;
-    if settings.peers && peers.is_none() && file.gossip.is_none() {
+    if settings.peer_messages && peers.is_none() && file.gossip.is_none() {
         let mend = "add [gossip] or [peers], or write messages = false under [means]";
         return Err(c.wrong(&file.fleet, "controllers may send messages, but none is named", mend));
     }
--- a/crates/config/tests/faults.rs
+++ b/crates/config/tests/faults.rs
@@ -1,6 +1,6 @@
 //! Broken files, each with the message it must get.
 
-use wheelfield::interface::{Effect, Micros};
+use wheelfield::interface::{ExecutionSemantics, Micros};
 use wheelfield_config::{parse, units};
 
 const GOOD: &str = r#"
@@ -48,11 +48,14 @@
     let config = parse("good.toml", GOOD).expect("good");
     let s = &config.settings;
     assert_eq!(s.classes.len(), 3, "descriptions have a class of their own");
-    assert_eq!((s.classes[1].effect, s.classes[1].zones.as_slice()), (Effect::Once, &[1][..]));
-    assert_eq!(s.classes[0].aim, Micros(1_500_000));
+    assert_eq!(
+        (s.classes[1].semantics, s.classes[1].zones.as_slice()),
+        (ExecutionSemantics::AtMostOnce, &[1][..])
+    );
+    assert_eq!(s.classes[0].latency_objective, Micros(1_500_000));
     assert_eq!(s.memory_mb, [16_384.0]);
-    assert!(s.pages && !s.waits);
-    assert_eq!(s.attempt_budget.map(|b| b.span), Some(Micros(5_000_000)));
+    assert!(s.pages_on_memory_shortage && !s.queues_on_memory_shortage);
+    assert_eq!(s.retry_budget.map(|b| b.window), Some(Micros(5_000_000)));
     assert_eq!(config.route.selectors.len(), 1);
     assert_eq!(config.engines[0].kind, 0);
 }
--- a/crates/controller/src/postgres.rs
+++ b/crates/controller/src/postgres.rs
@@ -10,7 +10,7 @@
 use tracing::{info, warn};
 use wheelfield::interface::Micros;
 use wheelfield_config::Config;
-use wheelfield_driver::{Bounds, Driver};
+use wheelfield_driver::{Driver, DriverLimits};
 use wheelfield_endpoints::file::Places;
 use wheelfield_endpoints::keeper::Policy;
 use wheelfield_endpoints_cli::disk::Place;
@@ -49,7 +49,10 @@
         }
         let files = watch(&config, clock)?;
         let mut shell = Shell::new(clock, |now| {
-            let bounds = Bounds { queries: config.limits.queries, withdraw_wait: config.timing.withdraw };
+            let bounds = DriverLimits {
+                max_queries: config.limits.queries,
+                cancel_confirmation_timeout: config.timing.withdraw,
+            };
             let driver = Driver::new(config.settings.clone(), seed, bounds);
             let recorder = record::begin(&config, seed, bounds, &driver, now)?;
             let start = Start {
--- a/crates/controller/src/record.rs
+++ b/crates/controller/src/record.rs
@@ -4,20 +4,20 @@
 use wheelfield::interface::Micros;
 use wheelfield_capture::{Recorder, Start};
 use wheelfield_config::Config;
-use wheelfield_driver::{Bounds, Driver};
+use wheelfield_driver::{Driver, DriverLimits};
 
 /// Begins the capture that a configuration asks for.
 pub(crate) fn begin(
     config: &Config,
     seed: u64,
-    bounds: Bounds,
+    bounds: DriverLimits,
     driver: &Driver,
     now: i64,
 ) -> Result<Option<Recorder>> {
     let Some(capture) = &config.capture else { return Ok(None) };
     let start = Start {
         build: format!("{} {}", env!("CARGO_PKG_NAME"), env!("CARGO_PKG_VERSION")),
-        index: config.settings.index as u32,
+        index: config.settings.gateway_index as u32,
         seed,
         settings: config.settings.clone(),
         bounds,
--- a/crates/controller/tests/end_to_end.rs
+++ b/crates/controller/tests/end_to_end.rs
@@ -399,7 +399,7 @@
 
 #[test]
 fn datagrams_garbled_doubled_or_from_a_stranger_are_dropped() {
-    use wheelfield::interface::{Report, Word};
+    use wheelfield::interface::{LoadReport, PeerLoadReport};
     let engines = Engines::start(1);
     let peer = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let more = format!(
@@ -409,9 +409,9 @@
     let body = BODY.replace("[means]\ncancel = true\n", "");
     let controller = Controller::start(&format!("{HEAD}{body}{more}{}", engines.list()));
     let to = controller.peers.clone().expect("told");
-    let word = Word {
+    let word = PeerLoadReport {
         engine: wheelfield_config::engine_id("engine-01"),
-        report: Report { utilisation: Some(0.5), ..Report::default() },
+        report: LoadReport { utilisation: Some(0.5), ..LoadReport::default() },
     };
     let good = wheelfield_pg_gateway::peers::Speaker::new(1, 1).datagrams(&[word]).remove(0);
     let mut garbled = good.clone();
--- a/crates/controller/tests/gossip.rs
+++ b/crates/controller/tests/gossip.rs
@@ -73,7 +73,7 @@
 /// Words ride on the membership: nobody names an address, and who is no member is not heard.
 #[test]
 fn controllers_that_find_each_other_tell_each_other_of_engines() {
-    use wheelfield::interface::{EngineId, Report, Word};
+    use wheelfield::interface::{EngineId, LoadReport, PeerLoadReport};
     let dir = tempfile::tempdir().expect("a directory");
     let keys = dir.path().join("keys");
     std::fs::write(&keys, KEY).expect("written");
@@ -105,7 +105,7 @@
     // A holder of the key that is no member.
     let stranger = UdpSocket::bind("127.0.0.1:0").expect("a socket");
     let mut sealer = Sealer::new(stranger.local_addr().expect("bound"), 1);
-    let words = [Word { engine: EngineId(1), report: Report::default() }];
+    let words = [PeerLoadReport { engine: EngineId(1), report: LoadReport::default() }];
     let part = wheelfield_pg_gateway::peers::written(&words, 100).remove(0).1;
     let held = Keys::read(KEY).expect("keys");
     stranger.send_to(&sealer.seal_words(&part, &held).expect("short"), &seed).expect("sent");
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -9,11 +9,11 @@
 
 impl Micros {
     /// The span in seconds.
-    pub fn secs(self) -> f64 {
+    pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
     /// The span of so many seconds; anything out of range is clamped.
-    pub fn from_secs(s: f64) -> Self {
+    pub fn from_secs_f64(s: f64) -> Self {
         Micros((s * 1e6) as i64)
     }
 }
@@ -42,19 +42,22 @@
 
 /// Whether a query may run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Effect {
+pub enum ExecutionSemantics {
     /// Any number of runs does no harm.
     #[default]
-    Repeatable,
+    #[serde(alias = "Repeatable")]
+    Idempotent,
     /// Repeats are dropped inside a group of engines, for a while.
-    ByKey,
+    #[serde(alias = "ByKey")]
+    IdempotencyKey,
     /// Never run twice.
-    Once,
+    #[serde(alias = "Once")]
+    AtMostOnce,
 }
 
 /// The engines that drop repeats of a keyed query.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum DedupScope {
+pub enum DeduplicationScope {
     /// All engines together.
     #[default]
     All,
@@ -68,29 +71,38 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Class {
     /// Wanted within this time ...
-    pub aim: Micros,
+    #[serde(alias = "aim")]
+    pub latency_objective: Micros,
     /// ... and this multiple of the query's work over its threads.
-    pub aim_stretch: f64,
+    #[serde(alias = "aim_stretch")]
+    pub latency_objective_stretch: f64,
     /// The client's patience over all its tries.
     pub deadline: Micros,
     /// Worth of an answer within the aim.
-    pub worth: f64,
+    #[serde(alias = "worth")]
+    pub value: f64,
     /// Share of the worth left after the aim.
-    pub late_value: f64,
+    #[serde(alias = "late_value")]
+    pub late_value_fraction: f64,
     /// Whether it may run twice.
-    pub effect: Effect,
+    #[serde(alias = "effect")]
+    pub semantics: ExecutionSemantics,
     /// Where repeats of a keyed query are dropped.
-    pub scope: DedupScope,
+    #[serde(alias = "scope")]
+    pub deduplication_scope: DeduplicationScope,
     /// For how long they are.
-    pub window: Micros,
+    #[serde(alias = "window")]
+    pub deduplication_window: Micros,
     /// Queries of one key run one at a time, in turn.
-    pub in_order: bool,
+    #[serde(alias = "in_order")]
+    pub ordered_by_key: bool,
     /// The only kinds of machine it may run on; empty for any.
     pub kinds: Vec<usize>,
     /// The only zones it may run in; empty for any.
     pub zones: Vec<usize>,
     /// A restriction that names nothing known: no engine is permitted.
-    pub nowhere: bool,
+    #[serde(alias = "nowhere")]
+    pub no_engine_permitted: bool,
     /// Threads a query runs on.
     pub threads: f64,
     /// It holds its tables on its engine while it runs.
@@ -101,50 +113,64 @@
 
 /// A budget for attempts beyond each query's first.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct AttemptBudget {
+pub struct RetryBudget {
     /// Allowed however little is taken.
-    pub free: f64,
+    #[serde(alias = "free")]
+    pub guaranteed: f64,
     /// Allowed for each query taken.
-    pub share: f64,
+    #[serde(alias = "share")]
+    pub fraction: f64,
     /// The span over which both are counted.
-    pub span: Micros,
+    #[serde(alias = "span")]
+    pub window: Micros,
 }
 
 /// What a deployment hands the module at start. The default is one bare gateway with nothing optional.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
     /// How many gateways share the engines.
-    pub gateways: f64,
+    #[serde(alias = "gateways")]
+    pub gateway_count: f64,
     /// Which of them this one is, counted from 0.
-    pub index: f64,
+    #[serde(alias = "index")]
+    pub gateway_index: f64,
     /// The zone of this gateway.
     pub zone: Option<usize>,
     /// The classes of query.
     pub classes: Vec<Class>,
     /// For each tenant, the queries a second, over all gateways, within its share.
-    pub allowances: Vec<f64>,
+    #[serde(alias = "allowances")]
+    pub tenant_rates: Vec<f64>,
     /// For each machine kind, its cores.
     pub cores: Vec<f64>,
     /// For each machine kind, its memory in MB.
     pub memory_mb: Vec<f64>,
     /// Share of an engine's memory one query gets at most.
-    pub max_grant_share: f64,
+    #[serde(alias = "max_grant_share")]
+    pub max_grant_fraction: f64,
     /// Short of memory, an engine lets queries wait in its line.
-    pub waits: bool,
+    #[serde(alias = "waits")]
+    pub queues_on_memory_shortage: bool,
     /// Short of memory, an engine lets queries in and all run much slower.
-    pub pages: bool,
+    #[serde(alias = "pages")]
+    pub pages_on_memory_shortage: bool,
     /// Memory grants are heeded.
-    pub grants: bool,
+    #[serde(alias = "grants")]
+    pub memory_grants: bool,
     /// Priorities are heeded.
     pub priorities: bool,
     /// Answers tell the work they cost.
-    pub bills: bool,
+    #[serde(alias = "bills")]
+    pub reports_work: bool,
     /// Time between progress notes; zero for none.
-    pub note_every: Micros,
+    #[serde(alias = "note_every")]
+    pub progress_interval: Micros,
     /// Attempts may be withdrawn.
-    pub cancel: bool,
+    #[serde(alias = "cancel")]
+    pub cancellation: bool,
     /// Messages may be sent to the other gateways.
-    pub peers: bool,
+    #[serde(alias = "peers")]
+    pub peer_messages: bool,
     /// Price of a probe for each query.
     pub probe_price: f64,
     /// Price of a kilobyte of messages delivered for each query.
@@ -152,7 +178,8 @@
     /// Engines may be probed.
     pub probes: bool,
     /// Engines report their load.
-    pub reports: bool,
+    #[serde(alias = "reports")]
+    pub load_reports: bool,
     /// Reports tell the utilisation of the cores.
     pub reports_utilisation: bool,
     /// Reports come with probes alone.
@@ -160,7 +187,8 @@
     /// Changes of the engine list come only when asked for.
     pub subscribe: bool,
     /// A query may have two attempts out at once.
-    pub second_copies: bool,
+    #[serde(alias = "second_copies")]
+    pub hedged_requests: bool,
     /// Most attempts for one query; zero for no limit.
     pub max_attempts: usize,
     /// Longest advice on when to come back that a client heeds.
@@ -168,23 +196,30 @@
     /// Price of each query crossing zones once.
     pub cross_zone_price: f64,
     /// A cold engine starts with this share of its capacity,
-    pub cold_from: f64,
+    #[serde(alias = "cold_from")]
+    pub slow_start_initial_fraction: f64,
     /// is warm after this time,
-    pub cold_for: Micros,
+    #[serde(alias = "cold_for")]
+    pub slow_start_duration: Micros,
     /// and falls over when sent this multiple of what it can do
-    pub fall_multiple: f64,
+    #[serde(alias = "fall_multiple")]
+    pub overload_multiple: f64,
     /// for this long.
-    pub fall_span: Micros,
+    #[serde(alias = "fall_span")]
+    pub overload_window: Micros,
     /// How long a key rests after an attempt that may still run.
-    pub order_pause: Micros,
+    #[serde(alias = "order_pause")]
+    pub key_cooldown: Micros,
     /// The budget for further attempts, where there is one.
-    pub attempt_budget: Option<AttemptBudget>,
+    #[serde(alias = "attempt_budget")]
+    pub retry_budget: Option<RetryBudget>,
     /// Price of a new connection to an engine for each query.
     #[serde(default)]
     pub handshake_price: f64,
     /// Engines close a connection that has rested for so long; zero where that is not told.
     #[serde(default)]
-    pub connections_rest: Micros,
+    #[serde(alias = "connections_rest")]
+    pub connection_idle_timeout: Micros,
 }
 
 /// Whether an engine takes work.
@@ -212,31 +247,31 @@
     /// Whether it takes work.
     pub status: Status,
     /// Its last start, where that is recent.
-    pub started: Option<Micros>,
+    pub started_at: Option<Micros>,
 }
 
 /// What an engine says of its load. Each field may be missing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct LoadReport {
     /// Share of its cores busy.
     pub utilisation: Option<f64>,
     /// Queries in hand.
     pub in_flight: Option<f64>,
     /// Queries waiting for memory.
-    pub queue: Option<f64>,
+    pub queued: Option<f64>,
     /// Share of its memory granted.
-    pub memory: Option<f64>,
+    pub memory_granted: Option<f64>,
     /// Share of its disks busy.
-    pub disks: Option<f64>,
+    pub disk_utilisation: Option<f64>,
 }
 
 /// What one gateway tells another of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Word {
+pub struct PeerLoadReport {
     /// Which engine.
     pub engine: EngineId,
     /// The engine's load as reported.
-    pub report: Report,
+    pub report: LoadReport,
 }
 
 /// A query from a client.
@@ -251,7 +286,7 @@
     /// The key whose order it keeps.
     pub key: Option<String>,
     /// When the client gives up.
-    pub due: Micros,
+    pub deadline: Micros,
     /// Estimated work in seconds of one thread, where known.
     pub work_hint: Option<f64>,
     /// Estimated memory in MB, where known.
@@ -278,21 +313,21 @@
     /// Withdrawn.
     Cancelled,
     /// Never sent.
-    Skipped,
+    NeverSent,
     /// No connection came up in time. Nobody said that there is none to be had.
-    Unanswered,
+    ConnectTimedOut,
 }
 
 impl Outcome {
     /// The outcome proves that the query never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Skipped | Outcome::Unanswered)
+        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent | Outcome::ConnectTimedOut)
     }
 }
 
 /// Word on an attempt that is out.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Note {
+pub enum AttemptUpdate {
     /// Share of it done.
     Progress(f64),
     /// It spills, for want of so many MB.
@@ -307,7 +342,7 @@
 
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ending {
+pub struct AttemptEnd {
     /// Whose.
     pub query: QueryId,
     /// Which attempt, counted from 0.
@@ -315,13 +350,13 @@
     /// How.
     pub outcome: Outcome,
     /// The query is over, by this or before.
-    pub last: bool,
+    pub query_over: bool,
     /// Since it was sent.
-    pub took: Micros,
+    pub elapsed: Micros,
     /// Work in seconds of one thread, where the answer tells.
-    pub billed_work: Option<f64>,
+    pub reported_work: Option<f64>,
     /// The engine's load.
-    pub report: Report,
+    pub report: LoadReport,
 }
 
 /// What the module is told.
@@ -338,42 +373,42 @@
     /// A query comes in.
     Arrived(Query),
     /// The answer of an attempt has begun; it is the client's from now on.
-    AnswerBegan(QueryId),
+    AnswerStarted(QueryId),
     /// Word on an attempt.
-    Noted {
+    AttemptUpdated {
         /// Whose.
         query: QueryId,
         /// Which attempt, counted from 0.
         attempt: usize,
         /// What is told.
-        note: Note,
+        update: AttemptUpdate,
     },
     /// An attempt ended.
-    Ended(Ending),
+    AttemptEnded(AttemptEnd),
     /// The client left; nothing is owed.
-    Departed(QueryId),
+    Abandoned(QueryId),
     /// A probe came back.
-    Probed {
+    ProbeEnded {
         /// From.
         engine: EngineId,
         /// How it went.
         outcome: Outcome,
         /// The engine's load.
-        report: Report,
+        report: LoadReport,
     },
     /// Another gateway tells of engines. Those that the own list has not named are left out.
-    Told(Vec<Word>),
+    PeerReports(Vec<PeerLoadReport>),
     /// A timer ran out.
-    TimerDue(u64),
+    TimerFired(u64),
     /// So many gateways share the engines from now on, and this one is number `index` of them, from 0.
-    Gateways {
+    GatewayCountChanged {
         /// How many, at least 1.
         count: f64,
         /// Which one.
         index: f64,
     },
     /// Its gateway ends: it must have its answer now.
-    TimeUp(QueryId),
+    ShutdownDeadline(QueryId),
 }
 
 /// What the module wants done.
@@ -386,10 +421,10 @@
         /// Where.
         engine: EngineId,
         /// Give up on it after this; zero for the client's own limit.
-        time_out: Micros,
+        timeout: Micros,
     },
     /// Memory and priority of a query's next send.
-    Terms {
+    SetOptions {
         /// Which query.
         query: QueryId,
         /// In MB; zero leaves it to the engine.
@@ -405,7 +440,7 @@
         attempt: usize,
     },
     /// Final answer: refused, trying again is harmless.
-    Refuse {
+    Reject {
         /// Which query.
         query: QueryId,
         /// When to come back; zero for no advice.
@@ -417,7 +452,7 @@
         query: QueryId,
     },
     /// Ask for a timer.
-    Timer {
+    SetTimer {
         /// Its token.
         token: u64,
         /// From now.
@@ -426,7 +461,7 @@
     /// Probe an engine.
     Probe(EngineId),
     /// Tell all other gateways of engines.
-    Tell(Vec<Word>),
+    ShareReports(Vec<PeerLoadReport>),
     /// Ask for the changes of the engine list.
     Subscribe,
     /// A line for the operators.
--- a/crates/core/src/policy.rs
+++ b/crates/core/src/policy.rs
@@ -139,9 +139,9 @@
 impl Gateway {
     /// A gateway with nothing known but its settings. `seed` feeds its only source of chance.
     pub fn new(mut settings: Settings, seed: u64) -> Self {
-        settings.gateways = settings.gateways.max(1.0);
+        settings.gateway_count = settings.gateway_count.max(1.0);
         let view = |c: &Class| {
-            let mean = (c.aim.secs() / 2.0 * c.threads).max(1e-3);
+            let mean = (c.latency_objective.as_secs_f64() / 2.0 * c.threads).max(1e-3);
             ClassView { work: 4.0 * mean, hints: 4.0 * mean, count: 4.0, cured: 0, uncured: 0 }
         };
         Gateway {
@@ -150,7 +150,7 @@
             queries: BTreeMap::new(),
             classes: settings.classes.iter().map(view).collect(),
             keys: BTreeMap::new(),
-            ledger: Ledger { share: 1.0 / settings.gateways, ..Ledger::default() },
+            ledger: Ledger { share: 1.0 / settings.gateway_count, ..Ledger::default() },
             settings,
         }
     }
@@ -159,7 +159,7 @@
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Started => {
-                out.push(Action::Timer { token: SWEEP, after: SWEEP_EVERY });
+                out.push(Action::SetTimer { token: SWEEP, after: SWEEP_EVERY });
                 if self.settings.subscribe {
                     out.push(Action::Subscribe);
                 }
@@ -178,28 +178,28 @@
                 self.ledger.subscribe_at = Some(self.ledger.sweeps + periods * SWEEPS_PER_PERIOD / 2);
             }
             Event::Arrived(query) => self.arrived(now, query, out),
-            Event::AnswerBegan(id) => {
+            Event::AnswerStarted(id) => {
                 self.queries.entry(id).and_modify(|live| live.over = true);
             }
-            Event::Noted { query, attempt, note } => self.noted(now, query, attempt, note),
-            Event::Ended(ending) => self.ended(now, ending, out),
-            Event::Departed(id) => {
+            Event::AttemptUpdated { query, attempt, update: note } => self.noted(now, query, attempt, note),
+            Event::AttemptEnded(ending) => self.ended(now, ending, out),
+            Event::Abandoned(id) => {
                 self.queries.entry(id).and_modify(|live| live.over = true);
                 self.withdraw(now, id, out);
             }
-            Event::TimeUp(id) => self.give_up(now, id, out),
-            Event::Probed { engine, outcome, report } => {
+            Event::ShutdownDeadline(id) => self.give_up(now, id, out),
+            Event::ProbeEnded { engine, outcome, report } => {
                 if let Some(e) = self.engines.get_mut(&engine).filter(|_| outcome == Outcome::Served) {
                     self.ledger.take_report(now, report, e, NEWEST);
                 }
             }
-            Event::Told(words) => self.told(now, words),
-            Event::Gateways { count, index } => {
-                (self.settings.gateways, self.settings.index) = (count.max(1.0), index);
+            Event::PeerReports(words) => self.told(now, words),
+            Event::GatewayCountChanged { count, index } => {
+                (self.settings.gateway_count, self.settings.gateway_index) = (count.max(1.0), index);
             }
-            Event::TimerDue(SWEEP) => self.sweep(now, out),
-            Event::TimerDue(ROUND) => self.tell_round(now, out),
-            Event::TimerDue(token) => {
+            Event::TimerFired(SWEEP) => self.sweep(now, out),
+            Event::TimerFired(ROUND) => self.tell_round(now, out),
+            Event::TimerFired(token) => {
                 let id = self.ledger.timers.remove(&token);
                 let held = |l: &ActiveQuery| !l.over && l.attempts.is_empty();
                 if let Some(id) = id.filter(|id| self.queries.get(id).is_some_and(held)) {
@@ -212,26 +212,26 @@
     // --- engine view ---
 
     fn update_list(&mut self, now: Micros, entries: Vec<EngineEntry>) {
-        let aim = self.settings.classes.iter().map(|c| c.aim.secs()).fold(0.0, f64::max);
+        let aim = self.settings.classes.iter().map(|c| c.latency_objective.as_secs_f64()).fold(0.0, f64::max);
         let known_before = std::mem::replace(&mut self.ledger.listed, true);
         self.ledger.list_failures = 0;
         for entry in entries {
             let cores = self.settings.cores.get(entry.kind).copied().unwrap_or(1.0).max(1.0);
             let memory = self.settings.memory_mb.get(entry.kind).copied().unwrap_or(0.0);
-            let start = START_THREADS * cores * aim / self.settings.gateways;
+            let start = START_THREADS * cores * aim / self.settings.gateway_count;
             let new = !self.engines.contains_key(&entry.engine);
             let engine = self
                 .engines
                 .entry(entry.engine)
                 .or_insert_with(|| Engine::new(entry.clone(), cores, memory, start));
             let back = engine.entry.status != Status::Up && entry.status == Status::Up;
-            let restarted = entry.started.is_some() && entry.started != engine.entry.started;
+            let restarted = entry.started_at.is_some() && entry.started_at != engine.entry.started_at;
             // Guards against a stale list: an engine that comes up without a start time has just started.
             if restarted || (new && known_before) || back {
-                let since = entry.started.unwrap_or(now);
+                let since = entry.started_at.unwrap_or(now);
                 engine.starts_anew(engine.cold_since.max(Some(since)), now);
             } else if new {
-                engine.cold_since = entry.started;
+                engine.cold_since = entry.started_at;
             }
             if entry.kind != engine.entry.kind {
                 // Grown or shrunk in place: what was found out of it holds for each core.
@@ -244,9 +244,10 @@
 
     /// Share of its capacity that an engine surely has.
     fn warmth(&self, engine: &Engine, now: Micros) -> f64 {
-        let age =
-            engine.cold_since.map(|since| (now - since).secs() / self.settings.cold_for.secs().max(1e-3));
-        let from = self.settings.cold_from.clamp(0.0, 1.0);
+        let age = engine.cold_since.map(|since| {
+            (now - since).as_secs_f64() / self.settings.slow_start_duration.as_secs_f64().max(1e-3)
+        });
+        let from = self.settings.slow_start_initial_fraction.clamp(0.0, 1.0);
         age.filter(|age| *age < 1.0).map_or(1.0, |age| from + (1.0 - from) * 0.5 * age.max(0.0))
     }
 
@@ -261,28 +262,34 @@
     /// A figure of an engine's report, which counts in full for some periods and ever less from then on; the
     /// rest is the mean over all engines. Guards against a gateway that hears of an engine too seldom taking
     /// it for idle or, by its own one query, for full. It may hurt where the engines differ much.
-    fn aged(&self, engine: &Engine, now: Micros, mean: f64, figure: impl Fn(&Report) -> Option<f64>) -> f64 {
+    fn aged(
+        &self,
+        engine: &Engine,
+        now: Micros,
+        mean: f64,
+        figure: impl Fn(&LoadReport) -> Option<f64>,
+    ) -> f64 {
         let trust =
-            |at: Option<Micros>, fresh: f64| at.map_or(0.0, |at| fresh / (now - at).secs().max(fresh));
+            |at: Option<Micros>, fresh: f64| at.map_or(0.0, |at| fresh / (now - at).as_secs_f64().max(fresh));
         // The mean fades too, when nothing of ours is out: a gateway that admits nothing hears nothing.
-        let mean = mean * trust(self.ledger.told, FRESH * PERIOD.secs());
+        let mean = mean * trust(self.ledger.told, FRESH * PERIOD.as_secs_f64());
         figure(&engine.report).map_or(mean, |told| {
             let known = if told < mean { FRESH_GOOD } else { FRESH_BAD };
             let fresh = if self.ledger.around.scarce { known } else { FRESH };
-            mean + trust(engine.reported, fresh * PERIOD.secs()) * (told - mean)
+            mean + trust(engine.reported, fresh * PERIOD.as_secs_f64()) * (told - mean)
         })
     }
 
     /// How many of each send since a report to reckon with. Guards against the herd on a late report: the
     /// root of 1 / our part of the work is between no and all others alike. It may hurt till that is learned.
     fn herd(&self) -> f64 {
-        (1.0 / self.ledger.share.max(1.0 / self.settings.gateways)).sqrt().min(MOST_HERD)
+        (1.0 / self.ledger.share.max(1.0 / self.settings.gateway_count)).sqrt().min(MOST_HERD)
     }
 
     /// Share of an engine's memory that a query will take: its hint, else what the queries there take each.
     fn memory_share(&self, live: &ActiveQuery, engine: &Engine) -> f64 {
         let threads = self.settings.classes[live.query.class].threads;
-        match (live.query.memory_hint, engine.report.memory, engine.report.in_flight) {
+        match (live.query.memory_hint, engine.report.memory_granted, engine.report.in_flight) {
             (Some(mb), _, _) if engine.memory_mb > 0.0 => mb * USUAL_GRANT / engine.memory_mb,
             (_, Some(m), Some(n)) if n >= 1.0 => m / n * threads / engine.mean_threads(),
             _ => 0.0,
@@ -290,7 +297,7 @@
     }
 
     fn memory(&self, engine: &Engine, now: Micros) -> f64 {
-        self.aged(engine, now, self.ledger.mean_memory, |r| r.memory)
+        self.aged(engine, now, self.ledger.mean_memory, |r| r.memory_granted)
     }
 
     /// The mean share of failures over all other engines that take work.
@@ -303,7 +310,7 @@
 
     /// The load from which an engine is busy.
     fn busy(&self) -> f64 {
-        [BUSY, BUSY_THREADS][usize::from(self.settings.reports && !self.settings.reports_utilisation)]
+        [BUSY, BUSY_THREADS][usize::from(self.settings.load_reports && !self.settings.reports_utilisation)]
     }
 
     /// Whether the bound binds: latency far above its best, a busy report, or a full refusal. Of the few runs
@@ -313,10 +320,10 @@
         let over = |x: Option<f64>, limit: f64| x.is_some_and(|x| x >= limit);
         let memory = if self.ledger.around.scarce { NEARLY_FULL_SCARCE } else { NEARLY_FULL };
         let slow = engine.pace > FAR_ABOVE_BEST * engine.best_pace;
-        (slow && !(self.ledger.around.scarce && self.settings.reports))
+        (slow && !(self.ledger.around.scarce && self.settings.load_reports))
             || self.load(engine, now) >= self.busy()
-            || over(report.queue, 1.0)
-            || over(report.disks, NEARLY_FULL)
+            || over(report.queued, 1.0)
+            || over(report.disk_utilisation, NEARLY_FULL)
             || self.memory(engine, now) >= memory
             || now - engine.full_until < PERIOD
     }
@@ -349,7 +356,7 @@
         let class = &self.settings.classes[query.class];
         let view = &self.classes[query.class];
         let work = query.work_hint.map_or(self.mean_work(query.class), |hint| hint * view.work / view.hints);
-        if let Some(key) = query.key.clone().filter(|_| class.in_order) {
+        if let Some(key) = query.key.clone().filter(|_| class.ordered_by_key) {
             self.keys.entry(key).or_default().waiting.push_back(id);
         }
         self.queries.insert(id, ActiveQuery { query, work, attempts: Vec::new(), over: false });
@@ -358,10 +365,10 @@
 
     /// Sends a query to an engine drawn among those it fits, or answers it at once.
     fn place(&mut self, now: Micros, id: QueryId, out: &mut Vec<Action>) {
-        let held = self.queries.get(&id).filter(|l| now < l.query.due);
+        let held = self.queries.get(&id).filter(|l| now < l.query.deadline);
         if let Some(at) = held.and_then(|l| self.turn_comes(now, l)) {
             let token = self.ledger.await_turn(id, ROUND);
-            return out.push(Action::Timer { token, after: (at - now).max(Micros(0)) });
+            return out.push(Action::SetTimer { token, after: (at - now).max(Micros(0)) });
         }
         match self.choose(now, id) {
             Some(engine) if self.send(now, id, engine, out) => {}
@@ -404,16 +411,16 @@
         let up = || self.engines.values().filter(|e| e.entry.status == Status::Up);
         let heaviest = self.classes.iter().map(|v| v.work / v.count).fold(0.0, f64::max);
         let scarce = up().any(|e| e.start < heaviest);
-        let pooled = POOLED[usize::from(self.settings.waits)];
+        let pooled = POOLED[usize::from(self.settings.queues_on_memory_shortage)];
         let slack = up().map(|e| pooled * e.bound - e.backlog).sum();
         // What comes meanwhile: what the engines can end or, in a storm of retries, our draws everywhere.
         let ends = self.ledger.turnover * up().map(|e| e.cores).sum::<f64>();
-        let comes = ends.max(self.ledger.rate * self.settings.gateways * self.ledger.stay);
-        let shared = self.settings.peers && self.settings.reports_by_probe && scarce && comes > 0.0;
+        let comes = ends.max(self.ledger.rate * self.settings.gateway_count * self.ledger.stay);
+        let shared = self.settings.peer_messages && self.settings.reports_by_probe && scarce && comes > 0.0;
         let room = || up().map(|e| e.cores * self.room(e, now)).sum::<f64>();
         let calm = match (shared, scarce) {
             (true, _) => room() / comes,
-            (_, true) if !self.settings.waits => {
+            (_, true) if !self.settings.queues_on_memory_shortage => {
                 let able = |e: &&Engine| e.full_until <= now && !self.pressed(e, now);
                 let cores = |sum: f64, e: &Engine| sum + e.cores * self.warmth(e, now);
                 let part = up().filter(able).fold(0.0, cores) / up().fold(0.0, cores).max(1e-6);
@@ -434,7 +441,7 @@
         let wanted = self.herd() * engine.memory_since + MEMORY_ASIDE * self.memory_share(live, engine);
         let full = self.memory(engine, now) + wanted > MEMORY_LIMIT;
         let alone = engine.out.is_empty() && !around.scarce;
-        if self.settings.pages && full && !alone {
+        if self.settings.pages_on_memory_shortage && full && !alone {
             return false;
         }
         let calm = !self.pressed(engine, now) && around.draw < around.calm;
@@ -483,7 +490,7 @@
 
     /// Whether all connections of ours at an engine have been closed, as none was used for too long.
     fn rested(&self, engine: &Engine, now: Micros) -> bool {
-        (now - engine.last_sent).secs() > RESTS * self.settings.connections_rest.secs()
+        (now - engine.last_sent).as_secs_f64() > RESTS * self.settings.connection_idle_timeout.as_secs_f64()
     }
 
     // --- sending: every rule is held here ---
@@ -494,16 +501,16 @@
         let class = &s.classes[live.query.class];
         let entry = &engine.entry;
         // Rule 1: nothing after the end. Rule 3: drained and gone engines get nothing, grace or not.
-        if live.over || now >= live.query.due || entry.status != Status::Up {
+        if live.over || now >= live.query.deadline || entry.status != Status::Up {
             return false;
         }
         // Rule 6: placement.
         let open = |list: &[usize], x: usize| list.is_empty() || list.contains(&x);
-        if class.nowhere || !open(&class.zones, entry.zone) || !open(&class.kinds, entry.kind) {
+        if class.no_engine_permitted || !open(&class.zones, entry.zone) || !open(&class.kinds, entry.kind) {
             return false;
         }
         // Rule 2: effects and copies.
-        let copies = s.second_copies && class.effect == Effect::Repeatable;
+        let copies = s.hedged_requests && class.semantics == ExecutionSemantics::Idempotent;
         if self.attempts_left(live) == 0 || (live.out() > 0 && !copies) {
             return false;
         }
@@ -516,7 +523,7 @@
         }
         // Rule 4: the cold budget.
         if let Some((budget, _)) = self.cold_budget(now, engine) {
-            let lately = engine.sent_cold.iter().filter(|(t, _)| *t >= now - s.fall_span);
+            let lately = engine.sent_cold.iter().filter(|(t, _)| *t >= now - s.overload_window);
             let sent: f64 = lately.map(|(_, w)| w).sum();
             if sent + self.mean_work(live.query.class).max(live.work.min(budget)) > budget {
                 return false;
@@ -529,14 +536,18 @@
     fn may_repeat(&self, now: Micros, live: &ActiveQuery, before: &[Attempt], entry: &EngineEntry) -> bool {
         let class = &self.settings.classes[live.query.class];
         let Some(ran) = before.iter().find(|a| a.may_have_run()) else { return true };
-        let kept = now - ran.sent < class.window;
+        let kept = now - ran.sent < class.deduplication_window;
         let there = self.engines.get(&ran.engine).map(|e| &e.entry).filter(|_| kept);
-        match (class.effect, class.scope) {
-            (Effect::Repeatable, _) => true,
-            (Effect::Once, _) => false,
-            (Effect::ByKey, DedupScope::All) => kept,
-            (Effect::ByKey, DedupScope::Zone) => there.is_some_and(|e| e.zone == entry.zone),
-            (Effect::ByKey, DedupScope::Cell) => there.is_some_and(|e| e.cell == entry.cell),
+        match (class.semantics, class.deduplication_scope) {
+            (ExecutionSemantics::Idempotent, _) => true,
+            (ExecutionSemantics::AtMostOnce, _) => false,
+            (ExecutionSemantics::IdempotencyKey, DeduplicationScope::All) => kept,
+            (ExecutionSemantics::IdempotencyKey, DeduplicationScope::Zone) => {
+                there.is_some_and(|e| e.zone == entry.zone)
+            }
+            (ExecutionSemantics::IdempotencyKey, DeduplicationScope::Cell) => {
+                there.is_some_and(|e| e.cell == entry.cell)
+            }
         }
     }
 
@@ -553,21 +564,21 @@
     fn cold_budget(&self, now: Micros, engine: &Engine) -> Option<(f64, f64)> {
         const SLACK: f64 = 0.9;
         let s = &self.settings;
-        let warmth = Some(self.warmth(engine, now)).filter(|w| *w < 1.0 && s.fall_multiple > 0.0)?;
-        let all = s.fall_multiple * warmth * engine.cores * s.fall_span.secs() * SLACK;
-        if all / s.gateways >= self.ledger.around.heaviest || s.gateways <= MANY {
-            return Some((all / s.gateways, 1.0));
+        let warmth = Some(self.warmth(engine, now)).filter(|w| *w < 1.0 && s.overload_multiple > 0.0)?;
+        let all = s.overload_multiple * warmth * engine.cores * s.overload_window.as_secs_f64() * SLACK;
+        if all / s.gateway_count >= self.ledger.around.heaviest || s.gateway_count <= MANY {
+            return Some((all / s.gateway_count, 1.0));
         }
         let takers = (all / 2.0 / self.ledger.around.heaviest).floor().max(1.0);
-        let part = (all / 2.0 / takers, s.gateways / takers);
+        let part = (all / 2.0 / takers, s.gateway_count / takers);
         Some(if self.my_turn(engine, now, takers) { part } else { (0.0, 1.0) })
     }
 
     /// Whether it is our turn at an engine: in each span so many gateways have theirs, by their index.
     fn my_turn(&self, engine: &Engine, now: Micros, takers: f64) -> bool {
-        let span = self.settings.fall_span.0.max(1);
+        let span = self.settings.overload_window.0.max(1);
         let first = ((now.0 / span) as u64).wrapping_add(engine.entry.engine.0).wrapping_mul(STRIDE) >> 32;
-        (self.settings.index + first as f64).rem_euclid(self.settings.gateways) < takers
+        (self.settings.gateway_index + first as f64).rem_euclid(self.settings.gateway_count) < takers
     }
 
     /// The only way to send.
@@ -584,15 +595,15 @@
         let usual = self.mean_work(live.query.class).max(work.min(engine.cores));
         // Without notes a hang shows in nothing but time: half the time left, then another engine. Not where
         // nothing can be withdrawn: there what timed out runs on beside its repeat, and engines jam.
-        let blind = s.cancel
-            && s.note_every.0 == 0
-            && class.effect == Effect::Repeatable
+        let blind = s.cancellation
+            && s.progress_interval.0 == 0
+            && class.semantics == ExecutionSemantics::Idempotent
             && self.attempts_left(live) > 1;
-        let time_out = Micros(if blind { (live.query.due - now).0 / 2 } else { 0 });
+        let time_out = Micros(if blind { (live.query.deadline - now).0 / 2 } else { 0 });
         if s.priorities {
-            out.push(Action::Terms { query: id, grant_mb: 0.0, priority: self.priority(live) });
+            out.push(Action::SetOptions { query: id, grant_mb: 0.0, priority: self.priority(live) });
         }
-        out.push(Action::Send { query: id, engine: to, time_out });
+        out.push(Action::Send { query: id, engine: to, timeout: time_out });
         let rested = engine.out.is_empty() && self.rested(engine, now);
         let (Some(live), Some(engine)) = (self.queries.get_mut(&id), self.engines.get_mut(&to)) else {
             return false;
@@ -610,25 +621,27 @@
     /// Priority by worth for each thread-second: short work first, it takes little from the long.
     fn priority(&self, live: &ActiveQuery) -> u8 {
         let all = ClassView::sum(&self.settings.classes, &self.classes);
-        let density = self.settings.classes[live.query.class].worth / live.work.max(1e-3);
+        let density = self.settings.classes[live.query.class].value / live.work.max(1e-3);
         let steps = (density * all.work / all.worth.max(1e-9)).log(PRIORITY_STEP).floor();
         (MOST_PRIORITY + steps).clamp(0.0, MOST_PRIORITY) as u8
     }
 
     // --- the life of an attempt ---
 
-    fn noted(&mut self, now: Micros, id: QueryId, attempt: usize, note: Note) {
+    fn noted(&mut self, now: Micros, id: QueryId, attempt: usize, note: AttemptUpdate) {
         let Some(live) = self.queries.get_mut(&id) else { return };
         let (threads, work) = (self.settings.classes[live.query.class].threads, live.work.max(1e-3));
         let Some(a) = live.attempts.get_mut(attempt) else { return };
         a.heard = now;
-        if let Note::Progress(share) = note {
+        if let AttemptUpdate::Progress(share) = note {
             a.done = share;
         }
         let pace = match note {
-            _ if self.settings.reports => None,
-            Note::Progress(share) if share > 0.0 => Some((now - a.sent).secs() / share * threads / work),
-            Note::WaitsForMemory => Some(FAR_ABOVE_BEST),
+            _ if self.settings.load_reports => None,
+            AttemptUpdate::Progress(share) if share > 0.0 => {
+                Some((now - a.sent).as_secs_f64() / share * threads / work)
+            }
+            AttemptUpdate::WaitsForMemory => Some(FAR_ABOVE_BEST),
             _ => None,
         };
         if let Some(engine) = self.engines.get_mut(&a.engine) {
@@ -637,8 +650,16 @@
         }
     }
 
-    fn ended(&mut self, now: Micros, ending: Ending, out: &mut Vec<Action>) {
-        let Ending { query: id, attempt, outcome, last, took, billed_work, report } = ending;
+    fn ended(&mut self, now: Micros, ending: AttemptEnd, out: &mut Vec<Action>) {
+        let AttemptEnd {
+            query: id,
+            attempt,
+            outcome,
+            query_over: last,
+            elapsed: took,
+            reported_work: billed_work,
+            report,
+        } = ending;
         let Some(live) = self.queries.get_mut(&id) else { return };
         let Some(a) = live.attempts.get_mut(attempt).filter(|a| a.outcome.is_none()) else { return };
         a.outcome = Some(outcome);
@@ -659,26 +680,26 @@
         }
         let own_error = outcome == Outcome::Error && self.ledger.errors_are_own();
         let class = &self.settings.classes[class_index];
-        let (threads, aim, scarce) = (class.threads, class.aim, self.ledger.around.scarce);
-        if let Some(key) = key.filter(|_| class.in_order) {
+        let (threads, aim, scarce) = (class.threads, class.latency_objective, self.ledger.around.scarce);
+        if let Some(key) = key.filter(|_| class.ordered_by_key) {
             if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
-                self.keys.entry(key).or_default().rests_until = now + self.settings.order_pause;
+                self.keys.entry(key).or_default().rests_until = now + self.settings.key_cooldown;
             }
         }
         let fails =
-            matches!(outcome, Outcome::TimedOut | Outcome::Error | Outcome::Reset | Outcome::Unanswered);
+            matches!(outcome, Outcome::TimedOut | Outcome::Error | Outcome::Reset | Outcome::ConnectTimedOut);
         let common = if fails { self.common_failing(engine_id) } else { 0.0 };
         let unhurried = self.engines.get(&engine_id).is_some_and(|e| self.load(e, now) < 0.8);
-        let inferred = unhurried.then_some(took.secs() * threads);
-        let ran = if self.settings.bills { billed_work } else { inferred };
+        let inferred = unhurried.then_some(took.as_secs_f64() * threads);
+        let ran = if self.settings.reports_work { billed_work } else { inferred };
         if let Some(engine) = self.engines.get_mut(&engine_id) {
             engine.release((id, attempt), booked, threads);
             self.ledger.take_report(now, report, engine, NEWEST);
             match outcome {
                 Outcome::Served => {
-                    engine.sample(took.secs() / aim.secs().max(1e-3), booked);
-                    let pace = took.secs() * threads / work.max(1e-3);
-                    if !self.settings.reports {
+                    engine.sample(took.as_secs_f64() / aim.as_secs_f64().max(1e-3), booked);
+                    let pace = took.as_secs_f64() * threads / work.max(1e-3);
+                    if !self.settings.load_reports {
                         self.ledger.infer(now, pace);
                     }
                     engine.ran_at(pace);
@@ -692,7 +713,7 @@
                 Outcome::Error if !own_error => engine.failed(now, NEWEST, common),
                 Outcome::ConnectFailed => engine.restarts(now),
                 // Guards against taking engines for cold where connects are late: what is dead refuses.
-                Outcome::Unanswered => engine.failed(now, NEWEST, common),
+                Outcome::ConnectTimedOut => engine.failed(now, NEWEST, common),
                 Outcome::Reset => engine.broke(now, common),
                 Outcome::Full => engine.filled(now, scarce),
                 _ => {}
@@ -716,14 +737,17 @@
         let Some(live) = self.queries.get_mut(&id).filter(|l| !l.over) else { return };
         live.over = true;
         let class = &self.settings.classes[live.query.class];
-        let dropped = class.effect == Effect::ByKey && class.scope == DedupScope::All;
+        let dropped = class.semantics == ExecutionSemantics::IdempotencyKey
+            && class.deduplication_scope == DeduplicationScope::All;
         let own_error = live.attempts.last().is_some_and(Attempt::erred) && self.ledger.errors_are_own();
-        if !own_error && (class.effect == Effect::Repeatable || dropped || !live.may_have_run()) {
+        if !own_error
+            && (class.semantics == ExecutionSemantics::Idempotent || dropped || !live.may_have_run())
+        {
             self.ledger.refusals += 1.0;
             let share = self.ledger.refused_share.max(self.ledger.refusals / self.ledger.arrivals.max(1.0));
-            let retry_after =
-                Micros::from_secs(share.min(1.0) * PERIOD.secs()).min(self.settings.max_retry_after);
-            out.push(Action::Refuse { query: id, retry_after });
+            let retry_after = Micros::from_secs_f64(share.min(1.0) * PERIOD.as_secs_f64())
+                .min(self.settings.max_retry_after);
+            out.push(Action::Reject { query: id, retry_after });
         } else {
             out.push(Action::Fail { query: id });
         }
@@ -743,7 +767,8 @@
             return;
         }
         let Some(live) = self.queries.remove(&id) else { return };
-        let Some(key) = live.query.key.filter(|_| self.settings.classes[live.query.class].in_order) else {
+        let Some(key) = live.query.key.filter(|_| self.settings.classes[live.query.class].ordered_by_key)
+        else {
             return;
         };
         let Some(line) = self.keys.get_mut(&key) else { return };
@@ -761,9 +786,9 @@
 
     /// When to look again for a query that keeps the order of its key; none once its turn has come.
     fn turn_comes(&self, now: Micros, live: &ActiveQuery) -> Option<Micros> {
-        let in_order = self.settings.classes[live.query.class].in_order && live.attempts.is_empty();
+        let in_order = self.settings.classes[live.query.class].ordered_by_key && live.attempts.is_empty();
         let line = live.query.key.as_ref().filter(|_| in_order).and_then(|key| self.keys.get(key))?;
-        let due = live.query.due;
+        let due = live.query.deadline;
         if line.waiting.front() != Some(&live.query.id) {
             return Some(due);
         }
@@ -773,10 +798,10 @@
     // --- each quarter period: silence, the controller, the list ---
 
     fn sweep(&mut self, now: Micros, out: &mut Vec<Action>) {
-        out.push(Action::Timer { token: SWEEP, after: SWEEP_EVERY });
+        out.push(Action::SetTimer { token: SWEEP, after: SWEEP_EVERY });
         self.ledger.sweeps += 1;
         let all = ClassView::sum(&self.settings.classes, &self.classes);
-        self.ledger.turnover = NEWS_LAG * PERIOD.secs() * all.threads / all.work.max(1e-9);
+        self.ledger.turnover = NEWS_LAG * PERIOD.as_secs_f64() * all.threads / all.work.max(1e-9);
         self.ledger.stay = NEWS_LAG * all.threads / all.count.max(1e-9);
         let pressed: Vec<bool> = self.engines.values().map(|e| self.pressed(e, now)).collect();
         for (engine, pressed) in self.engines.values_mut().zip(pressed) {
@@ -819,9 +844,9 @@
         (self.ledger.refusals, self.ledger.arrivals) = (0.0, 0.0);
         self.ledger.errors_cured *= 1.0 - NEWEST;
         self.ledger.errors_uncured *= 1.0 - NEWEST;
-        let longest = self.settings.attempt_budget.map_or(Micros(0), |b| b.span);
+        let longest = self.settings.retry_budget.map_or(Micros(0), |b| b.window);
         self.ledger.forget_before(now - longest);
-        let from = now - self.settings.fall_span;
+        let from = now - self.settings.overload_window;
         self.engines.values_mut().for_each(|e| e.sent_cold.retain(|(t, _)| *t >= from));
     }
 
@@ -830,24 +855,24 @@
     fn probe_round(&mut self, out: &mut Vec<Action>) {
         let s = &self.settings;
         let up = self.engines.values().filter(|e| e.entry.status == Status::Up);
-        let sharers = if s.peers { s.gateways } else { 1.0 };
-        let told = if s.peers { s.gateways * WORD * s.message_price } else { 0.0 };
+        let sharers = if s.peer_messages { s.gateway_count } else { 1.0 };
+        let told = if s.peer_messages { s.gateway_count * WORD * s.message_price } else { 0.0 };
         let cost = up.clone().count() as f64 * (s.probe_price + told);
         let rounds = ROUNDS.min(ROUNDS_COST * self.ledger.rate.max(1.0) * sharers / cost.max(1e-9));
         let ours = s.probes && s.reports_by_probe;
         if ours && self.random.f64() < rounds / f64::from(SWEEPS_PER_PERIOD) / sharers {
             out.extend(up.map(|e| Action::Probe(e.entry.engine)));
-            out.extend(s.peers.then_some(Action::Timer { token: ROUND, after: ROUND_TIME }));
+            out.extend(s.peer_messages.then_some(Action::SetTimer { token: ROUND, after: ROUND_TIME }));
         }
     }
 
     fn tell_round(&mut self, now: Micros, out: &mut Vec<Action>) {
         let fresh = self.engines.values().filter(|e| e.reported.is_some_and(|at| now - at <= ROUND_TIME));
-        let word = |e: &Engine| Word { engine: e.entry.engine, report: e.report };
-        out.push(Action::Tell(fresh.map(word).collect()));
+        let word = |e: &Engine| PeerLoadReport { engine: e.entry.engine, report: e.report };
+        out.push(Action::ShareReports(fresh.map(word).collect()));
     }
 
-    fn told(&mut self, now: Micros, words: Vec<Word>) {
+    fn told(&mut self, now: Micros, words: Vec<PeerLoadReport>) {
         for word in words {
             let Some(engine) = self.engines.get_mut(&word.engine) else { continue };
             self.ledger.take_report(now, word.report, engine, NEWEST);
@@ -859,7 +884,7 @@
     /// what ends too late is given up. It holds against whatever makes work slow; it hurts where the pace
     /// told is far off.
     fn look_at_attempts(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let notes = self.settings.note_every;
+        let notes = self.settings.progress_interval;
         let patience = Micros(if notes.0 == 0 { i64::MAX } else { notes.0 * 3 / 2 + PERIOD.0 / 4 });
         let (mut hung, mut resend, mut dear, mut drop) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         let mut losing = Vec::new();
@@ -872,17 +897,20 @@
                 && attempts.clone().any(|(_, _, _, a)| now - a.heard > patience);
             hung.extend(silent.then_some(engine.entry.engine));
             let pressed = self.pressed(engine, now);
-            let paging = self.settings.pages && self.memory(engine, now) > MEMORY_LIMIT;
+            let paging = self.settings.pages_on_memory_shortage && self.memory(engine, now) > MEMORY_LIMIT;
             for (id, index, live, a) in attempts.filter(|(_, _, live, a)| !live.over && !a.cancelled) {
                 let class = &self.settings.classes[live.query.class];
                 let pace = engine.pace.max(1.0);
                 let booked = live.work / class.threads;
-                let total = if a.done > 0.0 { (now - a.sent).secs() / a.done } else { 0.0 };
+                let total = if a.done > 0.0 { (now - a.sent).as_secs_f64() / a.done } else { 0.0 };
                 let run = booked.max(total / pace);
-                let in_time = live.attempts[0].sent + class.aim + Micros::from_secs(class.aim_stretch * run);
+                let in_time = live.attempts[0].sent
+                    + class.latency_objective
+                    + Micros::from_secs_f64(class.latency_objective_stretch * run);
                 // What is late on a paging engine keeps all others late.
-                let late_pays = class.late_value > 0.0 && !paging;
-                let worthless = if late_pays { live.query.due } else { in_time.min(live.query.due) };
+                let late_pays = class.late_value_fraction > 0.0 && !paging;
+                let worthless =
+                    if late_pays { live.query.deadline } else { in_time.min(live.query.deadline) };
                 let bad_plan = run > BAD_PLAN * booked;
                 let view = &self.classes[live.query.class];
                 let again = self.may_try_again(now, live);
@@ -894,11 +922,14 @@
                     losing.extend((!silent).then_some(engine.entry.engine));
                 } else if bad_plan && live.attempts.iter().any(|a| a.bad_plan) {
                     dear.push((id, run * class.threads));
-                } else if bad_plan && curable && now + Micros::from_secs(booked * pace) < live.query.due {
+                } else if bad_plan
+                    && curable
+                    && now + Micros::from_secs_f64(booked * pace) < live.query.deadline
+                {
                     resend.push((id, index, true));
-                } else if self.settings.cancel
+                } else if self.settings.cancellation
                     && pressed
-                    && now.max(a.sent + Micros::from_secs(total * SURELY)) > worthless
+                    && now.max(a.sent + Micros::from_secs_f64(total * SURELY)) > worthless
                 {
                     drop.push(id);
                 }
@@ -934,7 +965,9 @@
     /// Whether what may have run can be sent again: the class, its attempts and the budget allow it.
     fn may_try_again(&self, now: Micros, live: &ActiveQuery) -> bool {
         let class = &self.settings.classes[live.query.class];
-        self.attempts_left(live) > 0 && class.effect == Effect::Repeatable && self.budget_left(now)
+        self.attempts_left(live) > 0
+            && class.semantics == ExecutionSemantics::Idempotent
+            && self.budget_left(now)
     }
 
     fn attempts_left(&self, live: &ActiveQuery) -> usize {
@@ -944,15 +977,15 @@
 
     /// Whether the budget allows one more attempt.
     fn budget_left(&self, now: Micros) -> bool {
-        self.settings.attempt_budget.is_none_or(|budget| {
-            let (taken, extra) = self.ledger.since(now - budget.span);
-            extra + 1.0 <= budget.free + budget.share * taken
+        self.settings.retry_budget.is_none_or(|budget| {
+            let (taken, extra) = self.ledger.since(now - budget.window);
+            extra + 1.0 <= budget.guaranteed + budget.fraction * taken
         })
     }
 
     fn cancel(&mut self, id: QueryId, attempt: usize, bad_plan: bool, out: &mut Vec<Action>) {
         let a = self.queries.get_mut(&id).and_then(|l| l.attempts.get_mut(attempt));
-        if let Some(a) = a.filter(|a| self.settings.cancel && a.outcome.is_none() && !a.cancelled) {
+        if let Some(a) = a.filter(|a| self.settings.cancellation && a.outcome.is_none() && !a.cancelled) {
             (a.cancelled, a.bad_plan) = (true, bad_plan);
             out.push(Action::Cancel { query: id, attempt });
         }
@@ -975,8 +1008,8 @@
 
 impl Engine {
     /// The last report, or nothing told once it is old.
-    fn fresh_report(&self, now: Micros) -> Report {
-        self.reported.filter(|at| now - *at < PERIOD + PERIOD).map_or(Report::default(), |_| self.report)
+    fn fresh_report(&self, now: Micros) -> LoadReport {
+        self.reported.filter(|at| now - *at < PERIOD + PERIOD).map_or(LoadReport::default(), |_| self.report)
     }
 
     /// d_t(k) = d_t(k-1) + fuzzy output, clamped; an empty period steps back toward the start.
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -53,7 +53,7 @@
     pub backlog: f64,
     pub threads_out: f64,
     pub out: BTreeSet<(QueryId, usize)>,
-    pub report: Report,
+    pub report: LoadReport,
     pub reported: Option<Micros>,
     pub threads_since: f64,
     /// Share of its memory that sends since the report want.
@@ -105,7 +105,7 @@
     /// What the samples of all classes come to.
     pub fn sum(classes: &[Class], views: &[ClassView]) -> Sums {
         classes.iter().zip(views).fold(Sums::default(), |all, (class, view)| Sums {
-            worth: all.worth + class.worth * view.count,
+            worth: all.worth + class.value * view.count,
             work: all.work + view.work,
             threads: all.threads + class.threads * view.count,
             count: all.count + view.count,
@@ -190,7 +190,7 @@
     pub errors_uncured: f64,
 }
 
-impl Report {
+impl LoadReport {
     /// Threads a core, as told or counted by the queries in hand.
     pub fn load(&self, engine: &Engine) -> Option<f64> {
         self.utilisation.or(self.in_flight.map(|n| n * engine.mean_threads() / engine.cores))
@@ -199,15 +199,15 @@
 
 impl Ledger {
     /// Takes a report of an engine, and at the given weight into the means over all engines.
-    pub fn take_report(&mut self, now: Micros, report: Report, engine: &mut Engine, weight: f64) {
-        if report == Report::default() {
+    pub fn take_report(&mut self, now: Micros, report: LoadReport, engine: &mut Engine, weight: f64) {
+        if report == LoadReport::default() {
             return;
         }
         engine.take_report(now, report);
         self.told = Some(now);
         let toward = |mean: &mut f64, told: Option<f64>| *mean += weight * (told.unwrap_or(*mean) - *mean);
         toward(&mut self.mean_load, report.load(engine));
-        toward(&mut self.mean_memory, report.memory);
+        toward(&mut self.mean_memory, report.memory_granted);
     }
 
     /// Notes whose turn a timer awaits; its token counts on from the last of the module's own.
@@ -248,7 +248,7 @@
             backlog: 0.0,
             threads_out: 0.0,
             out: BTreeSet::new(),
-            report: Report::default(),
+            report: LoadReport::default(),
             reported: None,
             threads_since: 0.0,
             memory_since: 0.0,
@@ -317,7 +317,7 @@
     }
 
     /// A report that differs from the last one is new: what was sent before it is in it.
-    fn take_report(&mut self, now: Micros, report: Report) {
+    fn take_report(&mut self, now: Micros, report: LoadReport) {
         if report != self.report {
             (self.threads_since, self.memory_since) = (0.0, 0.0);
             self.report = report;
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -12,15 +12,15 @@
 }
 
 /// A class with a 1 s aim and a 10 s deadline.
-pub fn class(effect: Effect) -> Class {
+pub fn class(effect: ExecutionSemantics) -> Class {
     Class {
-        aim: Micros::from_secs(1.0),
-        deadline: Micros::from_secs(10.0),
-        worth: 1.0,
-        late_value: 0.5,
-        effect,
+        latency_objective: Micros::from_secs_f64(1.0),
+        deadline: Micros::from_secs_f64(10.0),
+        value: 1.0,
+        late_value_fraction: 0.5,
+        semantics: effect,
         threads: 1.0,
-        window: Micros::from_secs(5.0),
+        deduplication_window: Micros::from_secs_f64(5.0),
         ..Class::default()
     }
 }
@@ -28,20 +28,20 @@
 /// Settings with the given classes: one gateway, two kinds of engine with 8 cores, cancels, four attempts.
 pub fn settings(classes: Vec<Class>) -> Settings {
     Settings {
-        gateways: 1.0,
+        gateway_count: 1.0,
         classes,
         cores: vec![8.0, 8.0],
         memory_mb: vec![1000.0, 1000.0],
-        cancel: true,
-        reports: true,
+        cancellation: true,
+        load_reports: true,
         reports_utilisation: true,
         max_attempts: 4,
-        note_every: Micros::from_secs(1.0),
-        max_retry_after: Micros::from_secs(2.0),
-        cold_from: 0.4,
-        cold_for: Micros::from_secs(10.0),
-        fall_multiple: 2.0,
-        fall_span: Micros::from_secs(2.0),
+        progress_interval: Micros::from_secs_f64(1.0),
+        max_retry_after: Micros::from_secs_f64(2.0),
+        slow_start_initial_fraction: 0.4,
+        slow_start_duration: Micros::from_secs_f64(10.0),
+        overload_multiple: 2.0,
+        overload_window: Micros::from_secs_f64(2.0),
         ..Settings::default()
     }
 }
@@ -49,12 +49,12 @@
 /// An engine that has long been up, in zone 0, kind 0 and a cell of its own.
 pub fn engine(n: u64) -> EngineEntry {
     let (engine, status) = (EngineId(n), Status::Up);
-    EngineEntry { engine, zone: 0, kind: 0, cell: n as i64, status, started: None }
+    EngineEntry { engine, zone: 0, kind: 0, cell: n as i64, status, started_at: None }
 }
 
 impl Rig {
     pub fn new(settings: Settings, engines: Vec<EngineEntry>) -> Rig {
-        let mut rig = Rig { gateway: Gateway::new(settings, 7), now: Micros::from_secs(100.0), next: 0 };
+        let mut rig = Rig { gateway: Gateway::new(settings, 7), now: Micros::from_secs_f64(100.0), next: 0 };
         rig.tell(Event::Started);
         rig.tell(Event::EngineList(engines));
         rig
@@ -73,7 +73,7 @@
             class,
             tenant: None,
             key: None,
-            due: self.now + Micros::from_secs(10.0),
+            deadline: self.now + Micros::from_secs_f64(10.0),
             work_hint: Some(0.5),
             memory_hint: None,
             tables: 0,
@@ -87,7 +87,7 @@
     }
 
     pub fn end(&mut self, query: QueryId, attempt: usize, outcome: Outcome) -> Vec<Action> {
-        self.end_with(query, attempt, outcome, Micros(500_000), Report::default())
+        self.end_with(query, attempt, outcome, Micros(500_000), LoadReport::default())
     }
 
     pub fn end_with(
@@ -96,10 +96,18 @@
         attempt: usize,
         outcome: Outcome,
         took: Micros,
-        report: Report,
+        report: LoadReport,
     ) -> Vec<Action> {
         let last = outcome == Outcome::Served;
-        self.tell(Event::Ended(Ending { query, attempt, outcome, last, took, billed_work: None, report }))
+        self.tell(Event::AttemptEnded(AttemptEnd {
+            query,
+            attempt,
+            outcome,
+            query_over: last,
+            elapsed: took,
+            reported_work: None,
+            report,
+        }))
     }
 
     /// Lets so many quarter seconds pass, with the sweep at each.
@@ -107,7 +115,7 @@
         let mut out = Vec::new();
         for _ in 0..n {
             self.now = self.now + Micros(250_000);
-            out.extend(self.tell(Event::TimerDue(0)));
+            out.extend(self.tell(Event::TimerFired(0)));
         }
         out
     }
@@ -120,7 +128,7 @@
 }
 
 pub fn refused(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).count()
+    actions.iter().filter(|a| matches!(a, Action::Reject { .. })).count()
 }
 
 pub fn failed(actions: &[Action]) -> usize {
@@ -129,7 +137,7 @@
 
 /// One repeatable class and so many gateways.
 pub fn many(gateways: f64) -> Settings {
-    Settings { gateways, ..settings(vec![class(Effect::Repeatable)]) }
+    Settings { gateway_count: gateways, ..settings(vec![class(ExecutionSemantics::Idempotent)]) }
 }
 
 /// So many engines that have long been up.
@@ -138,8 +146,8 @@
 }
 
 /// Another gateway tells the same of the first `n` engines.
-pub fn told(n: u64, report: Report) -> Event {
-    Event::Told((1..=n).map(|e| Word { engine: EngineId(e), report }).collect())
+pub fn told(n: u64, report: LoadReport) -> Event {
+    Event::PeerReports((1..=n).map(|e| PeerLoadReport { engine: EngineId(e), report }).collect())
 }
 
 /// How many of `n` queries, each served at once, go to the first engine.
--- a/crates/core/tests/draw.rs
+++ b/crates/core/tests/draw.rs
@@ -13,8 +13,10 @@
         let to = (sent(&actions)[0].0 - 1) as usize;
         sends[to] += 1;
         // A little noise, as a report that does not change is no new one.
-        let report =
-            Report { utilisation: utilisation[to].map(|u| u + f64::from(i) * 1e-6), ..Report::default() };
+        let report = LoadReport {
+            utilisation: utilisation[to].map(|u| u + f64::from(i) * 1e-6),
+            ..LoadReport::default()
+        };
         rig.end_with(id, 0, Outcome::Served, Micros(500_000), report);
     }
     sends
@@ -22,7 +24,7 @@
 
 #[test]
 fn the_draw_leans_to_the_engine_reported_less_busy_and_still_uses_both() {
-    let s = || settings(vec![class(Effect::Repeatable)]);
+    let s = || settings(vec![class(ExecutionSemantics::Idempotent)]);
     let [idle, busy] = shares([Some(0.2), Some(0.6)], s());
     assert!(idle > 3 * busy && busy > 0, "{idle} and {busy}");
     let [a, b] = shares([Some(0.4), Some(0.4)], s());
@@ -34,7 +36,7 @@
     let s = |cross_zone_price| Settings {
         zone: Some(0),
         cross_zone_price,
-        ..settings(vec![class(Effect::Repeatable)])
+        ..settings(vec![class(ExecutionSemantics::Idempotent)])
     };
     let [_, across] = shares([Some(0.4), Some(0.4)], s(0.0));
     let [_, dear] = shares([Some(0.4), Some(0.4)], s(0.04));
@@ -45,15 +47,15 @@
 fn used(handshake_price: f64, pause: Micros) -> usize {
     let s = Settings {
         handshake_price,
-        connections_rest: Micros(30_000_000),
-        ..settings(vec![class(Effect::Repeatable)])
+        connection_idle_timeout: Micros(30_000_000),
+        ..settings(vec![class(ExecutionSemantics::Idempotent)])
     };
     let mut rig = Rig::new(s, (1..=20).map(engine).collect());
     let mut to = std::collections::BTreeSet::new();
     for _ in 0..40 {
         let (id, actions) = rig.arrive(0);
         to.insert(sent(&actions)[0].0);
-        rig.end_with(id, 0, Outcome::Served, Micros(100_000), Report::default());
+        rig.end_with(id, 0, Outcome::Served, Micros(100_000), LoadReport::default());
         rig.now = rig.now + pause;
     }
     to.len()
@@ -74,8 +76,8 @@
 fn a_connection_that_is_in_use_draws_nothing() {
     let s = Settings {
         handshake_price: 10.0,
-        connections_rest: Micros(30_000_000),
-        ..settings(vec![class(Effect::Repeatable)])
+        connection_idle_timeout: Micros(30_000_000),
+        ..settings(vec![class(ExecutionSemantics::Idempotent)])
     };
     let mut rig = Rig::new(s, vec![engine(1), engine(2), engine(3)]);
     let to: Vec<u64> = (0..30).map(|_| sent(&rig.arrive(0).1)[0].0).collect();
@@ -84,7 +86,7 @@
 
 #[test]
 fn without_reports_the_draw_goes_by_outstanding_sends() {
-    let mut rig = Rig::new(settings(vec![class(Effect::Repeatable)]), vec![engine(1), engine(2)]);
+    let mut rig = Rig::new(settings(vec![class(ExecutionSemantics::Idempotent)]), vec![engine(1), engine(2)]);
     let mut out = [0usize, 0];
     for _ in 0..14 {
         let (_, actions) = rig.arrive(0);
@@ -99,17 +101,17 @@
     let to_newcomer = |handshake_price| {
         let s = Settings {
             handshake_price,
-            connections_rest: Micros(30_000_000),
-            cold_from: 0.5,
-            cold_for: Micros(60_000_000),
-            fall_multiple: 1_000.0,
-            fall_span: Micros(1_000_000),
-            ..settings(vec![class(Effect::Repeatable)])
+            connection_idle_timeout: Micros(30_000_000),
+            slow_start_initial_fraction: 0.5,
+            slow_start_duration: Micros(60_000_000),
+            overload_multiple: 1_000.0,
+            overload_window: Micros(1_000_000),
+            ..settings(vec![class(ExecutionSemantics::Idempotent)])
         };
         let mut rig = Rig::new(s, vec![engine(1), engine(2)]);
         let serve = |rig: &mut Rig| {
             let (id, actions) = rig.arrive(0);
-            rig.end_with(id, 0, Outcome::Served, Micros(100_000), Report::default());
+            rig.end_with(id, 0, Outcome::Served, Micros(100_000), LoadReport::default());
             sent(&actions)[0]
         };
         for _ in 0..10 {
--- a/crates/core/tests/many.rs
+++ b/crates/core/tests/many.rs
@@ -4,8 +4,13 @@
 use common::*;
 use wheelfield::interface::*;
 
-const PRESSED: Report =
-    Report { utilisation: Some(1.5), in_flight: None, queue: None, memory: None, disks: None };
+const PRESSED: LoadReport = LoadReport {
+    utilisation: Some(1.5),
+    in_flight: None,
+    queued: None,
+    memory_granted: None,
+    disk_utilisation: None,
+};
 
 /// big-2: every gateway put one query on every engine, and the bound bound nowhere.
 #[test]
@@ -25,17 +30,17 @@
 #[test]
 fn an_old_report_fades_into_the_mean_of_all_engines() {
     let mut rig = Rig::new(many(200.0), engines(2));
-    rig.tell(Event::Told(vec![Word { engine: EngineId(1), report: PRESSED }]));
-    let calm = Report { utilisation: Some(0.2), ..PRESSED };
+    rig.tell(Event::PeerReports(vec![PeerLoadReport { engine: EngineId(1), report: PRESSED }]));
+    let calm = LoadReport { utilisation: Some(0.2), ..PRESSED };
     let fresh = |rig: &mut Rig| {
         for i in 0..40 {
-            let report = Report { utilisation: Some(0.2 + f64::from(i) * 1e-6), ..calm };
-            rig.tell(Event::Told(vec![Word { engine: EngineId(2), report }]));
+            let report = LoadReport { utilisation: Some(0.2 + f64::from(i) * 1e-6), ..calm };
+            rig.tell(Event::PeerReports(vec![PeerLoadReport { engine: EngineId(2), report }]));
         }
     };
     fresh(&mut rig);
     let at_once = draws_to_first(&mut rig, 200);
-    rig.now = rig.now + Micros::from_secs(30.0);
+    rig.now = rig.now + Micros::from_secs_f64(30.0);
     fresh(&mut rig);
     let later = draws_to_first(&mut rig, 200);
     assert!(at_once < 5 && later > 15, "{at_once} at once, {later} later");
@@ -45,7 +50,13 @@
 #[test]
 fn many_gateways_probe_as_much_as_one_and_tell_the_others() {
     let probes = |gateways: f64, peers: bool| {
-        let s = Settings { probes: true, reports_by_probe: true, peers, probe_price: 0.01, ..many(gateways) };
+        let s = Settings {
+            probes: true,
+            reports_by_probe: true,
+            peer_messages: peers,
+            probe_price: 0.01,
+            ..many(gateways)
+        };
         let mut rig = Rig::new(s, engines(1));
         rig.sweeps(4000).iter().filter(|a| **a == Action::Probe(EngineId(1))).count()
     };
@@ -54,32 +65,39 @@
     // Without messages each pays for its own, as much as its own traffic is worth.
     assert!(probes(100.0, false) > 500);
 
-    let s = Settings { probes: true, reports_by_probe: true, peers: true, ..many(2.0) };
+    let s = Settings { probes: true, reports_by_probe: true, peer_messages: true, ..many(2.0) };
     let mut rig = Rig::new(s, engines(2));
-    rig.tell(Event::Probed { engine: EngineId(2), outcome: Outcome::Served, report: PRESSED });
-    let word = Word { engine: EngineId(2), report: PRESSED };
-    assert_eq!(rig.tell(Event::TimerDue(1)), [Action::Tell(vec![word])]);
+    rig.tell(Event::ProbeEnded { engine: EngineId(2), outcome: Outcome::Served, report: PRESSED });
+    let word = PeerLoadReport { engine: EngineId(2), report: PRESSED };
+    assert_eq!(rig.tell(Event::TimerFired(1)), [Action::ShareReports(vec![word])]);
 }
 
 /// big-2: all gateways leapt on the few engines that the shared news showed idle.
 #[test]
 fn where_news_are_shared_idle_engines_are_not_rushed() {
     let refused_of = |peers: bool| {
-        let mut rig =
-            Rig::new(Settings { peers, waits: !peers, reports_by_probe: true, ..many(200.0) }, engines(20));
+        let mut rig = Rig::new(
+            Settings {
+                peer_messages: peers,
+                queues_on_memory_shortage: !peers,
+                reports_by_probe: true,
+                ..many(200.0)
+            },
+            engines(20),
+        );
         rig.sweeps(1);
         for i in 0..40 {
-            let report = Report { utilisation: Some(4.0 + f64::from(i) * 1e-6), ..PRESSED };
+            let report = LoadReport { utilisation: Some(4.0 + f64::from(i) * 1e-6), ..PRESSED };
             rig.tell(told(19, report));
         }
-        let idle = Report { utilisation: Some(0.0), ..PRESSED };
-        rig.tell(Event::Told(vec![Word { engine: EngineId(20), report: idle }]));
+        let idle = LoadReport { utilisation: Some(0.0), ..PRESSED };
+        rig.tell(Event::PeerReports(vec![PeerLoadReport { engine: EngineId(20), report: idle }]));
         let query = |rig: &mut Rig| Query { work_hint: Some(20.0), ..rig.query(0) };
         let lost = |rig: &mut Rig| {
             let query = query(rig);
             let id = query.id;
             let refused = refused(&rig.tell(Event::Arrived(query)));
-            rig.tell(Event::Departed(id));
+            rig.tell(Event::Abandoned(id));
             rig.end(id, 0, Outcome::Cancelled);
             refused
         };
@@ -95,15 +113,15 @@
     for count in [20usize, 100, 250] {
         let mut rigs: Vec<Rig> = (0..count)
             .map(|i| {
-                let s = Settings { index: i as f64, ..many(count as f64) };
-                let cold = EngineEntry { started: Some(Micros::from_secs(100.0)), ..engine(1) };
+                let s = Settings { gateway_index: i as f64, ..many(count as f64) };
+                let cold = EngineEntry { started_at: Some(Micros::from_secs_f64(100.0)), ..engine(1) };
                 Rig::new(s, vec![cold])
             })
             .collect();
         let mut sends: Vec<f64> = Vec::new();
         for step in 0..80 {
             for rig in &mut rigs {
-                rig.now = Micros::from_secs(100.0 + f64::from(step) * 0.1);
+                rig.now = Micros::from_secs_f64(100.0 + f64::from(step) * 0.1);
                 let (id, actions) = rig.arrive(0);
                 sends.extend(sent(&actions).iter().map(|_| f64::from(step) * 0.1));
                 rig.end(id, 0, Outcome::Served);
@@ -126,11 +144,11 @@
     let (gateways, steps) = (100usize, 60);
     let (mut to_cold, mut all) = (0, 0);
     for i in 0..gateways {
-        let s = Settings { index: i as f64, ..many(gateways as f64) };
-        let cold = EngineEntry { started: Some(Micros::from_secs(100.0)), ..engine(1) };
+        let s = Settings { gateway_index: i as f64, ..many(gateways as f64) };
+        let cold = EngineEntry { started_at: Some(Micros::from_secs_f64(100.0)), ..engine(1) };
         let mut rig = Rig::new(s, std::iter::once(cold).chain((2..=20).map(engine)).collect());
         for step in 0..steps {
-            rig.now = Micros::from_secs(100.0 + f64::from(step) * 0.1);
+            rig.now = Micros::from_secs_f64(100.0 + f64::from(step) * 0.1);
             let (id, actions) = rig.arrive(0);
             let to = sent(&actions);
             (to_cold, all) = (to_cold + usize::from(to == [EngineId(1)]), all + to.len());
@@ -145,10 +163,13 @@
 #[test]
 fn when_memory_is_nearly_gone_small_queries_still_get_in() {
     let admitted = |memory_mb: f64| {
-        let mut rig = Rig::new(Settings { pages: true, ..many(50.0) }, engines(4));
+        let mut rig = Rig::new(Settings { pages_on_memory_shortage: true, ..many(50.0) }, engines(4));
         for i in 0..40 {
-            let report =
-                Report { utilisation: Some(0.4), memory: Some(1.1 + f64::from(i) * 1e-6), ..PRESSED };
+            let report = LoadReport {
+                utilisation: Some(0.4),
+                memory_granted: Some(1.1 + f64::from(i) * 1e-6),
+                ..PRESSED
+            };
             rig.tell(told(4, report));
         }
         let query = Query { memory_hint: Some(memory_mb), work_hint: Some(0.05), ..rig.query(0) };
@@ -161,11 +182,17 @@
 #[test]
 fn late_work_is_given_up_on_an_engine_that_pages() {
     let given_up = |memory: f64| {
-        let mut rig = Rig::new(Settings { pages: true, ..settings(vec![class(Effect::Once)]) }, engines(1));
+        let mut rig = Rig::new(
+            Settings {
+                pages_on_memory_shortage: true,
+                ..settings(vec![class(ExecutionSemantics::AtMostOnce)])
+            },
+            engines(1),
+        );
         let (id, _) = rig.arrive(0);
-        rig.now = rig.now + Micros::from_secs(1.5);
-        rig.tell(Event::Noted { query: id, attempt: 0, note: Note::Progress(0.25) });
-        let report = Report { utilisation: Some(2.0), memory: Some(memory), ..PRESSED };
+        rig.now = rig.now + Micros::from_secs_f64(1.5);
+        rig.tell(Event::AttemptUpdated { query: id, attempt: 0, update: AttemptUpdate::Progress(0.25) });
+        let report = LoadReport { utilisation: Some(2.0), memory_granted: Some(memory), ..PRESSED };
         rig.tell(told(1, report));
         failed(&rig.sweeps(1))
     };
@@ -178,18 +205,18 @@
     let tried = |gateways: f64, wait: f64| {
         (0..40u32)
             .filter(|i| {
-                let s = Settings { index: f64::from(*i), ..many(gateways) };
+                let s = Settings { gateway_index: f64::from(*i), ..many(gateways) };
                 let mut rig = Rig::new(s, engines(2));
                 rig.sweeps(1);
                 for _ in 0..10 {
                     let (id, actions) = rig.arrive(0);
                     let failed = sent(&actions) == [EngineId(1)];
                     if failed {
-                        rig.tell(Event::Departed(id));
+                        rig.tell(Event::Abandoned(id));
                     }
                     rig.end(id, 0, if failed { Outcome::Error } else { Outcome::Served });
                 }
-                rig.now = rig.now + Micros::from_secs(wait);
+                rig.now = rig.now + Micros::from_secs_f64(wait);
                 rig.sweeps(4);
                 (0..12).any(|_| {
                     let (id, actions) = rig.arrive(0);
@@ -226,21 +253,21 @@
 #[test]
 fn a_changed_number_of_gateways_is_acted_on() {
     let cold = |rig: &mut Rig| {
-        let fresh = EngineEntry { started: Some(rig.now), ..engines(1).remove(0) };
+        let fresh = EngineEntry { started_at: Some(rig.now), ..engines(1).remove(0) };
         rig.tell(Event::EngineChanges(vec![fresh]));
         (0..40).filter(|_| !sent(&rig.arrive(0).1).is_empty()).count()
     };
     let s = |gateways| Settings {
-        cold_from: 0.5,
-        cold_for: Micros::from_secs(30.0),
-        fall_multiple: 2.0,
-        fall_span: Micros::from_secs(5.0),
+        slow_start_initial_fraction: 0.5,
+        slow_start_duration: Micros::from_secs_f64(30.0),
+        overload_multiple: 2.0,
+        overload_window: Micros::from_secs_f64(5.0),
         ..many(gateways)
     };
     let began = |gateways: f64| cold(&mut Rig::new(s(gateways), engines(1)));
     let changed = |from: f64, to: f64| {
         let mut rig = Rig::new(s(from), engines(1));
-        rig.tell(Event::Gateways { count: to, index: 0.0 });
+        rig.tell(Event::GatewayCountChanged { count: to, index: 0.0 });
         cold(&mut rig)
     };
     assert!(began(1.0) > began(4.0), "{} and {}", began(1.0), began(4.0));
--- a/crates/core/tests/settings.rs
+++ b/crates/core/tests/settings.rs
@@ -7,9 +7,11 @@
 /// Every query that came in gets at most one final answer, and one without anything out gets it at once.
 fn drive(name: &str, s: Settings, engines: u64) {
     let mut rig = Rig::new(s, (1..=engines).map(engine).collect());
-    let unknown =
-        Word { engine: EngineId(999), report: Report { in_flight: Some(0.0), ..Report::default() } };
-    rig.tell(Event::Told(vec![unknown]));
+    let unknown = PeerLoadReport {
+        engine: EngineId(999),
+        report: LoadReport { in_flight: Some(0.0), ..LoadReport::default() },
+    };
+    rig.tell(Event::PeerReports(vec![unknown]));
     let outcomes =
         [Outcome::Served, Outcome::Error, Outcome::Full, Outcome::ConnectFailed, Outcome::TimedOut];
     for i in 0..200usize {
@@ -31,48 +33,60 @@
             rig.sweeps(1);
         }
     }
-    rig.tell(Event::Departed(QueryId(u64::MAX)));
-    rig.tell(Event::TimerDue(77));
+    rig.tell(Event::Abandoned(QueryId(u64::MAX)));
+    rig.tell(Event::TimerFired(77));
     rig.tell(Event::EngineList(Vec::new()));
     assert_eq!(sent(&rig.arrive(0).1), [], "{name}: sent to an engine that left the list");
 }
 
 #[test]
 fn settings_at_their_edges_answer_plainly_and_keep_the_rules() {
-    let s = || settings(vec![class(Effect::Repeatable)]);
+    let s = || settings(vec![class(ExecutionSemantics::Idempotent)]);
     let table = [
-        ("one gateway", Settings { gateways: 1.0, ..s() }, 5),
-        ("no gateway count", Settings { gateways: 0.0, ..s() }, 5),
-        ("a thousand gateways", Settings { gateways: 1000.0, index: 999.0, ..s() }, 5),
-        ("one engine", Settings { gateways: 50.0, ..s() }, 1),
+        ("one gateway", Settings { gateway_count: 1.0, ..s() }, 5),
+        ("no gateway count", Settings { gateway_count: 0.0, ..s() }, 5),
+        ("a thousand gateways", Settings { gateway_count: 1000.0, gateway_index: 999.0, ..s() }, 5),
+        ("one engine", Settings { gateway_count: 50.0, ..s() }, 1),
         ("no engine", s(), 0),
-        ("an index beyond the count", Settings { gateways: 40.0, index: 4e9, ..s() }, 5),
-        ("a negative index", Settings { gateways: 40.0, index: -3.0, ..s() }, 5),
-        ("no notes", Settings { note_every: Micros(0), gateways: 90.0, ..s() }, 5),
-        ("no cancel", Settings { cancel: false, gateways: 90.0, ..s() }, 5),
-        ("no cold figures", Settings { fall_span: Micros(0), fall_multiple: 0.0, ..s() }, 5),
-        ("no reports", Settings { reports: false, gateways: 90.0, ..s() }, 5),
-        ("no utilisation in reports", Settings { reports_utilisation: false, gateways: 90.0, ..s() }, 5),
-        ("no retry-after", Settings { max_retry_after: Micros(0), gateways: 90.0, ..s() }, 5),
-        ("queries wait for memory", Settings { waits: true, gateways: 90.0, ..s() }, 5),
-        ("priorities and grants", Settings { priorities: true, grants: true, ..s() }, 5),
+        ("an index beyond the count", Settings { gateway_count: 40.0, gateway_index: 4e9, ..s() }, 5),
+        ("a negative index", Settings { gateway_count: 40.0, gateway_index: -3.0, ..s() }, 5),
+        ("no notes", Settings { progress_interval: Micros(0), gateway_count: 90.0, ..s() }, 5),
+        ("no cancel", Settings { cancellation: false, gateway_count: 90.0, ..s() }, 5),
+        ("no cold figures", Settings { overload_window: Micros(0), overload_multiple: 0.0, ..s() }, 5),
+        ("no reports", Settings { load_reports: false, gateway_count: 90.0, ..s() }, 5),
+        ("no utilisation in reports", Settings { reports_utilisation: false, gateway_count: 90.0, ..s() }, 5),
+        ("no retry-after", Settings { max_retry_after: Micros(0), gateway_count: 90.0, ..s() }, 5),
+        (
+            "queries wait for memory",
+            Settings { queues_on_memory_shortage: true, gateway_count: 90.0, ..s() },
+            5,
+        ),
+        ("priorities and grants", Settings { priorities: true, memory_grants: true, ..s() }, 5),
         (
             "hardly any signal or means",
             Settings {
-                reports: false,
+                load_reports: false,
                 reports_utilisation: false,
-                cancel: false,
-                note_every: Micros(0),
+                cancellation: false,
+                progress_interval: Micros(0),
                 max_retry_after: Micros(0),
                 memory_mb: Vec::new(),
-                gateways: 300.0,
-                index: 299.0,
+                gateway_count: 300.0,
+                gateway_index: 299.0,
                 ..s()
             },
             5,
         ),
-        ("probes without price", Settings { probes: true, reports_by_probe: true, peers: true, ..s() }, 5),
-        ("no cores known", Settings { cores: Vec::new(), memory_mb: Vec::new(), pages: true, ..s() }, 5),
+        (
+            "probes without price",
+            Settings { probes: true, reports_by_probe: true, peer_messages: true, ..s() },
+            5,
+        ),
+        (
+            "no cores known",
+            Settings { cores: Vec::new(), memory_mb: Vec::new(), pages_on_memory_shortage: true, ..s() },
+            5,
+        ),
     ];
     for (name, settings, engines) in table {
         drive(name, settings, engines);
--- a/crates/core/tests/signals.rs
+++ b/crates/core/tests/signals.rs
@@ -9,10 +9,10 @@
 #[test]
 fn where_nothing_can_be_withdrawn_an_attempt_has_the_clients_whole_time() {
     for (cancel, note_every, whole) in [(false, 0, true), (true, 0, false), (true, 1_000_000, true)] {
-        let s = Settings { cancel, note_every: Micros(note_every), ..many(1.0) };
+        let s = Settings { cancellation: cancel, progress_interval: Micros(note_every), ..many(1.0) };
         let (_, actions) = Rig::new(s, engines(3)).arrive(0);
         let times = actions.iter().filter_map(|a| match a {
-            Action::Send { time_out, .. } => Some(time_out.0 == 0),
+            Action::Send { timeout: time_out, .. } => Some(time_out.0 == 0),
             _ => None,
         });
         assert_eq!(times.collect::<Vec<_>>(), [whole], "cancel {cancel}, notes {note_every}");
@@ -26,7 +26,7 @@
     let admitted = |in_flight: f64, reports_utilisation: bool| {
         let s = Settings { reports_utilisation, ..many(200.0) };
         let mut rig = Rig::new(s, engines(30));
-        let report = Report { in_flight: Some(in_flight), ..Report::default() };
+        let report = LoadReport { in_flight: Some(in_flight), ..LoadReport::default() };
         (0..30).for_each(|_| {
             rig.tell(told(30, report));
         });
@@ -42,14 +42,14 @@
 /// Holds against whatever keeps cores idle while queries pile up.
 #[test]
 fn an_engine_with_idle_cores_and_no_memory_left_is_not_idle() {
-    let report = |utilisation, memory| Report {
+    let report = |utilisation, memory| LoadReport {
         utilisation: Some(utilisation),
-        memory: Some(memory),
-        ..Report::default()
+        memory_granted: Some(memory),
+        ..LoadReport::default()
     };
     let mut rig = Rig::new(many(200.0), engines(2));
-    let word = |n, report| Word { engine: EngineId(n), report };
-    rig.tell(Event::Told(vec![word(1, report(0.3, 2.2)), word(2, report(0.8, 0.6))]));
+    let word = |n, report| PeerLoadReport { engine: EngineId(n), report };
+    rig.tell(Event::PeerReports(vec![word(1, report(0.3, 2.2)), word(2, report(0.8, 0.6))]));
     let to_jammed = draws_to_first(&mut rig, 200);
     assert!(to_jammed < 20, "{to_jammed} of 200 to the jammed engine");
 }
@@ -58,15 +58,15 @@
 /// 'jammed' was. Where a share is below one query, bad news counts longer than good.
 #[test]
 fn of_old_reports_the_bad_ones_count_longer() {
-    let load = |u: f64| Report { utilisation: Some(u), ..Report::default() };
+    let load = |u: f64| LoadReport { utilisation: Some(u), ..LoadReport::default() };
     let draws = |first: f64, rest: f64| {
         let mut rig = Rig::new(many(200.0), engines(4));
-        let word = |n: u64, u| Word { engine: EngineId(n), report: load(u) };
-        rig.tell(Event::Told(vec![word(1, first)]));
-        rig.now = rig.now + Micros::from_secs(4.0);
+        let word = |n: u64, u| PeerLoadReport { engine: EngineId(n), report: load(u) };
+        rig.tell(Event::PeerReports(vec![word(1, first)]));
+        rig.now = rig.now + Micros::from_secs_f64(4.0);
         for i in 0..60 {
             let u = rest + f64::from(i) * 1e-6;
-            rig.tell(Event::Told((2..=4).map(|n| word(n, u)).collect()));
+            rig.tell(Event::PeerReports((2..=4).map(|n| word(n, u)).collect()));
         }
         draws_to_first(&mut rig, 400)
     };
@@ -84,11 +84,13 @@
 #[test]
 fn the_last_engines_not_under_pressure_are_not_sent_everything() {
     let admitted = |waits: bool, pressed: u64| {
-        let mut rig = Rig::new(Settings { waits, ..many(4000.0) }, engines(30));
-        let calm = Report { utilisation: Some(0.5), memory: Some(0.5), ..Report::default() };
-        let jammed = Report { memory: Some(2.0), ..calm };
+        let mut rig = Rig::new(Settings { queues_on_memory_shortage: waits, ..many(4000.0) }, engines(30));
+        let calm = LoadReport { utilisation: Some(0.5), memory_granted: Some(0.5), ..LoadReport::default() };
+        let jammed = LoadReport { memory_granted: Some(2.0), ..calm };
         let report = |n| if n <= pressed { jammed } else { calm };
-        rig.tell(Event::Told((1..=30).map(|n| Word { engine: EngineId(n), report: report(n) }).collect()));
+        rig.tell(Event::PeerReports(
+            (1..=30).map(|n| PeerLoadReport { engine: EngineId(n), report: report(n) }).collect(),
+        ));
         let mut admit = || {
             let (id, actions) = rig.arrive(0);
             rig.end(id, 0, Outcome::Served);
@@ -106,13 +108,18 @@
 #[test]
 fn a_few_slow_runs_are_no_pressure_where_engines_report_calm() {
     let admitted = |reports: bool| {
-        let mut rig = Rig::new(Settings { reports, waits: true, ..many(400.0) }, engines(1));
-        let calm = Report { utilisation: Some(0.3), ..Report::default() };
-        let report = |rig: &mut Rig| rig.tell(Event::Told(vec![Word { engine: EngineId(1), report: calm }]));
+        let mut rig = Rig::new(
+            Settings { load_reports: reports, queues_on_memory_shortage: true, ..many(400.0) },
+            engines(1),
+        );
+        let calm = LoadReport { utilisation: Some(0.3), ..LoadReport::default() };
+        let report = |rig: &mut Rig| {
+            rig.tell(Event::PeerReports(vec![PeerLoadReport { engine: EngineId(1), report: calm }]))
+        };
         for took in [100_000, 100_000, 9_000_000, 9_000_000, 9_000_000] {
             report(&mut rig);
             let (id, _) = rig.arrive(0);
-            rig.end_with(id, 0, Outcome::Served, Micros(took), Report::default());
+            rig.end_with(id, 0, Outcome::Served, Micros(took), LoadReport::default());
         }
         (0..20).filter(|_| !sent(&rig.arrive(0).1).is_empty()).count()
     };
@@ -123,14 +130,17 @@
 /// work of queries. How our own runs fare stands in for the mean of all engines. Holds against whatever slows all.
 #[test]
 fn where_engines_report_nothing_our_own_runs_tell_the_load() {
-    let refused_after = |reports: bool, note: Note| {
-        let mut rig = Rig::new(Settings { reports, waits: true, ..many(4000.0) }, engines(30));
+    let refused_after = |reports: bool, note: AttemptUpdate| {
+        let mut rig = Rig::new(
+            Settings { load_reports: reports, queues_on_memory_shortage: true, ..many(4000.0) },
+            engines(30),
+        );
         for _ in 0..25 {
             let (query, actions) = rig.arrive(0);
             rig.now = rig.now + Micros(500_000);
             if !sent(&actions).is_empty() {
-                rig.tell(Event::Noted { query, attempt: 0, note });
-                rig.tell(Event::Departed(query));
+                rig.tell(Event::AttemptUpdated { query, attempt: 0, update: note });
+                rig.tell(Event::Abandoned(query));
                 rig.end(query, 0, Outcome::Cancelled);
             }
         }
@@ -138,11 +148,11 @@
     };
     // 0.5 s of work: half done after 0.5 s is a pace of 2, a twentieth one of 20.
     for (note, jam) in [
-        (Note::Progress(0.5), false),
-        (Note::WaitsForLoad, false),
-        (Note::Progress(0.05), true),
-        (Note::WaitsForMemory, true),
-        (Note::Spills(10.0), false),
+        (AttemptUpdate::Progress(0.5), false),
+        (AttemptUpdate::WaitsForLoad, false),
+        (AttemptUpdate::Progress(0.05), true),
+        (AttemptUpdate::WaitsForMemory, true),
+        (AttemptUpdate::Spills(10.0), false),
     ] {
         let (bare, reported) = (refused_after(false, note), refused_after(true, note));
         assert_eq!((bare > 10, reported), (jam, 0), "{note:?}: {bare} refused");
@@ -154,8 +164,8 @@
 #[test]
 fn less_of_the_pooled_bound_is_used_where_an_overfull_engine_jams() {
     let admitted = |waits: bool| {
-        let mut rig = Rig::new(Settings { waits, ..many(200.0) }, engines(30));
-        rig.tell(told(30, Report { utilisation: Some(1.5), ..Report::default() }));
+        let mut rig = Rig::new(Settings { queues_on_memory_shortage: waits, ..many(200.0) }, engines(30));
+        rig.tell(told(30, LoadReport { utilisation: Some(1.5), ..LoadReport::default() }));
         let mut admit = || {
             let (id, actions) = rig.arrive(0);
             rig.end(id, 0, Outcome::Full);
@@ -171,7 +181,7 @@
 fn an_engine_that_is_resized_in_place_is_bounded_by_its_new_cores() {
     // Queries that are let in, of many that come at one moment.
     let admitted = |kinds: &[usize]| {
-        let mut s = settings(vec![class(Effect::Repeatable)]);
+        let mut s = settings(vec![class(ExecutionSemantics::Idempotent)]);
         (s.cores, s.memory_mb) = (vec![16.0, 4.0], vec![0.0, 0.0]);
         let of = |kind: usize| EngineEntry { kind, ..engine(1) };
         let mut rig = Rig::new(s, vec![of(kinds[0])]);
--- a/crates/driver/src/books.rs
+++ b/crates/driver/src/books.rs
@@ -1,6 +1,6 @@
 //! The books: what is out, what was answered, and when to look again. Plain arithmetic, no decisions.
 
-use crate::Terms;
+use crate::AttemptOptions;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use wheelfield::interface::{EngineId, Micros, Outcome, QueryId};
@@ -22,25 +22,25 @@
 
 /// Counted since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct DriverCounters {
     /// Queries taken.
-    pub taken: u64,
+    pub accepted: u64,
     /// Served.
     pub served: u64,
     /// Refused.
-    pub refused: u64,
+    pub rejected: u64,
     /// Failed, broken answers among them.
     pub failed: u64,
     /// Left by their clients.
-    pub departed: u64,
+    pub abandoned: u64,
     /// Not taken, as the books were full.
-    pub crowded: u64,
+    pub over_capacity: u64,
     /// Attempts started.
     pub attempts: u64,
     /// Of these, beyond a query's first.
-    pub further: u64,
+    pub retries: u64,
     /// Endings dropped, as their attempt was settled.
-    pub late: u64,
+    pub late_endings: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -67,7 +67,7 @@
     due: Micros,
     answered: bool,
     /// What its next send goes with.
-    terms: Terms,
+    terms: AttemptOptions,
     attempts: Vec<Attempt>,
 }
 
@@ -108,7 +108,8 @@
     pub fn open(&mut self, id: QueryId, due: Micros) -> bool {
         let free = !self.queries.contains_key(&id);
         if free {
-            let taken = Taken { due, answered: false, terms: Terms::default(), attempts: Vec::new() };
+            let taken =
+                Taken { due, answered: false, terms: AttemptOptions::default(), attempts: Vec::new() };
             self.queries.insert(id, taken);
         }
         free
@@ -122,7 +123,7 @@
         engine: EngineId,
         time_out: Micros,
         limited: bool,
-    ) -> Option<(AttemptId, Terms)> {
+    ) -> Option<(AttemptId, AttemptOptions)> {
         let taken = self.queries.get_mut(&query).filter(|t| !t.answered)?;
         let attempt = AttemptId { query, number: taken.attempts.len() };
         let (written, withdrawn, began, outcome, wakes) = (false, false, false, None, Vec::new());
@@ -137,7 +138,7 @@
     }
 
     /// Keeps what a query's next send goes with.
-    pub fn set_terms(&mut self, query: QueryId, terms: Terms) {
+    pub fn set_terms(&mut self, query: QueryId, terms: AttemptOptions) {
         if let Some(taken) = self.queries.get_mut(&query) {
             taken.terms = terms;
         }
--- a/crates/driver/src/lib.rs
+++ b/crates/driver/src/lib.rs
@@ -16,29 +16,29 @@
 
 mod books;
 
-pub use books::{AttemptId, Counts};
+pub use books::{AttemptId, DriverCounters};
 
 use books::{Books, Settled, Wake};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use wheelfield::interface::{
-    Action, Ending, EngineEntry, EngineId, Event, Micros, Note, Outcome, Query, QueryId, Report, Settings,
-    Status, Word,
+    Action, AttemptEnd, AttemptUpdate, EngineEntry, EngineId, Event, LoadReport, Micros, Outcome,
+    PeerLoadReport, Query, QueryId, Settings, Status,
 };
 use wheelfield::policy::Gateway;
 
 /// Memory and priority of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Terms {
+pub struct AttemptOptions {
     /// Memory grant in MB; zero leaves it to the engine.
     pub grant_mb: f64,
     /// 0 to 3; 1 is usual.
     pub priority: u8,
 }
 
-impl Default for Terms {
+impl Default for AttemptOptions {
     fn default() -> Self {
-        Terms { grant_mb: 0.0, priority: 1 }
+        AttemptOptions { grant_mb: 0.0, priority: 1 }
     }
 }
 
@@ -52,7 +52,7 @@
     /// The key whose order it keeps.
     pub key: Option<String>,
     /// When it must have its answer.
-    pub due: Micros,
+    pub deadline: Micros,
     /// Estimated work in seconds of one thread.
     pub work_hint: Option<f64>,
     /// Estimated memory in MB.
@@ -69,7 +69,7 @@
     /// The engine list: whole, or the changed lines alone.
     Engines {
         /// An engine that is missing is gone.
-        whole: bool,
+        complete: bool,
         /// The lines.
         entries: Vec<EngineEntry>,
     },
@@ -78,62 +78,62 @@
     /// The first byte of an attempt is about to be written.
     Dispatched(AttemptId),
     /// The first byte of its answer is about to go to the client.
-    Began(AttemptId),
+    AnswerStarted(AttemptId),
     /// Word on an attempt.
-    Noted(AttemptId, Note),
+    AttemptUpdated(AttemptId, AttemptUpdate),
     /// An attempt ended on the wire.
-    Ended {
+    AttemptEnded {
         /// Which.
         attempt: AttemptId,
         /// How.
         outcome: Outcome,
         /// Work in seconds of one thread, where the answer tells.
-        billed_work: Option<f64>,
+        reported_work: Option<f64>,
         /// The engine's load, where told.
-        report: Report,
+        report: LoadReport,
     },
     /// The client left, or withdrew its query: no answer is owed.
-    Departed(QueryId),
+    Abandoned(QueryId),
     /// A probe came back.
-    Probed {
+    ProbeEnded {
         /// From.
         engine: EngineId,
         /// How it went.
         outcome: Outcome,
         /// The engine's load.
-        report: Report,
+        report: LoadReport,
     },
     /// Another controller tells of engines.
-    Told(Vec<Word>),
+    PeerReports(Vec<PeerLoadReport>),
     /// An attempt ended on a wire that measures by itself how long it took.
-    Measured {
+    AttemptMeasured {
         /// Which.
         attempt: AttemptId,
         /// How.
         outcome: Outcome,
         /// Work in seconds of one thread, where the answer tells.
-        billed_work: Option<f64>,
+        reported_work: Option<f64>,
         /// The engine's load, where told.
-        report: Report,
+        report: LoadReport,
         /// Since it was sent.
-        took: Micros,
+        elapsed: Micros,
     },
     /// So many controllers share the engines from now on, and this one is number `index` of them, from 0.
-    Gateways {
+    GatewayCountChanged {
         /// How many.
         count: u32,
         /// Which one.
         index: u32,
     },
     /// The controller ends: a query must have its answer now.
-    TimeUp(QueryId),
+    ShutdownDeadline(QueryId),
 }
 
 /// A final answer that the wire must give. A served query needs none: its rows are the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
     /// Nothing of it ran, or repeats do no harm: trying again is harmless.
-    Refused {
+    Rejected {
         /// When to come back; zero for no advice.
         retry_after: Micros,
     },
@@ -143,7 +143,7 @@
         may_have_run: bool,
     },
     /// The answer broke off after its first row had gone to the client.
-    Broken,
+    Interrupted,
 }
 
 /// Something to be done outside.
@@ -156,18 +156,18 @@
         /// Where.
         engine: EngineId,
         /// On which terms.
-        terms: Terms,
+        options: AttemptOptions,
     },
     /// Change the terms of an attempt that is out.
-    SetTerms(AttemptId, Terms),
+    SetOptions(AttemptId, AttemptOptions),
     /// Withdraw an attempt: end it at the engine if it was written, forget it if not.
-    Withdraw(AttemptId),
+    Cancel(AttemptId),
     /// Give a query its final answer, at once.
     Answer(QueryId, Answer),
     /// Probe an engine.
     Probe(EngineId),
     /// Tell all other controllers.
-    Tell(Vec<Word>),
+    ShareReports(Vec<PeerLoadReport>),
     /// Ask for the changes of the engine list.
     Subscribe,
     /// A line for the operators.
@@ -176,35 +176,35 @@
 
 /// The driver holds as many queries as it may.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Crowded;
+pub struct CapacityExceeded;
 
 /// What the driver itself is bounded by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Bounds {
-    /// Queries held at once; one more is [`Crowded`].
-    pub queries: usize,
+pub struct DriverLimits {
+    /// Queries held at once; one more is [`CapacityExceeded`].
+    pub max_queries: usize,
     /// A withdrawn attempt that the engine does not confirm is settled after this.
-    pub withdraw_wait: Micros,
+    pub cancel_confirmation_timeout: Micros,
 }
 
-impl Bounds {
-    /// As [`Bounds::withdraw_wait`]: the wire tells every end by itself, time-outs too, and the driver settles no attempt
+impl DriverLimits {
+    /// As [`DriverLimits::withdraw_wait`]: the wire tells every end by itself, time-outs too, and the driver settles no attempt
     /// because its time is up.
-    pub const TOLD: Micros = Micros(i64::MAX / 4);
+    pub const EXTERNALLY_TIMED: Micros = Micros(i64::MAX / 4);
 }
 
-impl Default for Bounds {
+impl Default for DriverLimits {
     fn default() -> Self {
-        Bounds { queries: 20_000, withdraw_wait: Micros(250_000) }
+        DriverLimits { max_queries: 20_000, cancel_confirmation_timeout: Micros(250_000) }
     }
 }
 
 /// How an attempt ended: outcome, billed work, load, and how long it took if the wire measured that.
-type End = (Outcome, Option<f64>, Report, Option<Micros>);
+type End = (Outcome, Option<f64>, LoadReport, Option<Micros>);
 
 /// The end of an attempt of which the wire tells nothing.
 fn settled(outcome: Outcome) -> End {
-    (outcome, None, Report::default(), None)
+    (outcome, None, LoadReport::default(), None)
 }
 
 /// One module with its books.
@@ -213,10 +213,10 @@
     gateway: Gateway,
     books: Books,
     engines: BTreeMap<EngineId, Status>,
-    bounds: Bounds,
+    bounds: DriverLimits,
     events: VecDeque<Event>,
     actions: Vec<Action>,
-    counts: Counts,
+    counts: DriverCounters,
     /// What the module was told, where somebody listens.
     #[serde(skip)]
     heard: Option<Vec<Event>>,
@@ -224,7 +224,7 @@
 
 impl Driver {
     /// A driver around a fresh module. The same settings, seed and inputs give the same instructions.
-    pub fn new(settings: Settings, seed: u64, bounds: Bounds) -> Self {
+    pub fn new(settings: Settings, seed: u64, bounds: DriverLimits) -> Self {
         Driver {
             gateway: Gateway::new(settings, seed),
             books: Books::default(),
@@ -232,58 +232,58 @@
             bounds,
             events: VecDeque::new(),
             actions: Vec::new(),
-            counts: Counts::default(),
+            counts: DriverCounters::default(),
             heard: None,
         }
     }
 
     /// From now on, what the module is told is kept until [`Driver::heard`] takes it.
-    pub fn listen(&mut self) {
+    pub fn record_events(&mut self) {
         self.heard = Some(Vec::new());
     }
 
     /// What the module was told since it was last asked, if somebody listens.
-    pub fn heard(&mut self) -> Vec<Event> {
+    pub fn take_recorded_events(&mut self) -> Vec<Event> {
         self.heard.as_mut().map(std::mem::take).unwrap_or_default()
     }
 
     /// Takes a query. Its number is the answer; what is to be done for it is appended to `out`.
     ///
     /// # Errors
-    /// [`Crowded`] when as many queries are held as the bounds allow; the query was not taken then.
-    pub fn arrive(
+    /// [`CapacityExceeded`] when as many queries are held as the bounds allow; the query was not taken then.
+    pub fn submit(
         &mut self,
         now: Micros,
         arrival: Arrival,
         out: &mut Vec<Instruction>,
-    ) -> Result<QueryId, Crowded> {
+    ) -> Result<QueryId, CapacityExceeded> {
         let id = self.books.next_number();
-        self.arrive_as(now, id, arrival, out)
+        self.submit_with_id(now, id, arrival, out)
     }
 
     /// Takes a query whose number is given outside, as on a wire that numbers them itself.
     ///
     /// # Errors
-    /// [`Crowded`] when as many queries are held as the bounds allow, or one of this number is.
-    pub fn arrive_as(
+    /// [`CapacityExceeded`] when as many queries are held as the bounds allow, or one of this number is.
+    pub fn submit_with_id(
         &mut self,
         now: Micros,
         id: QueryId,
         arrival: Arrival,
         out: &mut Vec<Instruction>,
-    ) -> Result<QueryId, Crowded> {
-        if self.books.held() >= self.bounds.queries || !self.books.open(id, arrival.due) {
-            self.counts.crowded += 1;
-            return Err(Crowded);
+    ) -> Result<QueryId, CapacityExceeded> {
+        if self.books.held() >= self.bounds.max_queries || !self.books.open(id, arrival.deadline) {
+            self.counts.over_capacity += 1;
+            return Err(CapacityExceeded);
         }
-        self.counts.taken += 1;
-        let Arrival { class, tenant, key, due, work_hint, memory_hint, tables } = arrival;
+        self.counts.accepted += 1;
+        let Arrival { class, tenant, key, deadline: due, work_hint, memory_hint, tables } = arrival;
         self.events.push_back(Event::Arrived(Query {
             id,
             class,
             tenant,
             key,
-            due,
+            deadline: due,
             work_hint,
             memory_hint,
             tables,
@@ -293,77 +293,83 @@
     }
 
     /// Takes one input and appends what is to be done.
-    pub fn tell(&mut self, now: Micros, input: Input, out: &mut Vec<Instruction>) {
+    pub fn handle_input(&mut self, now: Micros, input: Input, out: &mut Vec<Instruction>) {
         match input {
             Input::Started => self.events.push_back(Event::Started),
-            Input::Engines { whole, entries } => self.engines_changed(now, whole, entries, out),
+            Input::Engines { complete: whole, entries } => self.engines_changed(now, whole, entries, out),
             Input::ListUnavailable => self.events.push_back(Event::ListUnavailable),
             Input::Dispatched(attempt) => self.books.dispatched(attempt),
-            Input::Began(attempt) => {
+            Input::AnswerStarted(attempt) => {
                 if self.books.begin(attempt) {
-                    self.events.push_back(Event::AnswerBegan(attempt.query));
+                    self.events.push_back(Event::AnswerStarted(attempt.query));
                 }
             }
-            Input::Noted(attempt, note) => {
+            Input::AttemptUpdated(attempt, note) => {
                 if self.books.is_out(attempt) {
-                    self.events.push_back(Event::Noted {
+                    self.events.push_back(Event::AttemptUpdated {
                         query: attempt.query,
                         attempt: attempt.number,
-                        note,
+                        update: note,
                     });
                 }
             }
-            Input::Ended { attempt, outcome, billed_work, report } => {
+            Input::AttemptEnded { attempt, outcome, reported_work: billed_work, report } => {
                 self.ended(now, attempt, (outcome, billed_work, report, None), out);
             }
-            Input::Measured { attempt, outcome, billed_work, report, took } => {
+            Input::AttemptMeasured {
+                attempt,
+                outcome,
+                reported_work: billed_work,
+                report,
+                elapsed: took,
+            } => {
                 self.ended(now, attempt, (outcome, billed_work, report, Some(took)), out);
             }
-            Input::Departed(query) => {
+            Input::Abandoned(query) => {
                 if self.books.answer(query) {
-                    self.counts.departed += 1;
-                    self.events.push_back(Event::Departed(query));
+                    self.counts.abandoned += 1;
+                    self.events.push_back(Event::Abandoned(query));
                 }
             }
-            Input::TimeUp(query) => {
+            Input::ShutdownDeadline(query) => {
                 if self.books.owes(query) {
-                    self.events.push_back(Event::TimeUp(query));
+                    self.events.push_back(Event::ShutdownDeadline(query));
                 }
             }
-            Input::Probed { engine, outcome, report } => {
-                self.events.push_back(Event::Probed { engine, outcome, report });
+            Input::ProbeEnded { engine, outcome, report } => {
+                self.events.push_back(Event::ProbeEnded { engine, outcome, report });
             }
-            Input::Gateways { count, index } => {
+            Input::GatewayCountChanged { count, index } => {
                 let (count, index) = (f64::from(count), f64::from(index));
-                self.events.push_back(Event::Gateways { count, index });
+                self.events.push_back(Event::GatewayCountChanged { count, index });
             }
-            Input::Told(words) => {
-                let known = |w: &Word| self.engines.contains_key(&w.engine);
-                let words: Vec<Word> = words.into_iter().filter(known).collect();
-                self.events.push_back(Event::Told(words));
+            Input::PeerReports(words) => {
+                let known = |w: &PeerLoadReport| self.engines.contains_key(&w.engine);
+                let words: Vec<PeerLoadReport> = words.into_iter().filter(known).collect();
+                self.events.push_back(Event::PeerReports(words));
             }
         }
         self.run(now, out);
     }
 
     /// When [`Driver::due`] is next wanted.
-    pub fn next_due(&self) -> Option<Micros> {
+    pub fn next_timer_at(&self) -> Option<Micros> {
         self.books.next_due()
     }
 
     /// Lets the time pass: timers that ran out, attempts whose time is up, withdrawals without an echo.
     /// A timer asked for meanwhile waits for the next call, however short it is. False if nothing had come due.
-    pub fn due(&mut self, now: Micros, out: &mut Vec<Instruction>) -> bool {
+    pub fn handle_timers(&mut self, now: Micros, out: &mut Vec<Instruction>) -> bool {
         let ripe = self.books.ripe(now);
         let some = !ripe.is_empty();
         for wake in ripe {
             match wake {
-                Wake::Module(token) => self.events.push_back(Event::TimerDue(token)),
+                Wake::Module(token) => self.events.push_back(Event::TimerFired(token)),
                 Wake::Limit(attempt) => {
                     if self.books.is_out(attempt) && !self.books.began(attempt) {
                         let written = self.books.written(attempt);
-                        let outcome = if written { Outcome::TimedOut } else { Outcome::Unanswered };
-                        out.push(Instruction::Withdraw(attempt));
+                        let outcome = if written { Outcome::TimedOut } else { Outcome::ConnectTimedOut };
+                        out.push(Instruction::Cancel(attempt));
                         self.ended(now, attempt, settled(outcome), out);
                     }
                 }
@@ -380,10 +386,10 @@
     }
 
     /// A wire that keeps the time itself tells that a timer of the module ran out. False if there was none.
-    pub fn woke(&mut self, now: Micros, token: u64, out: &mut Vec<Instruction>) -> bool {
+    pub fn fire_timer(&mut self, now: Micros, token: u64, out: &mut Vec<Instruction>) -> bool {
         let some = self.books.take_module_wake(token);
         if some {
-            self.events.push_back(Event::TimerDue(token));
+            self.events.push_back(Event::TimerFired(token));
             self.run(now, out);
         }
         some
@@ -391,7 +397,7 @@
 
     /// Whether an attempt still counts: it was started and has had no outcome. The wire asks before it writes
     /// the attempt, and before it lets any byte of its answer through to the client.
-    pub fn is_out(&self, attempt: AttemptId) -> bool {
+    pub fn is_in_flight(&self, attempt: AttemptId) -> bool {
         self.books.is_out(attempt)
     }
 
@@ -429,7 +435,7 @@
     }
 
     /// What was counted since the start.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> DriverCounters {
         self.counts
     }
 
@@ -441,13 +447,13 @@
     fn engines_changed(
         &mut self,
         now: Micros,
-        whole: bool,
+        complete: bool,
         entries: Vec<EngineEntry>,
         out: &mut Vec<Instruction>,
     ) {
         let named: BTreeSet<EngineId> = entries.iter().map(|e| e.engine).collect();
         for (engine, status) in &mut self.engines {
-            if whole && !named.contains(engine) {
+            if complete && !named.contains(engine) {
                 *status = Status::Removed;
             }
         }
@@ -456,10 +462,14 @@
         }
         let gone = |e: &EngineId| self.engines.get(e) != Some(&Status::Up);
         let back = self.books.unwritten_at(gone);
-        self.events.push_back(if whole { Event::EngineList(entries) } else { Event::EngineChanges(entries) });
+        self.events.push_back(if complete {
+            Event::EngineList(entries)
+        } else {
+            Event::EngineChanges(entries)
+        });
         for attempt in back {
-            out.push(Instruction::Withdraw(attempt));
-            self.settle(now, attempt, settled(Outcome::Skipped), out);
+            out.push(Instruction::Cancel(attempt));
+            self.settle(now, attempt, settled(Outcome::NeverSent), out);
         }
     }
 
@@ -467,7 +477,7 @@
         if self.books.is_out(attempt) {
             self.settle(now, attempt, end, out);
         } else {
-            self.counts.late += 1;
+            self.counts.late_endings += 1;
         }
     }
 
@@ -487,18 +497,18 @@
         } else if owed && began {
             self.books.answer(attempt.query);
             self.counts.failed += 1;
-            out.push(Instruction::Answer(attempt.query, Answer::Broken));
+            out.push(Instruction::Answer(attempt.query, Answer::Interrupted));
             last = true;
         }
         let took = took.unwrap_or((now - sent).max(Micros(0)));
         let (query, attempt) = (attempt.query, attempt.number);
-        self.events.push_back(Event::Ended(Ending {
+        self.events.push_back(Event::AttemptEnded(AttemptEnd {
             query,
             attempt,
             outcome,
-            last,
-            took,
-            billed_work,
+            query_over: last,
+            elapsed: took,
+            reported_work: billed_work,
             report,
         }));
     }
@@ -507,8 +517,8 @@
     fn run(&mut self, now: Micros, out: &mut Vec<Instruction>) {
         while let Some(event) = self.events.pop_front() {
             let about = match &event {
-                Event::Ended(e) => Some(e.query),
-                Event::Departed(q) => Some(*q),
+                Event::AttemptEnded(e) => Some(e.query),
+                Event::Abandoned(q) => Some(*q),
                 _ => None,
             };
             if let Some(heard) = &mut self.heard {
@@ -528,35 +538,35 @@
 
     fn carry_out(&mut self, now: Micros, action: Action, out: &mut Vec<Instruction>) {
         match action {
-            Action::Send { query, engine, time_out } => {
-                let limited = self.bounds.withdraw_wait < Bounds::TOLD;
+            Action::Send { query, engine, timeout: time_out } => {
+                let limited = self.bounds.cancel_confirmation_timeout < DriverLimits::EXTERNALLY_TIMED;
                 if let Some((attempt, terms)) = self.books.start(now, query, engine, time_out, limited) {
                     self.counts.attempts += 1;
-                    self.counts.further += u64::from(attempt.number > 0);
-                    out.push(Instruction::Start { attempt, engine, terms });
+                    self.counts.retries += u64::from(attempt.number > 0);
+                    out.push(Instruction::Start { attempt, engine, options: terms });
                 }
             }
-            Action::Terms { query, grant_mb, priority } => {
-                let terms = Terms { grant_mb, priority };
+            Action::SetOptions { query, grant_mb, priority } => {
+                let terms = AttemptOptions { grant_mb, priority };
                 self.books.set_terms(query, terms);
                 for attempt in self.books.written_out(query) {
-                    out.push(Instruction::SetTerms(attempt, terms));
+                    out.push(Instruction::SetOptions(attempt, terms));
                 }
             }
             Action::Cancel { query, attempt: number } => {
                 let attempt = AttemptId { query, number };
-                if !self.books.withdraw(attempt, now + self.bounds.withdraw_wait) {
+                if !self.books.withdraw(attempt, now + self.bounds.cancel_confirmation_timeout) {
                     return;
                 }
-                out.push(Instruction::Withdraw(attempt));
+                out.push(Instruction::Cancel(attempt));
                 if !self.books.written(attempt) {
-                    self.settle(now, attempt, settled(Outcome::Skipped), out);
+                    self.settle(now, attempt, settled(Outcome::NeverSent), out);
                 }
             }
-            Action::Refuse { query, retry_after } => {
+            Action::Reject { query, retry_after } => {
                 if self.books.answer(query) {
-                    self.counts.refused += 1;
-                    out.push(Instruction::Answer(query, Answer::Refused { retry_after }));
+                    self.counts.rejected += 1;
+                    out.push(Instruction::Answer(query, Answer::Rejected { retry_after }));
                 }
             }
             Action::Fail { query } => {
@@ -566,11 +576,11 @@
                     out.push(Instruction::Answer(query, Answer::Failed { may_have_run }));
                 }
             }
-            Action::Timer { token, after } => {
+            Action::SetTimer { token, after } => {
                 self.books.wake_at(now + after, Wake::Module(token));
             }
             Action::Probe(engine) => out.push(Instruction::Probe(engine)),
-            Action::Tell(words) => out.push(Instruction::Tell(words)),
+            Action::ShareReports(words) => out.push(Instruction::ShareReports(words)),
             Action::Subscribe => out.push(Instruction::Subscribe),
             Action::Log(text) => out.push(Instruction::Log(text)),
         }
--- a/crates/driver/tests/order_of_events.rs
+++ b/crates/driver/tests/order_of_events.rs
@@ -5,43 +5,47 @@
 use wheelfield::interface::*;
 use wheelfield_driver::*;
 
-fn class(effect: Effect) -> Class {
+fn class(effect: ExecutionSemantics) -> Class {
     Class {
-        aim: Micros::from_secs(1.0),
-        deadline: Micros::from_secs(4.0),
-        worth: 1.0,
-        effect,
+        latency_objective: Micros::from_secs_f64(1.0),
+        deadline: Micros::from_secs_f64(4.0),
+        value: 1.0,
+        semantics: effect,
         threads: 1.0,
-        window: Micros::from_secs(2.0),
+        deduplication_window: Micros::from_secs_f64(2.0),
         ..Class::default()
     }
 }
 
 fn settings() -> Settings {
     Settings {
-        gateways: 1.0,
-        classes: vec![class(Effect::Repeatable), class(Effect::Once), class(Effect::ByKey)],
+        gateway_count: 1.0,
+        classes: vec![
+            class(ExecutionSemantics::Idempotent),
+            class(ExecutionSemantics::AtMostOnce),
+            class(ExecutionSemantics::IdempotencyKey),
+        ],
         cores: vec![8.0],
         memory_mb: vec![1000.0],
-        cancel: true,
-        reports: true,
+        cancellation: true,
+        load_reports: true,
         reports_utilisation: true,
         max_attempts: 4,
-        note_every: Micros::from_secs(1.0),
-        cold_from: 0.4,
-        cold_for: Micros::from_secs(5.0),
-        fall_multiple: 3.0,
-        fall_span: Micros::from_secs(1.0),
+        progress_interval: Micros::from_secs_f64(1.0),
+        slow_start_initial_fraction: 0.4,
+        slow_start_duration: Micros::from_secs_f64(5.0),
+        overload_multiple: 3.0,
+        overload_window: Micros::from_secs_f64(1.0),
         ..Settings::default()
     }
 }
 
 fn engine(n: u64, status: Status) -> EngineEntry {
-    EngineEntry { engine: EngineId(n), zone: 0, kind: 0, cell: n as i64, status, started: None }
+    EngineEntry { engine: EngineId(n), zone: 0, kind: 0, cell: n as i64, status, started_at: None }
 }
 
 fn arrival(class: usize, now: Micros) -> Arrival {
-    Arrival { class, due: now + Micros::from_secs(4.0), work_hint: Some(0.2), ..Arrival::default() }
+    Arrival { class, deadline: now + Micros::from_secs_f64(4.0), work_hint: Some(0.2), ..Arrival::default() }
 }
 
 /// What a query may look like from outside, kept apart from the driver's own books.
@@ -72,7 +76,7 @@
 
 impl World {
     fn new() -> World {
-        let bounds = Bounds { queries: 200, ..Bounds::default() };
+        let bounds = DriverLimits { max_queries: 200, ..DriverLimits::default() };
         let driver = Driver::new(settings(), 5, bounds);
         let mut world = World {
             driver,
@@ -83,20 +87,20 @@
         };
         world.tell(Input::Started);
         let entries = (1..=4).map(|n| engine(n, Status::Up)).collect();
-        world.tell(Input::Engines { whole: true, entries });
+        world.tell(Input::Engines { complete: true, entries });
         world
     }
 
     fn tell(&mut self, input: Input) {
         let mut out = Vec::new();
-        self.driver.tell(self.now, input, &mut out);
+        self.driver.handle_input(self.now, input, &mut out);
         self.check(out);
     }
 
     fn arrive(&mut self, class: usize) {
         let mut out = Vec::new();
-        if let Ok(id) = self.driver.arrive(self.now, arrival(class, self.now), &mut out) {
-            let due = self.now + Micros::from_secs(4.0);
+        if let Ok(id) = self.driver.submit(self.now, arrival(class, self.now), &mut out) {
+            let due = self.now + Micros::from_secs_f64(4.0);
             self.seen.insert(id, Seen { class, due, ..Seen::default() });
         }
         self.check(out);
@@ -105,7 +109,7 @@
     fn pass(&mut self, by: i64) {
         self.now = self.now + Micros(by);
         let mut out = Vec::new();
-        self.driver.due(self.now, &mut out);
+        self.driver.handle_timers(self.now, &mut out);
         self.check(out);
         for (id, seen) in &self.seen {
             let late = self.now >= seen.due && seen.answers == 0 && !seen.departed;
@@ -117,7 +121,7 @@
     /// An answer that has begun is timed by the wire.
     fn answering(&self, id: QueryId) -> bool {
         let attempts = self.seen[&id].attempts.keys();
-        attempts.clone().any(|n| self.driver.is_out(AttemptId { query: id, number: *n }))
+        attempts.clone().any(|n| self.driver.is_in_flight(AttemptId { query: id, number: *n }))
     }
 
     fn check(&mut self, out: Vec<Instruction>) {
@@ -135,7 +139,7 @@
                     assert!(seen.class != 1 || !may_have_run, "a once-only query is sent again");
                     seen.attempts.insert(attempt.number, Attempted::default());
                 }
-                Instruction::Withdraw(attempt) => {
+                Instruction::Cancel(attempt) => {
                     let seen = self.seen.get_mut(&attempt.query).expect("known");
                     let a = seen.attempts.get_mut(&attempt.number).expect("started");
                     a.taken_back = !a.written;
@@ -148,7 +152,7 @@
                     let ran = |a: &Attempted| {
                         a.written && !a.taken_back && !a.outcome.is_some_and(Outcome::never_ran)
                     };
-                    if matches!(answer, Answer::Refused { .. }) && seen.class == 1 {
+                    if matches!(answer, Answer::Rejected { .. }) && seen.class == 1 {
                         assert!(!seen.attempts.values().any(ran), "refused though it may have run");
                     }
                 }
@@ -167,7 +171,7 @@
     }
 
     fn end(&mut self, attempt: AttemptId, outcome: Outcome) {
-        let counts = self.driver.is_out(attempt);
+        let counts = self.driver.is_in_flight(attempt);
         let serves = outcome == Outcome::Served && self.driver.may_answer(attempt);
         let seen = self.seen.get_mut(&attempt.query).expect("known");
         let a = seen.attempts.get_mut(&attempt.number).expect("started");
@@ -182,7 +186,12 @@
             seen.answers += 1;
             assert_eq!(seen.answers, 1, "served after an answer");
         }
-        self.tell(Input::Ended { attempt, outcome, billed_work: None, report: Report::default() });
+        self.tell(Input::AttemptEnded {
+            attempt,
+            outcome,
+            reported_work: None,
+            report: LoadReport::default(),
+        });
     }
 }
 
@@ -236,7 +245,7 @@
                 Step::Begin(pick) => {
                     if let Some(a) = world.nth_attempt(pick) {
                         if world.seen[&a.query].attempts[&a.number].written {
-                            world.tell(Input::Began(a));
+                            world.tell(Input::AnswerStarted(a));
                         }
                     }
                 }
@@ -252,17 +261,17 @@
                     if let Some(a) = world.nth_attempt(pick) {
                         let owed = world.driver.owes(a.query);
                         world.seen.get_mut(&a.query).expect("known").departed |= owed;
-                        world.tell(Input::Departed(a.query));
+                        world.tell(Input::Abandoned(a.query));
                     }
                 }
                 Step::Pass(by) => world.pass(by),
                 Step::Drain(n) => {
                     world.up.remove(&n);
-                    world.tell(Input::Engines { whole: false, entries: vec![engine(n, Status::Draining)] });
+                    world.tell(Input::Engines { complete: false, entries: vec![engine(n, Status::Draining)] });
                 }
                 Step::Back(n) => {
                     world.up.insert(n);
-                    world.tell(Input::Engines { whole: false, entries: vec![engine(n, Status::Up)] });
+                    world.tell(Input::Engines { complete: false, entries: vec![engine(n, Status::Up)] });
                 }
             }
         }
@@ -270,7 +279,7 @@
         let left: Vec<AttemptId> = (0..world.started).filter_map(|n| world.nth_attempt(n)).collect();
         world.pass(30_000_000);
         for a in left {
-            world.tell(Input::Ended { attempt: a, outcome: Outcome::Reset, billed_work: None, report: Report::default() });
+            world.tell(Input::AttemptEnded { attempt: a, outcome: Outcome::Reset, reported_work: None, report: LoadReport::default() });
         }
         world.pass(1_000_000);
         prop_assert_eq!(world.driver.held(), 0);
@@ -280,15 +289,15 @@
     #[test]
     fn the_same_inputs_give_the_same_instructions(classes in prop::collection::vec(0usize..3, 1..60)) {
         let run = || {
-            let mut driver = Driver::new(settings(), 9, Bounds::default());
+            let mut driver = Driver::new(settings(), 9, DriverLimits::default());
             let mut out = Vec::new();
-            driver.tell(Micros(0), Input::Started, &mut out);
+            driver.handle_input(Micros(0), Input::Started, &mut out);
             let entries = (1..=4).map(|n| engine(n, Status::Up)).collect();
-            driver.tell(Micros(0), Input::Engines { whole: true, entries }, &mut out);
+            driver.handle_input(Micros(0), Input::Engines { complete: true, entries }, &mut out);
             for (i, class) in classes.iter().enumerate() {
                 let now = Micros(i as i64 * 10_000);
-                driver.due(now, &mut out);
-                driver.arrive(now, arrival(*class, now), &mut out).expect("room");
+                driver.handle_timers(now, &mut out);
+                driver.submit(now, arrival(*class, now), &mut out).expect("room");
             }
             out
         };
--- a/crates/endpoints/src/file.rs
+++ b/crates/endpoints/src/file.rs
@@ -229,7 +229,8 @@
         }
         at => at.as_ref().map(|at| Micros(*at.get_ref())),
     };
-    let entry = EngineEntry { engine: engine_id(name), zone, kind, cell: l.cell, status, started };
+    let entry =
+        EngineEntry { engine: engine_id(name), zone, kind, cell: l.cell, status, started_at: started };
     Ok(Known { name: name.clone(), address, entry })
 }
 
@@ -289,7 +290,7 @@
         if e.status != Status::Up {
             let _ = writeln!(out, "status = \"{}\"", word(e.status));
         }
-        if let Some(started) = e.started {
+        if let Some(started) = e.started_at {
             let _ = writeln!(out, "started_us = {}", started.0);
         }
     }
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -93,7 +93,7 @@
     if place(a) != place(b) {
         parts.push("zone, kind or cell".to_string());
     }
-    if a.started != b.started {
+    if a.started_at != b.started_at {
         parts.push("last start".to_string());
     }
     format!("~ {}: {}", new.name, parts.join(", "))
--- a/crates/endpoints/src/merge.rs
+++ b/crates/endpoints/src/merge.rs
@@ -47,7 +47,7 @@
         if rank(b) > rank(a) {
             k.entry.status = b;
         }
-        k.entry.started = k.entry.started.max(other.entry.started);
+        k.entry.started_at = k.entry.started_at.max(other.entry.started_at);
     }
     let strangers = told.engines.iter().filter(|(id, _)| !file.engines.contains_key(id));
     found.extend(strangers.map(|(_, k)| Contradiction::Unlisted(k.name.clone())));
--- a/crates/endpoints/src/tracker.rs
+++ b/crates/endpoints/src/tracker.rs
@@ -107,10 +107,10 @@
     /// Takes a set of files. What was not there before, or was gone, and does not tell its last start, starts now: it
     /// may be cold, and all controllers take it for that.
     pub fn set_from_files(&mut self, mut set: EngineSet, now: Micros) -> Change {
-        for (id, k) in set.engines.iter_mut().filter(|(_, k)| k.entry.started.is_none()) {
+        for (id, k) in set.engines.iter_mut().filter(|(_, k)| k.entry.started_at.is_none()) {
             let old = self.known.get(id);
-            k.entry.started = match old {
-                Some(old) if old.entry.status != Status::Removed => old.entry.started,
+            k.entry.started_at = match old {
+                Some(old) if old.entry.status != Status::Removed => old.entry.started_at,
                 _ if !self.told => None,
                 _ => Some(now),
             };
@@ -128,7 +128,7 @@
                 kind: e.kind,
                 cell: e.cell,
                 status: Status::Up,
-                started: None,
+                started_at: None,
             };
             (engine, Known { name: e.name.clone(), address: e.address, entry })
         };
@@ -179,7 +179,7 @@
                 Standing::Draining => Status::Draining,
                 Standing::Removed => Status::Removed,
             },
-            started: line.started_us.map(Micros),
+            started_at: line.started_us.map(Micros),
         };
         if let Some(twice) = engines.insert(engine, Known { name: line.id, address, entry }) {
             return Err(ListError::Twice(twice.name));
--- a/crates/endpoints/tests/sets.rs
+++ b/crates/endpoints/tests/sets.rs
@@ -400,13 +400,13 @@
     let set = |text: &str| read("x", text, &mut places()).expect("sound").set;
     let first = engines.set_from_files(set(&fleet(1, 3)), Micros(SECOND));
     assert!(
-        first.whole && first.entries.iter().all(|e| e.started.is_none()),
+        first.whole && first.entries.iter().all(|e| e.started_at.is_none()),
         "at the start, all are taken for warm"
     );
     let change = engines.set_from_files(set(&fleet(2, 4)), Micros(50 * SECOND));
     assert_eq!(change.entries.len(), 1);
     assert_eq!(
-        (change.entries[0].engine, change.entries[0].started),
+        (change.entries[0].engine, change.entries[0].started_at),
         (engine_id("e3"), Some(Micros(50 * SECOND)))
     );
     // It keeps that start with later sets; gone and back, it starts anew.
@@ -414,7 +414,7 @@
     let gone = engines.set_from_files(set(&fleet(4, 3)), Micros(61 * SECOND));
     assert_eq!((gone.entries.len(), gone.entries[0].status), (1, Status::Removed));
     let back = engines.set_from_files(set(&fleet(5, 4)), Micros(62 * SECOND));
-    assert_eq!((back.entries[0].status, back.entries[0].started), (Status::Up, Some(Micros(62 * SECOND))));
+    assert_eq!((back.entries[0].status, back.entries[0].started_at), (Status::Up, Some(Micros(62 * SECOND))));
 }
 
 #[test]
@@ -454,7 +454,7 @@
         (Status::Draining, Status::Up, Status::Draining, Status::Up)
     );
     assert_eq!(merged.engines.len(), 4, "who is not in the file is not there");
-    assert_eq!(merged.engines[&engine_id("e1")].entry.started, Some(Micros(1_764_586_000_000_000)));
+    assert_eq!(merged.engines[&engine_id("e1")].entry.started_at, Some(Micros(1_764_586_000_000_000)));
     assert_eq!(merged.engines[&engine_id("e3")].address.port(), 5_503);
     assert_eq!(
         found,
--- a/crates/gossip/src/words.rs
+++ b/crates/gossip/src/words.rs
@@ -20,7 +20,7 @@
     Old,
     /// More than a member may send.
     #[error("more words than a member may send")]
-    Crowded,
+    CapacityExceeded,
 }
 
 /// What may pass within a second. It starts full.
@@ -137,7 +137,7 @@
         }
         heard.ration.refill(rate, now);
         if !heard.ration.holds(bytes as u64) {
-            return Err(Untaken::Crowded);
+            return Err(Untaken::CapacityExceeded);
         }
         heard.ration.spend(bytes as u64);
         (heard.start, heard.sequence) = (start, sequence);
--- a/crates/invariant-check/src/gather.rs
+++ b/crates/invariant-check/src/gather.rs
@@ -69,7 +69,7 @@
         let Some(start) = player.start.clone() else { return Ok(Some(player.verdict())) };
         let names = Names { engines: player.engines.clone(), classes: start.classes.clone() };
         let same = |a: &Settings, b: &Settings| {
-            let plain = |s: &Settings| Settings { index: 0.0, zone: None, ..s.clone() };
+            let plain = |s: &Settings| Settings { gateway_index: 0.0, zone: None, ..s.clone() };
             plain(a) == plain(b)
         };
         if known.as_ref().is_some_and(|k| !same(k, &start.settings)) {
@@ -108,7 +108,7 @@
             }
             if let Some(driver) = player.driver() {
                 run.step(&step, driver);
-                due = driver.next_due();
+                due = driver.next_timer_at();
             }
             last = Some(step.at);
         }
@@ -151,8 +151,8 @@
             let (n, sum) = self.work.get(&i).copied().unwrap_or_default();
             OfClass {
                 name: self.names.get(i).cloned().unwrap_or_else(|| i.to_string()),
-                zones: named(&c.zones, c.nowhere),
-                kinds: named(&c.kinds, c.nowhere),
+                zones: named(&c.zones, c.no_engine_permitted),
+                kinds: named(&c.kinds, c.no_engine_permitted),
                 usual_work: if n > 0 { sum / n as f64 } else { 0.0 },
             }
         };
@@ -178,9 +178,9 @@
     fn line(&mut self, at: Micros, event: &str, attempt: AttemptId, engine: EngineId) {
         let entry = self.engines.get(&engine);
         let s = self.settings;
-        let warmth = entry.and_then(|e| e.started).map_or(1.0, |started| {
-            let grown = (at - started).secs() / s.cold_for.secs().max(1e-6);
-            s.cold_from + (1.0 - s.cold_from) * grown.clamp(0.0, 1.0)
+        let warmth = entry.and_then(|e| e.started_at).map_or(1.0, |started| {
+            let grown = (at - started).as_secs_f64() / s.slow_start_duration.as_secs_f64().max(1e-6);
+            s.slow_start_initial_fraction + (1.0 - s.slow_start_initial_fraction) * grown.clamp(0.0, 1.0)
         });
         let place = |x: usize| if x == usize::MAX { "?".to_string() } else { x.to_string() };
         let line = Line {
@@ -231,7 +231,7 @@
                         key: arrival.key.clone(),
                         controller: self.controller,
                         sent: step.at.0,
-                        due: arrival.due.0,
+                        due: arrival.deadline.0,
                         ended: 0,
                         end: None,
                         answers: 0,
@@ -243,7 +243,7 @@
                     }
                 }
             }
-            Told::Input(Input::Engines { whole, entries }) => self.listed(step.at, *whole, entries),
+            Told::Input(Input::Engines { complete: whole, entries }) => self.listed(step.at, *whole, entries),
             Told::Input(Input::Dispatched(attempt)) => {
                 if let Some(engine) = self.attempts.get(attempt).copied() {
                     self.written.insert(*attempt);
@@ -251,8 +251,8 @@
                 }
             }
             Told::Input(
-                Input::Ended { attempt, outcome, billed_work, .. }
-                | Input::Measured { attempt, outcome, billed_work, .. },
+                Input::AttemptEnded { attempt, outcome, reported_work: billed_work, .. }
+                | Input::AttemptMeasured { attempt, outcome, reported_work: billed_work, .. },
             ) => {
                 self.settled(step.at, *attempt, *outcome);
                 let class =
@@ -270,7 +270,7 @@
                     self.ended(attempt.query, step.at, End::Served);
                 }
             }
-            Told::Input(Input::Departed(query)) => self.ended(*query, step.at, End::Left),
+            Told::Input(Input::Abandoned(query)) => self.ended(*query, step.at, End::Left),
             _ => {}
         }
         for instruction in &step.out {
@@ -280,13 +280,13 @@
                     self.all.attempts += 1;
                     self.line(step.at, "sent", *attempt, *engine);
                 }
-                Instruction::Withdraw(attempt) => {
+                Instruction::Cancel(attempt) => {
                     self.withdrawn.insert(*attempt);
                 }
                 Instruction::Answer(query, answer) => {
                     let end = match answer {
-                        Answer::Refused { .. } => End::Refused,
-                        Answer::Failed { .. } | Answer::Broken => End::Failed,
+                        Answer::Rejected { .. } => End::Refused,
+                        Answer::Failed { .. } | Answer::Interrupted => End::Failed,
                     };
                     self.ended(*query, step.at, end);
                 }
@@ -295,7 +295,8 @@
         }
         // What was withdrawn is over once the driver counts it no more: at once if its time was up, else when its engine
         // tells so, or in time if that never comes.
-        let over: Vec<AttemptId> = self.withdrawn.iter().filter(|a| !driver.is_out(**a)).copied().collect();
+        let over: Vec<AttemptId> =
+            self.withdrawn.iter().filter(|a| !driver.is_in_flight(**a)).copied().collect();
         for attempt in over {
             self.withdrawn.remove(&attempt);
             self.settled(step.at, attempt, Outcome::TimedOut);
@@ -334,7 +335,7 @@
                 self.not_up.insert(e.engine);
             }
             let name = self.names.engine(e.engine);
-            if let Some(started) = e.started {
+            if let Some(started) = e.started_at {
                 if self.all.starts.insert((e.engine, started)) {
                     let restarted = Line {
                         t: started.0,
--- a/crates/invariant-check/tests/planted.rs
+++ b/crates/invariant-check/tests/planted.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use wheelfield::interface::*;
 use wheelfield_capture::{Limits, Recorder, Start, Told};
-use wheelfield_driver::{Answer, Arrival, AttemptId, Bounds, Driver, Input, Instruction};
+use wheelfield_driver::{Answer, Arrival, AttemptId, Driver, DriverLimits, Input, Instruction};
 use wheelfield_invariant_check::{check, Checked};
 
 const MS: i64 = 1000;
@@ -15,30 +15,30 @@
 
 fn settings() -> Settings {
     let class = Class {
-        aim: Micros(500 * MS),
+        latency_objective: Micros(500 * MS),
         deadline: Micros(2_000 * MS),
-        worth: 1.0,
+        value: 1.0,
         threads: 1.0,
         ..Class::default()
     };
     Settings {
-        gateways: 1.0,
+        gateway_count: 1.0,
         classes: vec![
             class.clone(),
-            Class { effect: Effect::Once, ..class.clone() },
-            Class { in_order: true, ..class.clone() },
+            Class { semantics: ExecutionSemantics::AtMostOnce, ..class.clone() },
+            Class { ordered_by_key: true, ..class.clone() },
             Class { zones: vec![0], ..class },
         ],
         cores: vec![4.0],
         memory_mb: vec![1000.0],
-        cancel: true,
+        cancellation: true,
         max_attempts: 3,
-        cold_from: 0.25,
-        cold_for: Micros(10_000 * MS),
-        fall_multiple: 2.0,
-        fall_span: Micros(1_000 * MS),
-        order_pause: Micros(200 * MS),
-        attempt_budget: Some(AttemptBudget { free: 6.0, share: 0.1, span: Micros(1_000 * MS) }),
+        slow_start_initial_fraction: 0.25,
+        slow_start_duration: Micros(10_000 * MS),
+        overload_multiple: 2.0,
+        overload_window: Micros(1_000 * MS),
+        key_cooldown: Micros(200 * MS),
+        retry_budget: Some(RetryBudget { guaranteed: 6.0, fraction: 0.1, window: Micros(1_000 * MS) }),
         ..Settings::default()
     }
 }
@@ -52,7 +52,7 @@
 }
 
 fn engine(n: u64, status: Status, started: Option<Micros>) -> EngineEntry {
-    EngineEntry { engine: EngineId(n), zone: (n % 2) as usize, kind: 0, cell: 0, status, started }
+    EngineEntry { engine: EngineId(n), zone: (n % 2) as usize, kind: 0, cell: 0, status, started_at: started }
 }
 
 /// What is to happen, by time; equal times in the order they were planned.
@@ -67,30 +67,30 @@
 /// A driver on a wire that serves each attempt after 30 ms; every tenth query is turned away once, and at 1.5 s engine
 /// 4 is told to drain, at 2 s engine 3 to have restarted.
 fn day() -> Vec<Step> {
-    let mut driver = Driver::new(settings(), 7, Bounds::default());
+    let mut driver = Driver::new(settings(), 7, DriverLimits::default());
     let mut agenda = Agenda::new();
     plan(&mut agenda, 0, Told::Input(Input::Started));
     let all = (1..=4).map(|n| engine(n, Status::Up, None)).collect();
-    plan(&mut agenda, MS, Told::Input(Input::Engines { whole: true, entries: all }));
+    plan(&mut agenda, MS, Told::Input(Input::Engines { complete: true, entries: all }));
     for n in 0..80 {
         let class = (n % 4) as usize;
         let at = (100 + n * 40) * MS;
         let arrival = Arrival {
             class,
             key: (class == ORDERED).then(|| "key".to_string()),
-            due: Micros(at + 2_000 * MS),
+            deadline: Micros(at + 2_000 * MS),
             work_hint: Some(0.03),
             ..Arrival::default()
         };
         plan(&mut agenda, at, Told::Arrive { arrival, label: format!("q{n}") });
     }
-    let change = |e| Told::Input(Input::Engines { whole: false, entries: vec![e] });
+    let change = |e| Told::Input(Input::Engines { complete: false, entries: vec![e] });
     plan(&mut agenda, 1_500 * MS, change(engine(4, Status::Draining, None)));
     plan(&mut agenda, 2_000 * MS, change(engine(3, Status::Up, Some(Micros(2_000 * MS)))));
     let mut steps = Vec::new();
     while let Some(((at, _), told)) = agenda.pop_first() {
         let mut todo = vec![(at, told)];
-        while let Some(due) = driver.next_due().filter(|d| d.0 <= todo[0].0) {
+        while let Some(due) = driver.next_timer_at().filter(|d| d.0 <= todo[0].0) {
             todo.insert(0, (due.0, Told::Due));
             run(&mut driver, &mut agenda, &mut steps, todo.remove(0));
         }
@@ -100,7 +100,7 @@
     }
     // The rest of the time passes, so that every query's limit lies within.
     let (mut now, end) = (Micros(0), Micros(8_000 * MS));
-    while let Some(due) = driver.next_due().filter(|d| *d <= end) {
+    while let Some(due) = driver.next_timer_at().filter(|d| *d <= end) {
         now = now.max(due);
         run(&mut driver, &mut agenda, &mut steps, (now.0, Told::Due));
     }
@@ -112,7 +112,7 @@
     // A wire asks before it writes, and tells no end of what it did not write.
     let idle = match &told {
         Told::Input(Input::Dispatched(attempt)) => !driver.may_write(Micros(at), *attempt),
-        Told::Input(Input::Ended { attempt, .. }) => !driver.is_out(*attempt),
+        Told::Input(Input::AttemptEnded { attempt, .. }) => !driver.is_in_flight(*attempt),
         _ => false,
     };
     if idle {
@@ -125,8 +125,9 @@
             plan(agenda, at + MS, Told::Input(Input::Dispatched(*attempt)));
             let full = attempt.query.0 % 10 == 3 && attempt.number == 0;
             let outcome = if full { Outcome::Full } else { Outcome::Served };
-            let (report, billed_work) = (Report::default(), (!full).then_some(0.03));
-            let ended = Input::Ended { attempt: *attempt, outcome, billed_work, report };
+            let (report, billed_work) = (LoadReport::default(), (!full).then_some(0.03));
+            let ended =
+                Input::AttemptEnded { attempt: *attempt, outcome, reported_work: billed_work, report };
             plan(agenda, at + 30 * MS, Told::Input(ended));
         }
     }
@@ -139,11 +140,11 @@
         index: 0,
         seed: 7,
         settings: settings(),
-        bounds: Bounds::default(),
+        bounds: DriverLimits::default(),
         classes: ["any", "once", "ordered", "bound"].map(String::from).to_vec(),
         tenants: Vec::new(),
     };
-    let driver = Driver::new(settings(), 7, Bounds::default());
+    let driver = Driver::new(settings(), 7, DriverLimits::default());
     let limits = Limits { queue: 1 << 16, checkpoint: Micros(i64::MAX), ..Limits::default() };
     let mut recorder = Recorder::begin(path, start, limits, &driver, Micros(0)).expect("a file");
     recorder.engines(Micros(0), (1..=4).map(|n| (EngineId(n), format!("engine-{n}"))));
@@ -189,8 +190,8 @@
 fn also(steps: &mut Vec<Step>, at: usize, query: QueryId, number: usize, engine: EngineId) {
     let attempt = AttemptId { query, number };
     let when = steps[at].at;
-    let terms = wheelfield_driver::Terms::default();
-    steps[at].out.push(Instruction::Start { attempt, engine, terms });
+    let terms = wheelfield_driver::AttemptOptions::default();
+    steps[at].out.push(Instruction::Start { attempt, engine, options: terms });
     let told = Told::Input(Input::Dispatched(attempt));
     steps.insert(at + 1, Step { at: when, told, taken: None, out: Vec::new() });
 }
@@ -208,7 +209,7 @@
 fn a_query_without_its_answer_with_two_or_with_a_late_one_is_lost() {
     let unserved = |steps: &mut Vec<Step>, query: QueryId| {
         steps.retain(
-            |s| !matches!(&s.told, Told::Input(Input::Ended { attempt, .. }) if attempt.query == query),
+            |s| !matches!(&s.told, Told::Input(Input::AttemptEnded { attempt, .. }) if attempt.query == query),
         );
         for s in steps {
             s.out.retain(|i| !matches!(i, Instruction::Answer(q, _) if *q == query));
@@ -272,7 +273,9 @@
             for s in steps.iter_mut() {
                 match &mut s.told {
                     Told::Arrive { arrival, .. } => arrival.work_hint = Some(0.2),
-                    Told::Input(Input::Ended { billed_work, .. }) => *billed_work = Some(0.2),
+                    Told::Input(Input::AttemptEnded { reported_work: billed_work, .. }) => {
+                        *billed_work = Some(0.2)
+                    }
                     _ => {}
                 }
                 for i in &mut s.out {
@@ -295,13 +298,13 @@
             let (_, query, _) = arrival(steps, ORDERED, 6);
             let (at, _, _) = arrival(steps, ORDERED, 5);
             // The sixth is written while the fifth runs, although it came only later.
-            let told = Told::Input(Input::Ended {
+            let told = Told::Input(Input::AttemptEnded {
                 attempt: AttemptId { query: steps[at].taken.expect("taken"), number: 0 },
                 outcome: Outcome::Served,
-                billed_work: None,
-                report: Report::default(),
+                reported_work: None,
+                report: LoadReport::default(),
             });
-            let ends = |s: &Step| matches!((&s.told, &told), (Told::Input(Input::Ended { attempt: a, .. }), Told::Input(Input::Ended { attempt: b, .. })) if a == b);
+            let ends = |s: &Step| matches!((&s.told, &told), (Told::Input(Input::AttemptEnded { attempt: a, .. }), Told::Input(Input::AttemptEnded { attempt: b, .. })) if a == b);
             let end = steps.iter().position(ends).expect("its end");
             let late = steps.iter().position(|s| s.taken == Some(query)).expect("the next") + 3;
             // Its end is told only after the next was written.
@@ -361,14 +364,14 @@
     let dir = tempfile::tempdir().expect("a directory");
     let (one, other) = (dir.path().join("a.wfcap"), dir.path().join("b.wfcap"));
     write(&one, &day());
-    let driver = Driver::new(settings(), 7, Bounds::default());
+    let driver = Driver::new(settings(), 7, DriverLimits::default());
     let altered = Settings { max_attempts: 1, ..settings() };
     let start = Start {
         build: "test 0".into(),
         index: 1,
         seed: 7,
         settings: altered,
-        bounds: Bounds::default(),
+        bounds: DriverLimits::default(),
         classes: Vec::new(),
         tenants: Vec::new(),
     };
--- a/crates/invariants/src/judge.rs
+++ b/crates/invariants/src/judge.rs
@@ -3,7 +3,7 @@
 use crate::evidence::{Asked, End, Evidence, Line, Tolerance};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use wheelfield::interface::{DedupScope, Effect, Micros};
+use wheelfield::interface::{DeduplicationScope, ExecutionSemantics, Micros};
 
 /// The names of the rules, in their order; and last, that each answer is its own query's and whole.
 pub const RULES: [&str; 8] = ["lost", "twice", "drain", "cold", "order", "placement", "budget", "answer"];
@@ -216,9 +216,9 @@
                 .filter(|a| !a.refused)
                 .cloned()
                 .collect();
-            match class.effect {
-                Effect::Repeatable => {}
-                Effect::Once => {
+            match class.semantics {
+                ExecutionSemantics::Idempotent => {}
+                ExecutionSemantics::AtMostOnce => {
                     if ran.len() > 1 {
                         let where_: Vec<&str> = ran.iter().map(|a| a.received.engine.as_str()).collect();
                         self.breach(
@@ -235,16 +235,16 @@
                         );
                     }
                 }
-                Effect::ByKey => {
+                ExecutionSemantics::IdempotencyKey => {
                     let Some((first, others)) = ran.split_first() else { continue };
                     for a in others {
                         let (one, other) = (first.received, a.received);
-                        let inside = match class.scope {
-                            DedupScope::All => true,
-                            DedupScope::Zone => one.zone == other.zone,
-                            DedupScope::Cell => one.cell == other.cell,
+                        let inside = match class.deduplication_scope {
+                            DeduplicationScope::All => true,
+                            DeduplicationScope::Zone => one.zone == other.zone,
+                            DeduplicationScope::Cell => one.cell == other.cell,
                         };
-                        let late = other.t - one.t > class.window.0 + self.e.tolerance.edge
+                        let late = other.t - one.t > class.deduplication_window.0 + self.e.tolerance.edge
                             && !self.hung(&other.engine, one.t, other.t);
                         if !inside || late {
                             let why = if inside { "after its window" } else { "outside of its group" };
@@ -302,10 +302,10 @@
     /// What cold engines were sent within the span, each time that one was sent something.
     fn sent_cold(&self) -> Vec<SentCold<'a>> {
         let s = self.e.settings;
-        let Micros(span) = s.fall_span;
+        let Micros(span) = s.overload_window;
         let mut sent: BTreeMap<&str, VecDeque<(i64, f64)>> = BTreeMap::new();
         let mut found = Vec::new();
-        if s.fall_multiple <= 0.0 || span <= 0 {
+        if s.overload_multiple <= 0.0 || span <= 0 {
             return found;
         }
         for line in self.e.log {
@@ -335,7 +335,7 @@
 
     /// Rule 4: all controllers together don't push over a cold engine.
     fn cold(&mut self) {
-        let multiple = self.e.settings.fall_multiple;
+        let multiple = self.e.settings.overload_multiple;
         let fell = self.e.log.iter().filter(|l| l.event == "fell_over");
         let mut found: Vec<(i64, String)> =
             fell.map(|l| (l.t, format!("{} was sent too much while cold and fell over", l.engine))).collect();
@@ -365,7 +365,7 @@
         let Tolerance { edge, unordered, .. } = self.e.tolerance;
         let mut lines: BTreeMap<(usize, &str), Vec<&Asked>> = BTreeMap::new();
         for t in self.e.asked {
-            let in_order = self.e.settings.classes.get(t.class).is_some_and(|c| c.in_order);
+            let in_order = self.e.settings.classes.get(t.class).is_some_and(|c| c.ordered_by_key);
             if let Some(key) = t.key.as_deref().filter(|_| in_order) {
                 lines.entry((t.controller, key)).or_default().push(t);
             }
@@ -430,8 +430,8 @@
 
     /// Rule 7: further attempts within the budget.
     fn budget(&mut self) {
-        let Some(budget) = self.e.settings.attempt_budget else { return };
-        let (span, edge) = (budget.span.0, self.e.tolerance.edge);
+        let Some(budget) = self.e.settings.retry_budget else { return };
+        let (span, edge) = (budget.window.0, self.e.tolerance.edge);
         // What a controller started, where that is known; else what arrived.
         let starts = self.e.log.iter().any(|l| l.event == "sent");
         let counted = if starts { "sent" } else { "received" };
@@ -479,7 +479,7 @@
                 }
                 let from = taken.partition_point(|t| *t < line.t - span - edge);
                 let to = taken.partition_point(|t| *t <= line.t + edge);
-                let allowed = budget.free + budget.share * (to - from) as f64;
+                let allowed = budget.guaranteed + budget.fraction * (to - from) as f64;
                 if further.len() as f64 > allowed {
                     found.push((
                         line.t,
--- a/crates/pg-gateway/src/dispatcher.rs
+++ b/crates/pg-gateway/src/dispatcher.rs
@@ -15,13 +15,13 @@
 use crate::registry::{Call, Told};
 use crate::shutdown::Stop;
 use crate::timer_event::TimerEvent;
-use crate::{injected_faults, peer_load, route};
+use crate::{peer_load, route};
 use rand::{rngs::StdRng, SeedableRng as _};
 use std::collections::VecDeque;
 use tracing::{debug, info, warn};
-use wheelfield::interface::{Effect as Class, EngineId, Micros, Outcome, QueryId, Report, Status};
+use wheelfield::interface::{EngineId, ExecutionSemantics, LoadReport, Micros, Outcome, QueryId, Status};
 use wheelfield_config::Config;
-use wheelfield_driver::{Answer, AttemptId, Input, Instruction, Terms};
+use wheelfield_driver::{Answer, AttemptId, AttemptOptions, Input, Instruction};
 use wheelfield_endpoints::tracker::{from_registry, Change};
 use wheelfield_pg::back::Trouble;
 use wheelfield_pg::client::Unit;
@@ -37,7 +37,7 @@
     pub out: EffectQueue,
     pub tape: RecordingDriver,
     pub clients: Clients,
-    units: InFlightQueries,
+    pub units: InFlightQueries,
     pub engines: Engines,
     pub sets: EndpointSets,
     pub call: Call,
@@ -51,8 +51,8 @@
     cancels_heard: u64,
     hints_ignored: u64,
     probes: (u64, u64),
-    plant: Option<FaultInjection>,
-    planted: u64,
+    pub plant: Option<FaultInjection>,
+    pub planted: u64,
 }
 
 impl Dispatcher {
@@ -86,7 +86,7 @@
     // --- what happened ---
 
     pub fn started(&mut self) {
-        self.tape.tell(self.out.now, Input::Started);
+        self.tape.handle_input(self.out.now, Input::Started);
         if self.config.registry.is_none() && !self.sets.of_files() {
             let change = self.sets.fixed(&self.config);
             self.changed(Some(change));
@@ -140,9 +140,9 @@
         self.changed(change);
         if let Some((count, index)) = self.gossip.as_mut().and_then(|g| g.news()) {
             self.out.saw(Coverage::GatewaysTold);
-            self.tape.tell(now, Input::Gateways { count, index });
+            self.tape.handle_input(now, Input::GatewayCountChanged { count, index });
         }
-        self.tape.tend(now);
+        self.tape.maintain_capture(now);
     }
 
     /// Does what is to be done until nothing is left.
@@ -153,7 +153,7 @@
                 self.heed(word);
             } else if let Some(id) = self.ready.pop_front() {
                 self.attend(id);
-            } else if let Some(instruction) = self.tape.take() {
+            } else if let Some(instruction) = self.tape.next_instruction() {
                 self.carry_out(instruction);
             } else if let Some(id) = self.readable.pop_front() {
                 self.read(id);
@@ -193,19 +193,19 @@
         match word {
             Word::Free(session, attempt) => self.dispatch(session, attempt),
             Word::Begins(session, attempt, client) => {
-                let may = self.tape.mind().may_answer(attempt);
+                let may = self.tape.decision_engine().may_answer(attempt);
                 match self.clients.sink(client).filter(|_| may) {
                     Some(sink) => {
                         self.engines.begin(session, sink, &mut self.out);
-                        self.tape.tell(now, Input::Began(attempt));
+                        self.tape.handle_input(now, Input::AnswerStarted(attempt));
                         self.clients.flush(client, &mut self.out);
                     }
                     None => self.engines.discard(session, &mut self.out),
                 }
             }
-            Word::Noted(attempt, note) => self.tape.tell(now, Input::Noted(attempt, note)),
+            Word::Noted(attempt, note) => self.tape.handle_input(now, Input::AttemptUpdated(attempt, note)),
             Word::Served { session, attempt, client, errored, clean } => {
-                let accepted = client.filter(|_| self.tape.mind().may_answer(attempt));
+                let accepted = client.filter(|_| self.tape.decision_engine().may_answer(attempt));
                 let Some(s) = self.engines.sessions.get_mut(session) else { return };
                 if let Some(sink) = accepted.and_then(|c| self.clients.sink(c)) {
                     if !s.backend.begun() {
@@ -215,7 +215,10 @@
                 let billed_work = s.backend.work_ms().map(|ms| ms / 1e3);
                 let report = engines::report(s.backend.load());
                 let outcome = Outcome::Served;
-                self.tape.tell(now, Input::Ended { attempt, outcome, billed_work, report });
+                self.tape.handle_input(
+                    now,
+                    Input::AttemptEnded { attempt, outcome, reported_work: billed_work, report },
+                );
                 self.out.saw(if accepted.is_none() {
                     Coverage::Crossed
                 } else if errored {
@@ -234,13 +237,14 @@
                     let id = self.units.label(attempt.query);
                     info!(query = attempt.query.0, id, engine, reason, "attempt ended by its engine");
                 }
-                self.tape.tell(now, Input::Ended { attempt, outcome, billed_work: None, report });
+                self.tape
+                    .handle_input(now, Input::AttemptEnded { attempt, outcome, reported_work: None, report });
             }
             Word::Probed(engine, outcome, report) => {
                 let served = u64::from(outcome == Outcome::Served);
                 self.probes = (self.probes.0 + served, self.probes.1 + 1 - served);
                 self.out.saw(if served > 0 { Coverage::Probed } else { Coverage::ProbeLost });
-                self.tape.tell(now, Input::Probed { engine, outcome, report });
+                self.tape.handle_input(now, Input::ProbeEnded { engine, outcome, report });
             }
             Word::Cut(client) => self.client_gone(client),
             Word::Readable(session, client) => {
@@ -255,18 +259,21 @@
     /// Writes an attempt to a session that is there for it.
     fn dispatch(&mut self, session: ConnId, attempt: AttemptId) {
         let planted = self.plant == Some(FaultInjection::Drained);
-        if !self.tape.mind().may_write(Micros(self.out.now), attempt) && !planted
+        if !self.tape.decision_engine().may_write(Micros(self.out.now), attempt) && !planted
             || self.units.get(attempt.query).is_none()
         {
             self.out.saw(Coverage::NotWritten);
             // A repeat that came too late is out still, and was not sent.
-            if self.tape.mind().is_out(attempt) {
-                let (outcome, billed_work, report) = (Outcome::Skipped, None, Report::default());
-                self.tape.tell(self.out.now, Input::Ended { attempt, outcome, billed_work, report });
+            if self.tape.decision_engine().is_in_flight(attempt) {
+                let (outcome, billed_work, report) = (Outcome::NeverSent, None, LoadReport::default());
+                self.tape.handle_input(
+                    self.out.now,
+                    Input::AttemptEnded { attempt, outcome, reported_work: billed_work, report },
+                );
             }
             return self.engines.rest(session, &mut self.out);
         }
-        self.tape.tell(self.out.now, Input::Dispatched(attempt));
+        self.tape.handle_input(self.out.now, Input::Dispatched(attempt));
         let wanted = self.swapped(attempt.query).unwrap_or(attempt.query);
         if let Some(unit) = self.units.get(wanted) {
             self.engines.put(session, attempt, unit, &mut self.out);
@@ -275,17 +282,17 @@
 
     fn carry_out(&mut self, instruction: Instruction) {
         match instruction {
-            Instruction::Start { attempt, engine, terms } => self.start(attempt, engine, terms),
-            Instruction::SetTerms(attempt, terms) => {
+            Instruction::Start { attempt, engine, options: terms } => self.start(attempt, engine, terms),
+            Instruction::SetOptions(attempt, terms) => {
                 self.engines.set_terms(attempt, terms, &mut self.out);
             }
-            Instruction::Withdraw(attempt) => {
-                let wanted = self.tape.mind().may_answer(attempt);
+            Instruction::Cancel(attempt) => {
+                let wanted = self.tape.decision_engine().may_answer(attempt);
                 self.engines.withdraw(attempt, wanted, &mut self.out);
             }
             Instruction::Answer(query, answer) => self.answer(query, answer),
             Instruction::Probe(engine) => self.engines.probe(engine, &mut self.out),
-            Instruction::Tell(words) => {
+            Instruction::ShareReports(words) => {
                 if let Some(peering) = &mut self.peering {
                     peering.tell(&words, &mut self.out);
                 }
@@ -298,7 +305,7 @@
         }
     }
 
-    fn start(&mut self, attempt: AttemptId, engine: EngineId, terms: Terms) {
+    fn start(&mut self, attempt: AttemptId, engine: EngineId, terms: AttemptOptions) {
         if attempt.number > 0 {
             self.out.saw(Coverage::Resent);
             let name = self.sets.engines().name(engine);
@@ -349,10 +356,10 @@
         drop(hints);
         self.hints_ignored += u64::from(routed.ignored);
         let class = routed.arrival.class;
-        match self.tape.arrive(now, routed.arrival, &label) {
+        match self.tape.submit(now, routed.arrival, &label) {
             Ok(query) => {
                 self.out.saw(if unit.open { Coverage::UnitOpen } else { Coverage::UnitTaken });
-                let (sealed, more, terms) = (!unit.open, Vec::new(), Terms::default());
+                let (sealed, more, terms) = (!unit.open, Vec::new(), AttemptOptions::default());
                 let of = InHand { client: id, unit, more, sealed, terms, label, class, since: now };
                 self.units.put(query, of);
                 self.clients.runs(id, query);
@@ -369,7 +376,7 @@
     fn give_up(&mut self, id: ConnId, query: QueryId, trouble: &Trouble) {
         self.units.take(query);
         self.engines.detach(query, &mut self.out);
-        self.tape.tell(self.out.now, Input::Departed(query));
+        self.tape.handle_input(self.out.now, Input::Abandoned(query));
         self.clients.unserved(id, trouble);
         self.ready.push_back(id);
     }
@@ -396,7 +403,7 @@
         let class = &self.config.names.classes[unit.class];
         let (id, held_us) = (&unit.label, self.out.now - unit.since);
         match answer {
-            Answer::Refused { retry_after } => {
+            Answer::Rejected { retry_after } => {
                 self.out.saw(Coverage::Refused);
                 let retry_after_ms = peer_load::advice_ms(retry_after);
                 info!(query = query.0, id, class, held_us, retry_after_ms, "refused");
@@ -406,7 +413,7 @@
                 let reason = if may_have_run { "may have run" } else { "not run" };
                 warn!(query = query.0, id, class, held_us, reason, "failed");
             }
-            Answer::Broken => {
+            Answer::Interrupted => {
                 self.out.saw(Coverage::Broken);
                 warn!(query = query.0, id, class, held_us, reason = "answer broke off", "failed");
             }
@@ -439,7 +446,7 @@
         let Some(query) = self.clients.remove(id, &mut self.out) else { return };
         if self.units.take(query).is_some() {
             self.engines.detach(query, &mut self.out);
-            self.tape.tell(self.out.now, Input::Departed(query));
+            self.tape.handle_input(self.out.now, Input::Abandoned(query));
         }
     }
 
@@ -450,7 +457,7 @@
             None => {}
             Some(Told::Unavailable) => {
                 self.out.saw(Coverage::ListMissing);
-                self.tape.tell(self.out.now, Input::ListUnavailable);
+                self.tape.handle_input(self.out.now, Input::ListUnavailable);
             }
             Some(Told::List(body)) => {
                 let version = self.sets.registry_version();
@@ -480,14 +487,14 @@
             info!(engine = known.name(entry.engine), status = ?entry.status, "engine list");
         }
         let now = self.out.now;
-        self.tape.engines(now, known.known().iter().map(|(id, k)| (*id, k.name.clone())));
+        self.tape.record_engine_names(now, known.known().iter().map(|(id, k)| (*id, k.name.clone())));
         for entry in &entries {
             if let Some(k) = known.known().get(&entry.engine) {
                 let up = k.entry.status == Status::Up;
                 self.engines.listed(entry.engine, k.address, up, &mut self.out);
             }
         }
-        self.tape.tell(now, Input::Engines { whole, entries });
+        self.tape.handle_input(now, Input::Engines { complete: whole, entries });
     }
 
     pub fn operator(&mut self, id: ConnId) {
@@ -522,34 +529,4 @@
             probes: self.probes,
         }
     }
-
-    // --- planted faults ---
-
-    fn plant_at(&mut self, attempt: AttemptId, engine: EngineId) {
-        let (Some(plant), Some(unit)) = (self.plant, self.units.get(attempt.query)) else { return };
-        let once = self.config.settings.classes[unit.class].effect == Class::Once;
-        let of = (attempt, engine);
-        self.planted +=
-            injected_faults::send_more(plant, once, of, &self.units, &mut self.engines, &mut self.out);
-    }
-
-    /// Whose query a cancel ends in place of the one that was meant.
-    fn stranger(&mut self, query: QueryId) -> Option<(ConnId, QueryId)> {
-        let other = self.planted(FaultInjection::Stranger, 1).then(|| self.units.another(query)).flatten()?;
-        Some((self.units.get(other)?.client, other))
-    }
-
-    /// Whose text is sent in place of a query's own.
-    fn swapped(&mut self, query: QueryId) -> Option<QueryId> {
-        self.planted(FaultInjection::Swap, 20).then(|| self.units.another(query)).flatten()
-    }
-
-    /// Whether a fault strikes now, as one time in so many.
-    pub fn planted(&mut self, plant: FaultInjection, of: u64) -> bool {
-        if self.plant != Some(plant) {
-            return false;
-        }
-        self.planted += 1;
-        self.planted.is_multiple_of(of)
-    }
 }
--- a/crates/pg-gateway/src/engine_sessions.rs
+++ b/crates/pg-gateway/src/engine_sessions.rs
@@ -5,7 +5,7 @@
 use bytes::BytesMut;
 use std::collections::BTreeMap;
 use wheelfield::interface::{EngineId, QueryId};
-use wheelfield_driver::{AttemptId, Terms};
+use wheelfield_driver::{AttemptId, AttemptOptions};
 use wheelfield_pg::backend::{Backend, Heard};
 use wheelfield_pg::front;
 use wheelfield_sans_io::ConnectionBuffer;
@@ -35,7 +35,7 @@
     pub wire: ConnectionBuffer,
     pub backend: Backend,
     pub job: Option<Job>,
-    terms: Terms,
+    terms: AttemptOptions,
     pub timer: Option<TimerKey>,
     /// A request to cancel is under way: the session is not used until that is over.
     pub cancelling: bool,
@@ -107,8 +107,8 @@
             flights: BTreeMap::new(),
             user: config.user.clone(),
             database: config.database.clone(),
-            label: format!("wheelfield/{}", s.index),
-            termed: s.priorities || s.grants,
+            label: format!("wheelfield/{}", s.gateway_index),
+            termed: s.priorities || s.memory_grants,
             buffer: config.limits.buffer,
         }
     }
@@ -145,7 +145,7 @@
             wire,
             backend,
             job: None,
-            terms: Terms::default(),
+            terms: AttemptOptions::default(),
             timer: None,
             cancelling: false,
             unsent: None,
@@ -190,7 +190,7 @@
         let Some(s) = self.all.get_mut(id) else { return };
         let change = termed && s.terms != unit.terms;
         let set = change.then(|| {
-            let Terms { grant_mb, priority } = unit.terms;
+            let AttemptOptions { grant_mb, priority } = unit.terms;
             format!("SET wheelfield.priority = {priority}; SET wheelfield.grant_mb = {grant_mb:.0}")
         });
         s.terms = if change { unit.terms } else { s.terms };
--- a/crates/pg-gateway/src/engines.rs
+++ b/crates/pg-gateway/src/engines.rs
@@ -13,9 +13,9 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use tracing::debug;
-use wheelfield::interface::{EngineId, Note, Outcome, QueryId, Report};
+use wheelfield::interface::{AttemptUpdate, EngineId, LoadReport, Outcome, QueryId};
 use wheelfield_config::Config;
-use wheelfield_driver::{AttemptId, Terms};
+use wheelfield_driver::{AttemptId, AttemptOptions};
 use wheelfield_pg::backend::{self, Heard};
 use wheelfield_sans_io::ConnId;
 
@@ -32,13 +32,19 @@
     /// An attempt's answer has its first row, for this client. Let it begin, or discard it; then read on.
     Begins(ConnId, AttemptId, ConnId),
     /// Word on an attempt.
-    Noted(AttemptId, Note),
+    Noted(AttemptId, AttemptUpdate),
     /// The answer of an attempt is whole. End it by [`Engines::over`].
     Served { session: ConnId, attempt: AttemptId, client: Option<ConnId>, errored: bool, clean: bool },
     /// An attempt ended otherwise. The reason is for the log.
-    Ended { attempt: AttemptId, engine: EngineId, outcome: Outcome, report: Report, reason: Option<String> },
+    Ended {
+        attempt: AttemptId,
+        engine: EngineId,
+        outcome: Outcome,
+        report: LoadReport,
+        reason: Option<String>,
+    },
     /// A probe came back, or did not.
-    Probed(EngineId, Outcome, Report),
+    Probed(EngineId, Outcome, LoadReport),
     /// A client got part of a row: no error can be told it.
     Cut(ConnId),
     /// A session may be read on; the client that it waited for wants nothing more of it.
@@ -57,13 +63,13 @@
 }
 
 /// An engine's load as the module reads it.
-pub(crate) fn report(load: backend::Load) -> Report {
-    Report {
+pub(crate) fn report(load: backend::Load) -> LoadReport {
+    LoadReport {
         utilisation: load.util,
         in_flight: load.in_flight,
-        queue: load.queue,
-        memory: load.memory,
-        disks: load.disks,
+        queued: load.queue,
+        memory_granted: load.memory,
+        disk_utilisation: load.disks,
     }
 }
 
@@ -89,7 +95,7 @@
             cancels: Cancels::new(),
             words: VecDeque::new(),
             most: config.limits.sessions,
-            heeded: config.settings.cancel,
+            heeded: config.settings.cancellation,
             timing: config.timing,
             plant: plant.filter(|_| cfg!(feature = "planted")),
         }
@@ -130,7 +136,7 @@
     }
 
     fn ended(&mut self, attempt: AttemptId, engine: EngineId, outcome: Outcome) {
-        let report = Report::default();
+        let report = LoadReport::default();
         self.words.push_back(Word::Ended { attempt, engine, outcome, report, reason: None });
     }
 
@@ -151,7 +157,7 @@
     fn none_for_waiting(&mut self, engine: EngineId, outcome: Outcome) {
         let Some(pool) = self.pools.get_mut(engine) else { return };
         if std::mem::take(&mut pool.probing) {
-            self.words.push_back(Word::Probed(engine, outcome, Report::default()));
+            self.words.push_back(Word::Probed(engine, outcome, LoadReport::default()));
         }
         if pool.waiting.len() > pool.connecting {
             if let Some(attempt) = pool.waiting.pop_front() {
@@ -233,10 +239,10 @@
             Heard::Note(note) => {
                 if let Some(Job::Attempt { id: attempt, .. }) = s.job {
                     let note = match note {
-                        backend::Note::Progress(share) => Note::Progress(share),
-                        backend::Note::Spills(mb) => Note::Spills(mb),
-                        backend::Note::WaitsForMemory => Note::WaitsForMemory,
-                        backend::Note::WaitsForLoad => Note::WaitsForLoad,
+                        backend::Note::Progress(share) => AttemptUpdate::Progress(share),
+                        backend::Note::Spills(mb) => AttemptUpdate::Spills(mb),
+                        backend::Note::WaitsForMemory => AttemptUpdate::WaitsForMemory,
+                        backend::Note::WaitsForLoad => AttemptUpdate::WaitsForLoad,
                     };
                     self.words.push_back(Word::Noted(attempt, note));
                 }
@@ -341,10 +347,10 @@
                 if let Some(client) = client.filter(|_| amid_row) {
                     self.words.push_back(Word::Cut(client));
                 }
-                let (report, reason) = (Report::default(), Some(reason.to_string()));
+                let (report, reason) = (LoadReport::default(), Some(reason.to_string()));
                 self.words.push_back(Word::Ended { attempt, engine, outcome, report, reason });
             }
-            Some(Job::Probe) => self.words.push_back(Word::Probed(engine, outcome, Report::default())),
+            Some(Job::Probe) => self.words.push_back(Word::Probed(engine, outcome, LoadReport::default())),
             Some(Job::Aside) | None => {}
         }
     }
@@ -520,7 +526,7 @@
             return self.put_probe(id, out);
         }
         if pool.probing || pool.sessions >= most {
-            return self.words.push_back(Word::Probed(engine, Outcome::Skipped, Report::default()));
+            return self.words.push_back(Word::Probed(engine, Outcome::NeverSent, LoadReport::default()));
         }
         pool.probing = true;
         self.open(engine, out);
@@ -541,7 +547,7 @@
     }
 
     /// Changes the priority of what runs, by a second session.
-    pub fn set_terms(&mut self, attempt: AttemptId, terms: Terms, out: &mut EffectQueue) {
+    pub fn set_terms(&mut self, attempt: AttemptId, terms: AttemptOptions, out: &mut EffectQueue) {
         let Some(s) = self.sessions.carrier(attempt).and_then(|id| self.sessions.get(id)) else { return };
         let Some((pid, _)) = s.backend.key() else { return };
         let text = format!("SELECT wheelfield.set_priority({pid}, {})", terms.priority);
--- a/crates/pg-gateway/src/gateway.rs
+++ b/crates/pg-gateway/src/gateway.rs
@@ -94,14 +94,17 @@
 
     /// When [`PgGateway::due`] is next wanted.
     pub fn next_due(&self) -> Option<i64> {
-        [self.flow.tape.mind().next_due().map(|t| t.0), self.flow.out.next()].into_iter().flatten().min()
+        [self.flow.tape.decision_engine().next_timer_at().map(|t| t.0), self.flow.out.next()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// Lets the time pass, once all that happened until now is told.
     pub fn due(&mut self, now: i64) {
         self.flow.out.now = now;
         self.flow.settle();
-        self.flow.tape.due(now);
+        self.flow.tape.handle_timers(now);
         self.flow.settle();
         while let Some(wake) = self.flow.out.due() {
             self.flow.woken(wake);
@@ -144,7 +147,7 @@
             }
             GatewayEvent::ShutdownRequested => self.begin_shutdown(),
             GatewayEvent::CaptureRequested => {
-                if self.flow.tape.ask(now) {
+                if self.flow.tape.request_capture(now) {
                     info!("the capture in memory is asked for");
                 } else {
                     warn!("a capture is asked for, and there is no [capture]");
@@ -214,7 +217,7 @@
         let words = self.flow.peering.as_mut().and_then(|peering| peering.hear(from, datagram));
         self.flow.out.saw(if words.is_some() { Coverage::WordsHeard } else { Coverage::WordsDropped });
         if let Some(words) = words {
-            self.flow.tape.tell(now, Input::Told(words));
+            self.flow.tape.handle_input(now, Input::PeerReports(words));
         }
     }
 
@@ -222,7 +225,7 @@
         let gossip = self.flow.gossip.as_mut();
         if let Some(words) = gossip.and_then(|gossip| gossip.hear(from, datagram, &mut self.flow.out)) {
             self.flow.out.saw(Coverage::WordsHeard);
-            self.flow.tape.tell(now, Input::Told(words));
+            self.flow.tape.handle_input(now, Input::PeerReports(words));
         }
     }
 
--- a/crates/pg-gateway/src/gossip.rs
+++ b/crates/pg-gateway/src/gossip.rs
@@ -8,7 +8,7 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use tracing::{debug, info, warn};
-use wheelfield::interface::Word;
+use wheelfield::interface::PeerLoadReport;
 use wheelfield_config::Config;
 use wheelfield_gossip::seal::{is_words, Dropped, Keys, Opener, Sealer, LONGEST, LONGEST_WORDS};
 use wheelfield_gossip::words::{Ceilings, Words};
@@ -52,7 +52,7 @@
         plant: Option<FaultInjection>,
     ) -> Option<Gossip> {
         let g = config.gossip.as_ref()?;
-        let (count, index) = (config.settings.gateways as u32, config.settings.index as u32);
+        let (count, index) = (config.settings.gateway_count as u32, config.settings.gateway_index as u32);
         let limits = Limits {
             period: g.period.0,
             answer: g.period.0 * 3 / 10,
@@ -128,7 +128,7 @@
     }
 
     /// Tells words to all that answer, as far as the ceilings allow.
-    pub fn tell(&mut self, told: &[Word], out: &mut EffectQueue) {
+    pub fn tell(&mut self, told: &[PeerLoadReport], out: &mut EffectQueue) {
         let Some(words) = &mut self.words else { return };
         // Who never told of its view is of a build that reads no words.
         let reads = |a: &Acquaintance| a.record.standing == Standing::Alive && a.tag.is_some();
@@ -147,7 +147,12 @@
     }
 
     /// Words came: what they tell, if they are taken.
-    fn listen(&mut self, from: SocketAddr, datagram: &[u8], out: &mut EffectQueue) -> Option<Vec<Word>> {
+    fn listen(
+        &mut self,
+        from: SocketAddr,
+        datagram: &[u8],
+        out: &mut EffectQueue,
+    ) -> Option<Vec<PeerLoadReport>> {
         match self.opener.open_words(from, datagram, &self.keys) {
             Ok((start, sequence, part)) => {
                 let known = self.node.knows(&from);
@@ -176,7 +181,12 @@
     }
 
     /// A datagram came; words of others, if it was that.
-    pub fn hear(&mut self, from: SocketAddr, datagram: &[u8], out: &mut EffectQueue) -> Option<Vec<Word>> {
+    pub fn hear(
+        &mut self,
+        from: SocketAddr,
+        datagram: &[u8],
+        out: &mut EffectQueue,
+    ) -> Option<Vec<PeerLoadReport>> {
         if is_words(datagram) {
             return self.listen(from, datagram, out);
         }
--- a/crates/pg-gateway/src/in_flight.rs
+++ b/crates/pg-gateway/src/in_flight.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use std::collections::BTreeMap;
 use wheelfield::interface::QueryId;
-use wheelfield_driver::Terms;
+use wheelfield_driver::AttemptOptions;
 use wheelfield_pg::client::Unit;
 use wheelfield_sans_io::ConnId;
 
@@ -17,7 +17,7 @@
     /// The parts of an open batch that came later.
     pub more: Vec<(Bytes, Vec<bool>)>,
     pub sealed: bool,
-    pub terms: Terms,
+    pub terms: AttemptOptions,
     /// Its name in logs.
     pub label: String,
     pub class: usize,
--- a/crates/pg-gateway/src/injected_faults.rs
+++ b/crates/pg-gateway/src/injected_faults.rs
@@ -1,13 +1,15 @@
 //! Faults that are planted for a judge to find: what must not be sent is sent.
 
+use crate::dispatcher::Dispatcher;
 use crate::effect_queue::EffectQueue;
 use crate::engine_sessions::Job;
 use crate::engines::Engines;
 use crate::fault_injection::FaultInjection;
 use crate::in_flight::InFlightQueries;
-use wheelfield::interface::EngineId;
+use wheelfield::interface::{EngineId, ExecutionSemantics, QueryId};
 use wheelfield_driver::AttemptId;
 use wheelfield_pg::front;
+use wheelfield_sans_io::ConnId;
 
 /// Sends a unit to engines that should not have it, as an attempt of it starts. How often it did.
 pub(crate) fn send_more(
@@ -46,3 +48,32 @@
     }
     sent
 }
+
+impl Dispatcher {
+    pub fn plant_at(&mut self, attempt: AttemptId, engine: EngineId) {
+        let (Some(plant), Some(unit)) = (self.plant, self.units.get(attempt.query)) else { return };
+        let once = self.config.settings.classes[unit.class].semantics == ExecutionSemantics::AtMostOnce;
+        let of = (attempt, engine);
+        self.planted += send_more(plant, once, of, &self.units, &mut self.engines, &mut self.out);
+    }
+
+    /// Whose query a cancel ends in place of the one that was meant.
+    pub fn stranger(&mut self, query: QueryId) -> Option<(ConnId, QueryId)> {
+        let other = self.planted(FaultInjection::Stranger, 1).then(|| self.units.another(query)).flatten()?;
+        Some((self.units.get(other)?.client, other))
+    }
+
+    /// Whose text is sent in place of a query's own.
+    pub fn swapped(&mut self, query: QueryId) -> Option<QueryId> {
+        self.planted(FaultInjection::Swap, 20).then(|| self.units.another(query)).flatten()
+    }
+
+    /// Whether a fault strikes now, as one time in so many.
+    pub fn planted(&mut self, plant: FaultInjection, of: u64) -> bool {
+        if self.plant != Some(plant) {
+            return false;
+        }
+        self.planted += 1;
+        self.planted.is_multiple_of(of)
+    }
+}
