--- a/crates/pg-gateway/src/metrics.rs
+++ b/crates/pg-gateway/src/metrics.rs
@@ -32,10 +32,10 @@
 impl Look<'_> {
     /// All figures, in the order they are told.
     fn figures(&self) -> Vec<Figure> {
-        let driver = self.tape.mind().driver();
+        let driver = self.tape.decision_engine().driver();
         let d = driver.map(|d| d.counts()).unwrap_or_default();
         let held = driver.map_or(0, |d| d.held() as u64);
-        let capture = self.tape.captured();
+        let capture = self.tape.capture_state();
         let c = self.clients.counts;
         let lists = self.sets.counts;
         let mut all = vec![
@@ -52,15 +52,15 @@
             ("clients_accepted", "Clients that connected.", c.accepted),
             ("clients_turned_away", "Clients beyond the limit.", c.turned_away),
             ("clients_malformed", "Clients closed as what they sent can't be read.", c.malformed),
-            ("queries_taken", "Queries taken.", d.taken),
+            ("queries_taken", "Queries taken.", d.accepted),
             ("queries_served", "Queries served.", d.served),
-            ("queries_refused", "Queries refused: trying again is harmless.", d.refused),
+            ("queries_refused", "Queries refused: trying again is harmless.", d.rejected),
             ("queries_failed", "Queries failed: that promises nothing.", d.failed),
-            ("queries_departed", "Queries whose client left.", d.departed),
-            ("queries_crowded", "Queries refused as too many are held.", d.crowded),
+            ("queries_departed", "Queries whose client left.", d.abandoned),
+            ("queries_crowded", "Queries refused as too many are held.", d.over_capacity),
             ("attempts", "Attempts at engines.", d.attempts),
-            ("attempts_further", "Of these, not the query's first.", d.further),
-            ("endings_late", "Attempts that ended after their query was answered.", d.late),
+            ("attempts_further", "Of these, not the query's first.", d.retries),
+            ("endings_late", "Attempts that ended after their query was answered.", d.late_endings),
             ("cancels", "Cancels sent.", self.cancels),
             ("hints_ignored", "Hints of clients that can't be read.", self.hints_ignored),
             (
--- a/crates/pg-gateway/src/peer_load.rs
+++ b/crates/pg-gateway/src/peer_load.rs
@@ -29,7 +29,7 @@
 /// A final answer of the driver.
 pub(crate) fn of(answer: Answer) -> Trouble {
     match answer {
-        Answer::Refused { retry_after } => {
+        Answer::Rejected { retry_after } => {
             let ms = advice_ms(retry_after);
             let trouble = Trouble::error("53300", "refused: the engines are full");
             if ms > 0 {
@@ -45,6 +45,8 @@
         Answer::Failed { may_have_run: false } => {
             Trouble::error("58000", "failed: no engine could be reached in time")
         }
-        Answer::Broken => wheelfield_pg::backend::broken("rows that came before are not the whole answer"),
+        Answer::Interrupted => {
+            wheelfield_pg::backend::broken("rows that came before are not the whole answer")
+        }
     }
 }
--- a/crates/pg-gateway/src/peering.rs
+++ b/crates/pg-gateway/src/peering.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use tracing::debug;
-use wheelfield::interface::Word;
+use wheelfield::interface::PeerLoadReport;
 use wheelfield_config::Config;
 
 /// The other controllers.
@@ -25,7 +25,7 @@
         let peers = config.peers.as_ref()?;
         let addresses: Vec<SocketAddr> =
             peers.addresses.iter().copied().filter(|a| Some(*a) != own).collect();
-        let (index, count) = (config.settings.index as u32, config.settings.gateways as u32);
+        let (index, count) = (config.settings.gateway_index as u32, config.settings.gateway_count as u32);
         Some(Peering {
             known: addresses.iter().copied().collect(),
             addresses,
@@ -36,7 +36,7 @@
     }
 
     /// Tells all others.
-    pub fn tell(&mut self, words: &[Word], out: &mut EffectQueue) {
+    pub fn tell(&mut self, words: &[PeerLoadReport], out: &mut EffectQueue) {
         for datagram in self.speaker.datagrams(words) {
             for to in &self.addresses {
                 out.push(Effect::Send(DatagramSocket::Peers, *to, datagram.clone()));
@@ -45,7 +45,7 @@
     }
 
     /// What a datagram tells.
-    pub fn hear(&mut self, from: SocketAddr, datagram: &[u8]) -> Option<Vec<Word>> {
+    pub fn hear(&mut self, from: SocketAddr, datagram: &[u8]) -> Option<Vec<PeerLoadReport>> {
         let heard =
             if self.known.contains(&from) { self.listener.hear(datagram) } else { Err(Dropped::Stranger) };
         heard
--- a/crates/pg-gateway/src/peers.rs
+++ b/crates/pg-gateway/src/peers.rs
@@ -4,7 +4,7 @@
 //! before it. What is garbled, old, doubled or from a stranger is dropped and counted.
 
 use std::collections::BTreeMap;
-use wheelfield::interface::{EngineId, Report, Word};
+use wheelfield::interface::{EngineId, LoadReport, PeerLoadReport};
 
 /// Bytes of a datagram at most, to pass any loopback or Ethernet link whole.
 pub const LONGEST: usize = 1400;
@@ -26,12 +26,12 @@
     Old,
 }
 
-fn figures(report: &Report) -> [Option<f64>; 5] {
-    [report.utilisation, report.in_flight, report.queue, report.memory, report.disks]
+fn figures(report: &LoadReport) -> [Option<f64>; 5] {
+    [report.utilisation, report.in_flight, report.queued, report.memory_granted, report.disk_utilisation]
 }
 
 /// Words as bytes, in parts of so many bytes at most: how many there are in each, and they.
-pub fn written(words: &[Word], most: usize) -> Vec<(u16, Vec<u8>)> {
+pub fn written(words: &[PeerLoadReport], most: usize) -> Vec<(u16, Vec<u8>)> {
     let mut parts: Vec<(u16, Vec<u8>)> = Vec::new();
     for word in words {
         let told = figures(&word.report);
@@ -51,7 +51,7 @@
 }
 
 /// Words of bytes; none if a part of them can't be read.
-pub(crate) fn read(mut rest: &[u8]) -> Option<Vec<Word>> {
+pub(crate) fn read(mut rest: &[u8]) -> Option<Vec<PeerLoadReport>> {
     let rest = &mut rest;
     let mut words = Vec::new();
     while !rest.is_empty() {
@@ -70,7 +70,16 @@
             *slot = Some(x);
         }
         let [utilisation, in_flight, queue, memory, disks] = told;
-        words.push(Word { engine, report: Report { utilisation, in_flight, queue, memory, disks } });
+        words.push(PeerLoadReport {
+            engine,
+            report: LoadReport {
+                utilisation,
+                in_flight,
+                queued: queue,
+                memory_granted: memory,
+                disk_utilisation: disks,
+            },
+        });
     }
     Some(words)
 }
@@ -90,7 +99,7 @@
     }
 
     /// The datagrams that carry some words: as many as they need.
-    pub fn datagrams(&mut self, words: &[Word]) -> Vec<Vec<u8>> {
+    pub fn datagrams(&mut self, words: &[PeerLoadReport]) -> Vec<Vec<u8>> {
         let parts = written(words, LONGEST - HEAD - TAIL);
         let datagram = |(count, body): (u16, Vec<u8>)| {
             self.sequence = self.sequence.wrapping_add(1);
@@ -131,7 +140,7 @@
     ///
     /// # Errors
     /// Why it is [`Dropped`].
-    pub fn hear(&mut self, datagram: &[u8]) -> Result<Vec<Word>, Dropped> {
+    pub fn hear(&mut self, datagram: &[u8]) -> Result<Vec<PeerLoadReport>, Dropped> {
         if datagram.len() > LONGEST || datagram.len() < HEAD + TAIL {
             return Err(Dropped::Garbled);
         }
@@ -155,7 +164,7 @@
         Ok(words)
     }
 
-    fn parse(rest: &mut &[u8]) -> Option<(u32, u64, u32, Vec<Word>)> {
+    fn parse(rest: &mut &[u8]) -> Option<(u32, u64, u32, Vec<PeerLoadReport>)> {
         if &take::<4>(rest)? != MAGIC {
             return None;
         }
@@ -173,9 +182,10 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn words(n: u64) -> Vec<Word> {
-        let report = Report { utilisation: Some(0.5), memory: Some(0.25), ..Report::default() };
-        (0..n).map(|e| Word { engine: EngineId(e), report }).collect()
+    fn words(n: u64) -> Vec<PeerLoadReport> {
+        let report =
+            LoadReport { utilisation: Some(0.5), memory_granted: Some(0.25), ..LoadReport::default() };
+        (0..n).map(|e| PeerLoadReport { engine: EngineId(e), report }).collect()
     }
 
     #[test]
@@ -183,7 +193,7 @@
         let (mut speaker, mut listener) = (Speaker::new(3, 100), Listener::new(5, 0));
         let all = speaker.datagrams(&words(200));
         assert!(all.len() > 1 && all.iter().all(|d| d.len() <= LONGEST));
-        let heard: Vec<Word> = all.iter().flat_map(|d| listener.hear(d).expect("sound")).collect();
+        let heard: Vec<PeerLoadReport> = all.iter().flat_map(|d| listener.hear(d).expect("sound")).collect();
         assert_eq!(heard, words(200));
     }
 
--- a/crates/pg-gateway/src/registry.rs
+++ b/crates/pg-gateway/src/registry.rs
@@ -42,7 +42,7 @@
     pub fn new(config: &Config) -> Call {
         Call {
             at: config.registry,
-            index: config.settings.index as u64,
+            index: config.settings.gateway_index as u64,
             wires: ConnectionTable::new(ROOM),
             id: None,
             connected: false,
--- a/crates/pg-gateway/src/route.rs
+++ b/crates/pg-gateway/src/route.rs
@@ -50,7 +50,7 @@
     let settings = &config.settings.classes[class];
     let patience = hints.due_ms.map_or(settings.deadline, |ms| Micros((ms.min(1e10) * 1e3) as i64));
     let gives_up = now + patience.min(settings.deadline);
-    let mut key = hints.key.as_ref().filter(|_| settings.in_order).map(|k| k.to_string());
+    let mut key = hints.key.as_ref().filter(|_| settings.ordered_by_key).map(|k| k.to_string());
     if let Some(key) = key.as_mut().filter(|k| k.len() > LONGEST_KEY) {
         let mut end = LONGEST_KEY;
         while !key.is_char_boundary(end) {
@@ -64,7 +64,7 @@
         class,
         tenant: config.names.tenants.iter().position(|t| *t == who.user),
         key,
-        due: gives_up - config.timing.answer_margin,
+        deadline: gives_up - config.timing.answer_margin,
         work_hint: if runs { hints.work_ms.filter(|ms| *ms > 0.0).map(|ms| ms / 1e3) } else { Some(1e-3) },
         memory_hint: hints.memory_mb.filter(|mb| runs && *mb > 0.0),
         tables: hints.tables.unwrap_or(0),
--- a/crates/pg-gateway/tests/common/mod.rs
+++ b/crates/pg-gateway/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use bytes::{BufMut as _, BytesMut};
 use std::collections::HashMap;
-use wheelfield_driver::{Bounds, Driver};
+use wheelfield_driver::{Driver, DriverLimits};
 use wheelfield_engine_emulator::setup::Setup;
 use wheelfield_engine_emulator::stand::{Do, Stand};
 use wheelfield_pg::front;
@@ -77,7 +77,7 @@
 
 pub fn gate(now: i64) -> PgGateway {
     let config = wheelfield_config::parse("test", CONFIG).unwrap_or_else(|fault| panic!("{fault}"));
-    let mind = Box::new(Driver::new(config.settings.clone(), 1, Bounds::default()));
+    let mind = Box::new(Driver::new(config.settings.clone(), 1, DriverLimits::default()));
     let start =
         Start { now, seed: 1, secret: [7; 32], mind, recorder: None, peers: None, gossip: None, plant: None };
     PgGateway::new(config, start)
--- a/crates/platform/src/bootstrap.rs
+++ b/crates/platform/src/bootstrap.rs
@@ -124,7 +124,7 @@
             kind: names.kind(&self.kind),
             cell: self.cell,
             status: self.status,
-            started: self.started.map(Micros),
+            started_at: self.started.map(Micros),
         }
     }
 }
--- a/crates/platform/src/dispatcher.rs
+++ b/crates/platform/src/dispatcher.rs
@@ -15,8 +15,8 @@
 use crate::timer_event::TimerEvent;
 use std::collections::VecDeque;
 use tracing::{debug, info};
-use wheelfield::interface::{Effect as Repeats, Micros, Outcome};
-use wheelfield_driver::{Answer, Arrival, AttemptId, Bounds, Driver, Input, Instruction};
+use wheelfield::interface::{ExecutionSemantics, Micros, Outcome};
+use wheelfield_driver::{Answer, Arrival, AttemptId, Driver, DriverLimits, Input, Instruction};
 use wheelfield_recorder::RecordingDriver;
 use wheelfield_sans_io::{ConnId, DatagramSocket, Effect, EffectQueue};
 use wheelfield_settings::{position, Names};
@@ -61,10 +61,12 @@
     pub fn new(launch: Launch, now: i64) -> Dispatcher {
         let free = launch.limits.sockets.saturating_sub(RESERVE).max(16);
         let clients = free * CLIENTS / 10;
-        let bounds = Bounds { queries: launch.ceilings.most_held.max(1), ..Bounds::default() };
-        let index = launch.settings.index as usize;
+        let bounds =
+            DriverLimits { max_queries: launch.ceilings.most_held.max(1), ..DriverLimits::default() };
+        let index = launch.settings.gateway_index as usize;
         let longest = launch.settings.classes.iter().map(|c| c.deadline.0).max().unwrap_or(0);
-        let harmless = launch.settings.classes.iter().map(|c| c.effect == Repeats::Repeatable).collect();
+        let harmless =
+            launch.settings.classes.iter().map(|c| c.semantics == ExecutionSemantics::Idempotent).collect();
         let driver = Driver::new(launch.settings, launch.seed, bounds);
         Dispatcher {
             out: EffectQueue::new(now),
@@ -94,7 +96,7 @@
     }
 
     pub fn started(&mut self) {
-        self.tape.tell(self.out.now, Input::Started);
+        self.tape.handle_input(self.out.now, Input::Started);
         let list = std::mem::take(&mut self.executors_at_start);
         self.listed(&list);
         self.out.wake_after(0, TimerEvent::Ask);
@@ -107,13 +109,13 @@
         let entries: Vec<_> = list.iter().map(|l| l.entry(&mut self.names)).collect();
         let at = entries.iter().zip(list).map(|(e, l)| (e.engine, l.at));
         self.executors.listed(at, &mut self.out);
-        self.tape.tell(self.out.now, Input::Engines { whole: true, entries });
+        self.tape.handle_input(self.out.now, Input::Engines { complete: true, entries });
     }
 
     /// Words of another controller.
     pub fn words(&mut self, from: std::net::SocketAddr, datagram: &[u8]) {
         if let Some(words) = self.peers.hear(from, self.names.engines.keys(), datagram) {
-            self.tape.tell(self.out.now, Input::Told(words));
+            self.tape.handle_input(self.out.now, Input::PeerReports(words));
         }
     }
 
@@ -166,7 +168,7 @@
                 debug!(id = %unit.id, out = unit.out, "left");
                 self.left.leaves(query, !unit.out, self.out.now);
             }
-            self.tape.tell(self.out.now, Input::Departed(query));
+            self.tape.handle_input(self.out.now, Input::Abandoned(query));
         }
     }
 
@@ -209,12 +211,14 @@
             class,
             tenant,
             key,
-            due: Micros((self.out.now + (wait - EARLY).max(1)).min(self.stop.last().unwrap_or(i64::MAX))),
+            deadline: Micros(
+                (self.out.now + (wait - EARLY).max(1)).min(self.stop.last().unwrap_or(i64::MAX)),
+            ),
             work_hint: work,
             memory_hint: memory,
             tables: table_group(statement).unwrap_or(0),
         };
-        match self.tape.arrive(self.out.now, arrival, "") {
+        match self.tape.submit(self.out.now, arrival, "") {
             Ok(query) => {
                 let (harmless, out) = (self.harmless.get(class).is_some_and(|h| *h), false);
                 self.open.put(query, InHand { client, id, class, statement: body, nonce, harmless, out });
@@ -240,7 +244,7 @@
         loop {
             if let Some(id) = self.ready.pop_front() {
                 self.read_client(id);
-            } else if let Some(instruction) = self.tape.take() {
+            } else if let Some(instruction) = self.tape.next_instruction() {
                 self.carry_out(instruction);
             } else if let Some(conn) = self.executors.ready() {
                 self.write(conn);
@@ -262,15 +266,15 @@
 
     fn carry_out(&mut self, instruction: Instruction) {
         match instruction {
-            Instruction::Start { attempt, engine, terms } => {
+            Instruction::Start { attempt, engine, options: terms } => {
                 let Some(unit) = self.open.get(attempt.query) else { return };
                 let job = Job::new(attempt, unit.id, terms);
                 self.executors.launch(engine, job, &mut self.out);
             }
-            Instruction::SetTerms(attempt, terms) => {
+            Instruction::SetOptions(attempt, terms) => {
                 self.executors.set_terms(attempt, terms, &mut self.out);
             }
-            Instruction::Withdraw(attempt) => {
+            Instruction::Cancel(attempt) => {
                 self.executors.withdraw(attempt, &mut self.out);
                 // It is given up with the word itself: no echo comes.
                 self.ended(attempt, Outcome::Cancelled);
@@ -279,12 +283,12 @@
                 let Some(unit) = self.open.take(query) else { return };
                 debug!(id = %unit.id, ?answer, "answered");
                 let reply = match answer {
-                    Answer::Refused { retry_after } => Reply::Refused((retry_after.0 + 999) / 1000),
-                    Answer::Failed { .. } | Answer::Broken => Reply::Failed,
+                    Answer::Rejected { retry_after } => Reply::Refused((retry_after.0 + 999) / 1000),
+                    Answer::Failed { .. } | Answer::Interrupted => Reply::Failed,
                 };
                 self.answer(unit.client, &reply);
             }
-            Instruction::Tell(words) => {
+            Instruction::ShareReports(words) => {
                 let (datagram, to) = self.peers.tell(&words);
                 for to in to {
                     self.out.push(Effect::Send(DatagramSocket::Peers, to, datagram.clone()));
@@ -303,20 +307,23 @@
 
     fn ended(&mut self, attempt: AttemptId, outcome: Outcome) {
         self.open.is_back(attempt.query);
-        if self.tape.mind().is_out(attempt) {
-            let (billed_work, report) = (None, wheelfield::interface::Report::default());
-            self.tape.tell(self.out.now, Input::Ended { attempt, outcome, billed_work, report });
+        if self.tape.decision_engine().is_in_flight(attempt) {
+            let (billed_work, report) = (None, wheelfield::interface::LoadReport::default());
+            self.tape.handle_input(
+                self.out.now,
+                Input::AttemptEnded { attempt, outcome, reported_work: billed_work, report },
+            );
         }
     }
 
     /// Writes what waits for a connection that is up.
     fn write(&mut self, conn: ConnId) {
         while let Some(job) = self.executors.take(conn) {
-            let mind = self.tape.mind();
+            let mind = self.tape.decision_engine();
             let limit = mind.driver().and_then(|d| d.limit_of(job.attempt));
             let may = mind.may_write(Micros(self.out.now), job.attempt);
             let Some(unit) = self.open.get(job.attempt.query).filter(|_| may) else {
-                self.ended(job.attempt, Outcome::Skipped);
+                self.ended(job.attempt, Outcome::NeverSent);
                 continue;
             };
             let limit_ms = limit.map_or(1, |at| (at.0 - self.out.now + 999) / 1000).max(1);
@@ -332,15 +339,20 @@
             Told::Begun(attempt, id) => {
                 self.open.begun(attempt.query, id);
                 self.left.begun(attempt.query, self.out.now);
-                self.tape.tell(self.out.now, Input::Dispatched(attempt));
+                self.tape.handle_input(self.out.now, Input::Dispatched(attempt));
+            }
+            Told::Noted(attempt, note) => {
+                self.tape.handle_input(self.out.now, Input::AttemptUpdated(attempt, note))
             }
-            Told::Noted(attempt, note) => self.tape.tell(self.out.now, Input::Noted(attempt, note)),
             Told::Ended(ended) => {
                 let Ended { attempt, outcome, billed_work, report, pages } = *ended;
                 self.open.is_back(attempt.query);
-                let served = outcome == Outcome::Served && self.tape.mind().may_answer(attempt);
+                let served = outcome == Outcome::Served && self.tape.decision_engine().may_answer(attempt);
                 let unit = if served { self.open.take(attempt.query) } else { None };
-                self.tape.tell(self.out.now, Input::Ended { attempt, outcome, billed_work, report });
+                self.tape.handle_input(
+                    self.out.now,
+                    Input::AttemptEnded { attempt, outcome, reported_work: billed_work, report },
+                );
                 if let Some(unit) = unit {
                     debug!(id = %unit.id, "served");
                     self.answer(unit.client, &Reply::Rows(result_pages::answer(&pages)));
@@ -370,7 +382,7 @@
             TimerEvent::Held(attempt) => self.executors.release(attempt, &mut self.out),
             TimerEvent::Last => {
                 for query in self.open.queries() {
-                    self.tape.tell(self.out.now, Input::TimeUp(query));
+                    self.tape.handle_input(self.out.now, Input::ShutdownDeadline(query));
                 }
             }
             TimerEvent::Rest => self.clients.end(&mut self.out),
@@ -401,7 +413,7 @@
     fn figures(&mut self) {
         self.told_at = self.out.now;
         self.lines = LINES;
-        let driver = self.tape.mind().driver().map(Driver::counts).unwrap_or_default();
+        let driver = self.tape.decision_engine().driver().map(Driver::counts).unwrap_or_default();
         let (clients, executors) = (self.clients.counts, self.executors.counts);
         info!(
             open = self.open.len(),
--- a/crates/platform/src/executors.rs
+++ b/crates/platform/src/executors.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use tracing::debug;
-use wheelfield::interface::{EngineId, Note, Outcome, Report};
-use wheelfield_driver::{AttemptId, Terms};
+use wheelfield::interface::{AttemptUpdate, EngineId, LoadReport, Outcome};
+use wheelfield_driver::{AttemptId, AttemptOptions};
 use wheelfield_sans_io::{ConnId, ConnectionBuffer, ConnectionTable, Effect, EffectQueue, TimerKey};
 use wheelfield_settings::take_figure;
 
@@ -39,14 +39,14 @@
     /// Under which id.
     pub id: RequestId,
     /// On which terms.
-    pub terms: Terms,
+    pub terms: AttemptOptions,
     /// Connections that it was to go on and that broke before any of it was written.
     lost: u8,
 }
 
 impl Job {
     /// An attempt that goes nowhere yet.
-    pub fn new(attempt: AttemptId, id: RequestId, terms: Terms) -> Job {
+    pub fn new(attempt: AttemptId, id: RequestId, terms: AttemptOptions) -> Job {
         Job { attempt, id, terms, lost: 0 }
     }
 }
@@ -57,7 +57,7 @@
     /// The first byte of its request, under this id, has gone.
     Begun(AttemptId, RequestId),
     /// Word on it.
-    Noted(AttemptId, Note),
+    Noted(AttemptId, AttemptUpdate),
     /// It is over.
     Ended(Box<Ended>),
 }
@@ -72,21 +72,21 @@
     /// Work in seconds of one thread, where the answer tells.
     pub billed_work: Option<f64>,
     /// The executor's load, where told.
-    pub report: Report,
+    pub report: LoadReport,
     /// All pages of the result of one that was served.
     pub pages: Vec<Bytes>,
 }
 
 impl Ended {
     fn bare(attempt: AttemptId, outcome: Outcome) -> Told {
-        Ended::with(attempt, outcome, None, Report::default(), Vec::new())
+        Ended::with(attempt, outcome, None, LoadReport::default(), Vec::new())
     }
 
     fn with(
         attempt: AttemptId,
         outcome: Outcome,
         billed_work: Option<f64>,
-        report: Report,
+        report: LoadReport,
         pages: Vec<Bytes>,
     ) -> Told {
         Told::Ended(Box::new(Ended { attempt, outcome, billed_work, report, pages }))
@@ -97,7 +97,7 @@
 #[derive(Debug)]
 struct Hit {
     billed_work: Option<f64>,
-    report: Report,
+    report: LoadReport,
     pages: Vec<Option<Bytes>>,
     missing: usize,
     bytes: usize,
@@ -422,7 +422,12 @@
     }
 
     /// New terms for an attempt that is out.
-    pub fn set_terms(&mut self, attempt: AttemptId, terms: Terms, out: &mut EffectQueue<TimerEvent>) {
+    pub fn set_terms(
+        &mut self,
+        attempt: AttemptId,
+        terms: AttemptOptions,
+        out: &mut EffectQueue<TimerEvent>,
+    ) {
         let Some((id, request)) = self.places.get(&attempt).copied() else { return };
         let Some(c) = self.conns.get_mut(id) else { return };
         if c.running.get(&request).is_some_and(|r| r.hit.is_none()) {
@@ -510,7 +515,7 @@
             return Ok(());
         };
         let attempt = running.job.attempt;
-        let mut report = Report::default();
+        let mut report = LoadReport::default();
         for figure in answer.text("meter").unwrap_or("").split(';') {
             let told = figure.split_once(':').and_then(|(n, v)| Some((n, v.parse::<f64>().ok()?)));
             if let Some((name, value)) = told.filter(|(_, v)| v.is_finite()) {
@@ -521,11 +526,11 @@
             (Word::Info, None) => {
                 let value = answer.number("v").unwrap_or(0.0);
                 let note = match answer.text("tell") {
-                    Some("pct") => Note::Progress(value),
-                    Some("overflow") => Note::Spills(value),
-                    Some("queued") if value < 2.0 => Note::WaitsForMemory,
-                    Some("queued") => Note::WaitsForLoad,
-                    _ => Note::Other,
+                    Some("pct") => AttemptUpdate::Progress(value),
+                    Some("overflow") => AttemptUpdate::Spills(value),
+                    Some("queued") if value < 2.0 => AttemptUpdate::WaitsForMemory,
+                    Some("queued") => AttemptUpdate::WaitsForLoad,
+                    _ => AttemptUpdate::Other,
                 };
                 self.told.push_back(Told::Noted(attempt, note));
                 return Ok(());
@@ -586,7 +591,7 @@
             // The executor no longer has the pages of what it has run.
             (Word::Fault, _) => Ended::with(attempt, Outcome::Error, None, report, Vec::new()),
             (Word::Shed, None) => Ended::with(attempt, Outcome::Full, None, report, Vec::new()),
-            (Word::Late, None) => Ended::with(attempt, Outcome::Skipped, None, report, Vec::new()),
+            (Word::Late, None) => Ended::with(attempt, Outcome::NeverSent, None, report, Vec::new()),
             _ => {
                 self.counts.strays += 1;
                 return Ok(());
@@ -615,7 +620,7 @@
 
     /// A connection did not come up in time.
     pub fn unanswered(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) {
-        self.ends(id, Some(Outcome::Unanswered), out);
+        self.ends(id, Some(Outcome::ConnectTimedOut), out);
     }
 
     /// A connection is no more, or can't be used any more: what each of its attempts knows of itself.
@@ -648,7 +653,7 @@
             self.cut.push((request, engine, out.now));
             // What was not written whole did not run.
             let whole = written >= running.bytes.1;
-            let outcome = if whole { Outcome::Reset } else { Outcome::Skipped };
+            let outcome = if whole { Outcome::Reset } else { Outcome::NeverSent };
             debug!(attempt = %running.job.attempt, at = engine.0, ?outcome, "its connection broke");
             self.told.push_back(Ended::bare(running.job.attempt, outcome));
         }
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -112,14 +112,14 @@
     }
 
     fn next_due(&self) -> Option<i64> {
-        let mind = self.flow.tape.mind().next_due().map(|t| t.0);
+        let mind = self.flow.tape.decision_engine().next_timer_at().map(|t| t.0);
         [mind, self.flow.out.next()].into_iter().flatten().min()
     }
 
     fn due(&mut self, now: i64) {
         self.flow.out.now = now;
         self.flow.settle();
-        self.flow.tape.due(now);
+        self.flow.tape.handle_timers(now);
         self.flow.settle();
         while let Some(wake) = self.flow.out.due() {
             self.flow.woken(wake);
--- a/crates/platform/src/peers.rs
+++ b/crates/platform/src/peers.rs
@@ -1,7 +1,7 @@
 //! Words between controllers: one datagram each, of the module's words alone.
 
 use std::net::SocketAddr;
-use wheelfield::interface::{EngineId, Word};
+use wheelfield::interface::{EngineId, PeerLoadReport};
 use wheelfield_settings::{message, words, LONGEST_MESSAGE};
 
 /// The other controllers.
@@ -19,7 +19,7 @@
     }
 
     /// What is to be sent, and to whom.
-    pub fn tell(&self, words: &[Word]) -> (Vec<u8>, Vec<SocketAddr>) {
+    pub fn tell(&self, words: &[PeerLoadReport]) -> (Vec<u8>, Vec<SocketAddr>) {
         let to = self.all.map_or_else(|| self.others.clone(), |all| vec![all]);
         (message(words), to)
     }
@@ -30,7 +30,7 @@
         from: SocketAddr,
         known: impl Iterator<Item = &'a EngineId> + Clone,
         bytes: &[u8],
-    ) -> Option<Vec<Word>> {
+    ) -> Option<Vec<PeerLoadReport>> {
         let ours = self.others.contains(&from) && bytes.len() <= LONGEST_MESSAGE;
         ours.then(|| words(known, bytes)).filter(|words| !words.is_empty())
     }
--- a/crates/platform/tests/settings.rs
+++ b/crates/platform/tests/settings.rs
@@ -118,8 +118,13 @@
     settings["grades"][0]["more"] = json!(1);
     let launch = Launch::read(&file.to_string()).expect("sound");
     let class = &launch.settings.classes[0];
-    assert!(!class.in_order && !class.nowhere && class.kinds.is_empty() && class.zones.is_empty());
-    assert!(launch.settings.attempt_budget.is_none() && launch.ceilings.max_streams == 32);
+    assert!(
+        !class.ordered_by_key
+            && !class.no_engine_permitted
+            && class.kinds.is_empty()
+            && class.zones.is_empty()
+    );
+    assert!(launch.settings.retry_budget.is_none() && launch.ceilings.max_streams == 32);
 }
 
 #[test]
--- a/crates/recorder/src/decision_engine.rs
+++ b/crates/recorder/src/decision_engine.rs
@@ -1,28 +1,28 @@
 //! What decides in a controller. In every build that serves it is the driver around the module.
 
 use wheelfield::interface::{Micros, QueryId};
-use wheelfield_driver::{Arrival, AttemptId, Crowded, Driver, Input, Instruction};
+use wheelfield_driver::{Arrival, AttemptId, CapacityExceeded, Driver, Input, Instruction};
 
 /// What a controller asks of whatever decides in it. As the driver's own methods.
 pub trait DecisionEngine {
     /// Takes a query.
     ///
     /// # Errors
-    /// [`Crowded`].
-    fn arrive(
+    /// [`CapacityExceeded`].
+    fn submit(
         &mut self,
         now: Micros,
         arrival: Arrival,
         out: &mut Vec<Instruction>,
-    ) -> Result<QueryId, Crowded>;
+    ) -> Result<QueryId, CapacityExceeded>;
     /// Takes one input.
-    fn tell(&mut self, now: Micros, input: Input, out: &mut Vec<Instruction>);
+    fn handle_input(&mut self, now: Micros, input: Input, out: &mut Vec<Instruction>);
     /// Lets the time pass.
-    fn due(&mut self, now: Micros, out: &mut Vec<Instruction>) -> bool;
+    fn handle_timers(&mut self, now: Micros, out: &mut Vec<Instruction>) -> bool;
     /// When [`DecisionEngine::due`] is next wanted.
-    fn next_due(&self) -> Option<Micros>;
+    fn next_timer_at(&self) -> Option<Micros>;
     /// Whether an attempt counts still.
-    fn is_out(&self, attempt: AttemptId) -> bool;
+    fn is_in_flight(&self, attempt: AttemptId) -> bool;
     /// Whether an attempt may be written now.
     fn may_write(&self, now: Micros, attempt: AttemptId) -> bool;
     /// Whether an attempt's answer may go to the client.
@@ -34,25 +34,25 @@
 }
 
 impl DecisionEngine for Driver {
-    fn arrive(
+    fn submit(
         &mut self,
         now: Micros,
         arrival: Arrival,
         out: &mut Vec<Instruction>,
-    ) -> Result<QueryId, Crowded> {
-        Driver::arrive(self, now, arrival, out)
+    ) -> Result<QueryId, CapacityExceeded> {
+        Driver::submit(self, now, arrival, out)
     }
-    fn tell(&mut self, now: Micros, input: Input, out: &mut Vec<Instruction>) {
-        Driver::tell(self, now, input, out);
+    fn handle_input(&mut self, now: Micros, input: Input, out: &mut Vec<Instruction>) {
+        Driver::handle_input(self, now, input, out);
     }
-    fn due(&mut self, now: Micros, out: &mut Vec<Instruction>) -> bool {
-        Driver::due(self, now, out)
+    fn handle_timers(&mut self, now: Micros, out: &mut Vec<Instruction>) -> bool {
+        Driver::handle_timers(self, now, out)
     }
-    fn next_due(&self) -> Option<Micros> {
-        Driver::next_due(self)
+    fn next_timer_at(&self) -> Option<Micros> {
+        Driver::next_timer_at(self)
     }
-    fn is_out(&self, attempt: AttemptId) -> bool {
-        Driver::is_out(self, attempt)
+    fn is_in_flight(&self, attempt: AttemptId) -> bool {
+        Driver::is_in_flight(self, attempt)
     }
     fn may_write(&self, now: Micros, attempt: AttemptId) -> bool {
         Driver::may_write(self, now, attempt)
--- a/crates/replay/examples/hour.rs
+++ b/crates/replay/examples/hour.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 use wheelfield::interface::*;
 use wheelfield_capture::{Limits, Recorder, Start, Told};
-use wheelfield_driver::{Arrival, Bounds, Driver, Input, Instruction};
+use wheelfield_driver::{Arrival, Driver, DriverLimits, Input, Instruction};
 use wheelfield_replay::{feed, run, Options};
 
 fn main() {
@@ -15,25 +15,25 @@
     };
     let rate: i64 = args.next().and_then(|r| r.parse().ok()).unwrap_or(20);
     let class = Class {
-        aim: Micros::from_secs(1.0),
-        deadline: Micros::from_secs(5.0),
-        worth: 1.0,
+        latency_objective: Micros::from_secs_f64(1.0),
+        deadline: Micros::from_secs_f64(5.0),
+        value: 1.0,
         threads: 1.0,
         ..Class::default()
     };
     let settings = Settings {
-        gateways: 2.0,
+        gateway_count: 2.0,
         classes: vec![class],
         cores: vec![8.0],
         memory_mb: vec![1000.0],
-        cancel: true,
-        reports: true,
+        cancellation: true,
+        load_reports: true,
         reports_utilisation: true,
         max_attempts: 3,
-        max_retry_after: Micros::from_secs(1.0),
+        max_retry_after: Micros::from_secs_f64(1.0),
         ..Settings::default()
     };
-    let bounds = Bounds::default();
+    let bounds = DriverLimits::default();
     let start = Start {
         build: "hour 0".into(),
         index: 0,
@@ -47,23 +47,32 @@
     let limits = Limits { queue: 1 << 16, ..Limits::default() };
     let mut recorder = Recorder::begin(&path, start, limits, &driver, Micros(0)).expect("a file");
     let mut agenda: std::collections::BTreeMap<(i64, u64), Told> = Default::default();
-    let entry =
-        |n| EngineEntry { engine: EngineId(n), zone: 0, kind: 0, cell: 0, status: Status::Up, started: None };
+    let entry = |n| EngineEntry {
+        engine: EngineId(n),
+        zone: 0,
+        kind: 0,
+        cell: 0,
+        status: Status::Up,
+        started_at: None,
+    };
     agenda.insert((1, 0), Told::Input(Input::Started));
-    agenda.insert((2, 0), Told::Input(Input::Engines { whole: true, entries: (0..20).map(entry).collect() }));
+    agenda.insert(
+        (2, 0),
+        Told::Input(Input::Engines { complete: true, entries: (0..20).map(entry).collect() }),
+    );
     let (mut n, mut steps, hour) = (1u64, 0u64, 3_600_000_000i64);
     let mut next = 1_000i64;
     while next < hour || !agenda.is_empty() {
         if next < hour && agenda.first_key_value().is_none_or(|((t, _), _)| *t > next) {
             n += 1;
             let work_hint = Some(0.05 + (n % 50) as f64 / 100.0);
-            let arrival = Arrival { due: Micros(next + 5_000_000), work_hint, ..Arrival::default() };
+            let arrival = Arrival { deadline: Micros(next + 5_000_000), work_hint, ..Arrival::default() };
             agenda.insert((next, n), Told::Arrive { arrival, label: format!("q{n}") });
             next += 1_000_000 / rate.max(1);
         }
         let Some(((at, _), told)) = agenda.pop_first() else { break };
         let mut todo = vec![(at, told)];
-        while let Some(due) = driver.next_due().filter(|d| d.0 < at) {
+        while let Some(due) = driver.next_timer_at().filter(|d| d.0 < at) {
             todo.insert(todo.len() - 1, (due.0, Told::Due));
             step(&mut driver, &mut recorder, &mut agenda, todo.remove(0), &mut n);
             steps += 1;
@@ -84,9 +93,9 @@
         println!(
             "{what}: {} steps from minute {:.1} on, equal: {}, in {took:.2} s, {:.0} times real time",
             verdict.steps,
-            first.secs() / 60.0,
+            first.as_secs_f64() / 60.0,
             verdict.equal(),
-            (last - first).secs() / took
+            (last - first).as_secs_f64() / took
         );
     }
 }
@@ -106,10 +115,10 @@
         if let Instruction::Start { attempt, .. } = i {
             *n += 2;
             agenda.insert((at + 1_000, *n - 1), Told::Input(Input::Dispatched(attempt)));
-            let report = Report { utilisation: Some((*n % 17) as f64 / 20.0), ..Report::default() };
+            let report = LoadReport { utilisation: Some((*n % 17) as f64 / 20.0), ..LoadReport::default() };
             let takes = 50_000 + (*n * 7_919 % 900_000) as i64;
             let outcome = if *n % 101 < 2 { Outcome::Error } else { Outcome::Served };
-            let ended = Input::Ended { attempt, outcome, billed_work: Some(0.2), report };
+            let ended = Input::AttemptEnded { attempt, outcome, reported_work: Some(0.2), report };
             agenda.insert((at + takes, *n), Told::Input(ended));
         }
     }
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -296,14 +296,16 @@
 /// Feeds one step to a driver.
 pub fn feed(driver: &mut Driver, at: Micros, told: &Told, out: &mut Vec<Instruction>) -> Option<QueryId> {
     match told {
-        Told::Input(input) => driver.tell(at, input.clone(), out),
-        Told::Arrive { arrival, .. } => return driver.arrive(at, arrival.clone(), out).ok(),
-        Told::ArriveAs { id, arrival, .. } => return driver.arrive_as(at, *id, arrival.clone(), out).ok(),
+        Told::Input(input) => driver.handle_input(at, input.clone(), out),
+        Told::Arrive { arrival, .. } => return driver.submit(at, arrival.clone(), out).ok(),
+        Told::ArriveAs { id, arrival, .. } => {
+            return driver.submit_with_id(at, *id, arrival.clone(), out).ok()
+        }
         Told::Due => {
-            driver.due(at, out);
+            driver.handle_timers(at, out);
         }
         Told::Woke(token) => {
-            driver.woke(at, *token, out);
+            driver.fire_timer(at, *token, out);
         }
     }
     None
--- a/crates/replay/src/main.rs
+++ b/crates/replay/src/main.rs
@@ -6,7 +6,7 @@
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use wheelfield::interface::{EngineId, Micros, QueryId, Report, Settings, Status};
+use wheelfield::interface::{EngineId, LoadReport, Micros, QueryId, Settings, Status};
 use wheelfield_capture::{Reader, Told};
 use wheelfield_driver::{Input, Instruction};
 use wheelfield_replay::words::{self, Names};
@@ -51,7 +51,7 @@
     WhatIf {
         /// The capture.
         file: PathBuf,
-        /// A setting by its path, such as max_attempts=1 or classes.0.aim=500000.
+        /// A setting by its path, such as max_attempts=1 or classes.0.latency_objective=500000.
         #[arg(long = "set", value_name = "KEY=VALUE", required = true)]
         set: Vec<String>,
         /// Decisions shown one by one.
@@ -165,7 +165,7 @@
 
 fn replay(file: &Path, over_gaps: bool, from: Option<f64>, times: u32) -> Result<bool> {
     let start = first_time(file)?;
-    let from = from.map(|s| Micros(start) + Micros::from_secs(s));
+    let from = from.map(|s| Micros(start) + Micros::from_secs_f64(s));
     let mut last = Verdict::default();
     let began = std::time::Instant::now();
     for _ in 0..times.max(1) {
@@ -175,13 +175,13 @@
         }
     }
     let took = began.elapsed().as_secs_f64();
-    let span = last.times.map_or(0.0, |(a, b)| (b - a).secs());
+    let span = last.times.map_or(0.0, |(a, b)| (b - a).as_secs_f64());
     if let Some(d) = &last.difference {
         let names = all_names(file)?;
         println!(
             "a difference at step {}, {:.3} s into the capture",
             d.recorded.number,
-            (d.recorded.at - Micros(start)).secs()
+            (d.recorded.at - Micros(start)).as_secs_f64()
         );
         println!("before it:");
         d.before.iter().for_each(|s| show(s, start, &names, "  "));
@@ -216,7 +216,7 @@
 }
 
 fn show(step: &Step, start: i64, names: &Names, indent: &str) {
-    println!("{indent}{:>9.3} s  {}", (step.at - Micros(start)).secs(), words::told(step, names));
+    println!("{indent}{:>9.3} s  {}", (step.at - Micros(start)).as_secs_f64(), words::told(step, names));
     for i in &step.out {
         println!("{indent}             -> {}", words::answered(i, names));
     }
@@ -226,7 +226,7 @@
 #[derive(Default)]
 struct Known {
     status: Option<(Micros, Status)>,
-    report: Option<(Micros, Report)>,
+    report: Option<(Micros, LoadReport)>,
     out: i64,
     sent: u64,
     failed: Option<Micros>,
@@ -257,7 +257,7 @@
     let before_step = |known: &BTreeMap<EngineId, Known>, at: Micros| {
         println!("known of the engines at that moment:");
         for (id, k) in known {
-            let ago = |t: Micros| format!("{:.2} s ago", (at - t).secs());
+            let ago = |t: Micros| format!("{:.2} s ago", (at - t).as_secs_f64());
             let status = k
                 .status
                 .map_or("never listed".into(), |(t, s)| format!("{s:?} since {}", ago(t)).to_lowercase());
@@ -280,21 +280,21 @@
         }
         let concerns = |i: &Instruction| match i {
             Instruction::Start { attempt, .. }
-            | Instruction::Withdraw(attempt)
-            | Instruction::SetTerms(attempt, _) => Some(attempt.query) == query,
+            | Instruction::Cancel(attempt)
+            | Instruction::SetOptions(attempt, _) => Some(attempt.query) == query,
             Instruction::Answer(q, _) => Some(*q) == query,
             _ => false,
         };
         let told_of = match &step.told {
             Told::Arrive { .. } | Told::ArriveAs { .. } => step.taken.is_some() && step.taken == query,
             Told::Input(
-                Input::Ended { attempt, .. }
-                | Input::Measured { attempt, .. }
-                | Input::Noted(attempt, _)
-                | Input::Began(attempt)
+                Input::AttemptEnded { attempt, .. }
+                | Input::AttemptMeasured { attempt, .. }
+                | Input::AttemptUpdated(attempt, _)
+                | Input::AnswerStarted(attempt)
                 | Input::Dispatched(attempt),
             ) => Some(attempt.query) == query,
-            Told::Input(Input::Departed(q)) => Some(*q) == query,
+            Told::Input(Input::Abandoned(q)) => Some(*q) == query,
             _ => false,
         };
         let decides = step.out.iter().any(concerns);
@@ -308,7 +308,7 @@
             if decides {
                 before_step(&known, step.at);
                 for (at, text) in &logs {
-                    println!("  the module had said at {:.3} s: {text}", (*at - Micros(start)).secs());
+                    println!("  the module had said at {:.3} s: {text}", (*at - Micros(start)).as_secs_f64());
                 }
                 alternatives(&player, &step, &names);
             }
@@ -321,13 +321,13 @@
                 }
             }
             Told::Input(
-                Input::Ended { attempt, outcome, report, .. }
-                | Input::Measured { attempt, outcome, report, .. },
+                Input::AttemptEnded { attempt, outcome, report, .. }
+                | Input::AttemptMeasured { attempt, outcome, report, .. },
             ) => {
                 if let Some(engine) = carries.remove(&(attempt.query, attempt.number)) {
                     let k = known.entry(engine).or_default();
                     k.out -= 1;
-                    if *report != Report::default() {
+                    if *report != LoadReport::default() {
                         k.report = Some((step.at, *report));
                     }
                     if !matches!(outcome, wheelfield::interface::Outcome::Served) {
@@ -335,10 +335,10 @@
                     }
                 }
             }
-            Told::Input(Input::Probed { engine, report, .. }) => {
+            Told::Input(Input::ProbeEnded { engine, report, .. }) => {
                 known.entry(*engine).or_default().report = Some((step.at, *report))
             }
-            Told::Input(Input::Told(words)) => {
+            Told::Input(Input::PeerReports(words)) => {
                 for w in words {
                     known.entry(w.engine).or_default().report = Some((step.at, w.report));
                 }
@@ -389,10 +389,10 @@
             kind: 0,
             cell: 0,
             status: Status::Draining,
-            started: None,
+            started_at: None,
         };
         let mut out = Vec::new();
-        driver.tell(step.at, Input::Engines { whole: false, entries: vec![entry] }, &mut out);
+        driver.handle_input(step.at, Input::Engines { complete: false, entries: vec![entry] }, &mut out);
         let mut trial = driver.clone();
         let mut out = Vec::new();
         wheelfield_replay::feed(&mut trial, step.at, &step.told, &mut out);
@@ -456,27 +456,27 @@
         let kind = match &step.told {
             Told::Arrive { .. } | Told::ArriveAs { .. } => "arrivals",
             Told::Due | Told::Woke(_) => "time passed",
-            Told::Input(Input::Ended { .. } | Input::Measured { .. }) => "endings",
-            Told::Input(Input::Noted(..)) => "notes",
+            Told::Input(Input::AttemptEnded { .. } | Input::AttemptMeasured { .. }) => "endings",
+            Told::Input(Input::AttemptUpdated(..)) => "notes",
             Told::Input(Input::Dispatched(_)) => "written",
-            Told::Input(Input::Began(_)) => "answers begun",
+            Told::Input(Input::AnswerStarted(_)) => "answers begun",
             Told::Input(Input::Engines { .. } | Input::ListUnavailable) => "engine lists",
-            Told::Input(Input::Departed(_)) => "departures",
-            Told::Input(Input::TimeUp(_)) => "times up",
-            Told::Input(Input::Probed { .. }) => "probes",
-            Told::Input(Input::Told(_)) => "messages",
+            Told::Input(Input::Abandoned(_)) => "departures",
+            Told::Input(Input::ShutdownDeadline(_)) => "times up",
+            Told::Input(Input::ProbeEnded { .. }) => "probes",
+            Told::Input(Input::PeerReports(_)) => "messages",
             Told::Input(Input::Started) => "starts",
-            Told::Input(Input::Gateways { .. }) => "numbers of controllers",
+            Told::Input(Input::GatewayCountChanged { .. }) => "numbers of controllers",
         };
         *kinds.entry(kind).or_default() += 1;
         for i in &step.out {
             let kind = match i {
                 Instruction::Start { .. } => "sends",
-                Instruction::Withdraw(_) => "withdrawals",
+                Instruction::Cancel(_) => "withdrawals",
                 Instruction::Answer(..) => "answers",
-                Instruction::SetTerms(..) => "terms",
+                Instruction::SetOptions(..) => "terms",
                 Instruction::Probe(_) => "probes",
-                Instruction::Tell(_) => "messages",
+                Instruction::ShareReports(_) => "messages",
                 Instruction::Subscribe => "list asked for",
                 Instruction::Log(_) => "log lines",
             };
@@ -485,9 +485,9 @@
     }
     let bytes: u64 = headers.iter().map(|h| u64::from(h.bytes.0)).sum();
     let raw: u64 = headers.iter().map(|h| u64::from(h.bytes.1)).sum();
-    let span = first.map_or(0.0, |f| (last - f).secs());
+    let span = first.map_or(0.0, |f| (last - f).as_secs_f64());
     if let Some(s) = &player.start {
-        println!("{} controller {} of {}, seed {}", s.build, s.index, s.settings.gateways, s.seed);
+        println!("{} controller {} of {}, seed {}", s.build, s.index, s.settings.gateway_count, s.seed);
     }
     println!("{steps} steps over {span:.1} s in {} blocks: {bytes} bytes, {raw} unpacked", headers.len());
     let arrivals = kinds.get("arrivals").copied().unwrap_or(0).max(1);
@@ -556,7 +556,7 @@
                     of(q),
                     "-".into(),
                 ),
-                Instruction::Withdraw(a) => ("withdraw".into(), of(&a.query), "-".into()),
+                Instruction::Cancel(a) => ("withdraw".into(), of(&a.query), "-".into()),
                 _ => ("other".to_string(), "-".to_string(), "-".to_string()),
             }
         };
@@ -581,7 +581,8 @@
 
 fn cut(file: &Path, from: f64, to: f64, out: &Path) -> Result<()> {
     let start = Micros(first_time(file)?);
-    let kept = rewrite::cut(file, start + Micros::from_secs(from), start + Micros::from_secs(to), out)?;
+    let kept =
+        rewrite::cut(file, start + Micros::from_secs_f64(from), start + Micros::from_secs_f64(to), out)?;
     println!("{kept} steps in {}", out.display());
     Ok(())
 }
--- a/crates/replay/src/shadow.rs
+++ b/crates/replay/src/shadow.rs
@@ -22,7 +22,7 @@
     /// Held, to keep an order.
     Held,
     /// Not taken.
-    Crowded,
+    CapacityExceeded,
 }
 
 /// A query decided otherwise.
@@ -53,7 +53,51 @@
     pub table: BTreeMap<(usize, Decided, Decided), u64>,
 }
 
-/// Alters settings by their path in JSON, such as `max_attempts` or `classes.0.aim`.
+/// Settings that were renamed: their earlier names, still understood in paths, and their names now.
+const RENAMED: [(&str, &str); 32] = [
+    ("gateways", "gateway_count"),
+    ("index", "gateway_index"),
+    ("allowances", "tenant_rates"),
+    ("max_grant_share", "max_grant_fraction"),
+    ("waits", "queues_on_memory_shortage"),
+    ("pages", "pages_on_memory_shortage"),
+    ("grants", "memory_grants"),
+    ("bills", "reports_work"),
+    ("note_every", "progress_interval"),
+    ("cancel", "cancellation"),
+    ("peers", "peer_messages"),
+    ("reports", "load_reports"),
+    ("second_copies", "hedged_requests"),
+    ("cold_from", "slow_start_initial_fraction"),
+    ("cold_for", "slow_start_duration"),
+    ("fall_multiple", "overload_multiple"),
+    ("fall_span", "overload_window"),
+    ("order_pause", "key_cooldown"),
+    ("attempt_budget", "retry_budget"),
+    ("connections_rest", "connection_idle_timeout"),
+    ("aim", "latency_objective"),
+    ("aim_stretch", "latency_objective_stretch"),
+    ("worth", "value"),
+    ("late_value", "late_value_fraction"),
+    ("effect", "semantics"),
+    ("scope", "deduplication_scope"),
+    ("window", "deduplication_window"),
+    ("in_order", "ordered_by_key"),
+    ("nowhere", "no_engine_permitted"),
+    ("free", "guaranteed"),
+    ("share", "fraction"),
+    ("span", "window"),
+];
+
+/// The name of a setting as it is now; `part` itself where `known` has it.
+fn current_name<'a>(part: &'a str, known: &[String]) -> &'a str {
+    if known.iter().any(|name| name == part) {
+        return part;
+    }
+    RENAMED.iter().find(|(old, _)| *old == part).map_or(part, |(_, new)| new)
+}
+
+/// Alters settings by their path in JSON, such as `max_attempts` or `classes.0.latency_objective`.
 ///
 /// # Errors
 /// What is wrong with the path or the value.
@@ -70,7 +114,7 @@
         };
         let next = match place {
             serde_json::Value::Array(list) => part.parse::<usize>().ok().and_then(|i| list.get_mut(i)),
-            serde_json::Value::Object(map) => map.get_mut(part),
+            serde_json::Value::Object(map) => map.get_mut(current_name(part, &known)),
             _ => None,
         };
         place = next.ok_or_else(|| {
@@ -88,7 +132,7 @@
     name: &impl Fn(wheelfield::interface::EngineId) -> String,
 ) -> Decided {
     if taken.is_none() {
-        return Decided::Crowded;
+        return Decided::CapacityExceeded;
     }
     let _ = step;
     for i in out {
@@ -96,7 +140,7 @@
             Instruction::Start { attempt, engine, .. } if Some(attempt.query) == taken => {
                 return Decided::Sent(name(*engine))
             }
-            Instruction::Answer(query, Answer::Refused { .. }) if Some(*query) == taken => {
+            Instruction::Answer(query, Answer::Rejected { .. }) if Some(*query) == taken => {
                 return Decided::Refused
             }
             Instruction::Answer(query, _) if Some(*query) == taken => return Decided::Failed,
--- a/crates/replay/tests/captures.rs
+++ b/crates/replay/tests/captures.rs
@@ -9,7 +9,7 @@
 use common::{folder, settings, small, start, Scene};
 use wheelfield::interface::*;
 use wheelfield_capture::{repair, Disk, Entry, Limits, ReadError, Reader, Record, Recorder, Told};
-use wheelfield_driver::{Bounds, Driver, Input, Instruction};
+use wheelfield_driver::{Driver, DriverLimits, Input, Instruction};
 use wheelfield_replay::{run, shadow, Options, ReplayError};
 
 #[test]
@@ -55,8 +55,8 @@
     // Brute force: two drivers side by side, compared by hand up to the first difference.
     let mut reader = Reader::open(&path).expect("a capture");
     let (mut one, mut two) = (
-        Driver::new(settings(), 11, Bounds::default()),
-        Driver::new(fewer(&settings()), 11, Bounds::default()),
+        Driver::new(settings(), 11, DriverLimits::default()),
+        Driver::new(fewer(&settings()), 11, DriverLimits::default()),
     );
     let (mut first, mut number) = (None, 0);
     while let Some(Entry::Record(record)) = reader.entry().expect("sound") {
@@ -142,8 +142,9 @@
     let path = dir.path().join("a.wfcap");
     let mut scene = Scene::at(&path, small());
     let word = |engine: u64, load: f64| {
-        let report = Report { utilisation: Some(load), memory: Some(load / 2.0), ..Report::default() };
-        Input::Told(vec![Word { engine: EngineId(engine), report }])
+        let report =
+            LoadReport { utilisation: Some(load), memory_granted: Some(load / 2.0), ..LoadReport::default() };
+        Input::PeerReports(vec![PeerLoadReport { engine: EngineId(engine), report }])
     };
     for round in 0..20 {
         scene.play(100);
@@ -194,7 +195,7 @@
 
 fn short_capture(dir: &Path) -> std::path::PathBuf {
     let path = dir.join("a.wfcap");
-    let mut scene = Scene::at(&path, Limits { checkpoint: Micros::from_secs(9.0), ..small() });
+    let mut scene = Scene::at(&path, Limits { checkpoint: Micros::from_secs_f64(9.0), ..small() });
     scene.play(120);
     scene.end();
     path
--- a/crates/replay/tests/common/mod.rs
+++ b/crates/replay/tests/common/mod.rs
@@ -4,31 +4,31 @@
 use std::path::Path;
 use wheelfield::interface::*;
 use wheelfield_capture::{Limits, Recorder, Start, State, Told};
-use wheelfield_driver::{Arrival, Bounds, Driver, Input, Instruction};
+use wheelfield_driver::{Arrival, Driver, DriverLimits, Input, Instruction};
 
 pub fn settings() -> Settings {
     let class = Class {
-        aim: Micros::from_secs(1.0),
-        deadline: Micros::from_secs(5.0),
-        worth: 1.0,
+        latency_objective: Micros::from_secs_f64(1.0),
+        deadline: Micros::from_secs_f64(5.0),
+        value: 1.0,
         threads: 1.0,
         ..Class::default()
     };
     Settings {
-        gateways: 2.0,
-        classes: vec![class.clone(), Class { effect: Effect::Once, ..class }],
+        gateway_count: 2.0,
+        classes: vec![class.clone(), Class { semantics: ExecutionSemantics::AtMostOnce, ..class }],
         cores: vec![4.0],
         memory_mb: vec![1000.0],
-        cancel: true,
-        reports: true,
+        cancellation: true,
+        load_reports: true,
         reports_utilisation: true,
         max_attempts: 3,
-        note_every: Micros::from_secs(1.0),
-        max_retry_after: Micros::from_secs(1.0),
-        cold_from: 0.4,
-        cold_for: Micros::from_secs(5.0),
-        fall_multiple: 3.0,
-        fall_span: Micros::from_secs(1.0),
+        progress_interval: Micros::from_secs_f64(1.0),
+        max_retry_after: Micros::from_secs_f64(1.0),
+        slow_start_initial_fraction: 0.4,
+        slow_start_duration: Micros::from_secs_f64(5.0),
+        overload_multiple: 3.0,
+        overload_window: Micros::from_secs_f64(1.0),
         ..Settings::default()
     }
 }
@@ -39,7 +39,7 @@
         index: 0,
         seed: 11,
         settings: settings(),
-        bounds: Bounds::default(),
+        bounds: DriverLimits::default(),
         classes: vec!["fast".into(), "load".into()],
         tenants: Vec::new(),
     }
@@ -57,7 +57,7 @@
 
 impl Scene {
     pub fn on(recorder: impl FnOnce(&Driver) -> Recorder) -> Scene {
-        let driver = Driver::new(settings(), 11, Bounds::default());
+        let driver = Driver::new(settings(), 11, DriverLimits::default());
         let recorder = recorder(&driver);
         let mut scene = Scene { driver, recorder, now: Micros(1_000_000), out: Vec::new(), n: 0, steps: 0 };
         scene.tell(Input::Started);
@@ -67,9 +67,9 @@
             kind: 0,
             cell: 0,
             status: Status::Up,
-            started: None,
+            started_at: None,
         };
-        scene.tell(Input::Engines { whole: true, entries: (1..=4).map(engine).collect() });
+        scene.tell(Input::Engines { complete: true, entries: (1..=4).map(engine).collect() });
         scene
     }
 
@@ -92,7 +92,7 @@
 
     pub fn tell(&mut self, input: Input) {
         let mut fresh = Vec::new();
-        self.driver.tell(self.now, input.clone(), &mut fresh);
+        self.driver.handle_input(self.now, input.clone(), &mut fresh);
         self.note(Told::Input(input), None, fresh);
     }
 
@@ -101,7 +101,7 @@
         for step in 0..ms / 5 {
             self.now = self.now + Micros(5_000);
             let mut fresh = Vec::new();
-            if self.driver.due(self.now, &mut fresh) {
+            if self.driver.handle_timers(self.now, &mut fresh) {
                 self.note(Told::Due, None, fresh);
             }
             let now = self.now;
@@ -112,18 +112,19 @@
                 self.tell(Input::Dispatched(attempt));
                 let odd = attempt.query.0 % 13;
                 let outcome = [Outcome::Error, Outcome::Reset, Outcome::Full].get(odd as usize).copied();
-                let report = Report { utilisation: Some((self.n % 17) as f64 / 11.0), ..Report::default() };
+                let report =
+                    LoadReport { utilisation: Some((self.n % 17) as f64 / 11.0), ..LoadReport::default() };
                 let outcome = outcome.unwrap_or(Outcome::Served);
-                self.tell(Input::Ended { attempt, outcome, billed_work: Some(0.31), report });
+                self.tell(Input::AttemptEnded { attempt, outcome, reported_work: Some(0.31), report });
             }
             let arrival = Arrival {
                 class: usize::from(step % 9 == 0),
-                due: self.now + Micros::from_secs(4.0),
+                deadline: self.now + Micros::from_secs_f64(4.0),
                 work_hint: Some(0.1 + (step % 7) as f64 * 0.13),
                 ..Arrival::default()
             };
             let mut fresh = Vec::new();
-            let taken = self.driver.arrive(self.now, arrival.clone(), &mut fresh).ok();
+            let taken = self.driver.submit(self.now, arrival.clone(), &mut fresh).ok();
             self.note(Told::Arrive { arrival, label: format!("s{step}") }, taken, fresh);
         }
     }
--- a/crates/replay/tests/versions.rs
+++ b/crates/replay/tests/versions.rs
@@ -2,6 +2,7 @@
 
 use std::path::PathBuf;
 use wheelfield_capture::Reader;
+use wheelfield_replay::shadow::alter;
 use wheelfield_replay::{run, Options};
 
 fn fixture(path: &str) -> PathBuf {
@@ -31,3 +32,21 @@
     assert!(verdict.equal(), "{:?} {:?}", verdict.difference, verdict.state_differs);
     assert!(verdict.checkpoints > 2, "{} checkpoints", verdict.checkpoints);
 }
+
+#[test]
+fn settings_are_altered_by_their_earlier_names_too() {
+    let settings = wheelfield::interface::Settings {
+        classes: vec![wheelfield::interface::Class::default()],
+        ..Default::default()
+    };
+    for (earlier, now, value) in [
+        ("cold_for", "slow_start_duration", "7"),
+        ("classes.0.aim", "classes.0.latency_objective", "9"),
+        ("classes.0.effect", "classes.0.semantics", "\"AtMostOnce\""),
+        ("classes.0.effect", "classes.0.semantics", "\"Once\""),
+    ] {
+        let by_earlier_name = alter(&settings, earlier, value).expect("a known setting");
+        assert_eq!(by_earlier_name, alter(&settings, now, value).expect("a known setting"));
+        assert_ne!(by_earlier_name, settings, "{earlier}");
+    }
+}
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -16,7 +16,7 @@
 pub enum SettingsError {
     /// What may happen to queries of a class is told in an unknown word.
     #[error("unknown effect {effect:?} of class {class}")]
-    Effect {
+    UnknownEffect {
         /// Its position.
         class: usize,
         /// The word.
@@ -97,33 +97,33 @@
             classes.push(names.class(g, i, info)?);
         }
         let settings = Settings {
-            gateways: real(&v["balancers"]),
-            index: real(&v["me"]),
+            gateway_count: real(&v["balancers"]),
+            gateway_index: real(&v["me"]),
             zone: v["my_zone"].as_str().and_then(|z| position(&names.zones, z)),
             classes,
-            allowances: v["tenants"]
+            tenant_rates: v["tenants"]
                 .as_array()
                 .map(|t| t.iter().map(|t| real(&t["allowance_per_s"])).collect())
                 .unwrap_or_default(),
             cores: reals(&info["cpu_of_kind"]),
             memory_mb: reals(&info["memory_by_kind_mb"]),
-            max_grant_share: real(&info["max_grant_share"]),
-            waits: info["when_short"] == "wait",
-            pages: info["when_short"] == "page",
-            grants: flag(&info["grants"]),
+            max_grant_fraction: real(&info["max_grant_share"]),
+            queues_on_memory_shortage: info["when_short"] == "wait",
+            pages_on_memory_shortage: info["when_short"] == "page",
+            memory_grants: flag(&info["grants"]),
             priorities: flag(&info["lanes_count"]),
-            bills: flag(&info["bills"]),
-            note_every: micros(&info["tells_every_us"]),
-            cancel: flag(&limits["cancel"]),
+            reports_work: flag(&info["bills"]),
+            progress_interval: micros(&info["tells_every_us"]),
+            cancellation: flag(&limits["cancel"]),
             probes: flag(&limits["probes"]),
-            peers: flag(&limits["peer_messages"]),
+            peer_messages: flag(&limits["peer_messages"]),
             probe_price: real(&v["charges"]["probe"]),
             message_price: real(&v["charges"]["peer"]) * 1024.0 / LONGEST_MESSAGE as f64,
-            reports: v["telemetry"]["how"] != "none",
+            load_reports: v["telemetry"]["how"] != "none",
             reports_utilisation: strings(&v["telemetry"]["columns"]).iter().any(|c| c == "cpu_share"),
             reports_by_probe: v["telemetry"]["how"] == "probe",
             subscribe: v["registry_mode"] == "subscribe",
-            second_copies: flag(&limits["second_copies"]),
+            hedged_requests: flag(&limits["second_copies"]),
             max_attempts: limits["send_cap"].as_u64().unwrap_or(0) as usize,
             max_retry_after: if flag(&limits["retry_after"]) {
                 micros(&limits["max_retry_after_us"])
@@ -131,18 +131,18 @@
                 Micros(0)
             },
             cross_zone_price: real(&v["charges"]["cross_zone"]),
-            cold_from: real(&safety["cold_from"]),
-            cold_for: micros(&safety["ramp_time_us"]),
-            fall_multiple: real(&safety["tip_multiple"]),
-            fall_span: micros(&safety["fall_us"]),
-            order_pause: micros(&safety["order_pause_us"]),
-            attempt_budget: safety.get("resend_ratio").or(safety.get("extra_free")).map(|_| AttemptBudget {
-                free: real(&safety["extra_free"]),
-                share: real(&safety["resend_ratio"]),
-                span: micros(&safety["budget_span_us"]),
+            slow_start_initial_fraction: real(&safety["cold_from"]),
+            slow_start_duration: micros(&safety["ramp_time_us"]),
+            overload_multiple: real(&safety["tip_multiple"]),
+            overload_window: micros(&safety["fall_us"]),
+            key_cooldown: micros(&safety["order_pause_us"]),
+            retry_budget: safety.get("resend_ratio").or(safety.get("extra_free")).map(|_| RetryBudget {
+                guaranteed: real(&safety["extra_free"]),
+                fraction: real(&safety["resend_ratio"]),
+                window: micros(&safety["budget_span_us"]),
             }),
             handshake_price: real(&v["charges"]["handshake"]),
-            connections_rest: micros(&limits["conn_idle_us"]),
+            connection_idle_timeout: micros(&limits["conn_idle_us"]),
         };
         Ok((names, settings))
     }
@@ -157,29 +157,32 @@
         let (zones, no_zone) = open_to("zones_open", &self.zones);
         let (kinds, no_kind) = open_to("bound_to", &self.kinds);
         Ok(Class {
-            aim: micros(&g["on_time_us"]),
-            aim_stretch: real(&g["aim_stretch"]),
+            latency_objective: micros(&g["on_time_us"]),
+            latency_objective_stretch: real(&g["aim_stretch"]),
             deadline: micros(&g["give_up_us"]),
-            worth: real(&g["gain"]),
-            late_value: real(&g["late_value"]),
-            effect: match g["effect"].as_str() {
-                Some("repeatable") => Effect::Repeatable,
-                Some("by_key") => Effect::ByKey,
-                Some("once") => Effect::Once,
+            value: real(&g["gain"]),
+            late_value_fraction: real(&g["late_value"]),
+            semantics: match g["effect"].as_str() {
+                Some("repeatable") => ExecutionSemantics::Idempotent,
+                Some("by_key") => ExecutionSemantics::IdempotencyKey,
+                Some("once") => ExecutionSemantics::AtMostOnce,
                 other => {
-                    return Err(SettingsError::Effect { class: index, effect: other.map(str::to_string) })
+                    return Err(SettingsError::UnknownEffect {
+                        class: index,
+                        effect: other.map(str::to_string),
+                    })
                 }
             },
-            scope: match g["dedup_scope"].as_str() {
-                Some("zone") => DedupScope::Zone,
-                Some("cell") => DedupScope::Cell,
-                _ => DedupScope::All,
+            deduplication_scope: match g["dedup_scope"].as_str() {
+                Some("zone") => DeduplicationScope::Zone,
+                Some("cell") => DeduplicationScope::Cell,
+                _ => DeduplicationScope::All,
             },
-            window: micros(&g["window_us"]),
-            in_order: flag(&g["in_order"]),
+            deduplication_window: micros(&g["window_us"]),
+            ordered_by_key: flag(&g["in_order"]),
             kinds,
             zones,
-            nowhere: no_zone || no_kind,
+            no_engine_permitted: no_zone || no_kind,
             threads: info["parallelism"][index].as_f64().unwrap_or(1.0),
             is_load: flag(&info["writes_tables"][index]),
             waits_for_loads: flag(&info["yields_to_loads"][index]),
@@ -205,13 +208,13 @@
 }
 
 /// Takes one figure of a load report by its name, as settings or other pages of the operators call it. An unknown name is left out.
-pub fn take_figure(report: &mut Report, name: &str, value: f64) {
+pub fn take_figure(report: &mut LoadReport, name: &str, value: f64) {
     match name {
         "cpu_share" | "util" => report.utilisation = Some(value),
         "busy_reqs" | "inflight" => report.in_flight = Some(value),
-        "pending" | "queue" => report.queue = Some(value),
-        "x0" => report.memory = Some(value),
-        "x1" => report.disks = Some(value),
+        "pending" | "queue" => report.queued = Some(value),
+        "x0" => report.memory_granted = Some(value),
+        "x1" => report.disk_utilisation = Some(value),
         _ => {}
     }
 }
--- a/crates/settings/src/words.rs
+++ b/crates/settings/src/words.rs
@@ -1,6 +1,6 @@
 //! Messages between controllers, in bytes.
 
-use wheelfield::interface::{EngineId, Report, Word};
+use wheelfield::interface::{EngineId, LoadReport, PeerLoadReport};
 
 /// The figures that a message may carry of each engine, one byte each: a bit of its first byte, and the unit.
 const FIELDS: [(u8, f64); 5] = [(1, 1.0 / 64.0), (2, 1.0), (4, 1.0), (8, 1.0 / 64.0), (16, 1.0 / 64.0)];
@@ -9,12 +9,12 @@
 
 /// A message: what it carries, then for each engine three bytes of its number and its figures. All words of
 /// one message carry the same figures; a word that does not is left out, as is what exceeds its length.
-pub fn message(words: &[Word]) -> Vec<u8> {
-    let figures = |w: &Word| {
+pub fn message(words: &[PeerLoadReport]) -> Vec<u8> {
+    let figures = |w: &PeerLoadReport| {
         let r = &w.report;
-        [r.utilisation, r.in_flight, r.queue, r.memory, r.disks]
+        [r.utilisation, r.in_flight, r.queued, r.memory_granted, r.disk_utilisation]
     };
-    let mask_of = |w: &Word| {
+    let mask_of = |w: &PeerLoadReport| {
         let told = figures(w).into_iter().zip(FIELDS).filter(|(x, _)| x.is_some());
         told.fold(0, |mask, (_, (bit, _))| mask | bit)
     };
@@ -30,7 +30,7 @@
 }
 
 /// Reads a message. What is unreadable, or of an engine that is not among those `known`, is left out.
-pub fn words<'a>(known: impl Iterator<Item = &'a EngineId> + Clone, bytes: &[u8]) -> Vec<Word> {
+pub fn words<'a>(known: impl Iterator<Item = &'a EngineId> + Clone, bytes: &[u8]) -> Vec<PeerLoadReport> {
     let Some((mask, mut rest)) = bytes.split_first() else { return Vec::new() };
     let mut words = Vec::new();
     let length = 3 + FIELDS.iter().filter(|(bit, _)| mask & bit != 0).count();
@@ -42,15 +42,15 @@
             let (bit, unit) = FIELDS[i];
             (mask & bit != 0).then(|| values.next().map(|b| f64::from(*b) * unit)).flatten()
         };
-        let report = Report {
+        let report = LoadReport {
             utilisation: field(0),
             in_flight: field(1),
-            queue: field(2),
-            memory: field(3),
-            disks: field(4),
+            queued: field(2),
+            memory_granted: field(3),
+            disk_utilisation: field(4),
         };
         let named = known.clone().find(|e| e.0.to_le_bytes()[..3] == word[..3]);
-        words.extend(named.map(|&engine| Word { engine, report }));
+        words.extend(named.map(|&engine| PeerLoadReport { engine, report }));
     }
     words
 }
@@ -61,9 +61,9 @@
 
     #[test]
     fn a_message_is_read_as_it_was_told_and_unknown_engines_are_left_out() {
-        let word = |n: u64, u: f64| Word {
+        let word = |n: u64, u: f64| PeerLoadReport {
             engine: EngineId(n),
-            report: Report { utilisation: Some(u), ..Report::default() },
+            report: LoadReport { utilisation: Some(u), ..LoadReport::default() },
         };
         let bytes = message(&[word(7, 0.5), word(9, 1.25)]);
         assert_eq!(bytes.len(), 9);
--- a/crates/sim-adapter/src/tape.rs
+++ b/crates/sim-adapter/src/tape.rs
@@ -6,18 +6,20 @@
 use std::path::{Path, PathBuf};
 use wheelfield::interface::*;
 use wheelfield_capture::{Limits, Recorder, Start, Told};
-use wheelfield_driver::{Answer, Arrival, AttemptId, Bounds, Driver, Input, Instruction, Terms};
+use wheelfield_driver::{
+    Answer, Arrival, AttemptId, AttemptOptions, Driver, DriverLimits, Input, Instruction,
+};
 
 /// Something wanted done, in a form that module and driver share.
 #[derive(Clone, Debug, PartialEq)]
 enum Wanted {
-    Start(AttemptId, EngineId, Terms),
-    Terms(AttemptId, Terms),
+    Start(AttemptId, EngineId, AttemptOptions),
+    AttemptOptions(AttemptId, AttemptOptions),
     Withdraw(AttemptId),
     Refuse(QueryId, Micros),
     Fail(QueryId),
     Probe(EngineId),
-    Tell(Vec<Word>),
+    Tell(Vec<PeerLoadReport>),
     Subscribe,
     Log(String),
 }
@@ -43,7 +45,7 @@
     driver: Driver,
     recorder: Recorder,
     /// Terms for a query's next send, attempts sent, and those out: what the module's actions say of them.
-    terms: BTreeMap<QueryId, Terms>,
+    terms: BTreeMap<QueryId, AttemptOptions>,
     sent: BTreeMap<QueryId, usize>,
     out: BTreeSet<AttemptId>,
     /// Wanted by the module here and not yet by the driver, and the other way round.
@@ -73,7 +75,10 @@
         } else {
             format!("controller-{instance}-{life}")
         };
-        let bounds = Bounds { queries: usize::MAX, withdraw_wait: Bounds::TOLD };
+        let bounds = DriverLimits {
+            max_queries: usize::MAX,
+            cancel_confirmation_timeout: DriverLimits::EXTERNALLY_TIMED,
+        };
         let (classes, tenants) = (names.0.classes.clone(), names.0.tenants.clone());
         let start = Start {
             build: format!("{} {}", env!("CARGO_PKG_NAME"), env!("CARGO_PKG_VERSION")),
@@ -116,7 +121,7 @@
         names: &Wording,
     ) {
         self.now = now;
-        if let Event::Ended(e) = &event {
+        if let Event::AttemptEnded(e) = &event {
             self.out.remove(&AttemptId { query: e.query, number: e.attempt });
         }
         for action in actions {
@@ -139,13 +144,13 @@
                 self.out.insert(attempt);
                 Wanted::Start(attempt, *engine, self.terms.get(query).copied().unwrap_or_default())
             }
-            Action::Terms { query, grant_mb, priority } => {
-                let terms = Terms { grant_mb: *grant_mb, priority: *priority };
+            Action::SetOptions { query, grant_mb, priority } => {
+                let terms = AttemptOptions { grant_mb: *grant_mb, priority: *priority };
                 self.terms.insert(*query, terms);
                 let (first, last) =
                     (AttemptId { query: *query, number: 0 }, AttemptId { query: *query, number: usize::MAX });
                 let out = self.out.range(first..=last);
-                self.module.extend(out.map(|a| Wanted::Terms(*a, terms)));
+                self.module.extend(out.map(|a| Wanted::AttemptOptions(*a, terms)));
                 return;
             }
             Action::Cancel { query, attempt } => {
@@ -154,11 +159,11 @@
                 self.out.remove(&attempt);
                 Wanted::Withdraw(attempt)
             }
-            Action::Refuse { query, retry_after } => Wanted::Refuse(*query, *retry_after),
+            Action::Reject { query, retry_after } => Wanted::Refuse(*query, *retry_after),
             Action::Fail { query } => Wanted::Fail(*query),
-            Action::Timer { .. } => return,
+            Action::SetTimer { .. } => return,
             Action::Probe(engine) => Wanted::Probe(*engine),
-            Action::Tell(words) => Wanted::Tell(words.clone()),
+            Action::ShareReports(words) => Wanted::Tell(words.clone()),
             Action::Subscribe => Wanted::Subscribe,
             Action::Log(text) => Wanted::Log(text.clone()),
         };
@@ -169,14 +174,14 @@
         let mut out = Vec::new();
         let taken = match &told {
             Told::ArriveAs { id, arrival, .. } => {
-                self.driver.arrive_as(self.now, *id, arrival.clone(), &mut out).ok()
+                self.driver.submit_with_id(self.now, *id, arrival.clone(), &mut out).ok()
             }
             Told::Input(input) => {
-                self.driver.tell(self.now, input.clone(), &mut out);
+                self.driver.handle_input(self.now, input.clone(), &mut out);
                 None
             }
             Told::Woke(token) => {
-                self.driver.woke(self.now, *token, &mut out);
+                self.driver.fire_timer(self.now, *token, &mut out);
                 None
             }
             // Of these there is none here.
@@ -188,20 +193,20 @@
         let mut started = Vec::new();
         for instruction in out {
             self.driven.push_back(match instruction {
-                Instruction::Start { attempt, engine, terms } => {
+                Instruction::Start { attempt, engine, options: terms } => {
                     started.push(attempt);
                     Wanted::Start(attempt, engine, terms)
                 }
-                Instruction::SetTerms(attempt, terms) => Wanted::Terms(attempt, terms),
-                Instruction::Withdraw(attempt) => Wanted::Withdraw(attempt),
-                Instruction::Answer(query, Answer::Refused { retry_after }) => {
+                Instruction::SetOptions(attempt, terms) => Wanted::AttemptOptions(attempt, terms),
+                Instruction::Cancel(attempt) => Wanted::Withdraw(attempt),
+                Instruction::Answer(query, Answer::Rejected { retry_after }) => {
                     Wanted::Refuse(query, retry_after)
                 }
                 Instruction::Answer(query, Answer::Failed { .. }) => Wanted::Fail(query),
                 // A broken answer is the wire's own affair here.
-                Instruction::Answer(_, Answer::Broken) => continue,
+                Instruction::Answer(_, Answer::Interrupted) => continue,
                 Instruction::Probe(engine) => Wanted::Probe(engine),
-                Instruction::Tell(words) => Wanted::Tell(words),
+                Instruction::ShareReports(words) => Wanted::Tell(words),
                 Instruction::Subscribe => Wanted::Subscribe,
                 Instruction::Log(text) => Wanted::Log(text),
             });
@@ -226,7 +231,7 @@
             return;
         }
         if self.difference.is_none() {
-            let (at, name) = (self.now.secs(), &self.name);
+            let (at, name) = (self.now.as_secs_f64(), &self.name);
             let side = |q: &VecDeque<Wanted>| q.front().map_or("nothing".into(), |w| format!("{w:?}"));
             let text = format!(
                 "{name} at {at:.6} s: the module wants {}, the driver {}",
@@ -255,25 +260,43 @@
 fn told(event: Event, attempt: Option<usize>) -> Option<Told> {
     Some(Told::Input(match event {
         Event::Started => Input::Started,
-        Event::EngineList(entries) => Input::Engines { whole: true, entries },
-        Event::EngineChanges(entries) => Input::Engines { whole: false, entries },
+        Event::EngineList(entries) => Input::Engines { complete: true, entries },
+        Event::EngineChanges(entries) => Input::Engines { complete: false, entries },
         Event::ListUnavailable => Input::ListUnavailable,
         Event::Arrived(q) => {
-            let Query { id, class, tenant, key, due, work_hint, memory_hint, tables } = q;
-            let arrival = Arrival { class, tenant, key, due, work_hint, memory_hint, tables };
+            let Query { id, class, tenant, key, deadline: due, work_hint, memory_hint, tables } = q;
+            let arrival = Arrival { class, tenant, key, deadline: due, work_hint, memory_hint, tables };
             return Some(Told::ArriveAs { id, arrival, label: format!("{:016x}", id.0) });
         }
-        Event::AnswerBegan(query) => Input::Began(AttemptId { query, number: attempt? }),
-        Event::Noted { query, attempt: number, note } => Input::Noted(AttemptId { query, number }, note),
-        Event::Ended(e) => {
-            let Ending { query, attempt: number, outcome, billed_work, report, took, .. } = e;
-            Input::Measured { attempt: AttemptId { query, number }, outcome, billed_work, report, took }
+        Event::AnswerStarted(query) => Input::AnswerStarted(AttemptId { query, number: attempt? }),
+        Event::AttemptUpdated { query, attempt: number, update: note } => {
+            Input::AttemptUpdated(AttemptId { query, number }, note)
+        }
+        Event::AttemptEnded(e) => {
+            let AttemptEnd {
+                query,
+                attempt: number,
+                outcome,
+                reported_work: billed_work,
+                report,
+                elapsed: took,
+                ..
+            } = e;
+            Input::AttemptMeasured {
+                attempt: AttemptId { query, number },
+                outcome,
+                reported_work: billed_work,
+                report,
+                elapsed: took,
+            }
+        }
+        Event::Abandoned(query) => Input::Abandoned(query),
+        Event::ShutdownDeadline(query) => Input::ShutdownDeadline(query),
+        Event::ProbeEnded { engine, outcome, report } => Input::ProbeEnded { engine, outcome, report },
+        Event::PeerReports(words) => Input::PeerReports(words),
+        Event::GatewayCountChanged { count, index } => {
+            Input::GatewayCountChanged { count: count as u32, index: index as u32 }
         }
-        Event::Departed(query) => Input::Departed(query),
-        Event::TimeUp(query) => Input::TimeUp(query),
-        Event::Probed { engine, outcome, report } => Input::Probed { engine, outcome, report },
-        Event::Told(words) => Input::Told(words),
-        Event::Gateways { count, index } => Input::Gateways { count: count as u32, index: index as u32 },
-        Event::TimerDue(token) => return Some(Told::Woke(token)),
+        Event::TimerFired(token) => return Some(Told::Woke(token)),
     }))
 }
--- a/crates/sim-adapter/src/wire.rs
+++ b/crates/sim-adapter/src/wire.rs
@@ -142,42 +142,42 @@
                     Some(name) => Some(self.known(&self.0.tenants, name, "tenant")?),
                 },
                 key: line.get("relation").filter(|k| !k.is_empty()).map(str::to_string),
-                due: Micros(line.number("due_us")?),
+                deadline: Micros(line.number("due_us")?),
                 work_hint: line.real("estimate_us")?.filter(|us| *us > 0.0).map(|us| us / 1e6),
                 memory_hint: line.real("footprint_mb")?.filter(|mb| *mb > 0.0),
                 tables: line.real("data_group")?.unwrap_or(0.0) as u64,
             }),
-            "first_byte" => Event::AnswerBegan(line.query_id()?),
-            "change" => Event::Noted {
+            "first_byte" => Event::AnswerStarted(line.query_id()?),
+            "change" => Event::AttemptUpdated {
                 query: line.query_id()?,
                 attempt: line.number("leg")?,
-                note: match (line.number::<i64>("sort")?, line.real("x")?.unwrap_or(0.0)) {
-                    (1, x) => Note::Progress(x),
-                    (2, x) => Note::Spills(x),
-                    (3, x) if x < 2.0 => Note::WaitsForMemory,
-                    (3, _) => Note::WaitsForLoad,
-                    _ => Note::Other,
+                update: match (line.number::<i64>("sort")?, line.real("x")?.unwrap_or(0.0)) {
+                    (1, x) => AttemptUpdate::Progress(x),
+                    (2, x) => AttemptUpdate::Spills(x),
+                    (3, x) if x < 2.0 => AttemptUpdate::WaitsForMemory,
+                    (3, _) => AttemptUpdate::WaitsForLoad,
+                    _ => AttemptUpdate::Other,
                 },
             },
-            "done" => Event::Ended(Ending {
+            "done" => Event::AttemptEnded(AttemptEnd {
                 query: line.query_id()?,
                 attempt: line.number("leg")?,
                 outcome: outcome(line)?,
-                last: matches!(line.get("last"), Some("1") | Some("true")),
-                took: line.micros("rtt_us")?.unwrap_or_default(),
-                billed_work: line
+                query_over: matches!(line.get("last"), Some("1") | Some("true")),
+                elapsed: line.micros("rtt_us")?.unwrap_or_default(),
+                reported_work: line
                     .parsed::<u64>("used_up")?
                     .filter(|used| *used > 0)
                     .map(|used| (used / 4096) as f64 / 1e3),
                 report: report(line)?,
             }),
-            "expired" => Event::Departed(line.query_id()?),
-            "tick_due" => Event::TimerDue(line.number("handle")?),
-            "inbox" => Event::Told(words(
+            "expired" => Event::Abandoned(line.query_id()?),
+            "tick_due" => Event::TimerFired(line.number("handle")?),
+            "inbox" => Event::PeerReports(words(
                 self.0.engines.keys(),
                 &STANDARD.decode(line.text("blob")?).unwrap_or_default(),
             )),
-            "status_back" => Event::Probed {
+            "status_back" => Event::ProbeEnded {
                 engine: engine_id(line.text("executor")?),
                 outcome: outcome(line)?,
                 report: report(line)?,
@@ -206,7 +206,7 @@
                 kind: self.0.kind(&e.kind),
                 cell: e.cell,
                 status: e.status,
-                started: e.started,
+                started_at: e.started,
             });
         }
         match mode {
@@ -221,7 +221,7 @@
         use std::fmt::Write;
         let engine = |e: &EngineId| self.0.engines.get(e).map(String::as_str).unwrap_or("-");
         let written = match action {
-            Action::Send { query, engine: e, time_out } => {
+            Action::Send { query, engine: e, timeout: time_out } => {
                 writeln!(
                     out,
                     "submit_to job={:016x} executor={} try_for_us={}",
@@ -230,20 +230,22 @@
                     time_out.0
                 )
             }
-            Action::Terms { query, grant_mb, priority } => writeln!(
+            Action::SetOptions { query, grant_mb, priority } => writeln!(
                 out,
                 "set_terms job={:016x} memory_grant={} weight_class={priority}",
                 query.0,
                 grant_mb.round()
             ),
             Action::Cancel { query, attempt } => writeln!(out, "revoke job={:016x} leg={attempt}", query.0),
-            Action::Refuse { query, retry_after } => {
+            Action::Reject { query, retry_after } => {
                 writeln!(out, "reject job={:016x} backoff_us={}", query.0, retry_after.0)
             }
             Action::Fail { query } => writeln!(out, "respond_error job={:016x}", query.0),
-            Action::Timer { token, after } => writeln!(out, "timer handle={token} sleep_for_us={}", after.0),
+            Action::SetTimer { token, after } => {
+                writeln!(out, "timer handle={token} sleep_for_us={}", after.0)
+            }
             Action::Probe(e) => writeln!(out, "inspect executor={}", engine(e)),
-            Action::Tell(words) => {
+            Action::ShareReports(words) => {
                 writeln!(out, "signal whom=all blob={}", STANDARD.encode(message(words)))
             }
             Action::Subscribe => writeln!(out, "track want=1"),
@@ -262,13 +264,13 @@
         "econnrefused" => Outcome::ConnectFailed,
         "econnreset" => Outcome::Reset,
         "ecanceled" => Outcome::Cancelled,
-        "skipped" => Outcome::Skipped,
+        "skipped" => Outcome::NeverSent,
         other => return Err(format!("{}: unknown code '{}'", line.word, clip(other))),
     })
 }
 
-fn report(line: &Line) -> Result<Report, String> {
-    let mut report = Report::default();
+fn report(line: &Line) -> Result<LoadReport, String> {
+    let mut report = LoadReport::default();
     for pair in line.get("health_info").unwrap_or("").split(',').filter(|p| !p.is_empty()) {
         let (name, value) = pair.split_once(':').ok_or_else(|| {
             format!("{}: expected name:value in health_info, found '{}'", line.word, clip(pair))
--- a/crates/sim-adapter/tests/one_core.rs
+++ b/crates/sim-adapter/tests/one_core.rs
@@ -10,58 +10,58 @@
 use std::process::{Command, Stdio};
 use wheelfield::interface::*;
 use wheelfield_capture::{Limits, Recorder, Start, Told};
-use wheelfield_driver::{Answer, Arrival, Bounds, Driver, Input, Instruction};
+use wheelfield_driver::{Answer, Arrival, Driver, DriverLimits, Input, Instruction};
 
 const MS: i64 = 1_000;
 const SEED: u64 = 40_123;
 
 fn settings() -> Settings {
     let class = Class {
-        aim: Micros(500 * MS),
-        aim_stretch: 3.0,
+        latency_objective: Micros(500 * MS),
+        latency_objective_stretch: 3.0,
         deadline: Micros(3_000 * MS),
-        worth: 1.0,
-        late_value: 0.25,
+        value: 1.0,
+        late_value_fraction: 0.25,
         threads: 1.0,
         ..Class::default()
     };
     Settings {
-        gateways: 3.0,
-        index: 1.0,
+        gateway_count: 3.0,
+        gateway_index: 1.0,
         zone: Some(1),
         classes: vec![
             Class { threads: 2.0, ..class.clone() },
-            Class { effect: Effect::Once, is_load: true, ..class.clone() },
+            Class { semantics: ExecutionSemantics::AtMostOnce, is_load: true, ..class.clone() },
             Class {
-                in_order: true,
-                effect: Effect::ByKey,
-                scope: DedupScope::Zone,
-                window: Micros(900 * MS),
+                ordered_by_key: true,
+                semantics: ExecutionSemantics::IdempotencyKey,
+                deduplication_scope: DeduplicationScope::Zone,
+                deduplication_window: Micros(900 * MS),
                 ..class.clone()
             },
             Class { zones: vec![1], kinds: vec![0], waits_for_loads: true, ..class },
         ],
-        allowances: vec![5.0, 0.5],
+        tenant_rates: vec![5.0, 0.5],
         cores: vec![4.0, 8.0],
         memory_mb: vec![4_096.0, 8_192.0],
-        max_grant_share: 0.5,
-        pages: true,
-        grants: true,
+        max_grant_fraction: 0.5,
+        pages_on_memory_shortage: true,
+        memory_grants: true,
         priorities: true,
-        bills: true,
-        note_every: Micros(200 * MS),
-        cancel: true,
-        reports: true,
+        reports_work: true,
+        progress_interval: Micros(200 * MS),
+        cancellation: true,
+        load_reports: true,
         reports_utilisation: true,
         subscribe: true,
         max_attempts: 3,
         max_retry_after: Micros(2_000 * MS),
-        cold_from: 0.25,
-        cold_for: Micros(5_000 * MS),
-        fall_multiple: 2.0,
-        fall_span: Micros(1_000 * MS),
-        order_pause: Micros(200 * MS),
-        attempt_budget: Some(AttemptBudget { free: 2.0, share: 0.125, span: Micros(4_000 * MS) }),
+        slow_start_initial_fraction: 0.25,
+        slow_start_duration: Micros(5_000 * MS),
+        overload_multiple: 2.0,
+        overload_window: Micros(1_000 * MS),
+        key_cooldown: Micros(200 * MS),
+        retry_budget: Some(RetryBudget { guaranteed: 2.0, fraction: 0.125, window: Micros(4_000 * MS) }),
         ..Settings::default()
     }
 }
@@ -71,38 +71,38 @@
     let names = |all: &[usize], what: &str| all.iter().map(|i| format!("{what}{i}")).collect::<Vec<_>>();
     let grade = |(i, c): (usize, &Class)| {
         serde_json::json!({
-            "name": format!("c{i}"), "on_time_us": c.aim.0, "aim_stretch": c.aim_stretch, "give_up_us": c.deadline.0,
-            "gain": c.worth, "late_value": c.late_value, "window_us": c.window.0, "in_order": c.in_order,
-            "effect": match c.effect { Effect::Repeatable => "repeatable", Effect::ByKey => "by_key", Effect::Once => "once" },
-            "dedup_scope": match c.scope { DedupScope::All => "all", DedupScope::Zone => "zone", DedupScope::Cell => "cell" },
+            "name": format!("c{i}"), "on_time_us": c.latency_objective.0, "aim_stretch": c.latency_objective_stretch, "give_up_us": c.deadline.0,
+            "gain": c.value, "late_value": c.late_value_fraction, "window_us": c.deduplication_window.0, "in_order": c.ordered_by_key,
+            "effect": match c.semantics { ExecutionSemantics::Idempotent => "repeatable", ExecutionSemantics::IdempotencyKey => "by_key", ExecutionSemantics::AtMostOnce => "once" },
+            "dedup_scope": match c.deduplication_scope { DeduplicationScope::All => "all", DeduplicationScope::Zone => "zone", DeduplicationScope::Cell => "cell" },
             "zones_open": names(&c.zones, "z"), "bound_to": names(&c.kinds, "k"),
         })
     };
-    let budget = s.attempt_budget.expect("there is one");
+    let budget = s.retry_budget.expect("there is one");
     let per_class = |f: fn(&Class) -> serde_json::Value| s.classes.iter().map(f).collect::<Vec<_>>();
     serde_json::json!({
-        "balancers": s.gateways, "me": s.index, "my_zone": s.zone.map(|z| format!("z{z}")),
+        "balancers": s.gateway_count, "me": s.gateway_index, "my_zone": s.zone.map(|z| format!("z{z}")),
         "zones": ["z0", "z1"], "skus": ["k0", "k1"],
         "grades": s.classes.iter().enumerate().map(grade).collect::<Vec<_>>(),
-        "tenants": s.allowances.iter().enumerate()
+        "tenants": s.tenant_rates.iter().enumerate()
             .map(|(i, a)| serde_json::json!({"name": format!("t{i}"), "allowance_per_s": a})).collect::<Vec<_>>(),
         "family_info": {
-            "cpu_of_kind": s.cores, "memory_by_kind_mb": s.memory_mb, "max_grant_share": s.max_grant_share,
-            "when_short": "page", "grants": s.grants, "lanes_count": s.priorities, "bills": s.bills,
-            "tells_every_us": s.note_every.0,
+            "cpu_of_kind": s.cores, "memory_by_kind_mb": s.memory_mb, "max_grant_share": s.max_grant_fraction,
+            "when_short": "page", "grants": s.memory_grants, "lanes_count": s.priorities, "bills": s.reports_work,
+            "tells_every_us": s.progress_interval.0,
             "parallelism": per_class(|c| c.threads.into()),
             "writes_tables": per_class(|c| c.is_load.into()),
             "yields_to_loads": per_class(|c| c.waits_for_loads.into()),
         },
         "ceilings": {
-            "cancel": s.cancel, "send_cap": s.max_attempts, "retry_after": true,
+            "cancel": s.cancellation, "send_cap": s.max_attempts, "retry_after": true,
             "max_retry_after_us": s.max_retry_after.0,
         },
         "telemetry": {"how": "answers", "columns": ["cpu_share"]}, "registry_mode": "subscribe",
         "safety": {
-            "cold_from": s.cold_from, "ramp_time_us": s.cold_for.0, "tip_multiple": s.fall_multiple,
-            "fall_us": s.fall_span.0, "order_pause_us": s.order_pause.0, "extra_free": budget.free,
-            "resend_ratio": budget.share, "budget_span_us": budget.span.0,
+            "cold_from": s.slow_start_initial_fraction, "ramp_time_us": s.slow_start_duration.0, "tip_multiple": s.overload_multiple,
+            "fall_us": s.overload_window.0, "order_pause_us": s.key_cooldown.0, "extra_free": budget.guaranteed,
+            "resend_ratio": budget.fraction, "budget_span_us": budget.window.0,
         },
     })
     .to_string()
@@ -121,7 +121,14 @@
 }
 
 fn entry(n: usize, status: Status, started: Option<Micros>) -> EngineEntry {
-    EngineEntry { engine: engine(n), zone: n % 2, kind: n / 2 % 2, cell: n as i64, status, started }
+    EngineEntry {
+        engine: engine(n),
+        zone: n % 2,
+        kind: n / 2 % 2,
+        cell: n as i64,
+        status,
+        started_at: started,
+    }
 }
 
 /// What is to be told, by time; equal times in the order planned.
@@ -144,7 +151,7 @@
 }
 
 fn play(path: &Path, seed: u64) -> Day {
-    let bounds = Bounds::default();
+    let bounds = DriverLimits::default();
     let mut driver = Driver::new(settings(), SEED, bounds);
     let start = Start {
         build: "test 0".into(),
@@ -157,12 +164,12 @@
     };
     let limits = Limits { queue: 1 << 16, ..Limits::default() };
     let mut recorder = Recorder::begin(path, start, limits, &driver, Micros(0)).expect("a file");
-    driver.listen();
+    driver.record_events();
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut agenda = Agenda::default();
     agenda.plan(MS, Told::Input(Input::Started));
     let all = (0..6).map(|n| entry(n, Status::Up, None)).collect();
-    agenda.plan(2 * MS, Told::Input(Input::Engines { whole: true, entries: all }));
+    agenda.plan(2 * MS, Told::Input(Input::Engines { complete: true, entries: all }));
     for n in 0..500i64 {
         let at = 100 * MS + n * 11 * MS;
         let class = rng.random_range(0..4);
@@ -170,7 +177,7 @@
             class,
             tenant: rng.random_bool(0.5).then(|| rng.random_range(0..2)),
             key: (class == 2).then(|| format!("key{}", rng.random_range(0..5))),
-            due: Micros(at + rng.random_range(500..3_000) * MS),
+            deadline: Micros(at + rng.random_range(500..3_000) * MS),
             // In halves of a second's powers, as the wire tells microseconds.
             work_hint: Some(rng.random_range(1..16) as f64 / 64.0),
             memory_hint: rng.random_bool(0.5).then(|| rng.random_range(1..2_000) as f64),
@@ -179,10 +186,10 @@
         let id = QueryId(rng.random());
         agenda.plan(at, Told::ArriveAs { id, arrival, label: format!("q{n}") });
         if rng.random_bool(0.03) {
-            agenda.plan(at + 150 * MS, Told::Input(Input::Departed(id)));
+            agenda.plan(at + 150 * MS, Told::Input(Input::Abandoned(id)));
         }
     }
-    let change = |e: EngineEntry| Told::Input(Input::Engines { whole: false, entries: vec![e] });
+    let change = |e: EngineEntry| Told::Input(Input::Engines { complete: false, entries: vec![e] });
     agenda.plan(1_500 * MS, change(entry(1, Status::Draining, None)));
     agenda.plan(2_500 * MS, change(entry(1, Status::Removed, None)));
     agenda.plan(2_600 * MS, change(entry(6, Status::Up, Some(Micros(2_600 * MS)))));
@@ -191,14 +198,14 @@
     agenda.plan(
         4_000 * MS,
         Told::Input(Input::Engines {
-            whole: true,
+            complete: true,
             entries: [0, 2, 3, 4, 6].map(|n| entry(n, Status::Up, None)).to_vec(),
         }),
     );
     let mut day = Day { heard: Vec::new(), done: Vec::new(), withdrawn: Vec::new(), queries: 0 };
     loop {
         let next = agenda.0.first_key_value().map(|((at, _), _)| *at);
-        let due = driver.next_due().map(|d| d.0);
+        let due = driver.next_timer_at().map(|d| d.0);
         let (at, told) = match (next, due) {
             (_, Some(due)) if due > 12_000 * MS => break,
             (None, None) => break,
@@ -211,8 +218,8 @@
         // A wire asks before it writes, and lets no answer through that is not wanted.
         let idle = match &told {
             Told::Input(Input::Dispatched(a)) => !driver.may_write(Micros(at), *a),
-            Told::Input(Input::Began(a)) => !driver.may_answer(*a),
-            Told::Input(Input::Ended { attempt, .. }) => !driver.is_out(*attempt),
+            Told::Input(Input::AnswerStarted(a)) => !driver.may_answer(*a),
+            Told::Input(Input::AttemptEnded { attempt, .. }) => !driver.is_in_flight(*attempt),
             _ => false,
         };
         if idle {
@@ -227,7 +234,7 @@
         }
         recorder.step(now, &told, taken, &out);
         recorder.tend(&driver, now);
-        day.heard.extend(driver.heard().into_iter().map(|e| (now, e)));
+        day.heard.extend(driver.take_recorded_events().into_iter().map(|e| (now, e)));
         for i in out {
             answer(&mut rng, &mut agenda, at, &i);
             match done(&i) {
@@ -244,9 +251,10 @@
 /// How an attempt goes, by chance.
 fn answer(rng: &mut Pcg64Mcg, agenda: &mut Agenda, at: i64, instruction: &Instruction) {
     let ends = |rng: &mut Pcg64Mcg, attempt, outcome| {
-        let report = Report { utilisation: Some(rng.random_range(0..64) as f64 / 32.0), ..Report::default() };
+        let report =
+            LoadReport { utilisation: Some(rng.random_range(0..64) as f64 / 32.0), ..LoadReport::default() };
         let billed_work = (outcome == Outcome::Served).then(|| rng.random_range(1..900) as f64 / 1e3);
-        Told::Input(Input::Ended { attempt, outcome, billed_work, report })
+        Told::Input(Input::AttemptEnded { attempt, outcome, reported_work: billed_work, report })
     };
     match instruction {
         Instruction::Start { attempt, .. } => {
@@ -258,10 +266,10 @@
             // One in twelve is never heard of again, and comes to its limit.
             if rng.random_bool(11.0 / 12.0) {
                 if takes > 300 * MS {
-                    let share = Note::Progress(rng.random_range(0..8) as f64 / 8.0);
-                    agenda.plan(at + takes / 2, Told::Input(Input::Noted(a, share)));
+                    let share = AttemptUpdate::Progress(rng.random_range(0..8) as f64 / 8.0);
+                    agenda.plan(at + takes / 2, Told::Input(Input::AttemptUpdated(a, share)));
                     if outcome == Outcome::Served {
-                        agenda.plan(at + takes - MS, Told::Input(Input::Began(a)));
+                        agenda.plan(at + takes - MS, Told::Input(Input::AnswerStarted(a)));
                     }
                 }
                 let told = ends(rng, a, outcome);
@@ -269,7 +277,7 @@
             }
         }
         // Half of the withdrawals are confirmed.
-        Instruction::Withdraw(a) if rng.random_bool(0.5) => {
+        Instruction::Cancel(a) if rng.random_bool(0.5) => {
             let told = ends(rng, *a, Outcome::Cancelled);
             agenda.plan(at + 10 * MS, told);
         }
@@ -283,8 +291,8 @@
         Instruction::Start { attempt, engine, .. } => {
             (true, format!("submit_to job={:016x} executor={}", attempt.query.0, name_of(*engine)))
         }
-        Instruction::Withdraw(a) => (false, format!("revoke job={:016x} leg={}", a.query.0, a.number)),
-        Instruction::Answer(q, Answer::Refused { retry_after }) => {
+        Instruction::Cancel(a) => (false, format!("revoke job={:016x} leg={}", a.query.0, a.number)),
+        Instruction::Answer(q, Answer::Rejected { retry_after }) => {
             (true, format!("reject job={:016x} backoff_us={}", q.0, retry_after.0))
         }
         Instruction::Answer(q, Answer::Failed { .. }) => (true, format!("respond_error job={:016x}", q.0)),
@@ -304,7 +312,7 @@
                 Status::Draining => "draining",
                 Status::Removed => "removed",
             };
-            let (name, since) = (name_of(e.engine), e.started.unwrap_or_default().0);
+            let (name, since) = (name_of(e.engine), e.started_at.unwrap_or_default().0);
             let _ = writeln!(
                 out,
                 "entry executor={name} locality=z{} model=k{} bay={} readiness={status} up_since_us={since}",
@@ -319,7 +327,7 @@
         Event::EngineChanges(entries) => return list("update", entries, out),
         Event::ListUnavailable => writeln!(out, "fleet mode=unavailable"),
         Event::Arrived(q) => {
-            let (job, due, tables) = (q.id.0, q.due.0, q.tables);
+            let (job, due, tables) = (q.id.0, q.deadline.0, q.tables);
             let _ =
                 write!(out, "query job={job:016x} tier_class=c{} due_us={due} data_group={tables}", q.class);
             let _ = write!(out, " estimate_us={}", q.work_hint.unwrap_or(0.0) * 1e6);
@@ -333,33 +341,33 @@
             }
         }
         // Attempts of a query follow each other here: the one that has begun is the first with no end.
-        Event::AnswerBegan(q) => {
+        Event::AnswerStarted(q) => {
             writeln!(out, "first_byte job={:016x} leg={}", q.0, ended.get(q).copied().unwrap_or(0))
         }
-        Event::Noted { query, attempt, note: Note::Progress(x) } => {
+        Event::AttemptUpdated { query, attempt, update: AttemptUpdate::Progress(x) } => {
             writeln!(out, "change job={:016x} leg={attempt} sort=1 x={x}", query.0)
         }
-        Event::Ended(e) => {
+        Event::AttemptEnded(e) => {
             let code = match e.outcome {
                 Outcome::Served => "done",
                 Outcome::Error => "err",
                 Outcome::Full => "busy",
                 Outcome::TimedOut => "etimedout",
-                Outcome::ConnectFailed | Outcome::Unanswered => "econnrefused",
+                Outcome::ConnectFailed | Outcome::ConnectTimedOut => "econnrefused",
                 Outcome::Reset => "econnreset",
                 Outcome::Cancelled => "ecanceled",
-                Outcome::Skipped => "skipped",
+                Outcome::NeverSent => "skipped",
             };
-            let used = e.billed_work.map_or(0, |w| (w * 1e3).round() as u64 * 4096 + 11);
+            let used = e.reported_work.map_or(0, |w| (w * 1e3).round() as u64 * 4096 + 11);
             let load = e.report.utilisation.map_or(String::new(), |u| format!(" health_info=cpu_share:{u}"));
-            let (job, leg, last, took) = (e.query.0, e.attempt, u8::from(e.last), e.took.0);
+            let (job, leg, last, took) = (e.query.0, e.attempt, u8::from(e.query_over), e.elapsed.0);
             writeln!(
                 out,
                 "done job={job:016x} leg={leg} code={code} last={last} rtt_us={took} used_up={used}{load}"
             )
         }
-        Event::Departed(q) => writeln!(out, "expired job={:016x}", q.0),
-        Event::TimerDue(token) => writeln!(out, "tick_due handle={token}"),
+        Event::Abandoned(q) => writeln!(out, "expired job={:016x}", q.0),
+        Event::TimerFired(token) => writeln!(out, "tick_due handle={token}"),
         other => panic!("this day has none of these: {other:?}"),
     };
     assert!(written.is_ok());
@@ -371,7 +379,7 @@
     for (at, event) in heard {
         let _ = writeln!(input, "batch sim_time_us={}\nfor controller=1", at.0);
         line(event, &ended, &mut input);
-        if let Event::Ended(e) = event {
+        if let Event::AttemptEnded(e) = event {
             *ended.entry(e.query).or_insert(0usize) += 1;
         }
         input.push_str("flush\n");
--- a/crates/testbed/benches/hot.rs
+++ b/crates/testbed/benches/hot.rs
@@ -4,8 +4,8 @@
 
 use bytes::{Bytes, BytesMut};
 use criterion::{criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion, Throughput};
-use wheelfield::interface::{EngineEntry, Micros, Outcome, Report, Status};
-use wheelfield_driver::{Arrival, Bounds, Driver, Input, Instruction};
+use wheelfield::interface::{EngineEntry, LoadReport, Micros, Outcome, Status};
+use wheelfield_driver::{Arrival, Driver, DriverLimits, Input, Instruction};
 use wheelfield_pg::{back, frame, front};
 use wheelfield_testbed::day::Day;
 
@@ -14,7 +14,7 @@
     let mut day = Day::parse("grown", include_str!("../days/grown.toml")).expect("sound");
     (day.engines, day.controllers) = (engines, controllers);
     let settings = day.settings().expect("sound");
-    let mut driver = Driver::new(settings, 1, Bounds::default());
+    let mut driver = Driver::new(settings, 1, DriverLimits::default());
     let mut out = Vec::new();
     let entry = |i: usize| EngineEntry {
         engine: wheelfield_config::engine_id(&format!("engine-{i:02}")),
@@ -22,12 +22,12 @@
         kind: 0,
         cell: i as i64 / 4,
         status: Status::Up,
-        started: None,
+        started_at: None,
     };
-    driver.tell(Micros(0), Input::Started, &mut out);
-    driver.tell(
+    driver.handle_input(Micros(0), Input::Started, &mut out);
+    driver.handle_input(
         Micros(0),
-        Input::Engines { whole: true, entries: (0..engines).map(entry).collect() },
+        Input::Engines { complete: true, entries: (0..engines).map(entry).collect() },
         &mut out,
     );
     driver
@@ -37,33 +37,33 @@
 fn serve(driver: &mut Driver, now: &mut Micros, out: &mut Vec<Instruction>) {
     *now = *now + Micros(3_000);
     out.clear();
-    while driver.next_due().is_some_and(|at| at <= *now) && driver.due(*now, out) {}
+    while driver.next_timer_at().is_some_and(|at| at <= *now) && driver.handle_timers(*now, out) {}
     let due = *now + Micros(7_000_000);
     let arrival = Arrival {
         class: 0,
-        due,
+        deadline: due,
         work_hint: Some(0.3),
         memory_hint: Some(40.0),
         tables: 3,
         ..Arrival::default()
     };
-    let _ = driver.arrive(*now, arrival, out);
+    let _ = driver.submit(*now, arrival, out);
     let started = out.iter().find_map(|i| match i {
         Instruction::Start { attempt, .. } => Some(*attempt),
         _ => None,
     });
     let Some(attempt) = started else { return };
-    driver.tell(*now, Input::Dispatched(attempt), out);
+    driver.handle_input(*now, Input::Dispatched(attempt), out);
     *now = *now + Micros(2_000);
-    let report = Report {
+    let report = LoadReport {
         utilisation: Some(0.5),
         in_flight: Some(4.0),
-        queue: Some(0.0),
-        memory: Some(0.3),
-        disks: Some(0.2),
+        queued: Some(0.0),
+        memory_granted: Some(0.3),
+        disk_utilisation: Some(0.2),
     };
-    let ended = Input::Ended { attempt, outcome: Outcome::Served, billed_work: Some(0.3), report };
-    driver.tell(*now, ended, out);
+    let ended = Input::AttemptEnded { attempt, outcome: Outcome::Served, reported_work: Some(0.3), report };
+    driver.handle_input(*now, ended, out);
 }
 
 fn decisions(c: &mut Criterion) {
--- a/crates/testbed/examples/scale.rs
+++ b/crates/testbed/examples/scale.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use wheelfield::interface::{Micros, QueryId, Settings};
-use wheelfield_driver::{Arrival, AttemptId, Bounds, Crowded, Driver, Input, Instruction};
+use wheelfield_driver::{Arrival, AttemptId, CapacityExceeded, Driver, DriverLimits, Input, Instruction};
 use wheelfield_testbed::day::Day;
 use wheelfield_testbed::plan::Plan;
 use wheelfield_testbed::report::{lines, Line, Plot};
@@ -29,20 +29,25 @@
 }
 
 impl DecisionEngine for Timed {
-    fn arrive(&mut self, now: Micros, a: Arrival, out: &mut Vec<Instruction>) -> Result<QueryId, Crowded> {
-        self.time(|d| Driver::arrive(d, now, a, out))
+    fn submit(
+        &mut self,
+        now: Micros,
+        a: Arrival,
+        out: &mut Vec<Instruction>,
+    ) -> Result<QueryId, CapacityExceeded> {
+        self.time(|d| Driver::submit(d, now, a, out))
     }
-    fn tell(&mut self, now: Micros, input: Input, out: &mut Vec<Instruction>) {
-        self.time(|d| Driver::tell(d, now, input, out));
+    fn handle_input(&mut self, now: Micros, input: Input, out: &mut Vec<Instruction>) {
+        self.time(|d| Driver::handle_input(d, now, input, out));
     }
-    fn due(&mut self, now: Micros, out: &mut Vec<Instruction>) -> bool {
-        self.time(|d| Driver::due(d, now, out))
+    fn handle_timers(&mut self, now: Micros, out: &mut Vec<Instruction>) -> bool {
+        self.time(|d| Driver::handle_timers(d, now, out))
     }
-    fn next_due(&self) -> Option<Micros> {
-        Driver::next_due(&self.driver)
+    fn next_timer_at(&self) -> Option<Micros> {
+        Driver::next_timer_at(&self.driver)
     }
-    fn is_out(&self, attempt: AttemptId) -> bool {
-        Driver::is_out(&self.driver, attempt)
+    fn is_in_flight(&self, attempt: AttemptId) -> bool {
+        Driver::is_in_flight(&self.driver, attempt)
     }
     fn may_write(&self, now: Micros, attempt: AttemptId) -> bool {
         Driver::may_write(&self.driver, now, attempt)
@@ -60,7 +65,7 @@
     let plan = Plan::draw(&day, 1);
     let spent = Rc::new(Cell::new(Duration::ZERO));
     let minds = |settings: Settings, seed: u64| -> Box<dyn DecisionEngine> {
-        let driver = Driver::new(settings, seed, Bounds::default());
+        let driver = Driver::new(settings, seed, DriverLimits::default());
         Box::new(Timed { driver, spent: spent.clone() })
     };
     let played =
--- a/crates/testbed/src/day.rs
+++ b/crates/testbed/src/day.rs
@@ -626,12 +626,12 @@
                 k.thrash,
                 self.fleet.when_short,
                 s.priorities,
-                s.grants,
-                s.cold_from,
-                s.cold_for.0,
-                s.fall_multiple,
-                s.fall_span.0,
-                s.note_every.0,
+                s.memory_grants,
+                s.slow_start_initial_fraction,
+                s.slow_start_duration.0,
+                s.overload_multiple,
+                s.overload_window.0,
+                s.progress_interval.0,
             );
         }
         for i in 0..engines.len() {
--- a/crates/testbed/src/explore/mod.rs
+++ b/crates/testbed/src/explore/mod.rs
@@ -94,7 +94,7 @@
         note(format!("engine: {}", line.event));
     }
     // How near the rules came to be broken.
-    if cold_peak > 0.5 * settings.fall_multiple {
+    if cold_peak > 0.5 * settings.overload_multiple {
         note("near: a cold engine was sent over half of what breaks it".into());
     }
     let late = |t: &&crate::crowd::Try| t.end == Some(End::Served) && t.due - t.ended < 100_000;
--- a/crates/testbed/src/lists.rs
+++ b/crates/testbed/src/lists.rs
@@ -49,7 +49,7 @@
                 kind: position(&mut places.names.kinds, kind),
                 cell: *cell,
                 status: Status::Up,
-                started: None,
+                started_at: None,
             };
             set.engines.insert(entry.engine, Known { name, address, entry });
         }
@@ -82,7 +82,7 @@
         let id = engine_id(&format!("engine-{engine:02}"));
         if let Some(k) = self.set.engines.get_mut(&id) {
             k.entry.status = status;
-            k.entry.started = started.map(Micros).or(k.entry.started);
+            k.entry.started_at = started.map(Micros).or(k.entry.started_at);
         }
         self.put(now)
     }
--- a/crates/testbed/src/virtual_time/mind.rs
+++ b/crates/testbed/src/virtual_time/mind.rs
@@ -4,7 +4,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
 use wheelfield::interface::{EngineId, Micros, Outcome, QueryId, Settings, Status};
-use wheelfield_driver::{Answer, Arrival, AttemptId, Crowded, Input, Instruction, Terms};
+use wheelfield_driver::{Answer, Arrival, AttemptId, AttemptOptions, CapacityExceeded, Input, Instruction};
 
 pub use wheelfield_pg_gateway::DecisionEngine;
 
@@ -68,7 +68,7 @@
     fn limit(&self, kind: usize) -> usize {
         let cores = self.settings.cores.get(kind).copied().unwrap_or(1.0);
         // A fixed pool is divided evenly; nobody has less than one session.
-        ((cores * POOL_PER_CORE / self.settings.gateways.max(1.0)).round() as usize).max(1)
+        ((cores * POOL_PER_CORE / self.settings.gateway_count.max(1.0)).round() as usize).max(1)
     }
 
     fn choose(&mut self, class: usize) -> Option<EngineId> {
@@ -104,7 +104,7 @@
             held.engine = Some(engine);
         }
         let attempt = AttemptId { query: id, number: 0 };
-        instructions.push(Instruction::Start { attempt, engine, terms: Terms::default() });
+        instructions.push(Instruction::Start { attempt, engine, options: AttemptOptions::default() });
         true
     }
 
@@ -128,14 +128,14 @@
 }
 
 impl DecisionEngine for Plain {
-    fn arrive(
+    fn submit(
         &mut self,
         _: Micros,
         arrival: Arrival,
         out: &mut Vec<Instruction>,
-    ) -> Result<QueryId, Crowded> {
+    ) -> Result<QueryId, CapacityExceeded> {
         self.next += 1;
-        let (id, due) = (QueryId(self.next), arrival.due);
+        let (id, due) = (QueryId(self.next), arrival.deadline);
         self.held.insert(id, Held { due, arrival, engine: None });
         self.by_due.insert((due, id), ());
         if !self.line.is_empty() || !self.start(id, out) {
@@ -144,9 +144,9 @@
         Ok(id)
     }
 
-    fn tell(&mut self, _: Micros, input: Input, out: &mut Vec<Instruction>) {
+    fn handle_input(&mut self, _: Micros, input: Input, out: &mut Vec<Instruction>) {
         match input {
-            Input::Engines { whole, entries } => {
+            Input::Engines { complete: whole, entries } => {
                 if whole {
                     self.engines.clear();
                 }
@@ -154,7 +154,7 @@
                     self.engines.insert(e.engine, (e.status, e.zone, e.kind));
                 }
             }
-            Input::Ended { attempt, outcome, .. } => {
+            Input::AttemptEnded { attempt, outcome, .. } => {
                 let Some(held) = self.forget(attempt.query) else { return };
                 if outcome != Outcome::Served {
                     let may_have_run = !outcome.never_ran();
@@ -162,7 +162,7 @@
                 }
                 held.engine.into_iter().for_each(|engine| self.free(engine, out));
             }
-            Input::Departed(query) => {
+            Input::Abandoned(query) => {
                 let held = self.forget(query);
                 held.and_then(|h| h.engine).into_iter().for_each(|engine| self.free(engine, out));
             }
@@ -171,21 +171,21 @@
         }
     }
 
-    fn due(&mut self, now: Micros, out: &mut Vec<Instruction>) -> bool {
+    fn handle_timers(&mut self, now: Micros, out: &mut Vec<Instruction>) -> bool {
         let ripe: Vec<QueryId> =
             self.by_due.keys().take_while(|(due, _)| *due <= now).map(|(_, id)| *id).collect();
         for id in &ripe {
             let Some(held) = self.forget(*id) else { continue };
             out.push(Instruction::Answer(*id, Answer::Failed { may_have_run: held.engine.is_some() }));
             if let Some(engine) = held.engine {
-                out.push(Instruction::Withdraw(AttemptId { query: *id, number: 0 }));
+                out.push(Instruction::Cancel(AttemptId { query: *id, number: 0 }));
                 self.free(engine, out);
             }
         }
         !ripe.is_empty()
     }
 
-    fn next_due(&self) -> Option<Micros> {
+    fn next_timer_at(&self) -> Option<Micros> {
         self.by_due.keys().next().map(|(due, _)| *due)
     }
 
@@ -198,7 +198,7 @@
         self.held.contains_key(&attempt.query)
     }
 
-    fn is_out(&self, attempt: AttemptId) -> bool {
+    fn is_in_flight(&self, attempt: AttemptId) -> bool {
         self.held.contains_key(&attempt.query)
     }
 }
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -23,7 +23,7 @@
 use std::net::SocketAddr;
 use wheelfield::interface::{Settings, Status};
 use wheelfield_config::{Config, Fault};
-use wheelfield_driver::{Bounds, Driver};
+use wheelfield_driver::{Driver, DriverLimits};
 use wheelfield_endpoints::tracker::from_registry;
 use wheelfield_endpoints::EngineSet;
 use wheelfield_engine_emulator::desk::Desk;
@@ -167,7 +167,10 @@
     conditions: Conditions,
 ) -> Result<Played, Fault> {
     let config = day.checked()?;
-    let bounds = Bounds { queries: config.limits.queries, withdraw_wait: config.timing.withdraw };
+    let bounds = DriverLimits {
+        max_queries: config.limits.queries,
+        cancel_confirmation_timeout: config.timing.withdraw,
+    };
     let minds = |settings: Settings, seed: u64| -> Box<dyn DecisionEngine> {
         match policy {
             Policy::Module => Box::new(Driver::new(settings, seed, bounds)),
@@ -346,7 +349,7 @@
         let life = self.lives[c];
         let seed = self.seed.wrapping_mul(1_000_003).wrapping_add(c as u64 * 1_009 + life);
         let mut config = self.config.clone();
-        config.settings.index = c as f64;
+        config.settings.gateway_index = c as f64;
         config.settings.zone = c.checked_rem(self.day.fleet.zones.len());
         let mut peers = None;
         if let Some(p) = &mut config.peers {
@@ -460,7 +463,7 @@
         let id = wheelfield_config::engine_id(&self.stands[e].name);
         if let Some(k) = self.set.engines.get_mut(&id) {
             k.entry.status = status;
-            k.entry.started = started.map(wheelfield::interface::Micros).or(k.entry.started);
+            k.entry.started_at = started.map(wheelfield::interface::Micros).or(k.entry.started_at);
         }
         self.set.version += 1;
         let not_up: Vec<NotUp> = self
--- a/crates/testbed/tests/days.rs
+++ b/crates/testbed/tests/days.rs
@@ -99,7 +99,7 @@
         let (one, two, other) = (Plan::draw(&day, 5), Plan::draw(&day, 5), Plan::draw(&day, 6));
         assert!(one.arrivals == two.arrivals && one.acts == two.acts, "{path:?}");
         assert!(one.arrivals != other.arrivals, "{path:?}");
-        let expected = day.rate * day.length.0.secs();
+        let expected = day.rate * day.length.0.as_secs_f64();
         let got = one.arrivals.len() as f64;
         let burst = one.troubles.iter().any(|t| t.kind == "burst");
         assert!(burst || (got - expected).abs() < 6.0 * expected.sqrt(), "{path:?}: {got} for {expected}");
--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -1,7 +1,7 @@
 //! Days in virtual time: the same each time, the rules kept at size, and the judge not blind there.
 
 use wheelfield::interface::{Micros, QueryId, Settings};
-use wheelfield_driver::{Arrival, AttemptId, Bounds, Crowded, Driver, Input, Instruction};
+use wheelfield_driver::{Arrival, AttemptId, CapacityExceeded, Driver, DriverLimits, Input, Instruction};
 use wheelfield_invariants::End;
 use wheelfield_testbed::day::Day;
 use wheelfield_testbed::plan::Plan;
@@ -93,9 +93,9 @@
                 let twins: Vec<Instruction> = out[from..]
                     .iter()
                     .filter_map(|i| match i {
-                        Instruction::Start { attempt, engine, terms } => {
+                        Instruction::Start { attempt, engine, options: terms } => {
                             let attempt = AttemptId { query: attempt.query, number: attempt.number + 100 };
-                            Some(Instruction::Start { attempt, engine: *engine, terms: *terms })
+                            Some(Instruction::Start { attempt, engine: *engine, options: *terms })
                         }
                         _ => None,
                     })
@@ -108,13 +108,18 @@
 }
 
 impl DecisionEngine for Planted {
-    fn arrive(&mut self, now: Micros, a: Arrival, out: &mut Vec<Instruction>) -> Result<QueryId, Crowded> {
+    fn submit(
+        &mut self,
+        now: Micros,
+        a: Arrival,
+        out: &mut Vec<Instruction>,
+    ) -> Result<QueryId, CapacityExceeded> {
         let from = out.len();
-        let taken = Driver::arrive(&mut self.driver, now, a, out);
+        let taken = Driver::submit(&mut self.driver, now, a, out);
         self.spoil(from, out);
         taken
     }
-    fn tell(&mut self, now: Micros, input: Input, out: &mut Vec<Instruction>) {
+    fn handle_input(&mut self, now: Micros, input: Input, out: &mut Vec<Instruction>) {
         if matches!(input, Input::Engines { .. })
             && std::mem::replace(&mut self.listed, true)
             && self.plant == FaultInjection::Deaf
@@ -122,20 +127,20 @@
             return;
         }
         let from = out.len();
-        Driver::tell(&mut self.driver, now, input, out);
+        Driver::handle_input(&mut self.driver, now, input, out);
         self.spoil(from, out);
     }
-    fn due(&mut self, now: Micros, out: &mut Vec<Instruction>) -> bool {
+    fn handle_timers(&mut self, now: Micros, out: &mut Vec<Instruction>) -> bool {
         let from = out.len();
-        let some = Driver::due(&mut self.driver, now, out);
+        let some = Driver::handle_timers(&mut self.driver, now, out);
         self.spoil(from, out);
         some
     }
-    fn next_due(&self) -> Option<Micros> {
-        Driver::next_due(&self.driver)
+    fn next_timer_at(&self) -> Option<Micros> {
+        Driver::next_timer_at(&self.driver)
     }
-    fn is_out(&self, attempt: AttemptId) -> bool {
-        Driver::is_out(&self.driver, attempt)
+    fn is_in_flight(&self, attempt: AttemptId) -> bool {
+        Driver::is_in_flight(&self.driver, attempt)
     }
     fn may_write(&self, now: Micros, attempt: AttemptId) -> bool {
         attempt.number >= 100 || Driver::may_write(&self.driver, now, attempt)
@@ -149,7 +154,7 @@
     let day = day(name);
     let plan = Plan::draw(&day, 3);
     let minds = |settings: Settings, seed: u64| -> Box<dyn DecisionEngine> {
-        let driver = Driver::new(settings, seed, Bounds::default());
+        let driver = Driver::new(settings, seed, DriverLimits::default());
         Box::new(Planted { driver, plant, listed: false, answers: 0 })
     };
     let played = play_with(&day, &plan, 3, &minds, Conditions::default()).expect("sound");
