--- a/crates/controller/src/event_loop.rs
+++ b/crates/controller/src/event_loop.rs
@@ -230,7 +230,7 @@
             for hand in &mut self.each_turn {
                 hand(&mut self.core, self.now);
             }
-            self.core.due(self.now);
+            self.core.handle_timers(self.now);
         }
         Ok(())
     }
@@ -238,7 +238,7 @@
     /// Until something is due.
     fn wait(&self) -> Duration {
         let again = self.listening.iter().filter_map(|l| l.again);
-        let next = again.chain(self.core.next_due()).min();
+        let next = again.chain(self.core.next_timer_at()).min();
         next.map_or(Duration::from_secs(1), |at| self.clock.until(at))
     }
 
@@ -247,7 +247,7 @@
         let registry = self.poll.registry();
         let (sockets, core, now) = (&mut self.sockets, &mut self.core, self.now);
         for _ in 0..ROUNDS {
-            core.effects(&mut self.effects);
+            core.take_effects(&mut self.effects);
             if self.effects.is_empty() {
                 return false;
             }
@@ -255,7 +255,7 @@
                 match effect {
                     Effect::Connect(id, to) => sockets.connect(id, to, registry, core, now),
                     Effect::Write(id) => sockets.write(id, core, now),
-                    Effect::Read(id) => sockets.read(id, core, now),
+                    Effect::ResumeReading(id) => sockets.read(id, core, now),
                     Effect::Close(id) => sockets.close(id, registry),
                     Effect::Send(port, to, datagram) => {
                         let socket = self.ports.iter().find(|(p, _)| *p == port);
@@ -306,7 +306,7 @@
         for _ in 0..HEARD {
             match socket.recv_from(&mut buffer) {
                 Ok((n, from)) => {
-                    self.core.socketed(self.now, IoEvent::Datagram(*port, from, &buffer[..n]));
+                    self.core.handle_io(self.now, IoEvent::Datagram(*port, from, &buffer[..n]));
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 // One that is not there any more shows as an error of the socket.
@@ -338,7 +338,7 @@
     }
 
     fn due(&self, now: i64) -> bool {
-        self.core.next_due().is_some_and(|at| at <= now)
+        self.core.next_timer_at().is_some_and(|at| at <= now)
     }
 }
 
--- a/crates/controller/src/platform.rs
+++ b/crates/controller/src/platform.rs
@@ -58,7 +58,7 @@
         let names = bind_datagrams(SocketAddr::new(launch.listen.ip(), 0), "the name service")?;
         let mut shell = Shell::new(Clock::start(), |now| Ok(Platform::new(launch, now)))?;
         shell.listen(Listener::Clients, clients)?;
-        shell.hear_on(DatagramSocket::Names, names)?;
+        shell.hear_on(DatagramSocket::Discovery, names)?;
         if let Some(peers) = peers {
             shell.hear_on(DatagramSocket::Peers, peers)?;
         }
@@ -75,7 +75,7 @@
     /// # Errors
     /// As the system tells.
     pub fn stop_on(&mut self, signal: UnixStream) -> Result<()> {
-        self.shell.bell(signal, Box::new(|core, now| core.stop(now)))
+        self.shell.bell(signal, Box::new(|core, now| core.begin_shutdown(now)))
     }
 
     /// Each byte on this stream has the configuration read anew. One that can't be used changes nothing, and is read again for
@@ -91,7 +91,7 @@
             let Some(Again { until, told, .. }) = again.get().filter(|a| a.at <= now) else { return };
             again.set(None);
             match read(&config).and_then(|text| Ok(Launch::resolver(&text)?)) {
-                Ok(resolver) => core.turn_to(now, resolver),
+                Ok(resolver) => core.use_resolver(now, resolver),
                 Err(fault) => {
                     if !told {
                         warn!("the configuration stays as it is: {fault:#}");
@@ -113,7 +113,7 @@
     /// As the system tells of the poll itself; a connection's trouble is its own.
     pub fn run(&mut self) -> Result<()> {
         info!(listen = ?self.address(), "started");
-        self.shell.core.started(self.shell.now);
+        self.shell.core.handle_start(self.shell.now);
         self.shell.run()?;
         info!("stopped");
         Ok(())
--- a/crates/controller/src/postgres.rs
+++ b/crates/controller/src/postgres.rs
@@ -119,7 +119,7 @@
     /// # Errors
     /// As the system tells.
     pub fn stop_on(&mut self, signal: std::os::unix::net::UnixStream) -> Result<()> {
-        self.shell.bell(signal, Box::new(|gate, now| gate.stop(now)))
+        self.shell.bell(signal, Box::new(|gate, now| gate.begin_shutdown(now)))
     }
 
     /// Each byte on this stream asks for the capture that is held in memory to be written.
@@ -135,7 +135,7 @@
     /// # Errors
     /// As the system tells of the poll itself; a connection's trouble is its own.
     pub fn run(&mut self) -> Result<()> {
-        self.shell.core.started(self.shell.now);
+        self.shell.core.handle_start(self.shell.now);
         self.first_files();
         self.shell.run()?;
         let now = self.shell.now;
--- a/crates/controller/src/sockets.rs
+++ b/crates/controller/src/sockets.rs
@@ -20,7 +20,7 @@
 
 fn token(id: ConnId) -> Token {
     // Numbers of connections are far above the tokens of listeners.
-    Token(id.number() as usize)
+    Token(id.as_u64() as usize)
 }
 
 impl Sockets {
@@ -29,16 +29,16 @@
     }
 
     fn get(&mut self, id: ConnId) -> Option<&mut Socket> {
-        let place = self.rooms.get_mut(usize::from(id.room()))?.get_mut(id.place())?;
+        let place = self.rooms.get_mut(usize::from(id.owner()))?.get_mut(id.slot())?;
         place.as_mut().filter(|(of, _)| *of == id).map(|(_, socket)| socket)
     }
 
     fn put(&mut self, id: ConnId, socket: Socket) {
-        let room = &mut self.rooms[usize::from(id.room()) % ROOMS];
-        if room.len() <= id.place() {
-            room.resize_with(id.place() + 1, || None);
+        let room = &mut self.rooms[usize::from(id.owner()) % ROOMS];
+        if room.len() <= id.slot() {
+            room.resize_with(id.slot() + 1, || None);
         }
-        room[id.place()] = Some((id, socket));
+        room[id.slot()] = Some((id, socket));
     }
 
     /// A connection that was accepted. What came with it is read.
@@ -76,19 +76,19 @@
 
     /// The system told something of a connection.
     pub fn on(&mut self, event: &mio::event::Event, core: &mut dyn Protocol, now: i64) {
-        let id = ConnId::of(event.token().0 as u64);
+        let id = ConnId::from_u64(event.token().0 as u64);
         let Some(socket) = self.get(id) else { return };
         let connecting = matches!(socket.connected(), Ok(false));
         socket.on(event);
         if connecting {
             match socket.connected() {
-                Ok(true) => core.socketed(now, IoEvent::Connected(id)),
+                Ok(true) => core.handle_io(now, IoEvent::Connected(id)),
                 Ok(false) => return,
                 Err(e) => return broken(id, true, &e, core, now),
             }
         }
         if self.get(id).is_some_and(|s| s.closing()) {
-            core.socketed(now, IoEvent::Closing(id));
+            core.handle_io(now, IoEvent::Closing(id));
         }
         self.read(id, core, now);
         self.write(id, core, now);
@@ -100,7 +100,7 @@
             if !self.get(id).is_some_and(|s| s.readable()) {
                 return;
             }
-            let room = core.room(id).min(SCRATCH);
+            let room = core.read_capacity(id).min(SCRATCH);
             if room == 0 {
                 return;
             }
@@ -109,9 +109,9 @@
             let got = socket.read(&mut scratch[..room]);
             let ended = socket.ended();
             match got {
-                Ok(0) if ended => core.socketed(now, IoEvent::Ended(id)),
+                Ok(0) if ended => core.handle_io(now, IoEvent::Ended(id)),
                 Ok(0) => {}
-                Ok(n) => core.socketed(now, IoEvent::Received(id, &scratch[..n])),
+                Ok(n) => core.handle_io(now, IoEvent::Received(id, &scratch[..n])),
                 Err(e) => broken(id, false, &e, core, now),
             }
             self.scratch = scratch;
@@ -127,7 +127,7 @@
             }
             match socket.write(core.output(id)) {
                 Ok(0) => return,
-                Ok(n) => core.wrote(now, id, n),
+                Ok(n) => core.bytes_written(now, id, n),
                 Err(e) => return broken(id, true, &e, core, now),
             }
         }
@@ -135,7 +135,7 @@
 
     /// Closes a connection, and frees its place.
     pub fn close(&mut self, id: ConnId, registry: &Registry) {
-        let place = self.rooms.get_mut(usize::from(id.room())).and_then(|r| r.get_mut(id.place()));
+        let place = self.rooms.get_mut(usize::from(id.owner())).and_then(|r| r.get_mut(id.slot()));
         if let Some((_, socket)) = place.and_then(|p| p.take_if(|(of, _)| *of == id)) {
             socket.close(registry, false);
         }
@@ -143,7 +143,7 @@
 }
 
 fn broken(id: ConnId, writing: bool, e: &io::Error, core: &mut dyn Protocol, now: i64) {
-    core.socketed(
+    core.handle_io(
         now,
         IoEvent::Broken {
             id,
--- a/crates/driver/src/lib.rs
+++ b/crates/driver/src/lib.rs
@@ -188,7 +188,7 @@
 }
 
 impl DriverLimits {
-    /// As [`DriverLimits::withdraw_wait`]: the wire tells every end by itself, time-outs too, and the driver settles no attempt
+    /// As [`DriverLimits::cancel_confirmation_timeout`]: the wire tells every end by itself, time-outs too, and the driver settles no attempt
     /// because its time is up.
     pub const EXTERNALLY_TIMED: Micros = Micros(i64::MAX / 4);
 }
@@ -237,7 +237,7 @@
         }
     }
 
-    /// From now on, what the module is told is kept until [`Driver::heard`] takes it.
+    /// From now on, what the module is told is kept until [`Driver::take_recorded_events`] takes it.
     pub fn record_events(&mut self) {
         self.heard = Some(Vec::new());
     }
@@ -352,7 +352,7 @@
         self.run(now, out);
     }
 
-    /// When [`Driver::due`] is next wanted.
+    /// When [`Driver::handle_timers`] is next wanted.
     pub fn next_timer_at(&self) -> Option<Micros> {
         self.books.next_due()
     }
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -1,6 +1,6 @@
 //! Sets of engines: read from files or a registry, checked, compared, merged, and taken whole or not at all.
 //!
-//! - [`file`]: a set as TOML; every fault by line, column and mend.
+//! - [`mod@file`]: a set as TOML; every fault by line, column and mend.
 //! - [`keeper`]: when what files hold is taken: it stands still, it is sound, and it is plausible.
 //! - [`merge`]: a file and a registry that may contradict each other.
 //! - [`rollout`]: a large change in steps, and when to stop it.
--- a/crates/engine-emulator/src/registry.rs
+++ b/crates/engine-emulator/src/registry.rs
@@ -88,7 +88,7 @@
 
     /// When something changes next.
     pub fn next(&self) -> Option<i64> {
-        self.coming.next()
+        self.coming.next_at()
     }
 
     /// Lets the time pass; true if the list changed.
--- a/crates/load/src/crew.rs
+++ b/crates/load/src/crew.rs
@@ -168,7 +168,7 @@
     /// When [`Crew::tick`] is next wanted.
     pub fn next(&self) -> Option<i64> {
         let send = self.sends.get(self.next).map(|s| self.start + s.at);
-        [send, self.timers.next()].into_iter().flatten().min()
+        [send, self.timers.next_at()].into_iter().flatten().min()
     }
 
     /// All was sent, and all has ended.
--- a/crates/load/tests/crew.rs
+++ b/crates/load/tests/crew.rs
@@ -57,7 +57,7 @@
     let (mut now, mut connects, mut queries, mut births) = (0, 0_usize, 0_usize, 0);
     let end = script.length.0 .0 + 60 * SECOND;
     while now < end && !crew.done() {
-        let next = [crew.next(), events.next()].into_iter().flatten().min().unwrap_or(end);
+        let next = [crew.next(), events.next_at()].into_iter().flatten().min().unwrap_or(end);
         now = next.max(now);
         if (asleep.0..asleep.1).contains(&now) {
             now = asleep.1;
--- a/crates/pg-gateway/src/admin.rs
+++ b/crates/pg-gateway/src/admin.rs
@@ -44,7 +44,7 @@
     }
 
     pub fn room(&mut self, id: ConnId) -> usize {
-        self.calls.get_mut(id).map_or(0, |w| w.room(LONGEST))
+        self.calls.get_mut(id).map_or(0, |w| w.read_capacity(LONGEST))
     }
 
     /// The next page that a call asks for; a call that is none is closed.
@@ -58,8 +58,8 @@
                 _ => Page::Unknown,
             }),
             // One that asks no more is closed once it has its answers.
-            Ok(None) if !wire.ended || !wire.output.is_empty() => {
-                wire.refill(id, LONGEST, out);
+            Ok(None) if !wire.read_closed || !wire.output.is_empty() => {
+                wire.resume_reading(id, LONGEST, out);
                 wire.flush(id, out);
                 None
             }
@@ -79,7 +79,7 @@
 
     /// Bytes have gone to an operator.
     pub fn wrote(&mut self, id: ConnId, n: usize, out: &mut EffectQueue) {
-        if self.calls.get_mut(id).is_some_and(|w| w.wrote(n) && w.ended) {
+        if self.calls.get_mut(id).is_some_and(|w| w.advance_written(n) && w.read_closed) {
             self.remove(id, out);
         }
     }
--- a/crates/pg-gateway/src/cancels.rs
+++ b/crates/pg-gateway/src/cancels.rs
@@ -52,7 +52,7 @@
         front::put_cancel(*pid, key, &mut wire.output);
         let id = self.all.insert(Request { wire, session, timer: None });
         if let Some(r) = self.all.get_mut(id) {
-            r.timer = Some(out.wake_after(patience, TimerEvent::Cancel(id)));
+            r.timer = Some(out.set_timer_after(patience, TimerEvent::Cancel(id)));
         }
         out.push(Effect::Connect(id, to));
         true
@@ -63,7 +63,7 @@
     }
 
     pub fn room(&mut self, id: ConnId) -> usize {
-        self.all.get_mut(id).map_or(0, |r| r.wire.room(READ))
+        self.all.get_mut(id).map_or(0, |r| r.wire.read_capacity(READ))
     }
 
     /// It is connected: the request goes out.
@@ -77,14 +77,14 @@
     pub fn received(&mut self, id: ConnId, out: &mut EffectQueue) {
         if let Some(r) = self.all.get_mut(id) {
             r.wire.input.clear();
-            r.wire.refill(id, READ, out);
+            r.wire.resume_reading(id, READ, out);
         }
     }
 
     /// A request is over, in whatever way. Its session. `leaks` is a planted fault: the connection stays.
     pub fn over(&mut self, id: ConnId, leaks: bool, out: &mut EffectQueue) -> Option<ConnId> {
         let mut r = self.all.remove(id)?;
-        out.call_off(&mut r.timer);
+        out.cancel_timer(&mut r.timer);
         if !leaks {
             out.push(Effect::Close(id));
         }
--- a/crates/pg-gateway/src/clients.rs
+++ b/crates/pg-gateway/src/clients.rs
@@ -128,7 +128,7 @@
             c.session.end(&trouble, &mut c.wire.output);
             c.wire.flush(id, out);
         } else {
-            c.startup = Some(out.wake_after(self.startup, TimerEvent::Startup(id)));
+            c.startup = Some(out.set_timer_after(self.startup, TimerEvent::Startup(id)));
             self.keys.insert(pid, (key, id));
         }
         id
@@ -144,7 +144,7 @@
         let message = self.limits.message;
         self.all.get_mut(id).map_or(0, |c| {
             let limit = c.limit(message);
-            c.wire.room(limit)
+            c.wire.read_capacity(limit)
         })
     }
 
@@ -161,15 +161,15 @@
                     info!(%fault, "client ended");
                 }
                 Ok(None) => {
-                    if c.wire.ended || (c.wire.closing && c.session.running()) {
+                    if c.wire.read_closed || (c.wire.peer_closing && c.session.running()) {
                         return Some(Said::Gone);
                     }
                     let limit = c.limit(message);
-                    c.wire.refill(id, limit, out);
+                    c.wire.resume_reading(id, limit, out);
                     break;
                 }
                 Ok(Some(Ask::Started(who))) => {
-                    out.call_off(&mut c.startup);
+                    out.cancel_timer(&mut c.startup);
                     debug!(user = %who.user, database = %who.database, application = %who.application, "client");
                 }
                 Ok(Some(Ask::Run(unit))) => return Some(Said::Run(unit)),
@@ -241,7 +241,7 @@
     /// Bytes have gone to a client. The session with an engine that may go on, and whether the client is done with.
     pub fn wrote(&mut self, id: ConnId, n: usize, out: &mut EffectQueue) -> (Option<ConnId>, bool) {
         let Some(c) = self.all.get_mut(id) else { return (None, false) };
-        let all = c.wire.wrote(n);
+        let all = c.wire.advance_written(n);
         if n > 0 {
             c.moved = out.now;
         }
@@ -255,7 +255,7 @@
         if let Some(c) = self.all.get_mut(id) {
             out.saw(Coverage::ClientPaused);
             if c.pauses.replace(session).is_none() {
-                out.wake_after(self.patience, TimerEvent::Reader(id));
+                out.set_timer_after(self.patience, TimerEvent::Reader(id));
             }
             c.wire.flush(id, out);
         }
@@ -282,7 +282,7 @@
             return true;
         }
         let at = c.moved + self.patience;
-        out.wake_at(at, TimerEvent::Reader(id));
+        out.set_timer_at(at, TimerEvent::Reader(id));
         false
     }
 
@@ -317,7 +317,7 @@
     /// A client can be told nothing more: its connection closes. The query that it waited for is told.
     pub fn remove(&mut self, id: ConnId, out: &mut EffectQueue) -> Option<QueryId> {
         let mut c = self.all.remove(id)?;
-        out.call_off(&mut c.startup);
+        out.cancel_timer(&mut c.startup);
         if self.keys.get(&c.pid).is_some_and(|(_, of)| *of == id) {
             self.keys.remove(&c.pid);
         }
--- a/crates/pg-gateway/src/dispatcher.rs
+++ b/crates/pg-gateway/src/dispatcher.rs
@@ -19,7 +19,7 @@
 use rand::{rngs::StdRng, SeedableRng as _};
 use std::collections::VecDeque;
 use tracing::{debug, info, warn};
-use wheelfield::interface::{EngineId, ExecutionSemantics, LoadReport, Micros, Outcome, QueryId, Status};
+use wheelfield::interface::{EngineId, LoadReport, Micros, Outcome, QueryId, Status};
 use wheelfield_config::Config;
 use wheelfield_driver::{Answer, AttemptId, AttemptOptions, Input, Instruction};
 use wheelfield_endpoints::tracker::{from_registry, Change};
@@ -96,7 +96,7 @@
         if let Some(gossip) = &mut self.gossip {
             gossip.tend(&mut self.out);
         }
-        self.out.wake_after(SWEEP, TimerEvent::Sweep);
+        self.out.set_timer_after(SWEEP, TimerEvent::Sweep);
     }
 
     pub fn woken(&mut self, wake: TimerEvent) {
@@ -134,7 +134,7 @@
 
     fn sweep(&mut self) {
         let now = self.out.now;
-        self.out.wake_after(SWEEP, TimerEvent::Sweep);
+        self.out.set_timer_after(SWEEP, TimerEvent::Sweep);
         self.engines.close_idle(&mut self.out);
         let change = self.sets.age(now);
         self.changed(change);
--- a/crates/pg-gateway/src/engine_sessions.rs
+++ b/crates/pg-gateway/src/engine_sessions.rs
@@ -132,7 +132,7 @@
     pub fn room(&mut self, id: ConnId) -> usize {
         self.all.get_mut(id).map_or(0, |s| {
             let limit = s.limit();
-            s.wire.room(limit)
+            s.wire.read_capacity(limit)
         })
     }
 
@@ -259,13 +259,13 @@
             s.paused = true;
             return Fed::Full(client);
         }
-        if s.wire.ended {
+        if s.wire.read_closed {
             return Fed::Lost("the engine closed the connection".to_string());
         }
         // A long message that is not a row needs more room to be whole.
         s.long |= !took && s.wire.input.len() >= READ;
         let limit = s.limit();
-        s.wire.refill(id, limit, out);
+        s.wire.resume_reading(id, limit, out);
         Fed::Dry
     }
 
@@ -278,14 +278,14 @@
         };
         s.backend.discard(&mut s.wire.output);
         s.wire.flush(id, out);
-        out.instead(&mut s.timer, patience, TimerEvent::Abandon(id));
+        out.reset_timer(&mut s.timer, patience, TimerEvent::Abandon(id));
         was
     }
 
     /// Closes a session. What it was.
     pub fn remove(&mut self, id: ConnId, out: &mut EffectQueue) -> Option<Session> {
         let mut s = self.all.remove(id)?;
-        out.call_off(&mut s.timer);
+        out.cancel_timer(&mut s.timer);
         if let Some(Job::Attempt { id: attempt, .. }) = &s.job {
             self.flights.remove(attempt);
         }
--- a/crates/pg-gateway/src/engines.rs
+++ b/crates/pg-gateway/src/engines.rs
@@ -121,7 +121,7 @@
             return self.ended(attempt, engine, Outcome::ConnectFailed);
         };
         while let Some(id) = pool.idle.pop() {
-            if self.sessions.get(id).is_some_and(|s| !s.wire.closing && !s.wire.ended) {
+            if self.sessions.get(id).is_some_and(|s| !s.wire.peer_closing && !s.wire.read_closed) {
                 out.saw(Coverage::SessionReused);
                 return self.words.push_back(Word::Free(id, attempt));
             }
@@ -148,7 +148,7 @@
         out.saw(Coverage::SessionOpened);
         let id = self.sessions.open(engine, out);
         if let Some(s) = self.sessions.get_mut(id) {
-            out.instead(&mut s.timer, self.timing.connect.0, TimerEvent::Connect(id));
+            out.reset_timer(&mut s.timer, self.timing.connect.0, TimerEvent::Connect(id));
         }
         out.push(Effect::Connect(id, address));
     }
@@ -175,7 +175,7 @@
     pub fn rest(&mut self, id: ConnId, out: &mut EffectQueue) {
         let reused = self.plant == Some(FaultInjection::Reuse);
         let Some(s) = self.sessions.get_mut(id).filter(|s| s.free(reused)) else { return };
-        out.call_off(&mut s.timer);
+        out.cancel_timer(&mut s.timer);
         s.idle_since = out.now;
         let engine = s.engine;
         let Some(pool) = self.pools.get_mut(engine) else { return self.drop(id, out) };
@@ -301,14 +301,14 @@
         let stall = self.timing.stall.0;
         if let Some(s) = self.sessions.get_mut(id) {
             s.backend.begin(sink);
-            out.instead(&mut s.timer, stall, TimerEvent::Stall(id));
+            out.reset_timer(&mut s.timer, stall, TimerEvent::Stall(id));
         }
     }
 
     /// A unit is over: the session is kept if it is clean.
     pub fn over(&mut self, id: ConnId, clean: bool, out: &mut EffectQueue) {
         if let Some(s) = self.sessions.get_mut(id) {
-            out.call_off(&mut s.timer);
+            out.cancel_timer(&mut s.timer);
         }
         if clean {
             self.rest(id, out);
@@ -365,7 +365,7 @@
     /// Bytes have gone to an engine.
     pub fn wrote(&mut self, id: ConnId, n: usize) {
         let Some(s) = self.sessions.get_mut(id) else { return };
-        s.wire.wrote(n);
+        s.wire.advance_written(n);
         if s.unsent.is_some_and(|unsent| s.wire.output.len() < unsent) {
             s.unsent = None;
         }
@@ -495,7 +495,7 @@
             out.saw(Coverage::Stalled);
             return self.lost(id, Outcome::TimedOut, "the engine sends nothing more", out);
         }
-        s.timer = Some(out.wake_at(s.progress + stall, TimerEvent::Stall(id)));
+        s.timer = Some(out.set_timer_at(s.progress + stall, TimerEvent::Stall(id)));
     }
 
     /// An answer that nobody wants does not end.
@@ -534,7 +534,7 @@
 
     fn put_probe(&mut self, id: ConnId, out: &mut EffectQueue) {
         if let Some(s) = self.sessions.get_mut(id) {
-            out.instead(&mut s.timer, self.timing.probe.0, TimerEvent::Probe(id));
+            out.reset_timer(&mut s.timer, self.timing.probe.0, TimerEvent::Probe(id));
         }
         self.sessions.put_own(id, Job::Probe, "SHOW wheelfield.load", out);
     }
--- a/crates/pg-gateway/src/gateway.rs
+++ b/crates/pg-gateway/src/gateway.rs
@@ -29,7 +29,7 @@
 
     /// The bytes of a connection.
     fn wire(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
-        match id.room() {
+        match id.owner() {
             clients::ROOM => self.flow.clients.wire(id),
             engine_sessions::ROOM => self.flow.engines.sessions.wire(id),
             cancels::ROOM => self.flow.engines.cancels().wire(id),
@@ -54,9 +54,9 @@
         }
     }
 
-    /// Bytes that may come on a connection now. After none, [`Effect::Read`] tells when some may.
-    pub fn room(&mut self, id: ConnId) -> usize {
-        match id.room() {
+    /// Bytes that may come on a connection now. After none, [`Effect::ResumeReading`] tells when some may.
+    pub fn read_capacity(&mut self, id: ConnId) -> usize {
+        match id.owner() {
             clients::ROOM => self.flow.clients.room(id),
             engine_sessions::ROOM => self.flow.engines.sessions.room(id),
             cancels::ROOM => self.flow.engines.cancels().room(id),
@@ -71,9 +71,9 @@
     }
 
     /// So much of it has gone.
-    pub fn wrote(&mut self, now: i64, id: ConnId, n: usize) {
+    pub fn bytes_written(&mut self, now: i64, id: ConnId, n: usize) {
         self.flow.out.now = now;
-        match id.room() {
+        match id.owner() {
             clients::ROOM => {
                 let (go_on, done) = self.flow.clients.wrote(id, n, &mut self.flow.out);
                 self.flow.readable.extend(go_on);
@@ -83,30 +83,30 @@
             }
             engine_sessions::ROOM => self.flow.engines.wrote(id, n),
             cancels::ROOM => {
-                self.flow.engines.cancels().wire(id).map(|w| w.wrote(n));
+                self.flow.engines.cancels().wire(id).map(|w| w.advance_written(n));
             }
             registry::ROOM => {
-                self.flow.call.wire(id).map(|w| w.wrote(n));
+                self.flow.call.wire(id).map(|w| w.advance_written(n));
             }
             _ => self.flow.admin.wrote(id, n, &mut self.flow.out),
         }
     }
 
-    /// When [`PgGateway::due`] is next wanted.
-    pub fn next_due(&self) -> Option<i64> {
-        [self.flow.tape.decision_engine().next_timer_at().map(|t| t.0), self.flow.out.next()]
+    /// When [`PgGateway::handle_timers`] is next wanted.
+    pub fn next_timer_at(&self) -> Option<i64> {
+        [self.flow.tape.decision_engine().next_timer_at().map(|t| t.0), self.flow.out.next_timer_at()]
             .into_iter()
             .flatten()
             .min()
     }
 
     /// Lets the time pass, once all that happened until now is told.
-    pub fn due(&mut self, now: i64) {
+    pub fn handle_timers(&mut self, now: i64) {
         self.flow.out.now = now;
         self.flow.settle();
         self.flow.tape.handle_timers(now);
         self.flow.settle();
-        while let Some(wake) = self.flow.out.due() {
+        while let Some(wake) = self.flow.out.pop_due_timer() {
             self.flow.woken(wake);
             self.flow.settle();
         }
@@ -114,13 +114,13 @@
 
     /// What is to be done outside, of all that happened since the last call; `into` is emptied first. Tell all that is known
     /// to have happened before: a query whose client has left is not sent then.
-    pub fn effects(&mut self, into: &mut Vec<Effect>) {
+    pub fn take_effects(&mut self, into: &mut Vec<Effect>) {
         self.flow.settle();
         self.flow.out.take(into);
     }
 
     /// What came to pass in it, by name, and how often since its start.
-    pub fn seen(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
+    pub fn coverage(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
         self.flow.out.seen()
     }
 
@@ -129,12 +129,12 @@
         self.flow.connections()
     }
 
-    /// Handles an event. Its effects are taken by [`PgGateway::effects`].
+    /// Handles an event. Its effects are taken by [`PgGateway::take_effects`].
     pub fn handle(&mut self, now: i64, event: GatewayEvent<'_>) {
         self.flow.out.now = now;
         match event {
             GatewayEvent::Started => self.flow.started(),
-            GatewayEvent::Io(event) => self.handle_io(now, event),
+            GatewayEvent::Io(event) => self.dispatch_io(now, event),
             GatewayEvent::EndpointFiles(news) => {
                 self.flow.out.saw(Coverage::FilesTaken);
                 let change = self.flow.sets.news(news, now);
@@ -145,7 +145,7 @@
                     gossip.keys(keys);
                 }
             }
-            GatewayEvent::ShutdownRequested => self.begin_shutdown(),
+            GatewayEvent::ShutdownRequested => self.start_draining(),
             GatewayEvent::CaptureRequested => {
                 if self.flow.tape.request_capture(now) {
                     info!("the capture in memory is asked for");
@@ -156,7 +156,7 @@
         }
     }
 
-    fn handle_io(&mut self, now: i64, event: IoEvent<'_>) {
+    fn dispatch_io(&mut self, now: i64, event: IoEvent<'_>) {
         match event {
             IoEvent::Connected(id) => self.connected(id),
             IoEvent::Received(id, bytes) => self.received(id, bytes, false),
@@ -169,12 +169,12 @@
             IoEvent::Datagram(DatagramSocket::Gossip, from, datagram) => {
                 self.gossip_datagram(now, from, datagram);
             }
-            IoEvent::Datagram(DatagramSocket::Names, ..) => {}
+            IoEvent::Datagram(DatagramSocket::Discovery, ..) => {}
         }
     }
 
     fn connected(&mut self, id: ConnId) {
-        match id.room() {
+        match id.owner() {
             engine_sessions::ROOM => self.flow.engines.connected(id, &mut self.flow.out),
             cancels::ROOM => self.flow.engines.cancels().connected(id, &mut self.flow.out),
             _ => self.flow.call.connected(id, &mut self.flow.out),
@@ -183,16 +183,16 @@
 
     /// The other side has closed, though bytes of it may not have been read yet.
     fn peer_closing(&mut self, id: ConnId) {
-        match id.room() {
+        match id.owner() {
             clients::ROOM => {
                 if let Some(wire) = self.flow.clients.wire(id) {
-                    wire.closing = true;
+                    wire.peer_closing = true;
                     self.flow.ready.push_back(id);
                 }
             }
             engine_sessions::ROOM => {
                 if let Some(wire) = self.flow.engines.sessions.wire(id) {
-                    wire.closing = true;
+                    wire.peer_closing = true;
                 }
             }
             _ => {}
@@ -200,7 +200,7 @@
     }
 
     fn connection_broken(&mut self, id: ConnId, writing: bool, reason: &str) {
-        match id.room() {
+        match id.owner() {
             clients::ROOM => self.flow.client_gone(id),
             engine_sessions::ROOM => self.flow.engines.broken(id, writing, reason, &mut self.flow.out),
             cancels::ROOM => self.flow.engines.cancel_failed(id, &mut self.flow.out),
@@ -229,7 +229,7 @@
         }
     }
 
-    fn begin_shutdown(&mut self) {
+    fn start_draining(&mut self) {
         let clients = self.flow.clients.len();
         let drain = self.flow.config.timing.drain.0;
         if self.flow.stop.begin(clients, drain, &mut self.flow.out) {
@@ -247,11 +247,11 @@
     }
 
     fn received(&mut self, id: ConnId, bytes: &[u8], ended: bool) {
-        let cut = id.room() == engine_sessions::ROOM && self.flow.planted(FaultInjection::Cut, 50);
+        let cut = id.owner() == engine_sessions::ROOM && self.flow.planted(FaultInjection::Cut, 50);
         let Some(wire) = self.wire(id) else { return };
         wire.receive(if cut { &bytes[..bytes.len().saturating_sub(1)] } else { bytes });
-        wire.ended |= ended;
-        match id.room() {
+        wire.read_closed |= ended;
+        match id.owner() {
             clients::ROOM => self.flow.ready.push_back(id),
             engine_sessions::ROOM => {
                 self.flow.readable.push_back(id);
@@ -268,34 +268,34 @@
 }
 
 impl Protocol for PgGateway {
-    fn started(&mut self, now: i64) {
+    fn handle_start(&mut self, now: i64) {
         self.handle(now, GatewayEvent::Started);
     }
     fn accept(&mut self, now: i64, door: Listener) -> Option<ConnId> {
         PgGateway::accept(self, now, door)
     }
-    fn socketed(&mut self, now: i64, event: IoEvent<'_>) {
+    fn handle_io(&mut self, now: i64, event: IoEvent<'_>) {
         self.handle(now, GatewayEvent::Io(event));
     }
-    fn stop(&mut self, now: i64) {
+    fn begin_shutdown(&mut self, now: i64) {
         self.handle(now, GatewayEvent::ShutdownRequested);
     }
-    fn room(&mut self, id: ConnId) -> usize {
-        PgGateway::room(self, id)
+    fn read_capacity(&mut self, id: ConnId) -> usize {
+        PgGateway::read_capacity(self, id)
     }
     fn output(&mut self, id: ConnId) -> &[u8] {
         PgGateway::output(self, id)
     }
-    fn wrote(&mut self, now: i64, id: ConnId, n: usize) {
-        PgGateway::wrote(self, now, id, n);
+    fn bytes_written(&mut self, now: i64, id: ConnId, n: usize) {
+        PgGateway::bytes_written(self, now, id, n);
     }
-    fn next_due(&self) -> Option<i64> {
-        PgGateway::next_due(self)
+    fn next_timer_at(&self) -> Option<i64> {
+        PgGateway::next_timer_at(self)
     }
-    fn due(&mut self, now: i64) {
-        PgGateway::due(self, now);
+    fn handle_timers(&mut self, now: i64) {
+        PgGateway::handle_timers(self, now);
     }
-    fn effects(&mut self, into: &mut Vec<Effect>) {
-        PgGateway::effects(self, into);
+    fn take_effects(&mut self, into: &mut Vec<Effect>) {
+        PgGateway::take_effects(self, into);
     }
 }
--- a/crates/pg-gateway/src/gossip.rs
+++ b/crates/pg-gateway/src/gossip.rs
@@ -124,7 +124,7 @@
         }
         self.send(packets, out);
         let after = (self.node.next() - out.now).max(1_000);
-        out.instead(&mut self.timer, after, TimerEvent::Gossip);
+        out.reset_timer(&mut self.timer, after, TimerEvent::Gossip);
     }
 
     /// Tells words to all that answer, as far as the ceilings allow.
--- a/crates/pg-gateway/src/lib.rs
+++ b/crates/pg-gateway/src/lib.rs
@@ -1,7 +1,7 @@
 //! A whole controller without system calls. What happened goes in, with the time; what is to be done comes out.
 //!
-//! [`PgGateway`] is told by [`PgGateway::happen`] what its sockets, files and signals brought, and by [`PgGateway::due`] that time has
-//! passed; the [`Effect`]s that come of it are taken by [`PgGateway::effects`] and carried out by a shell: the controller's
+//! [`PgGateway`] is told by [`PgGateway::handle`] what its sockets, files and signals brought, and by [`PgGateway::handle_timers`] that time has
+//! passed; the [`Effect`]s that come of it are taken by [`PgGateway::take_effects`] and carried out by a shell: the controller's
 //! process on its sockets, or the laboratory in virtual time. The same happenings, times, seed and configuration give the
 //! same effects and the same bytes.
 //!
--- a/crates/pg-gateway/src/registry.rs
+++ b/crates/pg-gateway/src/registry.rs
@@ -62,7 +62,7 @@
     }
 
     pub fn room(&mut self, id: ConnId) -> usize {
-        self.wires.get_mut(id).map_or(0, |w| w.room(wheelfield_endpoints::LONGEST))
+        self.wires.get_mut(id).map_or(0, |w| w.read_capacity(wheelfield_endpoints::LONGEST))
     }
 
     /// Asks for a list newer than this version; on the connection at hand, or a new one.
@@ -85,7 +85,7 @@
                 wire.flush(id, out);
             }
         }
-        out.instead(&mut self.timer, wait * 1000 + PATIENCE, TimerEvent::Registry);
+        out.reset_timer(&mut self.timer, wait * 1000 + PATIENCE, TimerEvent::Registry);
     }
 
     pub fn connected(&mut self, id: ConnId, out: &mut EffectQueue) {
@@ -100,9 +100,9 @@
         let wire = self.wires.get_mut(id)?;
         let response = match http::take_response(&mut wire.input, wheelfield_endpoints::LONGEST) {
             Ok(Some(response)) => response,
-            Ok(None) if wire.ended => return self.failed("the registry closed the connection", out),
+            Ok(None) if wire.read_closed => return self.failed("the registry closed the connection", out),
             Ok(None) => {
-                wire.refill(id, wheelfield_endpoints::LONGEST, out);
+                wire.resume_reading(id, wheelfield_endpoints::LONGEST, out);
                 return None;
             }
             Err(fault) => return self.failed(&fault.to_string(), out),
@@ -116,7 +116,7 @@
             Some((Refresh::Poll, every)) => every,
             _ => 1_000,
         };
-        out.instead(&mut self.timer, after, TimerEvent::Registry);
+        out.reset_timer(&mut self.timer, after, TimerEvent::Registry);
         Some(Told::List(response.body))
     }
 
@@ -132,11 +132,11 @@
             warn!(reason, "the engine list could not be had; the last one stays");
         }
         if self.subscribes {
-            out.call_off(&mut self.timer);
+            out.cancel_timer(&mut self.timer);
             return Some(Told::Unavailable);
         }
         let every = self.at.map_or(1_000_000, |r| r.every.0);
-        out.instead(&mut self.timer, every, TimerEvent::Registry);
+        out.reset_timer(&mut self.timer, every, TimerEvent::Registry);
         None
     }
 }
--- a/crates/pg-gateway/src/shutdown.rs
+++ b/crates/pg-gateway/src/shutdown.rs
@@ -25,7 +25,7 @@
         *self = Stop::Stopping;
         info!(clients, "stopping");
         out.push(Effect::StopListening);
-        out.wake_after(drain, TimerEvent::Stop);
+        out.set_timer_after(drain, TimerEvent::Stop);
         true
     }
 
--- a/crates/pg-gateway/tests/bytes.rs
+++ b/crates/pg-gateway/tests/bytes.rs
@@ -79,7 +79,7 @@
         }
         apply(&mut again, *now, step);
         if matches!(step, Step::Effects) {
-            again.effects(&mut effects);
+            again.take_effects(&mut effects);
             told.extend(effects.iter().map(|e| format!("{e:?}")));
         }
     }
--- a/crates/pg-gateway/tests/common/mod.rs
+++ b/crates/pg-gateway/tests/common/mod.rs
@@ -115,7 +115,7 @@
 
     fn room(&mut self, id: ConnId) -> usize {
         self.steps.push((self.now, Step::Room(id)));
-        self.gate.room(id)
+        self.gate.read_capacity(id)
     }
 
     pub fn client(&mut self) -> ConnId {
@@ -149,7 +149,7 @@
         let (mut effects, mut doing) = (Vec::new(), Vec::new());
         for _ in 0..100_000 {
             self.steps.push((self.now, Step::Effects));
-            self.gate.effects(&mut effects);
+            self.gate.take_effects(&mut effects);
             self.stand.doings(&mut doing);
             if effects.is_empty() && doing.is_empty() {
                 return;
@@ -233,7 +233,7 @@
     pub fn pass(&mut self, us: i64) {
         let end = self.now + us;
         while self.now < end {
-            let next = [self.gate.next_due(), self.stand.next()].into_iter().flatten().min();
+            let next = [self.gate.next_timer_at(), self.stand.next()].into_iter().flatten().min();
             self.now = next.unwrap_or(end).clamp(self.now + 1, end);
             self.stand.advance(self.now);
             self.tell(Step::Due);
@@ -254,11 +254,11 @@
             now,
             GatewayEvent::Io(IoEvent::Broken { id: *id, writing: false, refused: false, reason: "reset" }),
         ),
-        Step::Wrote(id, n) => gate.wrote(now, *id, *n),
+        Step::Wrote(id, n) => gate.bytes_written(now, *id, *n),
         Step::Room(id) => {
-            gate.room(*id);
+            gate.read_capacity(*id);
         }
-        Step::Due => gate.due(now),
+        Step::Due => gate.handle_timers(now),
         Step::Stop => gate.handle(now, GatewayEvent::ShutdownRequested),
         Step::Effects => {}
     }
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -64,7 +64,7 @@
     /// How readily it is closed for a new one, the least first; none if something is owed. Guards against closing on a call that has
     /// come and was not looked at yet, or is on its way on a connection that has just come up.
     fn spare(&self, now: i64) -> Option<(u8, bool, i64)> {
-        let left = self.wire.ended || self.wire.closing;
+        let left = self.wire.read_closed || self.wire.peer_closing;
         if self.state == State::Busy || (!left && (self.fresh || !self.wire.output.is_empty())) {
             return None;
         }
@@ -176,14 +176,14 @@
 
     /// Bytes that may come on a connection.
     pub fn room(&mut self, id: ConnId) -> usize {
-        self.all.get_mut(id).map_or(0, |c| c.wire.room(Clients::limit(c.state)))
+        self.all.get_mut(id).map_or(0, |c| c.wire.read_capacity(Clients::limit(c.state)))
     }
 
     /// So much of an answer has gone; a client that had closed its side is let go after the last of it.
     pub fn wrote(&mut self, id: ConnId, n: usize, out: &mut EffectQueue<TimerEvent>) {
         let Some(c) = self.all.get_mut(id) else { return };
         c.took = out.now;
-        if c.wire.wrote(n) && c.wire.ended {
+        if c.wire.advance_written(n) && c.wire.read_closed {
             self.close(id, out);
         }
     }
@@ -196,26 +196,26 @@
             let came = c.wire.input.len();
             c.wire.input.clear();
             c.state = State::Ending { until, left: left.saturating_sub(came) };
-            if c.wire.ended || came > left {
+            if c.wire.read_closed || came > left {
                 self.close(id, out);
             } else {
-                c.wire.refill(id, Clients::limit(c.state), out);
+                c.wire.resume_reading(id, Clients::limit(c.state), out);
             }
             return None;
         }
         if c.state == State::Busy {
             return None;
         }
-        if c.wire.ended || c.wire.closing {
+        if c.wire.read_closed || c.wire.peer_closing {
             // Whoever has left wants no answer.
-            if c.wire.output.is_empty() || c.wire.closing {
+            if c.wire.output.is_empty() || c.wire.peer_closing {
                 self.close(id, out);
             }
             return None;
         }
         if c.wire.input.is_empty() {
             c.begun = None;
-            c.wire.refill(id, Clients::limit(c.state), out);
+            c.wire.resume_reading(id, Clients::limit(c.state), out);
             return None;
         }
         c.begun = c.begun.or(Some(out.now));
@@ -235,7 +235,7 @@
         c.wire.input.advance(length - body);
         // Its own memory, so that the buffer it came in is free again.
         let body = Bytes::copy_from_slice(&c.wire.input.split_to(body));
-        c.wire.refill(id, Clients::limit(c.state), out);
+        c.wire.resume_reading(id, Clients::limit(c.state), out);
         match wants {
             Ok(wants) => {
                 c.asked = true;
@@ -265,7 +265,7 @@
         c.state =
             if c.close { State::Ending { until: out.now + DRAIN_FOR, left: DRAIN } } else { State::Open };
         c.wire.flush(id, out);
-        c.wire.refill(id, Clients::limit(c.state), out);
+        c.wire.resume_reading(id, Clients::limit(c.state), out);
     }
 
     /// Whether a call of this client is in hand.
--- a/crates/platform/src/dispatcher.rs
+++ b/crates/platform/src/dispatcher.rs
@@ -99,8 +99,8 @@
         self.tape.handle_input(self.out.now, Input::Started);
         let list = std::mem::take(&mut self.executors_at_start);
         self.listed(&list);
-        self.out.wake_after(0, TimerEvent::Ask);
-        self.out.wake_after(SWEEP, TimerEvent::Sweep);
+        self.out.set_timer_after(0, TimerEvent::Ask);
+        self.out.set_timer_after(SWEEP, TimerEvent::Sweep);
     }
 
     /// The whole list of executors.
@@ -144,7 +144,7 @@
 
     fn ask(&mut self) {
         if let Some((to, question)) = self.feed.ask(self.chance.u16(..)) {
-            self.out.push(Effect::Send(DatagramSocket::Names, to, question));
+            self.out.push(Effect::Send(DatagramSocket::Discovery, to, question));
         }
     }
 
@@ -152,10 +152,10 @@
     pub fn stop(&mut self) {
         if let Some((rest, listening)) = self.stop.begin(self.out.now) {
             info!(open = self.open.len(), "asked to stop");
-            self.out.wake_at(rest, TimerEvent::Rest);
-            self.out.wake_at(listening, TimerEvent::Stop);
+            self.out.set_timer_at(rest, TimerEvent::Rest);
+            self.out.set_timer_at(listening, TimerEvent::Stop);
             self.stop.last().into_iter().for_each(|at| {
-                self.out.wake_at(at, TimerEvent::Last);
+                self.out.set_timer_at(at, TimerEvent::Last);
             });
         }
     }
@@ -175,7 +175,7 @@
     /// Something came from a client, or it closed.
     fn read_client(&mut self, id: ConnId) {
         if self.clients.busy(id) {
-            let left = self.clients.wire(id).is_some_and(|w| w.ended || w.closing);
+            let left = self.clients.wire(id).is_some_and(|w| w.read_closed || w.peer_closing);
             if left {
                 self.client_gone(id);
             }
@@ -365,7 +365,7 @@
         match wake {
             TimerEvent::Ask => {
                 self.ask();
-                self.out.wake_after(discovery::EVERY, TimerEvent::Ask);
+                self.out.set_timer_after(discovery::EVERY, TimerEvent::Ask);
             }
             TimerEvent::Sweep => {
                 self.clients.sweep(&mut self.out);
@@ -376,7 +376,7 @@
                 if self.out.now - self.told_at >= TELL {
                     self.figures();
                 }
-                self.out.wake_after(SWEEP, TimerEvent::Sweep);
+                self.out.set_timer_after(SWEEP, TimerEvent::Sweep);
             }
             TimerEvent::Connect(id) => self.executors.unanswered(id, &mut self.out),
             TimerEvent::Held(attempt) => self.executors.release(attempt, &mut self.out),
--- a/crates/platform/src/executors.rs
+++ b/crates/platform/src/executors.rs
@@ -144,7 +144,7 @@
     fn takes(&self, id: RequestId, streams: usize) -> bool {
         !self.running.contains_key(&id)
             && (self.given_up.len() < GIVEN_UP || self.given_up.contains(&id))
-            && !self.wire.closing
+            && !self.wire.peer_closing
             && self.load() < streams
             && self.wire.output.len() < BACKLOG
     }
@@ -239,7 +239,7 @@
             if e.at != at {
                 // Guards against sending on to where it was: somebody else may be there.
                 for id in &e.conns {
-                    self.conns.get_mut(*id).into_iter().for_each(|c| c.wire.closing = true);
+                    self.conns.get_mut(*id).into_iter().for_each(|c| c.wire.peer_closing = true);
                 }
             }
             (e.at, e.listed) = (at, true);
@@ -249,7 +249,7 @@
             .iter()
             .filter(|(_, c)| {
                 let listed = self.all.get(&c.engine).is_some_and(|e| e.listed);
-                c.load() == 0 && (c.wire.closing || !listed)
+                c.load() == 0 && (c.wire.peer_closing || !listed)
             })
             .map(|(id, _)| id)
             .collect();
@@ -274,14 +274,14 @@
 
     /// Bytes that may come on a connection.
     pub fn room(&mut self, id: ConnId) -> usize {
-        self.wire(id).map_or(0, |w| w.room(4 * executor_protocol::LONGEST_ANSWER))
+        self.wire(id).map_or(0, |w| w.read_capacity(4 * executor_protocol::LONGEST_ANSWER))
     }
 
     /// So much of it has gone.
     pub fn wrote(&mut self, id: ConnId, n: usize) {
         let Some(c) = self.conns.get_mut(id) else { return };
         c.written += n as u64;
-        c.wire.wrote(n);
+        c.wire.advance_written(n);
         let written = c.written;
         for running in c.running.values_mut().filter(|r| !r.begun && written > r.bytes.0) {
             running.begun = true;
@@ -307,7 +307,7 @@
         };
         self.cut.retain(|(_, _, at)| out.now - at < CUT);
         if self.cut.iter().any(|(id, e, _)| (*id, *e) == (job.id, engine)) {
-            out.wake_after(CUT, TimerEvent::Held(job.attempt));
+            out.set_timer_after(CUT, TimerEvent::Held(job.attempt));
             self.held.push((engine, job));
             return;
         }
@@ -368,7 +368,7 @@
             idle_since: out.now,
             partial: None,
         });
-        let timer = out.wake_after(self.bounds.connect, TimerEvent::Connect(id));
+        let timer = out.set_timer_after(self.bounds.connect, TimerEvent::Connect(id));
         self.conns.get_mut(id)?.connecting = Some(timer);
         executor.conns.push(id);
         self.counts.connects += 1;
@@ -389,7 +389,7 @@
         if let Some(c) = self.conns.get_mut(id) {
             c.up = true;
             c.idle_since = out.now;
-            out.call_off(&mut c.connecting);
+            out.cancel_timer(&mut c.connecting);
             self.ready.push_back(id);
         }
     }
@@ -463,7 +463,7 @@
     /// Closes a connection that has too many ids given up, once it is idle.
     fn tidy(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) {
         let done = |c: &Conn| c.load() == 0 && c.wire.output.is_empty();
-        let worn = |c: &Conn| c.given_up.len() >= GIVEN_UP || c.wire.closing;
+        let worn = |c: &Conn| c.given_up.len() >= GIVEN_UP || c.wire.peer_closing;
         if self.conns.get(id).is_some_and(|c| done(c) && worn(c)) {
             self.close(id, out);
         }
@@ -478,7 +478,7 @@
                 Ok(None) => {
                     let waits = !c.wire.input.is_empty();
                     c.partial = waits.then(|| c.partial.unwrap_or(out.now));
-                    c.wire.refill(id, 4 * executor_protocol::LONGEST_ANSWER, out);
+                    c.wire.resume_reading(id, 4 * executor_protocol::LONGEST_ANSWER, out);
                     break;
                 }
                 Err(spoilt) => return self.spoilt(id, spoilt, out),
@@ -488,7 +488,7 @@
                 return self.spoilt(id, spoilt, out);
             }
         }
-        if self.conns.get(id).is_some_and(|c| c.wire.ended) {
+        if self.conns.get(id).is_some_and(|c| c.wire.read_closed) {
             self.broken(id, out);
         } else {
             self.tidy(id, out);
@@ -674,7 +674,7 @@
     /// A connection that nothing was sent on, or whose other side has closed, is no more of use once it carries nothing.
     pub fn closing(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) {
         if let Some(c) = self.conns.get_mut(id) {
-            c.wire.closing = true;
+            c.wire.peer_closing = true;
             if c.load() == 0 {
                 self.close(id, out);
             }
@@ -683,7 +683,7 @@
 
     fn close(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) {
         let Some(mut c) = self.conns.remove(id) else { return };
-        out.call_off(&mut c.connecting);
+        out.cancel_timer(&mut c.connecting);
         // The words that gave these up end with the connection, at the latest; what follows under the same id must not overtake
         // that.
         self.cut.extend(c.given_up.iter().map(|request| (*request, c.engine, out.now)));
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -18,29 +18,29 @@
     }
 
     /// The configuration was replaced: its name service is asked from now on.
-    pub fn turn_to(&mut self, now: i64, resolver: SocketAddr) {
+    pub fn use_resolver(&mut self, now: i64, resolver: SocketAddr) {
         self.flow.out.now = now;
         self.flow.turn_to(resolver);
     }
 
     /// Connections and executors that it holds, for whoever looks after its growth.
-    pub fn held(&self) -> usize {
+    pub fn connections_in_use(&self) -> usize {
         self.flow.held()
     }
 
     /// A fault for a judge to find: what went to executors is forgotten.
     #[cfg(feature = "planted")]
-    pub fn forget_spent(&mut self) {
+    pub fn prune_records(&mut self) {
         self.flow.forget_spent();
     }
 
     /// What was counted of clients that left while their query waited.
-    pub fn left(&self) -> crate::abandonment::Counts {
+    pub fn abandonment_counts(&self) -> crate::abandonment::Counts {
         self.flow.left()
     }
 
     fn wire(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
-        match id.room() {
+        match id.owner() {
             clients::ROOM => self.flow.clients.wire(id),
             _ => self.flow.executors.wire(id),
         }
@@ -48,7 +48,7 @@
 }
 
 impl Protocol for Platform {
-    fn started(&mut self, now: i64) {
+    fn handle_start(&mut self, now: i64) {
         self.flow.out.now = now;
         self.flow.started();
     }
@@ -58,7 +58,7 @@
         self.flow.clients.accept(&mut self.flow.out)
     }
 
-    fn socketed(&mut self, now: i64, what: IoEvent<'_>) {
+    fn handle_io(&mut self, now: i64, what: IoEvent<'_>) {
         self.flow.out.now = now;
         match what {
             IoEvent::Connected(id) => self.flow.executors.connected(id, &mut self.flow.out),
@@ -69,31 +69,31 @@
             }
             IoEvent::Ended(id) => {
                 let Some(wire) = self.wire(id) else { return };
-                wire.ended = true;
+                wire.read_closed = true;
                 self.read(id);
             }
-            IoEvent::Closing(id) if id.room() == clients::ROOM => {
+            IoEvent::Closing(id) if id.owner() == clients::ROOM => {
                 let Some(wire) = self.wire(id) else { return };
-                wire.closing = true;
+                wire.peer_closing = true;
                 self.read(id);
             }
             IoEvent::Closing(id) => self.flow.executors.closing(id, &mut self.flow.out),
-            IoEvent::Broken { id, .. } if id.room() == clients::ROOM => self.flow.client_gone(id),
+            IoEvent::Broken { id, .. } if id.owner() == clients::ROOM => self.flow.client_gone(id),
             IoEvent::Broken { id, refused: true, .. } => self.flow.executors.refused(id, &mut self.flow.out),
             IoEvent::Broken { id, .. } => self.flow.executors.broken(id, &mut self.flow.out),
             IoEvent::Datagram(DatagramSocket::Peers, from, bytes) => self.flow.words(from, bytes),
-            IoEvent::Datagram(DatagramSocket::Names, from, bytes) => self.flow.resolved(from, bytes),
+            IoEvent::Datagram(DatagramSocket::Discovery, from, bytes) => self.flow.resolved(from, bytes),
             IoEvent::Datagram(DatagramSocket::Gossip, ..) => {}
         }
     }
 
-    fn stop(&mut self, now: i64) {
+    fn begin_shutdown(&mut self, now: i64) {
         self.flow.out.now = now;
         self.flow.stop();
     }
 
-    fn room(&mut self, id: ConnId) -> usize {
-        match id.room() {
+    fn read_capacity(&mut self, id: ConnId) -> usize {
+        match id.owner() {
             clients::ROOM => self.flow.clients.room(id),
             _ => self.flow.executors.room(id),
         }
@@ -103,31 +103,31 @@
         self.wire(id).map_or(&[], |w| &w.output)
     }
 
-    fn wrote(&mut self, now: i64, id: ConnId, n: usize) {
+    fn bytes_written(&mut self, now: i64, id: ConnId, n: usize) {
         self.flow.out.now = now;
-        match id.room() {
+        match id.owner() {
             clients::ROOM => self.flow.clients.wrote(id, n, &mut self.flow.out),
             _ => self.flow.executors.wrote(id, n),
         }
     }
 
-    fn next_due(&self) -> Option<i64> {
+    fn next_timer_at(&self) -> Option<i64> {
         let mind = self.flow.tape.decision_engine().next_timer_at().map(|t| t.0);
-        [mind, self.flow.out.next()].into_iter().flatten().min()
+        [mind, self.flow.out.next_timer_at()].into_iter().flatten().min()
     }
 
-    fn due(&mut self, now: i64) {
+    fn handle_timers(&mut self, now: i64) {
         self.flow.out.now = now;
         self.flow.settle();
         self.flow.tape.handle_timers(now);
         self.flow.settle();
-        while let Some(wake) = self.flow.out.due() {
+        while let Some(wake) = self.flow.out.pop_due_timer() {
             self.flow.woken(wake);
             self.flow.settle();
         }
     }
 
-    fn effects(&mut self, into: &mut Vec<Effect>) {
+    fn take_effects(&mut self, into: &mut Vec<Effect>) {
         self.flow.settle();
         self.flow.out.take(into);
     }
@@ -136,7 +136,7 @@
 impl Platform {
     /// Something came on a connection. Clients are heard once all of this turn is known: whose client has left goes nowhere.
     fn read(&mut self, id: ConnId) {
-        match id.room() {
+        match id.owner() {
             clients::ROOM => {
                 self.flow.clients.came(id);
                 self.flow.ready.push_back(id);
--- a/crates/platform/tests/clients.rs
+++ b/crates/platform/tests/clients.rs
@@ -206,7 +206,7 @@
     rig.says(probe, "GET /health HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_eq!(status(&rig.read(probe)), 200);
     let (first, executor, _) = rig.asked("look", &id(1));
-    rig.platform.stop(rig.now);
+    rig.platform.begin_shutdown(rig.now);
     rig.turn();
     rig.pass(500_000);
     assert!(rig.listening && !rig.stopped);
@@ -276,7 +276,7 @@
     asks(&mut rig, "look", 1);
     asks(&mut rig, "load", 2);
     let executors: Vec<_> = rig.written.keys().copied().collect();
-    rig.platform.stop(rig.now);
+    rig.platform.begin_shutdown(rig.now);
     rig.turn();
     // Each tells that it goes on.
     let goes_on = |rig: &mut Rig, times: u32| {
@@ -319,7 +319,7 @@
     rig.pass(400_000);
     assert!(rig.read(fresh).is_empty());
     assert_eq!(rig.read(executor), format!("STOP {}\r\n", id(1)));
-    let left = rig.platform.left();
+    let left = rig.platform.abandonment_counts();
     assert_eq!((left.waiting, left.sent_on, left.sent_late), (1, 0, 0));
 }
 
@@ -367,15 +367,15 @@
             assert_eq!(rig.connects.len(), 1);
         }
         rig.now += due_after;
-        rig.platform.socketed(rig.now, IoEvent::Closing(client));
-        rig.platform.due(rig.now);
+        rig.platform.handle_io(rig.now, IoEvent::Closing(client));
+        rig.platform.handle_timers(rig.now);
         rig.turn();
         rig.connects.retain(|(conn, _)| !rig.closed.contains(conn));
         rig.connect();
         rig.pass(500_000);
         rig.connect();
         assert!(rig.request().is_none(), "{what}");
-        assert_eq!(rig.platform.left().waiting, 1, "{what}");
+        assert_eq!(rig.platform.abandonment_counts().waiting, 1, "{what}");
     }
 }
 
@@ -384,7 +384,7 @@
 fn who_is_taken_in_the_moment_in_which_listening_ends_is_answered_before_the_end() {
     let mut rig = Rig::new(1);
     rig.backlog = vec!["GET /health HTTP/1.1\r\n\r\n".to_string(), post("look", &id(1), "")];
-    rig.platform.stop(rig.now);
+    rig.platform.begin_shutdown(rig.now);
     rig.turn();
     rig.pass(800_000);
     assert!(!rig.listening && !rig.stopped, "two are owed");
@@ -405,7 +405,7 @@
     let (rests, executor, _) = rig.asked("look", &id(1));
     rig.says(executor, &format!("{} HIT pages=1 0\r\n\r\n", id(1)));
     assert_eq!(status(&rig.read(rests)), 200);
-    rig.platform.stop(rig.now);
+    rig.platform.begin_shutdown(rig.now);
     rig.turn();
     rig.pass(700_000);
     assert!(rig.closed.contains(&rests) && rig.listening);
@@ -456,7 +456,7 @@
     let one_more = rig.client();
     assert_eq!(rig.closed[8..], [first]);
     // Who has left goes first of all.
-    rig.platform.socketed(rig.now, IoEvent::Ended(keepers[15]));
+    rig.platform.handle_io(rig.now, IoEvent::Ended(keepers[15]));
     let last = rig.client();
     assert_eq!(rig.closed[9..], [keepers[15]]);
     assert!([&more[..], &[one_more, last]].concat().iter().all(|c| !rig.closed.contains(c)));
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -88,7 +88,7 @@
             taken_late: Vec::new(),
             partial: None,
         };
-        rig.platform.started(now);
+        rig.platform.handle_start(now);
         rig.turn();
         rig
     }
@@ -97,7 +97,7 @@
     pub fn turn(&mut self) {
         let mut effects = Vec::new();
         loop {
-            self.platform.effects(&mut effects);
+            self.platform.take_effects(&mut effects);
             if effects.is_empty() {
                 return;
             }
@@ -107,16 +107,16 @@
                     Effect::Write(id) => {
                         let mut bytes = self.platform.output(id).to_vec();
                         bytes.truncate(self.partial.unwrap_or(bytes.len()));
-                        self.platform.wrote(self.now, id, bytes.len());
+                        self.platform.bytes_written(self.now, id, bytes.len());
                         self.written.entry(id).or_default().extend(bytes);
                     }
-                    Effect::Read(_) => {}
+                    Effect::ResumeReading(_) => {}
                     Effect::Close(id) => self.closed.push(id),
                     Effect::Send(port, to, bytes) => self.datagrams.push((port, to, bytes)),
                     Effect::StopListening => {
                         for call in std::mem::take(&mut self.backlog) {
                             let id = self.platform.accept(self.now, Listener::Clients).expect("room");
-                            self.platform.socketed(self.now, IoEvent::Received(id, call.as_bytes()));
+                            self.platform.handle_io(self.now, IoEvent::Received(id, call.as_bytes()));
                             self.taken_late.push(id);
                         }
                         self.listening = false;
@@ -133,9 +133,9 @@
     pub fn pass(&mut self, micros: i64) {
         let until = self.now + micros;
         loop {
-            let due = self.platform.next_due().filter(|at| *at <= until);
+            let due = self.platform.next_timer_at().filter(|at| *at <= until);
             self.now = due.unwrap_or(until).max(self.now);
-            self.platform.due(self.now);
+            self.platform.handle_timers(self.now);
             self.turn();
             if due.is_none() {
                 return;
@@ -144,7 +144,7 @@
     }
 
     pub fn tell(&mut self, what: IoEvent<'_>) {
-        self.platform.socketed(self.now, what);
+        self.platform.handle_io(self.now, what);
         self.turn();
     }
 
--- a/crates/platform/tests/executors.rs
+++ b/crates/platform/tests/executors.rs
@@ -199,7 +199,7 @@
     rig.partial = None;
     let answer = names(&asked, 9, &[("e1", 1, 1), ("e2", 2, 0)]).to_vec().expect("bytes");
     let from = RESOLVER.parse().expect("an address");
-    rig.tell(IoEvent::Datagram(wheelfield_sans_io::DatagramSocket::Names, from, &answer));
+    rig.tell(IoEvent::Datagram(wheelfield_sans_io::DatagramSocket::Discovery, from, &answer));
     assert!(rig.closed.contains(&executor) && rig.read(executor).is_empty());
     let other = rig.connect()[0];
     assert!(rig.read(other).starts_with("REQ "), "it goes to the other one");
@@ -221,7 +221,7 @@
         rig.written.values().map(|w| String::from_utf8_lossy(w).matches("REQ ").count()).sum();
     assert_eq!(requests, 16);
     // One that breaks takes all its attempts along, and each is tried again.
-    rig.platform.stop(rig.now);
+    rig.platform.begin_shutdown(rig.now);
 }
 
 /// Many executors, ids and connections come and go: nothing is kept of them.
@@ -239,7 +239,7 @@
         let answer = names(&asked, 10 + n as u32, &[(&name, (n % 200) as u8 + 1, 0)]);
         let bytes = answer.to_vec().expect("bytes");
         let from = RESOLVER.parse().expect("an address");
-        rig.tell(IoEvent::Datagram(wheelfield_sans_io::DatagramSocket::Names, from, &bytes));
+        rig.tell(IoEvent::Datagram(wheelfield_sans_io::DatagramSocket::Discovery, from, &bytes));
         let (client, executor, _) = rig.asked("look", &id(n));
         rig.says(executor, &hit(n));
         assert_eq!(status(&rig.read(client)), 200, "query {n}");
@@ -248,7 +248,7 @@
     }
     // Of each executor that is gone the connection is closed too.
     assert_eq!(rig.closed.len(), 299);
-    assert!(rig.platform.held() <= 2, "{} held", rig.platform.held());
+    assert!(rig.platform.connections_in_use() <= 2, "{} held", rig.platform.connections_in_use());
 }
 
 /// The word that gave a query up is lost with its connection, unsent: until the executor knows of that end it holds the query still.
@@ -283,7 +283,7 @@
     let asked = rig.datagrams.last().expect("a question").2.clone();
     let answer = names(&asked, 9, &[("e1", 7, 0)]).to_vec().expect("bytes");
     let from = RESOLVER.parse().expect("an address");
-    rig.tell(IoEvent::Datagram(wheelfield_sans_io::DatagramSocket::Names, from, &answer));
+    rig.tell(IoEvent::Datagram(wheelfield_sans_io::DatagramSocket::Discovery, from, &answer));
     assert!(rig.closed.contains(&executor), "nothing rests where it was");
     rig.read(client);
     rig.says(client, &post("look", &id(3), ""));
--- a/crates/platform/tests/interleavings.rs
+++ b/crates/platform/tests/interleavings.rs
@@ -90,7 +90,7 @@
     }
 
     fn hears(&mut self, what: IoEvent<'_>) {
-        self.rig.platform.socketed(self.rig.now, what);
+        self.rig.platform.handle_io(self.rig.now, what);
     }
 
     /// A line of what happened; what is sent in a turn is sent after all that is heard in it.
@@ -146,7 +146,7 @@
                     .collect();
                 if !ran.is_empty() {
                     if self.plant == Some(Plant::SpentForgotten) {
-                        self.rig.platform.forget_spent();
+                        self.rig.platform.prune_records();
                     }
                     self.asks(1, 5_000, ran[which % ran.len()]);
                 }
@@ -198,7 +198,8 @@
 
     /// The name service tells how the executors are.
     fn lists(&mut self) {
-        let Some(question) = self.rig.datagrams.iter().rev().find(|d| d.0 == DatagramSocket::Names) else {
+        let Some(question) = self.rig.datagrams.iter().rev().find(|d| d.0 == DatagramSocket::Discovery)
+        else {
             return;
         };
         self.serial += 1;
@@ -219,7 +220,7 @@
         self.log.push(Line { t, event, who, not_up, ..Line::default() });
         if self.plant != Some(Plant::DrainUnheard) {
             let from = RESOLVER.parse().expect("an address");
-            self.hears(IoEvent::Datagram(DatagramSocket::Names, from, &bytes));
+            self.hears(IoEvent::Datagram(DatagramSocket::Discovery, from, &bytes));
         }
     }
 
@@ -266,7 +267,7 @@
 
     /// Ends a turn: what is to be done outside is done, and read by whom it is for.
     fn turn(&mut self) {
-        self.rig.platform.due(self.rig.now);
+        self.rig.platform.handle_timers(self.rig.now);
         self.look();
         for (client, breaks) in std::mem::take(&mut self.late) {
             self.leaves(client, breaks);
@@ -339,7 +340,7 @@
     fn pass(&mut self, micros: i64) {
         let until = self.rig.now + micros;
         loop {
-            let due = self.rig.platform.next_due().filter(|at| *at <= until);
+            let due = self.rig.platform.next_timer_at().filter(|at| *at <= until);
             // A moment apart from what was before.
             self.rig.now = due.unwrap_or(until).max(self.rig.now + 10);
             self.turn();
@@ -358,7 +359,7 @@
             self.turn();
             self.pass(pause * 1_000);
         }
-        self.rig.platform.stop(self.rig.now);
+        self.rig.platform.begin_shutdown(self.rig.now);
         self.turn();
         for _ in 0..5 {
             let taken = self.rig.listening && self.plant != Some(Plant::ListenerEarly);
@@ -391,7 +392,7 @@
         };
         let mut broken: Vec<String> =
             judge(&evidence).iter().map(|b| format!("{}: {}", b.rule, b.what)).collect();
-        let late = self.rig.platform.left().sent_late;
+        let late = self.rig.platform.abandonment_counts().sent_late;
         if late > 0 {
             broken.push(format!("{late} sent on for clients that had left"));
         }
--- a/crates/platform/tests/names.rs
+++ b/crates/platform/tests/names.rs
@@ -15,12 +15,12 @@
     rig.datagrams.clear();
     rig.pass(260_000);
     let (port, asked, bytes) = rig.datagrams.last().expect("a question").clone();
-    assert_eq!((port, asked), (DatagramSocket::Names, at(to)));
+    assert_eq!((port, asked), (DatagramSocket::Discovery, at(to)));
     bytes
 }
 
 fn hear(rig: &mut Rig, from: &str, bytes: &[u8]) {
-    rig.tell(IoEvent::Datagram(DatagramSocket::Names, at(from), bytes));
+    rig.tell(IoEvent::Datagram(DatagramSocket::Discovery, at(from), bytes));
 }
 
 /// Where the next query goes; none if it was refused.
@@ -93,7 +93,7 @@
     let asked = question(&mut rig, RESOLVER);
     let late = names(&asked, 9, &[("e9", 7, 0)]).to_vec().expect("bytes");
     rig.datagrams.clear();
-    rig.platform.turn_to(rig.now, at("127.9.0.3:1053"));
+    rig.platform.use_resolver(rig.now, at("127.9.0.3:1053"));
     rig.turn();
     let (_, to, again) = rig.datagrams.last().expect("asked at once").clone();
     assert_eq!(to, at("127.9.0.3:1053"));
--- a/crates/recorder/src/decision_engine.rs
+++ b/crates/recorder/src/decision_engine.rs
@@ -19,7 +19,7 @@
     fn handle_input(&mut self, now: Micros, input: Input, out: &mut Vec<Instruction>);
     /// Lets the time pass.
     fn handle_timers(&mut self, now: Micros, out: &mut Vec<Instruction>) -> bool;
-    /// When [`DecisionEngine::due`] is next wanted.
+    /// When [`DecisionEngine::handle_timers`] is next wanted.
     fn next_timer_at(&self) -> Option<Micros>;
     /// Whether an attempt counts still.
     fn is_in_flight(&self, attempt: AttemptId) -> bool;
--- a/crates/sans-io/src/connection_buffer.rs
+++ b/crates/sans-io/src/connection_buffer.rs
@@ -15,13 +15,13 @@
     /// What is to go.
     pub output: BytesMut,
     /// The other side will send no more, and all it sent is here.
-    pub ended: bool,
+    pub read_closed: bool,
     /// The other side has closed, though something it sent may still be outside.
-    pub closing: bool,
+    pub peer_closing: bool,
     /// Whoever writes was asked to.
-    asked: bool,
+    write_requested: bool,
     /// Whoever reads was told that there is no room.
-    starved: bool,
+    read_blocked: bool,
 }
 
 impl ConnectionBuffer {
@@ -31,20 +31,20 @@
     }
 
     /// Bytes that may come now, if at most `limit` are to wait.
-    pub fn room(&mut self, limit: usize) -> usize {
-        if self.ended {
+    pub fn read_capacity(&mut self, limit: usize) -> usize {
+        if self.read_closed {
             return 0;
         }
         let room = limit.saturating_sub(self.input.len());
-        self.starved |= room == 0;
+        self.read_blocked |= room == 0;
         room
     }
 
     /// Has the other side read again, if there is room again; gives back the memory of an emptied input.
-    pub fn refill(&mut self, id: ConnId, limit: usize, out: &mut EffectQueue<impl Sized>) {
-        if self.starved && self.input.len() < limit {
-            self.starved = false;
-            out.push(Effect::Read(id));
+    pub fn resume_reading(&mut self, id: ConnId, limit: usize, out: &mut EffectQueue<impl Sized>) {
+        if self.read_blocked && self.input.len() < limit {
+            self.read_blocked = false;
+            out.push(Effect::ResumeReading(id));
         }
         if self.input.is_empty() {
             self.input = BytesMut::new();
@@ -53,17 +53,17 @@
 
     /// Has what is to go written.
     pub fn flush(&mut self, id: ConnId, out: &mut EffectQueue<impl Sized>) {
-        if !self.output.is_empty() && !std::mem::replace(&mut self.asked, true) {
+        if !self.output.is_empty() && !std::mem::replace(&mut self.write_requested, true) {
             out.push(Effect::Write(id));
         }
     }
 
     /// So much has gone; true once all has.
-    pub fn wrote(&mut self, n: usize) -> bool {
+    pub fn advance_written(&mut self, n: usize) -> bool {
         self.output.advance(n.min(self.output.len()));
         let all = self.output.is_empty();
         if all {
-            self.asked = false;
+            self.write_requested = false;
             if self.output.capacity() > KEPT {
                 self.output = BytesMut::new();
             }
--- a/crates/sans-io/src/connection_table.rs
+++ b/crates/sans-io/src/connection_table.rs
@@ -16,22 +16,22 @@
     }
 
     /// The room that owns it, from 1 to 7.
-    pub fn room(self) -> u8 {
+    pub fn owner(self) -> u8 {
         (self.0 >> (GENERATION + PLACE)) as u8
     }
 
     /// Its place in the room.
-    pub fn place(self) -> usize {
+    pub fn slot(self) -> usize {
         (self.0 & u64::from(u32::MAX)) as usize
     }
 
     /// As one number; at least 2 to the power of 61.
-    pub fn number(self) -> u64 {
+    pub fn as_u64(self) -> u64 {
         self.0
     }
 
     /// The connection of a number.
-    pub fn of(number: u64) -> ConnId {
+    pub fn from_u64(number: u64) -> ConnId {
         ConnId(number)
     }
 }
@@ -39,56 +39,56 @@
 /// What a room holds of each of its connections. Bounded by whoever inserts.
 #[derive(Debug)]
 pub struct ConnectionTable<T> {
-    room: u8,
+    owner: u8,
     generation: u32,
-    places: Slab<(ConnId, T)>,
+    slots: Slab<(ConnId, T)>,
 }
 
 impl<T> ConnectionTable<T> {
     /// An empty room; `room` is 1 to 7.
     pub fn new(room: u8) -> ConnectionTable<T> {
         debug_assert!((1..8).contains(&room));
-        ConnectionTable { room, generation: 0, places: Slab::new() }
+        ConnectionTable { owner: room, generation: 0, slots: Slab::new() }
     }
 
     /// Gives a connection a place.
     pub fn insert(&mut self, what: T) -> ConnId {
         self.generation = self.generation.wrapping_add(1);
-        let entry = self.places.vacant_entry();
-        let id = ConnId::new(self.room, self.generation, entry.key());
+        let entry = self.slots.vacant_entry();
+        let id = ConnId::new(self.owner, self.generation, entry.key());
         entry.insert((id, what));
         id
     }
 
     /// What is held of a connection.
     pub fn get(&self, id: ConnId) -> Option<&T> {
-        self.places.get(id.place()).filter(|(held, _)| *held == id).map(|(_, what)| what)
+        self.slots.get(id.slot()).filter(|(held, _)| *held == id).map(|(_, what)| what)
     }
 
     /// What is held of a connection, to be changed.
     pub fn get_mut(&mut self, id: ConnId) -> Option<&mut T> {
-        self.places.get_mut(id.place()).filter(|(held, _)| *held == id).map(|(_, what)| what)
+        self.slots.get_mut(id.slot()).filter(|(held, _)| *held == id).map(|(_, what)| what)
     }
 
     /// Frees the place of a connection.
     pub fn remove(&mut self, id: ConnId) -> Option<T> {
         self.get(id)?;
-        self.places.try_remove(id.place()).map(|(_, what)| what)
+        self.slots.try_remove(id.slot()).map(|(_, what)| what)
     }
 
     /// All that are held.
     pub fn iter(&self) -> impl Iterator<Item = (ConnId, &T)> {
-        self.places.iter().map(|(_, (id, what))| (*id, what))
+        self.slots.iter().map(|(_, (id, what))| (*id, what))
     }
 
     /// How many are held.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.slots.len()
     }
 
     /// None is held.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.slots.is_empty()
     }
 }
 
@@ -102,12 +102,12 @@
         let a = slots.insert('a');
         assert_eq!(slots.remove(a), Some('a'));
         let b = slots.insert('b');
-        assert_eq!((a.place(), b.place(), b.room()), (0, 0, 3));
+        assert_eq!((a.slot(), b.slot(), b.owner()), (0, 0, 3));
         assert_ne!(a, b);
         assert_eq!((slots.get(a), slots.get(b)), (None, Some(&'b')));
         assert_eq!(slots.remove(a), None);
-        assert_eq!(ConnId::of(b.number()), b);
-        assert!(b.number() >= 1 << 61);
+        assert_eq!(ConnId::from_u64(b.as_u64()), b);
+        assert!(b.as_u64() >= 1 << 61);
     }
 
     #[test]
@@ -115,6 +115,6 @@
         let mut slots = ConnectionTable::new(7);
         slots.generation = u32::MAX;
         let id = slots.insert(());
-        assert_eq!((id.room(), id.place(), slots.len()), (7, 0, 1));
+        assert_eq!((id.owner(), id.slot(), slots.len()), (7, 0, 1));
     }
 }
--- a/crates/sans-io/src/effect_queue.rs
+++ b/crates/sans-io/src/effect_queue.rs
@@ -20,7 +20,7 @@
     /// Which controllers there are.
     Gossip,
     /// Questions to a name service.
-    Names,
+    Discovery,
 }
 
 /// Something to be done outside.
@@ -28,10 +28,10 @@
 pub enum Effect {
     /// Begin to connect; [`crate::IoEvent::Connected`] or [`crate::IoEvent::Broken`] tells how it went.
     Connect(ConnId, SocketAddr),
-    /// Write what [`crate::Protocol::output`] holds, as far as it goes, and tell by [`crate::Protocol::wrote`].
+    /// Write what [`crate::Protocol::output`] holds, as far as it goes, and tell by [`crate::Protocol::bytes_written`].
     Write(ConnId),
-    /// There is room again for what comes: go on reading, as [`crate::Protocol::room`] allows.
-    Read(ConnId),
+    /// There is room again for what comes: go on reading, as [`crate::Protocol::read_capacity`] allows.
+    ResumeReading(ConnId),
     /// Close a connection; it is forgotten here already.
     Close(ConnId),
     /// Send a datagram; one that can't go is lost.
@@ -77,35 +77,35 @@
     }
 
     /// Wants to be woken after so many microseconds.
-    pub fn wake_after(&mut self, after: i64, wake: W) -> TimerKey {
-        self.wake_at(self.now.saturating_add(after), wake)
+    pub fn set_timer_after(&mut self, after: i64, wake: W) -> TimerKey {
+        self.set_timer_at(self.now.saturating_add(after), wake)
     }
 
     /// Wants to be woken at a time.
-    pub fn wake_at(&mut self, at: i64, wake: W) -> TimerKey {
+    pub fn set_timer_at(&mut self, at: i64, wake: W) -> TimerKey {
         self.timers.set(at, wake)
     }
 
     /// Calls a timer off, if there is one.
-    pub fn call_off(&mut self, timer: &mut Option<TimerKey>) {
+    pub fn cancel_timer(&mut self, timer: &mut Option<TimerKey>) {
         if let Some(key) = timer.take() {
             self.timers.cancel(key);
         }
     }
 
     /// A timer in place of another.
-    pub fn instead(&mut self, timer: &mut Option<TimerKey>, after: i64, wake: W) {
-        self.call_off(timer);
-        *timer = Some(self.wake_after(after, wake));
+    pub fn reset_timer(&mut self, timer: &mut Option<TimerKey>, after: i64, wake: W) {
+        self.cancel_timer(timer);
+        *timer = Some(self.set_timer_after(after, wake));
     }
 
     /// When the next timer is due.
-    pub fn next(&self) -> Option<i64> {
-        self.timers.next()
+    pub fn next_timer_at(&self) -> Option<i64> {
+        self.timers.next_at()
     }
 
     /// A timer that is due.
-    pub fn due(&mut self) -> Option<W> {
+    pub fn pop_due_timer(&mut self) -> Option<W> {
         self.timers.pop(self.now)
     }
 
--- a/crates/sans-io/src/protocol.rs
+++ b/crates/sans-io/src/protocol.rs
@@ -8,7 +8,7 @@
 pub enum IoEvent<'a> {
     /// A connect is through.
     Connected(ConnId),
-    /// Bytes came; at most as many as [`Protocol::room`] allowed.
+    /// Bytes came; at most as many as [`Protocol::read_capacity`] allowed.
     Received(ConnId, &'a [u8]),
     /// The other side has closed, though bytes of it may still be outside.
     Closing(ConnId),
@@ -32,23 +32,23 @@
 /// A controller without system calls. What happened goes in, with the time; effects come out.
 pub trait Protocol {
     /// The process starts; comes first, once.
-    fn started(&mut self, now: i64);
+    fn handle_start(&mut self, now: i64);
     /// Somebody has connected; none if there is no room, and the socket is to be closed. Read from it at once.
     fn accept(&mut self, now: i64, door: Listener) -> Option<ConnId>;
     /// Sockets told something.
-    fn socketed(&mut self, now: i64, what: IoEvent<'_>);
+    fn handle_io(&mut self, now: i64, what: IoEvent<'_>);
     /// The controller is asked to stop.
-    fn stop(&mut self, now: i64);
-    /// Bytes that may come on a connection now. After none, [`Effect::Read`] tells when some may.
-    fn room(&mut self, id: ConnId) -> usize;
+    fn begin_shutdown(&mut self, now: i64);
+    /// Bytes that may come on a connection now. After none, [`Effect::ResumeReading`] tells when some may.
+    fn read_capacity(&mut self, id: ConnId) -> usize;
     /// What is to go on a connection.
     fn output(&mut self, id: ConnId) -> &[u8];
     /// So much of it has gone.
-    fn wrote(&mut self, now: i64, id: ConnId, n: usize);
-    /// When [`Protocol::due`] is next wanted.
-    fn next_due(&self) -> Option<i64>;
+    fn bytes_written(&mut self, now: i64, id: ConnId, n: usize);
+    /// When [`Protocol::handle_timers`] is next wanted.
+    fn next_timer_at(&self) -> Option<i64>;
     /// Lets the time pass, once all that happened until now is told.
-    fn due(&mut self, now: i64);
+    fn handle_timers(&mut self, now: i64);
     /// What is to be done outside, of all that happened since the last call; `into` is emptied first.
-    fn effects(&mut self, into: &mut Vec<Effect>);
+    fn take_effects(&mut self, into: &mut Vec<Effect>);
 }
--- a/crates/sans-io/src/timers.rs
+++ b/crates/sans-io/src/timers.rs
@@ -34,13 +34,13 @@
     }
 
     /// When the next goes off.
-    pub fn next(&self) -> Option<i64> {
+    pub fn next_at(&self) -> Option<i64> {
         self.waiting.first_key_value().map(|(key, _)| key.0)
     }
 
     /// Takes one that has gone off by now.
     pub fn pop(&mut self, now: i64) -> Option<T> {
-        self.next().filter(|at| *at <= now)?;
+        self.next_at().filter(|at| *at <= now)?;
         self.waiting.pop_first().map(|(_, what)| what)
     }
 
@@ -68,7 +68,7 @@
         timers.set(10, 'A');
         assert_eq!(timers.cancel(b), Some('b'));
         assert_eq!(timers.cancel(b), None);
-        assert_eq!(timers.next(), Some(10));
+        assert_eq!(timers.next_at(), Some(10));
         let gone: Vec<char> = std::iter::from_fn(|| timers.pop(29)).collect();
         assert_eq!(gone, ['a', 'A']);
         assert_eq!((timers.pop(30), timers.is_empty()), (Some('c'), true));
--- a/crates/testbed/src/crowd.rs
+++ b/crates/testbed/src/crowd.rs
@@ -226,7 +226,7 @@
 
     fn on_event(&mut self, event: &mio::event::Event) {
         let now = self.clock.now();
-        let id = ConnId::of(event.token().0 as u64);
+        let id = ConnId::from_u64(event.token().0 as u64);
         let Some(socket) = self.sockets.get_mut(&id) else { return };
         let connecting = matches!(socket.connected(), Ok(false));
         socket.on(event);
@@ -279,7 +279,7 @@
             for wish in wishes.drain(..) {
                 match wish {
                     Wish::Connect(id, controller) => {
-                        let token = Token(id.number() as usize);
+                        let token = Token(id.as_u64() as usize);
                         let registry = self.poll.registry();
                         let connect = |at| TcpStream::connect(at);
                         let socket = self.addresses[controller]
--- a/crates/testbed/src/people.rs
+++ b/crates/testbed/src/people.rs
@@ -133,7 +133,7 @@
 
     /// When [`People::pass`] is next wanted.
     pub fn next(&self) -> Option<i64> {
-        self.timers.next()
+        self.timers.next_at()
     }
 
     /// All has been sent and has ended.
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -195,7 +195,7 @@
     let longest = day.classes.iter().map(|c| c.deadline.0 .0).max().unwrap_or(0);
     let mut end = START + LEAD + day.length.0 .0 + 2 * longest + 5_000_000;
     let (mut events, mut done) = (0, false);
-    while let Some(at) = world.events.next().filter(|at| *at <= end) {
+    while let Some(at) = world.events.next_at().filter(|at| *at <= end) {
         world.now = world.now.max(at);
         if let Some(event) = world.events.pop(at) {
             events += 1;
@@ -316,7 +316,7 @@
                 Event::Datagram(port, from, to, bytes) => self.heard(port, from, to, &bytes),
                 Event::GateDue(c, life) => {
                     if let Some(gate) = self.gates[c].as_mut().filter(|_| self.lives[c] == life) {
-                        gate.due(self.now);
+                        gate.handle_timers(self.now);
                         self.after(Proc::Controller(c));
                     }
                 }
@@ -385,7 +385,7 @@
     }
 
     fn note_seen(&mut self, gate: &PgGateway) {
-        for (what, n) in gate.seen() {
+        for (what, n) in gate.coverage() {
             *self.seen.entry(what).or_default() += n;
         }
     }
--- a/crates/testbed/src/virtual_time/procs.rs
+++ b/crates/testbed/src/virtual_time/procs.rs
@@ -88,7 +88,7 @@
                     }
                     self.after(Proc::Controller(c));
                 }
-                Some((Proc::People, Some(id))) if id.room() == 2 => {
+                Some((Proc::People, Some(id))) if id.owner() == 2 => {
                     if let Some(bytes) = self.raw.remove(id) {
                         self.net.write(now, (link, 0), &bytes);
                         self.net.close(now, Proc::People, id, false);
@@ -165,13 +165,13 @@
                         gate.handle(now, GatewayEvent::Io(IoEvent::Closing(id)));
                     }
                 }
-                Proc::People if id.room() == 1 => self.people.closing(id),
+                Proc::People if id.owner() == 1 => self.people.closing(id),
                 _ => {}
             }
         }
         loop {
             let room = match proc {
-                Proc::Controller(c) => self.gates[c].as_mut().map_or(0, |g| g.room(id)),
+                Proc::Controller(c) => self.gates[c].as_mut().map_or(0, |g| g.read_capacity(id)),
                 Proc::Engine(e) => self.stands[e].room(id),
                 Proc::Desk | Proc::People => usize::MAX,
             };
@@ -219,7 +219,7 @@
             }
             Proc::Engine(e) => self.stands[e].gone(id, now),
             Proc::Desk => self.desk.gone(id),
-            Proc::People if id.room() == 2 => {
+            Proc::People if id.owner() == 2 => {
                 self.raw.remove(id);
                 self.net.close(now, proc, id, false);
             }
@@ -247,7 +247,7 @@
                 Some(n) => match proc {
                     Proc::Controller(c) => {
                         if let Some(gate) = &mut self.gates[c] {
-                            gate.wrote(now, id, n);
+                            gate.bytes_written(now, id, n);
                         }
                     }
                     Proc::Engine(e) => self.stands[e].wrote(id, n, now),
@@ -260,7 +260,7 @@
 
     pub(super) fn heard(&mut self, port: DatagramSocket, from: SocketAddr, to: usize, bytes: &[u8]) {
         let Some(gate) = &mut self.gates[to] else { return };
-        if port == DatagramSocket::Names {
+        if port == DatagramSocket::Discovery {
             return;
         }
         gate.handle(self.now, GatewayEvent::Io(IoEvent::Datagram(port, from, bytes)));
@@ -309,7 +309,7 @@
         let (now, proc) = (self.now, Proc::Controller(c));
         let mut effects = Vec::new();
         loop {
-            self.gates[c].as_mut()?.effects(&mut effects);
+            self.gates[c].as_mut()?.take_effects(&mut effects);
             if effects.is_empty() {
                 break;
             }
@@ -320,7 +320,7 @@
                         None => self.broke(proc, id, true),
                     },
                     Effect::Write(id) => self.write(proc, id),
-                    Effect::Read(id) => {
+                    Effect::ResumeReading(id) => {
                         if let Some(at) = self.net.end_of(proc, id) {
                             self.deliver(at);
                         }
@@ -331,7 +331,7 @@
                 }
             }
         }
-        self.gates[c].as_ref()?.next_due()
+        self.gates[c].as_ref()?.next_timer_at()
     }
 
     fn send(&mut self, port: DatagramSocket, c: usize, to: SocketAddr, datagram: Vec<u8>) {
@@ -339,7 +339,7 @@
         let (target, from) = match port {
             // Peers are numbered by their ports, from 1 on.
             DatagramSocket::Peers => (usize::from(to.port()).wrapping_sub(1), peers.get(c).copied()),
-            DatagramSocket::Names => return,
+            DatagramSocket::Discovery => return,
             DatagramSocket::Gossip => {
                 let own = SocketAddr::new(to.ip(), GOSSIP_PORTS + c as u16);
                 (usize::from(to.port().wrapping_sub(GOSSIP_PORTS)), Some(own))
