--- a/crates/controller/tests/rig/mod.rs
+++ b/crates/controller/tests/rig/mod.rs
@@ -71,7 +71,7 @@
     child: Child,
     pub listen: SocketAddr,
     pub file: PathBuf,
-    _dir: tempfile::TempDir,
+    dir: tempfile::TempDir,
 }
 
 impl Drop for Program {
@@ -91,17 +91,36 @@
 
     /// Starts it, and waits for nothing.
     pub fn spawn(config: &serde_json::Value) -> Program {
+        let mut command = Command::new(env!("CARGO_BIN_EXE_wheelfield-controller"));
+        command.args(["platform", "--log", "warn"]);
+        Program::spawn_by(command, config, false)
+    }
+
+    /// As [`Program::start`], with this limit of open descriptors and its log kept for [`Program::log`].
+    pub fn start_with_descriptors(config: &serde_json::Value, limit: usize) -> Program {
+        let mut command = Command::new("sh");
+        command.args(["-c", "ulimit -n \"$1\" && exec \"$0\" platform --log warn"]);
+        command.args([env!("CARGO_BIN_EXE_wheelfield-controller"), &limit.to_string()]);
+        let program = Program::spawn_by(command, config, true);
+        until("health", || program.health().is_some_and(|status| status == 200));
+        program
+    }
+
+    fn spawn_by(mut command: Command, config: &serde_json::Value, keeps_log: bool) -> Program {
         let dir = tempfile::tempdir().expect("a folder");
         let file = dir.path().join("config.json");
         std::fs::write(&file, config.to_string()).expect("written");
         let listen = config["listen"].as_str().and_then(|at| at.parse().ok()).expect("an address");
-        let child = Command::new(env!("CARGO_BIN_EXE_wheelfield-controller"))
-            .args(["platform", "--log", "warn"])
-            .env("LB_CONFIG", &file)
-            .stdin(Stdio::null())
-            .spawn()
-            .expect("the program");
-        Program { child, listen, file, _dir: dir }
+        if keeps_log {
+            command.stderr(std::fs::File::create(dir.path().join("log")).expect("a file"));
+        }
+        let child = command.env("LB_CONFIG", &file).stdin(Stdio::null()).spawn().expect("the program");
+        Program { child, listen, file, dir }
+    }
+
+    /// What it has logged since [`Program::start_with_descriptors`].
+    pub fn log(&self) -> String {
+        std::fs::read_to_string(self.dir.path().join("log")).expect("a file")
     }
 
     /// What `/health` answers, if anything.
@@ -477,6 +496,14 @@
         }
     }
 
+    /// Whether the other side has closed or broken it by now; reads nothing.
+    pub fn is_closed(&self) -> bool {
+        self.stream.set_nonblocking(true).expect("a socket");
+        let seen = self.stream.peek(&mut [0]);
+        self.stream.set_nonblocking(false).expect("a socket");
+        seen.map_or_else(|e| e.kind() != std::io::ErrorKind::WouldBlock, |n| n == 0)
+    }
+
     /// The next request, other words left out; none once the connection has ended.
     pub fn try_request(&mut self) -> Option<Request> {
         loop {
