--- a/crates/controller/src/sockets.rs
+++ b/crates/controller/src/sockets.rs
@@ -38,6 +38,7 @@
         if room.len() <= id.slot() {
             room.resize_with(id.slot() + 1, || None);
         }
+        // Closes the connection that had this slot, if that is still to be done: many may be replaced in one turn.
         room[id.slot()] = Some((id, socket));
     }
 
