--- a/crates/driver/tests/order_of_events.rs
+++ b/crates/driver/tests/order_of_events.rs
@@ -113,7 +113,7 @@
         self.check(out);
         for (id, seen) in &self.seen {
             let late = self.now >= seen.due && seen.answers == 0 && !seen.departed;
-            let began = self.driver.due_of(*id).is_some() && !self.driver.owes(*id);
+            let began = self.driver.deadline_of(*id).is_some() && !self.driver.awaits_answer(*id);
             assert!(!late || began || self.answering(*id), "query {id:?} has no answer at its time");
         }
     }
@@ -259,7 +259,7 @@
                 }
                 Step::Depart(pick) => {
                     if let Some(a) = world.nth_attempt(pick) {
-                        let owed = world.driver.owes(a.query);
+                        let owed = world.driver.awaits_answer(a.query);
                         world.seen.get_mut(&a.query).expect("known").departed |= owed;
                         world.tell(Input::Abandoned(a.query));
                     }
@@ -282,7 +282,7 @@
             world.tell(Input::AttemptEnded { attempt: a, outcome: Outcome::Reset, reported_work: None, report: LoadReport::default() });
         }
         world.pass(1_000_000);
-        prop_assert_eq!(world.driver.held(), 0);
+        prop_assert_eq!(world.driver.queries_held(), 0);
     }
 
     /// The same inputs give the same instructions.
--- a/crates/driver/tests/single_cases.rs
+++ b/crates/driver/tests/single_cases.rs
@@ -93,7 +93,7 @@
     rig.now = Micros::from_secs_f64(5.0);
     assert!(answers(&rig.end(attempt, Outcome::Served)).is_empty());
     assert!(answers(&rig.due(5.0)).is_empty());
-    assert_eq!((rig.driver.counts().served, rig.driver.counts().failed), (1, 0));
+    assert_eq!((rig.driver.counters().served, rig.driver.counters().failed), (1, 0));
     // Time-out first: failed, and the answer is dropped by its number.
     let mut rig = Rig::new(ExecutionSemantics::AtMostOnce, 1);
     let (_, out) = rig.arrive();
@@ -102,7 +102,7 @@
     assert_eq!(answers(&rig.due(5.0)), [Answer::Failed { may_have_run: true }]);
     assert!(!rig.driver.may_answer(attempt));
     assert!(rig.end(attempt, Outcome::Served).is_empty());
-    assert_eq!((rig.driver.counts().served, rig.driver.counts().late_endings), (0, 1));
+    assert_eq!((rig.driver.counters().served, rig.driver.counters().late_endings), (0, 1));
 }
 
 #[test]
@@ -139,7 +139,7 @@
     let out = rig.end(attempt, Outcome::Reset);
     assert_eq!(answers(&out), [Answer::Failed { may_have_run: true }]);
     assert!(started(&out).is_empty());
-    assert_eq!(rig.driver.held(), 0);
+    assert_eq!(rig.driver.queries_held(), 0);
 }
 
 #[test]
@@ -151,7 +151,7 @@
     rig.tell(Input::AnswerStarted(attempt));
     assert!(answers(&rig.due(20.0)).is_empty(), "an answer that has begun is timed by the wire");
     assert_eq!(answers(&rig.end(attempt, Outcome::Reset)), [Answer::Interrupted]);
-    assert_eq!(rig.driver.held(), 0);
+    assert_eq!(rig.driver.queries_held(), 0);
 }
 
 #[test]
@@ -163,8 +163,8 @@
     assert_eq!(rig.tell(Input::Abandoned(id)), [Instruction::Cancel(attempt)]);
     assert!(!rig.driver.may_answer(attempt));
     assert!(rig.end(attempt, Outcome::Served).is_empty());
-    assert_eq!(rig.driver.held(), 0);
-    assert_eq!(rig.driver.counts().served, 0);
+    assert_eq!(rig.driver.queries_held(), 0);
+    assert_eq!(rig.driver.counters().served, 0);
 }
 
 #[test]
@@ -174,11 +174,11 @@
     let (attempt, _) = started(&out)[0];
     rig.tell(Input::Dispatched(attempt));
     rig.tell(Input::Abandoned(id));
-    assert_eq!(rig.driver.held(), 1);
+    assert_eq!(rig.driver.queries_held(), 1);
     rig.due(0.2);
-    assert_eq!(rig.driver.held(), 1);
+    assert_eq!(rig.driver.queries_held(), 1);
     rig.due(0.3);
-    assert_eq!(rig.driver.held(), 0);
+    assert_eq!(rig.driver.queries_held(), 0);
 }
 
 #[test]
@@ -206,7 +206,7 @@
         report: LoadReport { utilisation: Some(1.0), ..LoadReport::default() },
     };
     assert!(rig.tell(Input::PeerReports(vec![word])).is_empty());
-    assert!(!rig.driver.knows(EngineId(99)));
+    assert!(!rig.driver.knows_engine(EngineId(99)));
 }
 
 /// A session or connection may take long to come up: whether a repeat is still one that engines drop is asked as it is written.
--- a/crates/invariant-check/src/gather.rs
+++ b/crates/invariant-check/src/gather.rs
@@ -265,7 +265,7 @@
                 if *outcome == Outcome::Served
                     && !answered
                     && self.open(attempt.query)
-                    && !driver.owes(attempt.query)
+                    && !driver.awaits_answer(attempt.query)
                 {
                     self.ended(attempt.query, step.at, End::Served);
                 }
--- a/crates/pg-gateway/src/metrics.rs
+++ b/crates/pg-gateway/src/metrics.rs
@@ -33,8 +33,8 @@
     /// All figures, in the order they are told.
     fn figures(&self) -> Vec<Figure> {
         let driver = self.tape.decision_engine().driver();
-        let d = driver.map(|d| d.counts()).unwrap_or_default();
-        let held = driver.map_or(0, |d| d.held() as u64);
+        let d = driver.map(|d| d.counters()).unwrap_or_default();
+        let held = driver.map_or(0, |d| d.queries_held() as u64);
         let capture = self.tape.capture_state();
         let c = self.clients.counts;
         let lists = self.sets.counts;
--- a/crates/platform/src/dispatcher.rs
+++ b/crates/platform/src/dispatcher.rs
@@ -320,7 +320,7 @@
     fn write(&mut self, conn: ConnId) {
         while let Some(job) = self.executors.take(conn) {
             let mind = self.tape.decision_engine();
-            let limit = mind.driver().and_then(|d| d.limit_of(job.attempt));
+            let limit = mind.driver().and_then(|d| d.timeout_at(job.attempt));
             let may = mind.may_write(Micros(self.out.now), job.attempt);
             let Some(unit) = self.open.get(job.attempt.query).filter(|_| may) else {
                 self.ended(job.attempt, Outcome::NeverSent);
@@ -413,7 +413,7 @@
     fn figures(&mut self) {
         self.told_at = self.out.now;
         self.lines = LINES;
-        let driver = self.tape.decision_engine().driver().map(Driver::counts).unwrap_or_default();
+        let driver = self.tape.decision_engine().driver().map(Driver::counters).unwrap_or_default();
         let (clients, executors) = (self.clients.counts, self.executors.counts);
         info!(
             open = self.open.len(),
