--- a/crates/controller/tests/common/mod.rs
+++ b/crates/controller/tests/common/mod.rs
@@ -228,7 +228,7 @@
     let mut stream = TcpStream::connect(address).expect("it listens");
     stream.set_read_timeout(Some(SOON)).expect("a socket");
     let mut out = BytesMut::new();
-    wheelfield_net::http::put_request(method, path, b"", &mut out);
+    wheelfield_net::http::write_request(method, path, b"", &mut out);
     stream.write_all(&out).expect("it reads");
     let (mut input, mut part) = (BytesMut::new(), [0; 16 << 10]);
     loop {
--- a/crates/engine-emulator/src/desk.rs
+++ b/crates/engine-emulator/src/desk.rs
@@ -117,7 +117,7 @@
 
     fn put(&mut self, id: ConnId, status: u16, kind: &str, body: &[u8]) {
         if let Some(c) = self.calls.get_mut(id) {
-            http::put_response(status, kind, body, &mut c.output);
+            http::write_response(status, kind, body, &mut c.output);
             self.doing.push(Do::Write(id));
         }
     }
--- a/crates/engine-emulator/src/host.rs
+++ b/crates/engine-emulator/src/host.rs
@@ -430,7 +430,7 @@
             };
             if let Some(Connection { role: Role::Control { output, .. }, .. }) = self.connections.get_mut(id)
             {
-                http::put_response(status, kind, body.as_bytes(), output);
+                http::write_response(status, kind, body.as_bytes(), output);
             }
         }
         self.write(id);
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -16,7 +16,7 @@
     stream.set_read_timeout(Some(patience))?;
     stream.set_write_timeout(Some(patience))?;
     let mut request = BytesMut::new();
-    put_request("GET", path, b"", &mut request);
+    write_request("GET", path, b"", &mut request);
     stream.write_all(&request)?;
     let (mut answer, mut part) = (BytesMut::new(), vec![0; 16 << 10]);
     loop {
--- a/crates/pg-gateway/src/admin.rs
+++ b/crates/pg-gateway/src/admin.rs
@@ -73,7 +73,7 @@
     /// Answers a call.
     pub fn answer(&mut self, id: ConnId, status: u16, kind: &str, body: &str) {
         if let Some(wire) = self.calls.get_mut(id) {
-            http::put_response(status, kind, body.as_bytes(), &mut wire.output);
+            http::write_response(status, kind, body.as_bytes(), &mut wire.output);
         }
     }
 
--- a/crates/pg-gateway/src/dispatcher.rs
+++ b/crates/pg-gateway/src/dispatcher.rs
@@ -161,7 +161,7 @@
                 break;
             }
         }
-        if self.stop == Stop::Stopping && self.out.listening_ended() && self.clients.len() == 0 {
+        if self.stop == Stop::Stopping && self.out.has_stopped_listening() && self.clients.len() == 0 {
             self.out.saw(Coverage::StopDone);
             self.stop.over(&mut self.out);
         }
--- a/crates/pg-gateway/src/registry.rs
+++ b/crates/pg-gateway/src/registry.rs
@@ -80,7 +80,7 @@
         let wait = if at.refresh == Refresh::Watch { WATCH_MS } else { 0 };
         let path = format!("/engines?since={version}&wait_ms={wait}&who={}", self.index);
         if let Some(wire) = self.wires.get_mut(id) {
-            http::put_request("GET", &path, b"", &mut wire.output);
+            http::write_request("GET", &path, b"", &mut wire.output);
             if self.connected {
                 wire.flush(id, out);
             }
--- a/crates/platform/src/dispatcher.rs
+++ b/crates/platform/src/dispatcher.rs
@@ -254,7 +254,7 @@
                 break;
             }
         }
-        if self.stopped || !self.out.listening_ended() {
+        if self.stopped || !self.out.has_stopped_listening() {
             return;
         }
         let owed = self.open.len() > 0 || self.clients.owed(self.out.now);
--- a/crates/recorder/src/decision_engine.rs
+++ b/crates/recorder/src/decision_engine.rs
@@ -1,14 +1,14 @@
-//! What decides in a controller. In every build that serves it is the driver around the module.
+//! The interface of what decides in a controller. In every build that serves it is the driver around the policy module.
 
 use wheelfield::interface::{Micros, QueryId};
 use wheelfield_driver::{Arrival, AttemptId, CapacityExceeded, Driver, Input, Instruction};
 
-/// What a controller asks of whatever decides in it. As the driver's own methods.
+/// What a controller asks of whatever decides in it. The methods are those of [`Driver`].
 pub trait DecisionEngine {
-    /// Takes a query.
+    /// Takes a query and returns its number.
     ///
     /// # Errors
-    /// [`CapacityExceeded`].
+    /// [`CapacityExceeded`] when as many queries are held as may be.
     fn submit(
         &mut self,
         now: Micros,
@@ -17,17 +17,17 @@
     ) -> Result<QueryId, CapacityExceeded>;
     /// Takes one input.
     fn handle_input(&mut self, now: Micros, input: Input, out: &mut Vec<Instruction>);
-    /// Lets the time pass.
+    /// Lets the time pass. False if nothing was due.
     fn handle_timers(&mut self, now: Micros, out: &mut Vec<Instruction>) -> bool;
     /// When [`DecisionEngine::handle_timers`] is next wanted.
     fn next_timer_at(&self) -> Option<Micros>;
-    /// Whether an attempt counts still.
+    /// Whether an attempt was started and has had no outcome.
     fn is_in_flight(&self, attempt: AttemptId) -> bool;
     /// Whether an attempt may be written now.
     fn may_write(&self, now: Micros, attempt: AttemptId) -> bool;
     /// Whether an attempt's answer may go to the client.
     fn may_answer(&self, attempt: AttemptId) -> bool;
-    /// The driver, where it is one: its state is captured and its counts are told.
+    /// The driver, where it is one: its state is captured and its counters are published.
     fn driver(&self) -> Option<&Driver> {
         None
     }
--- a/crates/recorder/src/lib.rs
+++ b/crates/recorder/src/lib.rs
@@ -1,4 +1,4 @@
-//! The one door from a controller to what decides in it, and the record of all that goes through.
+//! What decides in a controller, and the record of everything that goes through it.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/recorder/src/recording_driver.rs
+++ b/crates/recorder/src/recording_driver.rs
@@ -1,84 +1,87 @@
-//! What decides, and the record of all that it is told and answers.
+//! What decides, with a record of its inputs and outputs.
 
-use crate::decision_engine::DecisionEngine;
+use crate::DecisionEngine;
 use std::collections::VecDeque;
 use wheelfield::interface::{EngineId, Micros, QueryId};
-use wheelfield_capture::{Recorder, Told};
+use wheelfield_capture::{Recorder, State, Told};
 use wheelfield_driver::{Arrival, CapacityExceeded, Input, Instruction};
 
-/// The one door to what decides. Whatever goes through it is recorded, where a capture is wanted.
+/// The one path from a controller to what decides in it. Whatever takes it is recorded, where a capture is wanted.
 pub struct RecordingDriver {
-    mind: Box<dyn DecisionEngine>,
+    engine: Box<dyn DecisionEngine>,
     recorder: Option<Recorder>,
+    /// Instructions of the current step.
     fresh: Vec<Instruction>,
-    waiting: VecDeque<Instruction>,
+    /// Instructions that were not taken yet.
+    pending: VecDeque<Instruction>,
 }
 
 impl RecordingDriver {
-    /// A tape around what decides.
-    pub fn new(mind: Box<dyn DecisionEngine>, recorder: Option<Recorder>) -> RecordingDriver {
-        RecordingDriver { mind, recorder, fresh: Vec::new(), waiting: VecDeque::new() }
+    /// Wraps what decides; without a recorder nothing is recorded.
+    pub fn new(engine: Box<dyn DecisionEngine>, recorder: Option<Recorder>) -> RecordingDriver {
+        RecordingDriver { engine, recorder, fresh: Vec::new(), pending: VecDeque::new() }
     }
 
-    /// Tells what happened.
+    /// Hands in something that happened.
     pub fn handle_input(&mut self, now: i64, input: Input) {
-        let told = self.recorder.is_some().then(|| Told::Input(input.clone()));
-        self.mind.handle_input(Micros(now), input, &mut self.fresh);
-        self.keep(now, told, None);
+        let recorded = self.recorder.is_some().then(|| Told::Input(input.clone()));
+        self.engine.handle_input(Micros(now), input, &mut self.fresh);
+        self.finish_step(now, recorded, None);
     }
 
-    /// Hands in a query.
+    /// Hands in a query. `label` is the name that its client gave it.
+    ///
+    /// # Errors
+    /// [`CapacityExceeded`] when as many queries are held as may be.
     pub fn submit(&mut self, now: i64, arrival: Arrival, label: &str) -> Result<QueryId, CapacityExceeded> {
-        let told = self
-            .recorder
-            .is_some()
-            .then(|| Told::Arrive { arrival: arrival.clone(), label: label.to_string() });
-        let taken = self.mind.submit(Micros(now), arrival, &mut self.fresh);
-        self.keep(now, told, taken.ok());
-        taken
+        let record = || Told::Arrive { arrival: arrival.clone(), label: label.to_string() };
+        let recorded = self.recorder.is_some().then(record);
+        let submitted = self.engine.submit(Micros(now), arrival, &mut self.fresh);
+        self.finish_step(now, recorded, submitted.ok());
+        submitted
     }
 
     /// Lets the time pass.
     pub fn handle_timers(&mut self, now: i64) {
-        if self.mind.handle_timers(Micros(now), &mut self.fresh) {
-            self.keep(now, Some(Told::Due), None);
+        if self.engine.handle_timers(Micros(now), &mut self.fresh) {
+            self.finish_step(now, Some(Told::Due), None);
         }
     }
 
-    /// Records a step, and keeps what is to be done.
-    fn keep(&mut self, now: i64, told: Option<Told>, taken: Option<QueryId>) {
-        if let (Some(recorder), Some(told)) = (&mut self.recorder, told) {
-            recorder.step(Micros(now), &told, taken, &self.fresh);
+    /// Records a step, and keeps its instructions until they are taken.
+    fn finish_step(&mut self, now: i64, recorded: Option<Told>, submitted: Option<QueryId>) {
+        if let (Some(recorder), Some(told)) = (&mut self.recorder, recorded) {
+            recorder.step(Micros(now), &told, submitted, &self.fresh);
             self.maintain_capture(now);
         }
-        self.waiting.extend(self.fresh.drain(..));
+        self.pending.extend(self.fresh.drain(..));
     }
 
-    /// Takes the next thing to be done.
+    /// Takes the next instruction.
     pub fn next_instruction(&mut self) -> Option<Instruction> {
-        self.waiting.pop_front()
+        self.pending.pop_front()
     }
 
     /// What decides.
     pub fn decision_engine(&self) -> &dyn DecisionEngine {
-        &*self.mind
+        &*self.engine
     }
 
-    /// Engines by name, for whoever reads the capture.
+    /// Records the names of engines, for readers of the capture.
     pub fn record_engine_names(&mut self, now: i64, names: impl Iterator<Item = (EngineId, String)>) {
         if let Some(recorder) = &mut self.recorder {
             recorder.engines(Micros(now), names);
         }
     }
 
-    /// Once a second and after each step: checkpoints, reasons to keep a capture.
+    /// Called once a second and after each step: writes checkpoints, looks for reasons to keep a capture.
     pub fn maintain_capture(&mut self, now: i64) {
-        if let (Some(recorder), Some(driver)) = (&mut self.recorder, self.mind.driver()) {
+        if let (Some(recorder), Some(driver)) = (&mut self.recorder, self.engine.driver()) {
             recorder.tend(driver, Micros(now));
         }
     }
 
-    /// Asks for the capture that is held in memory; false if there is none.
+    /// Requests the capture that is held in memory; false if there is none.
     pub fn request_capture(&mut self, now: i64) -> bool {
         let Some(recorder) = &mut self.recorder else { return false };
         recorder.ask(Micros(now));
@@ -86,12 +89,12 @@
         true
     }
 
-    /// How the capture stands.
-    pub fn capture_state(&self) -> wheelfield_capture::State {
+    /// The state of the capture.
+    pub fn capture_state(&self) -> State {
         self.recorder.as_ref().map(Recorder::state).unwrap_or_default()
     }
 
-    /// The recorder, to be ended.
+    /// Takes the recorder out, to be ended.
     pub fn take_recorder(&mut self) -> Option<Recorder> {
         self.recorder.take()
     }
--- a/crates/sans-io/src/connection_buffer.rs
+++ b/crates/sans-io/src/connection_buffer.rs
@@ -1,73 +1,72 @@
-//! The bytes of one connection: what came and was not taken, what is to go and has not gone.
+//! The bytes of one connection: received and not yet consumed, to be written and not yet written.
 
 use crate::effect_queue::{Effect, EffectQueue};
 use crate::ConnId;
 use bytes::{Buf, BytesMut};
 
-/// Buffers of an idle connection keep no more than this.
-const KEPT: usize = 2048;
+/// An empty output buffer keeps no more memory than this, in bytes.
+const RETAINED_CAPACITY: usize = 2048;
 
 /// The bytes of a connection. Its socket is elsewhere.
 #[derive(Debug, Default)]
 pub struct ConnectionBuffer {
-    /// What came and was not taken yet.
+    /// Received and not consumed yet.
     pub input: BytesMut,
-    /// What is to go.
+    /// To be written.
     pub output: BytesMut,
-    /// The other side will send no more, and all it sent is here.
+    /// The other side sends no more, and all it sent is here.
     pub read_closed: bool,
-    /// The other side has closed, though something it sent may still be outside.
+    /// The other side has closed, though something it sent may not have been read yet.
     pub peer_closing: bool,
-    /// Whoever writes was asked to.
     write_requested: bool,
-    /// Whoever reads was told that there is no room.
+    /// The reader was told that there is no capacity.
     read_blocked: bool,
 }
 
 impl ConnectionBuffer {
-    /// Takes what came.
+    /// Appends bytes that were received.
     pub fn receive(&mut self, bytes: &[u8]) {
         self.input.extend_from_slice(bytes);
     }
 
-    /// Bytes that may come now, if at most `limit` are to wait.
+    /// How many bytes may be received now, if at most `limit` are to wait.
     pub fn read_capacity(&mut self, limit: usize) -> usize {
         if self.read_closed {
             return 0;
         }
-        let room = limit.saturating_sub(self.input.len());
-        self.read_blocked |= room == 0;
-        room
+        let capacity = limit.saturating_sub(self.input.len());
+        self.read_blocked |= capacity == 0;
+        capacity
     }
 
-    /// Has the other side read again, if there is room again; gives back the memory of an emptied input.
-    pub fn resume_reading(&mut self, id: ConnId, limit: usize, out: &mut EffectQueue<impl Sized>) {
+    /// Requests reading again, if there is capacity again; frees the memory of an empty input.
+    pub fn resume_reading(&mut self, id: ConnId, limit: usize, effects: &mut EffectQueue<impl Sized>) {
         if self.read_blocked && self.input.len() < limit {
             self.read_blocked = false;
-            out.push(Effect::ResumeReading(id));
+            effects.push(Effect::ResumeReading(id));
         }
         if self.input.is_empty() {
             self.input = BytesMut::new();
         }
     }
 
-    /// Has what is to go written.
-    pub fn flush(&mut self, id: ConnId, out: &mut EffectQueue<impl Sized>) {
+    /// Requests that the output be written.
+    pub fn flush(&mut self, id: ConnId, effects: &mut EffectQueue<impl Sized>) {
         if !self.output.is_empty() && !std::mem::replace(&mut self.write_requested, true) {
-            out.push(Effect::Write(id));
+            effects.push(Effect::Write(id));
         }
     }
 
-    /// So much has gone; true once all has.
-    pub fn advance_written(&mut self, n: usize) -> bool {
-        self.output.advance(n.min(self.output.len()));
-        let all = self.output.is_empty();
-        if all {
+    /// So many bytes were written; true once all are.
+    pub fn advance_written(&mut self, count: usize) -> bool {
+        self.output.advance(count.min(self.output.len()));
+        let all_written = self.output.is_empty();
+        if all_written {
             self.write_requested = false;
-            if self.output.capacity() > KEPT {
+            if self.output.capacity() > RETAINED_CAPACITY {
                 self.output = BytesMut::new();
             }
         }
-        all
+        all_written
     }
 }
--- a/crates/sans-io/src/effect_queue.rs
+++ b/crates/sans-io/src/effect_queue.rs
@@ -1,4 +1,4 @@
-//! What a controller without I/O wants done outside, and when it wants to be woken.
+//! What a controller without I/O wants done outside, and when it wants to be called again.
 
 use crate::{ConnId, TimerKey, Timers};
 use std::net::SocketAddr;
@@ -6,97 +6,97 @@
 /// A listening socket of a controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listener {
-    /// Clients come here.
+    /// Clients connect here.
     Clients,
-    /// Operators do.
+    /// Operators connect here.
     Admin,
 }
 
 /// A datagram socket of a controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramSocket {
-    /// Words between controllers.
+    /// Load reports between controllers.
     Peers,
-    /// Which controllers there are.
+    /// The membership protocol.
     Gossip,
-    /// Questions to a name service.
+    /// Queries to a name service.
     Discovery,
 }
 
 /// Something to be done outside.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Begin to connect; [`crate::IoEvent::Connected`] or [`crate::IoEvent::Broken`] tells how it went.
+    /// Open a connection; [`crate::IoEvent::Connected`] or [`crate::IoEvent::Broken`] follows.
     Connect(ConnId, SocketAddr),
-    /// Write what [`crate::Protocol::output`] holds, as far as it goes, and tell by [`crate::Protocol::bytes_written`].
+    /// Write what [`crate::Protocol::output`] holds, as far as it goes, and report it by [`crate::Protocol::bytes_written`].
     Write(ConnId),
-    /// There is room again for what comes: go on reading, as [`crate::Protocol::read_capacity`] allows.
+    /// There is capacity again: go on reading, as [`crate::Protocol::read_capacity`] allows.
     ResumeReading(ConnId),
-    /// Close a connection; it is forgotten here already.
+    /// Close a connection; the controller has forgotten it already.
     Close(ConnId),
-    /// Send a datagram; one that can't go is lost.
+    /// Send a datagram; one that can't be sent is lost.
     Send(DatagramSocket, SocketAddr, Vec<u8>),
-    /// Take whoever waits already, and no more clients after them.
+    /// Accept the connections that wait already, and no more clients after them.
     StopListening,
-    /// All is over.
+    /// The shutdown is complete.
     Stopped,
 }
 
-/// Where effects and timers go. Rooms add to it and never look at what others added.
+/// Collects effects and timers. Whoever adds to it never looks at what others added.
 #[derive(Debug)]
 pub struct EffectQueue<W> {
-    /// The time of this turn, in microseconds.
+    /// The time of the current call, in microseconds.
     pub now: i64,
     effects: Vec<Effect>,
     timers: Timers<W>,
-    door: Listening,
+    listening: Listening,
 }
 
 /// How far the end of listening has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Listening {
-    On,
-    /// It is among the effects.
-    Ends,
-    /// It was handed over.
-    Ended,
+    Active,
+    /// Its end is among the effects.
+    Stopping,
+    /// Its end was taken.
+    Stopped,
 }
 
 impl<W> EffectQueue<W> {
-    /// With nothing to do.
+    /// An empty queue.
     pub fn new(now: i64) -> EffectQueue<W> {
-        EffectQueue { now, effects: Vec::new(), timers: Timers::default(), door: Listening::On }
+        EffectQueue { now, effects: Vec::new(), timers: Timers::default(), listening: Listening::Active }
     }
 
-    /// Wants something done.
+    /// Adds an effect.
     pub fn push(&mut self, effect: Effect) {
         if effect == Effect::StopListening {
-            self.door = Listening::Ends;
+            self.listening = Listening::Stopping;
         }
         self.effects.push(effect);
     }
 
-    /// Wants to be woken after so many microseconds.
-    pub fn set_timer_after(&mut self, after: i64, wake: W) -> TimerKey {
-        self.set_timer_at(self.now.saturating_add(after), wake)
+    /// Sets a timer that is due after so many microseconds.
+    pub fn set_timer_after(&mut self, after: i64, event: W) -> TimerKey {
+        self.set_timer_at(self.now.saturating_add(after), event)
     }
 
-    /// Wants to be woken at a time.
-    pub fn set_timer_at(&mut self, at: i64, wake: W) -> TimerKey {
-        self.timers.set(at, wake)
+    /// Sets a timer that is due at a time.
+    pub fn set_timer_at(&mut self, at: i64, event: W) -> TimerKey {
+        self.timers.set(at, event)
     }
 
-    /// Calls a timer off, if there is one.
+    /// Cancels a timer, if there is one.
     pub fn cancel_timer(&mut self, timer: &mut Option<TimerKey>) {
         if let Some(key) = timer.take() {
             self.timers.cancel(key);
         }
     }
 
-    /// A timer in place of another.
-    pub fn reset_timer(&mut self, timer: &mut Option<TimerKey>, after: i64, wake: W) {
+    /// Sets a timer in place of another.
+    pub fn reset_timer(&mut self, timer: &mut Option<TimerKey>, after: i64, event: W) {
         self.cancel_timer(timer);
-        *timer = Some(self.set_timer_after(after, wake));
+        *timer = Some(self.set_timer_after(after, event));
     }
 
     /// When the next timer is due.
@@ -104,23 +104,23 @@
         self.timers.next_at()
     }
 
-    /// A timer that is due.
+    /// Takes a timer that is due.
     pub fn pop_due_timer(&mut self) -> Option<W> {
         self.timers.pop(self.now)
     }
 
-    /// Whether the end of listening was handed over, so that whoever was still taken then is known. Guards against saying that
-    /// all is over in one breath with it.
-    pub fn listening_ended(&self) -> bool {
-        self.door == Listening::Ended
+    /// Whether the end of listening was taken, so that all connections accepted until then are known. Guards against
+    /// reporting the shutdown as complete together with it.
+    pub fn has_stopped_listening(&self) -> bool {
+        self.listening == Listening::Stopped
     }
 
-    /// Hands over what is to be done; `into` is emptied first.
+    /// Takes the effects; `into` is emptied first.
     pub fn take(&mut self, into: &mut Vec<Effect>) {
         into.clear();
         std::mem::swap(&mut self.effects, into);
-        if self.door == Listening::Ends {
-            self.door = Listening::Ended;
+        if self.listening == Listening::Stopping {
+            self.listening = Listening::Stopped;
         }
     }
 }
--- a/crates/sans-io/src/http.rs
+++ b/crates/sans-io/src/http.rs
@@ -3,9 +3,9 @@
 use bytes::{Buf, Bytes, BytesMut};
 use std::fmt::Write;
 
-/// Headers of a message at most, and bytes of them.
-const MOST_HEADERS: usize = 32;
-const LONGEST_HEAD: usize = 8 << 10;
+/// Headers of a message at most, and bytes of its head at most.
+const MAX_HEADERS: usize = 32;
+const MAX_HEAD_BYTES: usize = 8 << 10;
 
 /// What is wrong with a message.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -16,7 +16,7 @@
     /// Longer than allowed.
     #[error("a message over the limit of {0} bytes")]
     TooLong(usize),
-    /// A body whose length is not told.
+    /// A body whose length is not stated.
     #[error("a body in chunks, which is not read here")]
     Chunked,
 }
@@ -82,20 +82,20 @@
 }
 
 fn partial(buf: &BytesMut) -> Result<(), HttpError> {
-    if buf.len() > LONGEST_HEAD {
-        Err(HttpError::TooLong(LONGEST_HEAD))
+    if buf.len() > MAX_HEAD_BYTES {
+        Err(HttpError::TooLong(MAX_HEAD_BYTES))
     } else {
         Ok(())
     }
 }
 
-/// Takes a request off the front of `buf`; none until all of it is there.
+/// Takes a request off the front of `buf`; none until it is complete.
 ///
 /// # Errors
-/// [`HttpError`] for what is none, or is over `limit` bytes.
+/// [`HttpError`] for what is not HTTP, or is over `limit` bytes.
 pub fn take_request(buf: &mut BytesMut, limit: usize) -> Result<Option<Request>, HttpError> {
     let copy = buf.clone();
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let parsed = request.parse(&copy).map_err(|e| HttpError::Malformed(e.to_string()))?;
     let httparse::Status::Complete(head) = parsed else { return partial(buf).map(|()| None) };
@@ -103,13 +103,13 @@
     Ok(body(head, request.headers, buf, limit)?.map(|body| Request { method, path, body }))
 }
 
-/// Takes a response off the front of `buf`; none until all of it is there.
+/// Takes a response off the front of `buf`; none until it is complete.
 ///
 /// # Errors
-/// [`HttpError`] for what is none, or is over `limit` bytes.
+/// [`HttpError`] for what is not HTTP, or is over `limit` bytes.
 pub fn take_response(buf: &mut BytesMut, limit: usize) -> Result<Option<Response>, HttpError> {
     let copy = buf.clone();
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
     let parsed = response.parse(&copy).map_err(|e| HttpError::Malformed(e.to_string()))?;
     let httparse::Status::Complete(head) = parsed else { return partial(buf).map(|()| None) };
@@ -118,7 +118,7 @@
 }
 
 /// Appends a request.
-pub fn put_request(method: &str, path: &str, body: &[u8], out: &mut BytesMut) {
+pub fn write_request(method: &str, path: &str, body: &[u8], out: &mut BytesMut) {
     let mut head = String::new();
     let _ =
         write!(head, "{method} {path} HTTP/1.1\r\nhost: localhost\r\ncontent-length: {}\r\n\r\n", body.len());
@@ -127,7 +127,7 @@
 }
 
 /// Appends a response.
-pub fn put_response(status: u16, kind: &str, body: &[u8], out: &mut BytesMut) {
+pub fn write_response(status: u16, kind: &str, body: &[u8], out: &mut BytesMut) {
     let reason = match status {
         200 => "OK",
         400 => "Bad Request",
@@ -146,47 +146,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    #[test]
-    fn a_message_is_taken_once_it_is_whole() {
-        let mut whole = BytesMut::new();
-        put_request("POST", "/engines?since=4&wait=9", b"{}", &mut whole);
-        put_response(200, "text/plain", b"hello", &mut whole);
-        let (mut buf, mut request) = (BytesMut::new(), None);
-        for byte in whole.iter() {
-            buf.extend_from_slice(&[*byte]);
-            if request.is_none() {
-                request = take_request(&mut buf, 100).expect("well-formed");
-            }
-        }
-        let request = request.expect("whole");
-        assert_eq!(
-            (request.route(), request.value("wait"), &request.body[..]),
-            ("/engines", Some("9"), &b"{}"[..])
-        );
-        let response = take_response(&mut buf, 100).expect("well-formed").expect("whole");
-        assert_eq!((response.status, &response.body[..]), (200, &b"hello"[..]));
-    }
-
-    #[test]
-    fn what_is_too_long_or_no_http_is_told() {
-        let mut long = BytesMut::new();
-        put_request("POST", "/", &[0; 200], &mut long);
-        assert_eq!(take_request(&mut long, 100), Err(HttpError::TooLong(100)));
-        assert!(take_request(&mut BytesMut::from(&b"\x00\x01 nonsense\r\n\r\n"[..]), 100).is_err());
-        let mut endless = BytesMut::from(&b"GET / HTTP/1.1\r\nx: "[..]);
-        endless.extend_from_slice(&[b'a'; 9000]);
-        assert!(take_request(&mut endless, 100).is_err());
-    }
-
-    proptest! {
-        #[test]
-        fn any_bytes_are_read_or_told(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-            let _ = take_request(&mut BytesMut::from(&bytes[..]), 50);
-            let _ = take_response(&mut BytesMut::from(&bytes[..]), 50);
-        }
-    }
-}
+#[path = "http_tests.rs"]
+mod tests;
--- a/crates/sans-io/src/lib.rs
+++ b/crates/sans-io/src/lib.rs
@@ -1,5 +1,5 @@
-//! What programs and the controllers without I/O share: effects and timers, the bytes of a connection, HTTP beside the main
-//! protocol, and numbers of connections that are never taken for another's. No sockets, no clock.
+//! What an event loop and the controllers without I/O share: the protocol trait, I/O events, effects and timers, connection
+//! buffers, connection ids that are never reused, and HTTP beside the main protocol. No sockets, no clock.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/sans-io/src/protocol.rs
+++ b/crates/sans-io/src/protocol.rs
@@ -1,54 +1,54 @@
-//! What a shell on sockets asks of a controller without I/O, whichever protocol it speaks.
+//! What an event loop on sockets asks of a controller without I/O, whichever protocol that speaks.
 
 use crate::{ConnId, DatagramSocket, Effect, Listener};
 use std::net::SocketAddr;
 
-/// What sockets tell.
+/// Something that happened on a socket.
 #[derive(Clone, Copy, Debug)]
 pub enum IoEvent<'a> {
-    /// A connect is through.
+    /// A connection that was opened is established.
     Connected(ConnId),
-    /// Bytes came; at most as many as [`Protocol::read_capacity`] allowed.
+    /// Bytes were received; at most as many as [`Protocol::read_capacity`] allowed.
     Received(ConnId, &'a [u8]),
-    /// The other side has closed, though bytes of it may still be outside.
+    /// The other side has closed, though bytes of it may not have been read yet.
     Closing(ConnId),
-    /// The other side will send no more, and all it sent was told.
+    /// The other side sends no more, and all that it sent was received.
     Ended(ConnId),
-    /// A connect failed, or a connection broke.
+    /// A connection could not be established, or broke.
     Broken {
-        /// Which.
+        /// The connection.
         id: ConnId,
-        /// As something was to go.
+        /// It broke as something was being written.
         writing: bool,
         /// Nobody listens there: nothing that was sent has arrived.
         refused: bool,
-        /// The system's words.
+        /// The system's error message.
         reason: &'a str,
     },
-    /// A datagram, and from where.
+    /// A datagram was received, and from where.
     Datagram(DatagramSocket, SocketAddr, &'a [u8]),
 }
 
-/// A controller without system calls. What happened goes in, with the time; effects come out.
+/// A controller without system calls: events go in, with the time in microseconds; effects come out.
 pub trait Protocol {
-    /// The process starts; comes first, once.
+    /// The process has started. Called first, once.
     fn handle_start(&mut self, now: i64);
-    /// Somebody has connected; none if there is no room, and the socket is to be closed. Read from it at once.
-    fn accept(&mut self, now: i64, door: Listener) -> Option<ConnId>;
-    /// Sockets told something.
-    fn handle_io(&mut self, now: i64, what: IoEvent<'_>);
-    /// The controller is asked to stop.
+    /// A connection was accepted. None if there is no capacity, and the socket is to be closed. Read from it at once.
+    fn accept(&mut self, now: i64, listener: Listener) -> Option<ConnId>;
+    /// Something happened on a socket.
+    fn handle_io(&mut self, now: i64, event: IoEvent<'_>);
+    /// A graceful shutdown was requested.
     fn begin_shutdown(&mut self, now: i64);
-    /// Bytes that may come on a connection now. After none, [`Effect::ResumeReading`] tells when some may.
+    /// How many bytes may be received on a connection now. After none, [`Effect::ResumeReading`] says when some may.
     fn read_capacity(&mut self, id: ConnId) -> usize;
-    /// What is to go on a connection.
+    /// What is to be written to a connection.
     fn output(&mut self, id: ConnId) -> &[u8];
-    /// So much of it has gone.
-    fn bytes_written(&mut self, now: i64, id: ConnId, n: usize);
+    /// So many bytes of it were written.
+    fn bytes_written(&mut self, now: i64, id: ConnId, count: usize);
     /// When [`Protocol::handle_timers`] is next wanted.
     fn next_timer_at(&self) -> Option<i64>;
-    /// Lets the time pass, once all that happened until now is told.
+    /// Lets the time pass, once all events until now were handled.
     fn handle_timers(&mut self, now: i64);
-    /// What is to be done outside, of all that happened since the last call; `into` is emptied first.
+    /// Takes what is to be done outside, of all that happened since the last call; `into` is emptied first.
     fn take_effects(&mut self, into: &mut Vec<Effect>);
 }
--- a/crates/sans-io/src/timers.rs
+++ b/crates/sans-io/src/timers.rs
@@ -1,4 +1,4 @@
-//! Timers by time, each with a key by which it can be called off.
+//! Timers by time, each with a key by which it can be cancelled.
 
 use std::collections::BTreeMap;
 
@@ -21,14 +21,14 @@
 
 impl<T> Timers<T> {
     /// Sets a timer.
-    pub fn set(&mut self, at: i64, what: T) -> TimerKey {
+    pub fn set(&mut self, at: i64, event: T) -> TimerKey {
         self.set += 1;
         let key = TimerKey(at, self.set);
-        self.waiting.insert(key, what);
+        self.waiting.insert(key, event);
         key
     }
 
-    /// Calls a timer off; none if it went off before.
+    /// Cancels a timer; none if it went off before.
     pub fn cancel(&mut self, key: TimerKey) -> Option<T> {
         self.waiting.remove(&key)
     }
@@ -38,39 +38,23 @@
         self.waiting.first_key_value().map(|(key, _)| key.0)
     }
 
-    /// Takes one that has gone off by now.
+    /// Takes the next timer that is due.
     pub fn pop(&mut self, now: i64) -> Option<T> {
         self.next_at().filter(|at| *at <= now)?;
-        self.waiting.pop_first().map(|(_, what)| what)
+        self.waiting.pop_first().map(|(_, event)| event)
     }
 
-    /// How many wait.
+    /// How many timers are set.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// None waits.
+    /// Whether none is set.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::Timers;
-
-    #[test]
-    fn they_go_off_in_order_and_can_be_called_off() {
-        let mut timers = Timers::default();
-        timers.set(30, 'c');
-        let b = timers.set(20, 'b');
-        timers.set(10, 'a');
-        timers.set(10, 'A');
-        assert_eq!(timers.cancel(b), Some('b'));
-        assert_eq!(timers.cancel(b), None);
-        assert_eq!(timers.next_at(), Some(10));
-        let gone: Vec<char> = std::iter::from_fn(|| timers.pop(29)).collect();
-        assert_eq!(gone, ['a', 'A']);
-        assert_eq!((timers.pop(30), timers.is_empty()), (Some('c'), true));
-    }
-}
+#[path = "timers_tests.rs"]
+mod tests;
--- /dev/null
+++ b/crates/sans-io/src/timers_tests.rs
@@ -0,0 +1,18 @@
+//! Timers go off in order and can be cancelled.
+
+use super::Timers;
+
+#[test]
+fn timers_go_off_in_order_and_can_be_cancelled() {
+    let mut timers = Timers::default();
+    timers.set(30, 'c');
+    let b = timers.set(20, 'b');
+    timers.set(10, 'a');
+    timers.set(10, 'A');
+    assert_eq!(timers.cancel(b), Some('b'));
+    assert_eq!(timers.cancel(b), None);
+    assert_eq!(timers.next_at(), Some(10));
+    let gone: Vec<char> = std::iter::from_fn(|| timers.pop(29)).collect();
+    assert_eq!(gone, ['a', 'A']);
+    assert_eq!((timers.pop(30), timers.is_empty()), (Some('c'), true));
+}
