--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -15,7 +15,7 @@
 use wheelfield_controller::platform::{self, Node};
 use wheelfield_controller::postgres::App;
 use wheelfield_pg_gateway::fault_injection::FaultInjection;
-use wheelfield_platform::Launch;
+use wheelfield_platform::BootstrapConfig;
 
 /// Log lines that wait to be written; more are lost.
 const LOG_LINES: usize = 4_096;
@@ -174,7 +174,7 @@
     Ok(heard)
 }
 
-fn run_platform(launch: Launch, config: &Path) -> Result<()> {
+fn run_platform(launch: BootstrapConfig, config: &Path) -> Result<()> {
     // Before it listens: whoever finds it listening may send a signal, which is not to end it unheard.
     let (stop, reload) = (heard(&[SIGTERM, SIGINT])?, heard(&[SIGHUP])?);
     let mut node = Node::open(launch, config)?;
--- a/crates/controller/src/platform.rs
+++ b/crates/controller/src/platform.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 use wheelfield_net::Clock;
-use wheelfield_platform::{Launch, Platform};
+use wheelfield_platform::{BootstrapConfig, Platform};
 use wheelfield_sans_io::{DatagramSocket, Listener, Protocol};
 
 /// Connections that wait to be taken, at most.
@@ -43,8 +43,8 @@
 ///
 /// # Errors
 /// If there is none there, or it can't be used.
-pub fn load(config: &Path) -> Result<Launch> {
-    Launch::read(&read(config)?).with_context(|| format!("{}", config.display()))
+pub fn load(config: &Path) -> Result<BootstrapConfig> {
+    BootstrapConfig::read(&read(config)?).with_context(|| format!("{}", config.display()))
 }
 
 impl Node {
@@ -52,7 +52,7 @@
     ///
     /// # Errors
     /// As the system tells.
-    pub fn open(launch: Launch, config: &Path) -> Result<Node> {
+    pub fn open(launch: BootstrapConfig, config: &Path) -> Result<Node> {
         let clients = bind(launch.listen, BACKLOG)?;
         let peers = launch.peer_listen.map(|at| bind_datagrams(at, "messages")).transpose()?;
         let names = bind_datagrams(SocketAddr::new(launch.listen.ip(), 0), "the name service")?;
@@ -90,7 +90,7 @@
         let reload = move |core: &mut Platform, now: i64| {
             let Some(Again { until, told, .. }) = again.get().filter(|a| a.at <= now) else { return };
             again.set(None);
-            match read(&config).and_then(|text| Ok(Launch::resolver(&text)?)) {
+            match read(&config).and_then(|text| Ok(BootstrapConfig::resolver(&text)?)) {
                 Ok(resolver) => core.use_resolver(now, resolver),
                 Err(fault) => {
                     if !told {
--- a/crates/platform/src/bootstrap.rs
+++ b/crates/platform/src/bootstrap.rs
@@ -8,7 +8,7 @@
 
 /// What is wrong with a configuration.
 #[derive(Debug, thiserror::Error)]
-pub enum LaunchError {
+pub enum BootstrapError {
     /// It can't be read.
     #[error("the configuration is not as expected: {0}")]
     Json(#[from] serde_json::Error),
@@ -28,16 +28,16 @@
 
 /// What a controller may use.
 #[derive(Clone, Copy, Debug, Deserialize)]
-pub struct Limits {
+pub struct ResourceLimits {
     /// Memory of its processes, in MB.
     pub memory_mb: f64,
-    /// File descriptors.
+    /// ConfigFile descriptors.
     pub sockets: usize,
 }
 
 /// A configuration.
 #[derive(Clone, Debug)]
-pub struct Launch {
+pub struct BootstrapConfig {
     /// The controller's name.
     pub name: String,
     /// Where clients connect.
@@ -45,7 +45,7 @@
     /// For chance.
     pub seed: u64,
     /// What it may use.
-    pub limits: Limits,
+    pub limits: ResourceLimits,
     /// Where words of other controllers arrive.
     pub peer_listen: Option<SocketAddr>,
     /// All controllers, this one among them, by their numbers.
@@ -57,18 +57,18 @@
     /// The number of the last event that `executors` holds.
     pub serial: u64,
     /// The executors at the start.
-    pub executors: Vec<Listed>,
+    pub executors: Vec<ExecutorEndpoint>,
     /// The module's settings.
     pub settings: Settings,
     /// The names behind its numbers.
     pub names: Names,
     /// What the wire keeps to.
-    pub ceilings: Ceilings,
+    pub ceilings: ProtocolLimits,
 }
 
 /// Limits among the settings that are not the module's.
 #[derive(Clone, Copy, Debug)]
-pub struct Ceilings {
+pub struct ProtocolLimits {
     /// A connect that is not through in this time has failed, in microseconds.
     pub connect_timeout_us: i64,
     /// Executors close a connection that is idle for so long, in microseconds.
@@ -79,15 +79,15 @@
     pub most_held: usize,
 }
 
-impl Ceilings {
-    fn read(settings: &serde_json::Value) -> Result<Ceilings, LaunchError> {
+impl ProtocolLimits {
+    fn read(settings: &serde_json::Value) -> Result<ProtocolLimits, BootstrapError> {
         // A whole number may be written with a point.
         let one = |key: &'static str| {
             let told = &settings["ceilings"][key];
             let told = told.as_i64().or_else(|| told.as_f64().filter(|x| x.fract() == 0.0).map(|x| x as i64));
-            told.filter(|x| *x >= 0).ok_or(LaunchError::Ceiling(key))
+            told.filter(|x| *x >= 0).ok_or(BootstrapError::Ceiling(key))
         };
-        Ok(Ceilings {
+        Ok(ProtocolLimits {
             connect_timeout_us: one("connect_timeout_us")?,
             conn_idle_us: one("conn_idle_us")?,
             max_streams: one("max_streams")? as usize,
@@ -98,7 +98,7 @@
 
 /// An executor as it is listed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct ExecutorEndpoint {
     /// Its name.
     pub name: String,
     /// Where it listens.
@@ -115,7 +115,7 @@
     pub started: Option<i64>,
 }
 
-impl Listed {
+impl ExecutorEndpoint {
     /// As the module is told; its name is known from now on.
     pub fn entry(&self, names: &mut Names) -> EngineEntry {
         EngineEntry {
@@ -130,11 +130,11 @@
 }
 
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     name: String,
     listen: SocketAddr,
     seed: String,
-    limits: Limits,
+    limits: ResourceLimits,
     #[serde(default)]
     peer_listen: Option<SocketAddr>,
     #[serde(default)]
@@ -142,12 +142,12 @@
     #[serde(default)]
     peers_all: Option<SocketAddr>,
     resolver: SocketAddr,
-    known: Known,
+    known: KnownEvents,
     settings: serde_json::Value,
 }
 
 #[derive(Deserialize)]
-struct Known {
+struct KnownEvents {
     cursor: u64,
     #[serde(default)]
     cmds: Vec<KnownEvent>,
@@ -156,11 +156,11 @@
 #[derive(Deserialize)]
 struct KnownEvent {
     #[serde(default)]
-    nodes: Option<Nodes>,
+    nodes: Option<NodeList>,
 }
 
 #[derive(Deserialize)]
-struct Nodes {
+struct NodeList {
     #[serde(default)]
     full: bool,
     servers: Vec<Server>,
@@ -176,21 +176,21 @@
     kind: String,
     #[serde(default)]
     cell: i64,
-    state: State,
+    state: ServerState,
     #[serde(default)]
     started_ms: i64,
 }
 
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum State {
+enum ServerState {
     Ready,
     Draining,
     Gone,
 }
 
 #[derive(Deserialize)]
-struct Reloaded {
+struct ReloadedConfig {
     resolver: SocketAddr,
 }
 
@@ -199,9 +199,9 @@
     (ms > 0).then_some(ms.saturating_mul(1000))
 }
 
-impl Known {
+impl KnownEvents {
     /// The list as it stands after all events.
-    fn list(self) -> Vec<Listed> {
+    fn list(self) -> Vec<ExecutorEndpoint> {
         let mut all = BTreeMap::new();
         for nodes in self.cmds.into_iter().filter_map(|e| e.nodes) {
             if nodes.full {
@@ -209,36 +209,37 @@
             }
             for s in nodes.servers {
                 let status = match s.state {
-                    State::Ready => Status::Up,
-                    State::Draining => Status::Draining,
-                    State::Gone => {
+                    ServerState::Ready => Status::Up,
+                    ServerState::Draining => Status::Draining,
+                    ServerState::Gone => {
                         all.remove(&s.id);
                         continue;
                     }
                 };
                 let (name, started) = (s.id.clone(), started(s.started_ms));
                 let (at, zone, kind, cell) = (s.addr, s.zone, s.kind, s.cell);
-                all.insert(s.id, Listed { name, at, zone, kind, cell, status, started });
+                all.insert(s.id, ExecutorEndpoint { name, at, zone, kind, cell, status, started });
             }
         }
         all.into_values().collect()
     }
 }
 
-impl Launch {
+impl BootstrapConfig {
     /// Reads a configuration.
     ///
     /// # Errors
-    /// [`LaunchError`].
-    pub fn read(text: &str) -> Result<Launch, LaunchError> {
-        let file: File = serde_json::from_str(text)?;
+    /// [`BootstrapError`].
+    pub fn read(text: &str) -> Result<BootstrapConfig, BootstrapError> {
+        let file: ConfigFile = serde_json::from_str(text)?;
         let (names, settings) = Names::settings(&file.settings)?;
         if names.classes.is_empty() || names.classes.iter().any(String::is_empty) {
-            return Err(LaunchError::Classes);
+            return Err(BootstrapError::Classes);
         }
-        let ceilings = Ceilings::read(&file.settings)?;
-        let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| LaunchError::Seed(file.seed.clone()))?;
-        Ok(Launch {
+        let ceilings = ProtocolLimits::read(&file.settings)?;
+        let seed =
+            u64::from_str_radix(&file.seed, 16).map_err(|_| BootstrapError::Seed(file.seed.clone()))?;
+        Ok(BootstrapConfig {
             name: file.name,
             listen: file.listen,
             seed,
@@ -258,8 +259,8 @@
     /// The name service of a configuration that took this one's place.
     ///
     /// # Errors
-    /// [`LaunchError::Json`].
-    pub fn resolver(text: &str) -> Result<SocketAddr, LaunchError> {
-        Ok(serde_json::from_str::<Reloaded>(text)?.resolver)
+    /// [`BootstrapError::Json`].
+    pub fn resolver(text: &str) -> Result<SocketAddr, BootstrapError> {
+        Ok(serde_json::from_str::<ReloadedConfig>(text)?.resolver)
     }
 }
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -1,44 +1,46 @@
 //! The side of the clients: their connections, one call at a time on each.
 
-use crate::http_server::{self, Bad, Head, Reply, Wants, LONGEST_BODY, LONGEST_HEAD};
+use crate::http_server::{
+    self, Reply, RequestError, RequestHead, RequestKind, MAX_BODY_BYTES, MAX_HEAD_BYTES,
+};
 use crate::timer_event::TimerEvent;
 use bytes::{Buf, Bytes};
 use wheelfield_sans_io::{ConnId, ConnectionBuffer, ConnectionTable, Effect, EffectQueue};
 
 /// The room of these connections.
-pub const ROOM: u8 = 1;
+pub const OWNER: u8 = 1;
 /// A first call must be whole in this time after its client came, and each other after its first byte, in microseconds.
-const WHOLE_WITHIN: i64 = 2_000_000;
+const REQUEST_TIMEOUT_US: i64 = 2_000_000;
 /// What still comes after a call that can't be used is read and dropped, so that its client sees the answer: for so long, in
 /// microseconds, and so many bytes.
-const DRAIN_FOR: i64 = 500_000;
-const DRAIN: usize = 8 << 20;
+const DRAIN_TIME_US: i64 = 500_000;
+const MAX_DRAIN_BYTES: usize = 8 << 20;
 /// A client that takes nothing of its answer for so long is closed, in microseconds.
-const UNREAD: i64 = 5_000_000;
+const WRITE_STALL_TIMEOUT_US: i64 = 5_000_000;
 /// Connections that ask nothing more are kept for so long, in microseconds.
-const KEPT: i64 = 30_000_000;
+const IDLE_TIMEOUT_US: i64 = 30_000_000;
 /// The first call of a connection may be so long on its way, in microseconds: as long as one that crosses the end of another.
-const FIRST: i64 = 50_000;
+const FIRST_REQUEST_GRACE_US: i64 = 50_000;
 /// Clients as the protocol knows them rest no longer than this, and close then, in microseconds.
-const USUAL: i64 = 4_000_000;
+const USUAL_IDLE_TIME_US: i64 = 4_000_000;
 /// Read on while a call is in hand: its client may send the next one ahead.
-const AHEAD: usize = 4 << 10;
+const READ_AHEAD_BYTES: usize = 4 << 10;
 
 /// What a connection is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum ClientState {
     /// It may ask.
-    Open,
+    AwaitingRequest,
     /// Its call is in hand.
-    Busy,
+    Processing,
     /// Its last answer goes out; what still comes is dropped.
-    Ending { until: i64, left: usize },
+    Draining { until: i64, left: usize },
 }
 
 #[derive(Debug)]
-struct Client {
+struct ClientConnection {
     wire: ConnectionBuffer,
-    state: State,
+    state: ClientState,
     /// It has asked something that could be used.
     asked: bool,
     /// When it came, asked or was answered last.
@@ -53,11 +55,11 @@
     fresh: bool,
 }
 
-impl Client {
+impl ClientConnection {
     /// No call of it is in hand, on its way, or half here, and nothing is to go to it.
     fn rests(&self, now: i64) -> bool {
-        let comes = !self.asked && now - self.since < FIRST;
-        let here = self.state == State::Busy || self.fresh || !self.wire.input.is_empty();
+        let comes = !self.asked && now - self.since < FIRST_REQUEST_GRACE_US;
+        let here = self.state == ClientState::Processing || self.fresh || !self.wire.input.is_empty();
         !comes && !here && self.wire.output.is_empty()
     }
 
@@ -65,14 +67,14 @@
     /// come and was not looked at yet, or is on its way on a connection that has just come up.
     fn spare(&self, now: i64) -> Option<(u8, bool, i64)> {
         let left = self.wire.read_closed || self.wire.peer_closing;
-        if self.state == State::Busy || (!left && (self.fresh || !self.wire.output.is_empty())) {
+        if self.state == ClientState::Processing || (!left && (self.fresh || !self.wire.output.is_empty())) {
             return None;
         }
         let silent = now - self.since;
         let rank = match self.asked {
             _ if left => 0,
-            false if silent >= FIRST => 1,
-            true if silent > USUAL => 2,
+            false if silent >= FIRST_REQUEST_GRACE_US => 1,
+            true if silent > USUAL_IDLE_TIME_US => 2,
             false => 3,
             true => 4,
         };
@@ -82,18 +84,18 @@
 
 /// What a client wants.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Call {
+pub struct ClientRequest {
     /// Who.
     pub client: ConnId,
     /// What.
-    pub wants: Wants,
+    pub wants: RequestKind,
     /// The statement.
     pub body: Bytes,
 }
 
 /// What is counted of this side since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct ClientCounters {
     /// Who came.
     pub accepted: u64,
     /// Closed to make room, or as they asked nothing for long.
@@ -108,15 +110,15 @@
 #[derive(Debug)]
 pub struct Clients {
     most: usize,
-    all: ConnectionTable<Client>,
+    all: ConnectionTable<ClientConnection>,
     /// What was counted.
-    pub counts: Counts,
+    pub counts: ClientCounters,
 }
 
 impl Clients {
     /// None yet, and so many at most.
     pub fn new(most: usize) -> Clients {
-        Clients { most, all: ConnectionTable::new(ROOM), counts: Counts::default() }
+        Clients { most, all: ConnectionTable::new(OWNER), counts: ClientCounters::default() }
     }
 
     /// Somebody came; none if all others have calls in hand.
@@ -126,9 +128,9 @@
             return None;
         }
         self.counts.accepted += 1;
-        Some(self.all.insert(Client {
+        Some(self.all.insert(ClientConnection {
             wire: ConnectionBuffer::default(),
-            state: State::Open,
+            state: ClientState::AwaitingRequest,
             asked: false,
             since: out.now,
             begun: None,
@@ -166,11 +168,11 @@
         }
     }
 
-    fn limit(state: State) -> usize {
+    fn limit(state: ClientState) -> usize {
         match state {
-            State::Open => LONGEST_HEAD + LONGEST_BODY,
-            State::Busy => AHEAD,
-            State::Ending { .. } => 64 << 10,
+            ClientState::AwaitingRequest => MAX_HEAD_BYTES + MAX_BODY_BYTES,
+            ClientState::Processing => READ_AHEAD_BYTES,
+            ClientState::Draining { .. } => 64 << 10,
         }
     }
 
@@ -189,13 +191,13 @@
     }
 
     /// The next call on a connection, if it is whole.
-    pub fn next(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) -> Option<Call> {
+    pub fn next(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) -> Option<ClientRequest> {
         let c = self.all.get_mut(id)?;
         c.fresh = false;
-        if let State::Ending { until, left } = c.state {
+        if let ClientState::Draining { until, left } = c.state {
             let came = c.wire.input.len();
             c.wire.input.clear();
-            c.state = State::Ending { until, left: left.saturating_sub(came) };
+            c.state = ClientState::Draining { until, left: left.saturating_sub(came) };
             if c.wire.read_closed || came > left {
                 self.close(id, out);
             } else {
@@ -203,7 +205,7 @@
             }
             return None;
         }
-        if c.state == State::Busy {
+        if c.state == ClientState::Processing {
             return None;
         }
         if c.wire.read_closed || c.wire.peer_closing {
@@ -227,11 +229,11 @@
                 return None;
             }
         };
-        let Head { length, body, close, wants } = head;
+        let RequestHead { length, body, close, wants } = head;
         if c.wire.input.len() < length {
             return None;
         }
-        (c.begun, c.close, c.state, c.since) = (None, close, State::Busy, out.now);
+        (c.begun, c.close, c.state, c.since) = (None, close, ClientState::Processing, out.now);
         c.wire.input.advance(length - body);
         // Its own memory, so that the buffer it came in is free again.
         let body = Bytes::copy_from_slice(&c.wire.input.split_to(body));
@@ -239,7 +241,7 @@
         match wants {
             Ok(wants) => {
                 c.asked = true;
-                Some(Call { client: id, wants, body })
+                Some(ClientRequest { client: id, wants, body })
             }
             Err(bad) => {
                 self.bad(id, bad, out);
@@ -249,12 +251,12 @@
     }
 
     /// A call that gets nothing.
-    pub fn bad(&mut self, id: ConnId, bad: Bad, out: &mut EffectQueue<TimerEvent>) {
+    pub fn bad(&mut self, id: ConnId, bad: RequestError, out: &mut EffectQueue<TimerEvent>) {
         self.counts.bad += 1;
         if let Some(c) = self.all.get_mut(id) {
             c.close |= bad.ends();
         }
-        self.answer(id, &Reply::Bad(bad), out);
+        self.answer(id, &Reply::Invalid(bad), out);
     }
 
     /// Answers the call in hand.
@@ -262,15 +264,18 @@
         let Some(c) = self.all.get_mut(id) else { return };
         http_server::put(reply, c.close, &mut c.wire.output);
         (c.since, c.took) = (out.now, out.now);
-        c.state =
-            if c.close { State::Ending { until: out.now + DRAIN_FOR, left: DRAIN } } else { State::Open };
+        c.state = if c.close {
+            ClientState::Draining { until: out.now + DRAIN_TIME_US, left: MAX_DRAIN_BYTES }
+        } else {
+            ClientState::AwaitingRequest
+        };
         c.wire.flush(id, out);
         c.wire.resume_reading(id, Clients::limit(c.state), out);
     }
 
     /// Whether a call of this client is in hand.
     pub fn busy(&self, id: ConnId) -> bool {
-        self.all.get(id).is_some_and(|c| c.state == State::Busy)
+        self.all.get(id).is_some_and(|c| c.state == ClientState::Processing)
     }
 
     /// A connection is no more.
@@ -285,19 +290,25 @@
         let now = out.now;
         let (mut slow, mut over) = (Vec::new(), Vec::new());
         for (id, c) in self.all.iter() {
-            let unread = !c.wire.output.is_empty() && now - c.took > UNREAD;
+            let unread = !c.wire.output.is_empty() && now - c.took > WRITE_STALL_TIMEOUT_US;
             let begun = c.begun.or((!c.asked).then_some(c.since));
             match c.state {
-                State::Ending { until, .. } if now >= until && c.wire.output.is_empty() => over.push(id),
+                ClientState::Draining { until, .. } if now >= until && c.wire.output.is_empty() => {
+                    over.push(id)
+                }
                 _ if unread => over.push(id),
-                State::Open if begun.is_some_and(|at| now - at > WHOLE_WITHIN) => {
+                ClientState::AwaitingRequest if begun.is_some_and(|at| now - at > REQUEST_TIMEOUT_US) => {
                     if c.begun.is_some() { &mut slow } else { &mut over }.push(id);
                 }
-                State::Open if c.wire.output.is_empty() && now - c.since > KEPT => over.push(id),
+                ClientState::AwaitingRequest
+                    if c.wire.output.is_empty() && now - c.since > IDLE_TIMEOUT_US =>
+                {
+                    over.push(id)
+                }
                 _ => {}
             }
         }
-        slow.into_iter().for_each(|id| self.bad(id, Bad::Slow, out));
+        slow.into_iter().for_each(|id| self.bad(id, RequestError::TimedOut, out));
         self.counts.evicted += over.len() as u64;
         over.into_iter().for_each(|id| self.close(id, out));
     }
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -1,6 +1,6 @@
 //! What the name service tells: the list of executors by DNS, and the number of the event it stands at.
 
-use crate::bootstrap::{started, Listed};
+use crate::bootstrap::{started, ExecutorEndpoint};
 use hickory_proto::op::{Message, MessageType, OpCode, Query, ResponseCode};
 use hickory_proto::rr::{Name, RData, RecordType};
 use std::collections::{BTreeMap, VecDeque};
@@ -8,26 +8,26 @@
 use wheelfield::interface::Status;
 
 /// What is asked for.
-const SERVICE: &str = "_rpc._tcp.mesh.local.";
+const SERVICE_NAME: &str = "_rpc._tcp.mesh.local.";
 /// Asked so often, in microseconds: with the grace of a drain of a second, three questions in a row may go unanswered.
-pub const EVERY: i64 = 250_000;
+pub const POLL_INTERVAL_US: i64 = 250_000;
 /// Questions whose answers are still taken.
-const OPEN: usize = 8;
+const MAX_OPEN_QUERIES: usize = 8;
 /// Executors in a list at most.
-const MOST: usize = 1_000;
+const MAX_EXECUTORS: usize = 1_000;
 
 /// Why an answer was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unused {
+pub enum IgnoredAnswer {
     /// It is not from the name service.
     #[error("an answer from elsewhere")]
-    Stranger,
+    UnknownSender,
     /// It can't be read.
     #[error("an answer that can't be read")]
     Malformed,
     /// It answers no question of ours.
     #[error("an answer to no question of ours")]
-    Unasked,
+    Unsolicited,
     /// The name service reports a failure, or says that more would follow.
     #[error("a failure, or an answer cut short")]
     Failed,
@@ -36,12 +36,12 @@
     Incomplete,
     /// It holds nothing new, or what was before.
     #[error("nothing new")]
-    Older,
+    NotNewer,
 }
 
 /// The side of the name service.
 #[derive(Debug)]
-pub struct Feed {
+pub struct DiscoveryClient {
     resolver: SocketAddr,
     serial: u64,
     /// Numbers of questions that may still be answered, the newest last.
@@ -49,10 +49,15 @@
     service: Option<Name>,
 }
 
-impl Feed {
+impl DiscoveryClient {
     /// A feed that holds the list up to an event.
-    pub fn new(resolver: SocketAddr, serial: u64) -> Feed {
-        Feed { resolver, serial, open: VecDeque::new(), service: Name::from_ascii(SERVICE).ok() }
+    pub fn new(resolver: SocketAddr, serial: u64) -> DiscoveryClient {
+        DiscoveryClient {
+            resolver,
+            serial,
+            open: VecDeque::new(),
+            service: Name::from_ascii(SERVICE_NAME).ok(),
+        }
     }
 
     /// Another name service from now on. What the old one still answers counts no more; the numbers of events carry on.
@@ -66,7 +71,7 @@
         let mut message = Message::new(id, MessageType::Query, OpCode::Query);
         message.add_query(Query::query(self.service.clone()?, RecordType::SRV));
         let bytes = message.to_vec().ok()?;
-        if self.open.len() == OPEN {
+        if self.open.len() == MAX_OPEN_QUERIES {
             self.open.pop_front();
         }
         self.open.push_back(id);
@@ -76,37 +81,37 @@
     /// Takes an answer: the whole list, if it is newer than what is held.
     ///
     /// # Errors
-    /// [`Unused`]; the list stays as it is.
-    pub fn hear(&mut self, from: SocketAddr, bytes: &[u8]) -> Result<Vec<Listed>, Unused> {
+    /// [`IgnoredAnswer`]; the list stays as it is.
+    pub fn hear(&mut self, from: SocketAddr, bytes: &[u8]) -> Result<Vec<ExecutorEndpoint>, IgnoredAnswer> {
         if from != self.resolver {
-            return Err(Unused::Stranger);
+            return Err(IgnoredAnswer::UnknownSender);
         }
-        let message = Message::from_vec(bytes).map_err(|_| Unused::Malformed)?;
+        let message = Message::from_vec(bytes).map_err(|_| IgnoredAnswer::Malformed)?;
         let meta = &message.metadata;
         let asked = |q: &Query| Some(&q.name) == self.service.as_ref() && q.query_type == RecordType::SRV;
-        let [question] = &message.queries[..] else { return Err(Unused::Unasked) };
+        let [question] = &message.queries[..] else { return Err(IgnoredAnswer::Unsolicited) };
         if meta.message_type != MessageType::Response || !self.open.contains(&meta.id) || !asked(question) {
-            return Err(Unused::Unasked);
+            return Err(IgnoredAnswer::Unsolicited);
         }
         if meta.response_code != ResponseCode::NoError || meta.truncation {
-            return Err(Unused::Failed);
+            return Err(IgnoredAnswer::Failed);
         }
         let serial = message.authorities.iter().find_map(|r| match &r.data {
             RData::SOA(soa) => Some(u64::from(soa.serial)),
             _ => None,
         });
-        let serial = serial.ok_or(Unused::Incomplete)?;
+        let serial = serial.ok_or(IgnoredAnswer::Incomplete)?;
         if serial <= self.serial {
-            return Err(Unused::Older);
+            return Err(IgnoredAnswer::NotNewer);
         }
-        let list = list(&message).ok_or(Unused::Incomplete)?;
+        let list = list(&message).ok_or(IgnoredAnswer::Incomplete)?;
         self.serial = serial;
         Ok(list)
     }
 }
 
 /// The executors of an answer; none if a record is missing.
-fn list(message: &Message) -> Option<Vec<Listed>> {
+fn list(message: &Message) -> Option<Vec<ExecutorEndpoint>> {
     let (mut addresses, mut texts) = (BTreeMap::<Name, Ipv4Addr>::new(), BTreeMap::<Name, _>::new());
     for r in message.all_sections() {
         match &r.data {
@@ -130,7 +135,7 @@
             texts.get(&target)?.iter().map(|t| String::from_utf8_lossy(t).into_owned()).collect();
         let told = |key: &str| texts.iter().filter_map(|t| t.split_once('=')).find(|(k, _)| *k == key);
         let number = |key: &str| told(key).and_then(|(_, v)| v.parse::<i64>().ok());
-        all.push(Listed {
+        all.push(ExecutorEndpoint {
             name,
             at,
             zone,
@@ -140,5 +145,5 @@
             started: started(number("started").unwrap_or(0)),
         });
     }
-    (all.len() <= MOST).then_some(all)
+    (all.len() <= MAX_EXECUTORS).then_some(all)
 }
--- a/crates/platform/src/dispatcher.rs
+++ b/crates/platform/src/dispatcher.rs
@@ -1,16 +1,16 @@
 //! Hands the words of one room to the others, until nothing is left.
 
-use crate::abandonment::{self, Left};
-use crate::bootstrap::{Launch, Listed};
-use crate::clients::{Call, Clients};
-use crate::discovery::{self, Feed, Unused};
+use crate::abandonment::{self, Abandonments};
+use crate::bootstrap::{BootstrapConfig, ExecutorEndpoint};
+use crate::clients::{ClientRequest, Clients};
+use crate::discovery::{self, DiscoveryClient, IgnoredAnswer};
 use crate::executor_protocol::Request;
-use crate::executors::{self, Ended, Executors, Job, Told};
-use crate::http_server::{Asked, Bad, Reply, Wants};
-use crate::in_flight::{InHand, Open};
+use crate::executors::{self, AttemptEvent, EndedAttempt, Executors, PendingAttempt};
+use crate::http_server::{QueryRequest, Reply, RequestError, RequestKind};
+use crate::in_flight::{InFlightQueries, InFlightQuery};
 use crate::peers::Peers;
 use crate::result_pages;
-use crate::shutdown::Stop;
+use crate::shutdown::Shutdown;
 use crate::tables::table_group;
 use crate::timer_event::TimerEvent;
 use std::collections::VecDeque;
@@ -22,17 +22,17 @@
 use wheelfield_settings::{position, Names};
 
 /// An answer leaves so long before its client gives up, in microseconds: it has a network before it.
-const EARLY: i64 = 20_000;
+const RESPONSE_MARGIN_US: i64 = 20_000;
 /// Connections are looked through so often, in microseconds.
-const SWEEP: i64 = 100_000;
+const CHECK_INTERVAL_US: i64 = 100_000;
 /// What was counted is logged so often, in microseconds.
-const TELL: i64 = 10_000_000;
+const COUNTERS_INTERVAL_US: i64 = 10_000_000;
 /// Descriptors kept for listeners, datagrams, signals, logs, and what waits to be closed.
-const RESERVE: usize = 32;
+const RESERVED_DESCRIPTORS: usize = 32;
 /// Of the others so many parts of ten are for clients; they hold a third of all.
-const CLIENTS: usize = 5;
+const CLIENT_TENTHS: usize = 5;
 /// Lines of the module that are logged between two counts.
-const LINES: u32 = 20;
+const MAX_POLICY_LOG_LINES: u32 = 20;
 
 /// All rooms.
 pub struct Dispatcher {
@@ -44,12 +44,12 @@
     names: Names,
     /// Of each class, whether its queries may run twice.
     harmless: Vec<bool>,
-    open: Open,
-    left: Left,
-    feed: Feed,
+    open: InFlightQueries,
+    left: Abandonments,
+    feed: DiscoveryClient,
     peers: Peers,
-    stop: Stop,
-    executors_at_start: Vec<Listed>,
+    stop: Shutdown,
+    executors_at_start: Vec<ExecutorEndpoint>,
     chance: fastrand::Rng,
     stopped: bool,
     told_at: i64,
@@ -58,9 +58,9 @@
 }
 
 impl Dispatcher {
-    pub fn new(launch: Launch, now: i64) -> Dispatcher {
-        let free = launch.limits.sockets.saturating_sub(RESERVE).max(16);
-        let clients = free * CLIENTS / 10;
+    pub fn new(launch: BootstrapConfig, now: i64) -> Dispatcher {
+        let free = launch.limits.sockets.saturating_sub(RESERVED_DESCRIPTORS).max(16);
+        let clients = free * CLIENT_TENTHS / 10;
         let bounds =
             DriverLimits { max_queries: launch.ceilings.most_held.max(1), ..DriverLimits::default() };
         let index = launch.settings.gateway_index as usize;
@@ -71,7 +71,7 @@
         Dispatcher {
             out: EffectQueue::new(now),
             clients: Clients::new(clients),
-            executors: Executors::new(executors::Bounds {
+            executors: Executors::new(executors::ConnectionLimits {
                 connections: free - clients,
                 streams: launch.ceilings.max_streams.max(1),
                 connect: launch.ceilings.connect_timeout_us,
@@ -81,16 +81,16 @@
             ready: VecDeque::new(),
             names: launch.names,
             harmless,
-            open: Open::default(),
-            left: Left::default(),
-            feed: Feed::new(launch.resolver, launch.serial),
+            open: InFlightQueries::default(),
+            left: Abandonments::default(),
+            feed: DiscoveryClient::new(launch.resolver, launch.serial),
             peers: Peers::new(&launch.peers, index, launch.peers_all),
-            stop: Stop::new(longest),
+            stop: Shutdown::new(longest),
             executors_at_start: launch.executors,
             chance: fastrand::Rng::with_seed(!launch.seed),
             stopped: false,
             told_at: now,
-            lines: LINES,
+            lines: MAX_POLICY_LOG_LINES,
             unused: [0; 6],
         }
     }
@@ -99,12 +99,12 @@
         self.tape.handle_input(self.out.now, Input::Started);
         let list = std::mem::take(&mut self.executors_at_start);
         self.listed(&list);
-        self.out.set_timer_after(0, TimerEvent::Ask);
-        self.out.set_timer_after(SWEEP, TimerEvent::Sweep);
+        self.out.set_timer_after(0, TimerEvent::QueryDiscovery);
+        self.out.set_timer_after(CHECK_INTERVAL_US, TimerEvent::CheckConnections);
     }
 
     /// The whole list of executors.
-    fn listed(&mut self, list: &[Listed]) {
+    fn listed(&mut self, list: &[ExecutorEndpoint]) {
         self.names.engines.clear();
         let entries: Vec<_> = list.iter().map(|l| l.entry(&mut self.names)).collect();
         let at = entries.iter().zip(list).map(|(e, l)| (e.engine, l.at));
@@ -128,7 +128,7 @@
             }
             Err(unused) => {
                 self.unused[unused as usize] += 1;
-                if !matches!(unused, Unused::Older | Unused::Unasked) {
+                if !matches!(unused, IgnoredAnswer::NotNewer | IgnoredAnswer::Unsolicited) {
                     debug!(%unused, "an answer of the name service is left");
                 }
             }
@@ -152,10 +152,10 @@
     pub fn stop(&mut self) {
         if let Some((rest, listening)) = self.stop.begin(self.out.now) {
             info!(open = self.open.len(), "asked to stop");
-            self.out.set_timer_at(rest, TimerEvent::Rest);
-            self.out.set_timer_at(listening, TimerEvent::Stop);
+            self.out.set_timer_at(rest, TimerEvent::CloseIdleClients);
+            self.out.set_timer_at(listening, TimerEvent::StopListening);
             self.stop.last().into_iter().for_each(|at| {
-                self.out.set_timer_at(at, TimerEvent::Last);
+                self.out.set_timer_at(at, TimerEvent::ShutdownDeadline);
             });
         }
     }
@@ -186,24 +186,24 @@
         }
     }
 
-    fn call(&mut self, call: Call) {
-        let Call { client, wants, body } = call;
+    fn call(&mut self, call: ClientRequest) {
+        let ClientRequest { client, wants, body } = call;
         let asked = match wants {
-            Wants::Health => {
+            RequestKind::Health => {
                 let reply = Reply::Health(!self.stop.begun());
                 return self.answer(client, &reply);
             }
-            Wants::Run(asked) => asked,
+            RequestKind::Query(asked) => asked,
         };
-        let Asked { class, id, wait, work, memory, tenant, key, nonce } = asked;
+        let QueryRequest { class, id, wait, work, memory, tenant, key, nonce } = asked;
         let Some(class) = position(&self.names.classes, &class) else {
-            return self.bad(client, Bad::NoPath);
+            return self.bad(client, RequestError::NotFound);
         };
         let Some(statement) = std::str::from_utf8(&body).ok().filter(|s| !s.trim().is_empty()) else {
-            return self.bad(client, Bad::Field);
+            return self.bad(client, RequestError::InvalidField);
         };
         if self.open.uses(id) {
-            return self.bad(client, Bad::Doubled);
+            return self.bad(client, RequestError::DuplicateId);
         }
         debug!(%id, class, wait, "asked");
         let tenant = tenant.and_then(|name| position(&self.names.tenants, &name));
@@ -212,7 +212,7 @@
             tenant,
             key,
             deadline: Micros(
-                (self.out.now + (wait - EARLY).max(1)).min(self.stop.last().unwrap_or(i64::MAX)),
+                (self.out.now + (wait - RESPONSE_MARGIN_US).max(1)).min(self.stop.last().unwrap_or(i64::MAX)),
             ),
             work_hint: work,
             memory_hint: memory,
@@ -221,14 +221,15 @@
         match self.tape.submit(self.out.now, arrival, "") {
             Ok(query) => {
                 let (harmless, out) = (self.harmless.get(class).is_some_and(|h| *h), false);
-                self.open.put(query, InHand { client, id, class, statement: body, nonce, harmless, out });
+                self.open
+                    .put(query, InFlightQuery { client, id, class, statement: body, nonce, harmless, out });
             }
             // Nothing of it ran.
-            Err(_) => self.answer(client, &Reply::Refused(0)),
+            Err(_) => self.answer(client, &Reply::Rejected(0)),
         }
     }
 
-    fn bad(&mut self, client: ConnId, bad: Bad) {
+    fn bad(&mut self, client: ConnId, bad: RequestError) {
         self.clients.bad(client, bad, &mut self.out);
         self.ready.push_back(client);
     }
@@ -268,7 +269,7 @@
         match instruction {
             Instruction::Start { attempt, engine, options: terms } => {
                 let Some(unit) = self.open.get(attempt.query) else { return };
-                let job = Job::new(attempt, unit.id, terms);
+                let job = PendingAttempt::new(attempt, unit.id, terms);
                 self.executors.launch(engine, job, &mut self.out);
             }
             Instruction::SetOptions(attempt, terms) => {
@@ -283,7 +284,7 @@
                 let Some(unit) = self.open.take(query) else { return };
                 debug!(id = %unit.id, ?answer, "answered");
                 let reply = match answer {
-                    Answer::Rejected { retry_after } => Reply::Refused((retry_after.0 + 999) / 1000),
+                    Answer::Rejected { retry_after } => Reply::Rejected((retry_after.0 + 999) / 1000),
                     Answer::Failed { .. } | Answer::Interrupted => Reply::Failed,
                 };
                 self.answer(unit.client, &reply);
@@ -334,18 +335,18 @@
         }
     }
 
-    fn told(&mut self, told: Told) {
+    fn told(&mut self, told: AttemptEvent) {
         match told {
-            Told::Begun(attempt, id) => {
+            AttemptEvent::Dispatched(attempt, id) => {
                 self.open.begun(attempt.query, id);
                 self.left.begun(attempt.query, self.out.now);
                 self.tape.handle_input(self.out.now, Input::Dispatched(attempt));
             }
-            Told::Noted(attempt, note) => {
+            AttemptEvent::Updated(attempt, note) => {
                 self.tape.handle_input(self.out.now, Input::AttemptUpdated(attempt, note))
             }
-            Told::Ended(ended) => {
-                let Ended { attempt, outcome, billed_work, report, pages } = *ended;
+            AttemptEvent::Ended(ended) => {
+                let EndedAttempt { attempt, outcome, billed_work, report, pages } = *ended;
                 self.open.is_back(attempt.query);
                 let served = outcome == Outcome::Served && self.tape.decision_engine().may_answer(attempt);
                 let unit = if served { self.open.take(attempt.query) } else { None };
@@ -363,30 +364,30 @@
 
     pub fn woken(&mut self, wake: TimerEvent) {
         match wake {
-            TimerEvent::Ask => {
+            TimerEvent::QueryDiscovery => {
                 self.ask();
-                self.out.set_timer_after(discovery::EVERY, TimerEvent::Ask);
+                self.out.set_timer_after(discovery::POLL_INTERVAL_US, TimerEvent::QueryDiscovery);
             }
-            TimerEvent::Sweep => {
+            TimerEvent::CheckConnections => {
                 self.clients.sweep(&mut self.out);
                 self.executors.sweep(&mut self.out);
                 if self.stop.nobody_comes(self.out.now) {
                     self.clients.end(&mut self.out);
                 }
-                if self.out.now - self.told_at >= TELL {
+                if self.out.now - self.told_at >= COUNTERS_INTERVAL_US {
                     self.figures();
                 }
-                self.out.set_timer_after(SWEEP, TimerEvent::Sweep);
+                self.out.set_timer_after(CHECK_INTERVAL_US, TimerEvent::CheckConnections);
             }
-            TimerEvent::Connect(id) => self.executors.unanswered(id, &mut self.out),
-            TimerEvent::Held(attempt) => self.executors.release(attempt, &mut self.out),
-            TimerEvent::Last => {
+            TimerEvent::ConnectTimeout(id) => self.executors.unanswered(id, &mut self.out),
+            TimerEvent::ReleaseDelayed(attempt) => self.executors.release(attempt, &mut self.out),
+            TimerEvent::ShutdownDeadline => {
                 for query in self.open.queries() {
                     self.tape.handle_input(self.out.now, Input::ShutdownDeadline(query));
                 }
             }
-            TimerEvent::Rest => self.clients.end(&mut self.out),
-            TimerEvent::Stop => {
+            TimerEvent::CloseIdleClients => self.clients.end(&mut self.out),
+            TimerEvent::StopListening => {
                 // First, so that there is room for those who are taken as listening ends.
                 self.clients.end(&mut self.out);
                 self.out.push(Effect::StopListening);
@@ -400,7 +401,7 @@
     }
 
     /// What was counted of clients that left while their query waited.
-    pub fn left(&self) -> abandonment::Counts {
+    pub fn left(&self) -> abandonment::AbandonmentCounts {
         self.left.counts
     }
 
@@ -412,7 +413,7 @@
     /// Logs what was counted.
     fn figures(&mut self) {
         self.told_at = self.out.now;
-        self.lines = LINES;
+        self.lines = MAX_POLICY_LOG_LINES;
         let driver = self.tape.decision_engine().driver().map(Driver::counts).unwrap_or_default();
         let (clients, executors) = (self.clients.counts, self.executors.counts);
         info!(
--- a/crates/platform/src/executor_protocol.rs
+++ b/crates/platform/src/executor_protocol.rs
@@ -1,15 +1,15 @@
 //! The executors' protocol: lines of words that end in CR LF; a length as the last word has so many bytes follow.
 
-use crate::result_pages::LONGEST_PAGE;
+use crate::result_pages::MAX_PAGE_BYTES;
 use bytes::{Buf, Bytes, BytesMut};
 use std::fmt;
 
 /// Bytes of a line at most, its end included.
-const LONGEST_LINE: usize = 1_024;
+const MAX_LINE_BYTES: usize = 1_024;
 /// Fields of a line at most.
-const MOST_FIELDS: usize = 32;
+const MAX_FIELDS: usize = 32;
 /// Bytes that may wait to be read as answers: a line and a page, and the end of both.
-pub const LONGEST_ANSWER: usize = LONGEST_LINE + LONGEST_PAGE + 2;
+pub const MAX_RESPONSE_BYTES: usize = MAX_LINE_BYTES + MAX_PAGE_BYTES + 2;
 
 /// The id of a request: 16 hex digits, as the client wrote them.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -42,7 +42,7 @@
 
 /// What an executor says of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum ResponseKind {
     /// Done: the first page.
     Hit,
     /// Full: it never ran.
@@ -61,18 +61,18 @@
 
 /// An answer of an executor.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answer {
+pub struct Response {
     /// Of what; not always an id of a request.
     pub id: Bytes,
     /// What it says.
-    pub word: Word,
+    pub word: ResponseKind,
     /// Its fields.
     fields: Vec<(Bytes, Bytes)>,
     /// What follows.
     pub body: Bytes,
 }
 
-impl Answer {
+impl Response {
     /// A field as text.
     pub fn text(&self, name: &str) -> Option<&str> {
         let value = self.fields.iter().find(|(n, _)| n == name.as_bytes()).map(|(_, v)| v)?;
@@ -87,45 +87,45 @@
 
 /// What came can't be read: nothing after it can.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Spoilt {
+pub enum ProtocolError {
     /// No end within the longest line.
     #[error("a line that does not end")]
-    Endless,
+    UnterminatedLine,
     /// Not as lines are.
     #[error("a line that can't be read")]
-    Line,
+    InvalidLine,
     /// More than a page.
     #[error("a length that is no length of a page")]
-    Length,
+    InvalidLength,
     /// What follows does not end where it should.
     #[error("a length that does not fit")]
-    Misfit,
+    LengthMismatch,
 }
 
 /// Where a line ends, its CR LF left out; none until it has come.
-fn line_end(buf: &[u8]) -> Result<Option<usize>, Spoilt> {
-    let within = &buf[..buf.len().min(LONGEST_LINE)];
+fn line_end(buf: &[u8]) -> Result<Option<usize>, ProtocolError> {
+    let within = &buf[..buf.len().min(MAX_LINE_BYTES)];
     match memchr::memchr(b'\n', within) {
-        Some(0) => Err(Spoilt::Line),
-        Some(n) if within[n - 1] != b'\r' => Err(Spoilt::Line),
+        Some(0) => Err(ProtocolError::InvalidLine),
+        Some(n) if within[n - 1] != b'\r' => Err(ProtocolError::InvalidLine),
         Some(n) => Ok(Some(n - 1)),
-        None if buf.len() >= LONGEST_LINE => Err(Spoilt::Endless),
+        None if buf.len() >= MAX_LINE_BYTES => Err(ProtocolError::UnterminatedLine),
         None => Ok(None),
     }
 }
 
 /// The fields of a list, by where they stand in the line.
-fn fields(line: &Bytes, list: &[u8]) -> Result<Vec<(Bytes, Bytes)>, Spoilt> {
+fn fields(line: &Bytes, list: &[u8]) -> Result<Vec<(Bytes, Bytes)>, ProtocolError> {
     if list == b"-" {
         return Ok(Vec::new());
     }
     let mut all = Vec::new();
     for pair in list.split(|b| *b == b',') {
-        let at = memchr::memchr(b'=', pair).ok_or(Spoilt::Line)?;
+        let at = memchr::memchr(b'=', pair).ok_or(ProtocolError::InvalidLine)?;
         all.push((line.slice_ref(&pair[..at]), line.slice_ref(&pair[at + 1..])));
     }
-    if all.len() > MOST_FIELDS {
-        return Err(Spoilt::Line);
+    if all.len() > MAX_FIELDS {
+        return Err(ProtocolError::InvalidLine);
     }
     Ok(all)
 }
@@ -133,31 +133,31 @@
 /// Takes an answer off the front of `buf`; none until all of it has come.
 ///
 /// # Errors
-/// [`Spoilt`]; the connection is of no further use.
-pub fn take(buf: &mut BytesMut) -> Result<Option<Answer>, Spoilt> {
+/// [`ProtocolError`]; the connection is of no further use.
+pub fn take(buf: &mut BytesMut) -> Result<Option<Response>, ProtocolError> {
     let Some(end) = line_end(buf)? else { return Ok(None) };
     let words: Vec<&[u8]> = buf[..end].split(|b| *b == b' ').collect();
     let word = match words.get(1) {
-        Some(&b"HIT") => Word::Hit,
-        Some(&b"SHED") => Word::Shed,
-        Some(&b"FAULT") => Word::Fault,
-        Some(&b"LATE") => Word::Late,
-        Some(&b"INFO") => Word::Info,
-        Some(&b"PART") => Word::Part,
-        Some(&b"PONG") => Word::Pong,
-        _ => return Err(Spoilt::Line),
+        Some(&b"HIT") => ResponseKind::Hit,
+        Some(&b"SHED") => ResponseKind::Shed,
+        Some(&b"FAULT") => ResponseKind::Fault,
+        Some(&b"LATE") => ResponseKind::Late,
+        Some(&b"INFO") => ResponseKind::Info,
+        Some(&b"PART") => ResponseKind::Part,
+        Some(&b"PONG") => ResponseKind::Pong,
+        _ => return Err(ProtocolError::InvalidLine),
     };
     let length = match words[2..] {
-        [] if word == Word::Pong => None,
+        [] if word == ResponseKind::Pong => None,
         [_, length] => Some(length),
-        _ => return Err(Spoilt::Line),
+        _ => return Err(ProtocolError::InvalidLine),
     };
     let length = match length {
         None => None,
         Some(digits) => {
             let number = std::str::from_utf8(digits).ok().filter(|d| d.bytes().all(|b| b.is_ascii_digit()));
-            let number = number.and_then(|d| d.parse::<usize>().ok()).ok_or(Spoilt::Line)?;
-            Some(number).filter(|n| *n <= LONGEST_PAGE).ok_or(Spoilt::Length).map(Some)?
+            let number = number.and_then(|d| d.parse::<usize>().ok()).ok_or(ProtocolError::InvalidLine)?;
+            Some(number).filter(|n| *n <= MAX_PAGE_BYTES).ok_or(ProtocolError::InvalidLength).map(Some)?
         }
     };
     // What follows the line, and its own CR LF.
@@ -166,7 +166,7 @@
         return Ok(None);
     }
     if length.is_some() && &buf[whole - 2..whole] != b"\r\n" {
-        return Err(Spoilt::Misfit);
+        return Err(ProtocolError::LengthMismatch);
     }
     let (id, list) = (words[0].len(), words.get(2).map(|w| w.len()));
     let line = buf.split_to(end).freeze();
@@ -181,7 +181,7 @@
     }
     let start = id + 1 + line[id + 1..].iter().position(|b| *b == b' ').map_or(0, |n| n + 1);
     let fields = list.map(|n| fields(&line, &line[start..start + n])).transpose()?.unwrap_or_default();
-    Ok(Some(Answer { id: line.slice(..id), word, fields, body }))
+    Ok(Some(Response { id: line.slice(..id), word, fields, body }))
 }
 
 /// A request as executors are sent it.
@@ -239,7 +239,7 @@
     const ID: &str = "9b1f03aa5c7e2d41";
 
     /// All answers of some bytes that come in these pieces.
-    fn read(pieces: &[&[u8]]) -> Result<Vec<Answer>, Spoilt> {
+    fn read(pieces: &[&[u8]]) -> Result<Vec<Response>, ProtocolError> {
         let (mut buf, mut all) = (BytesMut::new(), Vec::new());
         for piece in pieces {
             buf.extend_from_slice(piece);
@@ -259,7 +259,7 @@
         let whole = read(&[text.as_bytes()]).expect("sound");
         assert_eq!(
             whole.iter().map(|a| a.word).collect::<Vec<_>>(),
-            [Word::Info, Word::Hit, Word::Pong, Word::Fault]
+            [ResponseKind::Info, ResponseKind::Hit, ResponseKind::Pong, ResponseKind::Fault]
         );
         assert_eq!(
             (whole[1].text("meter"), whole[1].number("cost")),
@@ -299,7 +299,7 @@
             let mut buf = BytesMut::from(&bytes[..]);
             while let Ok(Some(_)) = take(&mut buf) {}
             let waits = matches!(take(&mut buf), Ok(None));
-            prop_assert!(!waits || buf.len() < LONGEST_ANSWER);
+            prop_assert!(!waits || buf.len() < MAX_RESPONSE_BYTES);
         }
     }
 }
--- a/crates/platform/src/executors.rs
+++ b/crates/platform/src/executors.rs
@@ -1,6 +1,6 @@
 //! The side of the executors: connections to them, and the attempts that each carries.
 
-use crate::executor_protocol::{self, Answer, RequestId, Spoilt, Word};
+use crate::executor_protocol::{self, ProtocolError, RequestId, Response, ResponseKind};
 use crate::result_pages;
 use crate::timer_event::TimerEvent;
 use bytes::Bytes;
@@ -13,27 +13,27 @@
 use wheelfield_settings::take_figure;
 
 /// The room of these connections.
-pub const ROOM: u8 = 2;
+pub const OWNER: u8 = 2;
 /// An answer that has begun to come and does not go on for so long is spoilt, and so is a page that does not come, in
 /// microseconds.
-const STALL: i64 = 500_000;
+const STALL_TIMEOUT_US: i64 = 500_000;
 /// Of the time after which executors close an idle connection, so much is used: one that both sides close at once would take a
 /// request along.
-const IDLE_SHARE: f64 = 0.5;
+const IDLE_TIMEOUT_FRACTION: f64 = 0.5;
 /// Ids given up on a connection that are remembered: an answer that crosses the word may still come under them. With so many it
 /// takes nothing new, and is closed once it is idle.
-const GIVEN_UP: usize = 64;
+const MAX_CANCELLED_IDS: usize = 64;
 /// An attempt whose connection broke so often before any of it was written has found none.
-const MOST_LOST: u8 = 3;
+const MAX_CONNECTION_LOSSES: u8 = 3;
 /// The end of a connection is known to its executor after so long, in microseconds: until then a request that was on it does not
 /// go to the same one again, where it would be a second copy.
-const CUT: i64 = 20_000;
+const CUT_DELAY_US: i64 = 20_000;
 /// Bytes that may wait to go to an executor; with more, other connections are used.
-const BACKLOG: usize = 256 << 10;
+const MAX_OUTPUT_BYTES: usize = 256 << 10;
 
 /// What is to be sent to an executor.
 #[derive(Clone, Debug)]
-pub struct Job {
+pub struct PendingAttempt {
     /// Which attempt.
     pub attempt: AttemptId,
     /// Under which id.
@@ -44,27 +44,27 @@
     lost: u8,
 }
 
-impl Job {
+impl PendingAttempt {
     /// An attempt that goes nowhere yet.
-    pub fn new(attempt: AttemptId, id: RequestId, terms: AttemptOptions) -> Job {
-        Job { attempt, id, terms, lost: 0 }
+    pub fn new(attempt: AttemptId, id: RequestId, terms: AttemptOptions) -> PendingAttempt {
+        PendingAttempt { attempt, id, terms, lost: 0 }
     }
 }
 
 /// What has become of an attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum AttemptEvent {
     /// The first byte of its request, under this id, has gone.
-    Begun(AttemptId, RequestId),
+    Dispatched(AttemptId, RequestId),
     /// Word on it.
-    Noted(AttemptId, AttemptUpdate),
+    Updated(AttemptId, AttemptUpdate),
     /// It is over.
-    Ended(Box<Ended>),
+    Ended(Box<EndedAttempt>),
 }
 
 /// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ended {
+pub struct EndedAttempt {
     /// Which.
     pub attempt: AttemptId,
     /// How.
@@ -77,9 +77,9 @@
     pub pages: Vec<Bytes>,
 }
 
-impl Ended {
-    fn bare(attempt: AttemptId, outcome: Outcome) -> Told {
-        Ended::with(attempt, outcome, None, LoadReport::default(), Vec::new())
+impl EndedAttempt {
+    fn bare(attempt: AttemptId, outcome: Outcome) -> AttemptEvent {
+        EndedAttempt::with(attempt, outcome, None, LoadReport::default(), Vec::new())
     }
 
     fn with(
@@ -88,14 +88,14 @@
         billed_work: Option<f64>,
         report: LoadReport,
         pages: Vec<Bytes>,
-    ) -> Told {
-        Told::Ended(Box::new(Ended { attempt, outcome, billed_work, report, pages }))
+    ) -> AttemptEvent {
+        AttemptEvent::Ended(Box::new(EndedAttempt { attempt, outcome, billed_work, report, pages }))
     }
 }
 
 /// A good answer whose further pages are on their way.
 #[derive(Debug)]
-struct Hit {
+struct PartialResult {
     billed_work: Option<f64>,
     report: LoadReport,
     pages: Vec<Option<Bytes>>,
@@ -107,25 +107,25 @@
 
 /// An attempt on a connection.
 #[derive(Debug)]
-struct Running {
-    job: Job,
+struct RunningAttempt {
+    job: PendingAttempt,
     /// Its request is from this byte of the connection to that one, and whether its first byte has gone.
     bytes: (u64, u64),
     begun: bool,
-    hit: Option<Hit>,
+    hit: Option<PartialResult>,
     /// An earlier attempt under this id was given up here: an answer may be that one's.
     again: bool,
 }
 
 /// A connection.
 #[derive(Debug)]
-struct Conn {
+struct Connection {
     engine: EngineId,
     wire: ConnectionBuffer,
     up: bool,
     connecting: Option<TimerKey>,
-    waiting: Vec<Job>,
-    running: BTreeMap<RequestId, Running>,
+    waiting: Vec<PendingAttempt>,
+    running: BTreeMap<RequestId, RunningAttempt>,
     given_up: Vec<RequestId>,
     /// Bytes put to be written, and written, since its start.
     put: u64,
@@ -136,17 +136,17 @@
     partial: Option<i64>,
 }
 
-impl Conn {
+impl Connection {
     fn load(&self) -> usize {
         self.waiting.len() + self.running.len()
     }
 
     fn takes(&self, id: RequestId, streams: usize) -> bool {
         !self.running.contains_key(&id)
-            && (self.given_up.len() < GIVEN_UP || self.given_up.contains(&id))
+            && (self.given_up.len() < MAX_CANCELLED_IDS || self.given_up.contains(&id))
             && !self.wire.peer_closing
             && self.load() < streams
-            && self.wire.output.len() < BACKLOG
+            && self.wire.output.len() < MAX_OUTPUT_BYTES
     }
 
     fn put(&mut self, line: impl FnOnce(&mut bytes::BytesMut)) {
@@ -167,7 +167,7 @@
 
 /// What is counted of the executors' side since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct ExecutorCounters {
     /// Connections begun.
     pub connects: u64,
     /// Connections closed as something on them could not be read.
@@ -180,7 +180,7 @@
 
 /// Limits of this side.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct ConnectionLimits {
     /// Connections.
     pub connections: usize,
     /// Attempts that a connection carries at once.
@@ -194,35 +194,35 @@
 /// All executors and the connections to them.
 #[derive(Debug)]
 pub struct Executors {
-    bounds: Bounds,
+    bounds: ConnectionLimits,
     all: BTreeMap<EngineId, Executor>,
-    conns: ConnectionTable<Conn>,
+    conns: ConnectionTable<Connection>,
     places: BTreeMap<AttemptId, (ConnId, RequestId)>,
-    told: VecDeque<Told>,
+    told: VecDeque<AttemptEvent>,
     /// Connections that are up and have attempts waiting to be written.
     ready: VecDeque<ConnId>,
-    /// Requests whose connection ended under them, or which had been given up on it, and when. What is older than [`CUT`] is dropped
+    /// Requests whose connection ended under them, or which had been given up on it, and when. What is older than [`CUT_DELAY_US`] is dropped
     /// at each launch and sweep: at most what the connections closed since then had.
     cut: Vec<(RequestId, EngineId, i64)>,
     /// Attempts that wait until their executor knows of that.
-    held: Vec<(EngineId, Job)>,
+    held: Vec<(EngineId, PendingAttempt)>,
     /// What was counted.
-    pub counts: Counts,
+    pub counts: ExecutorCounters,
 }
 
 impl Executors {
     /// None yet.
-    pub fn new(bounds: Bounds) -> Executors {
+    pub fn new(bounds: ConnectionLimits) -> Executors {
         Executors {
             bounds,
             all: BTreeMap::new(),
-            conns: ConnectionTable::new(ROOM),
+            conns: ConnectionTable::new(OWNER),
             places: BTreeMap::new(),
             told: VecDeque::new(),
             ready: VecDeque::new(),
             cut: Vec::new(),
             held: Vec::new(),
-            counts: Counts::default(),
+            counts: ExecutorCounters::default(),
         }
     }
 
@@ -274,7 +274,7 @@
 
     /// Bytes that may come on a connection.
     pub fn room(&mut self, id: ConnId) -> usize {
-        self.wire(id).map_or(0, |w| w.read_capacity(4 * executor_protocol::LONGEST_ANSWER))
+        self.wire(id).map_or(0, |w| w.read_capacity(4 * executor_protocol::MAX_RESPONSE_BYTES))
     }
 
     /// So much of it has gone.
@@ -285,12 +285,12 @@
         let written = c.written;
         for running in c.running.values_mut().filter(|r| !r.begun && written > r.bytes.0) {
             running.begun = true;
-            self.told.push_back(Told::Begun(running.job.attempt, running.job.id));
+            self.told.push_back(AttemptEvent::Dispatched(running.job.attempt, running.job.id));
         }
     }
 
     /// What was told of attempts since the last call.
-    pub fn told(&mut self) -> Option<Told> {
+    pub fn told(&mut self) -> Option<AttemptEvent> {
         self.told.pop_front()
     }
 
@@ -300,19 +300,19 @@
     }
 
     /// Finds a connection for an attempt. Once that is up it is ready, at once or later.
-    pub fn launch(&mut self, engine: EngineId, job: Job, out: &mut EffectQueue<TimerEvent>) {
+    pub fn launch(&mut self, engine: EngineId, job: PendingAttempt, out: &mut EffectQueue<TimerEvent>) {
         let Some(executor) = self.all.get(&engine) else {
-            self.told.push_back(Ended::bare(job.attempt, Outcome::ConnectFailed));
+            self.told.push_back(EndedAttempt::bare(job.attempt, Outcome::ConnectFailed));
             return;
         };
-        self.cut.retain(|(_, _, at)| out.now - at < CUT);
+        self.cut.retain(|(_, _, at)| out.now - at < CUT_DELAY_US);
         if self.cut.iter().any(|(id, e, _)| (*id, *e) == (job.id, engine)) {
-            out.set_timer_after(CUT, TimerEvent::Held(job.attempt));
+            out.set_timer_after(CUT_DELAY_US, TimerEvent::ReleaseDelayed(job.attempt));
             self.held.push((engine, job));
             return;
         }
         let of = |id: &ConnId| self.conns.get(*id).map(|c| (*id, c));
-        let mut takers: Vec<(ConnId, &Conn)> = executor.conns.iter().filter_map(of).collect();
+        let mut takers: Vec<(ConnId, &Connection)> = executor.conns.iter().filter_map(of).collect();
         takers.retain(|(_, c)| c.takes(job.id, self.bounds.streams));
         // Guards against the word that an attempt is given up being overtaken by the next under the same id on another
         // connection: the executor would have two copies, and give up the wrong one.
@@ -330,7 +330,7 @@
             None => {
                 if self.conns.len() >= self.bounds.connections && !self.evict(out) {
                     self.counts.no_room += 1;
-                    self.told.push_back(Ended::bare(job.attempt, Outcome::Full));
+                    self.told.push_back(EndedAttempt::bare(job.attempt, Outcome::Full));
                     return;
                 }
                 let Some(id) = self.connect(engine, out) else { return };
@@ -355,7 +355,7 @@
 
     fn connect(&mut self, engine: EngineId, out: &mut EffectQueue<TimerEvent>) -> Option<ConnId> {
         let executor = self.all.get_mut(&engine)?;
-        let id = self.conns.insert(Conn {
+        let id = self.conns.insert(Connection {
             engine,
             wire: ConnectionBuffer::default(),
             up: false,
@@ -368,7 +368,7 @@
             idle_since: out.now,
             partial: None,
         });
-        let timer = out.set_timer_after(self.bounds.connect, TimerEvent::Connect(id));
+        let timer = out.set_timer_after(self.bounds.connect, TimerEvent::ConnectTimeout(id));
         self.conns.get_mut(id)?.connecting = Some(timer);
         executor.conns.push(id);
         self.counts.connects += 1;
@@ -395,7 +395,7 @@
     }
 
     /// An attempt that waits to be written on a connection that is up.
-    pub fn take(&mut self, id: ConnId) -> Option<Job> {
+    pub fn take(&mut self, id: ConnId) -> Option<PendingAttempt> {
         let c = self.conns.get_mut(id).filter(|c| c.up)?;
         let job = (!c.waiting.is_empty()).then(|| c.waiting.remove(0))?;
         self.places.remove(&job.attempt);
@@ -406,7 +406,7 @@
     pub fn write(
         &mut self,
         id: ConnId,
-        job: &Job,
+        job: &PendingAttempt,
         request: &executor_protocol::Request<'_>,
         out: &mut EffectQueue<TimerEvent>,
     ) {
@@ -415,7 +415,8 @@
         let from = c.put;
         c.put(|to| executor_protocol::put_request(job.id, job.terms.priority, request, to));
         let again = c.given_up.contains(&job.id);
-        let running = Running { job: job.clone(), bytes: (from, c.put), begun: false, hit: None, again };
+        let running =
+            RunningAttempt { job: job.clone(), bytes: (from, c.put), begun: false, hit: None, again };
         c.running.insert(job.id, running);
         self.places.insert(job.attempt, (id, job.id));
         c.wire.flush(id, out);
@@ -462,8 +463,8 @@
 
     /// Closes a connection that has too many ids given up, once it is idle.
     fn tidy(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) {
-        let done = |c: &Conn| c.load() == 0 && c.wire.output.is_empty();
-        let worn = |c: &Conn| c.given_up.len() >= GIVEN_UP || c.wire.peer_closing;
+        let done = |c: &Connection| c.load() == 0 && c.wire.output.is_empty();
+        let worn = |c: &Connection| c.given_up.len() >= MAX_CANCELLED_IDS || c.wire.peer_closing;
         if self.conns.get(id).is_some_and(|c| done(c) && worn(c)) {
             self.close(id, out);
         }
@@ -478,7 +479,7 @@
                 Ok(None) => {
                     let waits = !c.wire.input.is_empty();
                     c.partial = waits.then(|| c.partial.unwrap_or(out.now));
-                    c.wire.resume_reading(id, 4 * executor_protocol::LONGEST_ANSWER, out);
+                    c.wire.resume_reading(id, 4 * executor_protocol::MAX_RESPONSE_BYTES, out);
                     break;
                 }
                 Err(spoilt) => return self.spoilt(id, spoilt, out),
@@ -495,7 +496,7 @@
         }
     }
 
-    fn spoilt(&mut self, id: ConnId, spoilt: Spoilt, out: &mut EffectQueue<TimerEvent>) {
+    fn spoilt(&mut self, id: ConnId, spoilt: ProtocolError, out: &mut EffectQueue<TimerEvent>) {
         debug!(%spoilt, "an executor's connection is given up");
         self.counts.spoilt += 1;
         self.broken(id, out);
@@ -505,13 +506,13 @@
     fn answer(
         &mut self,
         id: ConnId,
-        answer: Answer,
+        answer: Response,
         out: &mut EffectQueue<TimerEvent>,
-    ) -> Result<(), Spoilt> {
+    ) -> Result<(), ProtocolError> {
         let request = RequestId::read(&answer.id);
         let Some(c) = self.conns.get_mut(id) else { return Ok(()) };
         let Some((request, running)) = request.and_then(|r| Some((r, c.running.get_mut(&r)?))) else {
-            self.counts.strays += u64::from(answer.word != Word::Pong);
+            self.counts.strays += u64::from(answer.word != ResponseKind::Pong);
             return Ok(());
         };
         let attempt = running.job.attempt;
@@ -523,7 +524,7 @@
             }
         }
         let ended = match (answer.word, &mut running.hit) {
-            (Word::Info, None) => {
+            (ResponseKind::Info, None) => {
                 let value = answer.number("v").unwrap_or(0.0);
                 let note = match answer.text("tell") {
                     Some("pct") => AttemptUpdate::Progress(value),
@@ -532,20 +533,20 @@
                     Some("queued") => AttemptUpdate::WaitsForLoad,
                     _ => AttemptUpdate::Other,
                 };
-                self.told.push_back(Told::Noted(attempt, note));
+                self.told.push_back(AttemptEvent::Updated(attempt, note));
                 return Ok(());
             }
-            (Word::Hit, None) => {
+            (ResponseKind::Hit, None) => {
                 let pages = answer.number("pages").unwrap_or(1.0);
-                if !(1.0..=result_pages::MOST_PAGES as f64).contains(&pages)
+                if !(1.0..=result_pages::MAX_PAGES as f64).contains(&pages)
                     || !result_pages::is_page(&answer.body)
                 {
-                    return Err(Spoilt::Line);
+                    return Err(ProtocolError::InvalidLine);
                 }
                 let pages = pages as usize;
                 // Pages are asked for in one go: no wait for each.
                 if pages > 1 {
-                    let mut hit = Hit {
+                    let mut hit = PartialResult {
                         billed_work: answer.number("cost").map(|ms| ms / 1e3),
                         report,
                         pages: vec![None; pages],
@@ -562,10 +563,10 @@
                     return Ok(());
                 }
                 let billed = answer.number("cost").map(|ms| ms / 1e3);
-                Ended::with(attempt, Outcome::Served, billed, report, vec![answer.body])
+                EndedAttempt::with(attempt, Outcome::Served, billed, report, vec![answer.body])
             }
-            (Word::Part, Some(hit)) => {
-                let number = answer.number("page").ok_or(Spoilt::Line)?;
+            (ResponseKind::Part, Some(hit)) => {
+                let number = answer.number("page").ok_or(ProtocolError::InvalidLine)?;
                 let place = hit.pages.get_mut(number as usize).filter(|p| p.is_none());
                 let Some(place) = place else {
                     // A second copy.
@@ -573,8 +574,8 @@
                     return Ok(());
                 };
                 hit.bytes += answer.body.len();
-                if !result_pages::is_page(&answer.body) || hit.bytes > result_pages::LONGEST_RESULT {
-                    return Err(Spoilt::Line);
+                if !result_pages::is_page(&answer.body) || hit.bytes > result_pages::MAX_RESULT_BYTES {
+                    return Err(ProtocolError::InvalidLine);
                 }
                 *place = Some(answer.body);
                 hit.missing -= 1;
@@ -583,15 +584,19 @@
                     return Ok(());
                 }
                 let pages = hit.pages.iter_mut().filter_map(Option::take).collect();
-                let told = Ended::with(attempt, Outcome::Served, hit.billed_work, hit.report, pages);
+                let told = EndedAttempt::with(attempt, Outcome::Served, hit.billed_work, hit.report, pages);
                 c.put(|to| executor_protocol::put_end(request, to));
                 c.wire.flush(id, out);
                 told
             }
             // The executor no longer has the pages of what it has run.
-            (Word::Fault, _) => Ended::with(attempt, Outcome::Error, None, report, Vec::new()),
-            (Word::Shed, None) => Ended::with(attempt, Outcome::Full, None, report, Vec::new()),
-            (Word::Late, None) => Ended::with(attempt, Outcome::NeverSent, None, report, Vec::new()),
+            (ResponseKind::Fault, _) => EndedAttempt::with(attempt, Outcome::Error, None, report, Vec::new()),
+            (ResponseKind::Shed, None) => {
+                EndedAttempt::with(attempt, Outcome::Full, None, report, Vec::new())
+            }
+            (ResponseKind::Late, None) => {
+                EndedAttempt::with(attempt, Outcome::NeverSent, None, report, Vec::new())
+            }
             _ => {
                 self.counts.strays += 1;
                 return Ok(());
@@ -604,7 +609,7 @@
         }
         debug!(id = %request, %attempt, at = c.engine.0, ended = ?answer.word, "over");
         // A second copy of this answer may follow, and must not be taken for that of another attempt under the same id.
-        if !matches!(&ended, Told::Ended(e) if e.outcome == Outcome::Served) {
+        if !matches!(&ended, AttemptEvent::Ended(e) if e.outcome == Outcome::Served) {
             c.given_up.push(request);
         }
         c.idle_since = out.now;
@@ -655,16 +660,16 @@
             let whole = written >= running.bytes.1;
             let outcome = if whole { Outcome::Reset } else { Outcome::NeverSent };
             debug!(attempt = %running.job.attempt, at = engine.0, ?outcome, "its connection broke");
-            self.told.push_back(Ended::bare(running.job.attempt, outcome));
+            self.told.push_back(EndedAttempt::bare(running.job.attempt, outcome));
         }
         for mut job in waiting {
             self.places.remove(&job.attempt);
             // Guards against taking an executor for dead whose connections break as they come up: somebody listens there. What
             // waited was not written, and goes on another connection.
             job.lost += 1;
-            if in_vain.is_some() || job.lost > MOST_LOST {
+            if in_vain.is_some() || job.lost > MAX_CONNECTION_LOSSES {
                 let outcome = in_vain.unwrap_or(Outcome::ConnectFailed);
-                self.told.push_back(Ended::bare(job.attempt, outcome));
+                self.told.push_back(EndedAttempt::bare(job.attempt, outcome));
             } else {
                 self.launch(engine, job, out);
             }
@@ -696,12 +701,12 @@
     /// Now and then: connections that are idle for long or belong to nobody, answers that stopped short.
     pub fn sweep(&mut self, out: &mut EffectQueue<TimerEvent>) {
         let now = out.now;
-        let idle = (self.bounds.idle as f64 * IDLE_SHARE) as i64;
+        let idle = (self.bounds.idle as f64 * IDLE_TIMEOUT_FRACTION) as i64;
         let (mut old, mut stalled) = (Vec::new(), Vec::new());
         for (id, c) in self.conns.iter() {
             let listed = self.all.get(&c.engine).is_some_and(|e| e.listed);
-            let page = |r: &Running| r.hit.as_ref().is_some_and(|h| now - h.at > STALL);
-            if c.partial.is_some_and(|at| now - at > STALL) || c.running.values().any(page) {
+            let page = |r: &RunningAttempt| r.hit.as_ref().is_some_and(|h| now - h.at > STALL_TIMEOUT_US);
+            if c.partial.is_some_and(|at| now - at > STALL_TIMEOUT_US) || c.running.values().any(page) {
                 stalled.push(id);
             } else if c.up && c.load() == 0 && (!listed || now - c.idle_since > idle) {
                 old.push(id);
@@ -713,6 +718,6 @@
             self.broken(id, out);
         }
         self.all.retain(|_, e| e.listed || !e.conns.is_empty());
-        self.cut.retain(|(_, _, at)| now - at < CUT);
+        self.cut.retain(|(_, _, at)| now - at < CUT_DELAY_US);
     }
 }
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -1,6 +1,6 @@
 //! The door of the controller: what happened in, effects out.
 
-use crate::bootstrap::Launch;
+use crate::bootstrap::BootstrapConfig;
 use crate::clients;
 use crate::dispatcher::Dispatcher;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 
 impl Platform {
     /// A controller that has not started.
-    pub fn new(launch: Launch, now: i64) -> Platform {
+    pub fn new(launch: BootstrapConfig, now: i64) -> Platform {
         Platform { flow: Dispatcher::new(launch, now) }
     }
 
@@ -35,13 +35,13 @@
     }
 
     /// What was counted of clients that left while their query waited.
-    pub fn abandonment_counts(&self) -> crate::abandonment::Counts {
+    pub fn abandonment_counts(&self) -> crate::abandonment::AbandonmentCounts {
         self.flow.left()
     }
 
     fn wire(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
         match id.owner() {
-            clients::ROOM => self.flow.clients.wire(id),
+            clients::OWNER => self.flow.clients.wire(id),
             _ => self.flow.executors.wire(id),
         }
     }
@@ -72,13 +72,13 @@
                 wire.read_closed = true;
                 self.read(id);
             }
-            IoEvent::Closing(id) if id.owner() == clients::ROOM => {
+            IoEvent::Closing(id) if id.owner() == clients::OWNER => {
                 let Some(wire) = self.wire(id) else { return };
                 wire.peer_closing = true;
                 self.read(id);
             }
             IoEvent::Closing(id) => self.flow.executors.closing(id, &mut self.flow.out),
-            IoEvent::Broken { id, .. } if id.owner() == clients::ROOM => self.flow.client_gone(id),
+            IoEvent::Broken { id, .. } if id.owner() == clients::OWNER => self.flow.client_gone(id),
             IoEvent::Broken { id, refused: true, .. } => self.flow.executors.refused(id, &mut self.flow.out),
             IoEvent::Broken { id, .. } => self.flow.executors.broken(id, &mut self.flow.out),
             IoEvent::Datagram(DatagramSocket::Peers, from, bytes) => self.flow.words(from, bytes),
@@ -94,7 +94,7 @@
 
     fn read_capacity(&mut self, id: ConnId) -> usize {
         match id.owner() {
-            clients::ROOM => self.flow.clients.room(id),
+            clients::OWNER => self.flow.clients.room(id),
             _ => self.flow.executors.room(id),
         }
     }
@@ -106,7 +106,7 @@
     fn bytes_written(&mut self, now: i64, id: ConnId, n: usize) {
         self.flow.out.now = now;
         match id.owner() {
-            clients::ROOM => self.flow.clients.wrote(id, n, &mut self.flow.out),
+            clients::OWNER => self.flow.clients.wrote(id, n, &mut self.flow.out),
             _ => self.flow.executors.wrote(id, n),
         }
     }
@@ -137,7 +137,7 @@
     /// Something came on a connection. Clients are heard once all of this turn is known: whose client has left goes nowhere.
     fn read(&mut self, id: ConnId) {
         match id.owner() {
-            clients::ROOM => {
+            clients::OWNER => {
                 self.flow.clients.came(id);
                 self.flow.ready.push_back(id);
             }
--- a/crates/platform/src/http_server.rs
+++ b/crates/platform/src/http_server.rs
@@ -5,31 +5,31 @@
 use std::fmt::Write as _;
 
 /// Bytes of a head at most.
-pub const LONGEST_HEAD: usize = 8 << 10;
+pub const MAX_HEAD_BYTES: usize = 8 << 10;
 /// Headers of a call at most.
-const MOST_HEADERS: usize = 48;
+const MAX_HEADERS: usize = 48;
 /// Bytes of a statement at most.
-pub const LONGEST_BODY: usize = 64 << 10;
+pub const MAX_BODY_BYTES: usize = 64 << 10;
 /// A client waits this long at most, in milliseconds: an hour.
-const LONGEST_WAIT: f64 = 3_600_000.0;
+const MAX_TIMEOUT_MS: f64 = 3_600_000.0;
 /// Bytes of a name that a field may hold: a tenant, a key, what a repeat is known by.
-const LONGEST_NAME: usize = 128;
+const MAX_NAME_BYTES: usize = 128;
 /// Most work in milliseconds, and most memory in MB, that an estimate may state.
-const MOST_COST: f64 = 1e8;
-const MOST_NEED: f64 = 1e7;
+const MAX_COST_MS: f64 = 1e8;
+const MAX_MEMORY_MB: f64 = 1e7;
 
 /// What a call asks for.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Wants {
+pub enum RequestKind {
     /// Whether the controller takes clients.
     Health,
     /// A statement of this class to be run.
-    Run(Asked),
+    Query(QueryRequest),
 }
 
 /// A statement's head.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Asked {
+pub struct QueryRequest {
     /// The class, by name.
     pub class: String,
     /// Its id.
@@ -50,7 +50,7 @@
 
 /// A head that was read.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Head {
+pub struct RequestHead {
     /// Its bytes, and those of the body after it.
     pub length: usize,
     /// Bytes of the body.
@@ -58,74 +58,81 @@
     /// The client will close the connection after the answer, or expects us to.
     pub close: bool,
     /// What it asks for, or why it gets nothing.
-    pub wants: Result<Wants, Bad>,
+    pub wants: Result<RequestKind, RequestError>,
 }
 
 /// Why a call gets nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Bad {
+pub enum RequestError {
     /// It is no HTTP, or a length in it can't be: what follows can't be told apart.
     #[error("a call that can't be read")]
     Malformed,
     /// Its head is over the limit.
     #[error("a head that is too long")]
-    LongHead,
+    HeadTooLong,
     /// Its body is over the limit.
     #[error("a body that is too long")]
-    LongBody,
+    BodyTooLong,
     /// The length of its body is not told.
     #[error("a body whose length is not told")]
-    NoLength,
+    LengthRequired,
     /// A field is missing, doubled or out of range.
     #[error("a field that is missing or can't be used")]
-    Field,
+    InvalidField,
     /// There is no such class or path.
     #[error("no such path")]
-    NoPath,
+    NotFound,
     /// That can't be done with this path.
     #[error("no such method")]
-    Method,
+    MethodNotAllowed,
     /// The id is in use.
     #[error("an id that is in use, or was")]
-    Doubled,
+    DuplicateId,
     /// It did not come in time.
     #[error("a call that did not come in time")]
-    Slow,
+    TimedOut,
 }
 
-impl Bad {
+impl RequestError {
     /// The status it is answered with.
     pub fn status(self) -> u16 {
         match self {
-            Bad::Malformed | Bad::Field => 400,
-            Bad::NoPath => 404,
-            Bad::Method => 405,
-            Bad::Slow => 408,
-            Bad::Doubled => 409,
-            Bad::NoLength => 411,
-            Bad::LongBody => 413,
-            Bad::LongHead => 431,
+            RequestError::Malformed | RequestError::InvalidField => 400,
+            RequestError::NotFound => 404,
+            RequestError::MethodNotAllowed => 405,
+            RequestError::TimedOut => 408,
+            RequestError::DuplicateId => 409,
+            RequestError::LengthRequired => 411,
+            RequestError::BodyTooLong => 413,
+            RequestError::HeadTooLong => 431,
         }
     }
 
     /// Nothing behind it can be read as a call.
     pub fn ends(self) -> bool {
-        matches!(self, Bad::Malformed | Bad::LongHead | Bad::LongBody | Bad::NoLength | Bad::Slow)
+        matches!(
+            self,
+            RequestError::Malformed
+                | RequestError::HeadTooLong
+                | RequestError::BodyTooLong
+                | RequestError::LengthRequired
+                | RequestError::TimedOut
+        )
     }
 }
 
 /// Reads a head off the front of `buf`, which stays as it is; none until all of it has come.
 ///
 /// # Errors
-/// [`Bad`], if nothing behind it can be read as a call.
-pub fn head(buf: &[u8]) -> Result<Option<Head>, Bad> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+/// [`RequestError`], if nothing behind it can be read as a call.
+pub fn head(buf: &[u8]) -> Result<Option<RequestHead>, RequestError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let length = match request.parse(buf) {
-        Ok(httparse::Status::Complete(length)) if length <= LONGEST_HEAD => length,
-        Ok(httparse::Status::Partial) if buf.len() < LONGEST_HEAD => return Ok(None),
-        Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(Bad::LongHead),
-        Err(_) => return Err(Bad::Malformed),
+        Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD_BYTES => length,
+        Ok(httparse::Status::Partial) if buf.len() < MAX_HEAD_BYTES => return Ok(None),
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(RequestError::HeadTooLong),
+        Err(_) => return Err(RequestError::Malformed),
     };
     let headers = &request.headers[..];
     // One of each that matters: two readers may take different ones of a doubled field.
@@ -135,17 +142,17 @@
             all.next().map(|h| std::str::from_utf8(h.value).map(str::trim).map_err(|_| ())).transpose()?;
         all.next().map_or(Ok(first), |_| Err(()))
     };
-    let told = one("content-length").map_err(|()| Bad::Malformed)?;
+    let told = one("content-length").map_err(|()| RequestError::Malformed)?;
     let encoded = headers.iter().any(|h| h.name.eq_ignore_ascii_case("transfer-encoding"));
     let method = request.method.unwrap_or("");
     let body = match told {
-        _ if encoded && told.is_some() => return Err(Bad::Malformed),
-        _ if encoded => return Err(Bad::NoLength),
+        _ if encoded && told.is_some() => return Err(RequestError::Malformed),
+        _ if encoded => return Err(RequestError::LengthRequired),
         Some(digits) if !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit()) => {
-            digits.parse::<usize>().ok().filter(|n| *n <= LONGEST_BODY).ok_or(Bad::LongBody)?
+            digits.parse::<usize>().ok().filter(|n| *n <= MAX_BODY_BYTES).ok_or(RequestError::BodyTooLong)?
         }
-        Some(_) => return Err(Bad::Malformed),
-        None if method == "POST" => return Err(Bad::NoLength),
+        Some(_) => return Err(RequestError::Malformed),
+        None if method == "POST" => return Err(RequestError::LengthRequired),
         None => 0,
     };
     let connection = one("connection").ok().flatten().unwrap_or("");
@@ -153,21 +160,21 @@
     let close = says("close") || (request.version == Some(0) && !says("keep-alive"));
     let path = request.path.unwrap_or("").split('?').next().unwrap_or("");
     let wants = match (method, path, path.strip_prefix("/rpc/")) {
-        ("GET", "/health", _) => Ok(Wants::Health),
-        (_, "/health", _) => Err(Bad::Method),
+        ("GET", "/health", _) => Ok(RequestKind::Health),
+        (_, "/health", _) => Err(RequestError::MethodNotAllowed),
         // We give no paths of results: all rows are in the last answer.
-        ("GET" | "DELETE", ..) => Err(Bad::NoPath),
+        ("GET" | "DELETE", ..) => Err(RequestError::NotFound),
         ("POST", _, Some(class)) if !class.is_empty() && !class.contains('/') => {
-            asked(class, one).ok_or(Bad::Field).map(Wants::Run)
+            asked(class, one).ok_or(RequestError::InvalidField).map(RequestKind::Query)
         }
-        ("POST", ..) => Err(Bad::NoPath),
-        _ => Err(Bad::Method),
+        ("POST", ..) => Err(RequestError::NotFound),
+        _ => Err(RequestError::MethodNotAllowed),
     };
-    Ok(Some(Head { length: length + body, body, close, wants }))
+    Ok(Some(RequestHead { length: length + body, body, close, wants }))
 }
 
 /// The fields of a statement's head; none if one is missing or can't be used.
-fn asked<'a>(class: &str, one: impl Fn(&str) -> Result<Option<&'a str>, ()>) -> Option<Asked> {
+fn asked<'a>(class: &str, one: impl Fn(&str) -> Result<Option<&'a str>, ()>) -> Option<QueryRequest> {
     // Digits alone, with a point or without: no sign, no exponent, no words for what is no number.
     let plain = |text: &str| text.bytes().all(|b| b.is_ascii_digit() || b == b'.') && text.len() <= 24;
     let figure = |name: &str, most: f64| -> Option<Option<f64>> {
@@ -176,10 +183,10 @@
         number.filter(|x| (0.0..=most).contains(x)).map(Some)
     };
     let id = RequestId::read(one("x-request-id").ok()??.as_bytes())?;
-    let wait = figure("x-timeout-ms", LONGEST_WAIT)?.filter(|ms| *ms >= 1.0)?;
+    let wait = figure("x-timeout-ms", MAX_TIMEOUT_MS)?.filter(|ms| *ms >= 1.0)?;
     let known = |x: Option<f64>| x.filter(|x| *x > 0.0);
-    let work = known(figure("x-cost-ms", MOST_COST)?).map(|ms| ms / 1e3);
-    let memory = known(figure("x-need-mb", MOST_NEED)?);
+    let work = known(figure("x-cost-ms", MAX_COST_MS)?).map(|ms| ms / 1e3);
+    let memory = known(figure("x-need-mb", MAX_MEMORY_MB)?);
     match one("x-retry").ok()? {
         None | Some("0" | "1") => {}
         Some(_) => return None,
@@ -187,13 +194,13 @@
     // They go on within a line of fields: nothing in them may end the field, the list or the line.
     let name = |name: &str| -> Option<Option<String>> {
         let Some(text) = one(name).ok()? else { return Some(None) };
-        let sound = (1..=LONGEST_NAME).contains(&text.len())
+        let sound = (1..=MAX_NAME_BYTES).contains(&text.len())
             && text.bytes().all(|b| b.is_ascii_graphic() && b != b',');
         sound.then(|| Some(text.to_string()))
     };
     let (tenant, key, nonce) = (name("x-tenant")?, name("x-object")?, name("idempotency-key")?);
     let (class, wait) = (class.to_string(), (wait * 1e3) as i64);
-    Some(Asked { class, id, wait, work, memory, tenant, key, nonce })
+    Some(QueryRequest { class, id, wait, work, memory, tenant, key, nonce })
 }
 
 /// What a client is told.
@@ -202,30 +209,30 @@
     /// All rows, as JSON.
     Rows(Vec<u8>),
     /// Trying again is harmless, after so many milliseconds.
-    Refused(i64),
+    Rejected(i64),
     /// Nothing is promised.
     Failed,
     /// The controller takes clients, or no more.
     Health(bool),
     /// The call gets nothing.
-    Bad(Bad),
+    Invalid(RequestError),
 }
 
 /// Appends an answer; with `close` it says that the connection ends.
 pub fn put(reply: &Reply, close: bool, out: &mut BytesMut) {
     let (status, reason, body): (u16, &str, &[u8]) = match reply {
         Reply::Rows(rows) => (200, "OK", rows),
-        Reply::Refused(_) => (503, "Service Unavailable", b"{\"reason\":\"TryLater\"}"),
+        Reply::Rejected(_) => (503, "Service Unavailable", b"{\"reason\":\"TryLater\"}"),
         Reply::Failed => (500, "Internal Server Error", b"{\"reason\":\"Aborted\"}"),
         Reply::Health(true) => (200, "OK", b"{}"),
         Reply::Health(false) => (503, "Service Unavailable", b"{\"reason\":\"TryLater\"}"),
-        Reply::Bad(bad) => (bad.status(), "Bad Call", b"{\"reason\":\"Aborted\"}"),
+        Reply::Invalid(bad) => (bad.status(), "Bad ClientRequest", b"{\"reason\":\"Aborted\"}"),
     };
     let mut head = format!("HTTP/1.1 {status} {reason}\r\nContent-Type: application/json\r\n");
     // Writing to a string can't fail.
     let _ = write!(head, "Content-Length: {}\r\n", body.len());
     match reply {
-        Reply::Refused(ms) if *ms > 0 => {
+        Reply::Rejected(ms) if *ms > 0 => {
             let _ = write!(head, "Retry-After-Ms: {ms}\r\n");
         }
         _ => {}
@@ -250,7 +257,7 @@
         }
         let read = head(call).expect("sound").expect("whole");
         assert_eq!((read.length, read.body, read.close), (call.len() + 84, 84, false));
-        let Ok(Wants::Run(asked)) = read.wants else { panic!("a query") };
+        let Ok(RequestKind::Query(asked)) = read.wants else { panic!("a query") };
         assert_eq!(
             (asked.class.as_str(), asked.wait, asked.work, asked.memory),
             ("report", 1_500_000, Some(0.82), Some(96.0))
--- a/crates/platform/src/in_flight.rs
+++ b/crates/platform/src/in_flight.rs
@@ -8,11 +8,11 @@
 
 /// Ids that went to an executor lately and must not go again for another call: so many of those that do no harm run twice, and so
 /// many of the others, lest a flood of the first push out the second.
-const SPENT: usize = 8_192;
+const MAX_RECENT_IDS: usize = 8_192;
 
 /// A query in hand.
 #[derive(Debug)]
-pub struct InHand {
+pub struct InFlightQuery {
     /// Who waits for it.
     pub client: ConnId,
     /// Its id on the wire.
@@ -31,48 +31,48 @@
 
 /// All queries whose answer is owed: at most one for each client.
 #[derive(Debug, Default)]
-pub struct Open {
-    by_query: BTreeMap<QueryId, InHand>,
+pub struct InFlightQueries {
+    by_query: BTreeMap<QueryId, InFlightQuery>,
     by_client: BTreeMap<ConnId, QueryId>,
     ids: BTreeSet<RequestId>,
-    harmless: Spent,
-    others: Spent,
+    harmless: RecentIds,
+    others: RecentIds,
 }
 
 /// Ids that went to an executor, the last of them.
 #[derive(Debug, Default)]
-struct Spent {
+struct RecentIds {
     all: BTreeSet<RequestId>,
     oldest: VecDeque<RequestId>,
 }
 
-impl Spent {
+impl RecentIds {
     fn put(&mut self, id: RequestId) {
         if self.all.insert(id) {
             self.oldest.push_back(id);
         }
-        if self.oldest.len() > SPENT {
+        if self.oldest.len() > MAX_RECENT_IDS {
             let oldest = self.oldest.pop_front();
             oldest.map(|id| self.all.remove(&id));
         }
     }
 }
 
-impl Open {
+impl InFlightQueries {
     /// Whether an id is in use, or was lately: the query under it may run, or have run.
     pub fn uses(&self, id: RequestId) -> bool {
         self.ids.contains(&id) || self.harmless.all.contains(&id) || self.others.all.contains(&id)
     }
 
     /// A query was taken.
-    pub fn put(&mut self, query: QueryId, what: InHand) {
+    pub fn put(&mut self, query: QueryId, what: InFlightQuery) {
         self.ids.insert(what.id);
         self.by_client.insert(what.client, query);
         self.by_query.insert(query, what);
     }
 
     /// A query in hand.
-    pub fn get(&self, query: QueryId) -> Option<&InHand> {
+    pub fn get(&self, query: QueryId) -> Option<&InFlightQuery> {
         self.by_query.get(&query)
     }
 
@@ -86,7 +86,7 @@
     /// A fault for a judge to find.
     #[cfg(feature = "planted")]
     pub fn forget_spent(&mut self) {
-        (self.harmless, self.others) = (Spent::default(), Spent::default());
+        (self.harmless, self.others) = (RecentIds::default(), RecentIds::default());
     }
 
     /// The query that a client waits for.
@@ -105,7 +105,7 @@
     }
 
     /// The answer of a query is told, or nobody is owed one.
-    pub fn take(&mut self, query: QueryId) -> Option<InHand> {
+    pub fn take(&mut self, query: QueryId) -> Option<InFlightQuery> {
         let what = self.by_query.remove(&query)?;
         self.by_client.remove(&what.client);
         self.ids.remove(&what.id);
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -27,5 +27,5 @@
 mod tables;
 mod timer_event;
 
-pub use bootstrap::{Launch, LaunchError, Limits, Listed};
+pub use bootstrap::{BootstrapConfig, BootstrapError, ExecutorEndpoint, ResourceLimits};
 pub use gateway::Platform;
--- a/crates/platform/src/result_pages.rs
+++ b/crates/platform/src/result_pages.rs
@@ -3,18 +3,18 @@
 use bytes::Bytes;
 
 /// Bytes of a page at most.
-pub const LONGEST_PAGE: usize = 6_000;
+pub const MAX_PAGE_BYTES: usize = 6_000;
 /// Bytes of a result at most.
-pub const LONGEST_RESULT: usize = 48_000;
+pub const MAX_RESULT_BYTES: usize = 48_000;
 /// Pages of a result at most: each holds a row of one byte and its separators at least, but none of ours has more.
-pub const MOST_PAGES: usize = 64;
+pub const MAX_PAGES: usize = 64;
 
 /// Whether a page is whole rows of three columns, as text.
 pub fn is_page(page: &[u8]) -> bool {
     let Ok(text) = std::str::from_utf8(page) else { return false };
     let whole = text.is_empty() || text.ends_with('\n');
     whole
-        && page.len() <= LONGEST_PAGE
+        && page.len() <= MAX_PAGE_BYTES
         && text.split_terminator('\n').all(|row| row.bytes().filter(|b| *b == b'\t').count() == 2)
 }
 
--- a/crates/platform/src/tables.rs
+++ b/crates/platform/src/tables.rs
@@ -3,15 +3,15 @@
 use wheelfield_pg::sql;
 
 /// Words after which tables are named, and words after which they no longer are.
-const TABLES_FOLLOW: [&str; 6] = ["from", "join", "into", "update", "table", "using"];
-const TABLES_END: [&str; 10] =
+const BEFORE_TABLES: [&str; 6] = ["from", "join", "into", "update", "table", "using"];
+const AFTER_TABLES: [&str; 10] =
     ["where", "on", "group", "order", "set", "values", "select", "having", "limit", "union"];
 /// Where data waits to be loaded: no group of its own.
-const STAGING: &str = "staging";
+const STAGING_SCHEMA: &str = "staging";
 
 /// The group of a schema: the number after its underscore. None for others.
 fn group(schema: &str) -> Option<u64> {
-    if schema.eq_ignore_ascii_case(STAGING) {
+    if schema.eq_ignore_ascii_case(STAGING_SCHEMA) {
         return None;
     }
     schema.rsplit_once('_').and_then(|(_, number)| number.parse().ok())
@@ -26,7 +26,7 @@
         match token {
             sql::Token::Name(name) => {
                 let is = |words: &[&str]| !dotted && words.iter().any(|w| name.eq_ignore_ascii_case(w));
-                tables = (tables || is(&TABLES_FOLLOW)) && !is(&TABLES_END);
+                tables = (tables || is(&BEFORE_TABLES)) && !is(&AFTER_TABLES);
                 (schema, dotted) = ((!dotted).then_some(name), false);
             }
             sql::Token::Other('.') => {
--- a/crates/platform/src/timer_event.rs
+++ b/crates/platform/src/timer_event.rs
@@ -7,17 +7,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimerEvent {
     /// The name service is asked again.
-    Ask,
+    QueryDiscovery,
     /// Connections are looked through.
-    Sweep,
+    CheckConnections,
     /// An executor must have let us in.
-    Connect(ConnId),
+    ConnectTimeout(ConnId),
     /// An executor knows of the end of a connection that carried this query.
-    Held(AttemptId),
+    ReleaseDelayed(AttemptId),
     /// Clients had their time to come: who rests is closed.
-    Rest,
+    CloseIdleClients,
     /// So had those whose call crossed that.
-    Stop,
+    StopListening,
     /// The process may be killed soon: what is in hand has its answer now.
-    Last,
+    ShutdownDeadline,
 }
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use hickory_proto::rr::{Name, RData, Record, RecordType};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use wheelfield_platform::{Launch, Platform};
+use wheelfield_platform::{BootstrapConfig, Platform};
 use wheelfield_sans_io::{ConnId, DatagramSocket, Effect, IoEvent, Listener, Protocol};
 
 pub const RESOLVER: &str = "127.9.0.1:1053";
@@ -73,7 +73,7 @@
     }
 
     pub fn of(config: &str) -> Rig {
-        let launch = Launch::read(config).expect("sound");
+        let launch = BootstrapConfig::read(config).expect("sound");
         let now = 1_000_000_000;
         let mut rig = Rig {
             platform: Platform::new(launch, now),
--- a/crates/platform/tests/interleavings.rs
+++ b/crates/platform/tests/interleavings.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use wheelfield_invariants::{judge, Asked, End, Evidence, Life, Line, NotUp, OfClass, Tolerance};
-use wheelfield_platform::Launch;
+use wheelfield_platform::BootstrapConfig;
 use wheelfield_sans_io::{ConnId, DatagramSocket, IoEvent, Listener, Protocol};
 
 /// A fault on purpose.
@@ -376,7 +376,7 @@
         for asked in self.asked.iter_mut().filter(|a| a.end.is_none()) {
             (asked.end, asked.ended) = (Some(End::NoAnswer), self.rig.now);
         }
-        let launch = Launch::read(&config(Vec::new(), 256)).expect("sound");
+        let launch = BootstrapConfig::read(&config(Vec::new(), 256)).expect("sound");
         let of = |name: &str| OfClass { name: name.to_string(), usual_work: 0.1, ..OfClass::default() };
         let lives = [Life { controller: 0, from: 0, killed: None, stalls: Vec::new(), entered: false }];
         let evidence = Evidence {
--- a/crates/platform/tests/settings.rs
+++ b/crates/platform/tests/settings.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 use serde_json::{json, Value};
-use wheelfield_platform::Launch;
+use wheelfield_platform::BootstrapConfig;
 
 const TABLE: &str = include_str!("../../../docs/platform.md");
 
@@ -37,7 +37,7 @@
 
 /// All that the program makes of a configuration.
 fn read(file: &Value) -> String {
-    format!("{:?}", Launch::read(&file.to_string()).unwrap_or_else(|fault| panic!("{fault}")))
+    format!("{:?}", BootstrapConfig::read(&file.to_string()).unwrap_or_else(|fault| panic!("{fault}")))
 }
 
 /// Another value that may stand in its place.
@@ -116,7 +116,7 @@
     settings["ceilings"]["max_streams"] = json!(32.0);
     settings["more"] = json!({"of": ["any", 1]});
     settings["grades"][0]["more"] = json!(1);
-    let launch = Launch::read(&file.to_string()).expect("sound");
+    let launch = BootstrapConfig::read(&file.to_string()).expect("sound");
     let class = &launch.settings.classes[0];
     assert!(
         !class.ordered_by_key
@@ -140,7 +140,7 @@
     ] {
         let mut file = whole();
         *place(&mut file, key) = value;
-        let told = Launch::read(&file.to_string()).expect_err("it can't be used").to_string();
+        let told = BootstrapConfig::read(&file.to_string()).expect_err("it can't be used").to_string();
         assert!(told.contains(named) && told.lines().count() == 1, "{key}: {told}");
     }
 }
