--- a/crates/platform/src/http_server.rs
+++ b/crates/platform/src/http_server.rs
@@ -226,7 +226,7 @@
         Reply::Failed => (500, "Internal Server Error", b"{\"reason\":\"Aborted\"}"),
         Reply::Health(true) => (200, "OK", b"{}"),
         Reply::Health(false) => (503, "Service Unavailable", b"{\"reason\":\"TryLater\"}"),
-        Reply::Invalid(bad) => (bad.status(), "Bad ClientRequest", b"{\"reason\":\"Aborted\"}"),
+        Reply::Invalid(bad) => (bad.status(), "Bad Call", b"{\"reason\":\"Aborted\"}"),
     };
     let mut head = format!("HTTP/1.1 {status} {reason}\r\nContent-Type: application/json\r\n");
     // Writing to a string can't fail.
@@ -274,6 +274,31 @@
         assert!(!ends("1.0", "Connection: keep-alive\r\n"));
     }
 
+    #[test]
+    fn each_reply_has_its_status_line_headers_and_body() {
+        let written = |reply: Reply, close: bool| {
+            let mut out = BytesMut::new();
+            put(&reply, close, &mut out);
+            String::from_utf8(out.to_vec()).expect("text")
+        };
+        let json = "Content-Type: application/json\r\nContent-Length: ";
+        assert_eq!(
+            written(Reply::Rows(b"{\"batch\":[]}".to_vec()), false),
+            format!("HTTP/1.1 200 OK\r\n{json}12\r\n\r\n{{\"batch\":[]}}")
+        );
+        assert_eq!(
+            written(Reply::Rejected(7), true),
+            format!(
+                "HTTP/1.1 503 Service Unavailable\r\n{json}21\r\nRetry-After-Ms: 7\r\nConnection: close\r\n\r\n\
+                 {{\"reason\":\"TryLater\"}}"
+            )
+        );
+        assert_eq!(
+            written(Reply::Invalid(RequestError::LengthRequired), false),
+            format!("HTTP/1.1 411 Bad Call\r\n{json}20\r\n\r\n{{\"reason\":\"Aborted\"}}")
+        );
+    }
+
     proptest! {
         #[test]
         fn any_bytes_are_read_or_told(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
