--- a/crates/controller/src/platform.rs
+++ b/crates/controller/src/platform.rs
@@ -44,7 +44,7 @@
 /// # Errors
 /// If there is none there, or it can't be used.
 pub fn load(config: &Path) -> Result<BootstrapConfig> {
-    BootstrapConfig::read(&read(config)?).with_context(|| format!("{}", config.display()))
+    BootstrapConfig::parse(&read(config)?).with_context(|| format!("{}", config.display()))
 }
 
 impl Node {
@@ -90,7 +90,7 @@
         let reload = move |core: &mut Platform, now: i64| {
             let Some(Again { until, told, .. }) = again.get().filter(|a| a.at <= now) else { return };
             again.set(None);
-            match read(&config).and_then(|text| Ok(BootstrapConfig::resolver(&text)?)) {
+            match read(&config).and_then(|text| Ok(BootstrapConfig::parse_resolver(&text)?)) {
                 Ok(resolver) => core.use_resolver(now, resolver),
                 Err(fault) => {
                     if !told {
--- a/crates/platform/src/abandonment.rs
+++ b/crates/platform/src/abandonment.rs
@@ -1,67 +1,62 @@
-//! Clients that left while their query waited, and whether anything went on for them: told by the sockets, as a check on the books.
+//! Counts clients that left while their query was in flight, and whether attempts of it were still sent. The counts rest on what
+//! was written to sockets, as a check of the driver.
 
 use std::collections::BTreeMap;
 use wheelfield::interface::QueryId;
 
-/// So long after its client left nothing of a query may be sent on, in microseconds.
+/// Time after a client left from which on an attempt of its query counts as late, in microseconds.
 const LATE_AFTER_US: i64 = 300_000;
-/// Who left lately: so many are remembered, the oldest is forgotten first.
+/// Maximum number of queries that are remembered; the oldest is forgotten first.
 const MAX_REMEMBERED: usize = 1_024;
 
-/// What is counted of them since the start.
+/// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AbandonmentCounts {
-    /// Clients that left before a first or further attempt of their query was written.
+    /// Clients that left while no executor had an attempt of their query.
     pub waiting: u64,
-    /// Attempts whose first byte went after their client had left.
-    pub sent_on: u64,
-    /// Of these, those that went 0.3 s later or more.
-    pub sent_late: u64,
+    /// Attempts whose first byte was sent after the client had left.
+    pub forwarded: u64,
+    /// Of these, those sent 0.3 s later or more.
+    pub forwarded_late: u64,
 }
 
-/// Who left lately.
+/// Where a query was when its client left.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum QueryLocation {
+    /// It waited for a first or further attempt.
+    Waiting,
+    /// An executor had an attempt of it.
+    AtExecutor,
+}
+
+/// Queries whose client left lately.
 #[derive(Debug, Default)]
 pub struct Abandonments {
-    /// By query, whose numbers rise: the first is the oldest.
-    at: BTreeMap<QueryId, i64>,
-    /// What was counted.
+    /// Time at which the client left, by query. As the numbers of queries rise, the first is the oldest.
+    abandoned_at: BTreeMap<QueryId, i64>,
+    /// Counters since the start of the process.
     pub counts: AbandonmentCounts,
 }
 
 impl Abandonments {
-    /// The client of a query left, which was with no executor then if it was `waiting`.
-    pub fn leaves(&mut self, query: QueryId, waiting: bool, now: i64) {
-        self.counts.waiting += u64::from(waiting);
-        self.at.insert(query, now);
-        if self.at.len() > MAX_REMEMBERED {
-            self.at.pop_first();
+    /// Records that the client of a query left.
+    pub fn record_abandonment(&mut self, query: QueryId, location: QueryLocation, now: i64) {
+        self.counts.waiting += u64::from(location == QueryLocation::Waiting);
+        self.abandoned_at.insert(query, now);
+        if self.abandoned_at.len() > MAX_REMEMBERED {
+            self.abandoned_at.pop_first();
         }
     }
 
-    /// The first byte of an attempt has gone. Numbers of queries come once, ids of clients that misbehave may come again.
-    pub fn begun(&mut self, query: QueryId, now: i64) {
-        if let Some(at) = self.at.get(&query) {
-            self.counts.sent_on += 1;
-            self.counts.sent_late += u64::from(now - at >= LATE_AFTER_US);
+    /// Records that the first byte of an attempt was sent. Queries are told apart by their number, which is unique, as clients
+    /// may use a request id again.
+    pub fn record_dispatch(&mut self, query: QueryId, now: i64) {
+        if let Some(abandoned_at) = self.abandoned_at.get(&query) {
+            self.counts.forwarded += 1;
+            self.counts.forwarded_late += u64::from(now - abandoned_at >= LATE_AFTER_US);
         }
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_is_sent_on_for_one_that_left_is_counted_and_late_from_three_tenths_of_a_second_on() {
-        let mut left = Abandonments::default();
-        left.leaves(QueryId(1), true, 1_000);
-        left.leaves(QueryId(2), false, 1_000);
-        left.begun(QueryId(1), 300_999);
-        left.begun(QueryId(2), 301_000);
-        left.begun(QueryId(3), 900_000);
-        assert_eq!(left.counts, AbandonmentCounts { waiting: 1, sent_on: 2, sent_late: 1 });
-        (10..10 + MAX_REMEMBERED as u64).for_each(|n| left.leaves(QueryId(n), true, 2_000));
-        left.begun(QueryId(1), 900_000);
-        assert_eq!((left.counts.sent_on, left.at.len()), (2, MAX_REMEMBERED));
-    }
-}
+mod tests;
--- a/crates/platform/src/bootstrap.rs
+++ b/crates/platform/src/bootstrap.rs
@@ -1,4 +1,4 @@
-//! What a controller is told at its start: its configuration, as JSON, and the list of executors in it.
+//! The configuration that a controller starts with: a JSON file, which includes the list of executors.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -6,129 +6,134 @@
 use wheelfield::interface::{EngineEntry, Micros, Settings, Status};
 use wheelfield_settings::{Names, SettingsError};
 
-/// What is wrong with a configuration.
+/// Why a configuration can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum BootstrapError {
-    /// It can't be read.
+    /// It is not JSON, or lacks a field.
     #[error("the configuration is not as expected: {0}")]
     Json(#[from] serde_json::Error),
-    /// Its settings can't be used.
+    /// Its settings are invalid.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
     /// A limit among the settings is missing, or is no whole number.
     #[error("settings: ceilings.{0} is missing, or is no whole number")]
     Ceiling(&'static str),
-    /// There is nothing to be asked for.
+    /// There is no class of queries, or one without a name.
     #[error("settings: grades is missing or empty, or one of them has no name")]
     Classes,
-    /// The seed is no number.
+    /// The seed is no hexadecimal number.
     #[error("the seed is not up to 16 hex digits: '{0}'")]
     Seed(String),
 }
 
-/// What a controller may use.
+/// Resources that a controller may use.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct ResourceLimits {
     /// Memory of its processes, in MB.
     pub memory_mb: f64,
-    /// ConfigFile descriptors.
+    /// Number of file descriptors.
     pub sockets: usize,
 }
 
-/// A configuration.
+/// The configuration of a controller.
 #[derive(Clone, Debug)]
 pub struct BootstrapConfig {
-    /// The controller's name.
+    /// Name of the controller.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which it listens for clients.
     pub listen: SocketAddr,
-    /// For chance.
+    /// Seed of its random numbers.
     pub seed: u64,
-    /// What it may use.
+    /// Resources that it may use.
     pub limits: ResourceLimits,
-    /// Where words of other controllers arrive.
+    /// Address on which it receives messages of other controllers.
     pub peer_listen: Option<SocketAddr>,
-    /// All controllers, this one among them, by their numbers.
+    /// Addresses of all controllers by number, including this one.
     pub peers: Vec<SocketAddr>,
-    /// An address for all of them.
+    /// An address that reaches all controllers.
     pub peers_all: Option<SocketAddr>,
-    /// The name service.
+    /// Address of the name service.
     pub resolver: SocketAddr,
-    /// The number of the last event that `executors` holds.
+    /// Serial number of the list of executors.
     pub serial: u64,
     /// The executors at the start.
     pub executors: Vec<ExecutorEndpoint>,
-    /// The module's settings.
+    /// Settings of the policy.
     pub settings: Settings,
-    /// The names behind its numbers.
+    /// Names of the classes, zones and so on that the settings refer to by number.
     pub names: Names,
-    /// What the wire keeps to.
-    pub ceilings: ProtocolLimits,
+    /// Limits that the protocol keeps to.
+    pub protocol_limits: ProtocolLimits,
 }
 
-/// Limits among the settings that are not the module's.
+/// Limits among the settings that concern the protocol rather than the policy.
 #[derive(Clone, Copy, Debug)]
 pub struct ProtocolLimits {
-    /// A connect that is not through in this time has failed, in microseconds.
+    /// Time after which a connect has failed, in microseconds.
     pub connect_timeout_us: i64,
-    /// Executors close a connection that is idle for so long, in microseconds.
+    /// Time after which executors close an idle connection, in microseconds.
     pub conn_idle_us: i64,
-    /// Attempts that a connection carries at once.
+    /// Attempts on one connection at the same time.
     pub max_streams: usize,
-    /// Queries held at once.
-    pub most_held: usize,
+    /// Queries in flight at the same time.
+    pub max_queries: usize,
 }
 
 impl ProtocolLimits {
-    fn read(settings: &serde_json::Value) -> Result<ProtocolLimits, BootstrapError> {
-        // A whole number may be written with a point.
-        let one = |key: &'static str| {
-            let told = &settings["ceilings"][key];
-            let told = told.as_i64().or_else(|| told.as_f64().filter(|x| x.fract() == 0.0).map(|x| x as i64));
-            told.filter(|x| *x >= 0).ok_or(BootstrapError::Ceiling(key))
+    fn parse(settings: &serde_json::Value) -> Result<ProtocolLimits, BootstrapError> {
+        let limit = |key: &'static str| {
+            whole_number(&settings["ceilings"][key])
+                .filter(|number| *number >= 0)
+                .ok_or(BootstrapError::Ceiling(key))
         };
         Ok(ProtocolLimits {
-            connect_timeout_us: one("connect_timeout_us")?,
-            conn_idle_us: one("conn_idle_us")?,
-            max_streams: one("max_streams")? as usize,
-            most_held: one("most_held")? as usize,
+            connect_timeout_us: limit("connect_timeout_us")?,
+            conn_idle_us: limit("conn_idle_us")?,
+            max_streams: limit("max_streams")? as usize,
+            max_queries: limit("most_held")? as usize,
         })
     }
 }
 
-/// An executor as it is listed.
+/// A whole number, which may be written with a decimal point.
+fn whole_number(value: &serde_json::Value) -> Option<i64> {
+    value.as_i64().or_else(|| value.as_f64().filter(|x| x.fract() == 0.0).map(|x| x as i64))
+}
+
+/// An executor as the configuration or the name service lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExecutorEndpoint {
     /// Its name.
     pub name: String,
-    /// Where it listens.
-    pub at: SocketAddr,
-    /// Its zone, by name.
+    /// Address on which it listens.
+    pub address: SocketAddr,
+    /// Name of its zone.
     pub zone: String,
-    /// Its kind, by name.
+    /// Name of its kind.
     pub kind: String,
-    /// Its cell.
+    /// Number of its cell.
     pub cell: i64,
-    /// Whether it takes work.
+    /// Whether it accepts work.
     pub status: Status,
-    /// The Unix microsecond of a late start.
-    pub started: Option<i64>,
+    /// Time of its start as microseconds of Unix time, if it started after the others.
+    pub started_at_us: Option<i64>,
 }
 
 impl ExecutorEndpoint {
-    /// As the module is told; its name is known from now on.
-    pub fn entry(&self, names: &mut Names) -> EngineEntry {
+    /// The executor as the policy takes it. Its name is added to `names`.
+    pub fn to_entry(&self, names: &mut Names) -> EngineEntry {
         EngineEntry {
             engine: names.engine(&self.name),
             zone: names.zone(&self.zone),
             kind: names.kind(&self.kind),
             cell: self.cell,
             status: self.status,
-            started_at: self.started.map(Micros),
+            started_at: self.started_at_us.map(Micros),
         }
     }
 }
 
+/// The file. The names of its fields, and of those of the types below, are the keys of the JSON.
 #[derive(Deserialize)]
 struct ConfigFile {
     name: String,
@@ -146,6 +151,7 @@
     settings: serde_json::Value,
 }
 
+/// The events that the list of executors results from.
 #[derive(Deserialize)]
 struct KnownEvents {
     cursor: u64,
@@ -153,12 +159,14 @@
     cmds: Vec<KnownEvent>,
 }
 
+/// An event; those without `nodes` are ignored.
 #[derive(Deserialize)]
 struct KnownEvent {
     #[serde(default)]
     nodes: Option<NodeList>,
 }
 
+/// Executors that were added, changed or removed; with `full`, all others were removed.
 #[derive(Deserialize)]
 struct NodeList {
     #[serde(default)]
@@ -166,6 +174,7 @@
     servers: Vec<Server>,
 }
 
+/// An executor of a [`NodeList`].
 #[derive(Deserialize)]
 struct Server {
     id: String,
@@ -181,6 +190,7 @@
     started_ms: i64,
 }
 
+/// The state of a [`Server`].
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum ServerState {
@@ -189,54 +199,67 @@
     Gone,
 }
 
+/// The part of a configuration that is taken over when it is reloaded.
 #[derive(Deserialize)]
 struct ReloadedConfig {
     resolver: SocketAddr,
 }
 
-/// The Unix microsecond of a start told in milliseconds; none for 0.
-pub(crate) fn started(ms: i64) -> Option<i64> {
-    (ms > 0).then_some(ms.saturating_mul(1000))
+/// The time of a start as microseconds of Unix time, from milliseconds; `None` for 0 and below.
+pub(crate) fn start_time(unix_ms: i64) -> Option<i64> {
+    (unix_ms > 0).then_some(unix_ms.saturating_mul(1000))
 }
 
 impl KnownEvents {
-    /// The list as it stands after all events.
-    fn list(self) -> Vec<ExecutorEndpoint> {
-        let mut all = BTreeMap::new();
-        for nodes in self.cmds.into_iter().filter_map(|e| e.nodes) {
+    /// The executors after all events, in order of their names.
+    fn into_executors(self) -> Vec<ExecutorEndpoint> {
+        let mut executors = BTreeMap::new();
+        for nodes in self.cmds.into_iter().filter_map(|event| event.nodes) {
             if nodes.full {
-                all.clear();
+                executors.clear();
             }
-            for s in nodes.servers {
-                let status = match s.state {
-                    ServerState::Ready => Status::Up,
-                    ServerState::Draining => Status::Draining,
-                    ServerState::Gone => {
-                        all.remove(&s.id);
-                        continue;
+            for server in nodes.servers {
+                match server.state {
+                    ServerState::Ready => {
+                        executors.insert(server.id.clone(), server.into_endpoint(Status::Up))
                     }
+                    ServerState::Draining => {
+                        executors.insert(server.id.clone(), server.into_endpoint(Status::Draining))
+                    }
+                    ServerState::Gone => executors.remove(&server.id),
                 };
-                let (name, started) = (s.id.clone(), started(s.started_ms));
-                let (at, zone, kind, cell) = (s.addr, s.zone, s.kind, s.cell);
-                all.insert(s.id, ExecutorEndpoint { name, at, zone, kind, cell, status, started });
             }
         }
-        all.into_values().collect()
+        executors.into_values().collect()
+    }
+}
+
+impl Server {
+    fn into_endpoint(self, status: Status) -> ExecutorEndpoint {
+        ExecutorEndpoint {
+            name: self.id,
+            address: self.addr,
+            zone: self.zone,
+            kind: self.kind,
+            cell: self.cell,
+            status,
+            started_at_us: start_time(self.started_ms),
+        }
     }
 }
 
 impl BootstrapConfig {
-    /// Reads a configuration.
+    /// Parses a configuration.
     ///
     /// # Errors
-    /// [`BootstrapError`].
-    pub fn read(text: &str) -> Result<BootstrapConfig, BootstrapError> {
+    /// [`BootstrapError`] if it can't be used.
+    pub fn parse(text: &str) -> Result<BootstrapConfig, BootstrapError> {
         let file: ConfigFile = serde_json::from_str(text)?;
         let (names, settings) = Names::settings(&file.settings)?;
         if names.classes.is_empty() || names.classes.iter().any(String::is_empty) {
             return Err(BootstrapError::Classes);
         }
-        let ceilings = ProtocolLimits::read(&file.settings)?;
+        let protocol_limits = ProtocolLimits::parse(&file.settings)?;
         let seed =
             u64::from_str_radix(&file.seed, 16).map_err(|_| BootstrapError::Seed(file.seed.clone()))?;
         Ok(BootstrapConfig {
@@ -249,18 +272,18 @@
             peers_all: file.peers_all,
             resolver: file.resolver,
             serial: file.known.cursor,
-            executors: file.known.list(),
+            executors: file.known.into_executors(),
             settings,
             names,
-            ceilings,
+            protocol_limits,
         })
     }
 
-    /// The name service of a configuration that took this one's place.
+    /// Parses the address of the name service in a configuration that replaces the one of the start.
     ///
     /// # Errors
-    /// [`BootstrapError::Json`].
-    pub fn resolver(text: &str) -> Result<SocketAddr, BootstrapError> {
+    /// [`BootstrapError::Json`] if there is none.
+    pub fn parse_resolver(text: &str) -> Result<SocketAddr, BootstrapError> {
         Ok(serde_json::from_str::<ReloadedConfig>(text)?.resolver)
     }
 }
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -1,4 +1,4 @@
-//! The side of the clients: their connections, one call at a time on each.
+//! Connections of clients, with at most one request on each being processed.
 
 use crate::http_server::{
     self, Reply, RequestError, RequestHead, RequestKind, MAX_BODY_BYTES, MAX_HEAD_BYTES,
@@ -7,320 +7,415 @@
 use bytes::{Buf, Bytes};
 use wheelfield_sans_io::{ConnId, ConnectionBuffer, ConnectionTable, Effect, EffectQueue};
 
-/// The room of these connections.
+/// Owner number of these connections in their [`ConnId`].
 pub const OWNER: u8 = 1;
-/// A first call must be whole in this time after its client came, and each other after its first byte, in microseconds.
+/// Time in which the first request of a connection must be complete after the connect, and each other one after its first byte,
+/// in microseconds.
 const REQUEST_TIMEOUT_US: i64 = 2_000_000;
-/// What still comes after a call that can't be used is read and dropped, so that its client sees the answer: for so long, in
-/// microseconds, and so many bytes.
+/// Time for which input after an invalid request is read and dropped, so that the client sees the response, in microseconds.
 const DRAIN_TIME_US: i64 = 500_000;
+/// Bytes of input after an invalid request that are read and dropped.
 const MAX_DRAIN_BYTES: usize = 8 << 20;
-/// A client that takes nothing of its answer for so long is closed, in microseconds.
+/// Time after which a client that reads nothing of its response is closed, in microseconds.
 const WRITE_STALL_TIMEOUT_US: i64 = 5_000_000;
-/// Connections that ask nothing more are kept for so long, in microseconds.
+/// Time after which a connection without a request is closed, in microseconds.
 const IDLE_TIMEOUT_US: i64 = 30_000_000;
-/// The first call of a connection may be so long on its way, in microseconds: as long as one that crosses the end of another.
+/// Time that the first request of a connection may take to arrive, in microseconds: as long as one that crosses the close of
+/// another connection.
 const FIRST_REQUEST_GRACE_US: i64 = 50_000;
-/// Clients as the protocol knows them rest no longer than this, and close then, in microseconds.
+/// Time after which clients as the protocol describes them close an idle connection themselves, in microseconds.
 const USUAL_IDLE_TIME_US: i64 = 4_000_000;
-/// Read on while a call is in hand: its client may send the next one ahead.
+/// Bytes that are read while a request is processed: its client may send the next one ahead.
 const READ_AHEAD_BYTES: usize = 4 << 10;
+/// Bytes that are read at a time while input is dropped.
+const DRAIN_READ_BYTES: usize = 64 << 10;
 
-/// What a connection is about.
+/// What a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ClientState {
-    /// It may ask.
+    /// It may send a request.
     AwaitingRequest,
-    /// Its call is in hand.
+    /// Its request is being processed.
     Processing,
-    /// Its last answer goes out; what still comes is dropped.
-    Draining { until: i64, left: usize },
+    /// Its last response is being written, and its input is dropped until this time and for so many bytes more.
+    Draining { until: i64, bytes_left: usize },
 }
 
+impl ClientState {
+    /// Bytes that may wait in the input.
+    fn max_input_bytes(self) -> usize {
+        match self {
+            ClientState::AwaitingRequest => MAX_HEAD_BYTES + MAX_BODY_BYTES,
+            ClientState::Processing => READ_AHEAD_BYTES,
+            ClientState::Draining { .. } => DRAIN_READ_BYTES,
+        }
+    }
+}
+
+/// A connection of a client.
 #[derive(Debug)]
 struct ClientConnection {
-    wire: ConnectionBuffer,
+    buffer: ConnectionBuffer,
     state: ClientState,
-    /// It has asked something that could be used.
-    asked: bool,
-    /// When it came, asked or was answered last.
-    since: i64,
-    /// When a call began to come.
-    begun: Option<i64>,
-    /// The connection ends after the answer to the call in hand.
-    close: bool,
-    /// When it last took something of what is to go.
-    took: i64,
-    /// Something came that was not looked at yet: it may be a call.
-    fresh: bool,
+    /// Whether it has sent a valid request.
+    has_sent_request: bool,
+    /// Time of the connect, or of the last request or response, in microseconds.
+    active_at: i64,
+    /// Time at which an incomplete request began to arrive, in microseconds.
+    request_started_at: Option<i64>,
+    /// Whether the connection is closed after the response to the current request.
+    close_after_response: bool,
+    /// Time at which output was last written or added, in microseconds.
+    write_progress_at: i64,
+    /// Whether input has arrived that was not examined yet, and may be a request.
+    has_unread_input: bool,
+}
+
+/// How readily a connection is closed for a new client; the lowest goes first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct EvictionRank {
+    class: EvictionClass,
+    is_sending_request: bool,
+    active_at: i64,
+}
+
+/// The first part of an [`EvictionRank`], in order of eviction.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum EvictionClass {
+    /// Its client has left.
+    Disconnected,
+    /// It has sent no request for longer than a first request may take to arrive.
+    SilentSinceConnect,
+    /// It has been idle for longer than usual clients keep a connection.
+    IdleForLong,
+    /// It was accepted just now, and has sent no request.
+    New,
+    /// It has sent a request, and is idle.
+    Idle,
 }
 
 impl ClientConnection {
-    /// No call of it is in hand, on its way, or half here, and nothing is to go to it.
-    fn rests(&self, now: i64) -> bool {
-        let comes = !self.asked && now - self.since < FIRST_REQUEST_GRACE_US;
-        let here = self.state == ClientState::Processing || self.fresh || !self.wire.input.is_empty();
-        !comes && !here && self.wire.output.is_empty()
+    fn new(now: i64) -> ClientConnection {
+        ClientConnection {
+            buffer: ConnectionBuffer::default(),
+            state: ClientState::AwaitingRequest,
+            has_sent_request: false,
+            active_at: now,
+            request_started_at: None,
+            close_after_response: false,
+            write_progress_at: now,
+            has_unread_input: false,
+        }
+    }
+
+    fn has_left(&self) -> bool {
+        self.buffer.read_closed || self.buffer.peer_closing
+    }
+
+    /// Whether no request is being processed, arriving or expected, and nothing is left to write.
+    fn is_idle(&self, now: i64) -> bool {
+        let expects_request = !self.has_sent_request && now - self.active_at < FIRST_REQUEST_GRACE_US;
+        let has_request =
+            self.state == ClientState::Processing || self.has_unread_input || !self.buffer.input.is_empty();
+        !expects_request && !has_request && self.buffer.output.is_empty()
     }
 
-    /// How readily it is closed for a new one, the least first; none if something is owed. Guards against closing on a call that has
-    /// come and was not looked at yet, or is on its way on a connection that has just come up.
-    fn spare(&self, now: i64) -> Option<(u8, bool, i64)> {
-        let left = self.wire.read_closed || self.wire.peer_closing;
-        if self.state == ClientState::Processing || (!left && (self.fresh || !self.wire.output.is_empty())) {
+    /// Its rank among the connections that may be closed for a new one; `None` if it must not be closed, as a response is owed
+    /// or a request may have arrived that was not examined yet.
+    fn eviction_rank(&self, now: i64) -> Option<EvictionRank> {
+        let has_left = self.has_left();
+        let is_in_use = self.has_unread_input || !self.buffer.output.is_empty();
+        if self.state == ClientState::Processing || (is_in_use && !has_left) {
             return None;
         }
-        let silent = now - self.since;
-        let rank = match self.asked {
-            _ if left => 0,
-            false if silent >= FIRST_REQUEST_GRACE_US => 1,
-            true if silent > USUAL_IDLE_TIME_US => 2,
-            false => 3,
-            true => 4,
+        let idle_time = now - self.active_at;
+        let class = match self.has_sent_request {
+            _ if has_left => EvictionClass::Disconnected,
+            false if idle_time >= FIRST_REQUEST_GRACE_US => EvictionClass::SilentSinceConnect,
+            true if idle_time > USUAL_IDLE_TIME_US => EvictionClass::IdleForLong,
+            false => EvictionClass::New,
+            true => EvictionClass::Idle,
         };
-        Some((rank, self.begun.is_some(), self.since))
+        Some(EvictionRank {
+            class,
+            is_sending_request: self.request_started_at.is_some(),
+            active_at: self.active_at,
+        })
     }
+
+    /// The timeout that has passed, if any.
+    fn expired_timeout(&self, now: i64) -> Option<ExpiredTimeout> {
+        let has_output = !self.buffer.output.is_empty();
+        let request_due_since =
+            self.request_started_at.or((!self.has_sent_request).then_some(self.active_at));
+        match self.state {
+            ClientState::Draining { until, .. } if now >= until && !has_output => Some(ExpiredTimeout::Close),
+            _ if has_output && now - self.write_progress_at > WRITE_STALL_TIMEOUT_US => {
+                Some(ExpiredTimeout::Close)
+            }
+            ClientState::AwaitingRequest
+                if request_due_since.is_some_and(|since| now - since > REQUEST_TIMEOUT_US) =>
+            {
+                match self.request_started_at {
+                    Some(_) => Some(ExpiredTimeout::RejectRequest),
+                    None => Some(ExpiredTimeout::Close),
+                }
+            }
+            ClientState::AwaitingRequest if !has_output && now - self.active_at > IDLE_TIMEOUT_US => {
+                Some(ExpiredTimeout::Close)
+            }
+            _ => None,
+        }
+    }
+}
+
+/// What follows from a timeout that has passed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ExpiredTimeout {
+    /// The incomplete request is rejected.
+    RejectRequest,
+    /// The connection is closed.
+    Close,
 }
 
-/// What a client wants.
+/// A request of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
-    /// Who.
+    /// The client's connection.
     pub client: ConnId,
-    /// What.
-    pub wants: RequestKind,
+    /// What is asked for.
+    pub kind: RequestKind,
     /// The statement.
     pub body: Bytes,
 }
 
-/// What is counted of this side since the start.
+/// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClientCounters {
-    /// Who came.
+    /// Connections accepted.
     pub accepted: u64,
-    /// Closed to make room, or as they asked nothing for long.
+    /// Connections closed for a new one or because of a timeout.
     pub evicted: u64,
-    /// Calls that got nothing.
-    pub bad: u64,
-    /// Closed as there was no room.
-    pub turned_away: u64,
+    /// Invalid requests.
+    pub invalid: u64,
+    /// Connections rejected because all others were in use.
+    pub rejected: u64,
 }
 
-/// All clients.
+/// The connections of all clients.
 #[derive(Debug)]
 pub struct Clients {
-    most: usize,
-    all: ConnectionTable<ClientConnection>,
-    /// What was counted.
-    pub counts: ClientCounters,
+    max_clients: usize,
+    connections: ConnectionTable<ClientConnection>,
+    /// Counters since the start of the process.
+    pub counters: ClientCounters,
 }
 
 impl Clients {
-    /// None yet, and so many at most.
-    pub fn new(most: usize) -> Clients {
-        Clients { most, all: ConnectionTable::new(OWNER), counts: ClientCounters::default() }
+    /// Creates an empty table of at most so many clients.
+    pub fn new(max_clients: usize) -> Clients {
+        Clients { max_clients, connections: ConnectionTable::new(OWNER), counters: ClientCounters::default() }
     }
 
-    /// Somebody came; none if all others have calls in hand.
+    /// Accepts a client, closing another one if needed; `None` if all others are in use.
     pub fn accept(&mut self, out: &mut EffectQueue<TimerEvent>) -> Option<ConnId> {
-        if self.all.len() >= self.most && !self.evict(out) {
-            self.counts.turned_away += 1;
+        if self.connections.len() >= self.max_clients && !self.evict_one(out) {
+            self.counters.rejected += 1;
             return None;
         }
-        self.counts.accepted += 1;
-        Some(self.all.insert(ClientConnection {
-            wire: ConnectionBuffer::default(),
-            state: ClientState::AwaitingRequest,
-            asked: false,
-            since: out.now,
-            begun: None,
-            close: false,
-            took: out.now,
-            fresh: false,
-        }))
+        self.counters.accepted += 1;
+        Some(self.connections.insert(ClientConnection::new(out.now)))
     }
 
-    /// Closes one with no call in hand; false if there is none.
-    fn evict(&mut self, out: &mut EffectQueue<TimerEvent>) -> bool {
-        let spare = self.all.iter().filter_map(|(id, c)| Some((c.spare(out.now)?, id)));
-        let Some((_, id)) = spare.min_by_key(|(rank, _)| *rank) else {
-            return false;
-        };
-        self.counts.evicted += 1;
+    /// Closes the connection that is given up most readily. Returns whether there was one.
+    fn evict_one(&mut self, out: &mut EffectQueue<TimerEvent>) -> bool {
+        let now = out.now;
+        let candidates =
+            self.connections.iter().filter_map(|(id, client)| Some((client.eviction_rank(now)?, id)));
+        let Some((_, id)) = candidates.min_by_key(|(rank, _)| *rank) else { return false };
+        self.counters.evicted += 1;
         self.close(id, out);
         true
     }
 
-    /// How many there are.
+    /// Number of clients.
     pub fn len(&self) -> usize {
-        self.all.len()
+        self.connections.len()
     }
 
-    /// The bytes of a connection.
-    pub fn wire(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
-        self.all.get_mut(id).map(|c| &mut c.wire)
+    /// The buffer of a connection.
+    pub fn buffer(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
+        self.connections.get_mut(id).map(|client| &mut client.buffer)
     }
 
-    /// Something came on a connection, and is looked at once all of this turn is known.
-    pub fn came(&mut self, id: ConnId) {
-        if let Some(c) = self.all.get_mut(id) {
-            c.fresh = true;
+    /// Records that input arrived on a connection, which is examined after all other events of this turn.
+    pub fn mark_unread_input(&mut self, id: ConnId) {
+        if let Some(client) = self.connections.get_mut(id) {
+            client.has_unread_input = true;
         }
     }
 
-    fn limit(state: ClientState) -> usize {
-        match state {
-            ClientState::AwaitingRequest => MAX_HEAD_BYTES + MAX_BODY_BYTES,
-            ClientState::Processing => READ_AHEAD_BYTES,
-            ClientState::Draining { .. } => 64 << 10,
-        }
-    }
-
-    /// Bytes that may come on a connection.
-    pub fn room(&mut self, id: ConnId) -> usize {
-        self.all.get_mut(id).map_or(0, |c| c.wire.read_capacity(Clients::limit(c.state)))
+    /// Bytes that may be read from a connection.
+    pub fn read_capacity(&mut self, id: ConnId) -> usize {
+        self.connections
+            .get_mut(id)
+            .map_or(0, |client| client.buffer.read_capacity(client.state.max_input_bytes()))
     }
 
-    /// So much of an answer has gone; a client that had closed its side is let go after the last of it.
-    pub fn wrote(&mut self, id: ConnId, n: usize, out: &mut EffectQueue<TimerEvent>) {
-        let Some(c) = self.all.get_mut(id) else { return };
-        c.took = out.now;
-        if c.wire.advance_written(n) && c.wire.read_closed {
+    /// Records that so many bytes of a response were written. A client that has closed its side is closed after the last byte.
+    pub fn bytes_written(&mut self, id: ConnId, count: usize, out: &mut EffectQueue<TimerEvent>) {
+        let Some(client) = self.connections.get_mut(id) else { return };
+        client.write_progress_at = out.now;
+        if client.buffer.advance_written(count) && client.buffer.read_closed {
             self.close(id, out);
         }
     }
 
-    /// The next call on a connection, if it is whole.
-    pub fn next(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) -> Option<ClientRequest> {
-        let c = self.all.get_mut(id)?;
-        c.fresh = false;
-        if let ClientState::Draining { until, left } = c.state {
-            let came = c.wire.input.len();
-            c.wire.input.clear();
-            c.state = ClientState::Draining { until, left: left.saturating_sub(came) };
-            if c.wire.read_closed || came > left {
-                self.close(id, out);
-            } else {
-                c.wire.resume_reading(id, Clients::limit(c.state), out);
+    /// Takes the next request from the input of a connection, if it is complete and valid. An invalid one is answered here.
+    pub fn next_request(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) -> Option<ClientRequest> {
+        let client = self.connections.get_mut(id)?;
+        client.has_unread_input = false;
+        match client.state {
+            ClientState::Processing => return None,
+            ClientState::Draining { until, bytes_left } => {
+                self.drain_input(id, until, bytes_left, out);
+                return None;
             }
-            return None;
+            ClientState::AwaitingRequest => {}
         }
-        if c.state == ClientState::Processing {
-            return None;
-        }
-        if c.wire.read_closed || c.wire.peer_closing {
-            // Whoever has left wants no answer.
-            if c.wire.output.is_empty() || c.wire.peer_closing {
+        if client.has_left() {
+            // A client that has closed both sides takes no response.
+            if client.buffer.output.is_empty() || client.buffer.peer_closing {
                 self.close(id, out);
             }
             return None;
         }
-        if c.wire.input.is_empty() {
-            c.begun = None;
-            c.wire.resume_reading(id, Clients::limit(c.state), out);
+        if client.buffer.input.is_empty() {
+            client.request_started_at = None;
+            client.buffer.resume_reading(id, client.state.max_input_bytes(), out);
             return None;
         }
-        c.begun = c.begun.or(Some(out.now));
-        let head = match http_server::head(&c.wire.input) {
-            Ok(Some(head)) => head,
-            Ok(None) => return None,
-            Err(bad) => {
-                self.bad(id, bad, out);
-                return None;
+        client.request_started_at = client.request_started_at.or(Some(out.now));
+        match http_server::parse_head(&client.buffer.input) {
+            Ok(Some(head)) if client.buffer.input.len() >= head.total_length => {
+                self.take_request(id, head, out)
+            }
+            Ok(_) => None,
+            Err(error) => {
+                self.reject_request(id, error, out);
+                None
             }
-        };
-        let RequestHead { length, body, close, wants } = head;
-        if c.wire.input.len() < length {
-            return None;
         }
-        (c.begun, c.close, c.state, c.since) = (None, close, ClientState::Processing, out.now);
-        c.wire.input.advance(length - body);
-        // Its own memory, so that the buffer it came in is free again.
-        let body = Bytes::copy_from_slice(&c.wire.input.split_to(body));
-        c.wire.resume_reading(id, Clients::limit(c.state), out);
-        match wants {
-            Ok(wants) => {
-                c.asked = true;
-                Some(ClientRequest { client: id, wants, body })
+    }
+
+    /// Drops the input of a connection that is closed after its last response.
+    fn drain_input(&mut self, id: ConnId, until: i64, bytes_left: usize, out: &mut EffectQueue<TimerEvent>) {
+        let Some(client) = self.connections.get_mut(id) else { return };
+        let received = client.buffer.input.len();
+        client.buffer.input.clear();
+        client.state = ClientState::Draining { until, bytes_left: bytes_left.saturating_sub(received) };
+        if client.buffer.read_closed || received > bytes_left {
+            self.close(id, out);
+        } else {
+            client.buffer.resume_reading(id, client.state.max_input_bytes(), out);
+        }
+    }
+
+    /// Takes a complete request out of the input.
+    fn take_request(
+        &mut self,
+        id: ConnId,
+        head: RequestHead,
+        out: &mut EffectQueue<TimerEvent>,
+    ) -> Option<ClientRequest> {
+        let client = self.connections.get_mut(id)?;
+        client.request_started_at = None;
+        client.close_after_response = head.close;
+        client.state = ClientState::Processing;
+        client.active_at = out.now;
+        client.buffer.input.advance(head.total_length - head.body_length);
+        // A copy, so that the memory of the input is free again.
+        let body = Bytes::copy_from_slice(&client.buffer.input.split_to(head.body_length));
+        client.buffer.resume_reading(id, client.state.max_input_bytes(), out);
+        match head.kind {
+            Ok(kind) => {
+                client.has_sent_request = true;
+                Some(ClientRequest { client: id, kind, body })
             }
-            Err(bad) => {
-                self.bad(id, bad, out);
+            Err(error) => {
+                self.reject_request(id, error, out);
                 None
             }
         }
     }
 
-    /// A call that gets nothing.
-    pub fn bad(&mut self, id: ConnId, bad: RequestError, out: &mut EffectQueue<TimerEvent>) {
-        self.counts.bad += 1;
-        if let Some(c) = self.all.get_mut(id) {
-            c.close |= bad.ends();
+    /// Answers an invalid request.
+    pub fn reject_request(&mut self, id: ConnId, error: RequestError, out: &mut EffectQueue<TimerEvent>) {
+        self.counters.invalid += 1;
+        if let Some(client) = self.connections.get_mut(id) {
+            client.close_after_response |= error.ends_connection();
         }
-        self.answer(id, &Reply::Invalid(bad), out);
+        self.respond(id, &Reply::Invalid(error), out);
     }
 
-    /// Answers the call in hand.
-    pub fn answer(&mut self, id: ConnId, reply: &Reply, out: &mut EffectQueue<TimerEvent>) {
-        let Some(c) = self.all.get_mut(id) else { return };
-        http_server::put(reply, c.close, &mut c.wire.output);
-        (c.since, c.took) = (out.now, out.now);
-        c.state = if c.close {
-            ClientState::Draining { until: out.now + DRAIN_TIME_US, left: MAX_DRAIN_BYTES }
+    /// Writes the response to the current request.
+    pub fn respond(&mut self, id: ConnId, reply: &Reply, out: &mut EffectQueue<TimerEvent>) {
+        let Some(client) = self.connections.get_mut(id) else { return };
+        http_server::write_reply(reply, client.close_after_response, &mut client.buffer.output);
+        client.active_at = out.now;
+        client.write_progress_at = out.now;
+        client.state = if client.close_after_response {
+            ClientState::Draining { until: out.now + DRAIN_TIME_US, bytes_left: MAX_DRAIN_BYTES }
         } else {
             ClientState::AwaitingRequest
         };
-        c.wire.flush(id, out);
-        c.wire.resume_reading(id, Clients::limit(c.state), out);
+        client.buffer.flush(id, out);
+        client.buffer.resume_reading(id, client.state.max_input_bytes(), out);
     }
 
-    /// Whether a call of this client is in hand.
-    pub fn busy(&self, id: ConnId) -> bool {
-        self.all.get(id).is_some_and(|c| c.state == ClientState::Processing)
+    /// Whether a request of this client is being processed.
+    pub fn is_processing(&self, id: ConnId) -> bool {
+        self.connections.get(id).is_some_and(|client| client.state == ClientState::Processing)
     }
 
-    /// A connection is no more.
+    /// Whether a client has closed its side of the connection.
+    pub fn has_left(&self, id: ConnId) -> bool {
+        self.connections.get(id).is_some_and(ClientConnection::has_left)
+    }
+
+    /// Closes a connection.
     pub fn close(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) {
-        if self.all.remove(id).is_some() {
+        if self.connections.remove(id).is_some() {
             out.push(Effect::Close(id));
         }
     }
 
-    /// Now and then: who is silent, slow, or does not read.
-    pub fn sweep(&mut self, out: &mut EffectQueue<TimerEvent>) {
+    /// Rejects overdue requests and closes connections whose timeout has passed.
+    pub fn check_timeouts(&mut self, out: &mut EffectQueue<TimerEvent>) {
         let now = out.now;
-        let (mut slow, mut over) = (Vec::new(), Vec::new());
-        for (id, c) in self.all.iter() {
-            let unread = !c.wire.output.is_empty() && now - c.took > WRITE_STALL_TIMEOUT_US;
-            let begun = c.begun.or((!c.asked).then_some(c.since));
-            match c.state {
-                ClientState::Draining { until, .. } if now >= until && c.wire.output.is_empty() => {
-                    over.push(id)
-                }
-                _ if unread => over.push(id),
-                ClientState::AwaitingRequest if begun.is_some_and(|at| now - at > REQUEST_TIMEOUT_US) => {
-                    if c.begun.is_some() { &mut slow } else { &mut over }.push(id);
-                }
-                ClientState::AwaitingRequest
-                    if c.wire.output.is_empty() && now - c.since > IDLE_TIMEOUT_US =>
-                {
-                    over.push(id)
-                }
-                _ => {}
-            }
+        let expired: Vec<(ConnId, ExpiredTimeout)> = self
+            .connections
+            .iter()
+            .filter_map(|(id, client)| Some((id, client.expired_timeout(now)?)))
+            .collect();
+        for (id, _) in expired.iter().filter(|(_, timeout)| *timeout == ExpiredTimeout::RejectRequest) {
+            self.reject_request(*id, RequestError::TimedOut, out);
+        }
+        for (id, _) in expired.iter().filter(|(_, timeout)| *timeout == ExpiredTimeout::Close) {
+            self.counters.evicted += 1;
+            self.close(*id, out);
         }
-        slow.into_iter().for_each(|id| self.bad(id, RequestError::TimedOut, out));
-        self.counts.evicted += over.len() as u64;
-        over.into_iter().for_each(|id| self.close(id, out));
     }
 
-    /// The end: who has no call in hand is closed, and the others after their answer. Half a call is waited for, as ever.
-    pub fn end(&mut self, out: &mut EffectQueue<TimerEvent>) {
-        let idle: Vec<ConnId> = self.all.iter().filter(|(_, c)| c.rests(out.now)).map(|(id, _)| id).collect();
+    /// Closes all idle connections. The others are closed by a later call, after their response.
+    pub fn close_idle(&mut self, out: &mut EffectQueue<TimerEvent>) {
+        let idle: Vec<ConnId> =
+            self.connections.iter().filter(|(_, client)| client.is_idle(out.now)).map(|(id, _)| id).collect();
         idle.into_iter().for_each(|id| self.close(id, out));
     }
 
-    /// Something is still to go to somebody, or to be answered.
-    pub fn owed(&self, now: i64) -> bool {
-        self.all.iter().any(|(_, c)| !c.rests(now))
+    /// Whether a request or response of some client is outstanding.
+    pub fn has_outstanding(&self, now: i64) -> bool {
+        self.connections.iter().any(|(_, client)| !client.is_idle(now))
     }
 }
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -1,149 +1,196 @@
-//! What the name service tells: the list of executors by DNS, and the number of the event it stands at.
+//! Discovery: the list of executors, polled from the name service by DNS, and the serial number of the list.
 
-use crate::bootstrap::{started, ExecutorEndpoint};
+use crate::bootstrap::{start_time, ExecutorEndpoint};
 use hickory_proto::op::{Message, MessageType, OpCode, Query, ResponseCode};
+use hickory_proto::rr::rdata::SRV;
 use hickory_proto::rr::{Name, RData, RecordType};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use wheelfield::interface::Status;
 
-/// What is asked for.
+/// The name of the service whose instances are requested.
 const SERVICE_NAME: &str = "_rpc._tcp.mesh.local.";
-/// Asked so often, in microseconds: with the grace of a drain of a second, three questions in a row may go unanswered.
+/// Time between two queries, in microseconds: within the one second for which a draining executor still accepts requests, three
+/// queries in a row may remain without an answer.
 pub const POLL_INTERVAL_US: i64 = 250_000;
-/// Questions whose answers are still taken.
+/// Number of queries whose answers are accepted: the latest ones.
 const MAX_OPEN_QUERIES: usize = 8;
-/// Executors in a list at most.
+/// Maximum number of executors in a list.
 const MAX_EXECUTORS: usize = 1_000;
 
-/// Why an answer was not taken.
+/// Why an answer was ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum IgnoredAnswer {
-    /// It is not from the name service.
-    #[error("an answer from elsewhere")]
+    /// It was not sent by the name service.
+    #[error("unknown sender")]
     UnknownSender,
-    /// It can't be read.
-    #[error("an answer that can't be read")]
+    /// It is not a DNS message.
+    #[error("malformed message")]
     Malformed,
-    /// It answers no question of ours.
-    #[error("an answer to no question of ours")]
+    /// It answers no open query.
+    #[error("no open query")]
     Unsolicited,
-    /// The name service reports a failure, or says that more would follow.
-    #[error("a failure, or an answer cut short")]
+    /// The name service reports a failure, or the answer is truncated.
+    #[error("failure response or truncated answer")]
     Failed,
-    /// It lacks records.
-    #[error("an answer that lacks records")]
+    /// Records are missing.
+    #[error("missing records")]
     Incomplete,
-    /// It holds nothing new, or what was before.
-    #[error("nothing new")]
+    /// Its serial number is not above that of the current list.
+    #[error("serial number not newer")]
     NotNewer,
 }
 
-/// The side of the name service.
+impl IgnoredAnswer {
+    /// Number of reasons.
+    pub const COUNT: usize = 6;
+
+    /// Whether answers are ignored for this reason in normal operation.
+    pub fn is_expected(self) -> bool {
+        matches!(self, IgnoredAnswer::NotNewer | IgnoredAnswer::Unsolicited)
+    }
+}
+
+/// The client of the name service.
 #[derive(Debug)]
 pub struct DiscoveryClient {
     resolver: SocketAddr,
     serial: u64,
-    /// Numbers of questions that may still be answered, the newest last.
-    open: VecDeque<u16>,
+    /// Ids of the queries whose answers are accepted, the latest last.
+    open_queries: VecDeque<u16>,
     service: Option<Name>,
 }
 
 impl DiscoveryClient {
-    /// A feed that holds the list up to an event.
+    /// Creates a client that has the list with this serial number.
     pub fn new(resolver: SocketAddr, serial: u64) -> DiscoveryClient {
         DiscoveryClient {
             resolver,
             serial,
-            open: VecDeque::new(),
+            open_queries: VecDeque::new(),
             service: Name::from_ascii(SERVICE_NAME).ok(),
         }
     }
 
-    /// Another name service from now on. What the old one still answers counts no more; the numbers of events carry on.
-    pub fn turn_to(&mut self, resolver: SocketAddr) {
+    /// Uses another name service from now on. Answers of the former one are ignored; the serial number stays.
+    pub fn use_resolver(&mut self, resolver: SocketAddr) {
         self.resolver = resolver;
-        self.open.clear();
+        self.open_queries.clear();
     }
 
-    /// A question, under a number drawn by chance, and where it goes.
-    pub fn ask(&mut self, id: u16) -> Option<(SocketAddr, Vec<u8>)> {
+    /// Encodes a query with this id, which is to be random; and its destination.
+    pub fn query(&mut self, id: u16) -> Option<(SocketAddr, Vec<u8>)> {
         let mut message = Message::new(id, MessageType::Query, OpCode::Query);
         message.add_query(Query::query(self.service.clone()?, RecordType::SRV));
         let bytes = message.to_vec().ok()?;
-        if self.open.len() == MAX_OPEN_QUERIES {
-            self.open.pop_front();
+        if self.open_queries.len() == MAX_OPEN_QUERIES {
+            self.open_queries.pop_front();
         }
-        self.open.push_back(id);
+        self.open_queries.push_back(id);
         Some((self.resolver, bytes))
     }
 
-    /// Takes an answer: the whole list, if it is newer than what is held.
+    /// Handles an answer: the complete list of executors, if it is newer than the current one.
     ///
     /// # Errors
-    /// [`IgnoredAnswer`]; the list stays as it is.
-    pub fn hear(&mut self, from: SocketAddr, bytes: &[u8]) -> Result<Vec<ExecutorEndpoint>, IgnoredAnswer> {
+    /// [`IgnoredAnswer`]; the current list stays.
+    pub fn handle_answer(
+        &mut self,
+        from: SocketAddr,
+        datagram: &[u8],
+    ) -> Result<Vec<ExecutorEndpoint>, IgnoredAnswer> {
         if from != self.resolver {
             return Err(IgnoredAnswer::UnknownSender);
         }
-        let message = Message::from_vec(bytes).map_err(|_| IgnoredAnswer::Malformed)?;
-        let meta = &message.metadata;
-        let asked = |q: &Query| Some(&q.name) == self.service.as_ref() && q.query_type == RecordType::SRV;
-        let [question] = &message.queries[..] else { return Err(IgnoredAnswer::Unsolicited) };
-        if meta.message_type != MessageType::Response || !self.open.contains(&meta.id) || !asked(question) {
+        let message = Message::from_vec(datagram).map_err(|_| IgnoredAnswer::Malformed)?;
+        if !self.answers_open_query(&message) {
             return Err(IgnoredAnswer::Unsolicited);
         }
-        if meta.response_code != ResponseCode::NoError || meta.truncation {
+        if message.metadata.response_code != ResponseCode::NoError || message.metadata.truncation {
             return Err(IgnoredAnswer::Failed);
         }
-        let serial = message.authorities.iter().find_map(|r| match &r.data {
-            RData::SOA(soa) => Some(u64::from(soa.serial)),
-            _ => None,
-        });
-        let serial = serial.ok_or(IgnoredAnswer::Incomplete)?;
+        let serial = find_serial(&message).ok_or(IgnoredAnswer::Incomplete)?;
         if serial <= self.serial {
             return Err(IgnoredAnswer::NotNewer);
         }
-        let list = list(&message).ok_or(IgnoredAnswer::Incomplete)?;
+        let executors = parse_executors(&message).ok_or(IgnoredAnswer::Incomplete)?;
         self.serial = serial;
-        Ok(list)
+        Ok(executors)
+    }
+
+    fn answers_open_query(&self, message: &Message) -> bool {
+        let [query] = &message.queries[..] else { return false };
+        message.metadata.message_type == MessageType::Response
+            && self.open_queries.contains(&message.metadata.id)
+            && Some(&query.name) == self.service.as_ref()
+            && query.query_type == RecordType::SRV
     }
 }
 
-/// The executors of an answer; none if a record is missing.
-fn list(message: &Message) -> Option<Vec<ExecutorEndpoint>> {
-    let (mut addresses, mut texts) = (BTreeMap::<Name, Ipv4Addr>::new(), BTreeMap::<Name, _>::new());
-    for r in message.all_sections() {
-        match &r.data {
-            RData::A(a) => {
-                addresses.insert(r.name.to_lowercase(), a.0);
-            }
-            RData::TXT(text) => {
-                texts.insert(r.name.to_lowercase(), &text.txt_data);
+/// The serial number of the list: that of the SOA record.
+fn find_serial(message: &Message) -> Option<u64> {
+    message.authorities.iter().find_map(|record| match &record.data {
+        RData::SOA(soa) => Some(u64::from(soa.serial)),
+        _ => None,
+    })
+}
+
+/// The records on the hosts of an answer, by lower-case name.
+#[derive(Default)]
+struct HostRecords {
+    addresses: BTreeMap<Name, Ipv4Addr>,
+    /// Pairs of the form `key=value`.
+    properties: BTreeMap<Name, Vec<String>>,
+}
+
+impl HostRecords {
+    fn collect(message: &Message) -> HostRecords {
+        let mut hosts = HostRecords::default();
+        for record in message.all_sections() {
+            match &record.data {
+                RData::A(address) => {
+                    hosts.addresses.insert(record.name.to_lowercase(), address.0);
+                }
+                RData::TXT(text) => {
+                    let pairs = text.txt_data.iter().map(|t| String::from_utf8_lossy(t).into_owned());
+                    hosts.properties.insert(record.name.to_lowercase(), pairs.collect());
+                }
+                _ => {}
             }
-            _ => {}
         }
+        hosts
     }
-    let mut all = Vec::new();
-    for r in &message.answers {
-        let RData::SRV(srv) = &r.data else { continue };
-        let mut labels = srv.target.iter().map(|l| String::from_utf8_lossy(l).into_owned());
-        let (name, zone) = (labels.next()?, labels.next()?);
-        let target = srv.target.to_lowercase();
-        let at = SocketAddr::new(IpAddr::V4(*addresses.get(&target)?), srv.port);
-        let texts: Vec<String> =
-            texts.get(&target)?.iter().map(|t| String::from_utf8_lossy(t).into_owned()).collect();
-        let told = |key: &str| texts.iter().filter_map(|t| t.split_once('=')).find(|(k, _)| *k == key);
-        let number = |key: &str| told(key).and_then(|(_, v)| v.parse::<i64>().ok());
-        all.push(ExecutorEndpoint {
-            name,
-            at,
-            zone,
-            kind: told("kind")?.1.to_string(),
-            cell: number("cell").unwrap_or(0),
-            status: if srv.priority == 0 { Status::Up } else { Status::Draining },
-            started: started(number("started").unwrap_or(0)),
-        });
+}
+
+/// The executors in an answer; `None` if a record is missing, or there are too many.
+fn parse_executors(message: &Message) -> Option<Vec<ExecutorEndpoint>> {
+    let hosts = HostRecords::collect(message);
+    let mut executors = Vec::new();
+    for record in &message.answers {
+        if let RData::SRV(service) = &record.data {
+            executors.push(parse_executor(service, &hosts)?);
+        }
     }
-    (all.len() <= MAX_EXECUTORS).then_some(all)
+    (executors.len() <= MAX_EXECUTORS).then_some(executors)
+}
+
+fn parse_executor(service: &SRV, hosts: &HostRecords) -> Option<ExecutorEndpoint> {
+    let mut labels = service.target.iter().map(|label| String::from_utf8_lossy(label).into_owned());
+    let (name, zone) = (labels.next()?, labels.next()?);
+    let host = service.target.to_lowercase();
+    let address = IpAddr::V4(*hosts.addresses.get(&host)?);
+    let properties = hosts.properties.get(&host)?;
+    let property = |key: &str| {
+        properties.iter().filter_map(|pair| pair.split_once('=')).find(|(k, _)| *k == key).map(|(_, v)| v)
+    };
+    let number = |key: &str| property(key).and_then(|value| value.parse::<i64>().ok()).unwrap_or(0);
+    Some(ExecutorEndpoint {
+        name,
+        address: SocketAddr::new(address, service.port),
+        zone,
+        kind: property("kind")?.to_string(),
+        cell: number("cell"),
+        status: if service.priority == 0 { Status::Up } else { Status::Draining },
+        started_at_us: start_time(number("started")),
+    })
 }
--- /dev/null
+++ b/crates/platform/src/dispatcher/lifecycle.rs
@@ -0,0 +1,82 @@
+//! Timers, the shutdown, and the log of counters.
+
+use super::Dispatcher;
+use crate::discovery;
+use crate::timer_event::TimerEvent;
+use tracing::info;
+use wheelfield_driver::{Driver, Input};
+use wheelfield_sans_io::Effect;
+
+/// Time between two checks of all connections, in microseconds.
+pub(super) const CHECK_INTERVAL_US: i64 = 100_000;
+/// Time between two logs of the counters, in microseconds.
+const COUNTERS_INTERVAL_US: i64 = 10_000_000;
+/// Maximum number of lines of the policy that are logged between two logs of the counters.
+pub(super) const MAX_POLICY_LOG_LINES: u32 = 20;
+
+impl Dispatcher {
+    /// Handles a timer that is due.
+    pub fn handle_timer(&mut self, event: TimerEvent) {
+        match event {
+            TimerEvent::QueryDiscovery => {
+                self.query_discovery();
+                self.out.set_timer_after(discovery::POLL_INTERVAL_US, TimerEvent::QueryDiscovery);
+            }
+            TimerEvent::CheckConnections => {
+                self.check_connections();
+                self.out.set_timer_after(CHECK_INTERVAL_US, TimerEvent::CheckConnections);
+            }
+            TimerEvent::ConnectTimeout(id) => self.executors.handle_connect_timeout(id, &mut self.out),
+            TimerEvent::ReleaseDelayed(attempt) => self.executors.release_delayed(attempt, &mut self.out),
+            TimerEvent::ShutdownDeadline => {
+                for query in self.in_flight.queries() {
+                    self.driver.handle_input(self.out.now, Input::ShutdownDeadline(query));
+                }
+            }
+            TimerEvent::CloseIdleClients => self.clients.close_idle(&mut self.out),
+            TimerEvent::StopListening => {
+                // Idle clients are closed first, to make way for those that are accepted as listening ends.
+                self.clients.close_idle(&mut self.out);
+                self.out.push(Effect::StopListening);
+            }
+        }
+    }
+
+    fn check_connections(&mut self) {
+        self.clients.check_timeouts(&mut self.out);
+        self.executors.check_connections(&mut self.out);
+        if self.shutdown.is_grace_period_over(self.out.now) {
+            self.clients.close_idle(&mut self.out);
+        }
+        if self.out.now - self.counters_logged_at >= COUNTERS_INTERVAL_US {
+            self.log_counters();
+        }
+    }
+
+    /// Begins the shutdown, unless it has begun.
+    pub fn begin_shutdown(&mut self) {
+        if let Some(schedule) = self.shutdown.begin(self.out.now) {
+            info!(in_flight = self.in_flight.len(), "shutdown requested");
+            self.out.set_timer_at(schedule.close_idle_at, TimerEvent::CloseIdleClients);
+            self.out.set_timer_at(schedule.stop_listening_at, TimerEvent::StopListening);
+            self.out.set_timer_at(schedule.respond_by, TimerEvent::ShutdownDeadline);
+        }
+    }
+
+    fn log_counters(&mut self) {
+        self.counters_logged_at = self.out.now;
+        self.policy_log_lines_left = MAX_POLICY_LOG_LINES;
+        let driver = self.driver.decision_engine().driver().map(Driver::counts).unwrap_or_default();
+        info!(
+            in_flight = self.in_flight.len(),
+            client_connections = self.clients.len(),
+            executor_connections = self.executors.connection_count(),
+            ?driver,
+            clients = ?self.clients.counters,
+            executors = ?self.executors.counters,
+            abandonments = ?self.abandonments.counts,
+            ignored_answers = ?self.ignored_answers,
+            "counters"
+        );
+    }
+}
--- /dev/null
+++ b/crates/platform/src/dispatcher/mod.rs
@@ -0,0 +1,166 @@
+//! The dispatcher passes events between the parts of the gateway and the driver until nothing is left to be done.
+//!
+//! Its methods are grouped by concern: `requests` turns the requests of clients into queries, `attempts` carries out the
+//! instructions of the driver and passes on what becomes of attempts, `topology` handles the list of executors and the messages
+//! of other controllers, and `lifecycle` handles timers, the shutdown and the log of counters.
+
+mod attempts;
+mod lifecycle;
+mod requests;
+mod topology;
+
+use crate::abandonment::{AbandonmentCounts, Abandonments};
+use crate::bootstrap::{BootstrapConfig, ExecutorEndpoint};
+use crate::clients::Clients;
+use crate::discovery::{DiscoveryClient, IgnoredAnswer};
+use crate::executors::{ConnectionLimits, Executors};
+use crate::in_flight::InFlightQueries;
+use crate::peers::Peers;
+use crate::shutdown::Shutdown;
+use crate::timer_event::TimerEvent;
+use lifecycle::{CHECK_INTERVAL_US, MAX_POLICY_LOG_LINES};
+use std::collections::VecDeque;
+use wheelfield::interface::ExecutionSemantics;
+use wheelfield_driver::{Driver, DriverLimits, Input};
+use wheelfield_recorder::RecordingDriver;
+use wheelfield_sans_io::{ConnId, Effect, EffectQueue};
+use wheelfield_settings::Names;
+
+/// Descriptors reserved for listeners, datagrams, signals, logs, and sockets that wait to be closed.
+const RESERVED_DESCRIPTORS: usize = 32;
+/// Minimum number of descriptors for connections, however few there are.
+const MIN_CONNECTION_DESCRIPTORS: usize = 16;
+/// Tenths of the descriptors for connections that clients may use; executors have the others.
+const CLIENT_TENTHS: usize = 5;
+
+/// The parts of the gateway and what they share.
+pub struct Dispatcher {
+    /// Effects and timers.
+    pub out: EffectQueue<TimerEvent>,
+    /// Connections of clients.
+    pub clients: Clients,
+    /// Connections to executors.
+    pub executors: Executors,
+    /// The driver, and through it the policy.
+    pub driver: RecordingDriver,
+    /// Clients whose input is to be examined.
+    ready_clients: VecDeque<ConnId>,
+    names: Names,
+    /// Of each class, whether its queries are idempotent.
+    idempotent_classes: Vec<bool>,
+    in_flight: InFlightQueries,
+    abandonments: Abandonments,
+    discovery: DiscoveryClient,
+    peers: Peers,
+    shutdown: Shutdown,
+    initial_executors: Vec<ExecutorEndpoint>,
+    rng: fastrand::Rng,
+    has_stopped: bool,
+    /// Time at which the counters were logged last, in microseconds.
+    counters_logged_at: i64,
+    /// Lines of the policy that may be logged until the counters are logged next.
+    policy_log_lines_left: u32,
+    /// Answers of the name service that were ignored, by [`IgnoredAnswer`].
+    ignored_answers: [u64; IgnoredAnswer::COUNT],
+}
+
+impl Dispatcher {
+    /// Creates a dispatcher that has not started.
+    pub fn new(config: BootstrapConfig, now: i64) -> Dispatcher {
+        let descriptors =
+            config.limits.sockets.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_CONNECTION_DESCRIPTORS);
+        let max_clients = descriptors * CLIENT_TENTHS / 10;
+        let limits = config.protocol_limits;
+        let driver_limits =
+            DriverLimits { max_queries: limits.max_queries.max(1), ..DriverLimits::default() };
+        let classes = &config.settings.classes;
+        let longest_deadline_us = classes.iter().map(|class| class.deadline.0).max().unwrap_or(0);
+        let idempotent_classes =
+            classes.iter().map(|class| class.semantics == ExecutionSemantics::Idempotent).collect();
+        let own_index = config.settings.gateway_index as usize;
+        let driver = Driver::new(config.settings, config.seed, driver_limits);
+        Dispatcher {
+            out: EffectQueue::new(now),
+            clients: Clients::new(max_clients),
+            executors: Executors::new(ConnectionLimits {
+                max_connections: descriptors - max_clients,
+                max_streams: limits.max_streams.max(1),
+                connect_timeout_us: limits.connect_timeout_us,
+                executor_idle_timeout_us: limits.conn_idle_us,
+            }),
+            driver: RecordingDriver::new(Box::new(driver), None),
+            ready_clients: VecDeque::new(),
+            names: config.names,
+            idempotent_classes,
+            in_flight: InFlightQueries::default(),
+            abandonments: Abandonments::default(),
+            discovery: DiscoveryClient::new(config.resolver, config.serial),
+            peers: Peers::new(&config.peers, own_index, config.peers_all),
+            shutdown: Shutdown::new(longest_deadline_us),
+            initial_executors: config.executors,
+            rng: fastrand::Rng::with_seed(!config.seed),
+            has_stopped: false,
+            counters_logged_at: now,
+            policy_log_lines_left: MAX_POLICY_LOG_LINES,
+            ignored_answers: [0; IgnoredAnswer::COUNT],
+        }
+    }
+
+    /// Starts the driver with the initial list of executors.
+    pub fn start(&mut self) {
+        self.driver.handle_input(self.out.now, Input::Started);
+        let executors = std::mem::take(&mut self.initial_executors);
+        self.replace_executors(&executors);
+        self.out.set_timer_after(0, TimerEvent::QueryDiscovery);
+        self.out.set_timer_after(CHECK_INTERVAL_US, TimerEvent::CheckConnections);
+    }
+
+    /// Passes events between the parts until none is left, and ends the process once the shutdown is complete.
+    pub fn process_events(&mut self) {
+        while self.process_next() {}
+        if self.has_stopped || !self.out.listening_ended() {
+            return;
+        }
+        let has_outstanding = !self.in_flight.is_empty() || self.clients.has_outstanding(self.out.now);
+        if self.shutdown.is_complete(self.out.now, has_outstanding) {
+            self.has_stopped = true;
+            self.out.push(Effect::Stopped);
+        }
+    }
+
+    /// Processes the next event, in this order: input of clients, instructions, requests to be written, ends of attempts.
+    /// Returns whether there was one.
+    fn process_next(&mut self) -> bool {
+        if let Some(client) = self.ready_clients.pop_front() {
+            self.read_client(client);
+        } else if let Some(instruction) = self.driver.next_instruction() {
+            self.execute_instruction(instruction);
+        } else if let Some(connection) = self.executors.next_ready() {
+            self.write_requests(connection);
+        } else if let Some(event) = self.executors.next_event() {
+            self.handle_attempt_event(event);
+        } else {
+            return false;
+        }
+        true
+    }
+
+    /// Counts of clients that left while their query was in flight.
+    pub fn abandonment_counts(&self) -> AbandonmentCounts {
+        self.abandonments.counts
+    }
+
+    /// Number of connections, executors and queries held.
+    pub fn resources_in_use(&self) -> usize {
+        self.clients.len()
+            + self.executors.connection_count()
+            + self.executors.executor_count()
+            + self.in_flight.len()
+    }
+
+    /// Injects a fault for tests: forgets the request ids used lately.
+    #[cfg(feature = "planted")]
+    pub fn forget_recent_ids(&mut self) {
+        self.in_flight.forget_recent_ids();
+    }
+}
--- /dev/null
+++ b/crates/platform/src/dispatcher/requests.rs
@@ -0,0 +1,121 @@
+//! Requests of clients: turned into queries of the driver, or answered at once.
+
+use super::Dispatcher;
+use crate::abandonment::QueryLocation;
+use crate::clients::ClientRequest;
+use crate::http_server::{QueryRequest, Reply, RequestError, RequestKind};
+use crate::in_flight::InFlightQuery;
+use crate::table_group::table_group;
+use bytes::Bytes;
+use tracing::debug;
+use wheelfield::interface::Micros;
+use wheelfield_driver::{Arrival, Input};
+use wheelfield_sans_io::ConnId;
+use wheelfield_settings::position;
+
+/// Time by which a response leaves before its client's timeout, in microseconds: it has to cross a network.
+const RESPONSE_MARGIN_US: i64 = 20_000;
+
+impl Dispatcher {
+    /// Records that input of a client arrived, or that it closed its side. It is examined after all other events of this turn,
+    /// so that no query is started for a client that has left.
+    pub fn handle_client_input(&mut self, client: ConnId) {
+        self.clients.mark_unread_input(client);
+        self.ready_clients.push_back(client);
+    }
+
+    /// Handles the end of a client's connection: its query is abandoned.
+    pub fn handle_client_disconnected(&mut self, client: ConnId) {
+        self.clients.close(client, &mut self.out);
+        let Some(query) = self.in_flight.query_of(client) else { return };
+        if let Some(in_flight) = self.in_flight.remove(query) {
+            let location = match in_flight.is_at_executor {
+                true => QueryLocation::AtExecutor,
+                false => QueryLocation::Waiting,
+            };
+            debug!(id = %in_flight.id, ?location, "client disconnected");
+            self.abandonments.record_abandonment(query, location, self.out.now);
+        }
+        self.driver.handle_input(self.out.now, Input::Abandoned(query));
+    }
+
+    /// Examines the input of a client.
+    pub(super) fn read_client(&mut self, client: ConnId) {
+        if self.clients.is_processing(client) {
+            if self.clients.has_left(client) {
+                self.handle_client_disconnected(client);
+            }
+            return;
+        }
+        let Some(request) = self.clients.next_request(client, &mut self.out) else { return };
+        let ClientRequest { client, kind, body } = request;
+        match kind {
+            RequestKind::Health => {
+                let is_serving = !self.shutdown.has_begun();
+                self.respond(client, &Reply::Health { is_serving });
+            }
+            RequestKind::Query(query) => {
+                if let Err(error) = self.submit_query(client, query, body) {
+                    self.clients.reject_request(client, error, &mut self.out);
+                    self.ready_clients.push_back(client);
+                }
+            }
+        }
+    }
+
+    /// Submits a query to the driver, or answers it at once if there are too many.
+    fn submit_query(
+        &mut self,
+        client: ConnId,
+        request: QueryRequest,
+        statement: Bytes,
+    ) -> Result<(), RequestError> {
+        let class = position(&self.names.classes, &request.class).ok_or(RequestError::NotFound)?;
+        let text = std::str::from_utf8(&statement).map_err(|_| RequestError::InvalidField)?;
+        if text.trim().is_empty() {
+            return Err(RequestError::InvalidField);
+        }
+        let id = request.id;
+        if self.in_flight.is_id_used(id) {
+            return Err(RequestError::DuplicateId);
+        }
+        debug!(%id, class, timeout_us = request.timeout_us, "query received");
+        let arrival = Arrival {
+            class,
+            tenant: request.tenant.and_then(|name| position(&self.names.tenants, &name)),
+            key: request.key,
+            deadline: self.response_deadline(request.timeout_us),
+            work_hint: request.work_hint,
+            memory_hint: request.memory_hint,
+            tables: table_group(text).unwrap_or(0),
+        };
+        let Ok(query) = self.driver.submit(self.out.now, arrival, "") else {
+            self.respond(client, &Reply::Rejected { retry_after_ms: 0 });
+            return Ok(());
+        };
+        let is_idempotent = self.idempotent_classes.get(class).is_some_and(|is_idempotent| *is_idempotent);
+        let in_flight = InFlightQuery {
+            client,
+            id,
+            class,
+            statement,
+            nonce: request.nonce,
+            is_idempotent,
+            is_at_executor: false,
+        };
+        self.in_flight.insert(query, in_flight);
+        Ok(())
+    }
+
+    /// When a query that arrives now with this timeout must be answered.
+    fn response_deadline(&self, timeout_us: i64) -> Micros {
+        let deadline = self.out.now + (timeout_us - RESPONSE_MARGIN_US).max(1);
+        Micros(deadline.min(self.shutdown.response_deadline().unwrap_or(i64::MAX)))
+    }
+
+    /// Writes a response, after which the next request of the client is examined: it may have arrived already.
+    pub(super) fn respond(&mut self, client: ConnId, reply: &Reply) {
+        self.clients.respond(client, reply, &mut self.out);
+        self.ready_clients.push_back(client);
+    }
+}
--- a/crates/platform/src/executor_protocol.rs
+++ b/crates/platform/src/executor_protocol.rs
@@ -1,28 +1,32 @@
-//! The executors' protocol: lines of words that end in CR LF; a length as the last word has so many bytes follow.
+//! The protocol of executors: lines of words that end in CR LF. Where the last word of a line is a length, a body of so many
+//! bytes and another CR LF follow.
 
 use crate::result_pages::MAX_PAGE_BYTES;
 use bytes::{Buf, Bytes, BytesMut};
 use std::fmt;
+use std::ops::Range;
 
-/// Bytes of a line at most, its end included.
+/// Maximum length of a line, including its end.
 const MAX_LINE_BYTES: usize = 1_024;
-/// Fields of a line at most.
+/// Maximum number of fields in a line.
 const MAX_FIELDS: usize = 32;
-/// Bytes that may wait to be read as answers: a line and a page, and the end of both.
-pub const MAX_RESPONSE_BYTES: usize = MAX_LINE_BYTES + MAX_PAGE_BYTES + 2;
+/// Bytes of the end of a line or body.
+const CR_LF: &[u8] = b"\r\n";
+/// Maximum length of a response: a line and a page, and the end of both.
+pub const MAX_RESPONSE_BYTES: usize = MAX_LINE_BYTES + MAX_PAGE_BYTES + CR_LF.len();
 
 /// The id of a request: 16 hex digits, as the client wrote them.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId([u8; 16]);
 
 impl RequestId {
-    /// Reads an id; none if it is not 16 hex digits.
-    pub fn read(text: &[u8]) -> Option<RequestId> {
+    /// Parses an id; `None` if it is not 16 hex digits.
+    pub fn parse(text: &[u8]) -> Option<RequestId> {
         let id: [u8; 16] = text.try_into().ok()?;
         id.iter().all(u8::is_ascii_hexdigit).then_some(RequestId(id))
     }
 
-    /// As text.
+    /// The id as text.
     pub fn as_str(&self) -> &str {
         std::str::from_utf8(&self.0).unwrap_or("")
     }
@@ -40,165 +44,204 @@
     }
 }
 
-/// What an executor says of a request.
+/// The kind of a response, named after its word in the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseKind {
-    /// Done: the first page.
+    /// The request was served; this is the first page of its result.
     Hit,
-    /// Full: it never ran.
+    /// The executor is full; the request has not run.
     Shed,
-    /// It may have run.
+    /// The request failed, and may have run.
     Fault,
-    /// It was over already: it never ran.
+    /// The time limit of the request had passed; it has not run.
     Late,
-    /// Not yet over.
+    /// Progress of a request that has not ended.
     Info,
-    /// A further page.
+    /// A further page of a result.
     Part,
-    /// The connection works.
+    /// The reply to a check of the connection.
     Pong,
 }
 
-/// An answer of an executor.
+impl ResponseKind {
+    fn parse(word: &[u8]) -> Option<ResponseKind> {
+        match word {
+            b"HIT" => Some(ResponseKind::Hit),
+            b"SHED" => Some(ResponseKind::Shed),
+            b"FAULT" => Some(ResponseKind::Fault),
+            b"LATE" => Some(ResponseKind::Late),
+            b"INFO" => Some(ResponseKind::Info),
+            b"PART" => Some(ResponseKind::Part),
+            b"PONG" => Some(ResponseKind::Pong),
+            _ => None,
+        }
+    }
+}
+
+/// A response of an executor.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
-    /// Of what; not always an id of a request.
+    /// The id it is addressed to, which need not be one of a request.
     pub id: Bytes,
-    /// What it says.
-    pub word: ResponseKind,
-    /// Its fields.
+    /// Its kind.
+    pub kind: ResponseKind,
+    /// Names and values of its fields.
     fields: Vec<(Bytes, Bytes)>,
-    /// What follows.
+    /// Its body; empty where it has none.
     pub body: Bytes,
 }
 
 impl Response {
-    /// A field as text.
+    /// The value of a field as text.
     pub fn text(&self, name: &str) -> Option<&str> {
-        let value = self.fields.iter().find(|(n, _)| n == name.as_bytes()).map(|(_, v)| v)?;
+        let (_, value) = self.fields.iter().find(|(field, _)| field == name.as_bytes())?;
         std::str::from_utf8(value).ok()
     }
 
-    /// A field as a finite number.
+    /// The value of a field as a finite number.
     pub fn number(&self, name: &str) -> Option<f64> {
         self.text(name)?.parse().ok().filter(|x: &f64| x.is_finite())
     }
 }
 
-/// What came can't be read: nothing after it can.
+/// Why received bytes are no response. Nothing that follows them can be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolError {
-    /// No end within the longest line.
-    #[error("a line that does not end")]
+    /// The line does not end within its maximum length.
+    #[error("line exceeds its maximum length")]
     UnterminatedLine,
-    /// Not as lines are.
-    #[error("a line that can't be read")]
+    /// The line is not of the expected form.
+    #[error("invalid line")]
     InvalidLine,
-    /// More than a page.
-    #[error("a length that is no length of a page")]
+    /// The length of the body is over that of a page.
+    #[error("body length exceeds the maximum of a page")]
     InvalidLength,
-    /// What follows does not end where it should.
-    #[error("a length that does not fit")]
+    /// The body does not end where its length says.
+    #[error("body does not end at its stated length")]
     LengthMismatch,
 }
 
-/// Where a line ends, its CR LF left out; none until it has come.
-fn line_end(buf: &[u8]) -> Result<Option<usize>, ProtocolError> {
-    let within = &buf[..buf.len().min(MAX_LINE_BYTES)];
-    match memchr::memchr(b'\n', within) {
+/// A line that was parsed, as positions in its bytes.
+struct Line {
+    kind: ResponseKind,
+    id_length: usize,
+    fields: Option<Range<usize>>,
+    body_length: Option<usize>,
+}
+
+/// Decodes a response at the front of `buf` and removes it; `None` if it is incomplete.
+///
+/// # Errors
+/// [`ProtocolError`]; the connection can no longer be used.
+pub fn decode_response(buf: &mut BytesMut) -> Result<Option<Response>, ProtocolError> {
+    let Some(line_length) = find_line_end(buf)? else { return Ok(None) };
+    let Line { kind, id_length, fields, body_length } = parse_line(&buf[..line_length])?;
+    let length = line_length + CR_LF.len() + body_length.map_or(0, |n| n + CR_LF.len());
+    if buf.len() < length {
+        return Ok(None);
+    }
+    if body_length.is_some() && !buf[..length].ends_with(CR_LF) {
+        return Err(ProtocolError::LengthMismatch);
+    }
+    let line = buf.split_to(line_length).freeze();
+    buf.advance(CR_LF.len());
+    let body = match body_length {
+        Some(body_length) => take_body(buf, body_length),
+        None => Bytes::new(),
+    };
+    let fields = match fields {
+        Some(range) => parse_fields(&line, range)?,
+        None => Vec::new(),
+    };
+    Ok(Some(Response { id: line.slice(..id_length), kind, fields, body }))
+}
+
+/// The length of the first line without its CR LF; `None` if its end has not arrived.
+fn find_line_end(buf: &[u8]) -> Result<Option<usize>, ProtocolError> {
+    let searched = &buf[..buf.len().min(MAX_LINE_BYTES)];
+    match memchr::memchr(b'\n', searched) {
         Some(0) => Err(ProtocolError::InvalidLine),
-        Some(n) if within[n - 1] != b'\r' => Err(ProtocolError::InvalidLine),
+        Some(n) if searched[n - 1] != b'\r' => Err(ProtocolError::InvalidLine),
         Some(n) => Ok(Some(n - 1)),
         None if buf.len() >= MAX_LINE_BYTES => Err(ProtocolError::UnterminatedLine),
         None => Ok(None),
     }
 }
 
-/// The fields of a list, by where they stand in the line.
-fn fields(line: &Bytes, list: &[u8]) -> Result<Vec<(Bytes, Bytes)>, ProtocolError> {
-    if list == b"-" {
-        return Ok(Vec::new());
-    }
-    let mut all = Vec::new();
-    for pair in list.split(|b| *b == b',') {
-        let at = memchr::memchr(b'=', pair).ok_or(ProtocolError::InvalidLine)?;
-        all.push((line.slice_ref(&pair[..at]), line.slice_ref(&pair[at + 1..])));
+/// Parses a line: id, kind, and for all kinds but `PONG`, which may end there, fields and the length of the body.
+fn parse_line(line: &[u8]) -> Result<Line, ProtocolError> {
+    let words: Vec<&[u8]> = line.split(|byte| *byte == b' ').collect();
+    let (id, kind_word, rest) = match &words[..] {
+        [id, kind, rest @ ..] => (*id, *kind, rest),
+        _ => return Err(ProtocolError::InvalidLine),
+    };
+    let kind = ResponseKind::parse(kind_word).ok_or(ProtocolError::InvalidLine)?;
+    match rest {
+        [] if kind == ResponseKind::Pong => {
+            Ok(Line { kind, id_length: id.len(), fields: None, body_length: None })
+        }
+        [fields, length] => {
+            let start = id.len() + 1 + kind_word.len() + 1;
+            let fields = Some(start..start + fields.len());
+            let body_length = Some(parse_body_length(length)?);
+            Ok(Line { kind, id_length: id.len(), fields, body_length })
+        }
+        _ => Err(ProtocolError::InvalidLine),
     }
-    if all.len() > MAX_FIELDS {
+}
+
+fn parse_body_length(digits: &[u8]) -> Result<usize, ProtocolError> {
+    if !digits.iter().all(u8::is_ascii_digit) {
         return Err(ProtocolError::InvalidLine);
     }
-    Ok(all)
+    let length = std::str::from_utf8(digits).ok().and_then(|digits| digits.parse::<usize>().ok());
+    match length {
+        None => Err(ProtocolError::InvalidLine),
+        Some(length) if length > MAX_PAGE_BYTES => Err(ProtocolError::InvalidLength),
+        Some(length) => Ok(length),
+    }
 }
 
-/// Takes an answer off the front of `buf`; none until all of it has come.
-///
-/// # Errors
-/// [`ProtocolError`]; the connection is of no further use.
-pub fn take(buf: &mut BytesMut) -> Result<Option<Response>, ProtocolError> {
-    let Some(end) = line_end(buf)? else { return Ok(None) };
-    let words: Vec<&[u8]> = buf[..end].split(|b| *b == b' ').collect();
-    let word = match words.get(1) {
-        Some(&b"HIT") => ResponseKind::Hit,
-        Some(&b"SHED") => ResponseKind::Shed,
-        Some(&b"FAULT") => ResponseKind::Fault,
-        Some(&b"LATE") => ResponseKind::Late,
-        Some(&b"INFO") => ResponseKind::Info,
-        Some(&b"PART") => ResponseKind::Part,
-        Some(&b"PONG") => ResponseKind::Pong,
-        _ => return Err(ProtocolError::InvalidLine),
-    };
-    let length = match words[2..] {
-        [] if word == ResponseKind::Pong => None,
-        [_, length] => Some(length),
-        _ => return Err(ProtocolError::InvalidLine),
-    };
-    let length = match length {
-        None => None,
-        Some(digits) => {
-            let number = std::str::from_utf8(digits).ok().filter(|d| d.bytes().all(|b| b.is_ascii_digit()));
-            let number = number.and_then(|d| d.parse::<usize>().ok()).ok_or(ProtocolError::InvalidLine)?;
-            Some(number).filter(|n| *n <= MAX_PAGE_BYTES).ok_or(ProtocolError::InvalidLength).map(Some)?
-        }
-    };
-    // What follows the line, and its own CR LF.
-    let whole = end + 2 + length.map_or(0, |n| n + 2);
-    if buf.len() < whole {
-        return Ok(None);
-    }
-    if length.is_some() && &buf[whole - 2..whole] != b"\r\n" {
-        return Err(ProtocolError::LengthMismatch);
+/// Parses the list of fields in this range of a line: `-` for none, or pairs of a name and a value separated by commas.
+fn parse_fields(line: &Bytes, range: Range<usize>) -> Result<Vec<(Bytes, Bytes)>, ProtocolError> {
+    let list = &line[range];
+    if list == b"-" {
+        return Ok(Vec::new());
     }
-    let (id, list) = (words[0].len(), words.get(2).map(|w| w.len()));
-    let line = buf.split_to(end).freeze();
-    buf.advance(2);
-    let mut body = length.map(|n| buf.split_to(n).freeze()).unwrap_or_default();
-    if length.is_some() {
-        buf.advance(2);
+    let mut fields = Vec::new();
+    for pair in list.split(|byte| *byte == b',') {
+        let equals = memchr::memchr(b'=', pair).ok_or(ProtocolError::InvalidLine)?;
+        let (name, value) = (&pair[..equals], &pair[equals + 1..]);
+        fields.push((line.slice_ref(name), line.slice_ref(value)));
     }
-    if !body.is_empty() {
-        // Its own memory, so that the buffer it came in is free again.
-        body = Bytes::copy_from_slice(&body);
+    if fields.len() > MAX_FIELDS {
+        return Err(ProtocolError::InvalidLine);
     }
-    let start = id + 1 + line[id + 1..].iter().position(|b| *b == b' ').map_or(0, |n| n + 1);
-    let fields = list.map(|n| fields(&line, &line[start..start + n])).transpose()?.unwrap_or_default();
-    Ok(Some(Response { id: line.slice(..id), word, fields, body }))
+    Ok(fields)
+}
+
+/// Removes a body and its CR LF. The body is copied, so that the memory of the buffer is free again.
+fn take_body(buf: &mut BytesMut, length: usize) -> Bytes {
+    let body = Bytes::copy_from_slice(&buf[..length]);
+    buf.advance(length + CR_LF.len());
+    body
 }
 
-/// A request as executors are sent it.
+/// A request as it is sent to an executor.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// Its class, by name.
+    /// Name of its class.
     pub class: &'a str,
-    /// How long we wait, in milliseconds.
+    /// Time limit in milliseconds.
     pub limit_ms: i64,
-    /// By what a repeat of it is known, as its client wrote it.
+    /// Key by which executors recognise a repetition, as the client wrote it.
     pub nonce: Option<&'a str>,
-    /// What is to be run.
+    /// The statement to run.
     pub statement: &'a [u8],
 }
 
-/// Sends a request, with a priority.
-pub fn put_request(id: RequestId, priority: u8, request: &Request<'_>, out: &mut BytesMut) {
+/// Appends a request with a priority (`REQ`).
+pub fn encode_request(id: RequestId, priority: u8, request: &Request<'_>, out: &mut BytesMut) {
     let Request { class, limit_ms, nonce, statement } = request;
     let mut line = format!("REQ {id} cls={class},limit={limit_ms},prio={priority}");
     if let Some(nonce) = nonce {
@@ -208,98 +251,28 @@
     line.push_str(&format!(" {}\r\n", statement.len()));
     out.extend_from_slice(line.as_bytes());
     out.extend_from_slice(statement);
-    out.extend_from_slice(b"\r\n");
+    out.extend_from_slice(CR_LF);
 }
 
-/// Gives a request up.
-pub fn put_stop(id: RequestId, out: &mut BytesMut) {
+/// Appends the cancellation of a request (`STOP`).
+pub fn encode_cancel(id: RequestId, out: &mut BytesMut) {
     out.extend_from_slice(format!("STOP {id}\r\n").as_bytes());
 }
 
-/// A new priority.
-pub fn put_priority(id: RequestId, priority: u8, out: &mut BytesMut) {
+/// Appends a change of a request's priority (`NICE`).
+pub fn encode_priority(id: RequestId, priority: u8, out: &mut BytesMut) {
     out.extend_from_slice(format!("NICE {id} {priority}\r\n").as_bytes());
 }
 
-/// Asks for a page, from 1.
-pub fn put_fetch(id: RequestId, page: usize, out: &mut BytesMut) {
+/// Appends a request for a page of a result (`FETCH`). The first page, which comes by itself, is page 0.
+pub fn encode_fetch(id: RequestId, page: usize, out: &mut BytesMut) {
     out.extend_from_slice(format!("FETCH {id} {page}\r\n").as_bytes());
 }
 
-/// No more pages are wanted.
-pub fn put_end(id: RequestId, out: &mut BytesMut) {
+/// Appends the release of a result's pages (`END`).
+pub fn encode_release(id: RequestId, out: &mut BytesMut) {
     out.extend_from_slice(format!("END {id}\r\n").as_bytes());
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    const ID: &str = "9b1f03aa5c7e2d41";
-
-    /// All answers of some bytes that come in these pieces.
-    fn read(pieces: &[&[u8]]) -> Result<Vec<Response>, ProtocolError> {
-        let (mut buf, mut all) = (BytesMut::new(), Vec::new());
-        for piece in pieces {
-            buf.extend_from_slice(piece);
-            while let Some(answer) = take(&mut buf)? {
-                all.push(answer);
-            }
-        }
-        Ok(all)
-    }
-
-    #[test]
-    fn answers_are_the_same_however_they_are_cut() {
-        let text = format!(
-            "{ID} INFO tell=pct,v=0.25 0\r\n\r\n{ID} HIT pages=2,cost=81.5,meter=inflight:7;util:0.61 6\r\na\t1\tx\n\r\n\
-             x PONG\r\n{ID} FAULT - 0\r\n\r\n"
-        );
-        let whole = read(&[text.as_bytes()]).expect("sound");
-        assert_eq!(
-            whole.iter().map(|a| a.word).collect::<Vec<_>>(),
-            [ResponseKind::Info, ResponseKind::Hit, ResponseKind::Pong, ResponseKind::Fault]
-        );
-        assert_eq!(
-            (whole[1].text("meter"), whole[1].number("cost")),
-            (Some("inflight:7;util:0.61"), Some(81.5))
-        );
-        assert_eq!((&whole[1].id[..], &whole[1].body[..]), (ID.as_bytes(), &b"a\t1\tx\n"[..]));
-        for cut in 0..text.len() {
-            let (a, b) = text.as_bytes().split_at(cut);
-            assert_eq!(read(&[a, b]).as_ref(), Ok(&whole), "cut at {cut}");
-        }
-    }
-
-    #[test]
-    fn requests_are_written_as_executors_read_them() {
-        let id = RequestId::read(ID.as_bytes()).expect("16 digits");
-        let mut out = BytesMut::new();
-        let request = Request { class: "report", limit_ms: 1500, nonce: None, statement: b"SELECT 1" };
-        put_request(id, 2, &request, &mut out);
-        put_request(id, 1, &Request { nonce: Some("a5=+/"), ..request }, &mut out);
-        put_fetch(id, 3, &mut out);
-        put_priority(id, 0, &mut out);
-        put_end(id, &mut out);
-        put_stop(id, &mut out);
-        let expected = format!(
-            "REQ {ID} cls=report,limit=1500,prio=2 8\r\nSELECT 1\r\n\
-             REQ {ID} cls=report,limit=1500,prio=1,nonce=a5=+/ 8\r\nSELECT 1\r\nFETCH {ID} 3\r\nNICE {ID} 0\r\nEND {ID}\r\nSTOP {ID}\r\n"
-        );
-        assert_eq!(out, expected.as_bytes());
-        assert!(
-            RequestId::read(b"9b1f03aa5c7e2d4").is_none() && RequestId::read(b"9b1f03aa5c7e2d4g").is_none()
-        );
-    }
-
-    proptest! {
-        #[test]
-        fn any_bytes_are_read_or_told_and_never_pile_up(bytes in prop::collection::vec(any::<u8>(), 0..4096)) {
-            let mut buf = BytesMut::from(&bytes[..]);
-            while let Ok(Some(_)) = take(&mut buf) {}
-            let waits = matches!(take(&mut buf), Ok(None));
-            prop_assert!(!waits || buf.len() < MAX_RESPONSE_BYTES);
-        }
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/platform/src/executors/mod.rs
@@ -0,0 +1,214 @@
+//! Connections to executors, and the attempts on them.
+//!
+//! [`Executors`] holds the list of executors and a pool of connections. Its methods are grouped by concern: `pool` assigns
+//! attempts to connections and opens and closes these, `requests` writes requests and cancellations, `responses` handles what
+//! executors answer, `failures` handles connections that fail, and `timeouts` the periodic checks. What becomes of an attempt is
+//! reported as an [`AttemptEvent`].
+
+mod attempts;
+mod connection;
+mod failures;
+mod pool;
+mod requests;
+mod responses;
+mod timeouts;
+
+pub use attempts::{AttemptEvent, EndedAttempt, PendingAttempt};
+
+use crate::executor_protocol::{RequestId, MAX_RESPONSE_BYTES};
+use crate::timer_event::TimerEvent;
+use connection::Connection;
+use std::collections::{BTreeMap, VecDeque};
+use std::net::SocketAddr;
+use wheelfield::interface::{EngineId, Outcome};
+use wheelfield_driver::AttemptId;
+use wheelfield_sans_io::{ConnId, ConnectionBuffer, ConnectionTable, EffectQueue};
+
+/// Owner number of these connections in their [`ConnId`].
+pub const OWNER: u8 = 2;
+/// Bytes that may wait in the input of a connection.
+const MAX_INPUT_BYTES: usize = 4 * MAX_RESPONSE_BYTES;
+
+/// An executor.
+#[derive(Debug)]
+struct Executor {
+    address: SocketAddr,
+    connections: Vec<ConnId>,
+    /// Whether the last list names it.
+    is_listed: bool,
+}
+
+/// Counters since the start of the process.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ExecutorCounters {
+    /// Connects begun.
+    pub connects: u64,
+    /// Connections closed because of an invalid, incomplete or overdue response.
+    pub protocol_errors: u64,
+    /// Responses that belong to no running attempt.
+    pub unmatched_responses: u64,
+    /// Attempts that found no connection.
+    pub no_connection: u64,
+}
+
+/// Limits of the connections to executors.
+#[derive(Clone, Copy, Debug)]
+pub struct ConnectionLimits {
+    /// Connections to all executors.
+    pub max_connections: usize,
+    /// Attempts on one connection at the same time.
+    pub max_streams: usize,
+    /// Time after which a connect has failed, in microseconds.
+    pub connect_timeout_us: i64,
+    /// Time after which executors close an idle connection, in microseconds.
+    pub executor_idle_timeout_us: i64,
+}
+
+/// The connection that an attempt is on, and the id of its request there.
+#[derive(Clone, Copy, Debug)]
+struct AttemptLocation {
+    connection: ConnId,
+    request: RequestId,
+}
+
+/// A request that was on a connection, or had been cancelled on it, when the connection was closed.
+#[derive(Debug)]
+struct CutRequest {
+    request: RequestId,
+    engine: EngineId,
+    closed_at: i64,
+}
+
+/// An attempt that waits until its executor knows of the end of an earlier one under the same request id.
+#[derive(Debug)]
+struct DelayedAttempt {
+    engine: EngineId,
+    attempt: PendingAttempt,
+}
+
+/// All executors and the connections to them.
+#[derive(Debug)]
+pub struct Executors {
+    limits: ConnectionLimits,
+    by_engine: BTreeMap<EngineId, Executor>,
+    connections: ConnectionTable<Connection>,
+    locations: BTreeMap<AttemptId, AttemptLocation>,
+    events: VecDeque<AttemptEvent>,
+    /// Connections that are up and may have queued attempts.
+    ready: VecDeque<ConnId>,
+    /// Requests whose connection was closed lately. Expired entries are dropped at each launch and periodic check, so that it
+    /// holds at most the requests of the connections closed within that time.
+    cut_requests: Vec<CutRequest>,
+    delayed: Vec<DelayedAttempt>,
+    /// Counters since the start of the process.
+    pub counters: ExecutorCounters,
+}
+
+impl Executors {
+    /// Creates the side of the executors, with none known.
+    pub fn new(limits: ConnectionLimits) -> Executors {
+        Executors {
+            limits,
+            by_engine: BTreeMap::new(),
+            connections: ConnectionTable::new(OWNER),
+            locations: BTreeMap::new(),
+            events: VecDeque::new(),
+            ready: VecDeque::new(),
+            cut_requests: Vec::new(),
+            delayed: Vec::new(),
+            counters: ExecutorCounters::default(),
+        }
+    }
+
+    /// Replaces the list of executors, given with their addresses. Idle connections to executors that are no longer listed or
+    /// have moved are closed.
+    pub fn replace_list(
+        &mut self,
+        list: impl Iterator<Item = (EngineId, SocketAddr)>,
+        out: &mut EffectQueue<TimerEvent>,
+    ) {
+        self.by_engine.values_mut().for_each(|executor| executor.is_listed = false);
+        for (engine, address) in list {
+            self.update_executor(engine, address);
+        }
+        let unusable = |connection: &Connection| {
+            connection.load() == 0
+                && (connection.buffer.peer_closing || !self.is_engine_listed(connection.engine))
+        };
+        let unused: Vec<ConnId> =
+            self.connections.iter().filter(|(_, c)| unusable(c)).map(|(id, _)| id).collect();
+        unused.into_iter().for_each(|id| self.close(id, out));
+        self.forget_unlisted();
+    }
+
+    fn update_executor(&mut self, engine: EngineId, address: SocketAddr) {
+        let executor = self.by_engine.entry(engine).or_insert_with(|| Executor {
+            address,
+            connections: Vec::new(),
+            is_listed: true,
+        });
+        if executor.address != address {
+            // Nothing more may be sent to the former address: another executor may have it now.
+            for id in &executor.connections {
+                if let Some(connection) = self.connections.get_mut(*id) {
+                    connection.buffer.peer_closing = true;
+                }
+            }
+        }
+        executor.address = address;
+        executor.is_listed = true;
+    }
+
+    fn is_engine_listed(&self, engine: EngineId) -> bool {
+        self.by_engine.get(&engine).is_some_and(|executor| executor.is_listed)
+    }
+
+    /// Forgets executors that are not listed and have no connection.
+    fn forget_unlisted(&mut self) {
+        self.by_engine.retain(|_, executor| executor.is_listed || !executor.connections.is_empty());
+    }
+
+    /// Number of executors known, including those no longer listed that still have connections.
+    pub fn executor_count(&self) -> usize {
+        self.by_engine.len()
+    }
+
+    /// Number of connections.
+    pub fn connection_count(&self) -> usize {
+        self.connections.len()
+    }
+
+    /// The buffer of a connection.
+    pub fn buffer(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
+        self.connections.get_mut(id).map(|connection| &mut connection.buffer)
+    }
+
+    /// Bytes that may be read from a connection.
+    pub fn read_capacity(&mut self, id: ConnId) -> usize {
+        self.buffer(id).map_or(0, |buffer| buffer.read_capacity(MAX_INPUT_BYTES))
+    }
+
+    /// Records that so many bytes were written to a connection.
+    pub fn bytes_written(&mut self, id: ConnId, count: usize) {
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        for (attempt, request) in connection.advance_written(count) {
+            self.events.push_back(AttemptEvent::Dispatched(attempt, request));
+        }
+    }
+
+    /// Takes the oldest event that was not taken yet.
+    pub fn next_event(&mut self) -> Option<AttemptEvent> {
+        self.events.pop_front()
+    }
+
+    /// Takes a connection that is up and may have queued attempts, which [`Executors::take_queued`] returns.
+    pub fn next_ready(&mut self) -> Option<ConnId> {
+        self.ready.pop_front()
+    }
+
+    /// Reports an end on which the executor said nothing.
+    fn report_end(&mut self, attempt: AttemptId, outcome: Outcome) {
+        let ended = EndedAttempt::without_report(attempt, outcome);
+        self.events.push_back(AttemptEvent::Ended(Box::new(ended)));
+    }
+}
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -1,5 +1,6 @@
-//! The door of the controller: what happened in, effects out.
+//! The gateway as its event loop sees it: events in, effects out.
 
+use crate::abandonment::AbandonmentCounts;
 use crate::bootstrap::BootstrapConfig;
 use crate::clients;
 use crate::dispatcher::Dispatcher;
@@ -8,140 +9,150 @@
 
 /// A controller on the operators' platform.
 pub struct Platform {
-    flow: Dispatcher,
+    dispatcher: Dispatcher,
 }
 
 impl Platform {
-    /// A controller that has not started.
-    pub fn new(launch: BootstrapConfig, now: i64) -> Platform {
-        Platform { flow: Dispatcher::new(launch, now) }
+    /// Creates a controller that has not started.
+    pub fn new(config: BootstrapConfig, now: i64) -> Platform {
+        Platform { dispatcher: Dispatcher::new(config, now) }
     }
 
-    /// The configuration was replaced: its name service is asked from now on.
+    /// Uses the name service at this address from now on, after the configuration was reloaded.
     pub fn use_resolver(&mut self, now: i64, resolver: SocketAddr) {
-        self.flow.out.now = now;
-        self.flow.turn_to(resolver);
+        self.dispatcher.out.now = now;
+        self.dispatcher.use_resolver(resolver);
     }
 
-    /// Connections and executors that it holds, for whoever looks after its growth.
+    /// Number of connections, executors and queries held, as a measure of growth.
     pub fn connections_in_use(&self) -> usize {
-        self.flow.held()
+        self.dispatcher.resources_in_use()
     }
 
-    /// A fault for a judge to find: what went to executors is forgotten.
+    /// Injects a fault for tests: forgets the request ids used lately.
     #[cfg(feature = "planted")]
     pub fn prune_records(&mut self) {
-        self.flow.forget_spent();
+        self.dispatcher.forget_recent_ids();
     }
 
-    /// What was counted of clients that left while their query waited.
-    pub fn abandonment_counts(&self) -> crate::abandonment::AbandonmentCounts {
-        self.flow.left()
+    /// Counts of clients that left while their query was in flight.
+    pub fn abandonment_counts(&self) -> AbandonmentCounts {
+        self.dispatcher.abandonment_counts()
     }
 
-    fn wire(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
+    fn buffer(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
         match id.owner() {
-            clients::OWNER => self.flow.clients.wire(id),
-            _ => self.flow.executors.wire(id),
+            clients::OWNER => self.dispatcher.clients.buffer(id),
+            _ => self.dispatcher.executors.buffer(id),
         }
     }
+
+    /// Handles new input, or its end.
+    fn handle_input(&mut self, id: ConnId) {
+        match id.owner() {
+            clients::OWNER => self.dispatcher.handle_client_input(id),
+            _ => self.dispatcher.executors.read(id, &mut self.dispatcher.out),
+        }
+    }
+
+    fn handle_received(&mut self, id: ConnId, bytes: &[u8]) {
+        let Some(buffer) = self.buffer(id) else { return };
+        buffer.receive(bytes);
+        self.handle_input(id);
+    }
+
+    fn handle_read_closed(&mut self, id: ConnId) {
+        let Some(buffer) = self.buffer(id) else { return };
+        buffer.read_closed = true;
+        self.handle_input(id);
+    }
+
+    fn handle_client_closing(&mut self, id: ConnId) {
+        let Some(buffer) = self.buffer(id) else { return };
+        buffer.peer_closing = true;
+        self.handle_input(id);
+    }
 }
 
 impl Protocol for Platform {
     fn handle_start(&mut self, now: i64) {
-        self.flow.out.now = now;
-        self.flow.started();
+        self.dispatcher.out.now = now;
+        self.dispatcher.start();
     }
 
     fn accept(&mut self, now: i64, _: Listener) -> Option<ConnId> {
-        self.flow.out.now = now;
-        self.flow.clients.accept(&mut self.flow.out)
-    }
-
-    fn handle_io(&mut self, now: i64, what: IoEvent<'_>) {
-        self.flow.out.now = now;
-        match what {
-            IoEvent::Connected(id) => self.flow.executors.connected(id, &mut self.flow.out),
-            IoEvent::Received(id, bytes) => {
-                let Some(wire) = self.wire(id) else { return };
-                wire.receive(bytes);
-                self.read(id);
+        self.dispatcher.out.now = now;
+        self.dispatcher.clients.accept(&mut self.dispatcher.out)
+    }
+
+    fn handle_io(&mut self, now: i64, event: IoEvent<'_>) {
+        let Dispatcher { out, executors, .. } = &mut self.dispatcher;
+        out.now = now;
+        match event {
+            IoEvent::Connected(id) => executors.handle_connected(id, out),
+            IoEvent::Received(id, bytes) => self.handle_received(id, bytes),
+            IoEvent::Ended(id) => self.handle_read_closed(id),
+            IoEvent::Closing(id) if id.owner() == clients::OWNER => self.handle_client_closing(id),
+            IoEvent::Closing(id) => executors.handle_peer_closing(id, out),
+            IoEvent::Broken { id, .. } if id.owner() == clients::OWNER => {
+                self.dispatcher.handle_client_disconnected(id);
             }
-            IoEvent::Ended(id) => {
-                let Some(wire) = self.wire(id) else { return };
-                wire.read_closed = true;
-                self.read(id);
+            IoEvent::Broken { id, refused: true, .. } => executors.handle_connect_refused(id, out),
+            IoEvent::Broken { id, .. } => executors.handle_broken(id, out),
+            IoEvent::Datagram(DatagramSocket::Peers, from, bytes) => {
+                self.dispatcher.handle_peer_message(from, bytes);
             }
-            IoEvent::Closing(id) if id.owner() == clients::OWNER => {
-                let Some(wire) = self.wire(id) else { return };
-                wire.peer_closing = true;
-                self.read(id);
+            IoEvent::Datagram(DatagramSocket::Discovery, from, bytes) => {
+                self.dispatcher.handle_discovery_answer(from, bytes);
             }
-            IoEvent::Closing(id) => self.flow.executors.closing(id, &mut self.flow.out),
-            IoEvent::Broken { id, .. } if id.owner() == clients::OWNER => self.flow.client_gone(id),
-            IoEvent::Broken { id, refused: true, .. } => self.flow.executors.refused(id, &mut self.flow.out),
-            IoEvent::Broken { id, .. } => self.flow.executors.broken(id, &mut self.flow.out),
-            IoEvent::Datagram(DatagramSocket::Peers, from, bytes) => self.flow.words(from, bytes),
-            IoEvent::Datagram(DatagramSocket::Discovery, from, bytes) => self.flow.resolved(from, bytes),
             IoEvent::Datagram(DatagramSocket::Gossip, ..) => {}
         }
     }
 
     fn begin_shutdown(&mut self, now: i64) {
-        self.flow.out.now = now;
-        self.flow.stop();
+        self.dispatcher.out.now = now;
+        self.dispatcher.begin_shutdown();
     }
 
     fn read_capacity(&mut self, id: ConnId) -> usize {
         match id.owner() {
-            clients::OWNER => self.flow.clients.room(id),
-            _ => self.flow.executors.room(id),
+            clients::OWNER => self.dispatcher.clients.read_capacity(id),
+            _ => self.dispatcher.executors.read_capacity(id),
         }
     }
 
     fn output(&mut self, id: ConnId) -> &[u8] {
-        self.wire(id).map_or(&[], |w| &w.output)
+        self.buffer(id).map_or(&[], |buffer| &buffer.output)
     }
 
-    fn bytes_written(&mut self, now: i64, id: ConnId, n: usize) {
-        self.flow.out.now = now;
+    fn bytes_written(&mut self, now: i64, id: ConnId, count: usize) {
+        let Dispatcher { out, clients, executors, .. } = &mut self.dispatcher;
+        out.now = now;
         match id.owner() {
-            clients::OWNER => self.flow.clients.wrote(id, n, &mut self.flow.out),
-            _ => self.flow.executors.wrote(id, n),
+            clients::OWNER => clients.bytes_written(id, count, out),
+            _ => executors.bytes_written(id, count),
         }
     }
 
     fn next_timer_at(&self) -> Option<i64> {
-        let mind = self.flow.tape.decision_engine().next_timer_at().map(|t| t.0);
-        [mind, self.flow.out.next_timer_at()].into_iter().flatten().min()
+        let driver_timer = self.dispatcher.driver.decision_engine().next_timer_at().map(|at| at.0);
+        let own_timer = self.dispatcher.out.next_timer_at();
+        [driver_timer, own_timer].into_iter().flatten().min()
     }
 
     fn handle_timers(&mut self, now: i64) {
-        self.flow.out.now = now;
-        self.flow.settle();
-        self.flow.tape.handle_timers(now);
-        self.flow.settle();
-        while let Some(wake) = self.flow.out.pop_due_timer() {
-            self.flow.woken(wake);
-            self.flow.settle();
+        self.dispatcher.out.now = now;
+        self.dispatcher.process_events();
+        self.dispatcher.driver.handle_timers(now);
+        self.dispatcher.process_events();
+        while let Some(event) = self.dispatcher.out.pop_due_timer() {
+            self.dispatcher.handle_timer(event);
+            self.dispatcher.process_events();
         }
     }
 
     fn take_effects(&mut self, into: &mut Vec<Effect>) {
-        self.flow.settle();
-        self.flow.out.take(into);
-    }
-}
-
-impl Platform {
-    /// Something came on a connection. Clients are heard once all of this turn is known: whose client has left goes nowhere.
-    fn read(&mut self, id: ConnId) {
-        match id.owner() {
-            clients::OWNER => {
-                self.flow.clients.came(id);
-                self.flow.ready.push_back(id);
-            }
-            _ => self.flow.executors.read(id, &mut self.flow.out),
-        }
+        self.dispatcher.process_events();
+        self.dispatcher.out.take(into);
     }
 }
--- a/crates/platform/src/in_flight.rs
+++ b/crates/platform/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! The queries in hand: whose they are, and what goes to executors for them.
+//! Queries in flight: those accepted from clients and not answered yet, and request ids used lately.
 
 use crate::executor_protocol::RequestId;
 use bytes::Bytes;
@@ -6,119 +6,129 @@
 use wheelfield::interface::QueryId;
 use wheelfield_sans_io::ConnId;
 
-/// Ids that went to an executor lately and must not go again for another call: so many of those that do no harm run twice, and so
-/// many of the others, lest a flood of the first push out the second.
+/// Request ids sent to executors that are remembered, so that they are not used again for another query. Idempotent queries and
+/// others are counted apart, so that many of the first do not displace the second.
 const MAX_RECENT_IDS: usize = 8_192;
 
-/// A query in hand.
+/// A query in flight.
 #[derive(Debug)]
 pub struct InFlightQuery {
-    /// Who waits for it.
+    /// Connection of the client that sent it.
     pub client: ConnId,
-    /// Its id on the wire.
+    /// Id of its request.
     pub id: RequestId,
-    /// Its class, by position.
+    /// Its class, by position in the settings.
     pub class: usize,
     /// Its statement.
     pub statement: Bytes,
-    /// By what executors know a repeat of it.
+    /// Key by which executors recognise a repetition.
     pub nonce: Option<String>,
-    /// It may run twice.
-    pub harmless: bool,
-    /// Something of it is with an executor.
-    pub out: bool,
+    /// Whether it may run twice.
+    pub is_idempotent: bool,
+    /// Whether an executor has an attempt of it.
+    pub is_at_executor: bool,
 }
 
-/// All queries whose answer is owed: at most one for each client.
+/// All queries in flight, at most one for each client.
 #[derive(Debug, Default)]
 pub struct InFlightQueries {
     by_query: BTreeMap<QueryId, InFlightQuery>,
     by_client: BTreeMap<ConnId, QueryId>,
     ids: BTreeSet<RequestId>,
-    harmless: RecentIds,
-    others: RecentIds,
+    recent_idempotent: RecentIds,
+    recent_others: RecentIds,
 }
 
-/// Ids that went to an executor, the last of them.
+/// The request ids that were sent to executors last.
 #[derive(Debug, Default)]
 struct RecentIds {
-    all: BTreeSet<RequestId>,
-    oldest: VecDeque<RequestId>,
+    ids: BTreeSet<RequestId>,
+    oldest_first: VecDeque<RequestId>,
 }
 
 impl RecentIds {
-    fn put(&mut self, id: RequestId) {
-        if self.all.insert(id) {
-            self.oldest.push_back(id);
+    fn insert(&mut self, id: RequestId) {
+        if self.ids.insert(id) {
+            self.oldest_first.push_back(id);
         }
-        if self.oldest.len() > MAX_RECENT_IDS {
-            let oldest = self.oldest.pop_front();
-            oldest.map(|id| self.all.remove(&id));
+        if self.oldest_first.len() > MAX_RECENT_IDS {
+            if let Some(oldest) = self.oldest_first.pop_front() {
+                self.ids.remove(&oldest);
+            }
         }
     }
 }
 
 impl InFlightQueries {
-    /// Whether an id is in use, or was lately: the query under it may run, or have run.
-    pub fn uses(&self, id: RequestId) -> bool {
-        self.ids.contains(&id) || self.harmless.all.contains(&id) || self.others.all.contains(&id)
+    /// Whether a request id is in use or was used lately: the query under it may run, or have run.
+    pub fn is_id_used(&self, id: RequestId) -> bool {
+        self.ids.contains(&id)
+            || self.recent_idempotent.ids.contains(&id)
+            || self.recent_others.ids.contains(&id)
     }
 
-    /// A query was taken.
-    pub fn put(&mut self, query: QueryId, what: InFlightQuery) {
-        self.ids.insert(what.id);
-        self.by_client.insert(what.client, query);
-        self.by_query.insert(query, what);
+    /// Adds a query that was accepted.
+    pub fn insert(&mut self, query: QueryId, in_flight: InFlightQuery) {
+        self.ids.insert(in_flight.id);
+        self.by_client.insert(in_flight.client, query);
+        self.by_query.insert(query, in_flight);
     }
 
-    /// A query in hand.
+    /// A query in flight.
     pub fn get(&self, query: QueryId) -> Option<&InFlightQuery> {
         self.by_query.get(&query)
     }
 
-    /// Nothing of a query is with an executor any more.
-    pub fn is_back(&mut self, query: QueryId) {
-        if let Some(what) = self.by_query.get_mut(&query) {
-            what.out = false;
-        }
-    }
-
-    /// A fault for a judge to find.
-    #[cfg(feature = "planted")]
-    pub fn forget_spent(&mut self) {
-        (self.harmless, self.others) = (RecentIds::default(), RecentIds::default());
-    }
-
     /// The query that a client waits for.
-    pub fn of(&self, client: ConnId) -> Option<QueryId> {
+    pub fn query_of(&self, client: ConnId) -> Option<QueryId> {
         self.by_client.get(&client).copied()
     }
 
-    /// The first byte of a query went to an executor, under this id.
-    pub fn begun(&mut self, query: QueryId, id: RequestId) {
-        let what = self.by_query.get_mut(&query);
-        let harmless = what.is_some_and(|what| {
-            what.out = true;
-            what.harmless
-        });
-        if harmless { &mut self.harmless } else { &mut self.others }.put(id);
+    /// Records that the first byte of a query was sent to an executor under this request id.
+    pub fn mark_dispatched(&mut self, query: QueryId, id: RequestId) {
+        let mut is_idempotent = false;
+        if let Some(in_flight) = self.by_query.get_mut(&query) {
+            in_flight.is_at_executor = true;
+            is_idempotent = in_flight.is_idempotent;
+        }
+        let recent = if is_idempotent { &mut self.recent_idempotent } else { &mut self.recent_others };
+        recent.insert(id);
+    }
+
+    /// Records that no executor has an attempt of a query any more.
+    pub fn mark_returned(&mut self, query: QueryId) {
+        if let Some(in_flight) = self.by_query.get_mut(&query) {
+            in_flight.is_at_executor = false;
+        }
     }
 
-    /// The answer of a query is told, or nobody is owed one.
-    pub fn take(&mut self, query: QueryId) -> Option<InFlightQuery> {
-        let what = self.by_query.remove(&query)?;
-        self.by_client.remove(&what.client);
-        self.ids.remove(&what.id);
-        Some(what)
+    /// Removes a query that is answered, or whose client has left.
+    pub fn remove(&mut self, query: QueryId) -> Option<InFlightQuery> {
+        let in_flight = self.by_query.remove(&query)?;
+        self.by_client.remove(&in_flight.client);
+        self.ids.remove(&in_flight.id);
+        Some(in_flight)
     }
 
-    /// All of them.
+    /// The numbers of all queries in flight, in order.
     pub fn queries(&self) -> Vec<QueryId> {
         self.by_query.keys().copied().collect()
     }
 
-    /// How many there are.
+    /// Number of queries in flight.
     pub fn len(&self) -> usize {
         self.by_query.len()
     }
+
+    /// Whether there is none.
+    pub fn is_empty(&self) -> bool {
+        self.by_query.is_empty()
+    }
+
+    /// Injects a fault for tests: forgets the request ids used lately.
+    #[cfg(feature = "planted")]
+    pub fn forget_recent_ids(&mut self) {
+        self.recent_idempotent = RecentIds::default();
+        self.recent_others = RecentIds::default();
+    }
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,12 +1,12 @@
-//! The operators' platform protocol: a whole controller without system calls. What happened goes in, with the time; what is to
-//! be done comes out.
+//! The operators' platform protocol: a complete controller without system calls. Events go in with the time, effects come out.
 //!
-//! [`Platform`] has the same door as the controller of PostgreSQL clients ([`wheelfield_sans_io::Protocol`]), and the same shell
-//! carries out what it wants. Clients speak HTTP/1.1 (`front`, `clients`), executors lines of words (`lines`, `executors`), the
-//! name service DNS (`names`), other controllers datagrams (`peers`). A result is fetched whole before its client is told
-//! anything, so that one that is lost on the way can be tried again (`rows`). `flow` hands the words of one room to the others.
+//! [`Platform`] implements [`wheelfield_sans_io::Protocol`], like the gateway of PostgreSQL clients, and runs in the same event
+//! loop. Clients speak HTTP/1.1 (`http_server`, `clients`), executors a protocol of lines (`executor_protocol`, `executors`), the
+//! name service DNS (`discovery`), and other controllers exchange datagrams (`peers`). A result is fetched completely before its
+//! client receives any of it, so that one that is lost on the way can be retried (`result_pages`). The `dispatcher` passes events
+//! between these parts.
 //!
-//! Nothing here decides whether a query enters, where it goes or whether it is tried again: that comes as instructions of the
+//! Nothing here decides whether a query is admitted, where it is sent or whether it is retried: that comes as instructions of the
 //! [`wheelfield_driver::Driver`].
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -24,8 +24,9 @@
 mod peers;
 mod result_pages;
 mod shutdown;
-mod tables;
+mod table_group;
 mod timer_event;
 
-pub use bootstrap::{BootstrapConfig, BootstrapError, ExecutorEndpoint, ResourceLimits};
+pub use abandonment::AbandonmentCounts;
+pub use bootstrap::{BootstrapConfig, BootstrapError, ExecutorEndpoint, ProtocolLimits, ResourceLimits};
 pub use gateway::Platform;
--- a/crates/platform/src/peers.rs
+++ b/crates/platform/src/peers.rs
@@ -1,4 +1,4 @@
-//! Words between controllers: one datagram each, of the module's words alone.
+//! Load reports exchanged with other controllers, one datagram each.
 
 use std::net::SocketAddr;
 use wheelfield::interface::{EngineId, PeerLoadReport};
@@ -8,30 +8,41 @@
 #[derive(Debug, Default)]
 pub struct Peers {
     others: Vec<SocketAddr>,
-    all: Option<SocketAddr>,
+    broadcast: Option<SocketAddr>,
 }
 
 impl Peers {
-    /// All controllers by number, the one of this `index` is this one; `all` reaches every one.
-    pub fn new(peers: &[SocketAddr], index: usize, all: Option<SocketAddr>) -> Peers {
-        let others = peers.iter().enumerate().filter(|(n, _)| *n != index).map(|(_, at)| *at).collect();
-        Peers { others, all }
+    /// Takes the addresses of all controllers by number, the one at `own_index` being this controller, and an address that
+    /// reaches all of them, where there is one.
+    pub fn new(controllers: &[SocketAddr], own_index: usize, broadcast: Option<SocketAddr>) -> Peers {
+        let others = controllers.iter().enumerate().filter(|(index, _)| *index != own_index);
+        Peers { others: others.map(|(_, address)| *address).collect(), broadcast }
     }
 
-    /// What is to be sent, and to whom.
-    pub fn tell(&self, words: &[PeerLoadReport]) -> (Vec<u8>, Vec<SocketAddr>) {
-        let to = self.all.map_or_else(|| self.others.clone(), |all| vec![all]);
-        (message(words), to)
+    /// Encodes a message of load reports.
+    pub fn encode(&self, reports: &[PeerLoadReport]) -> Vec<u8> {
+        message(reports)
     }
 
-    /// What was told of the engines known; none if it came from no other controller, or is too long.
-    pub fn hear<'a>(
+    /// The addresses that a message is sent to.
+    pub fn recipients(&self) -> Vec<SocketAddr> {
+        match self.broadcast {
+            Some(address) => vec![address],
+            None => self.others.clone(),
+        }
+    }
+
+    /// Decodes the reports on known engines in a message; `None` if there are none, if it does not come from another
+    /// controller, or if it is too long.
+    pub fn decode<'a>(
         &self,
         from: SocketAddr,
-        known: impl Iterator<Item = &'a EngineId> + Clone,
-        bytes: &[u8],
+        known_engines: impl Iterator<Item = &'a EngineId> + Clone,
+        datagram: &[u8],
     ) -> Option<Vec<PeerLoadReport>> {
-        let ours = self.others.contains(&from) && bytes.len() <= LONGEST_MESSAGE;
-        ours.then(|| words(known, bytes)).filter(|words| !words.is_empty())
+        if !self.others.contains(&from) || datagram.len() > LONGEST_MESSAGE {
+            return None;
+        }
+        Some(words(known_engines, datagram)).filter(|reports| !reports.is_empty())
     }
 }
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -1,61 +1,79 @@
-//! The end: clients that do not know of it yet are served as before for a while.
+//! The phases of a graceful shutdown. Clients that do not know of it yet are served as before during a grace period.
 
-/// After the word to stop, connections arrive for 0.4 s and calls on them for 0.2 s more; a call that crosses the end of its
-/// connection is another 50 ms on its way. In microseconds.
+/// Time after the request to shut down during which clients may connect (0.4 s) and send requests (0.2 s more), and a request
+/// that crosses the close of its connection may arrive (0.1 s more), in microseconds.
 const GRACE_PERIOD_US: i64 = 700_000;
-/// Who rests is closed then. A call that crosses the end of its connection comes again on a new one: for so long that is still
-/// taken, in microseconds.
+/// Time after the grace period during which connections are accepted, in microseconds: idle connections are closed at its end,
+/// and a request that crosses the close of its connection is repeated on a new one.
 const RECONNECT_PERIOD_US: i64 = 100_000;
-/// After [`GRACE_PERIOD_US`] the process may run on for the longest deadline, counted as so long where it is longer; then it is killed. In
-/// microseconds.
+/// Maximum time that the process may run on after the grace period, in microseconds. Where the longest deadline of all classes
+/// is shorter, that is the maximum. After it the process is killed.
 const MAX_DEADLINE_US: i64 = 3_000_000;
-/// What is still in hand has its answer so long before, in microseconds: the word to stop was heard some time after it was sent, and
-/// answers have a network before them.
+/// Time before the process may be killed at which all queries are answered, in microseconds: the request to shut down was
+/// received some time after it was sent, and responses have to cross a network.
 const RESPONSE_MARGIN_US: i64 = 100_000;
-/// What goes out may take so long in all, in microseconds, where nobody kills the process.
+/// Maximum time that writing responses may take after the request to shut down, in microseconds, where nothing kills the process.
 const MAX_FLUSH_TIME_US: i64 = 60_000_000;
 
-/// How far the end has come.
+/// The state of the shutdown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Shutdown {
-    since: Option<i64>,
+    /// Time of the request to shut down, in microseconds.
+    requested_at: Option<i64>,
     /// The longest deadline of all classes, in microseconds.
-    deadline: i64,
+    longest_deadline_us: i64,
+}
+
+/// Times of the phases of a shutdown, in microseconds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ShutdownSchedule {
+    /// When idle clients are closed.
+    pub close_idle_at: i64,
+    /// When listening ends.
+    pub stop_listening_at: i64,
+    /// When all queries in flight are answered.
+    pub respond_by: i64,
 }
 
 impl Shutdown {
-    /// Not asked to stop; no class has a longer deadline than this, in microseconds.
-    pub fn new(deadline: i64) -> Shutdown {
-        Shutdown { since: None, deadline }
+    /// A shutdown that has not been requested. No class has a longer deadline than this, in microseconds.
+    pub fn new(longest_deadline_us: i64) -> Shutdown {
+        Shutdown { requested_at: None, longest_deadline_us }
     }
 
-    /// When all must have their answers; none before the word to stop.
-    pub fn last(&self) -> Option<i64> {
-        self.since.map(|since| {
-            since + GRACE_PERIOD_US + self.deadline.clamp(0, MAX_DEADLINE_US) - RESPONSE_MARGIN_US
+    /// Requests the shutdown; `None` if it was requested before.
+    pub fn begin(&mut self, now: i64) -> Option<ShutdownSchedule> {
+        if self.has_begun() {
+            return None;
+        }
+        self.requested_at = Some(now);
+        Some(ShutdownSchedule {
+            close_idle_at: now + GRACE_PERIOD_US,
+            stop_listening_at: now + GRACE_PERIOD_US + RECONNECT_PERIOD_US,
+            respond_by: self.response_deadline()?,
         })
     }
 
-    /// The word to stop; when clients have had their time to come, and when those have who crossed the end of their connection
-    /// then. None if it had come before.
-    pub fn begin(&mut self, now: i64) -> Option<(i64, i64)> {
-        let first = self.since.is_none();
-        self.since = self.since.or(Some(now));
-        first.then_some((now + GRACE_PERIOD_US, now + GRACE_PERIOD_US + RECONNECT_PERIOD_US))
+    /// When all queries must be answered; `None` before the shutdown was requested.
+    pub fn response_deadline(&self) -> Option<i64> {
+        let deadline = self.longest_deadline_us.clamp(0, MAX_DEADLINE_US);
+        Some(self.requested_at? + GRACE_PERIOD_US + deadline - RESPONSE_MARGIN_US)
     }
 
-    /// The word has come.
-    pub fn begun(&self) -> bool {
-        self.since.is_some()
+    /// Whether the shutdown was requested.
+    pub fn has_begun(&self) -> bool {
+        self.requested_at.is_some()
     }
 
-    /// Nobody comes any more.
-    pub fn nobody_comes(&self, now: i64) -> bool {
-        self.since.is_some_and(|since| now - since >= GRACE_PERIOD_US)
+    /// Whether no client is expected to connect any more.
+    pub fn is_grace_period_over(&self, now: i64) -> bool {
+        self.requested_at.is_some_and(|requested_at| now - requested_at >= GRACE_PERIOD_US)
     }
 
-    /// All is over, where so much is `owed`.
-    pub fn over(&self, now: i64, owed: bool) -> bool {
-        self.nobody_comes(now) && (!owed || self.since.is_some_and(|since| now - since >= MAX_FLUSH_TIME_US))
+    /// Whether the process may end, where responses may be outstanding.
+    pub fn is_complete(&self, now: i64, has_outstanding: bool) -> bool {
+        let is_flush_overdue =
+            self.requested_at.is_some_and(|requested_at| now - requested_at >= MAX_FLUSH_TIME_US);
+        self.is_grace_period_over(now) && (!has_outstanding || is_flush_overdue)
     }
 }
--- a/crates/platform/src/timer_event.rs
+++ b/crates/platform/src/timer_event.rs
@@ -1,4 +1,4 @@
-//! What a timer is for.
+//! The purposes of timers.
 
 use wheelfield_driver::AttemptId;
 use wheelfield_sans_io::ConnId;
@@ -6,18 +6,18 @@
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimerEvent {
-    /// The name service is asked again.
+    /// The list of executors is requested from the name service.
     QueryDiscovery,
-    /// Connections are looked through.
+    /// The timeouts of all connections are checked.
     CheckConnections,
-    /// An executor must have let us in.
+    /// The connect timeout of a connection to an executor.
     ConnectTimeout(ConnId),
-    /// An executor knows of the end of a connection that carried this query.
+    /// An attempt was delayed until its executor knows of the end of a connection.
     ReleaseDelayed(AttemptId),
-    /// Clients had their time to come: who rests is closed.
+    /// The grace period of the shutdown is over: idle clients are closed.
     CloseIdleClients,
-    /// So had those whose call crossed that.
+    /// Clients whose request crossed that close have reconnected: listening ends.
     StopListening,
-    /// The process may be killed soon: what is in hand has its answer now.
+    /// The process may be killed soon: all queries in flight are answered now.
     ShutdownDeadline,
 }
--- a/crates/platform/tests/clients.rs
+++ b/crates/platform/tests/clients.rs
@@ -320,7 +320,7 @@
     assert!(rig.read(fresh).is_empty());
     assert_eq!(rig.read(executor), format!("STOP {}\r\n", id(1)));
     let left = rig.platform.abandonment_counts();
-    assert_eq!((left.waiting, left.sent_on, left.sent_late), (1, 0, 0));
+    assert_eq!((left.waiting, left.forwarded, left.forwarded_late), (1, 0, 0));
 }
 
 /// Who rests for longest is closed for a new one just as it asks: its call finds nobody, and comes again under its id.
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -73,7 +73,7 @@
     }
 
     pub fn of(config: &str) -> Rig {
-        let launch = BootstrapConfig::read(config).expect("sound");
+        let launch = BootstrapConfig::parse(config).expect("sound");
         let now = 1_000_000_000;
         let mut rig = Rig {
             platform: Platform::new(launch, now),
--- a/crates/platform/tests/interleavings.rs
+++ b/crates/platform/tests/interleavings.rs
@@ -376,7 +376,7 @@
         for asked in self.asked.iter_mut().filter(|a| a.end.is_none()) {
             (asked.end, asked.ended) = (Some(End::NoAnswer), self.rig.now);
         }
-        let launch = BootstrapConfig::read(&config(Vec::new(), 256)).expect("sound");
+        let launch = BootstrapConfig::parse(&config(Vec::new(), 256)).expect("sound");
         let of = |name: &str| OfClass { name: name.to_string(), usual_work: 0.1, ..OfClass::default() };
         let lives = [Life { controller: 0, from: 0, killed: None, stalls: Vec::new(), entered: false }];
         let evidence = Evidence {
@@ -392,7 +392,7 @@
         };
         let mut broken: Vec<String> =
             judge(&evidence).iter().map(|b| format!("{}: {}", b.rule, b.what)).collect();
-        let late = self.rig.platform.abandonment_counts().sent_late;
+        let late = self.rig.platform.abandonment_counts().forwarded_late;
         if late > 0 {
             broken.push(format!("{late} sent on for clients that had left"));
         }
--- a/crates/platform/tests/settings.rs
+++ b/crates/platform/tests/settings.rs
@@ -37,7 +37,7 @@
 
 /// All that the program makes of a configuration.
 fn read(file: &Value) -> String {
-    format!("{:?}", BootstrapConfig::read(&file.to_string()).unwrap_or_else(|fault| panic!("{fault}")))
+    format!("{:?}", BootstrapConfig::parse(&file.to_string()).unwrap_or_else(|fault| panic!("{fault}")))
 }
 
 /// Another value that may stand in its place.
@@ -116,7 +116,7 @@
     settings["ceilings"]["max_streams"] = json!(32.0);
     settings["more"] = json!({"of": ["any", 1]});
     settings["grades"][0]["more"] = json!(1);
-    let launch = BootstrapConfig::read(&file.to_string()).expect("sound");
+    let launch = BootstrapConfig::parse(&file.to_string()).expect("sound");
     let class = &launch.settings.classes[0];
     assert!(
         !class.ordered_by_key
@@ -124,7 +124,7 @@
             && class.kinds.is_empty()
             && class.zones.is_empty()
     );
-    assert!(launch.settings.retry_budget.is_none() && launch.ceilings.max_streams == 32);
+    assert!(launch.settings.retry_budget.is_none() && launch.protocol_limits.max_streams == 32);
 }
 
 #[test]
@@ -140,7 +140,7 @@
     ] {
         let mut file = whole();
         *place(&mut file, key) = value;
-        let told = BootstrapConfig::read(&file.to_string()).expect_err("it can't be used").to_string();
+        let told = BootstrapConfig::parse(&file.to_string()).expect_err("it can't be used").to_string();
         assert!(told.contains(named) && told.lines().count() == 1, "{key}: {told}");
     }
 }
