--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A controller without sockets, and scripted clients, executors and a name service around it.
+//! A harness around a controller without sockets: scripted clients, executors and a name service.
 #![allow(dead_code)]
 
 use hickory_proto::op::{Message, MessageType, OpCode, Query, ResponseCode};
@@ -11,32 +11,38 @@
 
 pub const RESOLVER: &str = "127.9.0.1:1053";
 
-/// The controller and what it wants of the outside.
-pub struct Rig {
+/// The controller, and the effects that it has asked for.
+pub struct Harness {
     pub platform: Platform,
+    /// The time in microseconds.
     pub now: i64,
-    /// What was written on each connection and not taken yet.
+    /// Bytes written to each connection and not taken yet.
     pub written: BTreeMap<ConnId, Vec<u8>>,
-    /// Connects wanted and not answered yet.
+    /// Connects that are neither completed nor refused.
     pub connects: Vec<(ConnId, SocketAddr)>,
+    /// Connections that the controller has closed, in order.
     pub closed: Vec<ConnId>,
+    /// Datagrams sent.
     pub datagrams: Vec<(DatagramSocket, SocketAddr, Vec<u8>)>,
+    /// Whether the controller accepts clients.
     pub listening: bool,
+    /// Whether the controller has ended.
     pub stopped: bool,
-    /// Calls of clients that wait in the backlog, and are taken as listening ends; and those who asked.
+    /// Requests of clients that are accepted as listening ends.
     pub backlog: Vec<String>,
-    pub taken_late: Vec<ConnId>,
-    /// Of what is to go, only so many bytes do.
-    pub partial: Option<usize>,
+    /// The connections of these clients.
+    pub accepted_late: Vec<ConnId>,
+    /// Maximum number of bytes taken by each write; `None` for all.
+    pub write_limit: Option<usize>,
 }
 
-/// An executor of a configuration: its name and the last byte of its address.
-pub fn server(name: &str, last: u8, state: &str) -> serde_json::Value {
+/// An executor of a configuration, by its name and the last byte of its address.
+pub fn executor_entry(name: &str, last: u8, state: &str) -> serde_json::Value {
     serde_json::json!({"id": name, "addr": format!("127.1.0.{last}:6565"), "zone": "z", "kind": "std", "cell": 0,
         "state": state, "weight": 8.0, "started_ms": 0})
 }
 
-/// A configuration with classes `look` (safe) and `load` (never twice).
+/// A configuration with the classes `look` (idempotent) and `load` (at most once).
 pub fn config(servers: Vec<serde_json::Value>, sockets: usize) -> String {
     let class = |name: &str, effect: &str| {
         serde_json::json!({"name": name, "on_time_us": 500_000, "give_up_us": 3_000_000, "gain": 1.0, "late_value": 0.0,
@@ -65,18 +71,19 @@
     .to_string()
 }
 
-impl Rig {
-    /// A controller that knows so many executors, named e1, e2, ...
-    pub fn new(executors: u8) -> Rig {
-        let servers = (1..=executors).map(|n| server(&format!("e{n}"), n, "ready")).collect();
-        Rig::of(&config(servers, 256))
+impl Harness {
+    /// A controller with so many executors, named e1, e2 and so on.
+    pub fn new(executors: u8) -> Harness {
+        let servers = (1..=executors).map(|n| executor_entry(&format!("e{n}"), n, "ready")).collect();
+        Harness::with_config(&config(servers, 256))
     }
 
-    pub fn of(config: &str) -> Rig {
-        let launch = BootstrapConfig::parse(config).expect("sound");
+    /// A controller with this configuration.
+    pub fn with_config(config: &str) -> Harness {
+        let config = BootstrapConfig::parse(config).expect("valid");
         let now = 1_000_000_000;
-        let mut rig = Rig {
-            platform: Platform::new(launch, now),
+        let mut harness = Harness {
+            platform: Platform::new(config, now),
             now,
             written: BTreeMap::new(),
             connects: Vec::new(),
@@ -85,16 +92,16 @@
             listening: true,
             stopped: false,
             backlog: Vec::new(),
-            taken_late: Vec::new(),
-            partial: None,
+            accepted_late: Vec::new(),
+            write_limit: None,
         };
-        rig.platform.handle_start(now);
-        rig.turn();
-        rig
+        harness.platform.handle_start(now);
+        harness.run_effects();
+        harness
     }
 
-    /// Carries out all that is wanted.
-    pub fn turn(&mut self) {
+    /// Carries out all effects.
+    pub fn run_effects(&mut self) {
         let mut effects = Vec::new();
         loop {
             self.platform.take_effects(&mut effects);
@@ -106,7 +113,7 @@
                     Effect::Connect(id, to) => self.connects.push((id, to)),
                     Effect::Write(id) => {
                         let mut bytes = self.platform.output(id).to_vec();
-                        bytes.truncate(self.partial.unwrap_or(bytes.len()));
+                        bytes.truncate(self.write_limit.unwrap_or(bytes.len()));
                         self.platform.bytes_written(self.now, id, bytes.len());
                         self.written.entry(id).or_default().extend(bytes);
                     }
@@ -115,13 +122,13 @@
                     Effect::Send(port, to, bytes) => self.datagrams.push((port, to, bytes)),
                     Effect::StopListening => {
                         for call in std::mem::take(&mut self.backlog) {
-                            let id = self.platform.accept(self.now, Listener::Clients).expect("room");
+                            let id = self.platform.accept(self.now, Listener::Clients).expect("capacity");
                             self.platform.handle_io(self.now, IoEvent::Received(id, call.as_bytes()));
-                            self.taken_late.push(id);
+                            self.accepted_late.push(id);
                         }
                         self.listening = false;
                     }
-                    // Nothing more is done from here on.
+                    // Later effects are not carried out.
                     _ if self.stopped => {}
                     Effect::Stopped => self.stopped = true,
                 }
@@ -129,73 +136,78 @@
         }
     }
 
-    /// Lets so many microseconds pass, all timers at their time.
-    pub fn pass(&mut self, micros: i64) {
+    /// Advances the time by so many microseconds, with all timers at their time.
+    pub fn advance(&mut self, micros: i64) {
         let until = self.now + micros;
         loop {
             let due = self.platform.next_timer_at().filter(|at| *at <= until);
             self.now = due.unwrap_or(until).max(self.now);
             self.platform.handle_timers(self.now);
-            self.turn();
+            self.run_effects();
             if due.is_none() {
                 return;
             }
         }
     }
 
-    pub fn tell(&mut self, what: IoEvent<'_>) {
-        self.platform.handle_io(self.now, what);
-        self.turn();
+    /// Passes an event to the controller and carries out the effects.
+    pub fn handle_io(&mut self, event: IoEvent<'_>) {
+        self.platform.handle_io(self.now, event);
+        self.run_effects();
     }
 
-    pub fn client(&mut self) -> ConnId {
-        let id = self.platform.accept(self.now, Listener::Clients).expect("room");
-        self.turn();
+    /// Connects a client.
+    pub fn connect_client(&mut self) -> ConnId {
+        let id = self.platform.accept(self.now, Listener::Clients).expect("capacity");
+        self.run_effects();
         id
     }
 
-    pub fn says(&mut self, id: ConnId, text: &str) {
-        self.bytes(id, text.as_bytes());
+    /// Has the controller receive text on a connection.
+    pub fn receive(&mut self, id: ConnId, text: &str) {
+        self.receive_bytes(id, text.as_bytes());
     }
 
-    pub fn bytes(&mut self, id: ConnId, bytes: &[u8]) {
-        self.tell(IoEvent::Received(id, bytes));
+    /// Has the controller receive bytes on a connection.
+    pub fn receive_bytes(&mut self, id: ConnId, bytes: &[u8]) {
+        self.handle_io(IoEvent::Received(id, bytes));
     }
 
-    /// What was written on a connection since the last look.
-    pub fn read(&mut self, id: ConnId) -> String {
+    /// Takes what was written to a connection since the last call.
+    pub fn take_written(&mut self, id: ConnId) -> String {
         String::from_utf8(self.written.remove(&id).unwrap_or_default()).expect("text")
     }
 
-    /// Lets the connects that are wanted through; the connections that have come up.
-    pub fn connect(&mut self) -> Vec<ConnId> {
+    /// Completes all connects; the connections that have come up.
+    pub fn complete_connects(&mut self) -> Vec<ConnId> {
         let mut up = Vec::new();
         while !self.connects.is_empty() {
             let (id, _) = self.connects.remove(0);
-            self.tell(IoEvent::Connected(id));
+            self.handle_io(IoEvent::Connected(id));
             up.push(id);
         }
         up
     }
 
-    /// A client with a query, and the connection to the executor that has it, with the request as written.
-    pub fn asked(&mut self, class: &str, id: &str) -> (ConnId, ConnId, String) {
-        let client = self.client();
-        self.says(client, &post(class, id, ""));
-        self.connect();
-        let (executor, line) = self.request().expect("sent to an executor");
+    /// Sends a query by a new client, and completes connects: the client, the connection to the executor that has the query, and
+    /// the request as written.
+    pub fn forward_query(&mut self, class: &str, id: &str) -> (ConnId, ConnId, String) {
+        let client = self.connect_client();
+        self.receive(client, &query_request(class, id, ""));
+        self.complete_connects();
+        let (executor, line) = self.take_request().expect("sent to an executor");
         (client, executor, line)
     }
 
-    /// The request that was written to an executor and not looked at yet.
-    pub fn request(&mut self) -> Option<(ConnId, String)> {
+    /// Takes a request or cancellation that was written to an executor.
+    pub fn take_request(&mut self) -> Option<(ConnId, String)> {
         let conn = *self.written.iter().find(|(_, w)| w.starts_with(b"REQ ") || w.starts_with(b"STOP "))?.0;
-        Some((conn, self.read(conn)))
+        Some((conn, self.take_written(conn)))
     }
 }
 
-/// A call that runs a statement.
-pub fn post(class: &str, id: &str, more: &str) -> String {
+/// An HTTP request with a query; `more` holds further headers.
+pub fn query_request(class: &str, id: &str, more: &str) -> String {
     let statement = "SELECT a, b, c FROM sales_17.orders";
     format!(
         "POST /rpc/{class} HTTP/1.1\r\nHost: x\r\nX-Request-Id: {id}\r\nX-Timeout-Ms: 2000\r\nX-Cost-Ms: 100.0\r\n{more}Content-Length: {}\r\n\r\n{statement}",
@@ -203,18 +215,18 @@
     )
 }
 
-/// An id of a request.
-pub fn id(n: u64) -> String {
+/// A request id.
+pub fn request_id(n: u64) -> String {
     format!("{n:016x}")
 }
 
-/// The status of an answer.
+/// The status of an HTTP response.
 pub fn status(answer: &str) -> u16 {
     answer.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
 }
 
-/// An answer of the name service to a question of ours: its executors by name and last byte, at an event.
-pub fn names(question: &[u8], serial: u32, executors: &[(&str, u8, u16)]) -> Message {
+/// An answer of the name service to a query: executors by name, last byte of the address and priority, with a serial number.
+pub fn dns_answer(question: &[u8], serial: u32, executors: &[(&str, u8, u16)]) -> Message {
     let asked = Message::from_vec(question).expect("a question");
     let mut answer = Message::new(asked.metadata.id, MessageType::Response, OpCode::Query);
     answer.metadata.response_code = ResponseCode::NoError;
--- a/crates/platform/tests/executors.rs
+++ b/crates/platform/tests/executors.rs
@@ -5,13 +5,13 @@
 use wheelfield_sans_io::{ConnId, IoEvent, Protocol};
 
 fn hit(n: u64) -> String {
-    format!("{} HIT pages=1,cost=100.0,meter=util:0.3 6\r\na\t1\tx\n\r\n", id(n))
+    format!("{} HIT pages=1,cost=100.0,meter=util:0.3 6\r\na\t1\tx\n\r\n", request_id(n))
 }
 
 /// What is spoilt: each answer ends its connection, costs no memory, and is never passed on.
 #[test]
-fn a_spoilt_answer_ends_its_connection_and_a_safe_query_is_tried_again() {
-    let one = id(1);
+fn an_invalid_response_closes_its_connection_and_an_idempotent_query_is_retried() {
+    let one = request_id(1);
     let spoilt: &[String] = &[
         "noise\r\n".into(),
         "\r\n".into(),
@@ -31,268 +31,274 @@
     ];
     for answer in spoilt {
         for class in ["look", "load"] {
-            let mut rig = Rig::new(1);
-            let (client, executor, _) = rig.asked(class, &one);
-            rig.says(executor, answer);
-            assert!(rig.closed.contains(&executor), "{answer:?}");
-            rig.pass(30_000);
-            let again = rig.connect();
+            let mut harness = Harness::new(1);
+            let (client, executor, _) = harness.forward_query(class, &one);
+            harness.receive(executor, answer);
+            assert!(harness.closed.contains(&executor), "{answer:?}");
+            harness.advance(30_000);
+            let again = harness.complete_connects();
             assert_eq!(again.len(), usize::from(class == "look"), "{answer:?}");
             match again.first() {
                 Some(other) => {
-                    assert!(rig.read(*other).starts_with(&format!("REQ {one} ")));
-                    rig.says(*other, &hit(1));
-                    assert_eq!(status(&rig.read(client)), 200);
+                    assert!(harness.take_written(*other).starts_with(&format!("REQ {one} ")));
+                    harness.receive(*other, &hit(1));
+                    assert_eq!(status(&harness.take_written(client)), 200);
                 }
                 // It may have run, and must not twice.
-                None => assert_eq!(status(&rig.read(client)), 500, "{answer:?}"),
+                None => assert_eq!(status(&harness.take_written(client)), 500, "{answer:?}"),
             }
         }
     }
 }
 
 #[test]
-fn an_answer_that_stops_short_or_whose_pages_do_not_come_is_given_up_long_before_the_deadline() {
+fn an_incomplete_response_is_abandoned_long_before_the_deadline() {
     for begun in ["HIT pages=1 600\r\na\t1", "HIT pages=2 6\r\na\t1\tx\n\r\n"] {
-        let mut rig = Rig::new(1);
-        let (_, executor, _) = rig.asked("look", &id(1));
-        rig.says(executor, &format!("{} {begun}", id(1)));
-        rig.pass(400_000);
-        assert!(!rig.closed.contains(&executor));
-        rig.pass(300_000);
-        assert!(rig.closed.contains(&executor));
-        assert_eq!(rig.connect().len(), 1, "tried again");
+        let mut harness = Harness::new(1);
+        let (_, executor, _) = harness.forward_query("look", &request_id(1));
+        harness.receive(executor, &format!("{} {begun}", request_id(1)));
+        harness.advance(400_000);
+        assert!(!harness.closed.contains(&executor));
+        harness.advance(300_000);
+        assert!(harness.closed.contains(&executor));
+        assert_eq!(harness.complete_connects().len(), 1, "tried again");
     }
 }
 
 #[test]
-fn strays_and_second_copies_are_left_and_the_connection_stays() {
-    let mut rig = Rig::new(1);
-    let (client, executor, _) = rig.asked("look", &id(1));
-    rig.says(executor, &hit(77));
-    rig.says(executor, &format!("{} PART page=1 6\r\nz\t1\tx\n\r\n", id(1)));
-    rig.says(executor, &format!("not-an-id FAULT - 0\r\n\r\n{}{}", hit(1), hit(1)));
-    let answer = rig.read(client);
+fn unmatched_and_duplicate_responses_are_dropped_and_the_connection_stays() {
+    let mut harness = Harness::new(1);
+    let (client, executor, _) = harness.forward_query("look", &request_id(1));
+    harness.receive(executor, &hit(77));
+    harness.receive(executor, &format!("{} PART page=1 6\r\nz\t1\tx\n\r\n", request_id(1)));
+    harness.receive(executor, &format!("not-an-id FAULT - 0\r\n\r\n{}{}", hit(1), hit(1)));
+    let answer = harness.take_written(client);
     assert!(answer.ends_with("{\"batch\":[[\"a\",\"1\",\"x\"]]}"), "{answer}");
-    assert!(!rig.closed.contains(&executor));
-    rig.says(client, &post("look", &id(2), ""));
-    assert!(rig.read(executor).starts_with("REQ "));
+    assert!(!harness.closed.contains(&executor));
+    harness.receive(client, &query_request("look", &request_id(2), ""));
+    assert!(harness.take_written(executor).starts_with("REQ "));
 }
 
 #[test]
-fn what_never_ran_may_be_refused_and_what_may_have_is_not() {
+fn queries_that_did_not_run_are_rejected_and_others_fail() {
     for (word, expected) in [("SHED", 503), ("LATE", 503), ("FAULT", 500)] {
-        let mut rig = Rig::new(1);
-        let (client, executor, _) = rig.asked("load", &id(1));
-        rig.says(executor, &format!("{} {word} - 0\r\n\r\n", id(1)));
+        let mut harness = Harness::new(1);
+        let (client, executor, _) = harness.forward_query("load", &request_id(1));
+        harness.receive(executor, &format!("{} {word} - 0\r\n\r\n", request_id(1)));
         // A full or late one is asked again a few times.
         for _ in 0..3 {
-            rig.pass(100_000);
-            if rig.read(executor).contains("REQ ") {
-                rig.says(executor, &format!("{} {word} - 0\r\n\r\n", id(1)));
+            harness.advance(100_000);
+            if harness.take_written(executor).contains("REQ ") {
+                harness.receive(executor, &format!("{} {word} - 0\r\n\r\n", request_id(1)));
             }
         }
-        rig.pass(2_000_000);
-        assert_eq!(status(&rig.read(client)), expected, "{word}");
+        harness.advance(2_000_000);
+        assert_eq!(status(&harness.take_written(client)), expected, "{word}");
     }
 }
 
 #[test]
-fn a_refused_or_hung_connect_proves_that_nothing_ran() {
+fn a_refused_or_hung_connect_means_that_nothing_ran() {
     for hangs in [false, true] {
-        let mut rig = Rig::new(1);
-        let client = rig.client();
-        rig.says(client, &post("load", &id(1), ""));
-        let (conn, _) = rig.connects.remove(0);
+        let mut harness = Harness::new(1);
+        let client = harness.connect_client();
+        harness.receive(client, &query_request("load", &request_id(1), ""));
+        let (conn, _) = harness.connects.remove(0);
         if hangs {
-            rig.pass(240_000);
-            assert!(!rig.closed.contains(&conn));
-            rig.pass(20_000);
+            harness.advance(240_000);
+            assert!(!harness.closed.contains(&conn));
+            harness.advance(20_000);
         } else {
-            rig.tell(IoEvent::Broken { id: conn, writing: true, refused: true, reason: "refused" });
+            harness.handle_io(IoEvent::Broken { id: conn, writing: true, refused: true, reason: "refused" });
         }
-        assert!(rig.closed.contains(&conn));
-        let answer = rig.read(client);
+        assert!(harness.closed.contains(&conn));
+        let answer = harness.take_written(client);
         assert!(answer.is_empty() || answer.contains("TryLater"), "{answer}");
     }
 }
 
 /// Found in service, a day of releases: the next attempt overtook the word that gave the first up.
 #[test]
-fn what_goes_to_the_same_executor_again_follows_the_word_that_gave_it_up() {
-    let mut rig = Rig::new(1);
-    let (_, spare, _) = rig.asked("look", &id(1));
-    let (_, executor, _) = rig.asked("look", &id(2));
+fn a_retry_at_the_same_executor_follows_the_cancellation() {
+    let mut harness = Harness::new(1);
+    let (_, spare, _) = harness.forward_query("look", &request_id(1));
+    let (_, executor, _) = harness.forward_query("look", &request_id(2));
     assert_ne!(spare, executor);
     // The other connection rests, and would be the first to be used.
-    rig.pass(100_000);
-    rig.says(spare, &hit(1));
-    rig.pass(600_000);
+    harness.advance(100_000);
+    harness.receive(spare, &hit(1));
+    harness.advance(600_000);
     // Far behind its estimate: a bad plan, which the module sends anew.
-    rig.says(executor, &format!("{} INFO tell=pct,v=0.01 0\r\n\r\n", id(2)));
-    rig.pass(300_000);
-    let said = rig.read(executor);
-    assert!(said.starts_with(&format!("STOP {0}\r\nREQ {0} ", id(2))), "{said}");
-    assert_eq!(rig.read(spare), "");
+    harness.receive(executor, &format!("{} INFO tell=pct,v=0.01 0\r\n\r\n", request_id(2)));
+    harness.advance(300_000);
+    let said = harness.take_written(executor);
+    assert!(said.starts_with(&format!("STOP {0}\r\nREQ {0} ", request_id(2))), "{said}");
+    assert_eq!(harness.take_written(spare), "");
     // Whichever of the two this answers, the other goes no further.
-    rig.says(executor, &hit(2));
-    assert_eq!(rig.read(executor), format!("STOP {}\r\n", id(2)));
+    harness.receive(executor, &hit(2));
+    assert_eq!(harness.take_written(executor), format!("STOP {}\r\n", request_id(2)));
 }
 
 /// Found in service, a day of resets: executors whose connections broke as they came up were taken for dead and cold.
 #[test]
-fn a_connection_that_breaks_as_it_comes_up_is_no_word_on_its_executor() {
-    let mut rig = Rig::new(1);
-    let client = rig.client();
-    rig.says(client, &post("load", &id(1), ""));
+fn a_connection_that_breaks_as_it_comes_up_does_not_count_against_its_executor() {
+    let mut harness = Harness::new(1);
+    let client = harness.connect_client();
+    harness.receive(client, &query_request("load", &request_id(1), ""));
     for _ in 0..3 {
-        let (conn, _) = rig.connects.remove(0);
-        rig.tell(IoEvent::Broken { id: conn, writing: true, refused: false, reason: "reset" });
-        assert_eq!(rig.connects.len(), 1, "another connection at once, even for what must not run twice");
+        let (conn, _) = harness.connects.remove(0);
+        harness.handle_io(IoEvent::Broken { id: conn, writing: true, refused: false, reason: "reset" });
+        assert_eq!(harness.connects.len(), 1, "another connection at once, even for what must not run twice");
     }
-    let executor = rig.connect()[0];
-    assert!(rig.read(executor).starts_with("REQ "));
-    rig.says(executor, &hit(1));
-    assert_eq!(status(&rig.read(client)), 200);
+    let executor = harness.complete_connects()[0];
+    assert!(harness.take_written(executor).starts_with("REQ "));
+    harness.receive(executor, &hit(1));
+    assert_eq!(status(&harness.take_written(client)), 200);
 }
 
 /// What was to go on a connection that breaks goes on one that rests, and is written there at once.
 #[test]
-fn an_attempt_whose_connection_breaks_as_it_comes_up_goes_on_one_that_rests() {
-    let mut rig = Rig::new(1);
-    let (_, resting, _) = rig.asked("look", &id(1));
-    let client = rig.client();
-    rig.says(client, &post("look", &id(2), ""));
-    let (fresh, _) = rig.connects.remove(0);
-    rig.says(resting, &hit(1));
-    rig.read(resting);
-    rig.tell(IoEvent::Broken { id: fresh, writing: true, refused: false, reason: "reset" });
-    assert!(rig.connects.is_empty() && rig.read(resting).starts_with(&format!("REQ {} ", id(2))));
+fn an_attempt_whose_connection_breaks_as_it_comes_up_uses_an_idle_one() {
+    let mut harness = Harness::new(1);
+    let (_, resting, _) = harness.forward_query("look", &request_id(1));
+    let client = harness.connect_client();
+    harness.receive(client, &query_request("look", &request_id(2), ""));
+    let (fresh, _) = harness.connects.remove(0);
+    harness.receive(resting, &hit(1));
+    harness.take_written(resting);
+    harness.handle_io(IoEvent::Broken { id: fresh, writing: true, refused: false, reason: "reset" });
+    assert!(
+        harness.connects.is_empty()
+            && harness.take_written(resting).starts_with(&format!("REQ {} ", request_id(2)))
+    );
 }
 
 #[test]
-fn what_was_written_whole_may_have_run_and_what_was_not_did_not() {
+fn a_request_written_completely_may_have_run_and_a_partial_one_has_not() {
     for (whole, expected) in [(true, 500), (false, 503)] {
-        let mut rig = Rig::new(1);
-        rig.partial = (!whole).then_some(30);
-        let client = rig.client();
-        rig.says(client, &post("load", &id(1), ""));
-        let executor = rig.connect()[0];
-        rig.tell(IoEvent::Broken { id: executor, writing: false, refused: false, reason: "reset" });
-        rig.connects.clear();
-        rig.pass(3_000_000);
-        assert_eq!(status(&rig.read(client)), expected);
+        let mut harness = Harness::new(1);
+        harness.write_limit = (!whole).then_some(30);
+        let client = harness.connect_client();
+        harness.receive(client, &query_request("load", &request_id(1), ""));
+        let executor = harness.complete_connects()[0];
+        harness.handle_io(IoEvent::Broken { id: executor, writing: false, refused: false, reason: "reset" });
+        harness.connects.clear();
+        harness.advance(3_000_000);
+        assert_eq!(status(&harness.take_written(client)), expected);
     }
 }
 
 /// A request that stands to be written as its executor drains was taken back, and must not go.
 #[test]
-fn what_was_taken_back_before_its_first_byte_went_is_never_sent() {
-    let mut rig = Rig::new(1);
-    rig.partial = Some(0);
-    let client = rig.client();
-    rig.says(client, &post("load", &id(1), ""));
-    let executor = rig.connect()[0];
-    rig.datagrams.clear();
-    rig.pass(260_000);
-    let asked = rig.datagrams.last().expect("a question").2.clone();
-    rig.partial = None;
-    let answer = names(&asked, 9, &[("e1", 1, 1), ("e2", 2, 0)]).to_vec().expect("bytes");
+fn an_attempt_cancelled_before_its_first_byte_is_never_sent() {
+    let mut harness = Harness::new(1);
+    harness.write_limit = Some(0);
+    let client = harness.connect_client();
+    harness.receive(client, &query_request("load", &request_id(1), ""));
+    let executor = harness.complete_connects()[0];
+    harness.datagrams.clear();
+    harness.advance(260_000);
+    let asked = harness.datagrams.last().expect("a question").2.clone();
+    harness.write_limit = None;
+    let answer = dns_answer(&asked, 9, &[("e1", 1, 1), ("e2", 2, 0)]).to_vec().expect("bytes");
     let from = RESOLVER.parse().expect("an address");
-    rig.tell(IoEvent::Datagram(wheelfield_sans_io::DatagramSocket::Discovery, from, &answer));
-    assert!(rig.closed.contains(&executor) && rig.read(executor).is_empty());
-    let other = rig.connect()[0];
-    assert!(rig.read(other).starts_with("REQ "), "it goes to the other one");
+    harness.handle_io(IoEvent::Datagram(wheelfield_sans_io::DatagramSocket::Discovery, from, &answer));
+    assert!(harness.closed.contains(&executor) && harness.take_written(executor).is_empty());
+    let other = harness.complete_connects()[0];
+    assert!(harness.take_written(other).starts_with("REQ "), "it goes to the other one");
 }
 
 #[test]
 fn connections_are_shared_where_descriptors_are_short() {
-    let mut rig = Rig::of(&config(vec![server("e1", 1, "ready")], 64));
+    let mut harness = Harness::with_config(&config(vec![executor_entry("e1", 1, "ready")], 64));
     let mut open: Vec<ConnId> = Vec::new();
     for n in 1..=16 {
-        let client = rig.client();
-        rig.says(client, &post("look", &id(n), ""));
-        rig.connect();
+        let client = harness.connect_client();
+        harness.receive(client, &query_request("look", &request_id(n), ""));
+        harness.complete_connects();
         open.push(client);
     }
-    let connections: std::collections::BTreeSet<ConnId> = rig.written.keys().copied().collect();
+    let connections: std::collections::BTreeSet<ConnId> = harness.written.keys().copied().collect();
     assert!(connections.len() <= 16, "{} connections", connections.len());
     let requests: usize =
-        rig.written.values().map(|w| String::from_utf8_lossy(w).matches("REQ ").count()).sum();
+        harness.written.values().map(|w| String::from_utf8_lossy(w).matches("REQ ").count()).sum();
     assert_eq!(requests, 16);
     // One that breaks takes all its attempts along, and each is tried again.
-    rig.platform.begin_shutdown(rig.now);
+    harness.platform.begin_shutdown(harness.now);
 }
 
 /// Many executors, ids and connections come and go: nothing is kept of them.
 #[test]
-fn what_comes_and_goes_leaves_nothing_behind() {
-    let mut rig = Rig::new(1);
-    let question = |rig: &mut Rig| {
-        rig.datagrams.clear();
-        rig.pass(260_000);
-        rig.datagrams.last().expect("a question").2.clone()
+fn executors_and_connections_that_come_and_go_leave_nothing_behind() {
+    let mut harness = Harness::new(1);
+    let question = |harness: &mut Harness| {
+        harness.datagrams.clear();
+        harness.advance(260_000);
+        harness.datagrams.last().expect("a question").2.clone()
     };
     for n in 0..300u64 {
-        let asked = question(&mut rig);
+        let asked = question(&mut harness);
         let name = format!("e{}", n + 10);
-        let answer = names(&asked, 10 + n as u32, &[(&name, (n % 200) as u8 + 1, 0)]);
+        let answer = dns_answer(&asked, 10 + n as u32, &[(&name, (n % 200) as u8 + 1, 0)]);
         let bytes = answer.to_vec().expect("bytes");
         let from = RESOLVER.parse().expect("an address");
-        rig.tell(IoEvent::Datagram(wheelfield_sans_io::DatagramSocket::Discovery, from, &bytes));
-        let (client, executor, _) = rig.asked("look", &id(n));
-        rig.says(executor, &hit(n));
-        assert_eq!(status(&rig.read(client)), 200, "query {n}");
-        rig.tell(IoEvent::Ended(client));
-        rig.closed.retain(|c| *c != client);
+        harness.handle_io(IoEvent::Datagram(wheelfield_sans_io::DatagramSocket::Discovery, from, &bytes));
+        let (client, executor, _) = harness.forward_query("look", &request_id(n));
+        harness.receive(executor, &hit(n));
+        assert_eq!(status(&harness.take_written(client)), 200, "query {n}");
+        harness.handle_io(IoEvent::Ended(client));
+        harness.closed.retain(|c| *c != client);
     }
     // Of each executor that is gone the connection is closed too.
-    assert_eq!(rig.closed.len(), 299);
-    assert!(rig.platform.connections_in_use() <= 2, "{} held", rig.platform.connections_in_use());
+    assert_eq!(harness.closed.len(), 299);
+    assert!(harness.platform.connections_in_use() <= 2, "{} held", harness.platform.connections_in_use());
 }
 
 /// The word that gave a query up is lost with its connection, unsent: until the executor knows of that end it holds the query still.
 #[test]
-fn a_resend_waits_where_the_word_that_gave_it_up_was_lost_with_its_connection() {
-    let mut rig = Rig::new(1);
-    let (_, spare, _) = rig.asked("look", &id(1));
-    let (_, executor, _) = rig.asked("look", &id(2));
-    rig.pass(100_000);
-    rig.says(spare, &hit(1));
-    rig.pass(600_000);
+fn a_retry_waits_where_the_cancellation_was_lost_with_its_connection() {
+    let mut harness = Harness::new(1);
+    let (_, spare, _) = harness.forward_query("look", &request_id(1));
+    let (_, executor, _) = harness.forward_query("look", &request_id(2));
+    harness.advance(100_000);
+    harness.receive(spare, &hit(1));
+    harness.advance(600_000);
     // From here on nothing goes out: the word and what follows it stand to be written.
-    rig.partial = Some(0);
-    rig.says(executor, &format!("{} INFO tell=pct,v=0.01 0\r\n\r\n", id(2)));
-    rig.pass(300_000);
-    rig.partial = None;
-    rig.tell(IoEvent::Broken { id: executor, writing: true, refused: false, reason: "reset" });
-    rig.pass(19_000);
-    assert!(rig.read(spare).is_empty() && rig.connects.is_empty(), "a second copy beside the first");
-    rig.pass(2_000);
-    assert!(rig.read(spare).starts_with(&format!("REQ {} ", id(2))));
+    harness.write_limit = Some(0);
+    harness.receive(executor, &format!("{} INFO tell=pct,v=0.01 0\r\n\r\n", request_id(2)));
+    harness.advance(300_000);
+    harness.write_limit = None;
+    harness.handle_io(IoEvent::Broken { id: executor, writing: true, refused: false, reason: "reset" });
+    harness.advance(19_000);
+    assert!(
+        harness.take_written(spare).is_empty() && harness.connects.is_empty(),
+        "a second copy beside the first"
+    );
+    harness.advance(2_000);
+    assert!(harness.take_written(spare).starts_with(&format!("REQ {} ", request_id(2))));
 }
 
 #[test]
-fn an_executor_that_moves_under_its_name_is_asked_where_it_is() {
-    let mut rig = Rig::new(1);
-    let (client, executor, _) = rig.asked("look", &id(1));
-    let (other, busy, _) = rig.asked("look", &id(2));
-    rig.says(executor, &hit(1));
-    rig.datagrams.clear();
-    rig.pass(260_000);
-    let asked = rig.datagrams.last().expect("a question").2.clone();
-    let answer = names(&asked, 9, &[("e1", 7, 0)]).to_vec().expect("bytes");
+fn an_executor_that_moves_is_used_at_its_new_address() {
+    let mut harness = Harness::new(1);
+    let (client, executor, _) = harness.forward_query("look", &request_id(1));
+    let (other, busy, _) = harness.forward_query("look", &request_id(2));
+    harness.receive(executor, &hit(1));
+    harness.datagrams.clear();
+    harness.advance(260_000);
+    let asked = harness.datagrams.last().expect("a question").2.clone();
+    let answer = dns_answer(&asked, 9, &[("e1", 7, 0)]).to_vec().expect("bytes");
     let from = RESOLVER.parse().expect("an address");
-    rig.tell(IoEvent::Datagram(wheelfield_sans_io::DatagramSocket::Discovery, from, &answer));
-    assert!(rig.closed.contains(&executor), "nothing rests where it was");
-    rig.read(client);
-    rig.says(client, &post("look", &id(3), ""));
-    assert_eq!(rig.connects.len(), 1);
-    assert_eq!(rig.connects[0].1, "127.1.0.7:6565".parse().expect("an address"));
+    harness.handle_io(IoEvent::Datagram(wheelfield_sans_io::DatagramSocket::Discovery, from, &answer));
+    assert!(harness.closed.contains(&executor), "nothing rests where it was");
+    harness.take_written(client);
+    harness.receive(client, &query_request("look", &request_id(3), ""));
+    assert_eq!(harness.connects.len(), 1);
+    assert_eq!(harness.connects[0].1, "127.1.0.7:6565".parse().expect("an address"));
     // What it had in hand there it may still answer, and no more goes there.
-    rig.says(busy, &hit(2));
-    assert_eq!(status(&rig.read(other)), 200);
-    assert!(rig.closed.contains(&busy));
+    harness.receive(busy, &hit(2));
+    assert_eq!(status(&harness.take_written(other)), 200);
+    assert!(harness.closed.contains(&busy));
 }
 
 /// A repeat that was in time as it was chosen is too late as its connection comes up.
@@ -300,19 +306,19 @@
 fn a_repeat_whose_window_closed_while_its_connection_came_up_is_not_written() {
     for (waits, written) in [(50_000, true), (150_000, false)] {
         let mut text: serde_json::Value =
-            serde_json::from_str(&config(vec![server("e1", 1, "ready")], 256)).expect("JSON");
+            serde_json::from_str(&config(vec![executor_entry("e1", 1, "ready")], 256)).expect("JSON");
         text["settings"]["grades"][1]["effect"] = "by_key".into();
         text["settings"]["grades"][1]["window_us"] = 400_000.into();
-        let mut rig = Rig::of(&text.to_string());
-        let (client, executor, _) = rig.asked("load", &id(1));
-        rig.pass(280_000);
-        rig.tell(IoEvent::Broken { id: executor, writing: false, refused: false, reason: "reset" });
-        rig.pass(20_000);
-        assert_eq!(rig.connects.len(), 1, "tried again");
-        rig.pass(waits);
-        let again = rig.connect()[0];
-        assert_eq!(rig.read(again).starts_with(&format!("REQ {} ", id(1))), written);
+        let mut harness = Harness::with_config(&text.to_string());
+        let (client, executor, _) = harness.forward_query("load", &request_id(1));
+        harness.advance(280_000);
+        harness.handle_io(IoEvent::Broken { id: executor, writing: false, refused: false, reason: "reset" });
+        harness.advance(20_000);
+        assert_eq!(harness.connects.len(), 1, "tried again");
+        harness.advance(waits);
+        let again = harness.complete_connects()[0];
+        assert_eq!(harness.take_written(again).starts_with(&format!("REQ {} ", request_id(1))), written);
         // All executors drop repeats, so that its client may ask again.
-        assert_eq!(status(&rig.read(client)), if written { 0 } else { 503 });
+        assert_eq!(status(&harness.take_written(client)), if written { 0 } else { 503 });
     }
 }
--- a/crates/platform/tests/interleavings.rs
+++ b/crates/platform/tests/interleavings.rs
@@ -56,7 +56,7 @@
 }
 
 struct World {
-    rig: Rig,
+    harness: Harness,
     plant: Option<Plant>,
     asked: Vec<Asked>,
     clients: BTreeMap<ConnId, usize>,
@@ -75,9 +75,9 @@
 
 impl World {
     fn new(plant: Option<Plant>) -> World {
-        let rig = Rig::new(3);
+        let harness = Harness::new(3);
         World {
-            rig,
+            harness,
             plant,
             asked: Vec::new(),
             clients: BTreeMap::new(),
@@ -90,30 +90,31 @@
     }
 
     fn hears(&mut self, what: IoEvent<'_>) {
-        self.rig.platform.handle_io(self.rig.now, what);
+        self.harness.platform.handle_io(self.harness.now, what);
     }
 
     /// A line of what happened; what is sent in a turn is sent after all that is heard in it.
     fn line(&mut self, after: i64, event: &str, engine: &str, query: &str) {
-        let (t, by) = (self.rig.now + after, "wheelfield/0".to_string());
+        let (t, by) = (self.harness.now + after, "wheelfield/0".to_string());
         let (event, engine, query) = (event.to_string(), engine.to_string(), Some(query.to_string()));
         self.log.push(Line { t, event, engine, query, by, ..Line::default() });
     }
 
     fn asks(&mut self, class: usize, wait_ms: i64, n: u64) -> Option<ConnId> {
-        let client = self.rig.platform.accept(self.rig.now, Listener::Clients)?;
-        let call = post(["look", "load"][class], &id(n), "").replace("2000", &wait_ms.to_string());
+        let client = self.harness.platform.accept(self.harness.now, Listener::Clients)?;
+        let call =
+            query_request(["look", "load"][class], &request_id(n), "").replace("2000", &wait_ms.to_string());
         self.hears(IoEvent::Received(client, call.as_bytes()));
         Some(client)
     }
 
     fn ask(&mut self, class: usize, wait_ms: i64, taken: bool) {
         let n = self.asked.len() as u64 + 1;
-        let sent = self.rig.now;
+        let sent = self.harness.now;
         let client = if taken { self.asks(class, wait_ms, n) } else { None };
         let (end, ended) = if client.is_some() { (None, i64::MAX) } else { (Some(End::Broke), sent) };
         self.asked.push(Asked {
-            id: id(n),
+            id: request_id(n),
             class,
             key: None,
             controller: 0,
@@ -146,7 +147,7 @@
                     .collect();
                 if !ran.is_empty() {
                     if self.plant == Some(Plant::SpentForgotten) {
-                        self.rig.platform.prune_records();
+                        self.harness.platform.prune_records();
                     }
                     self.asks(1, 5_000, ran[which % ran.len()]);
                 }
@@ -157,7 +158,7 @@
                     return;
                 };
                 let n = self.clients[&client];
-                (self.asked[n].end, self.asked[n].ended) = (Some(End::Left), self.rig.now);
+                (self.asked[n].end, self.asked[n].ended) = (Some(End::Left), self.harness.now);
                 if self.plant == Some(Plant::DepartureLast) {
                     self.late.push((client, breaks));
                 } else {
@@ -165,14 +166,14 @@
                 }
             }
             Step::Up(which) => {
-                if !self.rig.connects.is_empty() {
-                    let (conn, _) = self.rig.connects.remove(which % self.rig.connects.len());
+                if !self.harness.connects.is_empty() {
+                    let (conn, _) = self.harness.connects.remove(which % self.harness.connects.len());
                     self.hears(IoEvent::Connected(conn));
                 }
             }
             Step::Refused(which) => {
-                if !self.rig.connects.is_empty() {
-                    let (conn, _) = self.rig.connects.remove(which % self.rig.connects.len());
+                if !self.harness.connects.is_empty() {
+                    let (conn, _) = self.harness.connects.remove(which % self.harness.connects.len());
                     self.hears(IoEvent::Broken { id: conn, writing: true, refused: true, reason: "refused" });
                 }
             }
@@ -198,7 +199,7 @@
 
     /// The name service tells how the executors are.
     fn lists(&mut self) {
-        let Some(question) = self.rig.datagrams.iter().rev().find(|d| d.0 == DatagramSocket::Discovery)
+        let Some(question) = self.harness.datagrams.iter().rev().find(|d| d.0 == DatagramSocket::Discovery)
         else {
             return;
         };
@@ -210,13 +211,13 @@
             .map(|(n, status)| (format!("e{n}"), *n, u16::from(*status)))
             .collect();
         let named: Vec<(&str, u8, u16)> = named.iter().map(|(name, n, p)| (name.as_str(), *n, *p)).collect();
-        let bytes = names(&question.2, self.serial, &named).to_vec().expect("bytes");
+        let bytes = dns_answer(&question.2, self.serial, &named).to_vec().expect("bytes");
         let not_up = self.status.iter().filter(|(_, s)| **s > 0).map(|(n, s)| NotUp {
             engine: format!("e{n}"),
             status: ["", "draining", "removed"][usize::from(*s)].to_string(),
         });
         let not_up = not_up.collect();
-        let (t, event, who) = (self.rig.now, "told".to_string(), "0".to_string());
+        let (t, event, who) = (self.harness.now, "told".to_string(), "0".to_string());
         self.log.push(Line { t, event, who, not_up, ..Line::default() });
         if self.plant != Some(Plant::DrainUnheard) {
             let from = RESOLVER.parse().expect("an address");
@@ -267,7 +268,7 @@
 
     /// Ends a turn: what is to be done outside is done, and read by whom it is for.
     fn turn(&mut self) {
-        self.rig.platform.handle_timers(self.rig.now);
+        self.harness.platform.handle_timers(self.harness.now);
         self.look();
         for (client, breaks) in std::mem::take(&mut self.late) {
             self.leaves(client, breaks);
@@ -276,22 +277,22 @@
     }
 
     fn look(&mut self) {
-        self.rig.turn();
-        for (conn, at) in &self.rig.connects {
+        self.harness.run_effects();
+        for (conn, at) in &self.harness.connects {
             let name = (1..4).find(|n| address(*n) == *at).map(|n| format!("e{n}")).expect("one of three");
             self.conns.entry(*conn).or_insert((name, Vec::new(), Vec::new()));
         }
-        for (conn, bytes) in std::mem::take(&mut self.rig.written) {
+        for (conn, bytes) in std::mem::take(&mut self.harness.written) {
             match self.clients.get(&conn).copied() {
                 Some(n) => self.told(n, &String::from_utf8_lossy(&bytes)),
                 None => self.sent(conn, &bytes),
             }
         }
-        for conn in std::mem::take(&mut self.rig.closed) {
-            self.rig.connects.retain(|(c, _)| *c != conn);
+        for conn in std::mem::take(&mut self.harness.closed) {
+            self.harness.connects.retain(|(c, _)| *c != conn);
             self.over(conn);
             if let Some(n) = self.clients.remove(&conn).filter(|n| self.asked[*n].end.is_none()) {
-                (self.asked[n].end, self.asked[n].ended) = (Some(End::Broke), self.rig.now);
+                (self.asked[n].end, self.asked[n].ended) = (Some(End::Broke), self.harness.now);
             }
         }
     }
@@ -303,7 +304,7 @@
         if asked.end.is_some() {
             return;
         }
-        asked.ended = self.rig.now;
+        asked.ended = self.harness.now;
         asked.end = Some(match status(text) {
             200 => End::Served,
             503 => End::Refused,
@@ -338,11 +339,11 @@
     }
 
     fn pass(&mut self, micros: i64) {
-        let until = self.rig.now + micros;
+        let until = self.harness.now + micros;
         loop {
-            let due = self.rig.platform.next_timer_at().filter(|at| *at <= until);
+            let due = self.harness.platform.next_timer_at().filter(|at| *at <= until);
             // A moment apart from what was before.
-            self.rig.now = due.unwrap_or(until).max(self.rig.now + 10);
+            self.harness.now = due.unwrap_or(until).max(self.harness.now + 10);
             self.turn();
             if due.is_none() {
                 return;
@@ -352,20 +353,20 @@
 
     /// The whole day, then a stop with clients that still come; what was broken.
     fn play(mut self, day: &[(Vec<Step>, i64)]) -> Vec<String> {
-        let start = self.rig.now;
+        let start = self.harness.now;
         self.pass(300_000);
         for (steps, pause) in day {
             steps.iter().for_each(|step| self.happens(step));
             self.turn();
             self.pass(pause * 1_000);
         }
-        self.rig.platform.begin_shutdown(self.rig.now);
+        self.harness.platform.begin_shutdown(self.harness.now);
         self.turn();
         for _ in 0..5 {
-            let taken = self.rig.listening && self.plant != Some(Plant::ListenerEarly);
+            let taken = self.harness.listening && self.plant != Some(Plant::ListenerEarly);
             self.ask(0, 4_000, taken);
             self.turn();
-            while !self.rig.connects.is_empty() {
+            while !self.harness.connects.is_empty() {
                 self.happens(&Step::Up(0));
                 self.turn();
             }
@@ -374,7 +375,7 @@
         }
         self.pass(5_000_000);
         for asked in self.asked.iter_mut().filter(|a| a.end.is_none()) {
-            (asked.end, asked.ended) = (Some(End::NoAnswer), self.rig.now);
+            (asked.end, asked.ended) = (Some(End::NoAnswer), self.harness.now);
         }
         let launch = BootstrapConfig::parse(&config(Vec::new(), 256)).expect("sound");
         let of = |name: &str| OfClass { name: name.to_string(), usual_work: 0.1, ..OfClass::default() };
@@ -392,11 +393,11 @@
         };
         let mut broken: Vec<String> =
             judge(&evidence).iter().map(|b| format!("{}: {}", b.rule, b.what)).collect();
-        let late = self.rig.platform.abandonment_counts().forwarded_late;
+        let late = self.harness.platform.abandonment_counts().forwarded_late;
         if late > 0 {
             broken.push(format!("{late} sent on for clients that had left"));
         }
-        if !self.rig.stopped {
+        if !self.harness.stopped {
             broken.push("it does not end".to_string());
         }
         broken
@@ -406,14 +407,14 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn endings_in_any_order_keep_the_rules(day in day()) {
+    fn events_in_any_order_keep_the_invariants(day in day()) {
         let broken = World::new(None).play(&day);
         prop_assert!(broken.is_empty(), "{broken:#?}");
     }
 }
 
 #[test]
-fn planted_faults_are_found() {
+fn injected_faults_are_detected() {
     use proptest::strategy::ValueTree;
     use proptest::test_runner::TestRunner;
     for (plant, rule) in [
--- a/crates/platform/tests/settings.rs
+++ b/crates/platform/tests/settings.rs
@@ -9,7 +9,8 @@
 
 /// Settings in which no key of the page is missing.
 fn whole() -> Value {
-    let mut file: Value = serde_json::from_str(&config(vec![server("e1", 1, "ready")], 256)).expect("JSON");
+    let mut file: Value =
+        serde_json::from_str(&config(vec![executor_entry("e1", 1, "ready")], 256)).expect("JSON");
     file["settings"] = json!({
         "balancers": 3, "me": 1, "my_zone": "a", "zones": ["a", "b"], "skus": ["big", "small"], "layers": ["pool"], "tier": 0,
         "grades": [{"name": "look", "on_time_us": 500_000, "give_up_us": 3_000_000, "gain": 1.0, "late_value": 0.25, "aim_stretch": 2.0,
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn every_key_of_the_page_is_read_or_left_as_the_table_says() {
+fn each_settings_key_is_read_or_ignored_as_documented() {
     let before = read(&whole());
     let mut keys = 0;
     for row in TABLE
@@ -101,7 +102,7 @@
 }
 
 #[test]
-fn what_is_optional_may_be_missing_and_what_is_unknown_is_left() {
+fn optional_keys_may_be_missing_and_unknown_keys_are_ignored() {
     let mut file = whole();
     let settings = &mut file["settings"];
     for key in ["tenants", "callers", "over_share_worth", "scoring_mix"] {
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn what_cannot_be_used_is_named() {
+fn an_error_names_the_invalid_key() {
     for (key, value, named) in [
         ("grades[].effect", json!("perhaps"), "effect"),
         ("grades[].name", json!(""), "grades"),
