--- a/crates/platform/tests/clients.rs
+++ b/crates/platform/tests/clients.rs
@@ -1,4 +1,4 @@
-//! What clients are told: good calls, and each kind of bad one.
+//! Responses to clients: valid requests, each kind of invalid request, disconnects and the shutdown.
 
 mod common;
 use common::*;
@@ -8,7 +8,7 @@
 fn a_query_is_forwarded_and_its_pages_arrive_as_one_response() {
     let mut harness = Harness::new(1);
     let client = harness.connect_client();
-    // In pieces of any size: all that comes is one call.
+    // The request arrives in pieces.
     for piece in query_request("look", &request_id(1), "X-Need-Mb: 96\r\nX-Retry: 1\r\n").as_bytes().chunks(7)
     {
         harness.receive_bytes(client, piece);
@@ -25,7 +25,7 @@
         &format!("{} HIT pages=3,cost=81.5,need=90,meter=util:0.61 6\r\na\t1\tx\n\r\n", request_id(1)),
     );
     assert_eq!(harness.take_written(executor), format!("FETCH {0} 1\r\nFETCH {0} 2\r\n", request_id(1)));
-    // In any order, and one of them twice.
+    // Pages arrive in any order, and one of them twice.
     for page in [2, 1, 1] {
         harness
             .receive(executor, &format!("{} PART page={page} 7\r\n\"{page}\t\t\u{e9}\n\r\n", request_id(1)));
@@ -39,12 +39,12 @@
         "{answer}"
     );
     assert_eq!(harness.take_written(executor), format!("END {}\r\n", request_id(1)));
-    // Both connections are used again.
+    // Both connections are reused.
     harness.receive(client, &query_request("look", &request_id(2), ""));
     assert!(harness.take_written(executor).starts_with("REQ ") && harness.connects.is_empty());
 }
 
-/// Found with another customer's settings: what their clients send beside, and executors are owed, was not read.
+/// Regression test: the headers `X-Object` and `Idempotency-Key` were not parsed.
 #[test]
 fn an_idempotency_key_is_forwarded_unchanged_and_queries_of_a_key_run_in_order() {
     let text = config(vec![executor_entry("e1", 1, "ready"), executor_entry("e2", 2, "ready")], 256);
@@ -64,7 +64,7 @@
     let executor = harness.complete_connects()[0];
     let request = harness.take_written(executor);
     assert!(request.contains(",nonce=a5/+=9 35\r\n"), "{request}");
-    // Another under the same key waits for its turn; one under another key does not.
+    // A second query of the same key waits for its turn; one of another key does not.
     let second = harness.connect_client();
     harness.receive(second, &query_request("load", &request_id(2), "X-Object: rel-7\r\n"));
     harness.advance(100_000);
@@ -73,7 +73,7 @@
     harness.receive(other, &query_request("load", &request_id(3), "X-Object: rel-8\r\n"));
     let elsewhere = harness.complete_connects()[0];
     assert!(harness.take_written(elsewhere).starts_with(&format!("REQ {} ", request_id(3))));
-    // One that waits for its turn and leaves is never sent.
+    // A query whose client disconnects while it waits for its turn is never sent.
     let third = harness.connect_client();
     harness.receive(third, &query_request("load", &request_id(4), "X-Object: rel-7\r\n"));
     harness.handle_io(IoEvent::Closing(second));
@@ -139,12 +139,12 @@
         assert!(!answer.contains("TryLater"), "{call}");
         assert!(harness.connects.is_empty(), "sent to an executor: {call}");
         if *ends {
-            // What is hidden behind it is not read as a call; the connection ends in time.
+            // Bytes that follow are not parsed as a request, and the connection is closed.
             harness.receive(client, &query_request("look", &request_id(9), ""));
             harness.advance(1_000_000);
             assert!(harness.connects.is_empty() && harness.closed.contains(&client), "{call}");
         } else {
-            // The next call on it is served as any other.
+            // The next request on the connection is served.
             harness.receive(client, &query_request("look", &request_id(9), ""));
             assert_eq!(harness.connects.len(), 1, "{call}");
         }
@@ -165,7 +165,7 @@
     harness.receive(executor, &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)));
     harness.receive(other, &query_request("load", &request_id(1), ""));
     assert_eq!(status(&harness.take_written(other)), 409);
-    assert_eq!(harness.take_written(executor), "", "nothing more was sent");
+    assert_eq!(harness.take_written(executor), "", "sent again");
 }
 
 #[test]
@@ -193,7 +193,7 @@
     harness.advance(2_800_000);
     assert!(harness.closed.contains(&silent) && !harness.closed.contains(&usual));
     assert_eq!(status(&harness.take_written(slow)), 408);
-    // Hundreds who say nothing push out each other, not who has asked.
+    // Clients without a request are evicted before one that has sent a request.
     let crowd: Vec<_> = (0..600)
         .map(|_| {
             harness.now += 100;
@@ -225,7 +225,7 @@
     harness.receive(probe, "GET /health HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_eq!(status(&harness.take_written(probe)), 503);
     harness.advance(600_000);
-    assert!(!harness.listening && !harness.stopped, "one is owed");
+    assert!(!harness.listening && !harness.stopped, "one response is outstanding");
     assert!(harness.closed.contains(&first) && !harness.closed.contains(&late));
     harness.receive(second, &format!("{} HIT pages=1 0\r\n\r\n", request_id(2)));
     assert_eq!(status(&harness.take_written(late)), 200);
@@ -240,7 +240,7 @@
         let (client, _, _) = harness.forward_query(class, &request_id(1));
         harness.advance(1_995_000);
         let answer = harness.take_written(client);
-        // What may have run is refused only where a repeat does no harm.
+        // A query that may have run is rejected only if it is idempotent.
         assert_eq!(status(&answer), if class == "look" { 503 } else { 500 }, "{answer}");
         assert_eq!(answer.contains("TryLater"), class == "look");
     }
@@ -261,11 +261,11 @@
     harness.take_written(executor);
     harness.receive(client, &query_request("load", &request_id(1), ""));
     assert_eq!(status(&harness.take_written(client)), 409);
-    assert_eq!(harness.take_written(executor), "", "it ran once");
+    assert_eq!(harness.take_written(executor), "", "sent again");
 }
 
-/// The process is killed 3 s, or the longest deadline where that is shorter, after nobody comes any more: all have their answers
-/// before, however much time their clients have left.
+/// The process is killed 3 s after the grace period, or after the longest deadline where that is shorter: all queries are answered
+/// before, whatever their timeout.
 #[test]
 fn queries_in_flight_are_answered_before_the_process_may_be_killed() {
     let long = |class: &str, n: u64| {
@@ -285,7 +285,7 @@
     let executors: Vec<_> = harness.written.keys().copied().collect();
     harness.platform.begin_shutdown(harness.now);
     harness.run_effects();
-    // Each tells that it goes on.
+    // Both executors report progress.
     let goes_on = |harness: &mut Harness, times: u32| {
         for _ in 0..times {
             harness.advance(250_000);
@@ -298,10 +298,10 @@
         }
     };
     goes_on(&mut harness, 2);
-    // One that comes after the word has as long.
+    // A query that arrives during the shutdown has the same deadline.
     asks(&mut harness, "look", 3);
     goes_on(&mut harness, 12);
-    assert!(waiting.iter().all(|(client, _)| !harness.written.contains_key(client)), "time is left");
+    assert!(waiting.iter().all(|(client, _)| !harness.written.contains_key(client)), "answered early");
     harness.advance(190_000);
     for (client, expected) in waiting {
         let told = harness.take_written(client);
@@ -309,7 +309,7 @@
     }
     assert!(
         executors.iter().all(|conn| harness.take_written(*conn).contains("STOP ")),
-        "what is given up is told"
+        "a cancellation is missing"
     );
     harness.advance(200_000);
     assert!(harness.stopped);
@@ -333,7 +333,7 @@
     assert_eq!((left.waiting, left.forwarded, left.forwarded_late), (1, 0, 0));
 }
 
-/// Who rests for longest is closed for a new one just as it asks: its call finds nobody, and comes again under its id.
+/// The client that has been idle the longest is closed for a new one just as it sends a request, and repeats it under its id.
 #[test]
 fn a_request_that_crosses_the_close_of_its_connection_is_served_when_repeated() {
     let mut harness = Harness::with_config(&config(vec![executor_entry("e1", 1, "ready")], 64));
@@ -341,7 +341,7 @@
     harness.receive(executor, &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)));
     assert_eq!(status(&harness.take_written(resting)), 200);
     harness.now += 1_000;
-    // All others have a query in hand.
+    // All other clients have a query in flight.
     for n in 2..18 {
         let client = harness.connect_client();
         harness.receive(client, &query_request("look", &request_id(n), ""));
@@ -361,10 +361,10 @@
     assert!(request.contains(&format!("REQ {} ", request_id(99))), "{request}");
 }
 
-/// A departure, and a timer that would have the query go on, in one turn.
+/// A disconnect, and a timer that would dispatch the query, in the same turn.
 #[test]
 fn a_disconnect_is_handled_before_timers_due_in_the_same_turn() {
-    for (what, due_after) in [("a connect that times out", 250_000), ("the wait after a cut", 20_000)] {
+    for (what, due_after) in [("a connect that times out", 250_000), ("the delay after a reset", 20_000)] {
         let mut harness = Harness::new(1);
         let client = harness.connect_client();
         harness.receive(client, &query_request("look", &request_id(1), ""));
@@ -377,7 +377,7 @@
                 refused: false,
                 reason: "reset",
             });
-            assert!(harness.connects.is_empty(), "its executor may not know yet");
+            assert!(harness.connects.is_empty(), "the executor may not know of the reset yet");
         } else {
             assert_eq!(harness.connects.len(), 1);
         }
@@ -394,7 +394,7 @@
     }
 }
 
-/// Nobody else is owed anything as listening ends: who is taken from the backlog in that moment is answered all the same.
+/// No other response is outstanding as listening ends: clients accepted from the backlog at that moment are answered all the same.
 #[test]
 fn clients_accepted_as_listening_ends_are_answered_before_the_process_ends() {
     let mut harness = Harness::new(1);
@@ -403,7 +403,7 @@
     harness.platform.begin_shutdown(harness.now);
     harness.run_effects();
     harness.advance(800_000);
-    assert!(!harness.listening && !harness.stopped, "two are owed");
+    assert!(!harness.listening && !harness.stopped, "two responses are outstanding");
     let [health, asks] = harness.accepted_late[..] else { panic!("two were taken") };
     assert_eq!(status(&harness.take_written(health)), 503);
     let executor = harness.complete_connects()[0];
@@ -414,7 +414,7 @@
     assert!(harness.stopped);
 }
 
-/// A call that crosses the end of its connection, as the controller closes who rests, comes again on another one.
+/// A request that crosses the close of its idle connection during a shutdown is repeated on a new one.
 #[test]
 fn a_client_closed_at_shutdown_may_reconnect_and_has_time_to_send_its_request() {
     let mut harness = Harness::new(1);
@@ -436,18 +436,18 @@
     harness.advance(10_000);
     assert!(!harness.listening && !harness.stopped);
     harness.advance(35_000);
-    assert!(!harness.closed.contains(&asks) && !harness.stopped, "its call may be on its way");
+    assert!(!harness.closed.contains(&asks) && !harness.stopped, "its request may be on its way");
     harness.receive(asks, &query_request("look", &request_id(3), ""));
     assert!(harness.take_written(executor).starts_with("REQ "));
     harness.advance(100_000);
-    assert!(harness.closed.contains(&silent) && !harness.stopped, "one is owed");
+    assert!(harness.closed.contains(&silent) && !harness.stopped, "one response is outstanding");
     harness.receive(executor, &format!("{} HIT pages=1 0\r\n\r\n", request_id(3)));
     assert_eq!(status(&harness.take_written(asks)), 200);
     harness.run_effects();
     assert!(harness.stopped);
 }
 
-/// All places are taken by some who keep their connections for good: new ones who have not asked yet are not closed for each other.
+/// All connections are taken by clients that keep them: new clients without a request yet are not evicted for each other.
 #[test]
 fn new_clients_have_time_to_send_a_request_when_all_connections_are_taken() {
     let mut harness = Harness::with_config(&config(vec![executor_entry("e1", 1, "ready")], 64));
@@ -461,17 +461,17 @@
         })
         .collect();
     harness.advance(3_500_000);
-    // Eight rest for longer than usual ones do, and are closed first; the others stay, and then it is the silent who go.
+    // Eight have been idle for longer than usual clients and are evicted first, then the clients without a request.
     let (first, second) = (harness.connect_client(), harness.connect_client());
     assert_eq!(harness.closed, keepers[..2]);
     let more: Vec<ConnId> = (0..6).map(|_| harness.connect_client()).collect();
     assert_eq!(harness.closed, keepers[..8]);
     harness.receive(second, &query_request("look", &request_id(1), ""));
     harness.complete_connects();
-    let (executor, _) = harness.take_request().expect("sent on");
+    let (executor, _) = harness.take_request().expect("forwarded");
     let one_more = harness.connect_client();
     assert_eq!(harness.closed[8..], [first]);
-    // Who has left goes first of all.
+    // A client that has disconnected is evicted first of all.
     harness.platform.handle_io(harness.now, IoEvent::Ended(keepers[15]));
     let last = harness.connect_client();
     assert_eq!(harness.closed[9..], [keepers[15]]);
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -199,6 +199,20 @@
         (client, executor, line)
     }
 
+    /// Waits for the next query of the name service: the datagram.
+    pub fn next_discovery_query(&mut self) -> Vec<u8> {
+        self.datagrams.clear();
+        self.advance(260_000);
+        self.datagrams.last().expect("a query").2.clone()
+    }
+
+    /// Has the controller receive an answer of the name service.
+    pub fn receive_discovery_answer(&mut self, answer: &Message) {
+        let from = RESOLVER.parse().expect("an address");
+        let bytes = answer.to_vec().expect("bytes");
+        self.handle_io(IoEvent::Datagram(DatagramSocket::Discovery, from, &bytes));
+    }
+
     /// Takes a request or cancellation that was written to an executor.
     pub fn take_request(&mut self) -> Option<(ConnId, String)> {
         let conn = *self.written.iter().find(|(_, w)| w.starts_with(b"REQ ") || w.starts_with(b"STOP "))?.0;
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! What the name service tells, and what is left of it.
+//! Answers of the name service, valid and ignored.
 
 mod common;
 use common::*;
@@ -6,25 +6,25 @@
 use std::net::SocketAddr;
 use wheelfield_sans_io::{DatagramSocket, IoEvent};
 
-fn at(address: &str) -> SocketAddr {
+fn address(address: &str) -> SocketAddr {
     address.parse().expect("an address")
 }
 
-/// The next question, sent to the name service at `to`.
-fn question(harness: &mut Harness, to: &str) -> Vec<u8> {
+/// The next query, sent to the name service at `to`.
+fn next_query(harness: &mut Harness, to: &str) -> Vec<u8> {
     harness.datagrams.clear();
     harness.advance(260_000);
-    let (port, asked, bytes) = harness.datagrams.last().expect("a question").clone();
-    assert_eq!((port, asked), (DatagramSocket::Discovery, at(to)));
+    let (port, asked, bytes) = harness.datagrams.last().expect("a query").clone();
+    assert_eq!((port, asked), (DatagramSocket::Discovery, address(to)));
     bytes
 }
 
-fn hear(harness: &mut Harness, from: &str, bytes: &[u8]) {
-    harness.handle_io(IoEvent::Datagram(DatagramSocket::Discovery, at(from), bytes));
+fn receive(harness: &mut Harness, from: &str, bytes: &[u8]) {
+    harness.handle_io(IoEvent::Datagram(DatagramSocket::Discovery, address(from), bytes));
 }
 
-/// Where the next query goes; none if it was refused.
-fn next(harness: &mut Harness, n: u64) -> Option<SocketAddr> {
+/// Address that the next query is forwarded to; `None` if it is rejected.
+fn forwarded_to(harness: &mut Harness, n: u64) -> Option<SocketAddr> {
     let client = harness.connect_client();
     harness.connects.clear();
     harness.receive(client, &query_request("look", &request_id(n), ""));
@@ -36,21 +36,21 @@
     let mut harness = Harness::new(1);
     let (_, old, _) = harness.forward_query("look", &request_id(1));
     harness.receive(old, &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)));
-    let asked = question(&mut harness, RESOLVER);
-    hear(&mut harness, RESOLVER, &dns_answer(&asked, 4, &[("e9", 1, 0)]).to_vec().expect("bytes"));
-    assert!(harness.closed.contains(&old), "the connection belongs to the one that is gone");
-    assert_eq!(next(&mut harness, 2), Some(at("127.1.0.1:6565")));
-    // Draining: nothing new goes there.
-    let asked = question(&mut harness, RESOLVER);
-    hear(&mut harness, RESOLVER, &dns_answer(&asked, 5, &[("e9", 1, 1)]).to_vec().expect("bytes"));
-    assert_eq!(next(&mut harness, 3), None);
+    let asked = next_query(&mut harness, RESOLVER);
+    receive(&mut harness, RESOLVER, &dns_answer(&asked, 4, &[("e9", 1, 0)]).to_vec().expect("bytes"));
+    assert!(harness.closed.contains(&old), "connection to a removed executor");
+    assert_eq!(forwarded_to(&mut harness, 2), Some(address("127.1.0.1:6565")));
+    // A draining executor gets no new queries.
+    let asked = next_query(&mut harness, RESOLVER);
+    receive(&mut harness, RESOLVER, &dns_answer(&asked, 5, &[("e9", 1, 1)]).to_vec().expect("bytes"));
+    assert_eq!(forwarded_to(&mut harness, 3), None);
 }
 
 #[test]
 fn old_incomplete_and_unsolicited_answers_change_nothing() {
     let mut harness = Harness::new(1);
     let elsewhere = [("e9", 7, 0)];
-    let asked = question(&mut harness, RESOLVER);
+    let asked = next_query(&mut harness, RESOLVER);
     let good = dns_answer(&asked, 9, &elsewhere);
     let bytes = |m: &Message| m.to_vec().expect("bytes");
     let changed = |change: &dyn Fn(&mut Message)| {
@@ -70,38 +70,38 @@
         asked.clone(),
         Vec::new(),
         b"noise".to_vec(),
-        // A name that points at itself.
+        // A compressed name that points at itself.
         [&asked[..12], &[0xc0, 12, 0, 33, 0, 1]].concat(),
     ];
     for answer in &bad {
-        hear(&mut harness, RESOLVER, answer);
+        receive(&mut harness, RESOLVER, answer);
     }
     let whole = bytes(&good);
     for cut in 0..whole.len() {
-        hear(&mut harness, RESOLVER, &whole[..cut]);
+        receive(&mut harness, RESOLVER, &whole[..cut]);
     }
-    hear(&mut harness, "127.9.0.2:1053", &whole);
-    assert_eq!(next(&mut harness, 1), Some(at("127.1.0.1:6565")));
-    // The same answer as it should be is taken.
-    hear(&mut harness, RESOLVER, &whole);
-    assert_eq!(next(&mut harness, 2), Some(at("127.1.0.7:6565")));
+    receive(&mut harness, "127.9.0.2:1053", &whole);
+    assert_eq!(forwarded_to(&mut harness, 1), Some(address("127.1.0.1:6565")));
+    // The unchanged answer is accepted.
+    receive(&mut harness, RESOLVER, &whole);
+    assert_eq!(forwarded_to(&mut harness, 2), Some(address("127.1.0.7:6565")));
 }
 
 #[test]
 fn after_a_reload_the_new_name_service_is_queried_at_once_and_the_old_one_is_ignored() {
     let mut harness = Harness::new(1);
-    let asked = question(&mut harness, RESOLVER);
+    let asked = next_query(&mut harness, RESOLVER);
     let late = dns_answer(&asked, 9, &[("e9", 7, 0)]).to_vec().expect("bytes");
     harness.datagrams.clear();
-    harness.platform.use_resolver(harness.now, at("127.9.0.3:1053"));
+    harness.platform.use_resolver(harness.now, address("127.9.0.3:1053"));
     harness.run_effects();
     let (_, to, again) = harness.datagrams.last().expect("asked at once").clone();
-    assert_eq!(to, at("127.9.0.3:1053"));
-    hear(&mut harness, RESOLVER, &late);
-    assert_eq!(next(&mut harness, 1), Some(at("127.1.0.1:6565")));
-    // The numbers carry on.
-    hear(&mut harness, "127.9.0.3:1053", &dns_answer(&again, 3, &[("e8", 8, 0)]).to_vec().expect("bytes"));
-    assert_eq!(next(&mut harness, 2), Some(at("127.1.0.1:6565")));
-    hear(&mut harness, "127.9.0.3:1053", &dns_answer(&again, 4, &[("e8", 8, 0)]).to_vec().expect("bytes"));
-    assert_eq!(next(&mut harness, 3), Some(at("127.1.0.8:6565")));
+    assert_eq!(to, address("127.9.0.3:1053"));
+    receive(&mut harness, RESOLVER, &late);
+    assert_eq!(forwarded_to(&mut harness, 1), Some(address("127.1.0.1:6565")));
+    // The serial number stays.
+    receive(&mut harness, "127.9.0.3:1053", &dns_answer(&again, 3, &[("e8", 8, 0)]).to_vec().expect("bytes"));
+    assert_eq!(forwarded_to(&mut harness, 2), Some(address("127.1.0.1:6565")));
+    receive(&mut harness, "127.9.0.3:1053", &dns_answer(&again, 4, &[("e8", 8, 0)]).to_vec().expect("bytes"));
+    assert_eq!(forwarded_to(&mut harness, 3), Some(address("127.1.0.8:6565")));
 }
--- a/crates/platform/tests/executors.rs
+++ b/crates/platform/tests/executors.rs
@@ -1,4 +1,4 @@
-//! What executors answer, well and badly, and what comes of it.
+//! Valid and invalid responses of executors, and connections to them that fail.
 
 mod common;
 use common::*;
@@ -8,7 +8,7 @@
     format!("{} HIT pages=1,cost=100.0,meter=util:0.3 6\r\na\t1\tx\n\r\n", request_id(n))
 }
 
-/// What is spoilt: each answer ends its connection, costs no memory, and is never passed on.
+/// Each invalid response closes its connection, and is never forwarded to the client.
 #[test]
 fn an_invalid_response_closes_its_connection_and_an_idempotent_query_is_retried() {
     let one = request_id(1);
@@ -44,7 +44,7 @@
                     harness.receive(*other, &hit(1));
                     assert_eq!(status(&harness.take_written(client)), 200);
                 }
-                // It may have run, and must not twice.
+                // It may have run, and must not run twice.
                 None => assert_eq!(status(&harness.take_written(client)), 500, "{answer:?}"),
             }
         }
@@ -61,7 +61,7 @@
         assert!(!harness.closed.contains(&executor));
         harness.advance(300_000);
         assert!(harness.closed.contains(&executor));
-        assert_eq!(harness.complete_connects().len(), 1, "tried again");
+        assert_eq!(harness.complete_connects().len(), 1, "not retried");
     }
 }
 
@@ -85,7 +85,7 @@
         let mut harness = Harness::new(1);
         let (client, executor, _) = harness.forward_query("load", &request_id(1));
         harness.receive(executor, &format!("{} {word} - 0\r\n\r\n", request_id(1)));
-        // A full or late one is asked again a few times.
+        // Rejected and late requests are retried a few times.
         for _ in 0..3 {
             harness.advance(100_000);
             if harness.take_written(executor).contains("REQ ") {
@@ -117,29 +117,29 @@
     }
 }
 
-/// Found in service, a day of releases: the next attempt overtook the word that gave the first up.
+/// Regression test: a retry overtook the cancellation of the first attempt.
 #[test]
 fn a_retry_at_the_same_executor_follows_the_cancellation() {
     let mut harness = Harness::new(1);
     let (_, spare, _) = harness.forward_query("look", &request_id(1));
     let (_, executor, _) = harness.forward_query("look", &request_id(2));
     assert_ne!(spare, executor);
-    // The other connection rests, and would be the first to be used.
+    // The other connection becomes idle, and would be preferred.
     harness.advance(100_000);
     harness.receive(spare, &hit(1));
     harness.advance(600_000);
-    // Far behind its estimate: a bad plan, which the module sends anew.
+    // Far behind its estimate, for which the policy retries it.
     harness.receive(executor, &format!("{} INFO tell=pct,v=0.01 0\r\n\r\n", request_id(2)));
     harness.advance(300_000);
     let said = harness.take_written(executor);
     assert!(said.starts_with(&format!("STOP {0}\r\nREQ {0} ", request_id(2))), "{said}");
     assert_eq!(harness.take_written(spare), "");
-    // Whichever of the two this answers, the other goes no further.
+    // Whichever of the two attempts this belongs to, the other one is cancelled.
     harness.receive(executor, &hit(2));
     assert_eq!(harness.take_written(executor), format!("STOP {}\r\n", request_id(2)));
 }
 
-/// Found in service, a day of resets: executors whose connections broke as they came up were taken for dead and cold.
+/// Regression test: executors whose connections broke as they came up were taken for dead, and then for restarted.
 #[test]
 fn a_connection_that_breaks_as_it_comes_up_does_not_count_against_its_executor() {
     let mut harness = Harness::new(1);
@@ -148,7 +148,7 @@
     for _ in 0..3 {
         let (conn, _) = harness.connects.remove(0);
         harness.handle_io(IoEvent::Broken { id: conn, writing: true, refused: false, reason: "reset" });
-        assert_eq!(harness.connects.len(), 1, "another connection at once, even for what must not run twice");
+        assert_eq!(harness.connects.len(), 1, "no other connection at once");
     }
     let executor = harness.complete_connects()[0];
     assert!(harness.take_written(executor).starts_with("REQ "));
@@ -156,7 +156,7 @@
     assert_eq!(status(&harness.take_written(client)), 200);
 }
 
-/// What was to go on a connection that breaks goes on one that rests, and is written there at once.
+/// The request is written to the idle connection at once.
 #[test]
 fn an_attempt_whose_connection_breaks_as_it_comes_up_uses_an_idle_one() {
     let mut harness = Harness::new(1);
@@ -188,7 +188,7 @@
     }
 }
 
-/// A request that stands to be written as its executor drains was taken back, and must not go.
+/// The executor drains while the request is in the output of its connection.
 #[test]
 fn an_attempt_cancelled_before_its_first_byte_is_never_sent() {
     let mut harness = Harness::new(1);
@@ -196,16 +196,12 @@
     let client = harness.connect_client();
     harness.receive(client, &query_request("load", &request_id(1), ""));
     let executor = harness.complete_connects()[0];
-    harness.datagrams.clear();
-    harness.advance(260_000);
-    let asked = harness.datagrams.last().expect("a question").2.clone();
+    let query = harness.next_discovery_query();
     harness.write_limit = None;
-    let answer = dns_answer(&asked, 9, &[("e1", 1, 1), ("e2", 2, 0)]).to_vec().expect("bytes");
-    let from = RESOLVER.parse().expect("an address");
-    harness.handle_io(IoEvent::Datagram(wheelfield_sans_io::DatagramSocket::Discovery, from, &answer));
+    harness.receive_discovery_answer(&dns_answer(&query, 9, &[("e1", 1, 1), ("e2", 2, 0)]));
     assert!(harness.closed.contains(&executor) && harness.take_written(executor).is_empty());
     let other = harness.complete_connects()[0];
-    assert!(harness.take_written(other).starts_with("REQ "), "it goes to the other one");
+    assert!(harness.take_written(other).starts_with("REQ "), "not sent to the other executor");
 }
 
 #[test]
@@ -223,38 +219,29 @@
     let requests: usize =
         harness.written.values().map(|w| String::from_utf8_lossy(w).matches("REQ ").count()).sum();
     assert_eq!(requests, 16);
-    // One that breaks takes all its attempts along, and each is tried again.
     harness.platform.begin_shutdown(harness.now);
 }
 
-/// Many executors, ids and connections come and go: nothing is kept of them.
 #[test]
 fn executors_and_connections_that_come_and_go_leave_nothing_behind() {
     let mut harness = Harness::new(1);
-    let question = |harness: &mut Harness| {
-        harness.datagrams.clear();
-        harness.advance(260_000);
-        harness.datagrams.last().expect("a question").2.clone()
-    };
     for n in 0..300u64 {
-        let asked = question(&mut harness);
+        let query = harness.next_discovery_query();
         let name = format!("e{}", n + 10);
-        let answer = dns_answer(&asked, 10 + n as u32, &[(&name, (n % 200) as u8 + 1, 0)]);
-        let bytes = answer.to_vec().expect("bytes");
-        let from = RESOLVER.parse().expect("an address");
-        harness.handle_io(IoEvent::Datagram(wheelfield_sans_io::DatagramSocket::Discovery, from, &bytes));
+        let executors = [(name.as_str(), (n % 200) as u8 + 1, 0)];
+        harness.receive_discovery_answer(&dns_answer(&query, 10 + n as u32, &executors));
         let (client, executor, _) = harness.forward_query("look", &request_id(n));
         harness.receive(executor, &hit(n));
         assert_eq!(status(&harness.take_written(client)), 200, "query {n}");
         harness.handle_io(IoEvent::Ended(client));
         harness.closed.retain(|c| *c != client);
     }
-    // Of each executor that is gone the connection is closed too.
+    // The connection to each removed executor is closed too.
     assert_eq!(harness.closed.len(), 299);
     assert!(harness.platform.connections_in_use() <= 2, "{} held", harness.platform.connections_in_use());
 }
 
-/// The word that gave a query up is lost with its connection, unsent: until the executor knows of that end it holds the query still.
+/// Until the executor knows of the reset, it still has the query whose cancellation was not sent.
 #[test]
 fn a_retry_waits_where_the_cancellation_was_lost_with_its_connection() {
     let mut harness = Harness::new(1);
@@ -263,7 +250,7 @@
     harness.advance(100_000);
     harness.receive(spare, &hit(1));
     harness.advance(600_000);
-    // From here on nothing goes out: the word and what follows it stand to be written.
+    // From here on nothing is written: the cancellation and the retry stay in the output.
     harness.write_limit = Some(0);
     harness.receive(executor, &format!("{} INFO tell=pct,v=0.01 0\r\n\r\n", request_id(2)));
     harness.advance(300_000);
@@ -272,7 +259,7 @@
     harness.advance(19_000);
     assert!(
         harness.take_written(spare).is_empty() && harness.connects.is_empty(),
-        "a second copy beside the first"
+        "a second copy beside the first one"
     );
     harness.advance(2_000);
     assert!(harness.take_written(spare).starts_with(&format!("REQ {} ", request_id(2))));
@@ -284,24 +271,20 @@
     let (client, executor, _) = harness.forward_query("look", &request_id(1));
     let (other, busy, _) = harness.forward_query("look", &request_id(2));
     harness.receive(executor, &hit(1));
-    harness.datagrams.clear();
-    harness.advance(260_000);
-    let asked = harness.datagrams.last().expect("a question").2.clone();
-    let answer = dns_answer(&asked, 9, &[("e1", 7, 0)]).to_vec().expect("bytes");
-    let from = RESOLVER.parse().expect("an address");
-    harness.handle_io(IoEvent::Datagram(wheelfield_sans_io::DatagramSocket::Discovery, from, &answer));
-    assert!(harness.closed.contains(&executor), "nothing rests where it was");
+    let query = harness.next_discovery_query();
+    harness.receive_discovery_answer(&dns_answer(&query, 9, &[("e1", 7, 0)]));
+    assert!(harness.closed.contains(&executor), "idle connection to the former address");
     harness.take_written(client);
     harness.receive(client, &query_request("look", &request_id(3), ""));
     assert_eq!(harness.connects.len(), 1);
     assert_eq!(harness.connects[0].1, "127.1.0.7:6565".parse().expect("an address"));
-    // What it had in hand there it may still answer, and no more goes there.
+    // Attempts at the former address may still end, and no more are sent there.
     harness.receive(busy, &hit(2));
     assert_eq!(status(&harness.take_written(other)), 200);
     assert!(harness.closed.contains(&busy));
 }
 
-/// A repeat that was in time as it was chosen is too late as its connection comes up.
+/// A retry within the deduplication window when it was launched is outside the window when its connection comes up.
 #[test]
 fn a_repeat_whose_window_closed_while_its_connection_came_up_is_not_written() {
     for (waits, written) in [(50_000, true), (150_000, false)] {
@@ -314,11 +297,11 @@
         harness.advance(280_000);
         harness.handle_io(IoEvent::Broken { id: executor, writing: false, refused: false, reason: "reset" });
         harness.advance(20_000);
-        assert_eq!(harness.connects.len(), 1, "tried again");
+        assert_eq!(harness.connects.len(), 1, "not retried");
         harness.advance(waits);
         let again = harness.complete_connects()[0];
         assert_eq!(harness.take_written(again).starts_with(&format!("REQ {} ", request_id(1))), written);
-        // All executors drop repeats, so that its client may ask again.
+        // All executors deduplicate, so that the client may retry.
         assert_eq!(status(&harness.take_written(client)), if written { 0 } else { 503 });
     }
 }
--- a/crates/platform/tests/settings.rs
+++ b/crates/platform/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of any customer: each key that the operators' page names is read or left, as `docs/platform.md` says.
+//! The settings: each key of the platform is read or ignored, as the table in `docs/platform.md` states.
 
 mod common;
 use common::*;
@@ -7,8 +7,8 @@
 
 const TABLE: &str = include_str!("../../../docs/platform.md");
 
-/// Settings in which no key of the page is missing.
-fn whole() -> Value {
+/// A configuration whose settings have all keys.
+fn complete_config() -> Value {
     let mut file: Value =
         serde_json::from_str(&config(vec![executor_entry("e1", 1, "ready")], 256)).expect("JSON");
     file["settings"] = json!({
@@ -36,13 +36,13 @@
     file
 }
 
-/// All that the program makes of a configuration.
-fn read(file: &Value) -> String {
-    format!("{:?}", BootstrapConfig::parse(&file.to_string()).unwrap_or_else(|fault| panic!("{fault}")))
+/// A configuration as parsed, for comparison.
+fn parsed(file: &Value) -> String {
+    format!("{:?}", BootstrapConfig::parse(&file.to_string()).unwrap_or_else(|error| panic!("{error}")))
 }
 
-/// Another value that may stand in its place.
-fn other(value: &Value) -> Value {
+/// Another valid value.
+fn changed(value: &Value) -> Value {
     match value {
         Value::Bool(b) => json!(!b),
         Value::Number(n) if n.is_f64() => json!(n.as_f64().expect("a number") * 0.5 + 0.0625),
@@ -52,7 +52,7 @@
             Value::String(name) if name == "a" && all.len() == 1 => json!(["b"]),
             Value::String(name) if name == "cpu_share" => json!(["pending"]),
             Value::String(_) => Value::Array(all.iter().cloned().chain([json!("more")]).collect()),
-            first => Value::Array([other(first)].into_iter().chain(all[1..].iter().cloned()).collect()),
+            first => Value::Array([changed(first)].into_iter().chain(all[1..].iter().cloned()).collect()),
         },
         Value::String(word) => json!(match word.as_str() {
             "by_key" => "once",
@@ -67,7 +67,7 @@
     }
 }
 
-fn place<'a>(file: &'a mut Value, key: &str) -> &'a mut Value {
+fn find_key<'a>(file: &'a mut Value, key: &str) -> &'a mut Value {
     key.split('.').fold(&mut file["settings"], |at, part| match part.strip_suffix("[]") {
         Some(list) => &mut at[list][0],
         None => &mut at[part],
@@ -76,21 +76,21 @@
 
 #[test]
 fn each_settings_key_is_read_or_ignored_as_documented() {
-    let before = read(&whole());
+    let before = parsed(&complete_config());
     let mut keys = 0;
     for row in TABLE
         .lines()
         .filter(|l| l.starts_with("| `") && (l.contains("` | read |") || l.contains("` | unused |")))
     {
         let key = row.split('`').nth(1).expect("a key");
-        let mut file = whole();
-        let at = place(&mut file, key);
+        let mut file = complete_config();
+        let at = find_key(&mut file, key);
         assert!(!at.is_null(), "{key} is no key of the page");
-        *at = other(at);
-        assert_eq!(read(&file) != before, row.contains("| read |"), "{row}");
+        *at = changed(at);
+        assert_eq!(parsed(&file) != before, row.contains("| read |"), "{row}");
         keys += 1;
     }
-    // As many as the example holds: none is missing in the table.
+    // As many as the example has: none is missing in the table.
     fn leaves(value: &Value) -> usize {
         match value {
             Value::Object(all) => all.values().map(leaves).sum(),
@@ -98,12 +98,12 @@
             _ => 1,
         }
     }
-    assert_eq!(keys, leaves(&whole()["settings"]));
+    assert_eq!(keys, leaves(&complete_config()["settings"]));
 }
 
 #[test]
 fn optional_keys_may_be_missing_and_unknown_keys_are_ignored() {
-    let mut file = whole();
+    let mut file = complete_config();
     let settings = &mut file["settings"];
     for key in ["tenants", "callers", "over_share_worth", "scoring_mix"] {
         settings.as_object_mut().expect("an object").remove(key);
@@ -117,15 +117,15 @@
     settings["ceilings"]["max_streams"] = json!(32.0);
     settings["more"] = json!({"of": ["any", 1]});
     settings["grades"][0]["more"] = json!(1);
-    let launch = BootstrapConfig::parse(&file.to_string()).expect("sound");
-    let class = &launch.settings.classes[0];
+    let config = BootstrapConfig::parse(&file.to_string()).expect("valid");
+    let class = &config.settings.classes[0];
     assert!(
         !class.ordered_by_key
             && !class.no_engine_permitted
             && class.kinds.is_empty()
             && class.zones.is_empty()
     );
-    assert!(launch.settings.retry_budget.is_none() && launch.protocol_limits.max_streams == 32);
+    assert!(config.settings.retry_budget.is_none() && config.protocol_limits.max_streams == 32);
 }
 
 #[test]
@@ -139,9 +139,9 @@
         ("ceilings.max_streams", json!(-1), "ceilings.max_streams"),
         ("ceilings.most_held", json!(0.5), "ceilings.most_held"),
     ] {
-        let mut file = whole();
-        *place(&mut file, key) = value;
-        let told = BootstrapConfig::parse(&file.to_string()).expect_err("it can't be used").to_string();
-        assert!(told.contains(named) && told.lines().count() == 1, "{key}: {told}");
+        let mut file = complete_config();
+        *find_key(&mut file, key) = value;
+        let message = BootstrapConfig::parse(&file.to_string()).expect_err("it can't be used").to_string();
+        assert!(message.contains(named) && message.lines().count() == 1, "{key}: {message}");
     }
 }
