--- /dev/null
+++ b/crates/platform/tests/interleavings/simulation.rs
@@ -0,0 +1,438 @@
+//! Plays a scenario against a controller without sockets, and records what crossed its connections as evidence for the
+//! invariants.
+
+use crate::common::*;
+use crate::steps::{Disconnect, ExecutorReply, ListedStatus, Step, Turn};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use wheelfield_invariants::{judge, Asked, End, Evidence, Life, Line, NotUp, OfClass, Tolerance};
+use wheelfield_platform::BootstrapConfig;
+use wheelfield_sans_io::{ConnId, DatagramSocket, IoEvent, Listener, Protocol};
+
+/// Names of the classes, by number.
+const CLASSES: [&str; 2] = ["look", "load"];
+/// The class whose queries must not run twice.
+const AT_MOST_ONCE: usize = 1;
+/// Number of executors.
+const EXECUTORS: u8 = 3;
+
+/// A fault that is injected to see whether the invariants detect it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum InjectedFault {
+    /// Disconnects of clients are reported at the end of a turn.
+    DisconnectsLast,
+    /// Answers of the name service are lost.
+    DiscoveryLost,
+    /// The controller forgets the ids that were sent to executors.
+    RecentIdsForgotten,
+    /// The listener closes when the shutdown begins.
+    ListenerClosedEarly,
+}
+
+/// A connection to an executor, as the executor sees it.
+struct ExecutorConnection {
+    engine: String,
+    /// Ids of the requests that it has.
+    running: Vec<String>,
+    /// Bytes received that are not parsed yet.
+    input: Vec<u8>,
+}
+
+/// The controller, and the state of the clients, executors and name service around it.
+pub struct Simulation {
+    harness: Harness,
+    fault: Option<InjectedFault>,
+    queries: Vec<Asked>,
+    /// The query of each client, as an index of `queries`.
+    clients: BTreeMap<ConnId, usize>,
+    executor_connections: BTreeMap<ConnId, ExecutorConnection>,
+    log: Vec<Line>,
+    /// The published status of each executor, by its number.
+    statuses: BTreeMap<u8, ListedStatus>,
+    /// Serial number of the published list.
+    serial: u32,
+    /// Disconnects that are reported at the end of the turn.
+    delayed_disconnects: Vec<(ConnId, Disconnect)>,
+}
+
+fn executor_address(number: u8) -> SocketAddr {
+    format!("127.1.0.{number}:6565").parse().expect("an address")
+}
+
+fn executor_name(number: u8) -> String {
+    format!("e{number}")
+}
+
+/// The key at this index among those whose value fulfils a condition, counted round.
+fn choose<K: Copy + Ord, V>(map: &BTreeMap<K, V>, index: usize, condition: impl Fn(&V) -> bool) -> Option<K> {
+    let keys: Vec<K> = map.iter().filter(|(_, value)| condition(value)).map(|(key, _)| *key).collect();
+    (!keys.is_empty()).then(|| keys[index % keys.len()])
+}
+
+impl Simulation {
+    pub fn new(fault: Option<InjectedFault>) -> Simulation {
+        Simulation {
+            harness: Harness::new(EXECUTORS),
+            fault,
+            queries: Vec::new(),
+            clients: BTreeMap::new(),
+            executor_connections: BTreeMap::new(),
+            log: Vec::new(),
+            statuses: (1..=EXECUTORS).map(|number| (number, ListedStatus::Up)).collect(),
+            serial: 3,
+            delayed_disconnects: Vec::new(),
+        }
+    }
+
+    /// Plays a scenario and a shutdown after it, during which clients still send queries; the invariants that were violated.
+    pub fn run(mut self, scenario: &[Turn]) -> Vec<String> {
+        let start = self.harness.now;
+        self.advance(300_000);
+        for turn in scenario {
+            turn.steps.iter().for_each(|step| self.execute(step));
+            self.end_turn();
+            self.advance(turn.pause_ms * 1_000);
+        }
+        self.shut_down();
+        let now = self.harness.now;
+        for query in self.queries.iter_mut().filter(|query| query.end.is_none()) {
+            (query.end, query.ended) = (Some(End::NoAnswer), now);
+        }
+        self.violations(start)
+    }
+
+    fn shut_down(&mut self) {
+        self.harness.platform.begin_shutdown(self.harness.now);
+        self.end_turn();
+        for _ in 0..5 {
+            let is_accepted =
+                self.harness.listening && self.fault != Some(InjectedFault::ListenerClosedEarly);
+            self.send_new_query(0, 4_000, is_accepted);
+            self.end_turn();
+            while !self.harness.connects.is_empty() {
+                self.complete_connect(0);
+                self.end_turn();
+            }
+            self.respond(0, ExecutorReply::Served);
+            self.advance(100_000);
+        }
+        self.advance(5_000_000);
+    }
+
+    fn violations(&self, start: i64) -> Vec<String> {
+        let config = BootstrapConfig::parse(&config(Vec::new(), 256)).expect("valid");
+        let class = |name: &str| OfClass { name: name.to_string(), usual_work: 0.1, ..OfClass::default() };
+        let lives = [Life { controller: 0, from: 0, killed: None, stalls: Vec::new(), entered: false }];
+        let evidence = Evidence {
+            settings: &config.settings,
+            grace: 0,
+            classes: &CLASSES.map(class),
+            cores: &BTreeMap::new(),
+            start,
+            asked: &self.queries,
+            log: &self.log,
+            lives: &lives,
+            tolerance: Tolerance::STEPS,
+        };
+        let breaches = judge(&evidence);
+        let mut violations: Vec<String> =
+            breaches.iter().map(|breach| format!("{}: {}", breach.rule, breach.what)).collect();
+        let forwarded_late = self.harness.platform.abandonment_counts().forwarded_late;
+        if forwarded_late > 0 {
+            violations.push(format!("{forwarded_late} sent for clients that had disconnected"));
+        }
+        if !self.harness.stopped {
+            violations.push("the controller does not end".to_string());
+        }
+        violations
+    }
+
+    fn execute(&mut self, step: &Step) {
+        match *step {
+            Step::SendQuery { class, timeout_ms } => self.send_new_query(class, timeout_ms, true),
+            Step::RepeatServedQuery { index } => self.repeat_served_query(index),
+            Step::DisconnectClient { index, how } => self.disconnect_client(index, how),
+            Step::CompleteConnect { index } => self.complete_connect(index),
+            Step::RefuseConnect { index } => self.refuse_connect(index),
+            Step::Respond { index, reply } => self.respond(index, reply),
+            Step::ResetConnection { index } => self.reset_connection(index),
+            Step::PublishStatus { executor, status } => {
+                self.statuses.insert(executor, status);
+                self.publish_list();
+            }
+        }
+    }
+
+    fn handle_io(&mut self, event: IoEvent<'_>) {
+        self.harness.platform.handle_io(self.harness.now, event);
+    }
+
+    /// Logs an event at an executor; `delay` orders what is sent in a turn after all that is received in it.
+    fn log_event(&mut self, delay: i64, event: &str, engine: &str, query: &str) {
+        let (t, by) = (self.harness.now + delay, "wheelfield/0".to_string());
+        let (event, engine, query) = (event.to_string(), engine.to_string(), Some(query.to_string()));
+        self.log.push(Line { t, event, engine, query, by, ..Line::default() });
+    }
+
+    /// Connects a client that sends a query; `None` if it is not accepted.
+    fn send_query(&mut self, class: usize, timeout_ms: i64, number: u64) -> Option<ConnId> {
+        let client = self.harness.platform.accept(self.harness.now, Listener::Clients)?;
+        let request = query_request(CLASSES[class], &request_id(number), "");
+        let request = request.replace("2000", &timeout_ms.to_string());
+        self.handle_io(IoEvent::Received(client, request.as_bytes()));
+        Some(client)
+    }
+
+    fn send_new_query(&mut self, class: usize, timeout_ms: i64, is_accepted: bool) {
+        let index = self.queries.len();
+        let number = index as u64 + 1;
+        let sent = self.harness.now;
+        let client = if is_accepted { self.send_query(class, timeout_ms, number) } else { None };
+        let (end, ended) = if client.is_some() { (None, i64::MAX) } else { (Some(End::Broke), sent) };
+        self.queries.push(Asked {
+            id: request_id(number),
+            class,
+            key: None,
+            controller: 0,
+            sent,
+            due: sent + timeout_ms * 1_000,
+            ended,
+            end,
+            answers: 0,
+            after: None,
+            wrong: None,
+        });
+        if let Some(client) = client {
+            self.clients.insert(client, index);
+        }
+    }
+
+    /// Only a query that has run may not run again under its id.
+    fn repeat_served_query(&mut self, index: usize) {
+        let is_served = |query: &Asked| query.class == AT_MOST_ONCE && query.end == Some(End::Served);
+        let served: Vec<u64> =
+            (1..).zip(&self.queries).filter(|(_, query)| is_served(query)).map(|(n, _)| n).collect();
+        if served.is_empty() {
+            return;
+        }
+        if self.fault == Some(InjectedFault::RecentIdsForgotten) {
+            self.harness.platform.prune_records();
+        }
+        self.send_query(AT_MOST_ONCE, 5_000, served[index % served.len()]);
+    }
+
+    fn disconnect_client(&mut self, index: usize, how: Disconnect) {
+        let queries = &self.queries;
+        let waiting = choose(&self.clients, index, |query| queries[*query].end.is_none());
+        let Some(client) = waiting else { return };
+        let query = &mut self.queries[self.clients[&client]];
+        (query.end, query.ended) = (Some(End::Left), self.harness.now);
+        if self.fault == Some(InjectedFault::DisconnectsLast) {
+            self.delayed_disconnects.push((client, how));
+        } else {
+            self.report_disconnect(client, how);
+        }
+    }
+
+    fn report_disconnect(&mut self, client: ConnId, how: Disconnect) {
+        self.handle_io(match how {
+            Disconnect::Reset => {
+                IoEvent::Broken { id: client, writing: false, refused: false, reason: "reset" }
+            }
+            Disconnect::Close => IoEvent::Closing(client),
+        });
+    }
+
+    fn take_connect(&mut self, index: usize) -> Option<ConnId> {
+        let connects = &mut self.harness.connects;
+        if connects.is_empty() {
+            return None;
+        }
+        let (connection, _) = connects.remove(index % connects.len());
+        Some(connection)
+    }
+
+    fn complete_connect(&mut self, index: usize) {
+        if let Some(connection) = self.take_connect(index) {
+            self.handle_io(IoEvent::Connected(connection));
+        }
+    }
+
+    fn refuse_connect(&mut self, index: usize) {
+        if let Some(id) = self.take_connect(index) {
+            self.handle_io(IoEvent::Broken { id, writing: true, refused: true, reason: "refused" });
+        }
+    }
+
+    fn reset_connection(&mut self, index: usize) {
+        let Some(id) = choose(&self.executor_connections, index, |_| true) else { return };
+        self.drop_executor_connection(id);
+        self.handle_io(IoEvent::Broken { id, writing: false, refused: false, reason: "reset" });
+    }
+
+    /// The name service answers the latest query with the published statuses.
+    fn publish_list(&mut self) {
+        let mut datagrams = self.harness.datagrams.iter().rev();
+        let latest = datagrams.find(|(socket, ..)| *socket == DatagramSocket::Discovery);
+        let Some((_, _, query)) = latest else { return };
+        self.serial += 1;
+        let listed: Vec<(String, u8, u16)> = self
+            .statuses
+            .iter()
+            .filter(|(_, status)| **status != ListedStatus::Removed)
+            .map(|(number, status)| {
+                (executor_name(*number), *number, u16::from(*status == ListedStatus::Draining))
+            })
+            .collect();
+        let listed: Vec<(&str, u8, u16)> =
+            listed.iter().map(|(name, n, p)| (name.as_str(), *n, *p)).collect();
+        let answer = dns_answer(query, self.serial, &listed).to_vec().expect("bytes");
+        self.log_list();
+        if self.fault != Some(InjectedFault::DiscoveryLost) {
+            let from = RESOLVER.parse().expect("an address");
+            self.handle_io(IoEvent::Datagram(DatagramSocket::Discovery, from, &answer));
+        }
+    }
+
+    /// Logs the executors that are not up.
+    fn log_list(&mut self) {
+        let mut not_up = Vec::new();
+        for (number, status) in &self.statuses {
+            let status = match status {
+                ListedStatus::Up => continue,
+                ListedStatus::Draining => "draining".to_string(),
+                ListedStatus::Removed => "removed".to_string(),
+            };
+            not_up.push(NotUp { engine: executor_name(*number), status });
+        }
+        let (t, event, who) = (self.harness.now, "told".to_string(), "0".to_string());
+        self.log.push(Line { t, event, who, not_up, ..Line::default() });
+    }
+
+    /// A connection to an executor has ended, and with it the requests on it.
+    fn drop_executor_connection(&mut self, id: ConnId) {
+        let Some(connection) = self.executor_connections.remove(&id) else { return };
+        for query in connection.running {
+            self.log_event(0, "dropped", &connection.engine, &query);
+        }
+    }
+
+    fn respond(&mut self, index: usize, reply: ExecutorReply) {
+        let busy = choose(&self.executor_connections, index, |connection| !connection.running.is_empty());
+        let Some(id) = busy else { return };
+        let connection = self.executor_connections.get_mut(&id).expect("chosen");
+        let query = connection.running[index % connection.running.len()].clone();
+        let engine = connection.engine.clone();
+        let row = format!("{query}\t1\tx\n");
+        let hit = format!("{query} HIT pages=1,cost=9.0,meter=util:0.3 {}\r\n{row}\r\n", row.len());
+        let (event, response) = match reply {
+            ExecutorReply::Served | ExecutorReply::ServedThenClosed => (Some("finished"), hit),
+            ExecutorReply::Rejected => (Some("refused"), format!("{query} SHED - 0\r\n\r\n")),
+            ExecutorReply::Failed => (Some("errored"), format!("{query} FAULT - 0\r\n\r\n")),
+            ExecutorReply::TooLate => (Some("refused"), format!("{query} LATE - 0\r\n\r\n")),
+            ExecutorReply::ServedTwice => (Some("finished"), format!("{hit}{hit}")),
+            ExecutorReply::Progress => (None, format!("{query} INFO tell=pct,v=0.4 0\r\n\r\n")),
+            ExecutorReply::Invalid => (Some("finished"), format!("{query} HIT pages=1 5000000\r\nnoise")),
+        };
+        if let Some(event) = event {
+            connection.running.retain(|running| *running != query);
+            self.log_event(0, event, &engine, &query);
+        }
+        self.handle_io(IoEvent::Received(id, response.as_bytes()));
+        if reply == ExecutorReply::ServedThenClosed {
+            self.drop_executor_connection(id);
+            self.handle_io(IoEvent::Ended(id));
+        }
+    }
+
+    /// Ends a turn: timers are handled, and effects carried out.
+    fn end_turn(&mut self) {
+        self.harness.platform.handle_timers(self.harness.now);
+        self.process_effects();
+        for (client, how) in std::mem::take(&mut self.delayed_disconnects) {
+            self.report_disconnect(client, how);
+        }
+        self.process_effects();
+    }
+
+    /// Carries out effects, and has clients and executors receive what was written to them.
+    fn process_effects(&mut self) {
+        self.harness.run_effects();
+        for (id, address) in &self.harness.connects {
+            let number = (1..=EXECUTORS).find(|number| executor_address(*number) == *address);
+            let engine = executor_name(number.expect("an executor"));
+            let connection = ExecutorConnection { engine, running: Vec::new(), input: Vec::new() };
+            self.executor_connections.entry(*id).or_insert(connection);
+        }
+        for (id, bytes) in std::mem::take(&mut self.harness.written) {
+            match self.clients.get(&id) {
+                Some(query) => self.receive_at_client(*query, &String::from_utf8_lossy(&bytes)),
+                None => self.receive_at_executor(id, &bytes),
+            }
+        }
+        for id in std::mem::take(&mut self.harness.closed) {
+            self.harness.connects.retain(|(connect, _)| *connect != id);
+            self.drop_executor_connection(id);
+            let Some(query) = self.clients.remove(&id) else { continue };
+            let query = &mut self.queries[query];
+            if query.end.is_none() {
+                (query.end, query.ended) = (Some(End::Broke), self.harness.now);
+            }
+        }
+    }
+
+    fn receive_at_client(&mut self, query: usize, text: &str) {
+        let query = &mut self.queries[query];
+        if query.end != Some(End::Left) {
+            query.answers += text.matches("HTTP/1.1 ").count() as u32;
+        }
+        if query.end.is_some() {
+            return;
+        }
+        query.ended = self.harness.now;
+        query.end = Some(match status(text) {
+            200 => End::Served,
+            503 => End::Refused,
+            _ => End::Failed,
+        });
+        if query.end == Some(End::Served) && !text.contains(&format!("[\"{}\",\"1\",\"x\"]", query.id)) {
+            query.wrong = Some(text.to_string());
+        }
+    }
+
+    fn receive_at_executor(&mut self, id: ConnId, bytes: &[u8]) {
+        let Some(connection) = self.executor_connections.get_mut(&id) else { return };
+        connection.input.extend_from_slice(bytes);
+        let text = String::from_utf8(std::mem::take(&mut connection.input)).expect("text");
+        let engine = connection.engine.clone();
+        let mut events = Vec::new();
+        for line in text.split("\r\n") {
+            let words: Vec<&str> = line.split(' ').collect();
+            match words[..] {
+                ["REQ", query, _, _] => {
+                    connection.running.push(query.to_string());
+                    events.push(("received", query));
+                }
+                ["STOP", query] if connection.running.iter().any(|running| running == query) => {
+                    connection.running.retain(|running| running != query);
+                    events.push(("dropped", query));
+                }
+                _ => {}
+            }
+        }
+        events.into_iter().for_each(|(event, query)| self.log_event(1, event, &engine, query));
+    }
+
+    fn advance(&mut self, micros: i64) {
+        let until = self.harness.now + micros;
+        loop {
+            let due = self.harness.platform.next_timer_at().filter(|at| *at <= until);
+            // Each turn has a time of its own.
+            self.harness.now = due.unwrap_or(until).max(self.harness.now + 10);
+            self.end_turn();
+            if due.is_none() {
+                return;
+            }
+        }
+    }
+}
