--- a/crates/platform/tests/clients.rs
+++ b/crates/platform/tests/clients.rs
@@ -86,68 +86,85 @@
     assert!(!request.contains("nonce") && harness.take_request().is_none());
 }
 
+/// Invalid requests after which the connection stays open, and the status of their response.
+fn requests_with_invalid_content() -> Vec<(String, u16)> {
+    let valid = query_request("look", &request_id(1), "");
+    let with = |part: &str, replacement: &str| valid.replace(part, replacement);
+    vec![
+        (with("/rpc/look", "/rpc/nothing"), 404),
+        (with("/rpc/look", "/rpc/"), 404),
+        (with("/rpc/look", "/elsewhere"), 404),
+        (with("POST /rpc/look", "PUT /rpc/look"), 405),
+        ("GET /rpc/look/1 HTTP/1.1\r\n\r\n".into(), 404),
+        ("DELETE /any HTTP/1.1\r\n\r\n".into(), 404),
+        (with(&request_id(1), "xyz"), 400),
+        (with(&request_id(1), &"0".repeat(17)), 400),
+        (with("X-Request-Id", "X-Other"), 400),
+        (with("Host: x", &format!("X-Request-Id: {}", request_id(2))), 400),
+        (with("Timeout-Ms: 2000", "Timeout-Ms: -1"), 400),
+        (with("Timeout-Ms: 2000", "Timeout-Ms: 0"), 400),
+        (with("Timeout-Ms: 2000", "Timeout-Ms: soon"), 400),
+        (with("Timeout-Ms: 2000", "Timeout-Ms: 99999999999999"), 400),
+        (with("X-Timeout-Ms: 2000\r\n", ""), 400),
+        (with("Cost-Ms: 100.0", "Cost-Ms: 1e300"), 400),
+        (with("Cost-Ms: 100.0", "Cost-Ms: NaN"), 400),
+        (with("Cost-Ms: 100.0", "Need-Mb: -3"), 400),
+        (with("Cost-Ms: 100.0", "Retry: 7"), 400),
+        (with("Cost-Ms: 100.0", "Cost-Ms: 100.0\r\nX-Object: a,prio=3"), 400),
+        (with("Cost-Ms: 100.0", "Cost-Ms: 100.0\r\nIdempotency-Key: a b"), 400),
+        (with("Cost-Ms: 100.0", &format!("Cost-Ms: 100.0\r\nX-Tenant: {}", "t".repeat(129))), 400),
+        (with("Host: x", "X-Object: a\r\nX-Object: b"), 400),
+        (with("SELECT a, b, c FROM sales_17.orders", &" ".repeat(35)), 400),
+    ]
+}
+
+/// Invalid requests after which nothing can be parsed and the connection is closed, and the status of their response.
+fn requests_with_invalid_framing() -> Vec<(String, u16)> {
+    let valid = query_request("look", &request_id(1), "");
+    let with = |part: &str, replacement: &str| valid.replace(part, replacement);
+    let long = "x".repeat(9000);
+    vec![
+        (with("Content-Length: 35", "Content-Length: -35"), 400),
+        (with("Content-Length: 35", "Content-Length: 35\r\nContent-Length: 35"), 400),
+        (with("Content-Length: 35", "Content-Length: 35\r\nTransfer-Encoding: chunked"), 400),
+        (with("Content-Length: 35", "Transfer-Encoding: chunked"), 411),
+        (with("Content-Length: 35\r\n", ""), 411),
+        (with("Content-Length: 35", "Content-Length: 62914560"), 413),
+        (with("Content-Length: 35", "Content-Length: 99999999999999999999999"), 413),
+        (with("Host: x", &format!("Host: {long}")), 431),
+        ("\u{1}\u{2} nonsense\r\n\r\n".into(), 400),
+    ]
+}
+
+/// Sends an invalid request by a new client, and checks its response.
+fn send_invalid_request(harness: &mut Harness, request: &str, expected_status: u16) -> (ConnId, String) {
+    let client = harness.connect_client();
+    harness.receive(client, request);
+    let response = harness.take_written(client);
+    assert_eq!(status(&response), expected_status, "{request}");
+    assert!(!response.contains("TryLater"), "{request}");
+    assert!(harness.connects.is_empty(), "sent to an executor: {request}");
+    (client, response)
+}
+
 #[test]
 fn an_invalid_request_gets_its_status_and_is_not_forwarded() {
-    let good = query_request("look", &request_id(1), "");
-    let long = "x".repeat(9000);
-    let cases: &[(String, u16, bool)] = &[
-        (good.replace("/rpc/look", "/rpc/nothing"), 404, false),
-        (good.replace("/rpc/look", "/rpc/"), 404, false),
-        (good.replace("/rpc/look", "/elsewhere"), 404, false),
-        (good.replace("POST /rpc/look", "PUT /rpc/look"), 405, false),
-        ("GET /rpc/look/1 HTTP/1.1\r\n\r\n".into(), 404, false),
-        ("DELETE /any HTTP/1.1\r\n\r\n".into(), 404, false),
-        (good.replace(&request_id(1), "xyz"), 400, false),
-        (good.replace(&request_id(1), &"0".repeat(17)), 400, false),
-        (good.replace("X-Request-Id", "X-Other"), 400, false),
-        (good.replace("Host: x", &format!("X-Request-Id: {}", request_id(2))), 400, false),
-        (good.replace("Timeout-Ms: 2000", "Timeout-Ms: -1"), 400, false),
-        (good.replace("Timeout-Ms: 2000", "Timeout-Ms: 0"), 400, false),
-        (good.replace("Timeout-Ms: 2000", "Timeout-Ms: soon"), 400, false),
-        (good.replace("Timeout-Ms: 2000", "Timeout-Ms: 99999999999999"), 400, false),
-        (good.replace("X-Timeout-Ms: 2000\r\n", ""), 400, false),
-        (good.replace("Cost-Ms: 100.0", "Cost-Ms: 1e300"), 400, false),
-        (good.replace("Cost-Ms: 100.0", "Cost-Ms: NaN"), 400, false),
-        (good.replace("Cost-Ms: 100.0", "Need-Mb: -3"), 400, false),
-        (good.replace("Cost-Ms: 100.0", "Retry: 7"), 400, false),
-        (good.replace("Cost-Ms: 100.0", "Cost-Ms: 100.0\r\nX-Object: a,prio=3"), 400, false),
-        (good.replace("Cost-Ms: 100.0", "Cost-Ms: 100.0\r\nIdempotency-Key: a b"), 400, false),
-        (
-            good.replace("Cost-Ms: 100.0", &format!("Cost-Ms: 100.0\r\nX-Tenant: {}", "t".repeat(129))),
-            400,
-            false,
-        ),
-        (good.replace("Host: x", "X-Object: a\r\nX-Object: b"), 400, false),
-        (good.replace("SELECT a, b, c FROM sales_17.orders", &" ".repeat(35)), 400, false),
-        (good.replace("Content-Length: 35", "Content-Length: -35"), 400, true),
-        (good.replace("Content-Length: 35", "Content-Length: 35\r\nContent-Length: 35"), 400, true),
-        (good.replace("Content-Length: 35", "Content-Length: 35\r\nTransfer-Encoding: chunked"), 400, true),
-        (good.replace("Content-Length: 35", "Transfer-Encoding: chunked"), 411, true),
-        (good.replace("Content-Length: 35\r\n", ""), 411, true),
-        (good.replace("Content-Length: 35", "Content-Length: 62914560"), 413, true),
-        (good.replace("Content-Length: 35", "Content-Length: 99999999999999999999999"), 413, true),
-        (good.replace("Host: x", &format!("Host: {long}")), 431, true),
-        ("\u{1}\u{2} nonsense\r\n\r\n".into(), 400, true),
-    ];
-    for (call, expected, ends) in cases {
+    for (request, expected_status) in requests_with_invalid_content() {
         let mut harness = Harness::new(1);
-        let client = harness.connect_client();
-        harness.receive(client, call);
-        let answer = harness.take_written(client);
-        assert_eq!(status(&answer), *expected, "{call}");
-        assert_eq!(answer.contains("Connection: close"), *ends, "{call}");
-        assert!(!answer.contains("TryLater"), "{call}");
-        assert!(harness.connects.is_empty(), "sent to an executor: {call}");
-        if *ends {
-            // Bytes that follow are not parsed as a request, and the connection is closed.
-            harness.receive(client, &query_request("look", &request_id(9), ""));
-            harness.advance(1_000_000);
-            assert!(harness.connects.is_empty() && harness.closed.contains(&client), "{call}");
-        } else {
-            // The next request on the connection is served.
-            harness.receive(client, &query_request("look", &request_id(9), ""));
-            assert_eq!(harness.connects.len(), 1, "{call}");
-        }
+        let (client, response) = send_invalid_request(&mut harness, &request, expected_status);
+        assert!(!response.contains("Connection: close"), "{request}");
+        // The next request on the connection is served.
+        harness.receive(client, &query_request("look", &request_id(9), ""));
+        assert_eq!(harness.connects.len(), 1, "{request}");
+    }
+    for (request, expected_status) in requests_with_invalid_framing() {
+        let mut harness = Harness::new(1);
+        let (client, response) = send_invalid_request(&mut harness, &request, expected_status);
+        assert!(response.contains("Connection: close"), "{request}");
+        // Bytes that follow are not parsed as a request, and the connection is closed.
+        harness.receive(client, &query_request("look", &request_id(9), ""));
+        harness.advance(1_000_000);
+        assert!(harness.connects.is_empty() && harness.closed.contains(&client), "{request}");
     }
 }
 
@@ -206,33 +223,6 @@
     assert!(harness.take_written(executor).starts_with("REQ "));
 }
 
-#[test]
-fn a_shutdown_fails_health_checks_and_serves_clients_that_do_not_know_of_it() {
-    let mut harness = Harness::new(1);
-    let probe = harness.connect_client();
-    harness.receive(probe, "GET /health HTTP/1.1\r\nHost: x\r\n\r\n");
-    assert_eq!(status(&harness.take_written(probe)), 200);
-    let (first, executor, _) = harness.forward_query("look", &request_id(1));
-    harness.platform.begin_shutdown(harness.now);
-    harness.run_effects();
-    harness.advance(500_000);
-    assert!(harness.listening && !harness.stopped);
-    let late = harness.connect_client();
-    harness.receive(late, &query_request("look", &request_id(2), ""));
-    let second = harness.complete_connects()[0];
-    harness.receive(executor, &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)));
-    assert_eq!(status(&harness.take_written(first)), 200);
-    harness.receive(probe, "GET /health HTTP/1.1\r\nHost: x\r\n\r\n");
-    assert_eq!(status(&harness.take_written(probe)), 503);
-    harness.advance(600_000);
-    assert!(!harness.listening && !harness.stopped, "one response is outstanding");
-    assert!(harness.closed.contains(&first) && !harness.closed.contains(&late));
-    harness.receive(second, &format!("{} HIT pages=1 0\r\n\r\n", request_id(2)));
-    assert_eq!(status(&harness.take_written(late)), 200);
-    harness.advance(200_000);
-    assert!(harness.stopped);
-}
-
 #[test]
 fn a_query_at_its_deadline_is_failed_or_rejected_before_its_client_times_out() {
     for class in ["look", "load"] {
@@ -264,57 +254,6 @@
     assert_eq!(harness.take_written(executor), "", "sent again");
 }
 
-/// The process is killed 3 s after the grace period, or after the longest deadline where that is shorter: all queries are answered
-/// before, whatever their timeout.
-#[test]
-fn queries_in_flight_are_answered_before_the_process_may_be_killed() {
-    let long = |class: &str, n: u64| {
-        let call = query_request(class, &request_id(n), "").replace("Timeout-Ms: 2000", "Timeout-Ms: 30000");
-        call.replace("Cost-Ms: 100.0", "Cost-Ms: 9000.0")
-    };
-    let mut harness = Harness::new(2);
-    let mut waiting: Vec<(wheelfield_sans_io::ConnId, u16)> = Vec::new();
-    let mut asks = |harness: &mut Harness, class: &str, n: u64| {
-        let client = harness.connect_client();
-        harness.receive(client, &long(class, n));
-        harness.complete_connects();
-        waiting.push((client, if class == "look" { 503 } else { 500 }));
-    };
-    asks(&mut harness, "look", 1);
-    asks(&mut harness, "load", 2);
-    let executors: Vec<_> = harness.written.keys().copied().collect();
-    harness.platform.begin_shutdown(harness.now);
-    harness.run_effects();
-    // Both executors report progress.
-    let goes_on = |harness: &mut Harness, times: u32| {
-        for _ in 0..times {
-            harness.advance(250_000);
-            let running: Vec<_> = harness.written.keys().copied().collect();
-            for conn in running {
-                for n in 1..=3 {
-                    harness.receive(conn, &format!("{} INFO tell=pct,v=0.3 0\r\n\r\n", request_id(n)));
-                }
-            }
-        }
-    };
-    goes_on(&mut harness, 2);
-    // A query that arrives during the shutdown has the same deadline.
-    asks(&mut harness, "look", 3);
-    goes_on(&mut harness, 12);
-    assert!(waiting.iter().all(|(client, _)| !harness.written.contains_key(client)), "answered early");
-    harness.advance(190_000);
-    for (client, expected) in waiting {
-        let told = harness.take_written(client);
-        assert_eq!(status(&told), expected, "{told}");
-    }
-    assert!(
-        executors.iter().all(|conn| harness.take_written(*conn).contains("STOP ")),
-        "a cancellation is missing"
-    );
-    harness.advance(200_000);
-    assert!(harness.stopped);
-}
-
 #[test]
 fn clients_that_disconnect_while_waiting_are_counted_and_nothing_is_sent_for_them() {
     let mut harness = Harness::new(1);
@@ -394,59 +333,6 @@
     }
 }
 
-/// No other response is outstanding as listening ends: clients accepted from the backlog at that moment are answered all the same.
-#[test]
-fn clients_accepted_as_listening_ends_are_answered_before_the_process_ends() {
-    let mut harness = Harness::new(1);
-    harness.backlog =
-        vec!["GET /health HTTP/1.1\r\n\r\n".to_string(), query_request("look", &request_id(1), "")];
-    harness.platform.begin_shutdown(harness.now);
-    harness.run_effects();
-    harness.advance(800_000);
-    assert!(!harness.listening && !harness.stopped, "two responses are outstanding");
-    let [health, asks] = harness.accepted_late[..] else { panic!("two were taken") };
-    assert_eq!(status(&harness.take_written(health)), 503);
-    let executor = harness.complete_connects()[0];
-    assert!(harness.take_written(executor).starts_with("REQ "));
-    harness.receive(executor, &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)));
-    assert_eq!(status(&harness.take_written(asks)), 200);
-    harness.advance(200_000);
-    assert!(harness.stopped);
-}
-
-/// A request that crosses the close of its idle connection during a shutdown is repeated on a new one.
-#[test]
-fn a_client_closed_at_shutdown_may_reconnect_and_has_time_to_send_its_request() {
-    let mut harness = Harness::new(1);
-    let (rests, executor, _) = harness.forward_query("look", &request_id(1));
-    harness.receive(executor, &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)));
-    assert_eq!(status(&harness.take_written(rests)), 200);
-    harness.platform.begin_shutdown(harness.now);
-    harness.run_effects();
-    harness.advance(700_000);
-    assert!(harness.closed.contains(&rests) && harness.listening);
-    harness.advance(45_000);
-    let again = harness.connect_client();
-    harness.receive(again, &query_request("look", &request_id(2), ""));
-    assert!(harness.take_written(executor).starts_with("REQ "));
-    harness.receive(executor, &format!("{} HIT pages=1 0\r\n\r\n", request_id(2)));
-    assert_eq!(status(&harness.take_written(again)), 200);
-    harness.advance(45_000);
-    let (asks, silent) = (harness.connect_client(), harness.connect_client());
-    harness.advance(10_000);
-    assert!(!harness.listening && !harness.stopped);
-    harness.advance(35_000);
-    assert!(!harness.closed.contains(&asks) && !harness.stopped, "its request may be on its way");
-    harness.receive(asks, &query_request("look", &request_id(3), ""));
-    assert!(harness.take_written(executor).starts_with("REQ "));
-    harness.advance(100_000);
-    assert!(harness.closed.contains(&silent) && !harness.stopped, "one response is outstanding");
-    harness.receive(executor, &format!("{} HIT pages=1 0\r\n\r\n", request_id(3)));
-    assert_eq!(status(&harness.take_written(asks)), 200);
-    harness.run_effects();
-    assert!(harness.stopped);
-}
-
 /// All connections are taken by clients that keep them: new clients without a request yet are not evicted for each other.
 #[test]
 fn new_clients_have_time_to_send_a_request_when_all_connections_are_taken() {
--- a/crates/platform/tests/interleavings/simulation.rs
+++ b/crates/platform/tests/interleavings/simulation.rs
@@ -1,13 +1,16 @@
 //! Plays a scenario against a controller without sockets, and records what crossed its connections as evidence for the
 //! invariants.
 
+mod executor_side;
+
 use crate::common::*;
 use crate::steps::{Disconnect, ExecutorReply, ListedStatus, Step, Turn};
+use executor_side::ExecutorConnection;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use wheelfield_invariants::{judge, Asked, End, Evidence, Life, Line, NotUp, OfClass, Tolerance};
+use wheelfield_invariants::{judge, Asked, End, Evidence, Life, Line, OfClass, Tolerance};
 use wheelfield_platform::BootstrapConfig;
-use wheelfield_sans_io::{ConnId, DatagramSocket, IoEvent, Listener, Protocol};
+use wheelfield_sans_io::{ConnId, IoEvent, Listener, Protocol};
 
 /// Names of the classes, by number.
 const CLASSES: [&str; 2] = ["look", "load"];
@@ -29,15 +32,6 @@
     ListenerClosedEarly,
 }
 
-/// A connection to an executor, as the executor sees it.
-struct ExecutorConnection {
-    engine: String,
-    /// Ids of the requests that it has.
-    running: Vec<String>,
-    /// Bytes received that are not parsed yet.
-    input: Vec<u8>,
-}
-
 /// The controller, and the state of the clients, executors and name service around it.
 pub struct Simulation {
     harness: Harness,
@@ -270,81 +264,6 @@
         self.handle_io(IoEvent::Broken { id, writing: false, refused: false, reason: "reset" });
     }
 
-    /// The name service answers the latest query with the published statuses.
-    fn publish_list(&mut self) {
-        let mut datagrams = self.harness.datagrams.iter().rev();
-        let latest = datagrams.find(|(socket, ..)| *socket == DatagramSocket::Discovery);
-        let Some((_, _, query)) = latest else { return };
-        self.serial += 1;
-        let listed: Vec<(String, u8, u16)> = self
-            .statuses
-            .iter()
-            .filter(|(_, status)| **status != ListedStatus::Removed)
-            .map(|(number, status)| {
-                (executor_name(*number), *number, u16::from(*status == ListedStatus::Draining))
-            })
-            .collect();
-        let listed: Vec<(&str, u8, u16)> =
-            listed.iter().map(|(name, n, p)| (name.as_str(), *n, *p)).collect();
-        let answer = dns_answer(query, self.serial, &listed).to_vec().expect("bytes");
-        self.log_list();
-        if self.fault != Some(InjectedFault::DiscoveryLost) {
-            let from = RESOLVER.parse().expect("an address");
-            self.handle_io(IoEvent::Datagram(DatagramSocket::Discovery, from, &answer));
-        }
-    }
-
-    /// Logs the executors that are not up.
-    fn log_list(&mut self) {
-        let mut not_up = Vec::new();
-        for (number, status) in &self.statuses {
-            let status = match status {
-                ListedStatus::Up => continue,
-                ListedStatus::Draining => "draining".to_string(),
-                ListedStatus::Removed => "removed".to_string(),
-            };
-            not_up.push(NotUp { engine: executor_name(*number), status });
-        }
-        let (t, event, who) = (self.harness.now, "told".to_string(), "0".to_string());
-        self.log.push(Line { t, event, who, not_up, ..Line::default() });
-    }
-
-    /// A connection to an executor has ended, and with it the requests on it.
-    fn drop_executor_connection(&mut self, id: ConnId) {
-        let Some(connection) = self.executor_connections.remove(&id) else { return };
-        for query in connection.running {
-            self.log_event(0, "dropped", &connection.engine, &query);
-        }
-    }
-
-    fn respond(&mut self, index: usize, reply: ExecutorReply) {
-        let busy = choose(&self.executor_connections, index, |connection| !connection.running.is_empty());
-        let Some(id) = busy else { return };
-        let connection = self.executor_connections.get_mut(&id).expect("chosen");
-        let query = connection.running[index % connection.running.len()].clone();
-        let engine = connection.engine.clone();
-        let row = format!("{query}\t1\tx\n");
-        let hit = format!("{query} HIT pages=1,cost=9.0,meter=util:0.3 {}\r\n{row}\r\n", row.len());
-        let (event, response) = match reply {
-            ExecutorReply::Served | ExecutorReply::ServedThenClosed => (Some("finished"), hit),
-            ExecutorReply::Rejected => (Some("refused"), format!("{query} SHED - 0\r\n\r\n")),
-            ExecutorReply::Failed => (Some("errored"), format!("{query} FAULT - 0\r\n\r\n")),
-            ExecutorReply::TooLate => (Some("refused"), format!("{query} LATE - 0\r\n\r\n")),
-            ExecutorReply::ServedTwice => (Some("finished"), format!("{hit}{hit}")),
-            ExecutorReply::Progress => (None, format!("{query} INFO tell=pct,v=0.4 0\r\n\r\n")),
-            ExecutorReply::Invalid => (Some("finished"), format!("{query} HIT pages=1 5000000\r\nnoise")),
-        };
-        if let Some(event) = event {
-            connection.running.retain(|running| *running != query);
-            self.log_event(0, event, &engine, &query);
-        }
-        self.handle_io(IoEvent::Received(id, response.as_bytes()));
-        if reply == ExecutorReply::ServedThenClosed {
-            self.drop_executor_connection(id);
-            self.handle_io(IoEvent::Ended(id));
-        }
-    }
-
     /// Ends a turn: timers are handled, and effects carried out.
     fn end_turn(&mut self) {
         self.harness.platform.handle_timers(self.harness.now);
@@ -400,29 +319,6 @@
         }
     }
 
-    fn receive_at_executor(&mut self, id: ConnId, bytes: &[u8]) {
-        let Some(connection) = self.executor_connections.get_mut(&id) else { return };
-        connection.input.extend_from_slice(bytes);
-        let text = String::from_utf8(std::mem::take(&mut connection.input)).expect("text");
-        let engine = connection.engine.clone();
-        let mut events = Vec::new();
-        for line in text.split("\r\n") {
-            let words: Vec<&str> = line.split(' ').collect();
-            match words[..] {
-                ["REQ", query, _, _] => {
-                    connection.running.push(query.to_string());
-                    events.push(("received", query));
-                }
-                ["STOP", query] if connection.running.iter().any(|running| running == query) => {
-                    connection.running.retain(|running| running != query);
-                    events.push(("dropped", query));
-                }
-                _ => {}
-            }
-        }
-        events.into_iter().for_each(|(event, query)| self.log_event(1, event, &engine, query));
-    }
-
     fn advance(&mut self, micros: i64) {
         let until = self.harness.now + micros;
         loop {
