--- a/crates/platform/src/bootstrap.rs
+++ b/crates/platform/src/bootstrap.rs
@@ -1,4 +1,4 @@
-//! What a controller is told at its start: its configuration, as JSON, and the list of executors in it.
+//! The configuration that a controller starts with: a JSON file, which includes the list of executors.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -6,135 +6,140 @@
 use wheelfield::interface::{EngineEntry, Micros, Settings, Status};
 use wheelfield_settings::{Names, SettingsError};
 
-/// What is wrong with a configuration.
+/// Why a configuration can't be used.
 #[derive(Debug, thiserror::Error)]
-pub enum LaunchError {
-    /// It can't be read.
+pub enum BootstrapError {
+    /// It is not JSON, or lacks a field.
     #[error("the configuration is not as expected: {0}")]
     Json(#[from] serde_json::Error),
-    /// Its settings can't be used.
+    /// Its settings are invalid.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
     /// A limit among the settings is missing, or is no whole number.
     #[error("settings: ceilings.{0} is missing, or is no whole number")]
     Ceiling(&'static str),
-    /// There is nothing to be asked for.
+    /// There is no class of queries, or one without a name.
     #[error("settings: grades is missing or empty, or one of them has no name")]
     Classes,
-    /// The seed is no number.
+    /// The seed is no hexadecimal number.
     #[error("the seed is not up to 16 hex digits: '{0}'")]
     Seed(String),
 }
 
-/// What a controller may use.
+/// Resources that a controller may use.
 #[derive(Clone, Copy, Debug, Deserialize)]
-pub struct Limits {
+pub struct ResourceLimits {
     /// Memory of its processes, in MB.
     pub memory_mb: f64,
-    /// File descriptors.
+    /// Number of file descriptors.
     pub sockets: usize,
 }
 
-/// A configuration.
+/// The configuration of a controller.
 #[derive(Clone, Debug)]
-pub struct Launch {
-    /// The controller's name.
+pub struct BootstrapConfig {
+    /// Name of the controller.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which it listens for clients.
     pub listen: SocketAddr,
-    /// For chance.
+    /// Seed of its random numbers.
     pub seed: u64,
-    /// What it may use.
-    pub limits: Limits,
-    /// Where words of other controllers arrive.
+    /// Resources that it may use.
+    pub limits: ResourceLimits,
+    /// Address on which it receives messages of other controllers.
     pub peer_listen: Option<SocketAddr>,
-    /// All controllers, this one among them, by their numbers.
+    /// Addresses of all controllers by number, including this one.
     pub peers: Vec<SocketAddr>,
-    /// An address for all of them.
+    /// An address that reaches all controllers.
     pub peers_all: Option<SocketAddr>,
-    /// The name service.
+    /// Address of the name service.
     pub resolver: SocketAddr,
-    /// The number of the last event that `executors` holds.
+    /// Serial number of the list of executors.
     pub serial: u64,
     /// The executors at the start.
-    pub executors: Vec<Listed>,
-    /// The module's settings.
+    pub executors: Vec<ExecutorEndpoint>,
+    /// Settings of the policy.
     pub settings: Settings,
-    /// The names behind its numbers.
+    /// Names of the classes, zones and so on that the settings refer to by number.
     pub names: Names,
-    /// What the wire keeps to.
-    pub ceilings: Ceilings,
+    /// Limits that the protocol keeps to.
+    pub protocol_limits: ProtocolLimits,
 }
 
-/// Limits among the settings that are not the module's.
+/// Limits among the settings that concern the protocol rather than the policy.
 #[derive(Clone, Copy, Debug)]
-pub struct Ceilings {
-    /// A connect that is not through in this time has failed, in microseconds.
+pub struct ProtocolLimits {
+    /// Time after which a connect has failed, in microseconds.
     pub connect_timeout_us: i64,
-    /// Executors close a connection that is idle for so long, in microseconds.
+    /// Time after which executors close an idle connection, in microseconds.
     pub conn_idle_us: i64,
-    /// Attempts that a connection carries at once.
+    /// Attempts on one connection at the same time.
     pub max_streams: usize,
-    /// Queries held at once.
-    pub most_held: usize,
+    /// Queries in flight at the same time.
+    pub max_queries: usize,
 }
 
-impl Ceilings {
-    fn read(settings: &serde_json::Value) -> Result<Ceilings, LaunchError> {
-        // A whole number may be written with a point.
-        let one = |key: &'static str| {
-            let told = &settings["ceilings"][key];
-            let told = told.as_i64().or_else(|| told.as_f64().filter(|x| x.fract() == 0.0).map(|x| x as i64));
-            told.filter(|x| *x >= 0).ok_or(LaunchError::Ceiling(key))
+impl ProtocolLimits {
+    fn parse(settings: &serde_json::Value) -> Result<ProtocolLimits, BootstrapError> {
+        let limit = |key: &'static str| {
+            whole_number(&settings["ceilings"][key])
+                .filter(|number| *number >= 0)
+                .ok_or(BootstrapError::Ceiling(key))
         };
-        Ok(Ceilings {
-            connect_timeout_us: one("connect_timeout_us")?,
-            conn_idle_us: one("conn_idle_us")?,
-            max_streams: one("max_streams")? as usize,
-            most_held: one("most_held")? as usize,
+        Ok(ProtocolLimits {
+            connect_timeout_us: limit("connect_timeout_us")?,
+            conn_idle_us: limit("conn_idle_us")?,
+            max_streams: limit("max_streams")? as usize,
+            max_queries: limit("most_held")? as usize,
         })
     }
 }
 
-/// An executor as it is listed.
+/// A whole number, which may be written with a decimal point.
+fn whole_number(value: &serde_json::Value) -> Option<i64> {
+    value.as_i64().or_else(|| value.as_f64().filter(|x| x.fract() == 0.0).map(|x| x as i64))
+}
+
+/// An executor as the configuration or the name service lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct ExecutorEndpoint {
     /// Its name.
     pub name: String,
-    /// Where it listens.
-    pub at: SocketAddr,
-    /// Its zone, by name.
+    /// Address on which it listens.
+    pub address: SocketAddr,
+    /// Name of its zone.
     pub zone: String,
-    /// Its kind, by name.
+    /// Name of its kind.
     pub kind: String,
-    /// Its cell.
+    /// Number of its cell.
     pub cell: i64,
-    /// Whether it takes work.
+    /// Whether it accepts work.
     pub status: Status,
-    /// The Unix microsecond of a late start.
-    pub started: Option<i64>,
+    /// Time of its start as microseconds of Unix time, if it started after the others.
+    pub started_at_us: Option<i64>,
 }
 
-impl Listed {
-    /// As the module is told; its name is known from now on.
-    pub fn entry(&self, names: &mut Names) -> EngineEntry {
+impl ExecutorEndpoint {
+    /// The executor as the policy takes it. Its name is added to `names`.
+    pub fn to_entry(&self, names: &mut Names) -> EngineEntry {
         EngineEntry {
             engine: names.engine(&self.name),
             zone: names.zone(&self.zone),
             kind: names.kind(&self.kind),
             cell: self.cell,
             status: self.status,
-            started_at: self.started.map(Micros),
+            started_at: self.started_at_us.map(Micros),
         }
     }
 }
 
+/// The file. The names of its fields, and of those of the types below, are the keys of the JSON.
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     name: String,
     listen: SocketAddr,
     seed: String,
-    limits: Limits,
+    limits: ResourceLimits,
     #[serde(default)]
     peer_listen: Option<SocketAddr>,
     #[serde(default)]
@@ -142,30 +147,34 @@
     #[serde(default)]
     peers_all: Option<SocketAddr>,
     resolver: SocketAddr,
-    known: Known,
+    known: KnownEvents,
     settings: serde_json::Value,
 }
 
+/// The events that the list of executors results from.
 #[derive(Deserialize)]
-struct Known {
+struct KnownEvents {
     cursor: u64,
     #[serde(default)]
     cmds: Vec<KnownEvent>,
 }
 
+/// An event; those without `nodes` are ignored.
 #[derive(Deserialize)]
 struct KnownEvent {
     #[serde(default)]
-    nodes: Option<Nodes>,
+    nodes: Option<NodeList>,
 }
 
+/// Executors that were added, changed or removed; with `full`, all others were removed.
 #[derive(Deserialize)]
-struct Nodes {
+struct NodeList {
     #[serde(default)]
     full: bool,
     servers: Vec<Server>,
 }
 
+/// An executor of a [`NodeList`].
 #[derive(Deserialize)]
 struct Server {
     id: String,
@@ -176,69 +185,84 @@
     kind: String,
     #[serde(default)]
     cell: i64,
-    state: State,
+    state: ServerState,
     #[serde(default)]
     started_ms: i64,
 }
 
+/// The state of a [`Server`].
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum State {
+enum ServerState {
     Ready,
     Draining,
     Gone,
 }
 
+/// The part of a configuration that is taken over when it is reloaded.
 #[derive(Deserialize)]
-struct Reloaded {
+struct ReloadedConfig {
     resolver: SocketAddr,
 }
 
-/// The Unix microsecond of a start told in milliseconds; none for 0.
-pub(crate) fn started(ms: i64) -> Option<i64> {
-    (ms > 0).then_some(ms.saturating_mul(1000))
+/// The time of a start as microseconds of Unix time, from milliseconds; `None` for 0 and below.
+pub(crate) fn start_time(unix_ms: i64) -> Option<i64> {
+    (unix_ms > 0).then_some(unix_ms.saturating_mul(1000))
 }
 
-impl Known {
-    /// The list as it stands after all events.
-    fn list(self) -> Vec<Listed> {
-        let mut all = BTreeMap::new();
-        for nodes in self.cmds.into_iter().filter_map(|e| e.nodes) {
+impl KnownEvents {
+    /// The executors after all events, in order of their names.
+    fn into_executors(self) -> Vec<ExecutorEndpoint> {
+        let mut executors = BTreeMap::new();
+        for nodes in self.cmds.into_iter().filter_map(|event| event.nodes) {
             if nodes.full {
-                all.clear();
+                executors.clear();
             }
-            for s in nodes.servers {
-                let status = match s.state {
-                    State::Ready => Status::Up,
-                    State::Draining => Status::Draining,
-                    State::Gone => {
-                        all.remove(&s.id);
-                        continue;
+            for server in nodes.servers {
+                match server.state {
+                    ServerState::Ready => {
+                        executors.insert(server.id.clone(), server.into_endpoint(Status::Up))
                     }
+                    ServerState::Draining => {
+                        executors.insert(server.id.clone(), server.into_endpoint(Status::Draining))
+                    }
+                    ServerState::Gone => executors.remove(&server.id),
                 };
-                let (name, started) = (s.id.clone(), started(s.started_ms));
-                let (at, zone, kind, cell) = (s.addr, s.zone, s.kind, s.cell);
-                all.insert(s.id, Listed { name, at, zone, kind, cell, status, started });
             }
         }
-        all.into_values().collect()
+        executors.into_values().collect()
+    }
+}
+
+impl Server {
+    fn into_endpoint(self, status: Status) -> ExecutorEndpoint {
+        ExecutorEndpoint {
+            name: self.id,
+            address: self.addr,
+            zone: self.zone,
+            kind: self.kind,
+            cell: self.cell,
+            status,
+            started_at_us: start_time(self.started_ms),
+        }
     }
 }
 
-impl Launch {
-    /// Reads a configuration.
+impl BootstrapConfig {
+    /// Parses a configuration.
     ///
     /// # Errors
-    /// [`LaunchError`].
-    pub fn read(text: &str) -> Result<Launch, LaunchError> {
-        let file: File = serde_json::from_str(text)?;
+    /// [`BootstrapError`] if it can't be used.
+    pub fn parse(text: &str) -> Result<BootstrapConfig, BootstrapError> {
+        let file: ConfigFile = serde_json::from_str(text)?;
         let (names, settings) = Names::settings(&file.settings)?;
         if names.classes.is_empty() || names.classes.iter().any(String::is_empty) {
-            return Err(LaunchError::Classes);
+            return Err(BootstrapError::Classes);
         }
-        let ceilings = Ceilings::read(&file.settings)?;
-        let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| LaunchError::Seed(file.seed.clone()))?;
-        Ok(Launch {
+        let protocol_limits = ProtocolLimits::parse(&file.settings)?;
+        let seed =
+            u64::from_str_radix(&file.seed, 16).map_err(|_| BootstrapError::Seed(file.seed.clone()))?;
+        Ok(BootstrapConfig {
             name: file.name,
             listen: file.listen,
             seed,
@@ -248,18 +272,18 @@
             peers_all: file.peers_all,
             resolver: file.resolver,
             serial: file.known.cursor,
-            executors: file.known.list(),
+            executors: file.known.into_executors(),
             settings,
             names,
-            ceilings,
+            protocol_limits,
         })
     }
 
-    /// The name service of a configuration that took this one's place.
+    /// Parses the address of the name service in a configuration that replaces the one of the start.
     ///
     /// # Errors
-    /// [`LaunchError::Json`].
-    pub fn resolver(text: &str) -> Result<SocketAddr, LaunchError> {
-        Ok(serde_json::from_str::<Reloaded>(text)?.resolver)
+    /// [`BootstrapError::Json`] if there is none.
+    pub fn parse_resolver(text: &str) -> Result<SocketAddr, BootstrapError> {
+        Ok(serde_json::from_str::<ReloadedConfig>(text)?.resolver)
     }
 }
--- /dev/null
+++ b/crates/platform/src/clients/mod.rs
@@ -0,0 +1,258 @@
+//! Connections of clients, with at most one request on each being processed.
+
+mod connection;
+
+use crate::http_server::{self, Reply, RequestError, RequestHead, RequestKind};
+use crate::timer_event::TimerEvent;
+use bytes::{Buf, Bytes};
+use connection::{ClientConnection, ClientState, ExpiredTimeout};
+use wheelfield_sans_io::{ConnId, ConnectionBuffer, ConnectionTable, Effect, EffectQueue};
+
+/// Owner number of these connections in their [`ConnId`].
+pub const OWNER: u8 = 1;
+/// Time for which input after an invalid request is read and dropped, so that the client sees the response, in microseconds.
+const DRAIN_TIME_US: i64 = 500_000;
+/// Bytes of input after an invalid request that are read and dropped.
+const MAX_DRAIN_BYTES: usize = 8 << 20;
+
+/// A request of a client.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ClientRequest {
+    /// The client's connection.
+    pub client: ConnId,
+    /// What is asked for.
+    pub kind: RequestKind,
+    /// The statement.
+    pub body: Bytes,
+}
+
+/// Counters since the start of the process.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ClientCounters {
+    /// Connections accepted.
+    pub accepted: u64,
+    /// Connections closed for a new one or because of a timeout.
+    pub evicted: u64,
+    /// Invalid requests.
+    pub invalid: u64,
+    /// Connections rejected because all others were in use.
+    pub rejected: u64,
+}
+
+/// The connections of all clients.
+#[derive(Debug)]
+pub struct Clients {
+    max_clients: usize,
+    connections: ConnectionTable<ClientConnection>,
+    /// Counters since the start of the process.
+    pub counters: ClientCounters,
+}
+
+impl Clients {
+    /// Creates an empty table of at most so many clients.
+    pub fn new(max_clients: usize) -> Clients {
+        Clients { max_clients, connections: ConnectionTable::new(OWNER), counters: ClientCounters::default() }
+    }
+
+    /// Accepts a client, closing another one if needed; `None` if all others are in use.
+    pub fn accept(&mut self, out: &mut EffectQueue<TimerEvent>) -> Option<ConnId> {
+        if self.connections.len() >= self.max_clients && !self.evict_one(out) {
+            self.counters.rejected += 1;
+            return None;
+        }
+        self.counters.accepted += 1;
+        Some(self.connections.insert(ClientConnection::new(out.now)))
+    }
+
+    /// Closes the connection that is given up most readily. Returns whether there was one.
+    fn evict_one(&mut self, out: &mut EffectQueue<TimerEvent>) -> bool {
+        let now = out.now;
+        let candidates =
+            self.connections.iter().filter_map(|(id, client)| Some((client.eviction_rank(now)?, id)));
+        let Some((_, id)) = candidates.min_by_key(|(rank, _)| *rank) else { return false };
+        self.counters.evicted += 1;
+        self.close(id, out);
+        true
+    }
+
+    /// Number of clients.
+    pub fn len(&self) -> usize {
+        self.connections.len()
+    }
+
+    /// The buffer of a connection.
+    pub fn buffer(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
+        self.connections.get_mut(id).map(|client| &mut client.buffer)
+    }
+
+    /// Records that input arrived on a connection, which is examined after all other events of this turn.
+    pub fn mark_unread_input(&mut self, id: ConnId) {
+        if let Some(client) = self.connections.get_mut(id) {
+            client.has_unread_input = true;
+        }
+    }
+
+    /// Bytes that may be read from a connection.
+    pub fn read_capacity(&mut self, id: ConnId) -> usize {
+        self.connections
+            .get_mut(id)
+            .map_or(0, |client| client.buffer.read_capacity(client.state.max_input_bytes()))
+    }
+
+    /// Records that so many bytes of a response were written. A client that has closed its side is closed after the last byte.
+    pub fn bytes_written(&mut self, id: ConnId, count: usize, out: &mut EffectQueue<TimerEvent>) {
+        let Some(client) = self.connections.get_mut(id) else { return };
+        client.write_progress_at = out.now;
+        if client.buffer.advance_written(count) && client.buffer.read_closed {
+            self.close(id, out);
+        }
+    }
+
+    /// Takes the next request from the input of a connection, if it is complete and valid. An invalid one is answered here.
+    pub fn next_request(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) -> Option<ClientRequest> {
+        let client = self.connections.get_mut(id)?;
+        client.has_unread_input = false;
+        match client.state {
+            ClientState::Processing => return None,
+            ClientState::Draining { until, bytes_left } => {
+                self.drain_input(id, until, bytes_left, out);
+                return None;
+            }
+            ClientState::AwaitingRequest => {}
+        }
+        if client.has_left() {
+            // A client that has closed both sides takes no response.
+            if client.buffer.output.is_empty() || client.buffer.peer_closing {
+                self.close(id, out);
+            }
+            return None;
+        }
+        if client.buffer.input.is_empty() {
+            client.request_started_at = None;
+            client.buffer.resume_reading(id, client.state.max_input_bytes(), out);
+            return None;
+        }
+        client.request_started_at = client.request_started_at.or(Some(out.now));
+        match http_server::parse_head(&client.buffer.input) {
+            Ok(Some(head)) if client.buffer.input.len() >= head.total_length => {
+                self.take_request(id, head, out)
+            }
+            Ok(_) => None,
+            Err(error) => {
+                self.reject_request(id, error, out);
+                None
+            }
+        }
+    }
+
+    /// Drops the input of a connection that is closed after its last response.
+    fn drain_input(&mut self, id: ConnId, until: i64, bytes_left: usize, out: &mut EffectQueue<TimerEvent>) {
+        let Some(client) = self.connections.get_mut(id) else { return };
+        let received = client.buffer.input.len();
+        client.buffer.input.clear();
+        client.state = ClientState::Draining { until, bytes_left: bytes_left.saturating_sub(received) };
+        if client.buffer.read_closed || received > bytes_left {
+            self.close(id, out);
+        } else {
+            client.buffer.resume_reading(id, client.state.max_input_bytes(), out);
+        }
+    }
+
+    /// Takes a complete request out of the input.
+    fn take_request(
+        &mut self,
+        id: ConnId,
+        head: RequestHead,
+        out: &mut EffectQueue<TimerEvent>,
+    ) -> Option<ClientRequest> {
+        let client = self.connections.get_mut(id)?;
+        client.request_started_at = None;
+        client.close_after_response = head.close;
+        client.state = ClientState::Processing;
+        client.active_at = out.now;
+        client.buffer.input.advance(head.total_length - head.body_length);
+        // A copy, so that the memory of the input is free again.
+        let body = Bytes::copy_from_slice(&client.buffer.input.split_to(head.body_length));
+        client.buffer.resume_reading(id, client.state.max_input_bytes(), out);
+        match head.kind {
+            Ok(kind) => {
+                client.has_sent_request = true;
+                Some(ClientRequest { client: id, kind, body })
+            }
+            Err(error) => {
+                self.reject_request(id, error, out);
+                None
+            }
+        }
+    }
+
+    /// Answers an invalid request.
+    pub fn reject_request(&mut self, id: ConnId, error: RequestError, out: &mut EffectQueue<TimerEvent>) {
+        self.counters.invalid += 1;
+        if let Some(client) = self.connections.get_mut(id) {
+            client.close_after_response |= error.ends_connection();
+        }
+        self.respond(id, &Reply::Invalid(error), out);
+    }
+
+    /// Writes the response to the current request.
+    pub fn respond(&mut self, id: ConnId, reply: &Reply, out: &mut EffectQueue<TimerEvent>) {
+        let Some(client) = self.connections.get_mut(id) else { return };
+        http_server::write_reply(reply, client.close_after_response, &mut client.buffer.output);
+        client.active_at = out.now;
+        client.write_progress_at = out.now;
+        client.state = if client.close_after_response {
+            ClientState::Draining { until: out.now + DRAIN_TIME_US, bytes_left: MAX_DRAIN_BYTES }
+        } else {
+            ClientState::AwaitingRequest
+        };
+        client.buffer.flush(id, out);
+        client.buffer.resume_reading(id, client.state.max_input_bytes(), out);
+    }
+
+    /// Whether a request of this client is being processed.
+    pub fn is_processing(&self, id: ConnId) -> bool {
+        self.connections.get(id).is_some_and(|client| client.state == ClientState::Processing)
+    }
+
+    /// Whether a client has closed its side of the connection.
+    pub fn has_left(&self, id: ConnId) -> bool {
+        self.connections.get(id).is_some_and(ClientConnection::has_left)
+    }
+
+    /// Closes a connection.
+    pub fn close(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) {
+        if self.connections.remove(id).is_some() {
+            out.push(Effect::Close(id));
+        }
+    }
+
+    /// Rejects overdue requests and closes connections whose timeout has passed.
+    pub fn check_timeouts(&mut self, out: &mut EffectQueue<TimerEvent>) {
+        let now = out.now;
+        let expired: Vec<(ConnId, ExpiredTimeout)> = self
+            .connections
+            .iter()
+            .filter_map(|(id, client)| Some((id, client.expired_timeout(now)?)))
+            .collect();
+        for (id, _) in expired.iter().filter(|(_, timeout)| *timeout == ExpiredTimeout::RejectRequest) {
+            self.reject_request(*id, RequestError::TimedOut, out);
+        }
+        for (id, _) in expired.iter().filter(|(_, timeout)| *timeout == ExpiredTimeout::Close) {
+            self.counters.evicted += 1;
+            self.close(*id, out);
+        }
+    }
+
+    /// Closes all idle connections. The others are closed by a later call, after their response.
+    pub fn close_idle(&mut self, out: &mut EffectQueue<TimerEvent>) {
+        let idle: Vec<ConnId> =
+            self.connections.iter().filter(|(_, client)| client.is_idle(out.now)).map(|(id, _)| id).collect();
+        idle.into_iter().for_each(|id| self.close(id, out));
+    }
+
+    /// Whether a request or response of some client is outstanding.
+    pub fn has_outstanding(&self, now: i64) -> bool {
+        self.connections.iter().any(|(_, client)| !client.is_idle(now))
+    }
+}
--- a/crates/platform/tests/settings.rs
+++ b/crates/platform/tests/settings.rs
@@ -1,15 +1,16 @@
-//! The settings of any customer: each key that the operators' page names is read or left, as `docs/platform.md` says.
+//! The settings: each key of the platform is read or ignored, as the table in `docs/platform.md` states.
 
 mod common;
 use common::*;
 use serde_json::{json, Value};
-use wheelfield_platform::Launch;
+use wheelfield_platform::BootstrapConfig;
 
 const TABLE: &str = include_str!("../../../docs/platform.md");
 
-/// Settings in which no key of the page is missing.
-fn whole() -> Value {
-    let mut file: Value = serde_json::from_str(&config(vec![server("e1", 1, "ready")], 256)).expect("JSON");
+/// A configuration whose settings have all keys.
+fn complete_config() -> Value {
+    let mut file: Value =
+        serde_json::from_str(&config(vec![executor_entry("e1", 1, "ready")], 256)).expect("JSON");
     file["settings"] = json!({
         "balancers": 3, "me": 1, "my_zone": "a", "zones": ["a", "b"], "skus": ["big", "small"], "layers": ["pool"], "tier": 0,
         "grades": [{"name": "look", "on_time_us": 500_000, "give_up_us": 3_000_000, "gain": 1.0, "late_value": 0.25, "aim_stretch": 2.0,
@@ -35,13 +36,13 @@
     file
 }
 
-/// All that the program makes of a configuration.
-fn read(file: &Value) -> String {
-    format!("{:?}", Launch::read(&file.to_string()).unwrap_or_else(|fault| panic!("{fault}")))
+/// A configuration as parsed, for comparison.
+fn parsed(file: &Value) -> String {
+    format!("{:?}", BootstrapConfig::parse(&file.to_string()).unwrap_or_else(|error| panic!("{error}")))
 }
 
-/// Another value that may stand in its place.
-fn other(value: &Value) -> Value {
+/// Another valid value.
+fn changed(value: &Value) -> Value {
     match value {
         Value::Bool(b) => json!(!b),
         Value::Number(n) if n.is_f64() => json!(n.as_f64().expect("a number") * 0.5 + 0.0625),
@@ -51,7 +52,7 @@
             Value::String(name) if name == "a" && all.len() == 1 => json!(["b"]),
             Value::String(name) if name == "cpu_share" => json!(["pending"]),
             Value::String(_) => Value::Array(all.iter().cloned().chain([json!("more")]).collect()),
-            first => Value::Array([other(first)].into_iter().chain(all[1..].iter().cloned()).collect()),
+            first => Value::Array([changed(first)].into_iter().chain(all[1..].iter().cloned()).collect()),
         },
         Value::String(word) => json!(match word.as_str() {
             "by_key" => "once",
@@ -66,7 +67,7 @@
     }
 }
 
-fn place<'a>(file: &'a mut Value, key: &str) -> &'a mut Value {
+fn find_key<'a>(file: &'a mut Value, key: &str) -> &'a mut Value {
     key.split('.').fold(&mut file["settings"], |at, part| match part.strip_suffix("[]") {
         Some(list) => &mut at[list][0],
         None => &mut at[part],
@@ -74,22 +75,22 @@
 }
 
 #[test]
-fn every_key_of_the_page_is_read_or_left_as_the_table_says() {
-    let before = read(&whole());
+fn each_settings_key_is_read_or_ignored_as_documented() {
+    let before = parsed(&complete_config());
     let mut keys = 0;
     for row in TABLE
         .lines()
         .filter(|l| l.starts_with("| `") && (l.contains("` | read |") || l.contains("` | unused |")))
     {
         let key = row.split('`').nth(1).expect("a key");
-        let mut file = whole();
-        let at = place(&mut file, key);
+        let mut file = complete_config();
+        let at = find_key(&mut file, key);
         assert!(!at.is_null(), "{key} is no key of the page");
-        *at = other(at);
-        assert_eq!(read(&file) != before, row.contains("| read |"), "{row}");
+        *at = changed(at);
+        assert_eq!(parsed(&file) != before, row.contains("| read |"), "{row}");
         keys += 1;
     }
-    // As many as the example holds: none is missing in the table.
+    // As many as the example has: none is missing in the table.
     fn leaves(value: &Value) -> usize {
         match value {
             Value::Object(all) => all.values().map(leaves).sum(),
@@ -97,12 +98,12 @@
             _ => 1,
         }
     }
-    assert_eq!(keys, leaves(&whole()["settings"]));
+    assert_eq!(keys, leaves(&complete_config()["settings"]));
 }
 
 #[test]
-fn what_is_optional_may_be_missing_and_what_is_unknown_is_left() {
-    let mut file = whole();
+fn optional_keys_may_be_missing_and_unknown_keys_are_ignored() {
+    let mut file = complete_config();
     let settings = &mut file["settings"];
     for key in ["tenants", "callers", "over_share_worth", "scoring_mix"] {
         settings.as_object_mut().expect("an object").remove(key);
@@ -116,19 +117,19 @@
     settings["ceilings"]["max_streams"] = json!(32.0);
     settings["more"] = json!({"of": ["any", 1]});
     settings["grades"][0]["more"] = json!(1);
-    let launch = Launch::read(&file.to_string()).expect("sound");
-    let class = &launch.settings.classes[0];
+    let config = BootstrapConfig::parse(&file.to_string()).expect("valid");
+    let class = &config.settings.classes[0];
     assert!(
         !class.ordered_by_key
             && !class.no_engine_permitted
             && class.kinds.is_empty()
             && class.zones.is_empty()
     );
-    assert!(launch.settings.retry_budget.is_none() && launch.ceilings.max_streams == 32);
+    assert!(config.settings.retry_budget.is_none() && config.protocol_limits.max_streams == 32);
 }
 
 #[test]
-fn what_cannot_be_used_is_named() {
+fn an_error_names_the_invalid_key() {
     for (key, value, named) in [
         ("grades[].effect", json!("perhaps"), "effect"),
         ("grades[].name", json!(""), "grades"),
@@ -138,9 +139,9 @@
         ("ceilings.max_streams", json!(-1), "ceilings.max_streams"),
         ("ceilings.most_held", json!(0.5), "ceilings.most_held"),
     ] {
-        let mut file = whole();
-        *place(&mut file, key) = value;
-        let told = Launch::read(&file.to_string()).expect_err("it can't be used").to_string();
-        assert!(told.contains(named) && told.lines().count() == 1, "{key}: {told}");
+        let mut file = complete_config();
+        *find_key(&mut file, key) = value;
+        let message = BootstrapConfig::parse(&file.to_string()).expect_err("it can't be used").to_string();
+        assert!(message.contains(named) && message.lines().count() == 1, "{key}: {message}");
     }
 }
