--- /dev/null
+++ b/crates/controller/src/capture.rs
@@ -0,0 +1,55 @@
+//! Starts the capture of the driver's inputs and answers, on disk or in memory.
+
+use crate::error::ControllerError;
+use wheelfield::interface::Micros;
+use wheelfield_capture::{Limits, Recorder, RingLimits, Start, Triggers};
+use wheelfield_config::Config;
+use wheelfield_driver::{Driver, DriverLimits};
+
+/// Starts the capture that a configuration asks for; `None` if it asks for none. `now` is in microseconds.
+///
+/// # Errors
+/// [`ControllerError::Capture`].
+pub(crate) fn start_recorder(
+    config: &Config,
+    seed: u64,
+    bounds: DriverLimits,
+    driver: &Driver,
+    now: i64,
+) -> Result<Option<Recorder>, ControllerError> {
+    let Some(capture) = &config.capture else { return Ok(None) };
+    let start = Start {
+        build: format!("{} {}", env!("CARGO_PKG_NAME"), env!("CARGO_PKG_VERSION")),
+        index: config.settings.gateway_index as u32,
+        seed,
+        settings: config.settings.clone(),
+        bounds,
+        classes: config.names.classes.clone(),
+        tenants: config.names.tenants.clone(),
+    };
+    let limits = Limits {
+        queue: capture.queue,
+        segment: capture.segment,
+        keep: capture.keep,
+        checkpoint: capture.checkpoint,
+        sync: capture.sync,
+        ..Limits::default()
+    };
+    let (file, now) = (&capture.file, Micros(now));
+    let recorder = match &capture.ring {
+        None => Recorder::begin(file, start, limits, driver, now),
+        Some(ring) => {
+            let ring_limits = RingLimits { bytes: ring.memory, span: ring.span };
+            let triggers = Triggers {
+                set_aside: ring.set_aside,
+                refusals: Some(ring.refusals),
+                window: ring.window,
+                stall: Some(ring.stall),
+                after: ring.after,
+                rest: ring.rest,
+            };
+            Recorder::ring(file, start, limits, (ring_limits, triggers), driver, now)
+        }
+    };
+    recorder.map(Some).map_err(|source| ControllerError::Capture { path: file.clone(), source })
+}
--- /dev/null
+++ b/crates/controller/src/endpoint_files.rs
@@ -0,0 +1,41 @@
+//! Starts the watcher of the engine files.
+
+use crate::error::ControllerError;
+use std::os::unix::net::UnixStream;
+use wheelfield_config::Config;
+use wheelfield_endpoints::file::Places;
+use wheelfield_endpoints::keeper::Policy;
+use wheelfield_endpoints_cli::disk::Place;
+use wheelfield_endpoints_cli::{Watch, Watching};
+use wheelfield_net::Clock;
+
+/// Starts to watch the engine files of a configuration; `None` if it names none. A byte on the stream says that the watcher
+/// has something to receive.
+///
+/// # Errors
+/// [`ControllerError::WatchEngineFiles`], or an error of the system for the stream.
+pub(crate) fn watch_endpoint_files(
+    config: &Config,
+    clock: Clock,
+) -> Result<Option<(Watching, UnixStream)>, ControllerError> {
+    let Some(members) = &config.members else { return Ok(None) };
+    let policy = Policy {
+        settle: members.settle,
+        most_lost: members.most_lost,
+        hold: members.hold,
+        reuse_after: members.reuse_after,
+    };
+    let names = Places { names: config.names.clone(), cores: config.settings.cores.clone(), open: false };
+    let watch = Watch {
+        places: members.files.iter().cloned().map(Place).collect(),
+        poll: members.poll,
+        policy,
+        names,
+        last_good: members.last_good.clone(),
+    };
+    let (wakeup, notifier) = UnixStream::pair()?;
+    notifier.set_nonblocking(true)?;
+    let watcher = Watching::begin(watch, clock, notifier)
+        .map_err(|source| ControllerError::WatchEngineFiles { source })?;
+    Ok(Some((watcher, wakeup)))
+}
--- /dev/null
+++ b/crates/controller/src/event_loop/connections.rs
@@ -0,0 +1,150 @@
+//! The sockets of a controller's connections: reads and writes as far as both the controller and the peer can take more.
+
+use super::IoContext;
+use mio::net::TcpStream;
+use mio::{Registry, Token};
+use std::io;
+use std::net::SocketAddr;
+use wheelfield_net::Socket;
+use wheelfield_sans_io::{ConnId, IoEvent};
+
+/// Owners of connections within a controller ([`ConnId::owner`]).
+const MAX_OWNERS: usize = 8;
+/// Bytes read at a time, by whichever connection.
+const READ_BUFFER_BYTES: usize = 64 << 10;
+
+/// All connections, by owner and slot. Their number is bounded by the controller, which gives out the slots.
+pub(super) struct ConnectionSockets {
+    by_owner: [Vec<Option<(ConnId, Socket)>>; MAX_OWNERS],
+    read_buffer: Vec<u8>,
+}
+
+impl ConnectionSockets {
+    /// An empty table.
+    pub fn new() -> ConnectionSockets {
+        ConnectionSockets { by_owner: Default::default(), read_buffer: vec![0; READ_BUFFER_BYTES] }
+    }
+
+    /// Adds a connection that was accepted, and reads what it has sent already.
+    pub fn add_accepted(&mut self, id: ConnId, stream: TcpStream, io: &mut IoContext<'_>) {
+        match Socket::new(stream, true, io.registry, token_of(id)) {
+            Ok(socket) => {
+                self.insert(id, socket);
+                self.read(id, io);
+            }
+            Err(error) => notify_broken(id, Direction::Reading, &error, io),
+        }
+    }
+
+    /// Begins to connect.
+    pub fn connect(&mut self, id: ConnId, address: SocketAddr, io: &mut IoContext<'_>) {
+        let stream = TcpStream::connect(address);
+        match stream.and_then(|stream| Socket::new(stream, false, io.registry, token_of(id))) {
+            Ok(socket) => self.insert(id, socket),
+            Err(error) => notify_broken(id, Direction::Writing, &error, io),
+        }
+    }
+
+    /// Handles an event of the poll for a connection; one that is closed meanwhile is ignored.
+    pub fn handle_event(&mut self, event: &mio::event::Event, io: &mut IoContext<'_>) {
+        let id = ConnId::from_u64(event.token().0 as u64);
+        let Some(socket) = self.get_mut(id) else { return };
+        let was_connecting = matches!(socket.connected(), Ok(false));
+        socket.on(event);
+        if was_connecting {
+            match socket.connected() {
+                Ok(true) => io.protocol.handle_io(io.now, IoEvent::Connected(id)),
+                Ok(false) => return,
+                Err(error) => return notify_broken(id, Direction::Writing, &error, io),
+            }
+        }
+        if self.get_mut(id).is_some_and(|socket| socket.closing()) {
+            io.protocol.handle_io(io.now, IoEvent::Closing(id));
+        }
+        self.read(id, io);
+        self.write(id, io);
+    }
+
+    /// Reads what has arrived, as far as the controller has capacity for it.
+    pub fn read(&mut self, id: ConnId, io: &mut IoContext<'_>) {
+        loop {
+            if !self.get_mut(id).is_some_and(|socket| socket.readable()) {
+                return;
+            }
+            let capacity = io.protocol.read_capacity(id).min(READ_BUFFER_BYTES);
+            if capacity == 0 {
+                return;
+            }
+            let mut buffer = std::mem::take(&mut self.read_buffer);
+            let Some(socket) = self.get_mut(id) else { return };
+            let result = socket.read(&mut buffer[..capacity]);
+            let has_ended = socket.ended();
+            match result {
+                Ok(0) if has_ended => io.protocol.handle_io(io.now, IoEvent::Ended(id)),
+                Ok(0) => {}
+                Ok(length) => io.protocol.handle_io(io.now, IoEvent::Received(id, &buffer[..length])),
+                Err(error) => notify_broken(id, Direction::Reading, &error, io),
+            }
+            self.read_buffer = buffer;
+        }
+    }
+
+    /// Writes the output of the controller, as far as the peer takes it.
+    pub fn write(&mut self, id: ConnId, io: &mut IoContext<'_>) {
+        loop {
+            let Some(socket) = self.get_mut(id).filter(|socket| socket.writable()) else { return };
+            if !matches!(socket.connected(), Ok(true)) {
+                return;
+            }
+            match socket.write(io.protocol.output(id)) {
+                Ok(0) => return,
+                Ok(length) => io.protocol.bytes_written(io.now, id, length),
+                Err(error) => return notify_broken(id, Direction::Writing, &error, io),
+            }
+        }
+    }
+
+    /// Closes a connection and frees its slot.
+    pub fn close(&mut self, id: ConnId, registry: &Registry) {
+        let slots = self.by_owner.get_mut(usize::from(id.owner()));
+        let slot = slots.and_then(|slots| slots.get_mut(id.slot()));
+        if let Some((_, socket)) = slot.and_then(|slot| slot.take_if(|(held, _)| *held == id)) {
+            socket.close(registry, false);
+        }
+    }
+
+    fn get_mut(&mut self, id: ConnId) -> Option<&mut Socket> {
+        let slot = self.by_owner.get_mut(usize::from(id.owner()))?.get_mut(id.slot())?;
+        slot.as_mut().filter(|(held, _)| *held == id).map(|(_, socket)| socket)
+    }
+
+    fn insert(&mut self, id: ConnId, socket: Socket) {
+        let slots = &mut self.by_owner[usize::from(id.owner()) % MAX_OWNERS];
+        if slots.len() <= id.slot() {
+            slots.resize_with(id.slot() + 1, || None);
+        }
+        slots[id.slot()] = Some((id, socket));
+    }
+}
+
+/// What a connection was doing when it broke.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Direction {
+    Reading,
+    /// Writing, or connecting.
+    Writing,
+}
+
+fn token_of(id: ConnId) -> Token {
+    Token(id.as_u64() as usize)
+}
+
+fn notify_broken(id: ConnId, direction: Direction, error: &io::Error, io: &mut IoContext<'_>) {
+    let event = IoEvent::Broken {
+        id,
+        writing: direction == Direction::Writing,
+        refused: error.kind() == io::ErrorKind::ConnectionRefused,
+        reason: &error.to_string(),
+    };
+    io.protocol.handle_io(io.now, event);
+}
--- /dev/null
+++ b/crates/controller/src/event_loop/mod.rs
@@ -0,0 +1,271 @@
+//! The event loop around a sans-I/O controller, whichever protocol it speaks: sockets, datagrams, signals and time go
+//! in as events; the effects that the controller returns are carried out. One thread on mio.
+
+mod acceptor;
+mod connections;
+mod datagrams;
+mod polling;
+#[cfg(test)]
+mod tests;
+mod wakeup;
+
+use acceptor::Acceptor;
+use connections::ConnectionSockets;
+use datagrams::DatagramPort;
+use mio::net::{TcpListener, UdpSocket};
+use mio::{Events, Poll, Registry, Token};
+use polling::{poll_until_current, EventSource};
+use std::io;
+use std::net::SocketAddr;
+use std::os::unix::net::UnixStream;
+use std::time::Duration;
+use wakeup::Wakeup;
+use wheelfield_net::Clock;
+use wheelfield_sans_io::{DatagramSocket, Effect, Listener, Protocol};
+
+/// Events taken from the system in one poll.
+const EVENTS_PER_POLL: usize = 256;
+/// Rounds of effects before the sockets are polled again: a long answer takes one round for each 64 kB and must not hold
+/// up the other connections.
+const EFFECT_ROUNDS: usize = 16;
+/// How long a poll waits when no timer is set.
+const IDLE_POLL_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// First token of the listeners, the datagram sockets and the wake-up streams. Tokens of connections are far above, as
+/// [`wheelfield_sans_io::ConnId`] is at least 2 to the power of 61.
+const LISTENER_TOKENS: usize = 0;
+const DATAGRAM_TOKENS: usize = 8;
+const WAKEUP_TOKENS: usize = 16;
+
+/// Called with the controller and the time, in microseconds.
+pub(crate) type Handler<P> = Box<dyn FnMut(&mut P, i64)>;
+
+/// Whether more may be pending than was handled.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Remaining {
+    Nothing,
+    Possibly,
+}
+
+/// What handling a socket needs: where it is registered, who is notified, and the time in microseconds.
+struct IoContext<'a> {
+    registry: &'a Registry,
+    protocol: &'a mut dyn Protocol,
+    now: i64,
+}
+
+/// A controller on its sockets.
+pub(crate) struct EventLoop<P> {
+    /// The controller.
+    pub protocol: P,
+    /// The clock of this process.
+    pub clock: Clock,
+    /// The time of this turn of the loop, in microseconds.
+    pub now: i64,
+    poll: Poll,
+    events: Events,
+    connections: ConnectionSockets,
+    acceptors: Vec<Acceptor>,
+    datagram_ports: Vec<DatagramPort>,
+    wakeups: Vec<Wakeup<P>>,
+    turn_handlers: Vec<Handler<P>>,
+    effects: Vec<Effect>,
+    stopped: bool,
+}
+
+impl<P: Protocol> EventLoop<P> {
+    /// An event loop without sockets, at the time `now` of the clock.
+    ///
+    /// # Errors
+    /// If the system gives no poll.
+    pub fn new(clock: Clock, now: i64, protocol: P) -> io::Result<EventLoop<P>> {
+        Ok(EventLoop {
+            protocol,
+            clock,
+            now,
+            poll: Poll::new()?,
+            events: Events::with_capacity(EVENTS_PER_POLL),
+            connections: ConnectionSockets::new(),
+            acceptors: Vec::new(),
+            datagram_ports: Vec::new(),
+            wakeups: Vec::new(),
+            turn_handlers: Vec::new(),
+            effects: Vec::new(),
+            stopped: false,
+        })
+    }
+
+    /// Accepts connections from a listening socket.
+    ///
+    /// # Errors
+    /// If the socket cannot be registered.
+    pub fn add_listener(&mut self, listener: Listener, socket: TcpListener) -> io::Result<()> {
+        self.acceptors.push(Acceptor::register(listener, socket, self.poll.registry())?);
+        Ok(())
+    }
+
+    /// Receives and sends datagrams on a socket.
+    ///
+    /// # Errors
+    /// If the socket cannot be registered.
+    pub fn add_datagram_socket(&mut self, name: DatagramSocket, socket: UdpSocket) -> io::Result<()> {
+        self.datagram_ports.push(DatagramPort::register(name, socket, self.poll.registry())?);
+        Ok(())
+    }
+
+    /// Calls `handler` whenever bytes arrive on a stream: once for all that wait there.
+    ///
+    /// # Errors
+    /// If the stream cannot be registered.
+    pub fn add_wakeup(&mut self, stream: UnixStream, handler: Handler<P>) -> io::Result<()> {
+        let token = Token(WAKEUP_TOKENS + self.wakeups.len());
+        self.wakeups.push(Wakeup::register(stream, handler, token, self.poll.registry())?);
+        Ok(())
+    }
+
+    /// Calls `handler` in each turn of the loop.
+    pub fn add_turn_handler(&mut self, handler: Handler<P>) {
+        self.turn_handlers.push(handler);
+    }
+
+    /// The address of a listener; `None` if it is not or no longer open.
+    pub fn listener_address(&self, listener: Listener) -> Option<SocketAddr> {
+        self.acceptors.iter().find(|a| a.listener() == listener)?.local_address()
+    }
+
+    /// The address of a datagram socket.
+    pub fn datagram_address(&self, name: DatagramSocket) -> Option<SocketAddr> {
+        self.datagram_ports.iter().find(|p| p.name() == name)?.local_address()
+    }
+
+    /// Serves until the controller has stopped.
+    ///
+    /// # Errors
+    /// If polling fails. A fault of one connection ends that connection only.
+    pub fn run(&mut self) -> io::Result<()> {
+        while !self.stopped {
+            let timeout = match self.apply_effects() {
+                Remaining::Possibly => Duration::ZERO,
+                Remaining::Nothing => self.poll_timeout(),
+            };
+            self.now = poll_until_current(self, timeout)?;
+            self.accept_pending();
+            for handler in &mut self.turn_handlers {
+                handler(&mut self.protocol, self.now);
+            }
+            self.protocol.handle_timers(self.now);
+        }
+        Ok(())
+    }
+
+    /// Carries out the effects that remain when the loop has ended.
+    pub fn apply_last_effects(&mut self) {
+        self.apply_effects();
+    }
+
+    /// Time until the next timer or accept is due.
+    fn poll_timeout(&self) -> Duration {
+        let accepts = self.acceptors.iter().filter_map(Acceptor::accept_at);
+        let next = accepts.chain(self.protocol.next_timer_at()).min();
+        next.map_or(IDLE_POLL_TIMEOUT, |at| self.clock.until(at))
+    }
+
+    /// Accepts from the listeners where connections may wait. It comes after all events of the turn, since a connection
+    /// that makes place for a new one may have closed among them.
+    fn accept_pending(&mut self) {
+        let mut io =
+            IoContext { registry: self.poll.registry(), protocol: &mut self.protocol, now: self.now };
+        for acceptor in &mut self.acceptors {
+            if acceptor.accept_at().is_some_and(|at| at <= self.now) {
+                acceptor.accept_batch(&mut self.connections, &mut io);
+            }
+        }
+    }
+
+    /// Carries out effects, up to the rounds of one turn.
+    fn apply_effects(&mut self) -> Remaining {
+        for _ in 0..EFFECT_ROUNDS {
+            let mut effects = std::mem::take(&mut self.effects);
+            self.protocol.take_effects(&mut effects);
+            let finished = effects.is_empty();
+            for effect in effects.drain(..) {
+                self.apply_effect(effect);
+            }
+            self.effects = effects;
+            if finished {
+                return Remaining::Nothing;
+            }
+        }
+        Remaining::Possibly
+    }
+
+    fn apply_effect(&mut self, effect: Effect) {
+        let mut io =
+            IoContext { registry: self.poll.registry(), protocol: &mut self.protocol, now: self.now };
+        match effect {
+            Effect::Connect(id, address) => self.connections.connect(id, address, &mut io),
+            Effect::Write(id) => self.connections.write(id, &mut io),
+            Effect::ResumeReading(id) => self.connections.read(id, &mut io),
+            Effect::Close(id) => self.connections.close(id, io.registry),
+            Effect::Send(name, address, datagram) => {
+                if let Some(port) = self.datagram_ports.iter().find(|p| p.name() == name) {
+                    port.send(&datagram, address);
+                }
+            }
+            Effect::StopListening => self.stop_listening(),
+            Effect::Stopped => self.stopped = true,
+        }
+    }
+
+    /// Accepts the clients that wait already, then closes the listeners for clients.
+    fn stop_listening(&mut self) {
+        let mut io =
+            IoContext { registry: self.poll.registry(), protocol: &mut self.protocol, now: self.now };
+        for acceptor in self.acceptors.iter_mut().filter(|a| a.listener() == Listener::Clients) {
+            acceptor.accept_all_and_deregister(&mut self.connections, &mut io);
+        }
+        self.acceptors.retain(|a| a.listener() != Listener::Clients);
+    }
+
+    /// Hands an event of the poll to the socket that it belongs to.
+    fn dispatch_event(&mut self, event: &mio::event::Event) {
+        let token = event.token();
+        let mut io =
+            IoContext { registry: self.poll.registry(), protocol: &mut self.protocol, now: self.now };
+        if token.0 >= WAKEUP_TOKENS + self.wakeups.len() {
+            self.connections.handle_event(event, &mut io);
+        } else if let Some(acceptor) = self.acceptors.iter_mut().find(|a| a.token() == token) {
+            acceptor.schedule_accept(self.now);
+        } else if let Some(port) = self.datagram_ports.iter_mut().find(|p| p.token() == token) {
+            port.receive(&mut io);
+        } else if let Some(wakeup) = token.0.checked_sub(WAKEUP_TOKENS).and_then(|n| self.wakeups.get_mut(n))
+        {
+            wakeup.handle(&mut self.protocol, self.now);
+        }
+    }
+}
+
+impl<P: Protocol> EventSource for EventLoop<P> {
+    fn poll(&mut self, timeout: Duration) -> io::Result<Remaining> {
+        self.poll.poll(&mut self.events, Some(timeout))?;
+        let is_full = self.events.iter().count() >= EVENTS_PER_POLL;
+        Ok(if is_full { Remaining::Possibly } else { Remaining::Nothing })
+    }
+
+    fn read_clock(&mut self) -> i64 {
+        self.clock.now()
+    }
+
+    fn dispatch(&mut self, now: i64) {
+        self.now = now;
+        let events = std::mem::replace(&mut self.events, Events::with_capacity(0));
+        for event in &events {
+            self.dispatch_event(event);
+        }
+        self.events = events;
+    }
+
+    fn is_timer_due(&self, now: i64) -> bool {
+        self.protocol.next_timer_at().is_some_and(|at| at <= now)
+    }
+}
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -1,5 +1,5 @@
-//! `wheelfield-controller`: clients through the module's decisions to engines and back, by PostgreSQL's protocol or the
-//! operators' platform's.
+//! `wheelfield-controller`: admits the queries of clients and routes them to engines, by PostgreSQL's protocol or by that of
+//! the operators' platform.
 
 use anyhow::{anyhow, Context, Result};
 use clap::{Parser, Subcommand, ValueEnum};
@@ -9,21 +9,23 @@
 use std::os::unix::net::UnixStream;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use tracing_appender::non_blocking::NonBlockingBuilder;
+use tracing_appender::non_blocking::{NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 use wheelfield_config::Config;
-use wheelfield_controller::platform::{self, Node};
-use wheelfield_controller::postgres::App;
+use wheelfield_controller::platform::{self, PlatformController};
+use wheelfield_controller::postgres::PostgresController;
 use wheelfield_pg_gateway::fault_injection::FaultInjection;
 use wheelfield_platform::Launch;
 
-/// Log lines that wait to be written; more are lost.
-const LOG_LINES: usize = 4_096;
+/// Log lines that wait to be written, at most; more are lost.
+const MAX_BUFFERED_LOG_LINES: usize = 4_096;
+/// Exit code of bad use, and of a configuration that can't be used.
+const EXIT_UNUSABLE: u8 = 2;
 
 /// Admits queries of PostgreSQL clients and routes them to a pool of engines.
 ///
-/// One line of JSON on standard output tells where it listens; logs go to standard error. On SIGTERM or SIGINT it takes
-/// no new clients, answers what it has, and ends with 0. Exit codes: 0 good, 1 failed while running, 2 bad use or a
+/// One line of JSON on standard output says where it listens; logs go to standard error. On SIGTERM or SIGINT it takes
+/// no new clients, answers the queries it has, and ends with 0. Exit codes: 0 good, 1 failed while running, 2 bad use or a
 /// configuration that can't be used.
 #[derive(Parser)]
 #[command(
@@ -34,7 +36,7 @@
 )]
 struct Args {
     #[command(subcommand)]
-    mode: Option<Mode>,
+    command: Option<Command>,
     /// The configuration, as TOML.
     #[arg(long, value_name = "FILE", required = true)]
     config: Option<PathBuf>,
@@ -44,22 +46,22 @@
     /// Listens here in place of what the configuration says.
     #[arg(long, value_name = "ADDR")]
     listen: Option<SocketAddr>,
-    /// Seed of the module's chance; the same inputs and seed give the same decisions.
+    /// Seed of the random generator; the same inputs and seed give the same decisions.
     #[arg(long, value_name = "N")]
     seed: Option<u64>,
     #[command(flatten)]
-    logs: Logs,
-    /// A fault for the laboratory's judge to find, in builds that have them.
-    #[arg(long, value_name = "FAULT", hide = true, value_parser = FaultInjection::parse)]
-    plant: Option<FaultInjection>,
+    logs: LogArgs,
+    /// A fault for the invariant checker to find, in builds that have them.
+    #[arg(long = "plant", value_name = "FAULT", hide = true, value_parser = FaultInjection::parse)]
+    fault: Option<FaultInjection>,
 }
 
 #[derive(Subcommand)]
-enum Mode {
+enum Command {
     /// Serves on the operators' platform: HTTP clients, executors' lines, names by DNS. Nothing is written but logs.
     ///
-    /// SIGHUP reads the configuration anew, for another name service. On SIGTERM or SIGINT it serves clients that still come,
-    /// answers what it has, and ends with 0.
+    /// SIGHUP reads the configuration again, for another name service. On SIGTERM or SIGINT it serves clients that still come,
+    /// answers the queries it has, and ends with 0.
     Platform {
         /// The configuration, as JSON; without it the file that LB_CONFIG names.
         #[arg(long, value_name = "FILE")]
@@ -68,12 +70,12 @@
         #[arg(long)]
         check: bool,
         #[command(flatten)]
-        logs: Logs,
+        logs: LogArgs,
     },
 }
 
 #[derive(clap::Args)]
-struct Logs {
+struct LogArgs {
     /// How logs are written.
     #[arg(long, value_enum, default_value_t = LogFormat::Text)]
     log_format: LogFormat,
@@ -88,7 +90,49 @@
     Text,
 }
 
-fn load(args: &Args) -> Result<Config> {
+fn main() -> ExitCode {
+    let args = Args::parse();
+    match &args.command {
+        Some(Command::Platform { config, check, logs }) => platform_command(config.clone(), *check, logs),
+        None => postgres_command(&args),
+    }
+}
+
+/// Serves PostgreSQL clients, or only checks the configuration.
+fn postgres_command(args: &Args) -> ExitCode {
+    let config = match load_config(args) {
+        Ok(config) => config,
+        Err(error) => return exit_unusable(&error),
+    };
+    if args.check {
+        return ExitCode::SUCCESS;
+    }
+    match start_logging(&args.logs) {
+        Ok(_guard) => exit_code(run_postgres(config, args)),
+        Err(error) => exit_unusable(&error),
+    }
+}
+
+/// Serves on the operators' platform, or only checks the configuration.
+fn platform_command(config: Option<PathBuf>, check: bool, logs: &LogArgs) -> ExitCode {
+    let path = config.or_else(|| std::env::var_os("LB_CONFIG").map(PathBuf::from));
+    let loaded = path
+        .context("no configuration: give --config FILE, or LB_CONFIG")
+        .and_then(|path| Ok((platform::load(&path)?, path)));
+    let (launch, path) = match loaded {
+        Ok(loaded) => loaded,
+        Err(error) => return exit_unusable(&error),
+    };
+    if check {
+        return ExitCode::SUCCESS;
+    }
+    match start_logging(logs) {
+        Ok(_guard) => exit_code(run_platform(launch, &path)),
+        Err(error) => exit_unusable(&error),
+    }
+}
+
+fn load_config(args: &Args) -> Result<Config> {
     let path = args.config.as_ref().context("--config is missing")?;
     let text = std::fs::read_to_string(path).with_context(|| format!("cannot read {}", path.display()))?;
     let mut config = wheelfield_config::parse(&path.display().to_string(), &text)?;
@@ -102,97 +146,65 @@
     Ok(config)
 }
 
-/// Bad use, or a configuration that can't be used.
-fn unusable(fault: &anyhow::Error) -> ExitCode {
-    eprintln!("wheelfield-controller: {fault:#}");
-    ExitCode::from(2)
-}
-
-/// Logs from now on; a full pipe costs log lines, never queries.
-fn begin_logs(logs: &Logs) -> Result<tracing_appender::non_blocking::WorkerGuard> {
+/// Starts to write logs, until the guard is dropped. A full pipe costs log lines, never queries.
+fn start_logging(logs: &LogArgs) -> Result<WorkerGuard> {
     let filter = EnvFilter::try_new(&logs.log)
         .map_err(|_| anyhow!("--log {} is no level; known: error, warn, info, debug", logs.log))?;
     let (writer, guard) =
-        NonBlockingBuilder::default().buffered_lines_limit(LOG_LINES).finish(std::io::stderr());
-    let to = tracing_subscriber::fmt().with_env_filter(filter).with_writer(writer).with_ansi(false);
+        NonBlockingBuilder::default().buffered_lines_limit(MAX_BUFFERED_LOG_LINES).finish(std::io::stderr());
+    let subscriber = tracing_subscriber::fmt().with_env_filter(filter).with_writer(writer).with_ansi(false);
     match logs.log_format {
-        LogFormat::Json => to.json().flatten_event(true).init(),
-        LogFormat::Text => to.init(),
+        LogFormat::Json => subscriber.json().flatten_event(true).init(),
+        LogFormat::Text => subscriber.init(),
     }
     Ok(guard)
 }
 
-/// How the run of a controller ended.
-fn ended(how: Result<()>) -> ExitCode {
-    match how {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("wheelfield-controller: {fault:#}");
-            ExitCode::FAILURE
-        }
-    }
+fn run_postgres(config: Config, args: &Args) -> Result<()> {
+    let seed = args.seed.or(config.seed).unwrap_or_else(rand::random);
+    let (shutdown, write_capture) = (signal_stream(&[SIGTERM, SIGINT])?, signal_stream(&[SIGUSR1])?);
+    let mut controller = PostgresController::open(config, seed, args.fault)?;
+    controller.shut_down_on(shutdown)?;
+    controller.write_capture_on(write_capture)?;
+    println!("{}", controller.addresses());
+    std::io::stdout().flush()?;
+    tracing::info!(seed, "started");
+    controller.run()?;
+    tracing::info!("stopped");
+    Ok(())
 }
 
-fn main() -> ExitCode {
-    let args = Args::parse();
-    if let Some(Mode::Platform { config, check, logs }) = &args.mode {
-        let path = config.clone().or_else(|| std::env::var_os("LB_CONFIG").map(PathBuf::from));
-        let loaded = path
-            .context("no configuration: give --config FILE, or LB_CONFIG")
-            .and_then(|path| Ok((platform::load(&path)?, path)));
-        let (launch, path) = match loaded {
-            Ok(loaded) => loaded,
-            Err(fault) => return unusable(&fault),
-        };
-        if *check {
-            return ExitCode::SUCCESS;
-        }
-        return match begin_logs(logs) {
-            Ok(_guard) => ended(run_platform(launch, &path)),
-            Err(fault) => unusable(&fault),
-        };
-    }
-    let config = match load(&args) {
-        Ok(config) => config,
-        Err(fault) => return unusable(&fault),
-    };
-    if args.check {
-        return ExitCode::SUCCESS;
-    }
-    match begin_logs(&args.logs) {
-        Ok(_guard) => ended(run(config, &args)),
-        Err(fault) => unusable(&fault),
-    }
+fn run_platform(launch: Launch, config_file: &Path) -> Result<()> {
+    let (shutdown, reload) = (signal_stream(&[SIGTERM, SIGINT])?, signal_stream(&[SIGHUP])?);
+    let mut controller = PlatformController::open(launch, config_file)?;
+    controller.shut_down_on(shutdown)?;
+    controller.reload_on(reload)?;
+    Ok(controller.run()?)
 }
 
-/// A stream on which a byte comes with each of these signals.
-fn heard(signals: &[i32]) -> Result<UnixStream> {
-    let (heard, raised) = UnixStream::pair()?;
+/// A stream on which a byte arrives with each of these signals. It is made before the sockets open: whoever finds them open
+/// may send a signal, which must not end the process by default.
+fn signal_stream(signals: &[i32]) -> Result<UnixStream> {
+    let (receiver, sender) = UnixStream::pair()?;
     for signal in signals {
-        signal_hook::low_level::pipe::register(*signal, raised.try_clone()?)?;
+        signal_hook::low_level::pipe::register(*signal, sender.try_clone()?)?;
     }
-    Ok(heard)
+    Ok(receiver)
 }
 
-fn run_platform(launch: Launch, config: &Path) -> Result<()> {
-    // Before it listens: whoever finds it listening may send a signal, which is not to end it unheard.
-    let (stop, reload) = (heard(&[SIGTERM, SIGINT])?, heard(&[SIGHUP])?);
-    let mut node = Node::open(launch, config)?;
-    node.stop_on(stop)?;
-    node.reload_on(reload)?;
-    node.run()
+/// Exit code of bad use, or of a configuration that can't be used.
+fn exit_unusable(error: &anyhow::Error) -> ExitCode {
+    eprintln!("wheelfield-controller: {error:#}");
+    ExitCode::from(EXIT_UNUSABLE)
 }
 
-fn run(config: Config, args: &Args) -> Result<()> {
-    let seed = args.seed.or(config.seed).unwrap_or_else(rand::random);
-    let (stop, keep) = (heard(&[SIGTERM, SIGINT])?, heard(&[SIGUSR1])?);
-    let mut app = App::open(config, seed, args.plant)?;
-    app.stop_on(stop)?;
-    app.keep_on(keep)?;
-    println!("{}", app.addresses());
-    std::io::stdout().flush()?;
-    tracing::info!(seed, "started");
-    app.run()?;
-    tracing::info!("stopped");
-    Ok(())
+/// Exit code of a controller that ran.
+fn exit_code(result: Result<()>) -> ExitCode {
+    match result {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("wheelfield-controller: {error:#}");
+            ExitCode::FAILURE
+        }
+    }
 }
--- a/crates/controller/src/platform.rs
+++ b/crates/controller/src/platform.rs
@@ -1,8 +1,9 @@
-//! The controller on the operators' platform, on its sockets: the same shell around [`Platform`]. It listens for clients and for
-//! other controllers, and writes no file.
+//! The controller on the operators' platform: [`Platform`] on its sockets. It listens for clients and for other controllers,
+//! and writes no file.
 
-use crate::event_loop::{bind, bind_datagrams, Shell};
-use anyhow::{Context, Result};
+use crate::bind::{bind_datagram_socket, bind_listener};
+use crate::error::{error_chain, ControllerError};
+use crate::event_loop::EventLoop;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::os::unix::net::UnixStream;
@@ -10,112 +11,139 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 use wheelfield_net::Clock;
-use wheelfield_platform::{Launch, Platform};
+use wheelfield_platform::{Launch, LaunchError, Platform};
 use wheelfield_sans_io::{DatagramSocket, Listener, Protocol};
 
-/// Connections that wait to be taken, at most.
+/// Connections that wait to be accepted, at most.
 const BACKLOG: u32 = 1_024;
+/// A new configuration that can't be used is read again after this delay, in microseconds.
+const RELOAD_RETRY_DELAY_US: i64 = 50_000;
+/// A reload is given up this long after it was requested, in microseconds.
+const RELOAD_TIMEOUT_US: i64 = 4_000_000;
 
-/// A new configuration that can't be used is read again after so long, and for so long, in microseconds.
-const READ_AGAIN: i64 = 50_000;
-const READ_FOR: i64 = 4_000_000;
-
-/// When the configuration is read, and until when it is tried.
-#[derive(Clone, Copy)]
-struct Again {
-    at: i64,
-    until: i64,
-    /// That it can't be used was logged.
-    told: bool,
-}
-
-/// A controller on its sockets.
-pub struct Node {
-    shell: Shell<Platform>,
-    config: PathBuf,
-}
-
-fn read(config: &Path) -> Result<String> {
-    std::fs::read_to_string(config).with_context(|| format!("cannot read {}", config.display()))
+/// A controller on the platform, on its sockets.
+pub struct PlatformController {
+    event_loop: EventLoop<Platform>,
+    config_file: PathBuf,
 }
 
 /// Reads a configuration.
 ///
 /// # Errors
-/// If there is none there, or it can't be used.
-pub fn load(config: &Path) -> Result<Launch> {
-    Launch::read(&read(config)?).with_context(|| format!("{}", config.display()))
+/// [`ControllerError::ReadFile`] or [`ControllerError::Configuration`].
+pub fn load(config_file: &Path) -> Result<Launch, ControllerError> {
+    let text = read_file(config_file)?;
+    Launch::read(&text).map_err(configuration_error(config_file))
 }
 
-impl Node {
-    /// Opens the sockets of a configuration, which may be read anew from `config` later.
+impl PlatformController {
+    /// Opens the sockets of a configuration, which may be read again from `config_file` later.
     ///
     /// # Errors
-    /// As the system tells.
-    pub fn open(launch: Launch, config: &Path) -> Result<Node> {
-        let clients = bind(launch.listen, BACKLOG)?;
-        let peers = launch.peer_listen.map(|at| bind_datagrams(at, "messages")).transpose()?;
-        let names = bind_datagrams(SocketAddr::new(launch.listen.ip(), 0), "the name service")?;
-        let mut shell = Shell::new(Clock::start(), |now| Ok(Platform::new(launch, now)))?;
-        shell.listen(Listener::Clients, clients)?;
-        shell.hear_on(DatagramSocket::Discovery, names)?;
+    /// [`ControllerError`], if a socket can't be had.
+    pub fn open(launch: Launch, config_file: &Path) -> Result<PlatformController, ControllerError> {
+        let clients = bind_listener(launch.listen, BACKLOG)?;
+        let peers = launch.peer_listen.map(|at| bind_datagram_socket(at, "messages")).transpose()?;
+        let discovery = bind_datagram_socket(SocketAddr::new(launch.listen.ip(), 0), "the name service")?;
+        let clock = Clock::start();
+        let now = clock.now();
+        let mut event_loop = EventLoop::new(clock, now, Platform::new(launch, now))?;
+        event_loop.add_listener(Listener::Clients, clients)?;
+        event_loop.add_datagram_socket(DatagramSocket::Discovery, discovery)?;
         if let Some(peers) = peers {
-            shell.hear_on(DatagramSocket::Peers, peers)?;
+            event_loop.add_datagram_socket(DatagramSocket::Peers, peers)?;
         }
-        Ok(Node { shell, config: config.to_path_buf() })
+        Ok(PlatformController { event_loop, config_file: config_file.to_path_buf() })
     }
 
-    /// Where clients connect; none once it listens no longer.
+    /// Where clients connect; `None` once it listens no longer.
     pub fn address(&self) -> Option<SocketAddr> {
-        self.shell.address(Listener::Clients)
+        self.event_loop.listener_address(Listener::Clients)
     }
 
-    /// A byte on this stream asks the controller to stop: it serves those who do not know yet, answers what it has, and ends.
+    /// A byte on this stream begins a graceful shutdown: the controller serves clients that do not know of it yet, answers
+    /// the queries it has, and ends.
     ///
     /// # Errors
-    /// As the system tells.
-    pub fn stop_on(&mut self, signal: UnixStream) -> Result<()> {
-        self.shell.bell(signal, Box::new(|core, now| core.begin_shutdown(now)))
+    /// If the stream cannot be registered.
+    pub fn shut_down_on(&mut self, signal: UnixStream) -> Result<(), ControllerError> {
+        Ok(self.event_loop.add_wakeup(signal, Box::new(|platform, now| platform.begin_shutdown(now)))?)
     }
 
-    /// Each byte on this stream has the configuration read anew. One that can't be used changes nothing, and is read again for
-    /// some seconds: it may be half written, and no further signal come.
+    /// Each byte on this stream has the configuration read again. One that can't be used changes nothing and is retried
+    /// for some seconds: it may be half written, and no further signal may come.
     ///
     /// # Errors
-    /// As the system tells.
-    pub fn reload_on(&mut self, signal: UnixStream) -> Result<()> {
-        let config = self.config.clone();
-        let again: Rc<Cell<Option<Again>>> = Rc::default();
-        let asked = again.clone();
-        let reload = move |core: &mut Platform, now: i64| {
-            let Some(Again { until, told, .. }) = again.get().filter(|a| a.at <= now) else { return };
-            again.set(None);
-            match read(&config).and_then(|text| Ok(Launch::resolver(&text)?)) {
-                Ok(resolver) => core.use_resolver(now, resolver),
-                Err(fault) => {
-                    if !told {
-                        warn!("the configuration stays as it is: {fault:#}");
-                    }
-                    again.set((now < until).then_some(Again { at: now + READ_AGAIN, until, told: true }));
-                }
+    /// If the stream cannot be registered.
+    pub fn reload_on(&mut self, signal: UnixStream) -> Result<(), ControllerError> {
+        let config_file = self.config_file.clone();
+        let pending: Rc<Cell<Option<Reload>>> = Rc::default();
+        let requested = pending.clone();
+        self.event_loop.add_turn_handler(Box::new(move |platform, now| {
+            if let Some(reload) = pending.get().filter(|reload| reload.next_attempt_at <= now) {
+                pending.set(reload.attempt(&config_file, platform, now));
             }
-        };
-        self.shell.each_turn(Box::new(reload));
-        self.shell.bell(
-            signal,
-            Box::new(move |_, now| asked.set(Some(Again { at: now, until: now + READ_FOR, told: false }))),
-        )
+        }));
+        let request = move |_: &mut Platform, now| requested.set(Some(Reload::requested_at(now)));
+        Ok(self.event_loop.add_wakeup(signal, Box::new(request))?)
     }
 
-    /// Serves until asked to stop and all is answered.
+    /// Serves until a shutdown was requested and all is answered.
     ///
     /// # Errors
-    /// As the system tells of the poll itself; a connection's trouble is its own.
-    pub fn run(&mut self) -> Result<()> {
+    /// If polling fails. A fault of one connection ends that connection only.
+    pub fn run(&mut self) -> Result<(), ControllerError> {
         info!(listen = ?self.address(), "started");
-        self.shell.core.handle_start(self.shell.now);
-        self.shell.run()?;
+        self.event_loop.protocol.handle_start(self.event_loop.now);
+        self.event_loop.run()?;
         info!("stopped");
         Ok(())
     }
 }
+
+/// A reload of the configuration that was requested. Times are in microseconds.
+#[derive(Clone, Copy)]
+struct Reload {
+    next_attempt_at: i64,
+    retry_until: i64,
+    failure_logged: bool,
+}
+
+impl Reload {
+    fn requested_at(now: i64) -> Reload {
+        Reload { next_attempt_at: now, retry_until: now + RELOAD_TIMEOUT_US, failure_logged: false }
+    }
+
+    /// Reads the configuration and uses its name service. Returns the retry, if there is to be one; the first failure is
+    /// logged.
+    fn attempt(self, config_file: &Path, platform: &mut Platform, now: i64) -> Option<Reload> {
+        match read_resolver(config_file) {
+            Ok(resolver) => {
+                platform.use_resolver(now, resolver);
+                None
+            }
+            Err(error) => {
+                if !self.failure_logged {
+                    warn!(error = error_chain(&error), "configuration reload failed; keeping previous");
+                }
+                let retry =
+                    Reload { next_attempt_at: now + RELOAD_RETRY_DELAY_US, failure_logged: true, ..self };
+                (now < self.retry_until).then_some(retry)
+            }
+        }
+    }
+}
+
+/// Reads the address of the name service from a configuration.
+fn read_resolver(config_file: &Path) -> Result<SocketAddr, ControllerError> {
+    let text = read_file(config_file)?;
+    Launch::resolver(&text).map_err(configuration_error(config_file))
+}
+
+fn read_file(path: &Path) -> Result<String, ControllerError> {
+    std::fs::read_to_string(path).map_err(ControllerError::read_file(path))
+}
+
+fn configuration_error(path: &Path) -> impl FnOnce(LaunchError) -> ControllerError + '_ {
+    |source| ControllerError::Configuration { path: path.to_path_buf(), source }
+}
--- a/crates/controller/src/postgres.rs
+++ b/crates/controller/src/postgres.rs
@@ -1,146 +1,129 @@
-//! The controller of PostgreSQL clients on its sockets: what [`PgGateway`] needs beside them.
+//! The controller for PostgreSQL clients: [`PgGateway`] on its sockets, with its files, keys and capture.
 
-use crate::event_loop::{bind, bind_datagrams, Hand, Shell};
-use crate::keys;
-use crate::record;
-use anyhow::{Context, Result};
+use crate::bind::{bind_datagram_socket, bind_listener};
+use crate::capture::start_recorder;
+use crate::endpoint_files::watch_endpoint_files;
+use crate::error::ControllerError;
+use crate::event_loop::EventLoop;
+use crate::gossip_keys::KeysWatcher;
+use mio::net::{TcpListener, UdpSocket};
 use std::net::SocketAddr;
+use std::os::unix::net::UnixStream;
 use std::rc::Rc;
 use std::time::Duration;
 use tracing::{info, warn};
 use wheelfield::interface::Micros;
 use wheelfield_config::Config;
 use wheelfield_driver::{Driver, DriverLimits};
-use wheelfield_endpoints::file::Places;
-use wheelfield_endpoints::keeper::Policy;
-use wheelfield_endpoints_cli::disk::Place;
-use wheelfield_endpoints_cli::{Watch, Watching};
+use wheelfield_endpoints_cli::Watching;
+use wheelfield_gossip::seal::Keys;
 use wheelfield_net::Clock;
 use wheelfield_pg_gateway::fault_injection::FaultInjection;
 use wheelfield_pg_gateway::{GatewayEvent, PgGateway, Start};
 use wheelfield_sans_io::{DatagramSocket, Listener, Protocol};
 
-/// At the start, a first set of engine files is waited for so long.
-const FIRST: Duration = Duration::from_secs(2);
+/// How long the start waits for a first set of engine files.
+const FIRST_ENDPOINT_SET_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A controller on its sockets.
-pub struct App {
-    shell: Shell<PgGateway>,
-    files: Option<Rc<Watching>>,
+/// A controller for PostgreSQL clients on its sockets.
+pub struct PostgresController {
+    event_loop: EventLoop<PgGateway>,
+    endpoint_files: Option<Rc<Watching>>,
 }
 
-impl App {
-    /// Opens the sockets of a configuration.
+/// The sockets of a configuration.
+struct Sockets {
+    clients: TcpListener,
+    admin: Option<TcpListener>,
+    peers: Option<UdpSocket>,
+    gossip: Option<GossipSocket>,
+}
+
+/// The socket of the gossip, and what goes with it.
+struct GossipSocket {
+    socket: UdpSocket,
+    /// Where the other controllers reach it.
+    advertised_address: SocketAddr,
+    keys: Keys,
+    keys_watcher: KeysWatcher,
+}
+
+impl PostgresController {
+    /// Opens the sockets of a configuration. The same seed and inputs give the same decisions.
     ///
     /// # Errors
-    /// As the system tells.
-    pub fn open(config: Config, seed: u64, plant: Option<FaultInjection>) -> Result<App> {
+    /// [`ControllerError`], if a socket, a file or a thread can't be had.
+    pub fn open(
+        config: Config,
+        seed: u64,
+        fault: Option<FaultInjection>,
+    ) -> Result<PostgresController, ControllerError> {
         let clock = Clock::start();
-        let clients = bind(config.listen, config.limits.backlog)?;
-        let admin = config.admin.map(|address| bind(address, config.limits.backlog)).transpose()?;
-        let peers = config.peers.as_ref().map(|p| bind_datagrams(p.listen, "messages")).transpose()?;
-        let (mut gossip, mut keys, mut gossips) = (None, None, None);
-        if let Some(g) = &config.gossip {
-            let (first, watched) = keys::open(&g.keys)?;
-            let socket = bind_datagrams(g.listen, "gossip")?;
-            let reached = g.advertise.map_or_else(|| socket.local_addr(), Ok)?;
-            gossips = Some((reached, first));
-            (gossip, keys) = (Some(socket), Some(watched));
-        }
-        let files = watch(&config, clock)?;
-        let mut shell = Shell::new(clock, |now| {
-            let bounds = DriverLimits {
-                max_queries: config.limits.queries,
-                cancel_confirmation_timeout: config.timing.withdraw,
-            };
-            let driver = Driver::new(config.settings.clone(), seed, bounds);
-            let recorder = record::begin(&config, seed, bounds, &driver, now)?;
-            let start = Start {
-                now,
-                seed,
-                secret: rand::random(),
-                mind: Box::new(driver),
-                recorder,
-                peers: peers.as_ref().and_then(|s| s.local_addr().ok()),
-                gossip: gossips,
-                plant,
-            };
-            Ok(PgGateway::new(config, start))
-        })?;
-        shell.listen(Listener::Clients, clients)?;
-        if let Some(socket) = admin {
-            shell.listen(Listener::Admin, socket)?;
-        }
-        for (port, socket) in [(DatagramSocket::Peers, peers), (DatagramSocket::Gossip, gossip)] {
-            if let Some(socket) = socket {
-                shell.hear_on(port, socket)?;
-            }
-        }
-        if let Some(keys) = keys {
-            shell.each_turn(Box::new(move |gate, now| {
-                while let Ok(news) = keys.news.try_recv() {
-                    gate.handle(now, GatewayEvent::GossipKeys(news));
-                }
-            }));
-        }
-        let mut watched = None;
-        if let Some((watching, bell)) = files {
-            let (heard, kept) = (watching.clone(), watching);
-            let told: Hand<PgGateway> = Box::new(move |gate, now| {
-                while let Ok(news) = heard.news.try_recv() {
-                    gate.handle(now, GatewayEvent::EndpointFiles(news));
-                }
-            });
-            shell.bell(bell, told)?;
-            watched = Some(kept);
-        }
-        Ok(App { shell, files: watched })
+        let sockets = Sockets::bind(&config)?;
+        let endpoint_files = watch_endpoint_files(&config, clock)?;
+        let now = clock.now();
+        let peers = sockets.peers.as_ref().and_then(|socket| socket.local_addr().ok());
+        let gossip = sockets.gossip.as_ref().map(|g| (g.advertised_address, g.keys.clone()));
+        let gateway = start_gateway(config, seed, now, peers, gossip, fault)?;
+        let mut event_loop = EventLoop::new(clock, now, gateway)?;
+        sockets.add_to(&mut event_loop)?;
+        let endpoint_files = match endpoint_files {
+            Some((watcher, wakeup)) => Some(receive_endpoint_files(&mut event_loop, watcher, wakeup)?),
+            None => None,
+        };
+        Ok(PostgresController { event_loop, endpoint_files })
     }
 
     /// Where clients connect.
     ///
     /// # Errors
-    /// Once it listens no longer.
-    pub fn address(&self) -> Result<SocketAddr> {
-        self.shell.address(Listener::Clients).context("no longer listening")
+    /// [`ControllerError::NotListening`], once it listens no longer.
+    pub fn address(&self) -> Result<SocketAddr, ControllerError> {
+        self.event_loop.listener_address(Listener::Clients).ok_or(ControllerError::NotListening)
     }
 
     /// Where everything listens, for whoever started the process.
     pub fn addresses(&self) -> serde_json::Value {
-        let told = |a: Option<SocketAddr>| a.map(|a| a.to_string());
+        let listener = |name| self.event_loop.listener_address(name).map(|address| address.to_string());
+        let datagrams = |name| self.event_loop.datagram_address(name).map(|address| address.to_string());
         serde_json::json!({
-            "listen": told(self.shell.address(Listener::Clients)), "admin": told(self.shell.address(Listener::Admin)),
-            "peers": told(self.shell.port(DatagramSocket::Peers)), "gossip": told(self.shell.port(DatagramSocket::Gossip)),
+            "listen": listener(Listener::Clients),
+            "admin": listener(Listener::Admin),
+            "peers": datagrams(DatagramSocket::Peers),
+            "gossip": datagrams(DatagramSocket::Gossip),
         })
     }
 
-    /// A byte on this stream asks the controller to stop: it takes no new clients, answers what it has, and ends.
+    /// A byte on this stream begins a graceful shutdown: the controller accepts no new clients, answers the queries it has,
+    /// and ends.
     ///
     /// # Errors
-    /// As the system tells.
-    pub fn stop_on(&mut self, signal: std::os::unix::net::UnixStream) -> Result<()> {
-        self.shell.bell(signal, Box::new(|gate, now| gate.begin_shutdown(now)))
+    /// If the stream cannot be registered.
+    pub fn shut_down_on(&mut self, signal: UnixStream) -> Result<(), ControllerError> {
+        Ok(self.event_loop.add_wakeup(signal, Box::new(|gateway, now| gateway.begin_shutdown(now)))?)
     }
 
-    /// Each byte on this stream asks for the capture that is held in memory to be written.
+    /// Each byte on this stream has the capture that is held in memory written to disk.
     ///
     /// # Errors
-    /// As the system tells.
-    pub fn keep_on(&mut self, signal: std::os::unix::net::UnixStream) -> Result<()> {
-        self.shell.bell(signal, Box::new(|gate, now| gate.handle(now, GatewayEvent::CaptureRequested)))
+    /// If the stream cannot be registered.
+    pub fn write_capture_on(&mut self, signal: UnixStream) -> Result<(), ControllerError> {
+        let write_capture =
+            |gateway: &mut PgGateway, now| gateway.handle(now, GatewayEvent::CaptureRequested);
+        Ok(self.event_loop.add_wakeup(signal, Box::new(write_capture))?)
     }
 
-    /// Serves until asked to stop and all is answered.
+    /// Serves until a shutdown was requested and all is answered.
     ///
     /// # Errors
-    /// As the system tells of the poll itself; a connection's trouble is its own.
-    pub fn run(&mut self) -> Result<()> {
-        self.shell.core.handle_start(self.shell.now);
-        self.first_files();
-        self.shell.run()?;
-        let now = self.shell.now;
-        let recorder = self.shell.core.end(now);
-        self.shell.carry_out();
+    /// If polling fails. A fault of one connection ends that connection only.
+    pub fn run(&mut self) -> Result<(), ControllerError> {
+        self.event_loop.protocol.handle_start(self.event_loop.now);
+        self.await_first_endpoint_set();
+        self.event_loop.run()?;
+        let now = self.event_loop.now;
+        let recorder = self.event_loop.protocol.end(now);
+        self.event_loop.apply_last_effects();
         if let Some(recorder) = recorder {
             let state = recorder.end(Micros(now));
             info!(recorded = state.recorded, lost = state.lost, bytes = state.bytes, "capture ended");
@@ -148,33 +131,108 @@
         Ok(())
     }
 
-    /// Waits for the first word of the files, but not for ever.
-    fn first_files(&mut self) {
-        let Some(watching) = &self.files else { return };
-        let news = watching.news.recv_timeout(FIRST).ok();
-        self.shell.now = self.shell.clock.now();
-        match news {
-            Some(news) => self.shell.core.handle(self.shell.now, GatewayEvent::EndpointFiles(news)),
-            None => warn!("there is no set of engines yet; starting without"),
+    /// Waits for the first set of the engine files, up to a limit.
+    fn await_first_endpoint_set(&mut self) {
+        let Some(watcher) = &self.endpoint_files else { return };
+        let update = watcher.news.recv_timeout(FIRST_ENDPOINT_SET_TIMEOUT).ok();
+        self.event_loop.now = self.event_loop.clock.now();
+        match update {
+            Some(update) => {
+                let now = self.event_loop.now;
+                self.event_loop.protocol.handle(now, GatewayEvent::EndpointFiles(update));
+            }
+            None => warn!("no endpoint set available; starting without"),
         }
     }
 }
 
-/// Begins to watch the engine files, where there are any.
-fn watch(config: &Config, clock: Clock) -> Result<Option<(Rc<Watching>, std::os::unix::net::UnixStream)>> {
-    let Some(m) = &config.members else { return Ok(None) };
-    let policy =
-        Policy { settle: m.settle, most_lost: m.most_lost, hold: m.hold, reuse_after: m.reuse_after };
-    let names = Places { names: config.names.clone(), cores: config.settings.cores.clone(), open: false };
-    let watch = Watch {
-        places: m.files.iter().cloned().map(Place).collect(),
-        poll: m.poll,
-        policy,
-        names,
-        last_good: m.last_good.clone(),
+impl Sockets {
+    /// Binds the sockets of a configuration.
+    fn bind(config: &Config) -> Result<Sockets, ControllerError> {
+        let backlog = config.limits.backlog;
+        Ok(Sockets {
+            clients: bind_listener(config.listen, backlog)?,
+            admin: config.admin.map(|address| bind_listener(address, backlog)).transpose()?,
+            peers: config.peers.as_ref().map(|p| bind_datagram_socket(p.listen, "messages")).transpose()?,
+            gossip: GossipSocket::bind(config)?,
+        })
+    }
+
+    /// Hands the sockets to an event loop.
+    fn add_to(self, event_loop: &mut EventLoop<PgGateway>) -> Result<(), ControllerError> {
+        event_loop.add_listener(Listener::Clients, self.clients)?;
+        if let Some(socket) = self.admin {
+            event_loop.add_listener(Listener::Admin, socket)?;
+        }
+        if let Some(socket) = self.peers {
+            event_loop.add_datagram_socket(DatagramSocket::Peers, socket)?;
+        }
+        if let Some(GossipSocket { socket, keys_watcher, .. }) = self.gossip {
+            event_loop.add_datagram_socket(DatagramSocket::Gossip, socket)?;
+            event_loop.add_turn_handler(Box::new(move |gateway, now| {
+                while let Ok(update) = keys_watcher.updates.try_recv() {
+                    gateway.handle(now, GatewayEvent::GossipKeys(update));
+                }
+            }));
+        }
+        Ok(())
+    }
+}
+
+impl GossipSocket {
+    /// Reads the keys and binds the socket; `None` without gossip in the configuration.
+    fn bind(config: &Config) -> Result<Option<GossipSocket>, ControllerError> {
+        let Some(gossip) = &config.gossip else { return Ok(None) };
+        let (keys, keys_watcher) = KeysWatcher::start(&gossip.keys)?;
+        let socket = bind_datagram_socket(gossip.listen, "gossip")?;
+        let advertised_address = gossip.advertise.map_or_else(|| socket.local_addr(), Ok)?;
+        Ok(Some(GossipSocket { socket, advertised_address, keys, keys_watcher }))
+    }
+}
+
+/// Makes the gateway with its driver and, where asked for, its capture.
+fn start_gateway(
+    config: Config,
+    seed: u64,
+    now: i64,
+    peers: Option<SocketAddr>,
+    gossip: Option<(SocketAddr, Keys)>,
+    fault: Option<FaultInjection>,
+) -> Result<PgGateway, ControllerError> {
+    let limits = DriverLimits {
+        max_queries: config.limits.queries,
+        cancel_confirmation_timeout: config.timing.withdraw,
     };
-    let (bell, ring) = std::os::unix::net::UnixStream::pair()?;
-    ring.set_nonblocking(true)?;
-    let watching = Watching::begin(watch, clock, ring).context("cannot watch the engine files")?;
-    Ok(Some((Rc::new(watching), bell)))
+    let driver = Driver::new(config.settings.clone(), seed, limits);
+    let recorder = start_recorder(&config, seed, limits, &driver, now)?;
+    let start = Start {
+        now,
+        seed,
+        secret: rand::random(),
+        mind: Box::new(driver),
+        recorder,
+        peers,
+        gossip,
+        plant: fault,
+    };
+    Ok(PgGateway::new(config, start))
+}
+
+/// Hands what the watcher of the engine files receives to the gateway, woken by a byte on `wakeup`.
+fn receive_endpoint_files(
+    event_loop: &mut EventLoop<PgGateway>,
+    watcher: Watching,
+    wakeup: UnixStream,
+) -> Result<Rc<Watching>, ControllerError> {
+    let watcher = Rc::new(watcher);
+    let receiver = watcher.clone();
+    event_loop.add_wakeup(
+        wakeup,
+        Box::new(move |gateway, now| {
+            while let Ok(update) = receiver.news.try_recv() {
+                gateway.handle(now, GatewayEvent::EndpointFiles(update));
+            }
+        }),
+    )?;
+    Ok(watcher)
 }
--- a/crates/controller/tests/common/mod.rs
+++ b/crates/controller/tests/common/mod.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
-use wheelfield_controller::postgres::App;
+use wheelfield_controller::postgres::PostgresController;
 use wheelfield_engine_emulator::host::Host;
 use wheelfield_engine_emulator::setup::Setup;
 use wheelfield_pg::{back, frame, front};
@@ -148,11 +148,11 @@
         let (keep, wanted) = UnixStream::pair().expect("a pair");
         let (sender, receiver) = channel();
         let thread = std::thread::spawn(move || {
-            let mut app = App::open(config, 7, None).expect("sockets");
-            app.stop_on(heard).expect("a stream");
-            app.keep_on(wanted).expect("a stream");
-            sender.send(app.addresses()).expect("the test waits");
-            app.run().expect("runs");
+            let mut controller = PostgresController::open(config, 7, None).expect("sockets");
+            controller.shut_down_on(heard).expect("a stream");
+            controller.write_capture_on(wanted).expect("a stream");
+            sender.send(controller.addresses()).expect("the test waits");
+            controller.run().expect("runs");
         });
         let told = receiver.recv_timeout(SOON).expect("the controller starts");
         let text = |name: &str| told[name].as_str().map(str::to_string);
