--- a/crates/controller/src/bind.rs
+++ b/crates/controller/src/bind.rs
@@ -3,7 +3,7 @@
 use crate::error::ControllerError;
 use mio::net::{TcpListener, UdpSocket};
 use std::net::SocketAddr;
-use wheelfield_net::{datagrams, listen};
+use wheelfield_net::listen;
 
 /// Binds a listening socket.
 ///
@@ -21,5 +21,9 @@
     address: SocketAddr,
     purpose: &'static str,
 ) -> Result<UdpSocket, ControllerError> {
-    datagrams(address).map_err(|source| ControllerError::DatagramSocket { purpose, address, source })
+    wheelfield_net::bind_datagram_socket(address).map_err(|source| ControllerError::DatagramSocket {
+        purpose,
+        address,
+        source,
+    })
 }
--- a/crates/controller/src/event_loop/connections.rs
+++ b/crates/controller/src/event_loop/connections.rs
@@ -27,7 +27,7 @@
 
     /// Adds a connection that was accepted, and reads what it has sent already.
     pub fn add_accepted(&mut self, id: ConnId, stream: TcpStream, io: &mut IoContext<'_>) {
-        match Socket::new(stream, true, io.registry, token_of(id)) {
+        match Socket::from_accepted(stream, io.registry, token_of(id)) {
             Ok(socket) => {
                 self.insert(id, socket);
                 self.read(id, io);
@@ -38,8 +38,7 @@
 
     /// Begins to connect.
     pub fn connect(&mut self, id: ConnId, address: SocketAddr, io: &mut IoContext<'_>) {
-        let stream = TcpStream::connect(address);
-        match stream.and_then(|stream| Socket::new(stream, false, io.registry, token_of(id))) {
+        match Socket::connect(address, io.registry, token_of(id)) {
             Ok(socket) => self.insert(id, socket),
             Err(error) => notify_broken(id, Direction::Writing, &error, io),
         }
@@ -49,16 +48,16 @@
     pub fn handle_event(&mut self, event: &mio::event::Event, io: &mut IoContext<'_>) {
         let id = ConnId::from_u64(event.token().0 as u64);
         let Some(socket) = self.get_mut(id) else { return };
-        let was_connecting = matches!(socket.connected(), Ok(false));
-        socket.on(event);
+        let was_connecting = matches!(socket.check_connected(), Ok(false));
+        socket.handle_event(event);
         if was_connecting {
-            match socket.connected() {
+            match socket.check_connected() {
                 Ok(true) => io.protocol.handle_io(io.now, IoEvent::Connected(id)),
                 Ok(false) => return,
                 Err(error) => return notify_broken(id, Direction::Writing, &error, io),
             }
         }
-        if self.get_mut(id).is_some_and(|socket| socket.closing()) {
+        if self.get_mut(id).is_some_and(|socket| socket.is_closing()) {
             io.protocol.handle_io(io.now, IoEvent::Closing(id));
         }
         self.read(id, io);
@@ -68,7 +67,7 @@
     /// Reads what has arrived, as far as the controller has capacity for it.
     pub fn read(&mut self, id: ConnId, io: &mut IoContext<'_>) {
         loop {
-            if !self.get_mut(id).is_some_and(|socket| socket.readable()) {
+            if !self.get_mut(id).is_some_and(|socket| socket.is_readable()) {
                 return;
             }
             let capacity = io.protocol.read_capacity(id).min(READ_BUFFER_BYTES);
@@ -78,7 +77,7 @@
             let mut buffer = std::mem::take(&mut self.read_buffer);
             let Some(socket) = self.get_mut(id) else { return };
             let result = socket.read(&mut buffer[..capacity]);
-            let has_ended = socket.ended();
+            let has_ended = socket.has_ended();
             match result {
                 Ok(0) if has_ended => io.protocol.handle_io(io.now, IoEvent::Ended(id)),
                 Ok(0) => {}
@@ -92,8 +91,8 @@
     /// Writes the output of the controller, as far as the peer takes it.
     pub fn write(&mut self, id: ConnId, io: &mut IoContext<'_>) {
         loop {
-            let Some(socket) = self.get_mut(id).filter(|socket| socket.writable()) else { return };
-            if !matches!(socket.connected(), Ok(true)) {
+            let Some(socket) = self.get_mut(id).filter(|socket| socket.is_writable()) else { return };
+            if !matches!(socket.check_connected(), Ok(true)) {
                 return;
             }
             match socket.write(io.protocol.output(id)) {
@@ -109,7 +108,7 @@
         let slots = self.by_owner.get_mut(usize::from(id.owner()));
         let slot = slots.and_then(|slots| slots.get_mut(id.slot()));
         if let Some((_, socket)) = slot.and_then(|slot| slot.take_if(|(held, _)| *held == id)) {
-            socket.close(registry, false);
+            socket.close(registry);
         }
     }
 
--- a/crates/engine-emulator/src/host.rs
+++ b/crates/engine-emulator/src/host.rs
@@ -195,7 +195,7 @@
             self.carry_out(Owner::Desk)?;
             for id in std::mem::take(&mut self.gone) {
                 if let Some(c) = self.connections.try_remove(id) {
-                    c.socket.close(self.poll.registry(), false);
+                    c.socket.close(self.poll.registry());
                 }
             }
             self.journal.flush();
@@ -211,7 +211,7 @@
             Token(t) => {
                 let id = t - CONNECTIONS;
                 let Some(c) = self.connections.get_mut(id) else { return Ok(()) };
-                c.socket.on(event);
+                c.socket.handle_event(event);
                 self.read(id)?;
                 self.write(id);
                 let owner = self.connections.get(id).map(|c| &c.role);
@@ -254,7 +254,7 @@
     fn accepted(&mut self, socket: TcpStream, owner: Option<Owner>) -> Result<()> {
         let entry = self.connections.vacant_entry();
         let id = entry.key();
-        let Ok(socket) = Socket::new(socket, true, self.poll.registry(), Token(CONNECTIONS + id)) else {
+        let Ok(socket) = Socket::from_accepted(socket, self.poll.registry(), Token(CONNECTIONS + id)) else {
             return Ok(());
         };
         let conn = match owner {
@@ -284,7 +284,7 @@
             };
             let room = room.min(self.scratch.len());
             let got = c.socket.read(&mut self.scratch[..room]);
-            let over = got.is_err() || c.socket.ended() || c.socket.closing();
+            let over = got.is_err() || c.socket.has_ended() || c.socket.is_closing();
             let n = got.unwrap_or(0);
             let bytes = &self.scratch[..n];
             match &mut c.role {
@@ -378,7 +378,10 @@
                     (Do::Close(conn, reset), _) => {
                         let id = self.by_owner.remove(&(owner, conn));
                         if let Some(c) = id.and_then(|id| self.connections.try_remove(id)) {
-                            c.socket.close(self.poll.registry(), reset);
+                            match reset {
+                                true => c.socket.reset(self.poll.registry()),
+                                false => c.socket.close(self.poll.registry()),
+                            }
                         }
                     }
                     (Do::Died, Owner::Engine(i)) => {
--- a/crates/load/src/runner.rs
+++ b/crates/load/src/runner.rs
@@ -14,7 +14,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::{sync_channel, SyncSender, TryRecvError};
 use std::time::Duration;
-use wheelfield_net::{connect_from, Clock, Stream};
+use wheelfield_net::{Clock, Stream};
 use wheelfield_pg::{back, frame, front};
 
 /// Read from a connection at a time.
@@ -189,7 +189,7 @@
             self.follow();
             for id in std::mem::take(&mut self.dead) {
                 if let Some(link) = self.links.try_remove(id) {
-                    link.stream.close(self.poll.registry(), false);
+                    link.stream.close(self.poll.registry());
                 }
             }
             if self.crew.done() || now >= end {
@@ -208,7 +208,7 @@
             for event in &events {
                 let Token(id) = event.token();
                 if let Some(link) = self.links.get_mut(id).filter(|l| !l.gone) {
-                    link.stream.on(event);
+                    link.stream.handle_event(event);
                     self.attend(id);
                 }
             }
@@ -263,7 +263,7 @@
     ) -> Option<usize> {
         let entry = self.links.vacant_entry();
         let id = entry.key();
-        let stream = connect_from(source, address, self.poll.registry(), Token(id)).ok()?;
+        let stream = Stream::connect(source, address, self.poll.registry(), Token(id)).ok()?;
         entry.insert(Link {
             stream,
             conn,
@@ -333,7 +333,7 @@
     fn cancel(&mut self, conn: usize) {
         let Some(link) = self.by_conn.get(&conn).and_then(|l| self.links.get(*l)) else { return };
         let (pid, key) = link.key.clone();
-        let Ok(target) = link.stream.peer() else { return };
+        let Ok(target) = link.stream.peer_address() else { return };
         if let Some(id) = self.link(target, None, None) {
             let link = &mut self.links[id];
             front::put_cancel(pid, &key, &mut link.stream.output);
@@ -353,7 +353,7 @@
 
     fn attend(&mut self, id: usize) {
         let Some(link) = self.links.get_mut(id) else { return };
-        match link.stream.connected() {
+        match link.stream.check_connected() {
             Ok(true) => {}
             Ok(false) => return,
             Err(_) => return self.broke(id),
@@ -378,8 +378,8 @@
             }
         }
         let Some(link) = self.links.get_mut(id).filter(|l| !l.gone) else { return };
-        link.stream.relax();
-        if failed || link.stream.ended() {
+        link.stream.release_empty_input();
+        if failed || link.stream.has_ended() {
             self.broke(id);
         }
     }
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP beside the main protocol, and a call that waits for its answer.
+//! HTTP messages, and a blocking request for programs without an event loop.
 
 use bytes::BytesMut;
 use std::io::{self, Read as _, Write as _};
@@ -7,26 +7,31 @@
 
 pub use wheelfield_sans_io::http::*;
 
-/// Asks for something and waits for it: for programs that have nothing else to do meanwhile.
+/// Bytes read at a time.
+const READ_BUFFER_BYTES: usize = 16 << 10;
+
+/// Sends a GET request and waits for the response. `timeout` bounds the connect, each read and each write; the response may
+/// have `max_bytes`.
 ///
 /// # Errors
-/// As the system tells; `InvalidData` for what is no response, or is over `limit` bytes; `UnexpectedEof` for a part of one.
-pub fn get(address: SocketAddr, path: &str, patience: Duration, limit: usize) -> io::Result<Response> {
-    let mut stream = TcpStream::connect_timeout(&address, patience)?;
-    stream.set_read_timeout(Some(patience))?;
-    stream.set_write_timeout(Some(patience))?;
+/// Those of the system; `InvalidData` for what is no response or exceeds `max_bytes`; `UnexpectedEof` for an incomplete
+/// response.
+pub fn get(address: SocketAddr, path: &str, timeout: Duration, max_bytes: usize) -> io::Result<Response> {
+    let mut stream = TcpStream::connect_timeout(&address, timeout)?;
+    stream.set_read_timeout(Some(timeout))?;
+    stream.set_write_timeout(Some(timeout))?;
     let mut request = BytesMut::new();
     put_request("GET", path, b"", &mut request);
     stream.write_all(&request)?;
-    let (mut answer, mut part) = (BytesMut::new(), vec![0; 16 << 10]);
+    let (mut input, mut buffer) = (BytesMut::new(), vec![0; READ_BUFFER_BYTES]);
     loop {
-        let n = stream.read(&mut part)?;
-        answer.extend_from_slice(&part[..n]);
-        match take_response(&mut answer, limit) {
+        let length = stream.read(&mut buffer)?;
+        input.extend_from_slice(&buffer[..length]);
+        match take_response(&mut input, max_bytes) {
             Ok(Some(response)) => return Ok(response),
-            Ok(None) if n == 0 => return Err(io::ErrorKind::UnexpectedEof.into()),
+            Ok(None) if length == 0 => return Err(io::ErrorKind::UnexpectedEof.into()),
             Ok(None) => {}
-            Err(fault) => return Err(io::Error::new(io::ErrorKind::InvalidData, fault)),
+            Err(error) => return Err(io::Error::new(io::ErrorKind::InvalidData, error)),
         }
     }
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,13 +1,17 @@
-//! Sockets and clock: what the programs share of the outside world.
+//! Sockets, clock and HTTP client that the programs share.
 //!
-//! All of it is non-blocking and bounded. Nothing here knows of queries.
+//! Sockets and streams are non-blocking, their buffers bounded. Nothing here depends on queries or engines.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod bind;
 mod clock;
 pub mod http;
+mod socket;
 mod stream;
 
+pub use bind::{bind_datagram_socket, listen};
 pub use clock::Clock;
-pub use stream::{connect, connect_from, datagrams, listen, Socket, Stream};
+pub use socket::Socket;
+pub use stream::Stream;
 pub use wheelfield_sans_io::{TimerKey, Timers};
--- /dev/null
+++ b/crates/net/src/socket.rs
@@ -0,0 +1,212 @@
+//! Non-blocking TCP sockets that remember what the system last reported of them.
+
+use mio::event::Event;
+use mio::net::TcpStream;
+use mio::{Interest, Registry, Token};
+use socket2::{Domain, Protocol, Type};
+use std::io::{self, Read, Write};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// Idle time after which a peer is probed, so that the connection of one that vanished ends.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(60);
+/// Interval of the probes of a peer that does not answer.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(15);
+/// What a non-blocking connect returns at first (EINPROGRESS of Linux).
+const CONNECT_IN_PROGRESS: i32 = 115;
+
+/// A connected or connecting socket without buffers.
+#[derive(Debug)]
+pub struct Socket {
+    stream: TcpStream,
+    readable: bool,
+    writable: bool,
+    /// The peer has closed, though bytes of it may still wait to be read.
+    closing: bool,
+    /// All that the peer sent was read, and no more comes.
+    ended: bool,
+    connected: bool,
+    /// No event has come yet, so that reading alone shows what the peer has sent and whether it has closed.
+    no_event_yet: bool,
+}
+
+impl Socket {
+    /// Takes an accepted connection and registers it for reading and writing.
+    ///
+    /// # Errors
+    /// If it cannot be registered.
+    pub fn from_accepted(stream: TcpStream, registry: &Registry, token: Token) -> io::Result<Socket> {
+        Socket::register(stream, true, registry, token)
+    }
+
+    /// Begins to connect; [`Socket::check_connected`] says when that is done.
+    ///
+    /// # Errors
+    /// If the system refuses at once.
+    pub fn connect(address: SocketAddr, registry: &Registry, token: Token) -> io::Result<Socket> {
+        Socket::register(TcpStream::connect(address)?, false, registry, token)
+    }
+
+    /// Begins to connect from a source address, as one address has ports for a bounded number of connections only.
+    ///
+    /// # Errors
+    /// If the system refuses at once.
+    pub fn connect_from(
+        source: SocketAddr,
+        address: SocketAddr,
+        registry: &Registry,
+        token: Token,
+    ) -> io::Result<Socket> {
+        let socket = socket2::Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+        socket.set_nonblocking(true)?;
+        socket.bind(&source.into())?;
+        match socket.connect(&address.into()) {
+            Err(e)
+                if e.kind() != io::ErrorKind::WouldBlock && e.raw_os_error() != Some(CONNECT_IN_PROGRESS) =>
+            {
+                return Err(e)
+            }
+            _ => {}
+        }
+        Socket::register(TcpStream::from_std(socket.into()), false, registry, token)
+    }
+
+    fn register(
+        mut stream: TcpStream,
+        connected: bool,
+        registry: &Registry,
+        token: Token,
+    ) -> io::Result<Socket> {
+        let _ = stream.set_nodelay(true);
+        let keepalive =
+            socket2::TcpKeepalive::new().with_time(KEEPALIVE_IDLE).with_interval(KEEPALIVE_INTERVAL);
+        let _ = socket2::SockRef::from(&stream).set_tcp_keepalive(&keepalive);
+        registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
+        Ok(Socket {
+            stream,
+            readable: connected,
+            writable: connected,
+            closing: false,
+            ended: false,
+            connected,
+            no_event_yet: connected,
+        })
+    }
+
+    /// Takes note of an event of the poll.
+    pub fn handle_event(&mut self, event: &Event) {
+        self.readable |= event.is_readable() || event.is_read_closed() || event.is_error();
+        self.writable |= event.is_writable() || event.is_error();
+        self.closing |= event.is_read_closed() || event.is_error();
+    }
+
+    /// Whether the socket is connected; finishes a connect under way where the system has done so.
+    ///
+    /// # Errors
+    /// Why the connect failed.
+    pub fn check_connected(&mut self) -> io::Result<bool> {
+        if self.connected || !self.writable {
+            return Ok(self.connected);
+        }
+        if let Some(error) = self.stream.take_error()? {
+            return Err(error);
+        }
+        match self.stream.peer_addr() {
+            Ok(_) => {
+                self.connected = true;
+                self.readable = true;
+                Ok(true)
+            }
+            Err(e) if e.kind() == io::ErrorKind::NotConnected => {
+                self.writable = false;
+                Ok(false)
+            }
+            Err(e) => Err(e),
+        }
+    }
+
+    /// Reads once, without waiting. Returns the number of bytes; zero if there are none now, or no more will come
+    /// ([`Socket::has_ended`]).
+    ///
+    /// # Errors
+    /// Why the connection broke; the socket is of no further use.
+    pub fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
+        while self.is_readable() && !buffer.is_empty() {
+            match self.stream.read(buffer) {
+                Ok(0) => self.ended = true,
+                Ok(length) => {
+                    // A short read has emptied the socket, unless the peer has closed behind these bytes: then the close is read
+                    // at once too, so that nothing is begun for a peer that had left before it was accepted.
+                    self.readable = length == buffer.len() || self.closing || self.no_event_yet;
+                    return Ok(length);
+                }
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
+                    self.readable = false;
+                    self.no_event_yet = false;
+                }
+                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+                Err(e) => {
+                    self.ended = true;
+                    return Err(e);
+                }
+            }
+        }
+        Ok(0)
+    }
+
+    /// Writes once, without waiting. Returns the number of bytes; zero if none can be written now.
+    ///
+    /// # Errors
+    /// Why the connection broke; the socket is of no further use.
+    pub fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
+        while self.writable && !bytes.is_empty() {
+            match self.stream.write(bytes) {
+                Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
+                Ok(length) => return Ok(length),
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.writable = false,
+                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+                Err(e) => return Err(e),
+            }
+        }
+        Ok(0)
+    }
+
+    /// Whether more may be read now.
+    pub fn is_readable(&self) -> bool {
+        self.readable && !self.ended
+    }
+
+    /// Whether more may be written now.
+    pub fn is_writable(&self) -> bool {
+        self.writable
+    }
+
+    /// Whether the peer sends no more and all it sent was read.
+    pub fn has_ended(&self) -> bool {
+        self.ended
+    }
+
+    /// Whether the peer has closed, though bytes of it may still wait to be read.
+    pub fn is_closing(&self) -> bool {
+        self.closing
+    }
+
+    /// The address of the peer.
+    ///
+    /// # Errors
+    /// If it is not connected.
+    pub fn peer_address(&self) -> io::Result<SocketAddr> {
+        self.stream.peer_addr()
+    }
+
+    /// Closes the connection; what is not read or written is lost.
+    pub fn close(mut self, registry: &Registry) {
+        let _ = registry.deregister(&mut self.stream);
+    }
+
+    /// Closes the connection so that the peer sees it reset.
+    pub fn reset(mut self, registry: &Registry) {
+        let _ = registry.deregister(&mut self.stream);
+        let _ = socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
+    }
+}
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -1,328 +1,127 @@
-//! Non-blocking streams with bounded buffers.
+//! Non-blocking TCP streams with an input and an output buffer.
 
+use crate::Socket;
 use bytes::{Buf, BytesMut};
 use mio::event::Event;
-use mio::net::{TcpListener, TcpStream, UdpSocket};
-use mio::{Interest, Registry, Token};
-use socket2::{Domain, Protocol, Type};
-use std::io::{self, Read, Write};
+use mio::{Registry, Token};
+use std::io;
 use std::net::SocketAddr;
 
-/// A silent peer is asked after so long whether it is there.
-const KEEPALIVE: std::time::Duration = std::time::Duration::from_secs(60);
-/// What a connect without waiting answers (EINPROGRESS of Linux).
-const IN_PROGRESS: i32 = 115;
-/// Buffers of an idle stream keep no more than this.
-const KEPT: usize = 2048;
+/// An emptied output buffer larger than this is released, in bytes.
+const MAX_IDLE_BUFFER_BYTES: usize = 2048;
 
-/// A socket without buffers: what it is ready for, as the system last told.
-#[derive(Debug)]
-pub struct Socket {
-    socket: TcpStream,
-    readable: bool,
-    writable: bool,
-    closing: bool,
-    ended: bool,
-    connected: bool,
-    /// Nothing was told of it yet: what it has, its end too, shows in reading alone.
-    untold: bool,
-}
-
-impl Socket {
-    /// Takes a socket over and registers it for all it does. `connected` is false for one still connecting.
-    ///
-    /// # Errors
-    /// As the system tells.
-    pub fn new(
-        mut socket: TcpStream,
-        connected: bool,
-        registry: &Registry,
-        token: Token,
-    ) -> io::Result<Socket> {
-        let _ = socket.set_nodelay(true);
-        // A peer that vanished without a word is found out, and gives its place free.
-        let keepalive = socket2::TcpKeepalive::new().with_time(KEEPALIVE).with_interval(KEEPALIVE / 4);
-        let _ = socket2::SockRef::from(&socket).set_tcp_keepalive(&keepalive);
-        registry.register(&mut socket, token, Interest::READABLE | Interest::WRITABLE)?;
-        Ok(Socket {
-            socket,
-            readable: connected,
-            writable: connected,
-            closing: false,
-            ended: false,
-            connected,
-            untold: connected,
-        })
-    }
-
-    /// Takes note of what the system told.
-    pub fn on(&mut self, event: &Event) {
-        self.readable |= event.is_readable() || event.is_read_closed() || event.is_error();
-        self.writable |= event.is_writable() || event.is_error();
-        self.closing |= event.is_read_closed() || event.is_error();
-    }
-
-    /// Whether a connect under way is through.
-    ///
-    /// # Errors
-    /// Why it failed.
-    pub fn connected(&mut self) -> io::Result<bool> {
-        if self.connected || !self.writable {
-            return Ok(self.connected);
-        }
-        if let Some(error) = self.socket.take_error()? {
-            return Err(error);
-        }
-        match self.socket.peer_addr() {
-            Ok(_) => {
-                self.connected = true;
-                self.readable = true;
-                Ok(true)
-            }
-            Err(e) if e.kind() == io::ErrorKind::NotConnected => {
-                self.writable = false;
-                Ok(false)
-            }
-            Err(e) => Err(e),
-        }
-    }
-
-    /// Reads once what there is; zero if there is nothing now, or never more ([`Socket::ended`]).
-    ///
-    /// # Errors
-    /// As the system tells; the socket is of no more use.
-    pub fn read(&mut self, into: &mut [u8]) -> io::Result<usize> {
-        while self.readable() && !into.is_empty() {
-            match self.socket.read(into) {
-                Ok(0) => self.ended = true,
-                Ok(n) => {
-                    // A short read has emptied the socket, unless its end waits behind. Guards against carrying on for one that
-                    // had left before it was taken: the end is read at once.
-                    self.readable = n == into.len() || self.closing || self.untold;
-                    return Ok(n);
-                }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    (self.readable, self.untold) = (false, false)
-                }
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) => {
-                    self.ended = true;
-                    return Err(e);
-                }
-            }
-        }
-        Ok(0)
-    }
-
-    /// Writes once what can go; zero if nothing can now.
-    ///
-    /// # Errors
-    /// As the system tells; the socket is of no more use.
-    pub fn write(&mut self, from: &[u8]) -> io::Result<usize> {
-        while self.writable && !from.is_empty() {
-            match self.socket.write(from) {
-                Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
-                Ok(n) => return Ok(n),
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.writable = false,
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) => return Err(e),
-            }
-        }
-        Ok(0)
-    }
-
-    /// More could be read now.
-    pub fn readable(&self) -> bool {
-        self.readable && !self.ended
-    }
-
-    /// More could be written now.
-    pub fn writable(&self) -> bool {
-        self.writable
-    }
-
-    /// The other side will send no more, and all it sent was read.
-    pub fn ended(&self) -> bool {
-        self.ended
-    }
-
-    /// The other side has closed, though something it sent may still wait to be read.
-    pub fn closing(&self) -> bool {
-        self.closing
-    }
-
-    /// Whom it is connected to.
-    ///
-    /// # Errors
-    /// As the system tells.
-    pub fn peer(&self) -> io::Result<SocketAddr> {
-        self.socket.peer_addr()
-    }
-
-    /// Closes it: what is not read or written is lost. With `reset` the other side sees the connection break.
-    pub fn close(mut self, registry: &Registry, reset: bool) {
-        let _ = registry.deregister(&mut self.socket);
-        if reset {
-            let socket = socket2::SockRef::from(&self.socket);
-            let _ = socket.set_linger(Some(std::time::Duration::ZERO));
-        }
-    }
-}
-
-/// A socket with what came and what is to go.
+/// A [`Socket`] with the bytes that were received and those to be sent. The caller bounds both: the input by the limit of
+/// [`Stream::fill`], the output by what it puts there.
 #[derive(Debug)]
 pub struct Stream {
     socket: Socket,
-    /// What came and was not taken yet.
+    /// Bytes received and not yet taken.
     pub input: BytesMut,
-    /// What is to go.
+    /// Bytes to be sent.
     pub output: BytesMut,
 }
 
 impl Stream {
-    /// As [`Socket::new`].
+    /// Begins to connect; [`Stream::check_connected`] says when that is done. With a `source`, it connects from that
+    /// address.
     ///
     /// # Errors
-    /// As the system tells.
-    pub fn new(socket: TcpStream, connected: bool, registry: &Registry, token: Token) -> io::Result<Stream> {
-        let socket = Socket::new(socket, connected, registry, token)?;
+    /// If the system refuses at once.
+    pub fn connect(
+        source: Option<SocketAddr>,
+        address: SocketAddr,
+        registry: &Registry,
+        token: Token,
+    ) -> io::Result<Stream> {
+        let socket = match source {
+            Some(source) => Socket::connect_from(source, address, registry, token)?,
+            None => Socket::connect(address, registry, token)?,
+        };
         Ok(Stream { socket, input: BytesMut::new(), output: BytesMut::new() })
     }
 
-    /// Takes note of what the system told.
-    pub fn on(&mut self, event: &Event) {
-        self.socket.on(event);
+    /// Takes note of an event of the poll.
+    pub fn handle_event(&mut self, event: &Event) {
+        self.socket.handle_event(event);
     }
 
-    /// As [`Socket::connected`].
+    /// As [`Socket::check_connected`].
     ///
     /// # Errors
-    /// Why it failed.
-    pub fn connected(&mut self) -> io::Result<bool> {
-        self.socket.connected()
+    /// Why the connect failed.
+    pub fn check_connected(&mut self) -> io::Result<bool> {
+        self.socket.check_connected()
     }
 
-    /// Reads what there is, until `limit` bytes wait to be taken. `scratch` is shared by all streams, so that idle
-    /// ones hold nothing.
+    /// Reads what has arrived, until the input holds `max_input` bytes, and returns the number of bytes read. `scratch` is
+    /// shared by all streams, so that idle ones hold no memory.
     ///
     /// # Errors
-    /// As the system tells; the stream is of no more use.
-    pub fn fill(&mut self, limit: usize, scratch: &mut [u8]) -> io::Result<usize> {
-        let mut got = 0;
-        while self.input.len() < limit {
-            let room = scratch.len().min(limit - self.input.len());
-            match self.socket.read(&mut scratch[..room])? {
+    /// Why the connection broke; the stream is of no further use.
+    pub fn fill(&mut self, max_input: usize, scratch: &mut [u8]) -> io::Result<usize> {
+        let mut total = 0;
+        while self.input.len() < max_input {
+            let capacity = scratch.len().min(max_input - self.input.len());
+            match self.socket.read(&mut scratch[..capacity])? {
                 0 => break,
-                n => {
-                    self.input.extend_from_slice(&scratch[..n]);
-                    got += n;
+                length => {
+                    self.input.extend_from_slice(&scratch[..length]);
+                    total += length;
                 }
             }
         }
-        Ok(got)
+        Ok(total)
     }
 
-    /// Writes what it can; true once all has gone.
+    /// Writes what the peer takes now of the output; true once all is written.
     ///
     /// # Errors
-    /// As the system tells; the stream is of no more use.
+    /// Why the connection broke; the stream is of no further use.
     pub fn flush(&mut self) -> io::Result<bool> {
         while !self.output.is_empty() {
             match self.socket.write(&self.output)? {
                 0 => break,
-                n => self.output.advance(n),
+                length => self.output.advance(length),
             }
         }
-        if self.output.is_empty() && self.output.capacity() > KEPT {
+        if self.output.is_empty() && self.output.capacity() > MAX_IDLE_BUFFER_BYTES {
             self.output = BytesMut::new();
         }
         Ok(self.output.is_empty())
     }
 
-    /// Gives back the memory of an emptied input.
-    pub fn relax(&mut self) {
+    /// Releases the memory of an empty input.
+    pub fn release_empty_input(&mut self) {
         if self.input.is_empty() {
             self.input = BytesMut::new();
         }
     }
 
-    /// More could be read now.
-    pub fn readable(&self) -> bool {
-        self.socket.readable()
+    /// As [`Socket::is_readable`].
+    pub fn is_readable(&self) -> bool {
+        self.socket.is_readable()
     }
 
-    /// The other side will send no more, and all it sent was read.
-    pub fn ended(&self) -> bool {
-        self.socket.ended()
+    /// As [`Socket::has_ended`].
+    pub fn has_ended(&self) -> bool {
+        self.socket.has_ended()
     }
 
-    /// The other side has closed, though something it sent may still wait to be read.
-    pub fn closing(&self) -> bool {
-        self.socket.closing()
+    /// As [`Socket::is_closing`].
+    pub fn is_closing(&self) -> bool {
+        self.socket.is_closing()
     }
 
-    /// Whom it is connected to.
+    /// As [`Socket::peer_address`].
     ///
     /// # Errors
-    /// As the system tells.
-    pub fn peer(&self) -> io::Result<SocketAddr> {
-        self.socket.peer()
+    /// If it is not connected.
+    pub fn peer_address(&self) -> io::Result<SocketAddr> {
+        self.socket.peer_address()
     }
 
     /// As [`Socket::close`].
-    pub fn close(self, registry: &Registry, reset: bool) {
-        self.socket.close(registry, reset);
+    pub fn close(self, registry: &Registry) {
+        self.socket.close(registry);
     }
 }
-
-/// A listening socket on a loopback address; port 0 lets the system choose.
-///
-/// # Errors
-/// As the system tells.
-pub fn listen(address: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
-    let socket = socket2::Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
-    socket.set_reuse_address(true)?;
-    socket.set_nonblocking(true)?;
-    socket.bind(&address.into())?;
-    socket.listen(i32::try_from(backlog).unwrap_or(i32::MAX))?;
-    Ok(TcpListener::from_std(socket.into()))
-}
-
-/// Starts a connect; [`Stream::connected`] tells when it is through.
-///
-/// # Errors
-/// As the system tells.
-pub fn connect(address: SocketAddr, registry: &Registry, token: Token) -> io::Result<Stream> {
-    Stream::new(TcpStream::connect(address)?, false, registry, token)
-}
-
-/// The same from a source address of the caller's, for more connections than one address has ports for.
-///
-/// # Errors
-/// As the system tells.
-pub fn connect_from(
-    source: Option<SocketAddr>,
-    address: SocketAddr,
-    registry: &Registry,
-    token: Token,
-) -> io::Result<Stream> {
-    let Some(source) = source else { return connect(address, registry, token) };
-    let socket = socket2::Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
-    socket.set_nonblocking(true)?;
-    socket.bind(&source.into())?;
-    match socket.connect(&address.into()) {
-        Err(e) if e.kind() != io::ErrorKind::WouldBlock && e.raw_os_error() != Some(IN_PROGRESS) => {
-            return Err(e)
-        }
-        _ => {}
-    }
-    Stream::new(TcpStream::from_std(socket.into()), false, registry, token)
-}
-
-/// A datagram socket.
-///
-/// # Errors
-/// As the system tells.
-pub fn datagrams(address: SocketAddr) -> io::Result<UdpSocket> {
-    UdpSocket::bind(address)
-}
--- a/crates/testbed/src/crowd.rs
+++ b/crates/testbed/src/crowd.rs
@@ -4,7 +4,6 @@
 use crate::plan::{Arrival, Plan};
 use crate::stage::Change;
 use anyhow::Result;
-use mio::net::TcpStream;
 use mio::{Events, Poll, Token};
 use serde::Serialize;
 use std::collections::HashMap;
@@ -228,15 +227,15 @@
         let now = self.clock.now();
         let id = ConnId::from_u64(event.token().0 as u64);
         let Some(socket) = self.sockets.get_mut(&id) else { return };
-        let connecting = matches!(socket.connected(), Ok(false));
-        socket.on(event);
-        match socket.connected() {
+        let connecting = matches!(socket.check_connected(), Ok(false));
+        socket.handle_event(event);
+        match socket.check_connected() {
             Ok(true) if connecting => self.people.connected(id),
             Ok(true) => {}
             Ok(false) => return,
             Err(_) => self.people.broke(id, now),
         }
-        if socket.closing() {
+        if socket.is_closing() {
             self.people.closing(id);
         }
         self.write(id, now);
@@ -247,7 +246,7 @@
     fn read(&mut self, id: ConnId, now: i64) {
         while let Some(socket) = self.sockets.get_mut(&id) {
             match socket.read(&mut self.scratch) {
-                Ok(0) if socket.ended() => return self.people.broke(id, now),
+                Ok(0) if socket.has_ended() => return self.people.broke(id, now),
                 Ok(0) => return,
                 Ok(n) => self.people.receive(id, &self.scratch[..n], now),
                 Err(_) => return self.people.broke(id, now),
@@ -257,7 +256,7 @@
 
     fn write(&mut self, id: ConnId, now: i64) {
         while let Some(socket) = self.sockets.get_mut(&id) {
-            if !matches!(socket.connected(), Ok(true)) {
+            if !matches!(socket.check_connected(), Ok(true)) {
                 return;
             }
             match socket.write(self.people.output(id)) {
@@ -281,10 +280,8 @@
                     Wish::Connect(id, controller) => {
                         let token = Token(id.as_u64() as usize);
                         let registry = self.poll.registry();
-                        let connect = |at| TcpStream::connect(at);
                         let socket = self.addresses[controller]
-                            .and_then(|at| connect(at).ok())
-                            .and_then(|tcp| Socket::new(tcp, false, registry, token).ok());
+                            .and_then(|address| Socket::connect(address, registry, token).ok());
                         match socket {
                             Some(socket) => drop(self.sockets.insert(id, socket)),
                             None => self.people.broke(id, now),
@@ -293,7 +290,7 @@
                     Wish::Write(id) => self.write(id, now),
                     Wish::Close(id) => {
                         if let Some(socket) = self.sockets.remove(&id) {
-                            socket.close(self.poll.registry(), false);
+                            socket.close(self.poll.registry());
                         }
                     }
                     Wish::Cancel(controller, bytes) => {
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::{Duration, Instant};
-use wheelfield_net::{connect, Clock, Stream};
+use wheelfield_net::{Clock, Stream};
 use wheelfield_pg::{frame, front};
 
 /// What is measured, and how long.
@@ -116,7 +116,7 @@
     fn call(&mut self, address: SocketAddr, script: &Script) -> Result<usize> {
         let entry = self.all.vacant_entry();
         let id = entry.key();
-        let mut stream = connect(address, self.poll.registry(), Token(id))?;
+        let mut stream = Stream::connect(None, address, self.poll.registry(), Token(id))?;
         front::put_startup(&[("user", "lab"), ("database", "lab")], &mut stream.output);
         stream.output.extend_from_slice(&script.prepare);
         entry.insert(Caller { stream, ready: false, sent: Instant::now() });
@@ -129,8 +129,8 @@
         for event in &self.events {
             let Token(id) = event.token();
             let Some(c) = self.all.get_mut(id) else { continue };
-            c.stream.on(event);
-            if !c.stream.connected()? {
+            c.stream.handle_event(event);
+            if !c.stream.check_connected()? {
                 continue;
             }
             c.stream.flush()?;
@@ -141,8 +141,8 @@
                     answered.push(id);
                 }
             }
-            c.stream.relax();
-            ensure!(!c.stream.ended(), "a connection was closed");
+            c.stream.release_empty_input();
+            ensure!(!c.stream.has_ended(), "a connection was closed");
         }
         Ok(())
     }
