--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -2,7 +2,7 @@
 
 use serde_json::json;
 use wheelfield::interface::*;
-use wheelfield_settings::{Names, SettingsError};
+use wheelfield_settings::{parse_settings, SettingsError};
 
 fn complete_settings() -> serde_json::Value {
     json!({
@@ -72,7 +72,7 @@
 
 #[test]
 fn every_key_is_read_into_its_field() {
-    let (names, settings) = Names::settings(&complete_settings()).expect("settings");
+    let (names, settings) = parse_settings(&complete_settings()).expect("settings");
     let expected = Settings {
         gateway_count: 4.0,
         gateway_index: 2.0,
@@ -118,21 +118,21 @@
 
 #[test]
 fn missing_keys_leave_everything_optional_off() {
-    let (_, settings) = Names::settings(&json!({})).expect("settings");
+    let (_, settings) = parse_settings(&json!({})).expect("settings");
     assert_eq!(settings, Settings { load_reports: true, ..Settings::default() });
 }
 
 #[test]
 fn advice_to_retry_is_only_used_where_it_is_allowed() {
     let ceilings = json!({"ceilings": {"retry_after": false, "max_retry_after_us": 9}});
-    let (_, settings) = Names::settings(&ceilings).expect("settings");
+    let (_, settings) = parse_settings(&ceilings).expect("settings");
     assert_eq!(settings.max_retry_after, Micros(0));
 }
 
 #[test]
 fn an_unknown_effect_is_reported_with_its_class() {
     let settings = json!({"grades": [{"name": "a", "effect": "once"}, {"name": "b", "effect": "perhaps"}]});
-    let error = Names::settings(&settings).expect_err("an unknown effect");
+    let error = parse_settings(&settings).expect_err("an unknown effect");
     assert_eq!(error, SettingsError::UnknownEffect { class: 1, effect: Some("perhaps".into()) });
     assert_eq!(error.to_string(), "unknown effect Some(\"perhaps\") of class 1");
 }
