--- /dev/null
+++ b/crates/capture/src/file_writer.rs
@@ -0,0 +1,163 @@
+//! Writes blocks to files: one after another, the oldest of which are removed.
+
+use crate::disk::{Disk, Maker};
+use crate::format::{Head, FILE_HEAD, MAGIC, VERSION};
+use crate::recorder::Limits;
+use crate::writer_thread::{compress, Message, WriterStatus};
+use std::io;
+use std::path::{Path, PathBuf};
+use std::sync::atomic::Ordering;
+use std::sync::mpsc::Receiver;
+use std::time::{Duration, Instant};
+
+/// A file that is being written.
+pub(crate) struct Segment {
+    path: PathBuf,
+    file: Box<dyn Disk>,
+    length: u64,
+}
+
+impl Segment {
+    /// Creates a file and writes its head.
+    ///
+    /// # Errors
+    /// If it can't be created or written.
+    pub fn create(path: PathBuf, maker: &mut Maker) -> io::Result<Segment> {
+        let mut file = maker(&path)?;
+        file.append(MAGIC)?;
+        file.append(&VERSION.to_be_bytes())?;
+        Ok(Segment { path, file, length: FILE_HEAD })
+    }
+
+    /// Writes a block whole, or leaves the file as it was: a reader could not go on behind a part of one.
+    fn write(&mut self, head: &[u8], packed: &[u8]) -> io::Result<()> {
+        let written = self.file.append(head).and_then(|()| self.file.append(packed));
+        if written.is_err() {
+            self.file.cut(self.length)?;
+            return written;
+        }
+        self.length += (head.len() + packed.len()) as u64;
+        Ok(())
+    }
+}
+
+/// A file of the capture that exists, and its length once it is complete.
+struct WrittenFile {
+    path: PathBuf,
+    bytes: u64,
+}
+
+/// The files of a capture.
+pub(crate) struct FileWriter {
+    /// Path of the first file, after which the others are named.
+    first_path: PathBuf,
+    maker: Maker,
+    limits: Limits,
+    /// The current file; `None` if it could not be created.
+    segment: Option<Segment>,
+    /// Its number, from 0.
+    number: u32,
+    /// All files, the current one last.
+    files: Vec<WrittenFile>,
+    synced_at: Instant,
+}
+
+impl FileWriter {
+    /// A writer that goes on with the first file.
+    pub fn new(first: Segment, maker: Maker, limits: Limits) -> FileWriter {
+        FileWriter {
+            first_path: first.path.clone(),
+            maker,
+            limits,
+            files: vec![WrittenFile { path: first.path.clone(), bytes: 0 }],
+            segment: Some(first),
+            number: 0,
+            synced_at: Instant::now(),
+        }
+    }
+
+    /// Handles messages until the queue is closed.
+    pub fn run(mut self, messages: &Receiver<Message>, status: &WriterStatus) {
+        while let Ok(message) = messages.recv() {
+            match message {
+                Message::Block(head, records) => {
+                    self.write_block(head, &records, status);
+                    self.sync_if_due();
+                }
+                Message::BeginSegment => self.begin_segment(status),
+                // Nothing is held in memory.
+                Message::WriteRing(_) => {}
+            }
+        }
+        self.sync();
+    }
+
+    fn write_block(&mut self, mut head: Head, records: &[u8], status: &WriterStatus) {
+        match self.append_block(&mut head, records) {
+            Ok(length) => {
+                status.segment_bytes.store(length, Ordering::Relaxed);
+                status.written_bytes.fetch_add(u64::from(head.packed), Ordering::Relaxed);
+                status.is_failing.store(false, Ordering::Relaxed);
+            }
+            Err(_) => {
+                status.lost_records.fetch_add(u64::from(head.records), Ordering::Relaxed);
+                status.is_failing.store(true, Ordering::Relaxed);
+            }
+        }
+    }
+
+    /// Writes a block and returns the length of the file.
+    fn append_block(&mut self, head: &mut Head, records: &[u8]) -> io::Result<u64> {
+        let packed = compress(head, records)?;
+        let segment = self.segment.as_mut().ok_or(io::ErrorKind::NotFound)?;
+        segment.write(&head.bytes(&packed), &packed)?;
+        Ok(segment.length)
+    }
+
+    fn begin_segment(&mut self, status: &WriterStatus) {
+        self.number += 1;
+        self.sync();
+        if let (Some(complete), Some(file)) = (self.segment.take(), self.files.last_mut()) {
+            file.bytes = complete.length;
+        }
+        let path = numbered_path(&self.first_path, self.number);
+        self.segment = Segment::create(path, &mut self.maker).ok();
+        status.is_failing.store(self.segment.is_none(), Ordering::Relaxed);
+        status.segment_bytes.store(0, Ordering::Relaxed);
+        status.segments_begun.store(u64::from(self.number), Ordering::Relaxed);
+        self.files.extend(self.segment.as_ref().map(|s| WrittenFile { path: s.path.clone(), bytes: 0 }));
+        self.remove_oldest_files();
+    }
+
+    /// Removes the oldest files while all have more bytes than the limit; the current one stays.
+    fn remove_oldest_files(&mut self) {
+        while self.files.len() > 1
+            && self.files.iter().map(|file| file.bytes).sum::<u64>() > self.limits.max_total_bytes
+        {
+            let _ = std::fs::remove_file(self.files.remove(0).path);
+        }
+    }
+
+    fn sync_if_due(&mut self) {
+        let interval = Duration::from_micros(self.limits.sync_interval.0.max(1) as u64);
+        if self.synced_at.elapsed() >= interval {
+            self.sync();
+            self.synced_at = Instant::now();
+        }
+    }
+
+    fn sync(&mut self) {
+        if let Some(segment) = &mut self.segment {
+            let _ = segment.file.sync();
+        }
+    }
+}
+
+/// The path of a file of a capture by its number: `x.wfcap`, `x.0001.wfcap` and so on.
+fn numbered_path(first: &Path, number: u32) -> PathBuf {
+    if number == 0 {
+        return first.to_path_buf();
+    }
+    let stem = first.file_stem().map_or_else(String::new, |stem| stem.to_string_lossy().into_owned());
+    first.with_file_name(format!("{stem}.{number:04}.wfcap"))
+}
--- a/crates/capture/src/format.rs
+++ b/crates/capture/src/format.rs
@@ -1,4 +1,4 @@
-//! What is on the disk.
+//! The format of a file.
 //!
 //! A file: `WFCAP`, a zero, the version as two bytes (big endian), then blocks. A block: `WFBK`, its number (8 bytes),
 //! first and last time (8 each), lowest and highest query (8 each), records (4), bytes of the records (4), bytes as
@@ -6,12 +6,13 @@
 //! (4), its CRC-32 (4), its postcard bytes.
 //!
 //! Versions: a reader takes every version up to its own. Record kinds are only ever added at the end of [`Record`], so
-//! that what an older writer wrote is read as it was; a newer version than the reader's is refused by name. The same holds for
-//! the kinds of what a driver is told.
+//! that what an older writer wrote is read as it was; a newer version than the reader's is rejected by name. The same holds for
+//! the kinds of [`RecordedInput`].
 //!
 //! - 1: the first.
-//! - 2: queries numbered outside, ends measured outside, timers kept outside, as on the simulator's wire.
-//! - 3: the settings tell the price of connections; the start of an older file is read by its own shape ([`crate::older`]).
+//! - 2: queries numbered, attempts measured and timers kept by the caller, as on the simulator's wire.
+//! - 3: the settings have the price of connections; the start of an older file is read by its own type
+//!   ([`crate::older_versions`]).
 
 use serde::{Deserialize, Serialize};
 use wheelfield::interface::{EngineId, Micros, QueryId, Settings};
@@ -23,21 +24,25 @@
 pub(crate) const BLOCK: &[u8; 4] = b"WFBK";
 /// Bytes of a block before its compressed part.
 pub(crate) const BLOCK_HEAD: usize = 4 + 8 + 8 + 8 + 8 + 8 + 4 + 4 + 4 + 4;
+/// Bytes of a record before its postcard bytes: its length and its CRC-32.
+pub(crate) const RECORD_HEAD: usize = 4 + 4;
+/// Bytes of a file before its first block: `MAGIC` and the version.
+pub(crate) const FILE_HEAD: u64 = 6 + 2;
 /// Bytes of the records of a block, at most; a checkpoint of many queries makes a long one.
-pub(crate) const LONGEST: usize = 256 << 20;
+pub(crate) const MAX_BLOCK_BYTES: usize = 256 << 20;
 
-/// What a file begins with.
+/// The first record of a file: what a replay needs to begin.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Start {
     /// Name and version of the program that wrote it.
     pub build: String,
-    /// Which controller.
+    /// The index of the controller.
     pub index: u32,
-    /// Its seed.
+    /// The seed of its random generator.
     pub seed: u64,
-    /// What its module was handed.
+    /// The settings of its module.
     pub settings: Settings,
-    /// What its driver is bounded by.
+    /// The limits of its driver.
     pub bounds: DriverLimits,
     /// Names of the classes, by position.
     pub classes: Vec<String>,
@@ -45,38 +50,40 @@
     pub tenants: Vec<String>,
 }
 
-/// What a driver was told in one step. Kinds are only added at the end.
+/// The input of a driver in one step. Kinds are only added at the end; their names stand in exports of captures.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Told {
+pub enum RecordedInput {
     /// An input.
     Input(Input),
-    /// A query came.
+    /// A query arrived, to be numbered by the driver.
     Arrive {
-        /// As it was handed in.
+        /// The query.
         arrival: Arrival,
         /// The name its client gave it.
         label: String,
     },
-    /// The time passed, and something had come due.
+    /// Timers of the driver were due.
     Due,
-    /// A query came with a number given outside.
+    /// A query arrived with a number that the caller gave it.
     ArriveAs {
         /// The number.
         id: QueryId,
-        /// As it was handed in.
+        /// The query.
         arrival: Arrival,
         /// The name its client gave it.
         label: String,
     },
-    /// A wire that keeps the time itself told that this timer of the module ran out.
+    /// A timer of the module fired, with its token; for callers that keep the timers themselves.
     Woke(u64),
 }
 
-impl Told {
-    /// What came, and the name its client gave it, if this is an arrival.
+impl RecordedInput {
+    /// The query and the name that its client gave it, if this is an arrival.
     pub fn arrival(&self) -> Option<(&Arrival, &str)> {
         match self {
-            Told::Arrive { arrival, label } | Told::ArriveAs { arrival, label, .. } => Some((arrival, label)),
+            RecordedInput::Arrive { arrival, label } | RecordedInput::ArriveAs { arrival, label, .. } => {
+                Some((arrival, label))
+            }
             _ => None,
         }
     }
@@ -85,30 +92,30 @@
 /// One record. Kinds are only added at the end.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Record {
-    /// The beginning of a file. Its kind is number 0, by which an older file's is told from the others.
+    /// The start of a file. It is kind number 0, by which the reader recognizes that of an older version.
     Start(Box<Start>),
-    /// The whole driver, as it is between two steps.
+    /// The state of the driver between two steps.
     Checkpoint {
         /// When.
         at: Micros,
-        /// All of it, as postcard of the build that wrote it: another build may not be able to read it, and then
-        /// replays from the start.
+        /// The driver, as postcard of the build that wrote it. Another build may not be able to read it, and then replays from the
+        /// start.
         driver: Vec<u8>,
     },
-    /// Something the driver was told, and what it answered.
+    /// An input of the driver and its answer.
     Step {
         /// When.
         at: Micros,
-        /// What.
-        told: Told,
-        /// The number of a query that was taken.
+        /// The input.
+        told: RecordedInput,
+        /// The number of a query that was accepted.
         taken: Option<QueryId>,
         /// The answer.
         out: Vec<Instruction>,
     },
     /// Records before this one were lost.
     Gap {
-        /// When it was noticed.
+        /// When the loss was noticed.
         at: Micros,
         /// How many.
         lost: u64,
@@ -117,30 +124,39 @@
     Engines(Vec<(EngineId, String)>),
 }
 
-/// The same, for writing without a copy. Its kinds are those of [`Record`], in the same order.
+/// A [`Record`] by reference, for writing without a copy. It has the same kinds in the same order.
 #[derive(Serialize)]
 pub(crate) enum RecordRef<'a> {
     Start(&'a Start),
     Checkpoint { at: Micros, driver: &'a [u8] },
-    Step { at: Micros, told: &'a Told, taken: Option<QueryId>, out: &'a [Instruction] },
+    Step { at: Micros, told: &'a RecordedInput, taken: Option<QueryId>, out: &'a [Instruction] },
     Gap { at: Micros, lost: u64 },
     Engines(&'a [(EngineId, String)]),
 }
 
-/// What a block's head tells.
+/// The head of a block, without its CRC-32.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Head {
+    /// Its number in the capture, from 0.
     pub number: u64,
+    /// Time of its first record, in microseconds.
     pub first: i64,
+    /// Time of its last record, in microseconds.
     pub last: i64,
+    /// Lowest number of the queries accepted in it; zero if there are none.
     pub low: u64,
+    /// Highest number of the queries accepted in it; zero if there are none.
     pub high: u64,
+    /// Number of its records.
     pub records: u32,
+    /// Bytes of its records.
     pub raw: u32,
+    /// Bytes of its records, compressed.
     pub packed: u32,
 }
 
 impl Head {
+    /// The head as written, with the CRC-32 over itself and the compressed records.
     pub fn bytes(&self, packed: &[u8]) -> [u8; BLOCK_HEAD] {
         let mut out = [0; BLOCK_HEAD];
         let mut at = 0;
@@ -164,7 +180,7 @@
         out
     }
 
-    /// The head and the sum that it tells; none if this is no block.
+    /// Reads a head and the CRC-32 in it; `None` if no block begins here.
     pub fn parse(bytes: &[u8; BLOCK_HEAD]) -> Option<(Head, u32)> {
         let u64_at = |at: usize| bytes[at..at + 8].try_into().map(u64::from_be_bytes).unwrap_or(0);
         let u32_at = |at: usize| bytes[at..at + 4].try_into().map(u32::from_be_bytes).unwrap_or(0);
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -1,27 +1,36 @@
-//! The record of everything a driver was told and answered.
+//! The record of all inputs of a driver and of its answers.
 //!
-//! A capture is a file of **blocks**; a block is some **records**, compressed together. Each record and each block
-//! carries its length and a CRC-32; blocks are numbered, so that a lost one shows. A file begins with a [`Start`] and a
-//! checkpoint of the whole driver, and so stands by itself; more checkpoints follow now and then, and after every
-//! loss, so that a replay can enter there.
+//! A capture is a file of **blocks**; a block is a number of **records**, compressed together. Each record and each block
+//! carries its length and a CRC-32. Blocks are numbered, so that a lost one is noticed. A file begins with a [`Start`] and a
+//! checkpoint of the whole driver, and so stands by itself. More checkpoints follow at an interval and after every loss, so
+//! that a replay can enter there.
 //!
-//! The decision thread only serializes into a buffer and hands full buffers to a writer thread through a bounded
+//! The decision thread only serializes records into a buffer and hands full buffers to a writer thread through a bounded
 //! queue. When the queue is full, whole buffers are dropped and counted, and the file says so.
 //!
-//! A capture may be held in memory alone (a ring of spans, each from a checkpoint on); then the writer thread writes a
-//! file only when there is a reason to.
+//! A capture may be held in memory alone, as a ring of spans that each begin with a checkpoint; the writer thread then writes
+//! a file only when one of the [`Triggers`] fires.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod block_buffer;
+mod disk;
+mod file_writer;
 mod format;
-mod older;
+mod older_versions;
 mod reader;
+mod recorder;
 mod ring;
-mod trigger;
-mod writer;
+mod triggers;
+mod writer_thread;
 
-pub use format::{Record, Start, Told, VERSION};
+pub use disk::{Disk, Maker};
+pub use format::{Record, RecordedInput, Start, VERSION};
 pub use reader::{repair, Entry, Header, ReadError, Reader};
+pub use recorder::{Limits, Recorder, State};
 pub use ring::RingLimits;
-pub use trigger::{Reason, Triggers, Watch};
-pub use writer::{Disk, Limits, Maker, Recorder, State};
+pub use triggers::{Reason, TriggerDetector, Triggers};
+
+/// Earlier name, which `wheelfield-recorder` still uses.
+#[doc(hidden)]
+pub use RecordedInput as Told;
--- a/crates/capture/src/older.rs
+++ b/crates/capture/src/older_versions.rs
@@ -1,26 +1,27 @@
-//! What older versions wrote otherwise. A record of postcard can't be read past a field that it lacks, so what grew is kept here as it
-//! was, and goes to today's shape by its fields' names.
+//! Types as older versions wrote them. Postcard can't read a record past a field that it lacks, so a type that has gained fields is
+//! kept here as it was, and converted to the current one by the names of its fields.
 
 use crate::format::Start;
 use serde::{Deserialize, Serialize};
 use wheelfield::interface::{Class, Micros, RetryBudget, Settings};
 use wheelfield_driver::DriverLimits;
 
-/// What a file of version 1 or 2 begins with.
+/// The start of a file of version 1 or 2.
 #[derive(Deserialize)]
-pub(crate) struct StartOf2 {
+pub(crate) struct StartV2 {
     build: String,
     index: u32,
     seed: u64,
-    settings: SettingsOf2,
+    settings: SettingsV2,
     bounds: DriverLimits,
     classes: Vec<String>,
     tenants: Vec<String>,
 }
 
-/// The settings of version 1 and 2: without the price of connections.
+/// The settings of version 1 and 2: without the price of connections. The fields have their names of then, which the current type
+/// reads as aliases.
 #[derive(Serialize, Deserialize)]
-struct SettingsOf2 {
+struct SettingsV2 {
     gateways: f64,
     index: f64,
     zone: Option<usize>,
@@ -56,14 +57,14 @@
     attempt_budget: Option<RetryBudget>,
 }
 
-impl StartOf2 {
-    /// In today's shape. What was not known then has its default, with which the module decides as it did.
+impl StartV2 {
+    /// Converts to the current type. A field that did not exist then has its default, with which the module decides as it did.
     ///
     /// # Errors
-    /// If a figure is none, as no program writes it.
-    pub fn today(self) -> Result<Start, serde_json::Error> {
+    /// If a number is not finite; no program writes such a one.
+    pub fn into_current(self) -> Result<Start, serde_json::Error> {
         let settings: Settings = serde_json::from_value(serde_json::to_value(self.settings)?)?;
-        let StartOf2 { build, index, seed, bounds, classes, tenants, .. } = self;
+        let StartV2 { build, index, seed, bounds, classes, tenants, .. } = self;
         Ok(Start { build, index, seed, settings, bounds, classes, tenants })
     }
 }
--- a/crates/capture/src/reader.rs
+++ b/crates/capture/src/reader.rs
@@ -1,34 +1,35 @@
-//! Reading: block by block, every sum checked, to the end or to the place where it is torn.
+//! Reads captures block by block, checking every CRC-32, to the end or to where the file is truncated.
 
-use crate::format::{Head, Record, BLOCK_HEAD, LONGEST, MAGIC, VERSION};
-use crate::older::StartOf2;
+use crate::format::{Head, Record, BLOCK_HEAD, FILE_HEAD, MAGIC, MAX_BLOCK_BYTES, RECORD_HEAD, VERSION};
+use crate::older_versions::StartV2;
+use std::collections::VecDeque;
 use std::fs::File;
 use std::io::{BufReader, Read, Seek, SeekFrom};
 use std::path::Path;
 
-/// What can be wrong with a capture.
+/// Why a capture can't be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// It can't be read at all.
+    /// The file can't be read.
     #[error("cannot read the capture: {0}")]
     Io(#[from] std::io::Error),
-    /// It is none.
+    /// The file is no capture.
     #[error("not a capture: it does not begin with WFCAP")]
-    NotOne,
-    /// It is of a newer program.
+    NotACapture,
+    /// A newer program wrote it.
     #[error("a capture of version {0}; this program reads up to {VERSION}")]
-    Newer(u16),
-    /// Something in it is not as it was written.
+    NewerVersion(u16),
+    /// A part of it is not as it was written.
     #[error("damaged at byte {at}: {what}")]
     Damaged {
-        /// Where, in the file.
+        /// The byte of the file where the block begins.
         at: u64,
-        /// What.
+        /// What is wrong there.
         what: String,
     },
 }
 
-/// What a reading met.
+/// A part of a capture, in the order of the file.
 #[derive(Debug)]
 pub enum Entry {
     /// A record.
@@ -38,41 +39,49 @@
         /// How many.
         blocks: u64,
     },
-    /// The file ends amid a block, as after a crash; what came before is whole.
+    /// The file ends within a block, as after a crash; all before it is complete.
     Torn {
-        /// The byte at which what is whole ends.
+        /// The byte at which the complete part ends.
         at: u64,
     },
 }
 
-/// What is known of a block without unpacking it.
+/// What is known of a block without decompressing it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// Where it begins in the file.
+    /// The byte of the file where it begins.
     pub at: u64,
-    /// Time of its first and last record, in microseconds.
-    pub times: (i64, i64),
-    /// Lowest and highest number of the queries that were taken in it; zero if none was.
-    pub queries: (u64, u64),
-    /// Its records.
+    /// Time of its first record, in microseconds.
+    pub first_at: i64,
+    /// Time of its last record, in microseconds.
+    pub last_at: i64,
+    /// Lowest number of the queries accepted in it; zero if there are none.
+    pub lowest_query: u64,
+    /// Highest number of the queries accepted in it; zero if there are none.
+    pub highest_query: u64,
+    /// Number of its records.
     pub records: u32,
-    /// Bytes, as written and as unpacked.
-    pub bytes: (u32, u32),
+    /// Bytes of its records, compressed.
+    pub compressed_bytes: u32,
+    /// Bytes of its records.
+    pub raw_bytes: u32,
 }
 
-/// Reads a file.
+/// Reads a capture.
 pub struct Reader {
     file: BufReader<File>,
+    /// Where the next block begins.
     at: u64,
     length: u64,
     version: u16,
     next_number: Option<u64>,
-    waiting: std::collections::VecDeque<Entry>,
+    /// Entries of the last block read.
+    pending: VecDeque<Entry>,
     ended: bool,
 }
 
 impl Reader {
-    /// Opens a file.
+    /// Opens a capture.
     ///
     /// # Errors
     /// [`ReadError`] if it can't be read, is no capture, or of a newer version.
@@ -80,37 +89,39 @@
         let file = File::open(path)?;
         let length = file.metadata()?.len();
         let mut file = BufReader::new(file);
-        let mut head = [0; 8];
-        if length < 8 {
-            return Err(ReadError::NotOne);
+        let mut head = [0; FILE_HEAD as usize];
+        if length < FILE_HEAD {
+            return Err(ReadError::NotACapture);
         }
         file.read_exact(&mut head)?;
         if &head[..6] != MAGIC {
-            return Err(ReadError::NotOne);
+            return Err(ReadError::NotACapture);
         }
         let version = u16::from_be_bytes([head[6], head[7]]);
         if version > VERSION || version == 0 {
-            return Err(ReadError::Newer(version));
+            return Err(ReadError::NewerVersion(version));
         }
         Ok(Reader {
             file,
-            at: 8,
+            at: FILE_HEAD,
             length,
             version,
             next_number: None,
-            waiting: Default::default(),
+            pending: VecDeque::new(),
             ended: false,
         })
     }
 
-    /// Goes to a block, by what [`Reader::headers`] told of it.
+    /// Goes to the block that begins at a byte ([`Header::at`]).
     ///
     /// # Errors
     /// [`ReadError::Io`].
-    pub fn go_to(&mut self, at: u64) -> Result<(), ReadError> {
+    pub fn seek_to_block(&mut self, at: u64) -> Result<(), ReadError> {
         self.file.seek(SeekFrom::Start(at))?;
-        (self.at, self.next_number, self.ended) = (at, None, false);
-        self.waiting.clear();
+        self.at = at;
+        self.next_number = None;
+        self.ended = false;
+        self.pending.clear();
         Ok(())
     }
 
@@ -118,15 +129,15 @@
         ReadError::Damaged { at: self.at, what: what.into() }
     }
 
-    /// The head of the block at hand; none at the end, or where the file is torn.
-    fn head(&mut self) -> Result<Option<(Head, u32, [u8; BLOCK_HEAD])>, ReadError> {
+    /// Reads the head of the next block; `None` where the file is truncated.
+    fn read_head(&mut self) -> Result<Option<(Head, u32, [u8; BLOCK_HEAD])>, ReadError> {
         if self.length - self.at < BLOCK_HEAD as u64 {
             return Ok(None);
         }
         let mut bytes = [0; BLOCK_HEAD];
         self.file.read_exact(&mut bytes)?;
         let Some((head, crc)) = Head::parse(&bytes) else { return Err(self.damaged("no block begins here")) };
-        if head.raw as usize > LONGEST || head.packed as usize > LONGEST {
+        if head.raw as usize > MAX_BLOCK_BYTES || head.packed as usize > MAX_BLOCK_BYTES {
             return Err(self.damaged("a block of an impossible length"));
         }
         if self.length - self.at - (BLOCK_HEAD as u64) < u64::from(head.packed) {
@@ -135,56 +146,50 @@
         Ok(Some((head, crc, bytes)))
     }
 
-    /// What is known of each block, without unpacking any: the index by time and by query.
+    /// The headers of all blocks, without decompressing any: an index by time and by query.
     ///
     /// # Errors
     /// [`ReadError`] where no block begins.
     pub fn headers(&mut self) -> Result<Vec<Header>, ReadError> {
-        self.go_to(8)?;
+        self.seek_to_block(FILE_HEAD)?;
         let mut all = Vec::new();
-        while let Some((head, _, _)) = self.head()? {
+        while let Some((head, _, _)) = self.read_head()? {
             all.push(Header {
                 at: self.at,
-                times: (head.first, head.last),
-                queries: (head.low, head.high),
+                first_at: head.first,
+                last_at: head.last,
+                lowest_query: head.low,
+                highest_query: head.high,
                 records: head.records,
-                bytes: (head.packed, head.raw),
+                compressed_bytes: head.packed,
+                raw_bytes: head.raw,
             });
             self.at += BLOCK_HEAD as u64 + u64::from(head.packed);
             self.file.seek(SeekFrom::Start(self.at))?;
         }
-        self.go_to(8)?;
+        self.seek_to_block(FILE_HEAD)?;
         Ok(all)
     }
 
-    /// The next entry; none at the end.
+    /// The next entry; `None` at the end.
     ///
     /// # Errors
-    /// [`ReadError::Damaged`] with the place, where a sum or a length is wrong.
-    pub fn entry(&mut self) -> Result<Option<Entry>, ReadError> {
+    /// [`ReadError::Damaged`] where a CRC-32 or a length is wrong.
+    pub fn next_entry(&mut self) -> Result<Option<Entry>, ReadError> {
         loop {
-            if let Some(entry) = self.waiting.pop_front() {
+            if let Some(entry) = self.pending.pop_front() {
                 return Ok(Some(entry));
             }
             if self.ended || self.at == self.length {
                 return Ok(None);
             }
-            let Some((head, crc, bytes)) = self.head()? else {
+            let Some((head, crc, bytes)) = self.read_head()? else {
                 self.ended = true;
                 return Ok(Some(Entry::Torn { at: self.at }));
             };
-            let mut packed = vec![0; head.packed as usize];
-            self.file.read_exact(&mut packed)?;
-            let mut sum = crc32fast::Hasher::new();
-            sum.update(&bytes[..BLOCK_HEAD - 4]);
-            sum.update(&packed);
-            if sum.finalize() != crc {
-                return Err(self.damaged("the sum of a block is wrong"));
-            }
-            let raw = zstd::bulk::decompress(&packed, head.raw as usize)
-                .map_err(|e| self.damaged(format!("a block that can't be unpacked: {e}")))?;
+            let raw = self.read_records(&head, crc, &bytes)?;
             if let Some(expected) = self.next_number.filter(|n| *n != head.number) {
-                self.waiting
+                self.pending
                     .push_back(Entry::Missing { blocks: head.number.saturating_sub(expected).max(1) });
             }
             self.next_number = Some(head.number + 1);
@@ -193,21 +198,41 @@
         }
     }
 
-    /// A record, by the shape of the file's version.
-    fn record(&self, bytes: &[u8]) -> Result<Record, String> {
+    /// Reads and decompresses the records of a block whose head was read.
+    fn read_records(
+        &mut self,
+        head: &Head,
+        crc: u32,
+        head_bytes: &[u8; BLOCK_HEAD],
+    ) -> Result<Vec<u8>, ReadError> {
+        let mut packed = vec![0; head.packed as usize];
+        self.file.read_exact(&mut packed)?;
+        let mut hasher = crc32fast::Hasher::new();
+        hasher.update(&head_bytes[..BLOCK_HEAD - 4]);
+        hasher.update(&packed);
+        if hasher.finalize() != crc {
+            return Err(self.damaged("the sum of a block is wrong"));
+        }
+        zstd::bulk::decompress(&packed, head.raw as usize)
+            .map_err(|e| self.damaged(format!("a block that can't be unpacked: {e}")))
+    }
+
+    /// Decodes a record by the types of the file's version.
+    fn decode_record(&self, bytes: &[u8]) -> Result<Record, String> {
         match bytes.split_first() {
             Some((0, start)) if self.version < 3 => {
-                let start: StartOf2 = postcard::from_bytes(start).map_err(|e| e.to_string())?;
-                Ok(Record::Start(Box::new(start.today().map_err(|e| e.to_string())?)))
+                let start: StartV2 = postcard::from_bytes(start).map_err(|e| e.to_string())?;
+                Ok(Record::Start(Box::new(start.into_current().map_err(|e| e.to_string())?)))
             }
             _ => postcard::from_bytes(bytes).map_err(|e| e.to_string()),
         }
     }
 
+    /// Splits a decompressed block into its records.
     fn unpack(&mut self, raw: &[u8]) -> Result<(), ReadError> {
         let mut rest = raw;
         while !rest.is_empty() {
-            let Some((head, body)) = rest.split_first_chunk::<8>() else {
+            let Some((head, body)) = rest.split_first_chunk::<RECORD_HEAD>() else {
                 return Err(self.damaged("a record without its length"));
             };
             let length = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
@@ -219,22 +244,23 @@
             if crc32fast::hash(record) != crc {
                 return Err(self.damaged("the sum of a record is wrong"));
             }
-            let record =
-                self.record(record).map_err(|e| self.damaged(format!("a record that can't be read: {e}")))?;
-            self.waiting.push_back(Entry::Record(Box::new(record)));
+            let record = self
+                .decode_record(record)
+                .map_err(|e| self.damaged(format!("a record that can't be read: {e}")))?;
+            self.pending.push_back(Entry::Record(Box::new(record)));
             rest = others;
         }
         Ok(())
     }
 }
 
-/// Cuts the torn end off a file; how many bytes went.
+/// Cuts an incomplete block off the end of a file. Returns the number of bytes cut.
 ///
 /// # Errors
 /// [`ReadError`] if it can't be read, or is damaged before its end, which is not repaired.
 pub fn repair(path: &Path) -> Result<u64, ReadError> {
     let mut reader = Reader::open(path)?;
-    while let Some(entry) = reader.entry()? {
+    while let Some(entry) = reader.next_entry()? {
         if let Entry::Torn { at } = entry {
             let cut = reader.length - at;
             File::options().write(true).open(path)?.set_len(at)?;
--- a/crates/capture/src/ring.rs
+++ b/crates/capture/src/ring.rs
@@ -1,31 +1,35 @@
-//! A capture in memory: whole spans, the oldest of which goes; written to a file when there is a reason.
+//! A capture in memory: whole spans, the oldest of which are dropped; written to a file on request.
 
-use crate::format::{Head, MAGIC, VERSION};
+use crate::format::{Head, FILE_HEAD, MAGIC, VERSION};
+use crate::writer_thread::{compress, Message, WriterStatus};
 use std::collections::VecDeque;
 use std::fs::File;
-use std::io::Write;
+use std::io::{self, Write};
 use std::path::{Path, PathBuf};
+use std::sync::atomic::Ordering;
+use std::sync::mpsc::Receiver;
 use wheelfield::interface::Micros;
 
-/// What is held in memory.
+/// How much is held in memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RingLimits {
-    /// Bytes of compressed blocks.
-    pub bytes: u64,
-    /// So far back, at least, if the bytes suffice.
-    pub span: Micros,
+    /// Bytes of compressed blocks, at most.
+    pub max_bytes: u64,
+    /// The time that is held at least, if the bytes suffice.
+    pub min_span: Micros,
 }
 
 impl Default for RingLimits {
     fn default() -> Self {
-        RingLimits { bytes: 64 << 20, span: Micros(600_000_000) }
+        RingLimits { max_bytes: 64 << 20, min_span: Micros(600_000_000) }
     }
 }
 
-/// Blocks from one checkpoint on.
+/// Blocks from one checkpoint up to the next.
 #[derive(Default)]
 struct Span {
     bytes: Vec<u8>,
+    /// Time of its first record, in microseconds.
     first: Option<i64>,
 }
 
@@ -33,59 +37,57 @@
 pub(crate) struct Ring {
     limits: RingLimits,
     spans: VecDeque<Span>,
-    /// Bytes of all of them.
-    total: u64,
+    total_bytes: u64,
 }
 
 impl Ring {
+    /// A ring with one empty span.
     pub fn new(limits: RingLimits) -> Ring {
-        Ring { limits, spans: VecDeque::from([Span::default()]), total: 0 }
+        Ring { limits, spans: VecDeque::from([Span::default()]), total_bytes: 0 }
     }
 
-    /// The next block begins a span.
-    pub fn begin(&mut self) {
+    fn begin_span(&mut self) {
         self.spans.push_back(Span::default());
     }
 
-    /// Takes a block; gives the bytes of the span at hand, and what is held in all.
-    pub fn push(&mut self, head: &Head, bytes: &[u8], packed: &[u8]) -> (u64, u64) {
-        if self.spans.is_empty() {
-            self.begin();
-        }
-        let Some(span) = self.spans.back_mut() else { return (0, self.total) };
-        span.bytes.extend_from_slice(bytes);
+    /// Adds a block to the newest span, and drops the oldest spans: while there are too many bytes, or while the rest still
+    /// reaches back far enough. Returns the bytes of the newest span.
+    fn push(&mut self, head: &Head, packed: &[u8]) -> u64 {
+        let head_bytes = head.bytes(packed);
+        let Some(span) = self.spans.back_mut() else { return 0 };
+        span.bytes.extend_from_slice(&head_bytes);
         span.bytes.extend_from_slice(packed);
         span.first = span.first.or(Some(head.first));
-        let own = span.bytes.len() as u64;
-        self.total += (bytes.len() + packed.len()) as u64;
-        // The oldest goes while there is too much, or while what is left still reaches back far enough.
-        let reaches = |s: &Span| s.first.is_some_and(|t| head.last - t >= self.limits.span.0);
+        let span_bytes = span.bytes.len() as u64;
+        self.total_bytes += (head_bytes.len() + packed.len()) as u64;
+        let reaches_back =
+            |span: &Span| span.first.is_some_and(|first| head.last - first >= self.limits.min_span.0);
         while self.spans.len() > 1
-            && (self.total > self.limits.bytes || self.spans.get(1).is_some_and(reaches))
+            && (self.total_bytes > self.limits.max_bytes || self.spans.get(1).is_some_and(reaches_back))
         {
-            let gone = self.spans.pop_front().map_or(0, |s| s.bytes.len() as u64);
-            self.total -= gone;
+            let dropped = self.spans.pop_front().map_or(0, |span| span.bytes.len() as u64);
+            self.total_bytes -= dropped;
         }
-        (own, self.total)
+        span_bytes
     }
 
-    /// Writes all that is held to a file: whole or not at all, and durably. Gives its bytes.
+    /// Writes all spans to a file, whole and durably or not at all. Returns its bytes.
     ///
     /// # Errors
-    /// As the disk tells; no file is left then.
-    pub fn write(&self, path: &Path) -> std::io::Result<u64> {
+    /// If that fails; no file is left then.
+    fn write(&self, path: &Path) -> io::Result<u64> {
         let partial = path.with_extension("partial");
-        let written = self.write_to(&partial).and_then(|n| std::fs::rename(&partial, path).map(|()| n));
+        let written =
+            self.write_to(&partial).and_then(|bytes| std::fs::rename(&partial, path).map(|()| bytes));
         if written.is_err() {
             let _ = std::fs::remove_file(&partial);
         }
-        let n = written?;
-        let dir = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
-        File::open(dir)?.sync_all()?;
-        Ok(n)
+        let bytes = written?;
+        File::open(directory_of(path))?.sync_all()?;
+        Ok(bytes)
     }
 
-    fn write_to(&self, path: &Path) -> std::io::Result<u64> {
+    fn write_to(&self, path: &Path) -> io::Result<u64> {
         let mut file = File::create(path)?;
         file.write_all(MAGIC)?;
         file.write_all(&VERSION.to_be_bytes())?;
@@ -93,30 +95,73 @@
             file.write_all(&span.bytes)?;
         }
         file.sync_all()?;
-        Ok(MAGIC.len() as u64 + 2 + self.total)
+        Ok(FILE_HEAD + self.total_bytes)
+    }
+}
+
+/// The writer thread's side of a capture in memory.
+pub(crate) struct RingWriter {
+    /// The ring.
+    pub ring: Ring,
+    /// The path that files are named after.
+    pub path: PathBuf,
+    /// Bytes of all files together, at most.
+    pub max_total_bytes: u64,
+}
+
+impl RingWriter {
+    /// Handles messages until the queue is closed.
+    pub fn run(mut self, messages: &Receiver<Message>, status: &WriterStatus) {
+        while let Ok(message) = messages.recv() {
+            match message {
+                Message::Block(head, records) => self.push_block(head, &records, status),
+                Message::BeginSegment => {
+                    self.ring.begin_span();
+                    status.segment_bytes.store(0, Ordering::Relaxed);
+                    status.segments_begun.fetch_add(1, Ordering::Relaxed);
+                }
+                Message::WriteRing(file) => self.write_file(&file, status),
+            }
+        }
+    }
+
+    fn push_block(&mut self, mut head: Head, records: &[u8], status: &WriterStatus) {
+        let Ok(packed) = compress(&mut head, records) else {
+            status.lost_records.fetch_add(u64::from(head.records), Ordering::Relaxed);
+            return;
+        };
+        let span_bytes = self.ring.push(&head, &packed);
+        status.segment_bytes.store(span_bytes, Ordering::Relaxed);
+        status.ring_bytes.store(self.ring.total_bytes, Ordering::Relaxed);
+    }
+
+    fn write_file(&self, file: &Path, status: &WriterStatus) {
+        match self.ring.write(file) {
+            Ok(bytes) => {
+                status.written_bytes.fetch_add(bytes, Ordering::Relaxed);
+                status.ring_files.fetch_add(1, Ordering::Relaxed);
+                status.is_failing.store(false, Ordering::Relaxed);
+                remove_oldest_files(&self.path, file, self.max_total_bytes);
+            }
+            Err(_) => status.is_failing.store(true, Ordering::Relaxed),
+        }
     }
 }
 
-/// Removes the oldest kept files of a capture until all together have at most `keep` bytes; `newest` stays.
-pub(crate) fn prune(capture: &Path, newest: &Path, keep: u64) {
-    let stem = capture.file_stem().map_or_else(String::new, |s| format!("{}-", s.to_string_lossy()));
-    let dir = capture.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
-    let ours = |p: &PathBuf| {
-        let name = p.file_name().map_or_else(String::new, |n| n.to_string_lossy().into_owned());
-        // The time stands behind the name, so the names are in the order of time.
-        name.strip_prefix(&stem).is_some_and(|rest| rest.starts_with("20") && rest.ends_with(".wfcap"))
-    };
-    let Ok(entries) = std::fs::read_dir(dir) else { return };
+/// Removes the oldest files written of a capture until all together have at most `max_bytes`; `newest` stays.
+fn remove_oldest_files(capture: &Path, newest: &Path, max_bytes: u64) {
+    let Ok(entries) = std::fs::read_dir(directory_of(capture)) else { return };
     let mut files: Vec<(PathBuf, u64)> = entries
         .filter_map(Result::ok)
-        .map(|e| e.path())
-        .filter(ours)
-        .filter_map(|p| p.metadata().ok().map(|m| (p, m.len())))
+        .map(|entry| entry.path())
+        .filter(|path| is_ring_file(path, capture))
+        .filter_map(|path| path.metadata().ok().map(|metadata| (path, metadata.len())))
         .collect();
+    // The time stands behind the name of the capture, so the names are in the order of time.
     files.sort();
-    let mut total: u64 = files.iter().map(|(_, n)| n).sum();
+    let mut total: u64 = files.iter().map(|(_, bytes)| bytes).sum();
     for (path, bytes) in files {
-        if total <= keep {
+        if total <= max_bytes {
             break;
         }
         if path != newest && std::fs::remove_file(&path).is_ok() {
@@ -124,3 +169,14 @@
         }
     }
 }
+
+/// Whether a file was written of a capture in memory: `x-20...wfcap` for `x.wfcap`.
+fn is_ring_file(path: &Path, capture: &Path) -> bool {
+    let stem = capture.file_stem().map_or_else(String::new, |stem| format!("{}-", stem.to_string_lossy()));
+    let name = path.file_name().map_or_else(String::new, |name| name.to_string_lossy().into_owned());
+    name.strip_prefix(&stem).is_some_and(|rest| rest.starts_with("20") && rest.ends_with(".wfcap"))
+}
+
+fn directory_of(path: &Path) -> &Path {
+    path.parent().filter(|parent| !parent.as_os_str().is_empty()).unwrap_or(Path::new("."))
+}
--- a/crates/controller/src/capture.rs
+++ b/crates/controller/src/capture.rs
@@ -28,27 +28,27 @@
         tenants: config.names.tenants.clone(),
     };
     let limits = Limits {
-        queue: capture.queue,
-        segment: capture.segment,
-        keep: capture.keep,
-        checkpoint: capture.checkpoint,
-        sync: capture.sync,
+        max_queued_blocks: capture.queue,
+        segment_bytes: capture.segment,
+        max_total_bytes: capture.keep,
+        checkpoint_interval: capture.checkpoint,
+        sync_interval: capture.sync,
         ..Limits::default()
     };
     let (file, now) = (&capture.file, Micros(now));
     let recorder = match &capture.ring {
         None => Recorder::begin(file, start, limits, driver, now),
         Some(ring) => {
-            let ring_limits = RingLimits { bytes: ring.memory, span: ring.span };
+            let ring_limits = RingLimits { max_bytes: ring.memory, min_span: ring.span };
             let triggers = Triggers {
-                set_aside: ring.set_aside,
-                refusals: Some(ring.refusals),
+                on_engine_ejected: ring.set_aside,
+                rejected_fraction: Some(ring.refusals),
                 window: ring.window,
                 stall: Some(ring.stall),
-                after: ring.after,
-                rest: ring.rest,
+                record_after: ring.after,
+                cooldown: ring.rest,
             };
-            Recorder::ring(file, start, limits, (ring_limits, triggers), driver, now)
+            Recorder::begin_in_memory(file, start, limits, (ring_limits, triggers), driver, now)
         }
     };
     recorder.map(Some).map_err(|source| ControllerError::Capture { path: file.clone(), source })
--- a/crates/invariant-check/src/gather.rs
+++ b/crates/invariant-check/src/gather.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 use wheelfield::interface::{EngineEntry, EngineId, Micros, Outcome, QueryId, Settings, Status};
-use wheelfield_capture::Told;
+use wheelfield_capture::RecordedInput;
 use wheelfield_driver::{Answer, AttemptId, Driver, Input, Instruction};
 use wheelfield_invariants::{Asked, End, Life, Line, NotUp, OfClass};
 use wheelfield_replay::words::Names;
@@ -96,7 +96,7 @@
         while let Some((step, _, _)) = player.feed()? {
             let lost = player.losses();
             if last.is_none() || lost > losses {
-                run.lives_on(step.at, last, matches!(step.told, Told::Input(Input::Started)));
+                run.lives_on(step.at, last, matches!(step.told, RecordedInput::Input(Input::Started)));
                 losses = lost;
                 due = None;
             }
@@ -221,7 +221,7 @@
     /// Takes a step; `driver` stands behind it.
     fn step(&mut self, step: &Step, driver: &Driver) {
         match &step.told {
-            Told::Arrive { arrival, .. } | Told::ArriveAs { arrival, .. } => {
+            RecordedInput::Arrive { arrival, .. } | RecordedInput::ArriveAs { arrival, .. } => {
                 if let Some(query) = step.taken {
                     self.queries.insert(query, self.all.asked.len());
                     let name = self.id(query);
@@ -243,14 +243,16 @@
                     }
                 }
             }
-            Told::Input(Input::Engines { complete: whole, entries }) => self.listed(step.at, *whole, entries),
-            Told::Input(Input::Dispatched(attempt)) => {
+            RecordedInput::Input(Input::Engines { complete: whole, entries }) => {
+                self.listed(step.at, *whole, entries)
+            }
+            RecordedInput::Input(Input::Dispatched(attempt)) => {
                 if let Some(engine) = self.attempts.get(attempt).copied() {
                     self.written.insert(*attempt);
                     self.line(step.at, "received", *attempt, engine);
                 }
             }
-            Told::Input(
+            RecordedInput::Input(
                 Input::AttemptEnded { attempt, outcome, reported_work: billed_work, .. }
                 | Input::AttemptMeasured { attempt, outcome, reported_work: billed_work, .. },
             ) => {
@@ -270,7 +272,7 @@
                     self.ended(attempt.query, step.at, End::Served);
                 }
             }
-            Told::Input(Input::Abandoned(query)) => self.ended(*query, step.at, End::Left),
+            RecordedInput::Input(Input::Abandoned(query)) => self.ended(*query, step.at, End::Left),
             _ => {}
         }
         for instruction in &step.out {
--- a/crates/invariant-check/tests/planted.rs
+++ b/crates/invariant-check/tests/planted.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 use wheelfield::interface::*;
-use wheelfield_capture::{Limits, Recorder, Start, Told};
+use wheelfield_capture::{Limits, RecordedInput, Recorder, Start};
 use wheelfield_driver::{Answer, Arrival, AttemptId, Driver, DriverLimits, Input, Instruction};
 use wheelfield_invariant_check::{check, Checked};
 
@@ -46,7 +46,7 @@
 #[derive(Clone)]
 struct Step {
     at: Micros,
-    told: Told,
+    told: RecordedInput,
     taken: Option<QueryId>,
     out: Vec<Instruction>,
 }
@@ -56,9 +56,9 @@
 }
 
 /// What is to happen, by time; equal times in the order they were planned.
-type Agenda = BTreeMap<(i64, u64), Told>;
+type Agenda = BTreeMap<(i64, u64), RecordedInput>;
 
-fn plan(agenda: &mut Agenda, at: i64, told: Told) {
+fn plan(agenda: &mut Agenda, at: i64, told: RecordedInput) {
     let n = agenda.len() as u64;
     let last = agenda.range((at, 0)..=(at, u64::MAX)).next_back().map_or(n, |((_, n), _)| n + 1);
     agenda.insert((at, last.max(n)), told);
@@ -69,9 +69,9 @@
 fn day() -> Vec<Step> {
     let mut driver = Driver::new(settings(), 7, DriverLimits::default());
     let mut agenda = Agenda::new();
-    plan(&mut agenda, 0, Told::Input(Input::Started));
+    plan(&mut agenda, 0, RecordedInput::Input(Input::Started));
     let all = (1..=4).map(|n| engine(n, Status::Up, None)).collect();
-    plan(&mut agenda, MS, Told::Input(Input::Engines { complete: true, entries: all }));
+    plan(&mut agenda, MS, RecordedInput::Input(Input::Engines { complete: true, entries: all }));
     for n in 0..80 {
         let class = (n % 4) as usize;
         let at = (100 + n * 40) * MS;
@@ -82,16 +82,16 @@
             work_hint: Some(0.03),
             ..Arrival::default()
         };
-        plan(&mut agenda, at, Told::Arrive { arrival, label: format!("q{n}") });
+        plan(&mut agenda, at, RecordedInput::Arrive { arrival, label: format!("q{n}") });
     }
-    let change = |e| Told::Input(Input::Engines { complete: false, entries: vec![e] });
+    let change = |e| RecordedInput::Input(Input::Engines { complete: false, entries: vec![e] });
     plan(&mut agenda, 1_500 * MS, change(engine(4, Status::Draining, None)));
     plan(&mut agenda, 2_000 * MS, change(engine(3, Status::Up, Some(Micros(2_000 * MS)))));
     let mut steps = Vec::new();
     while let Some(((at, _), told)) = agenda.pop_first() {
         let mut todo = vec![(at, told)];
         while let Some(due) = driver.next_timer_at().filter(|d| d.0 <= todo[0].0) {
-            todo.insert(0, (due.0, Told::Due));
+            todo.insert(0, (due.0, RecordedInput::Due));
             run(&mut driver, &mut agenda, &mut steps, todo.remove(0));
         }
         for step in todo {
@@ -102,17 +102,17 @@
     let (mut now, end) = (Micros(0), Micros(8_000 * MS));
     while let Some(due) = driver.next_timer_at().filter(|d| *d <= end) {
         now = now.max(due);
-        run(&mut driver, &mut agenda, &mut steps, (now.0, Told::Due));
+        run(&mut driver, &mut agenda, &mut steps, (now.0, RecordedInput::Due));
     }
-    run(&mut driver, &mut agenda, &mut steps, (end.0, Told::Due));
+    run(&mut driver, &mut agenda, &mut steps, (end.0, RecordedInput::Due));
     steps
 }
 
-fn run(driver: &mut Driver, agenda: &mut Agenda, steps: &mut Vec<Step>, (at, told): (i64, Told)) {
+fn run(driver: &mut Driver, agenda: &mut Agenda, steps: &mut Vec<Step>, (at, told): (i64, RecordedInput)) {
     // A wire asks before it writes, and tells no end of what it did not write.
     let idle = match &told {
-        Told::Input(Input::Dispatched(attempt)) => !driver.may_write(Micros(at), *attempt),
-        Told::Input(Input::AttemptEnded { attempt, .. }) => !driver.is_in_flight(*attempt),
+        RecordedInput::Input(Input::Dispatched(attempt)) => !driver.may_write(Micros(at), *attempt),
+        RecordedInput::Input(Input::AttemptEnded { attempt, .. }) => !driver.is_in_flight(*attempt),
         _ => false,
     };
     if idle {
@@ -122,13 +122,13 @@
     let taken = wheelfield_replay::feed(driver, Micros(at), &told, &mut out);
     for i in &out {
         if let Instruction::Start { attempt, .. } = i {
-            plan(agenda, at + MS, Told::Input(Input::Dispatched(*attempt)));
+            plan(agenda, at + MS, RecordedInput::Input(Input::Dispatched(*attempt)));
             let full = attempt.query.0 % 10 == 3 && attempt.number == 0;
             let outcome = if full { Outcome::Full } else { Outcome::Served };
             let (report, billed_work) = (LoadReport::default(), (!full).then_some(0.03));
             let ended =
                 Input::AttemptEnded { attempt: *attempt, outcome, reported_work: billed_work, report };
-            plan(agenda, at + 30 * MS, Told::Input(ended));
+            plan(agenda, at + 30 * MS, RecordedInput::Input(ended));
         }
     }
     steps.push(Step { at: Micros(at), told, taken, out });
@@ -145,7 +145,8 @@
         tenants: Vec::new(),
     };
     let driver = Driver::new(settings(), 7, DriverLimits::default());
-    let limits = Limits { queue: 1 << 16, checkpoint: Micros(i64::MAX), ..Limits::default() };
+    let limits =
+        Limits { max_queued_blocks: 1 << 16, checkpoint_interval: Micros(i64::MAX), ..Limits::default() };
     let mut recorder = Recorder::begin(path, start, limits, &driver, Micros(0)).expect("a file");
     recorder.engines(Micros(0), (1..=4).map(|n| (EngineId(n), format!("engine-{n}"))));
     for s in steps {
@@ -180,7 +181,7 @@
             .find_map(|i| if let Instruction::Start { engine, .. } = i { Some(*engine) } else { None })
     };
     let of = |(i, s): (usize, &Step)| match &s.told {
-        Told::Arrive { arrival, .. } if arrival.class == class => Some((i, s.taken?, sent(s)?)),
+        RecordedInput::Arrive { arrival, .. } if arrival.class == class => Some((i, s.taken?, sent(s)?)),
         _ => None,
     };
     steps.iter().enumerate().filter_map(of).nth(nth).expect("a query that was sent")
@@ -192,7 +193,7 @@
     let when = steps[at].at;
     let terms = wheelfield_driver::AttemptOptions::default();
     steps[at].out.push(Instruction::Start { attempt, engine, options: terms });
-    let told = Told::Input(Input::Dispatched(attempt));
+    let told = RecordedInput::Input(Input::Dispatched(attempt));
     steps.insert(at + 1, Step { at: when, told, taken: None, out: Vec::new() });
 }
 
@@ -209,7 +210,7 @@
 fn a_query_without_its_answer_with_two_or_with_a_late_one_is_lost() {
     let unserved = |steps: &mut Vec<Step>, query: QueryId| {
         steps.retain(
-            |s| !matches!(&s.told, Told::Input(Input::AttemptEnded { attempt, .. }) if attempt.query == query),
+            |s| !matches!(&s.told, RecordedInput::Input(Input::AttemptEnded { attempt, .. }) if attempt.query == query),
         );
         for s in steps {
             s.out.retain(|i| !matches!(i, Instruction::Answer(q, _) if *q == query));
@@ -272,8 +273,8 @@
         broken(|steps| {
             for s in steps.iter_mut() {
                 match &mut s.told {
-                    Told::Arrive { arrival, .. } => arrival.work_hint = Some(0.2),
-                    Told::Input(Input::AttemptEnded { reported_work: billed_work, .. }) => {
+                    RecordedInput::Arrive { arrival, .. } => arrival.work_hint = Some(0.2),
+                    RecordedInput::Input(Input::AttemptEnded { reported_work: billed_work, .. }) => {
                         *billed_work = Some(0.2)
                     }
                     _ => {}
@@ -298,13 +299,13 @@
             let (_, query, _) = arrival(steps, ORDERED, 6);
             let (at, _, _) = arrival(steps, ORDERED, 5);
             // The sixth is written while the fifth runs, although it came only later.
-            let told = Told::Input(Input::AttemptEnded {
+            let told = RecordedInput::Input(Input::AttemptEnded {
                 attempt: AttemptId { query: steps[at].taken.expect("taken"), number: 0 },
                 outcome: Outcome::Served,
                 reported_work: None,
                 report: LoadReport::default(),
             });
-            let ends = |s: &Step| matches!((&s.told, &told), (Told::Input(Input::AttemptEnded { attempt: a, .. }), Told::Input(Input::AttemptEnded { attempt: b, .. })) if a == b);
+            let ends = |s: &Step| matches!((&s.told, &told), (RecordedInput::Input(Input::AttemptEnded { attempt: a, .. }), RecordedInput::Input(Input::AttemptEnded { attempt: b, .. })) if a == b);
             let end = steps.iter().position(ends).expect("its end");
             let late = steps.iter().position(|s| s.taken == Some(query)).expect("the next") + 3;
             // Its end is told only after the next was written.
--- a/crates/replay/examples/fuzz_reader.rs
+++ b/crates/replay/examples/fuzz_reader.rs
@@ -99,11 +99,11 @@
     };
     // The index, too, is read by programs.
     let _ = reader.headers();
-    if reader.go_to(8).is_err() {
+    if reader.seek_to_block(8).is_err() {
         return "cannot be gone to".into();
     }
     loop {
-        match reader.entry() {
+        match reader.next_entry() {
             Ok(Some(Entry::Record(_))) => *records += 1,
             Ok(Some(Entry::Missing { .. })) => {}
             Ok(Some(Entry::Torn { .. })) => return "torn".into(),
--- a/crates/replay/examples/hour.rs
+++ b/crates/replay/examples/hour.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::time::Instant;
 use wheelfield::interface::*;
-use wheelfield_capture::{Limits, Recorder, Start, Told};
+use wheelfield_capture::{Limits, RecordedInput, Recorder, Start};
 use wheelfield_driver::{Arrival, Driver, DriverLimits, Input, Instruction};
 use wheelfield_replay::{feed, run, Options};
 
@@ -44,9 +44,9 @@
         tenants: Vec::new(),
     };
     let mut driver = Driver::new(settings, 3, bounds);
-    let limits = Limits { queue: 1 << 16, ..Limits::default() };
+    let limits = Limits { max_queued_blocks: 1 << 16, ..Limits::default() };
     let mut recorder = Recorder::begin(&path, start, limits, &driver, Micros(0)).expect("a file");
-    let mut agenda: std::collections::BTreeMap<(i64, u64), Told> = Default::default();
+    let mut agenda: std::collections::BTreeMap<(i64, u64), RecordedInput> = Default::default();
     let entry = |n| EngineEntry {
         engine: EngineId(n),
         zone: 0,
@@ -55,10 +55,10 @@
         status: Status::Up,
         started_at: None,
     };
-    agenda.insert((1, 0), Told::Input(Input::Started));
+    agenda.insert((1, 0), RecordedInput::Input(Input::Started));
     agenda.insert(
         (2, 0),
-        Told::Input(Input::Engines { complete: true, entries: (0..20).map(entry).collect() }),
+        RecordedInput::Input(Input::Engines { complete: true, entries: (0..20).map(entry).collect() }),
     );
     let (mut n, mut steps, hour) = (1u64, 0u64, 3_600_000_000i64);
     let mut next = 1_000i64;
@@ -67,13 +67,13 @@
             n += 1;
             let work_hint = Some(0.05 + (n % 50) as f64 / 100.0);
             let arrival = Arrival { deadline: Micros(next + 5_000_000), work_hint, ..Arrival::default() };
-            agenda.insert((next, n), Told::Arrive { arrival, label: format!("q{n}") });
+            agenda.insert((next, n), RecordedInput::Arrive { arrival, label: format!("q{n}") });
             next += 1_000_000 / rate.max(1);
         }
         let Some(((at, _), told)) = agenda.pop_first() else { break };
         let mut todo = vec![(at, told)];
         while let Some(due) = driver.next_timer_at().filter(|d| d.0 < at) {
-            todo.insert(todo.len() - 1, (due.0, Told::Due));
+            todo.insert(todo.len() - 1, (due.0, RecordedInput::Due));
             step(&mut driver, &mut recorder, &mut agenda, todo.remove(0), &mut n);
             steps += 1;
         }
@@ -103,8 +103,8 @@
 fn step(
     driver: &mut Driver,
     recorder: &mut Recorder,
-    agenda: &mut std::collections::BTreeMap<(i64, u64), Told>,
-    (at, told): (i64, Told),
+    agenda: &mut std::collections::BTreeMap<(i64, u64), RecordedInput>,
+    (at, told): (i64, RecordedInput),
     n: &mut u64,
 ) {
     let mut out = Vec::new();
@@ -114,12 +114,12 @@
     for i in out {
         if let Instruction::Start { attempt, .. } = i {
             *n += 2;
-            agenda.insert((at + 1_000, *n - 1), Told::Input(Input::Dispatched(attempt)));
+            agenda.insert((at + 1_000, *n - 1), RecordedInput::Input(Input::Dispatched(attempt)));
             let report = LoadReport { utilisation: Some((*n % 17) as f64 / 20.0), ..LoadReport::default() };
             let takes = 50_000 + (*n * 7_919 % 900_000) as i64;
             let outcome = if *n % 101 < 2 { Outcome::Error } else { Outcome::Served };
             let ended = Input::AttemptEnded { attempt, outcome, reported_work: Some(0.2), report };
-            agenda.insert((at + takes, *n), Told::Input(ended));
+            agenda.insert((at + takes, *n), RecordedInput::Input(ended));
         }
     }
 }
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -12,7 +12,7 @@
 use std::collections::VecDeque;
 use std::path::Path;
 use wheelfield::interface::{Micros, QueryId};
-use wheelfield_capture::{Entry, ReadError, Reader, Record, Start, Told};
+use wheelfield_capture::{Entry, ReadError, Reader, Record, RecordedInput, Start};
 use wheelfield_driver::{Driver, Instruction};
 
 /// Steps shown before a difference.
@@ -26,7 +26,7 @@
     /// When.
     pub at: Micros,
     /// What the driver was told.
-    pub told: Told,
+    pub told: RecordedInput,
     /// The number of a query that was taken.
     pub taken: Option<QueryId>,
     /// What it answered.
@@ -136,12 +136,12 @@
             // A block that begins with a checkpoint can't be told from its head; blocks are unpacked from the last
             // one that is certainly before, in ever larger steps back.
             let headers = reader.headers()?;
-            let before = headers.iter().rposition(|h| h.times.0 <= from.0).unwrap_or(0);
+            let before = headers.iter().rposition(|h| h.first_at <= from.0).unwrap_or(0);
             let mut back = before.saturating_sub(1);
             loop {
                 let (at, until) = (headers[back.min(headers.len().saturating_sub(1))].at, from);
                 if back == 0 || has_checkpoint(path, at, until)? {
-                    reader.go_to(at)?;
+                    reader.seek_to_block(at)?;
                     break;
                 }
                 back = back.saturating_sub(1 + (before - back));
@@ -196,7 +196,7 @@
     /// The next step as recorded, without feeding it.
     fn next_step(&mut self) -> Result<Option<Step>, ReplayError> {
         loop {
-            let record = match self.reader.entry()? {
+            let record = match self.reader.next_entry()? {
                 None => return Ok(None),
                 Some(Entry::Torn { .. }) => {
                     self.verdict.torn_after = Some(self.number);
@@ -278,8 +278,8 @@
 
 fn has_checkpoint(path: &Path, at: u64, until: Micros) -> Result<bool, ReplayError> {
     let mut reader = Reader::open(path)?;
-    reader.go_to(at)?;
-    while let Some(entry) = reader.entry()? {
+    reader.seek_to_block(at)?;
+    while let Some(entry) = reader.next_entry()? {
         match entry {
             Entry::Record(record) => match *record {
                 Record::Checkpoint { at, .. } => return Ok(at <= until),
@@ -294,17 +294,22 @@
 }
 
 /// Feeds one step to a driver.
-pub fn feed(driver: &mut Driver, at: Micros, told: &Told, out: &mut Vec<Instruction>) -> Option<QueryId> {
+pub fn feed(
+    driver: &mut Driver,
+    at: Micros,
+    told: &RecordedInput,
+    out: &mut Vec<Instruction>,
+) -> Option<QueryId> {
     match told {
-        Told::Input(input) => driver.handle_input(at, input.clone(), out),
-        Told::Arrive { arrival, .. } => return driver.submit(at, arrival.clone(), out).ok(),
-        Told::ArriveAs { id, arrival, .. } => {
+        RecordedInput::Input(input) => driver.handle_input(at, input.clone(), out),
+        RecordedInput::Arrive { arrival, .. } => return driver.submit(at, arrival.clone(), out).ok(),
+        RecordedInput::ArriveAs { id, arrival, .. } => {
             return driver.submit_with_id(at, *id, arrival.clone(), out).ok()
         }
-        Told::Due => {
+        RecordedInput::Due => {
             driver.handle_timers(at, out);
         }
-        Told::Woke(token) => {
+        RecordedInput::Woke(token) => {
             driver.fire_timer(at, *token, out);
         }
     }
--- a/crates/replay/src/main.rs
+++ b/crates/replay/src/main.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use wheelfield::interface::{EngineId, LoadReport, Micros, QueryId, Settings, Status};
-use wheelfield_capture::{Reader, Told};
+use wheelfield_capture::{Reader, RecordedInput};
 use wheelfield_driver::{Input, Instruction};
 use wheelfield_replay::words::{self, Names};
 use wheelfield_replay::{rewrite, run, shadow, Options, Player, Step, Verdict};
@@ -160,7 +160,7 @@
 
 fn first_time(file: &Path) -> Result<i64> {
     let headers = Reader::open(file)?.headers()?;
-    Ok(headers.first().context("an empty capture")?.times.0)
+    Ok(headers.first().context("an empty capture")?.first_at)
 }
 
 fn replay(file: &Path, over_gaps: bool, from: Option<f64>, times: u32) -> Result<bool> {
@@ -286,15 +286,17 @@
             _ => false,
         };
         let told_of = match &step.told {
-            Told::Arrive { .. } | Told::ArriveAs { .. } => step.taken.is_some() && step.taken == query,
-            Told::Input(
+            RecordedInput::Arrive { .. } | RecordedInput::ArriveAs { .. } => {
+                step.taken.is_some() && step.taken == query
+            }
+            RecordedInput::Input(
                 Input::AttemptEnded { attempt, .. }
                 | Input::AttemptMeasured { attempt, .. }
                 | Input::AttemptUpdated(attempt, _)
                 | Input::AnswerStarted(attempt)
                 | Input::Dispatched(attempt),
             ) => Some(attempt.query) == query,
-            Told::Input(Input::Abandoned(q)) => Some(*q) == query,
+            RecordedInput::Input(Input::Abandoned(q)) => Some(*q) == query,
             _ => false,
         };
         let decides = step.out.iter().any(concerns);
@@ -315,12 +317,12 @@
         }
         // What is known grows by this step.
         match &step.told {
-            Told::Input(Input::Engines { entries, .. }) => {
+            RecordedInput::Input(Input::Engines { entries, .. }) => {
                 for e in entries {
                     known.entry(e.engine).or_default().status = Some((step.at, e.status));
                 }
             }
-            Told::Input(
+            RecordedInput::Input(
                 Input::AttemptEnded { attempt, outcome, report, .. }
                 | Input::AttemptMeasured { attempt, outcome, report, .. },
             ) => {
@@ -335,10 +337,10 @@
                     }
                 }
             }
-            Told::Input(Input::ProbeEnded { engine, report, .. }) => {
+            RecordedInput::Input(Input::ProbeEnded { engine, report, .. }) => {
                 known.entry(*engine).or_default().report = Some((step.at, *report))
             }
-            Told::Input(Input::PeerReports(words)) => {
+            RecordedInput::Input(Input::PeerReports(words)) => {
                 for w in words {
                     known.entry(w.engine).or_default().report = Some((step.at, w.report));
                 }
@@ -454,19 +456,19 @@
         first = first.or(Some(step.at));
         last = step.at;
         let kind = match &step.told {
-            Told::Arrive { .. } | Told::ArriveAs { .. } => "arrivals",
-            Told::Due | Told::Woke(_) => "time passed",
-            Told::Input(Input::AttemptEnded { .. } | Input::AttemptMeasured { .. }) => "endings",
-            Told::Input(Input::AttemptUpdated(..)) => "notes",
-            Told::Input(Input::Dispatched(_)) => "written",
-            Told::Input(Input::AnswerStarted(_)) => "answers begun",
-            Told::Input(Input::Engines { .. } | Input::ListUnavailable) => "engine lists",
-            Told::Input(Input::Abandoned(_)) => "departures",
-            Told::Input(Input::ShutdownDeadline(_)) => "times up",
-            Told::Input(Input::ProbeEnded { .. }) => "probes",
-            Told::Input(Input::PeerReports(_)) => "messages",
-            Told::Input(Input::Started) => "starts",
-            Told::Input(Input::GatewayCountChanged { .. }) => "numbers of controllers",
+            RecordedInput::Arrive { .. } | RecordedInput::ArriveAs { .. } => "arrivals",
+            RecordedInput::Due | RecordedInput::Woke(_) => "time passed",
+            RecordedInput::Input(Input::AttemptEnded { .. } | Input::AttemptMeasured { .. }) => "endings",
+            RecordedInput::Input(Input::AttemptUpdated(..)) => "notes",
+            RecordedInput::Input(Input::Dispatched(_)) => "written",
+            RecordedInput::Input(Input::AnswerStarted(_)) => "answers begun",
+            RecordedInput::Input(Input::Engines { .. } | Input::ListUnavailable) => "engine lists",
+            RecordedInput::Input(Input::Abandoned(_)) => "departures",
+            RecordedInput::Input(Input::ShutdownDeadline(_)) => "times up",
+            RecordedInput::Input(Input::ProbeEnded { .. }) => "probes",
+            RecordedInput::Input(Input::PeerReports(_)) => "messages",
+            RecordedInput::Input(Input::Started) => "starts",
+            RecordedInput::Input(Input::GatewayCountChanged { .. }) => "numbers of controllers",
         };
         *kinds.entry(kind).or_default() += 1;
         for i in &step.out {
@@ -483,8 +485,8 @@
             *answers.entry(kind).or_default() += 1;
         }
     }
-    let bytes: u64 = headers.iter().map(|h| u64::from(h.bytes.0)).sum();
-    let raw: u64 = headers.iter().map(|h| u64::from(h.bytes.1)).sum();
+    let bytes: u64 = headers.iter().map(|h| u64::from(h.compressed_bytes)).sum();
+    let raw: u64 = headers.iter().map(|h| u64::from(h.raw_bytes)).sum();
     let span = first.map_or(0.0, |f| (last - f).as_secs_f64());
     if let Some(s) = &player.start {
         println!("{} controller {} of {}, seed {}", s.build, s.index, s.settings.gateway_count, s.seed);
--- a/crates/replay/src/rewrite.rs
+++ b/crates/replay/src/rewrite.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 use wheelfield::interface::Micros;
-use wheelfield_capture::{Limits, Recorder, State, Told};
+use wheelfield_capture::{Limits, RecordedInput, Recorder, State};
 use wheelfield_driver::Driver;
 
 /// Why no capture was made.
@@ -32,7 +32,7 @@
 
 /// Nothing of a rewriting may be dropped: it waits for nothing but the disk.
 fn unhurried() -> Limits {
-    Limits { queue: 1 << 20, ..Limits::default() }
+    Limits { max_queued_blocks: 1 << 20, ..Limits::default() }
 }
 
 fn written(state: State) -> Result<(), RewriteError> {
@@ -110,7 +110,7 @@
     while let Some((step, _, _)) = player.feed()? {
         if state.is_none() {
             let Some(start) = &player.start else { return Err(RewriteError::Middle) };
-            if !matches!(step.told, Told::Input(wheelfield_driver::Input::Started)) {
+            if !matches!(step.told, RecordedInput::Input(wheelfield_driver::Input::Started)) {
                 return Err(RewriteError::Middle);
             }
             let mut start = start.clone();
@@ -122,13 +122,13 @@
         }
         let Some((driver, recorder)) = &mut state else { return Err(RewriteError::Empty) };
         let told = match step.told {
-            Told::Arrive { mut arrival, label } => {
+            RecordedInput::Arrive { mut arrival, label } => {
                 arrival.key = arrival.key.map(|k| keys.of(&k));
-                Told::Arrive { arrival, label: labels.of(&label) }
+                RecordedInput::Arrive { arrival, label: labels.of(&label) }
             }
-            Told::ArriveAs { id, mut arrival, label } => {
+            RecordedInput::ArriveAs { id, mut arrival, label } => {
                 arrival.key = arrival.key.map(|k| keys.of(&k));
-                Told::ArriveAs { id, arrival, label: labels.of(&label) }
+                RecordedInput::ArriveAs { id, arrival, label: labels.of(&label) }
             }
             other => other,
         };
--- a/crates/replay/src/words.rs
+++ b/crates/replay/src/words.rs
@@ -2,7 +2,7 @@
 
 use crate::Step;
 use wheelfield::interface::{AttemptUpdate, EngineId, LoadReport, Outcome};
-use wheelfield_capture::Told;
+use wheelfield_capture::RecordedInput;
 use wheelfield_driver::{Answer, Input, Instruction};
 
 /// Names by which numbers are shown.
@@ -48,16 +48,16 @@
 /// What the driver was told, in words.
 pub fn told(step: &Step, names: &Names) -> String {
     match &step.told {
-        Told::Due => "time passed".into(),
-        Told::Woke(token) => format!("timer {token} ran out"),
-        Told::Arrive { arrival, label } | Told::ArriveAs { arrival, label, .. } => {
+        RecordedInput::Due => "time passed".into(),
+        RecordedInput::Woke(token) => format!("timer {token} ran out"),
+        RecordedInput::Arrive { arrival, label } | RecordedInput::ArriveAs { arrival, label, .. } => {
             let number = step.taken.map_or("not taken".into(), |q| format!("query {}", q.0));
             let work = arrival.work_hint.map_or(String::new(), |w| format!(", about {w:.2} s of work"));
             let label = if label.is_empty() { String::new() } else { format!(" `{label}`") };
             let left = (arrival.deadline - step.at).as_secs_f64();
             format!("{number}{label} of class {}{work}, due in {left:.1} s", names.class(arrival.class))
         }
-        Told::Input(input) => match input {
+        RecordedInput::Input(input) => match input {
             Input::Started => "the controller started".into(),
             Input::GatewayCountChanged { count, index } => {
                 format!("{count} controllers share the engines, this is number {index}")
--- a/crates/replay/tests/captures.rs
+++ b/crates/replay/tests/captures.rs
@@ -8,7 +8,7 @@
 
 use common::{folder, settings, small, start, Scene};
 use wheelfield::interface::*;
-use wheelfield_capture::{repair, Disk, Entry, Limits, ReadError, Reader, Record, Recorder, Told};
+use wheelfield_capture::{repair, Disk, Entry, Limits, ReadError, Reader, Record, RecordedInput, Recorder};
 use wheelfield_driver::{Driver, DriverLimits, Input, Instruction};
 use wheelfield_replay::{run, shadow, Options, ReplayError};
 
@@ -59,7 +59,7 @@
         Driver::new(fewer(&settings()), 11, DriverLimits::default()),
     );
     let (mut first, mut number) = (None, 0);
-    while let Some(Entry::Record(record)) = reader.entry().expect("sound") {
+    while let Some(Entry::Record(record)) = reader.next_entry().expect("sound") {
         if let Record::Step { at, told, .. } = *record {
             number += 1;
             let (mut a, mut b) = (Vec::new(), Vec::new());
@@ -72,7 +72,7 @@
                     _ => None,
                 })
             };
-            if first.is_none() && matches!(told, Told::Arrive { .. }) && place(&a) != place(&b) {
+            if first.is_none() && matches!(told, RecordedInput::Arrive { .. }) && place(&a) != place(&b) {
                 first = Some(number);
             }
         }
@@ -95,7 +95,7 @@
     let steps = |path: &Path| {
         let mut reader = Reader::open(path).expect("a capture");
         let mut all = Vec::new();
-        while let Some(Entry::Record(record)) = reader.entry().expect("sound") {
+        while let Some(Entry::Record(record)) = reader.next_entry().expect("sound") {
             if let Record::Step { at, out, .. } = *record {
                 all.push((at, out));
             }
@@ -126,7 +126,7 @@
     assert!(verdict.equal() && verdict.steps == steps);
     let mut player = wheelfield_replay::Player::open(&clean, Options::default()).expect("whole");
     while let Some((step, _, _)) = player.feed().expect("whole") {
-        if let Told::Arrive { label, .. } = step.told {
+        if let RecordedInput::Arrive { label, .. } = step.told {
             assert!(label.starts_with('q'), "{label}");
         }
     }
@@ -195,7 +195,7 @@
 
 fn short_capture(dir: &Path) -> std::path::PathBuf {
     let path = dir.join("a.wfcap");
-    let mut scene = Scene::at(&path, Limits { checkpoint: Micros::from_secs_f64(9.0), ..small() });
+    let mut scene = Scene::at(&path, Limits { checkpoint_interval: Micros::from_secs_f64(9.0), ..small() });
     scene.play(120);
     scene.end();
     path
@@ -209,7 +209,7 @@
     };
     let mut records = 0;
     loop {
-        match reader.entry() {
+        match reader.next_entry() {
             Ok(None) => return (records, Ok(None)),
             Ok(Some(Entry::Torn { at })) => return (records, Ok(Some(at))),
             Ok(Some(_)) => records += 1,
@@ -263,7 +263,7 @@
     let mut bytes = std::fs::read(&path).expect("a file");
     bytes[7] = 200;
     std::fs::write(&path, &bytes).expect("a file");
-    assert!(matches!(Reader::open(&path), Err(ReadError::Newer(200))));
+    assert!(matches!(Reader::open(&path), Err(ReadError::NewerVersion(200))));
 }
 
 /// A disk on command: it waits for a permit before each write, and fails while it is full.
@@ -359,7 +359,7 @@
 
 #[test]
 fn a_slow_disk_holds_up_no_decision_and_the_loss_is_marked() {
-    let (mut scene, bench) = odd(Limits { queue: 2, ..small() }, true);
+    let (mut scene, bench) = odd(Limits { max_queued_blocks: 2, ..small() }, true);
     // The disk takes nothing at all, and the driver goes on.
     scene.play(4_000);
     let lost = scene.recorder.state().lost;
@@ -379,7 +379,7 @@
 fn files_follow_each_other_and_the_oldest_go() {
     let dir = folder();
     let path = dir.path().join("a.wfcap");
-    let limits = Limits { segment: 20_000, keep: 60_000, ..small() };
+    let limits = Limits { segment_bytes: 20_000, max_total_bytes: 60_000, ..small() };
     let mut scene = Scene::at(&path, limits);
     for _ in 0..60 {
         scene.play(500);
--- a/crates/replay/tests/common/mod.rs
+++ b/crates/replay/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use std::path::Path;
 use wheelfield::interface::*;
-use wheelfield_capture::{Limits, Recorder, Start, State, Told};
+use wheelfield_capture::{Limits, RecordedInput, Recorder, Start, State};
 use wheelfield_driver::{Arrival, Driver, DriverLimits, Input, Instruction};
 
 pub fn settings() -> Settings {
@@ -77,7 +77,7 @@
         Scene::on(|driver| Recorder::begin(path, start(), limits, driver, Micros(1_000_000)).expect("a file"))
     }
 
-    fn note(&mut self, told: Told, taken: Option<QueryId>, fresh: Vec<Instruction>) {
+    fn note(&mut self, told: RecordedInput, taken: Option<QueryId>, fresh: Vec<Instruction>) {
         self.steps += 1;
         self.recorder.step(self.now, &told, taken, &fresh);
         self.recorder.tend(&self.driver, self.now);
@@ -93,7 +93,7 @@
     pub fn tell(&mut self, input: Input) {
         let mut fresh = Vec::new();
         self.driver.handle_input(self.now, input.clone(), &mut fresh);
-        self.note(Told::Input(input), None, fresh);
+        self.note(RecordedInput::Input(input), None, fresh);
     }
 
     /// Lets so many milliseconds pass, with a query every five of them.
@@ -102,7 +102,7 @@
             self.now = self.now + Micros(5_000);
             let mut fresh = Vec::new();
             if self.driver.handle_timers(self.now, &mut fresh) {
-                self.note(Told::Due, None, fresh);
+                self.note(RecordedInput::Due, None, fresh);
             }
             let now = self.now;
             let (ripe, left): (Vec<_>, Vec<_>) =
@@ -125,7 +125,7 @@
             };
             let mut fresh = Vec::new();
             let taken = self.driver.submit(self.now, arrival.clone(), &mut fresh).ok();
-            self.note(Told::Arrive { arrival, label: format!("s{step}") }, taken, fresh);
+            self.note(RecordedInput::Arrive { arrival, label: format!("s{step}") }, taken, fresh);
         }
     }
 
@@ -136,10 +136,10 @@
 
 pub fn small() -> Limits {
     Limits {
-        block: 2_000,
-        queue: 100_000,
-        checkpoint: Micros(500_000),
-        sync: Micros(100_000),
+        block_bytes: 2_000,
+        max_queued_blocks: 100_000,
+        checkpoint_interval: Micros(500_000),
+        sync_interval: Micros(100_000),
         ..Limits::default()
     }
 }
--- a/crates/replay/tests/ring.rs
+++ b/crates/replay/tests/ring.rs
@@ -5,24 +5,24 @@
 use common::{folder, small, start, Scene};
 use std::path::{Path, PathBuf};
 use wheelfield::interface::*;
-use wheelfield_capture::{Disk, Limits, Recorder, RingLimits, Told, Triggers};
+use wheelfield_capture::{Disk, Limits, RecordedInput, Recorder, RingLimits, Triggers};
 use wheelfield_driver::Instruction;
 use wheelfield_replay::{run, Options, Verdict};
 
 const QUIET: Triggers = Triggers {
-    set_aside: false,
-    refusals: None,
+    on_engine_ejected: false,
+    rejected_fraction: None,
     window: Micros(10_000_000),
     stall: None,
-    after: Micros(1_000_000),
-    rest: Micros(60_000_000),
+    record_after: Micros(1_000_000),
+    cooldown: Micros(60_000_000),
 };
 
 fn ring(path: &Path, limits: RingLimits, triggers: Triggers, keep: u64) -> Scene {
-    let held = Limits { keep, ..small() };
+    let held = Limits { max_total_bytes: keep, ..small() };
     Scene::on(|driver| {
         let at = Micros(1_000_000);
-        Recorder::ring(path, start(), held, (limits, triggers), driver, at).expect("a thread")
+        Recorder::begin_in_memory(path, start(), held, (limits, triggers), driver, at).expect("a thread")
     })
 }
 
@@ -58,7 +58,7 @@
 #[test]
 fn what_an_operator_asks_for_is_the_last_span_and_replays() {
     let dir = folder();
-    let limits = RingLimits { span: Micros(3_000_000), ..RingLimits::default() };
+    let limits = RingLimits { min_span: Micros(3_000_000), ..RingLimits::default() };
     let mut scene = ring(&dir.path().join("c.wfcap"), limits, QUIET, u64::MAX);
     scene.play(10_000);
     let asked = scene.now;
@@ -84,7 +84,7 @@
 #[test]
 fn memory_is_bounded_whatever_comes() {
     let dir = folder();
-    let limits = RingLimits { bytes: 200_000, span: Micros(i64::MAX) };
+    let limits = RingLimits { max_bytes: 200_000, min_span: Micros(i64::MAX) };
     let mut scene = ring(&dir.path().join("c.wfcap"), limits, QUIET, u64::MAX);
     scene.play(40_000);
     scene.recorder.ask(scene.now);
@@ -100,13 +100,13 @@
 #[test]
 fn an_engine_set_aside_is_a_reason_and_what_follows_is_kept_too() {
     let dir = folder();
-    let triggers = Triggers { set_aside: true, ..QUIET };
+    let triggers = Triggers { on_engine_ejected: true, ..QUIET };
     let mut scene = ring(&dir.path().join("c.wfcap"), RingLimits::default(), triggers, u64::MAX);
     scene.play(2_000);
     let line = Instruction::Log("engine silent with 3 queries out".into());
     let at = scene.now;
-    scene.recorder.step(at, &Told::Due, None, std::slice::from_ref(&line));
-    scene.recorder.step(at, &Told::Due, None, &[line]);
+    scene.recorder.step(at, &RecordedInput::Due, None, std::slice::from_ref(&line));
+    scene.recorder.step(at, &RecordedInput::Due, None, &[line]);
     scene.play(5_000);
     let (state, _) = scene.end();
     assert_eq!(state.kept, 1, "the second word of it, within the rest, is no reason");
@@ -114,7 +114,7 @@
     assert!(name(&files[0]).contains("set-aside"));
     let mut last = Micros(0);
     let mut reader = wheelfield_capture::Reader::open(&files[0]).expect("a capture");
-    while let Some(entry) = reader.entry().expect("whole") {
+    while let Some(entry) = reader.next_entry().expect("whole") {
         if let wheelfield_capture::Entry::Record(r) = entry {
             if let wheelfield_capture::Record::Step { at, .. } = *r {
                 last = at;
@@ -129,7 +129,7 @@
     let dir = folder();
     // The scene asks for several times what its engines can do.
     for (share, files) in [(1.0, 0), (0.5, 1)] {
-        let triggers = Triggers { refusals: Some(share), ..QUIET };
+        let triggers = Triggers { rejected_fraction: Some(share), ..QUIET };
         let mut scene = ring(&dir.path().join("c.wfcap"), RingLimits::default(), triggers, u64::MAX);
         scene.play(3_000);
         assert_eq!(scene.end().0.kept, files, "refusals above {share}");
@@ -160,7 +160,7 @@
     std::fs::write(dir.path().join("c-notes.txt"), "not ours").expect("a file");
     std::fs::write(dir.path().join("c-2000-01-01T00-00-00-000Z-stall.wfcap"), vec![0; 300_000])
         .expect("a file");
-    let limits = RingLimits { span: Micros(1_000_000), ..RingLimits::default() };
+    let limits = RingLimits { min_span: Micros(1_000_000), ..RingLimits::default() };
     let mut scene = ring(&dir.path().join("c.wfcap"), limits, QUIET, 200_000);
     // Virtual time begins in 1970; names of this century are the ones looked at.
     scene.now = Micros(1_700_000_000_000_000);
--- a/crates/sim-adapter/src/shadow_driver.rs
+++ b/crates/sim-adapter/src/shadow_driver.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 use std::path::Path;
 use wheelfield::interface::*;
-use wheelfield_capture::{Limits, Recorder, Start, Told};
+use wheelfield_capture::{Limits, RecordedInput, Recorder, Start};
 use wheelfield_driver::{Arrival, AttemptId, Driver, DriverLimits, Input, Instruction};
 use wheelfield_settings::Names;
 
@@ -88,7 +88,7 @@
             tenants: names.tenants.clone(),
         };
         let driver = Driver::new(settings.clone(), seed, bounds);
-        let limits = Limits { queue: CAPTURE_QUEUE, ..Limits::default() };
+        let limits = Limits { max_queued_blocks: CAPTURE_QUEUE, ..Limits::default() };
         let recorder = Recorder::begin(&dir.join(format!("{name}.wfcap")), start, limits, &driver, now)?;
         Ok(ShadowDriver {
             name,
@@ -129,22 +129,22 @@
     }
 
     /// Gives the driver an input, records the step and keeps the driver's decisions.
-    fn step(&mut self, input: Told) {
+    fn step(&mut self, input: RecordedInput) {
         let mut instructions = Vec::new();
         let accepted_as = match &input {
-            Told::ArriveAs { id, arrival, .. } => {
+            RecordedInput::ArriveAs { id, arrival, .. } => {
                 self.driver.submit_with_id(self.now, *id, arrival.clone(), &mut instructions).ok()
             }
-            Told::Input(input) => {
+            RecordedInput::Input(input) => {
                 self.driver.handle_input(self.now, input.clone(), &mut instructions);
                 None
             }
-            Told::Woke(token) => {
+            RecordedInput::Woke(token) => {
                 self.driver.fire_timer(self.now, *token, &mut instructions);
                 None
             }
             // `recorded_input` makes none of these.
-            Told::Due | Told::Arrive { .. } => return,
+            RecordedInput::Due | RecordedInput::Arrive { .. } => return,
         };
         self.recorder.step(self.now, &input, accepted_as, &instructions);
         self.recorder.tend(&self.driver, self.now);
@@ -158,7 +158,7 @@
         }
         // The simulator dispatches an attempt as soon as it is asked to.
         for attempt in started {
-            self.step(Told::Input(Input::Dispatched(attempt)));
+            self.step(RecordedInput::Input(Input::Dispatched(attempt)));
         }
     }
 
@@ -206,8 +206,8 @@
 
 /// An event of the module as the input of a driver, in the form that captures record. `None` for an answer of an unknown
 /// attempt.
-fn recorded_input(event: Event, attempt: Option<usize>) -> Option<Told> {
-    Some(Told::Input(match event {
+fn recorded_input(event: Event, attempt: Option<usize>) -> Option<RecordedInput> {
+    Some(RecordedInput::Input(match event {
         Event::Started => Input::Started,
         Event::EngineList(entries) => Input::Engines { complete: true, entries },
         Event::EngineChanges(entries) => Input::Engines { complete: false, entries },
@@ -231,12 +231,12 @@
         Event::GatewayCountChanged { count, index } => {
             Input::GatewayCountChanged { count: count as u32, index: index as u32 }
         }
-        Event::TimerFired(token) => return Some(Told::Woke(token)),
+        Event::TimerFired(token) => return Some(RecordedInput::Woke(token)),
     }))
 }
 
-fn recorded_arrival(query: Query) -> Told {
+fn recorded_arrival(query: Query) -> RecordedInput {
     let Query { id, class, tenant, key, deadline, work_hint, memory_hint, tables } = query;
     let arrival = Arrival { class, tenant, key, deadline, work_hint, memory_hint, tables };
-    Told::ArriveAs { id, arrival, label: format!("{:016x}", id.0) }
+    RecordedInput::ArriveAs { id, arrival, label: format!("{:016x}", id.0) }
 }
--- a/crates/sim-adapter/tests/one_core.rs
+++ b/crates/sim-adapter/tests/one_core.rs
@@ -9,7 +9,7 @@
 use std::path::Path;
 use std::process::{Command, Stdio};
 use wheelfield::interface::*;
-use wheelfield_capture::{Limits, Recorder, Start, Told};
+use wheelfield_capture::{Limits, RecordedInput, Recorder, Start};
 use wheelfield_driver::{Answer, Arrival, Driver, DriverLimits, Input, Instruction};
 
 const MS: i64 = 1_000;
@@ -133,10 +133,10 @@
 
 /// What is to be told, by time; equal times in the order planned.
 #[derive(Default)]
-struct Agenda(BTreeMap<(i64, u64), Told>, u64);
+struct Agenda(BTreeMap<(i64, u64), RecordedInput>, u64);
 
 impl Agenda {
-    fn plan(&mut self, at: i64, told: Told) {
+    fn plan(&mut self, at: i64, told: RecordedInput) {
         self.1 += 1;
         self.0.insert((at, self.1), told);
     }
@@ -162,14 +162,14 @@
         classes: (0..4).map(|i| format!("c{i}")).collect(),
         tenants: vec!["t0".into(), "t1".into()],
     };
-    let limits = Limits { queue: 1 << 16, ..Limits::default() };
+    let limits = Limits { max_queued_blocks: 1 << 16, ..Limits::default() };
     let mut recorder = Recorder::begin(path, start, limits, &driver, Micros(0)).expect("a file");
     driver.record_events();
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut agenda = Agenda::default();
-    agenda.plan(MS, Told::Input(Input::Started));
+    agenda.plan(MS, RecordedInput::Input(Input::Started));
     let all = (0..6).map(|n| entry(n, Status::Up, None)).collect();
-    agenda.plan(2 * MS, Told::Input(Input::Engines { complete: true, entries: all }));
+    agenda.plan(2 * MS, RecordedInput::Input(Input::Engines { complete: true, entries: all }));
     for n in 0..500i64 {
         let at = 100 * MS + n * 11 * MS;
         let class = rng.random_range(0..4);
@@ -184,20 +184,20 @@
             tables: rng.random_range(0..6),
         };
         let id = QueryId(rng.random());
-        agenda.plan(at, Told::ArriveAs { id, arrival, label: format!("q{n}") });
+        agenda.plan(at, RecordedInput::ArriveAs { id, arrival, label: format!("q{n}") });
         if rng.random_bool(0.03) {
-            agenda.plan(at + 150 * MS, Told::Input(Input::Abandoned(id)));
+            agenda.plan(at + 150 * MS, RecordedInput::Input(Input::Abandoned(id)));
         }
     }
-    let change = |e: EngineEntry| Told::Input(Input::Engines { complete: false, entries: vec![e] });
+    let change = |e: EngineEntry| RecordedInput::Input(Input::Engines { complete: false, entries: vec![e] });
     agenda.plan(1_500 * MS, change(entry(1, Status::Draining, None)));
     agenda.plan(2_500 * MS, change(entry(1, Status::Removed, None)));
     agenda.plan(2_600 * MS, change(entry(6, Status::Up, Some(Micros(2_600 * MS)))));
-    agenda.plan(3_000 * MS, Told::Input(Input::ListUnavailable));
+    agenda.plan(3_000 * MS, RecordedInput::Input(Input::ListUnavailable));
     agenda.plan(3_500 * MS, change(entry(2, Status::Up, Some(Micros(3_400 * MS)))));
     agenda.plan(
         4_000 * MS,
-        Told::Input(Input::Engines {
+        RecordedInput::Input(Input::Engines {
             complete: true,
             entries: [0, 2, 3, 4, 6].map(|n| entry(n, Status::Up, None)).to_vec(),
         }),
@@ -213,13 +213,13 @@
                 let Some((_, told)) = agenda.0.pop_first() else { break };
                 (at, told)
             }
-            (_, due) => (due.unwrap_or_default(), Told::Due),
+            (_, due) => (due.unwrap_or_default(), RecordedInput::Due),
         };
         // A wire asks before it writes, and lets no answer through that is not wanted.
         let idle = match &told {
-            Told::Input(Input::Dispatched(a)) => !driver.may_write(Micros(at), *a),
-            Told::Input(Input::AnswerStarted(a)) => !driver.may_answer(*a),
-            Told::Input(Input::AttemptEnded { attempt, .. }) => !driver.is_in_flight(*attempt),
+            RecordedInput::Input(Input::Dispatched(a)) => !driver.may_write(Micros(at), *a),
+            RecordedInput::Input(Input::AnswerStarted(a)) => !driver.may_answer(*a),
+            RecordedInput::Input(Input::AttemptEnded { attempt, .. }) => !driver.is_in_flight(*attempt),
             _ => false,
         };
         if idle {
@@ -229,7 +229,7 @@
         let mut out = Vec::new();
         let taken = wheelfield_replay::feed(&mut driver, now, &told, &mut out);
         day.queries += usize::from(taken.is_some());
-        if matches!(&told, Told::Input(Input::Engines { .. })) {
+        if matches!(&told, RecordedInput::Input(Input::Engines { .. })) {
             recorder.engines(now, (0..8).map(|n| (engine(n), engine_name(n))));
         }
         recorder.step(now, &told, taken, &out);
@@ -254,12 +254,12 @@
         let report =
             LoadReport { utilisation: Some(rng.random_range(0..64) as f64 / 32.0), ..LoadReport::default() };
         let billed_work = (outcome == Outcome::Served).then(|| rng.random_range(1..900) as f64 / 1e3);
-        Told::Input(Input::AttemptEnded { attempt, outcome, reported_work: billed_work, report })
+        RecordedInput::Input(Input::AttemptEnded { attempt, outcome, reported_work: billed_work, report })
     };
     match instruction {
         Instruction::Start { attempt, .. } => {
             let a = *attempt;
-            agenda.plan(at + MS, Told::Input(Input::Dispatched(a)));
+            agenda.plan(at + MS, RecordedInput::Input(Input::Dispatched(a)));
             let takes = rng.random_range(5..900) * MS;
             let odd = [Outcome::Error, Outcome::Full, Outcome::Reset, Outcome::ConnectFailed];
             let outcome = odd.get(rng.random_range(0..20usize)).copied().unwrap_or(Outcome::Served);
@@ -267,9 +267,9 @@
             if rng.random_bool(11.0 / 12.0) {
                 if takes > 300 * MS {
                     let share = AttemptUpdate::Progress(rng.random_range(0..8) as f64 / 8.0);
-                    agenda.plan(at + takes / 2, Told::Input(Input::AttemptUpdated(a, share)));
+                    agenda.plan(at + takes / 2, RecordedInput::Input(Input::AttemptUpdated(a, share)));
                     if outcome == Outcome::Served {
-                        agenda.plan(at + takes - MS, Told::Input(Input::AnswerStarted(a)));
+                        agenda.plan(at + takes - MS, RecordedInput::Input(Input::AnswerStarted(a)));
                     }
                 }
                 let told = ends(rng, a, outcome);
