--- a/crates/controller/tests/standing_terms.rs
+++ b/crates/controller/tests/standing_terms.rs
@@ -37,17 +37,18 @@
 #[test]
 fn tcp_nodelay_is_set_on_accepted_and_on_opened_connections() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let opened = TcpStream::connect(listener.local_addr().expect("bound")).expect("connected");
+    let address = listener.local_addr().expect("bound");
+    let client = TcpStream::connect(address).expect("connected");
     let (accepted, _) = listener.accept().expect("a connection");
+    assert!(!accepted.nodelay().expect("an option"), "not the system's default");
+    assert!(!client.nodelay().expect("an option"), "not the system's default");
     let poll = mio::Poll::new().expect("a poll");
-    for (stream, connected) in [(accepted, true), (opened, false)] {
-        // A second descriptor of the same connection, with the same options.
-        let observer = stream.try_clone().expect("a descriptor");
-        assert!(!observer.nodelay().expect("an option"), "not the system's default");
-        stream.set_nonblocking(true).expect("a socket");
-        let stream = mio::net::TcpStream::from_std(stream);
-        let _socket = Socket::new(stream, connected, poll.registry(), mio::Token(0)).expect("registered");
-        assert!(observer.nodelay().expect("an option"), "connected: {connected}");
+    accepted.set_nonblocking(true).expect("a socket");
+    let accepted = mio::net::TcpStream::from_std(accepted);
+    let accepted = Socket::from_accepted(accepted, poll.registry(), mio::Token(0)).expect("registered");
+    let opened = Socket::connect(address, poll.registry(), mio::Token(1)).expect("registered");
+    for (socket, side) in [(&accepted, "accepted"), (&opened, "opened")] {
+        assert!(socket2::SockRef::from(socket).tcp_nodelay().expect("an option"), "{side}");
     }
 }
 
