--- a/crates/platform/src/abandonment.rs
+++ b/crates/platform/src/abandonment.rs
@@ -1,5 +1,5 @@
-//! Counts clients that left while their query was in flight, and whether attempts of it were still sent. The counts rest on what
-//! was written to sockets, as a check of the driver.
+//! Counts clients that left while their query was in flight, and whether attempts of it were still sent. The counts are based
+//! on what was written to sockets, as a check of the driver.
 
 use std::collections::BTreeMap;
 use wheelfield::interface::QueryId;
--- a/crates/platform/src/bootstrap.rs
+++ b/crates/platform/src/bootstrap.rs
@@ -115,8 +115,8 @@
     pub cell: i64,
     /// Whether it accepts work.
     pub status: Status,
-    /// Time of its start as microseconds of Unix time, if it started after the others.
-    pub started_at_us: Option<i64>,
+    /// Unix time of its start, if it started after the others.
+    pub started_at: Option<Micros>,
 }
 
 impl ExecutorEndpoint {
@@ -128,7 +128,7 @@
             kind: names.kind(&self.kind),
             cell: self.cell,
             status: self.status,
-            started_at: self.started_at_us.map(Micros),
+            started_at: self.started_at,
         }
     }
 }
@@ -205,9 +205,9 @@
     resolver: SocketAddr,
 }
 
-/// The time of a start as microseconds of Unix time, from milliseconds; `None` for 0 and below.
-pub(crate) fn start_time(unix_ms: i64) -> Option<i64> {
-    (unix_ms > 0).then_some(unix_ms.saturating_mul(1000))
+/// The Unix time of a start, from milliseconds; `None` for 0 and below.
+pub(crate) fn start_time(unix_ms: i64) -> Option<Micros> {
+    (unix_ms > 0).then_some(Micros(unix_ms.saturating_mul(1000)))
 }
 
 impl KnownEvents {
@@ -243,7 +243,7 @@
             kind: self.kind,
             cell: self.cell,
             status,
-            started_at_us: start_time(self.started_ms),
+            started_at: start_time(self.started_ms),
         }
     }
 }
--- a/crates/platform/src/clients/mod.rs
+++ b/crates/platform/src/clients/mod.rs
@@ -64,7 +64,7 @@
         Some(self.connections.insert(ClientConnection::new(out.now)))
     }
 
-    /// Closes the connection that is given up most readily. Returns whether there was one.
+    /// Closes the connection with the lowest eviction rank. Returns whether there was one.
     fn evict_one(&mut self, out: &mut EffectQueue<TimerEvent>) -> bool {
         let now = out.now;
         let candidates =
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -191,6 +191,6 @@
         kind: property("kind")?.to_string(),
         cell: number("cell"),
         status: if service.priority == 0 { Status::Up } else { Status::Draining },
-        started_at_us: start_time(number("started")),
+        started_at: start_time(number("started")),
     })
 }
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -31,7 +31,7 @@
 
     /// Injects a fault for tests: forgets the request ids used lately.
     #[cfg(feature = "planted")]
-    pub fn prune_records(&mut self) {
+    pub fn forget_recent_ids(&mut self) {
         self.dispatcher.forget_recent_ids();
     }
 
--- a/crates/platform/tests/interleavings/simulation.rs
+++ b/crates/platform/tests/interleavings/simulation.rs
@@ -210,7 +210,7 @@
             return;
         }
         if self.fault == Some(InjectedFault::RecentIdsForgotten) {
-            self.harness.platform.prune_records();
+            self.harness.platform.forget_recent_ids();
         }
         self.send_query(AT_MOST_ONCE, 5_000, served[index % served.len()]);
     }
