--- a/crates/core/src/lifecycle.rs
+++ b/crates/core/src/lifecycle.rs
@@ -75,13 +75,14 @@
         &mut self,
         id: QueryId,
         attempt: usize,
-        bad_plan: bool,
+        reason: CancelReason,
         out: &mut Vec<Action>,
     ) {
         let Some(query) = self.queries.get_mut(&id) else { return };
         let Some(cancelled) = query.attempts.get_mut(attempt) else { return };
         if self.settings.cancellation && cancelled.outcome.is_none() && !cancelled.cancelled {
-            (cancelled.cancelled, cancelled.bad_plan) = (true, bad_plan);
+            cancelled.cancelled = true;
+            cancelled.bad_plan = reason == CancelReason::BadPlan;
             out.push(Action::Cancel { query: id, attempt });
         }
     }
@@ -89,7 +90,7 @@
     /// Cancels all attempts of a query in flight.
     pub(crate) fn cancel_attempts(&mut self, now: Micros, id: QueryId, out: &mut Vec<Action>) {
         for attempt in 0..self.queries.get(&id).map_or(0, |query| query.attempts.len()) {
-            self.cancel_attempt(id, attempt, false, out);
+            self.cancel_attempt(id, attempt, CancelReason::QueryOver, out);
         }
         self.remove_if_done(now, id, out);
     }
--- a/crates/core/src/policy/health.rs
+++ b/crates/core/src/policy/health.rs
@@ -128,9 +128,9 @@
                         let common = self.common_failure_rate(engine);
                         self.engines.entry(engine).and_modify(|e| e.record_failure(now, NEWEST, common));
                     }
-                    self.cancel_attempt(id, attempt, false, out);
+                    self.cancel_attempt(id, attempt, CancelReason::Silent, out);
                 }
-                AttemptVerdict::BadPlan => self.cancel_attempt(id, attempt, true, out),
+                AttemptVerdict::BadPlan => self.cancel_attempt(id, attempt, CancelReason::BadPlan, out),
                 AttemptVerdict::Expensive { work } => self.correct_estimate(id, work),
                 AttemptVerdict::Worthless => self.reject_or_fail(now, id, out),
             }
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -13,7 +13,7 @@
     QueryErrors, Turnover,
 };
 pub use query::{ActiveQuery, Attempt, ClassEstimates, KeyQueue};
-pub use review::{AttemptVerdict, EngineReview, SlowStartBudget};
+pub use review::{AttemptVerdict, CancelReason, EngineReview, SlowStartBudget};
 
 /// The random number generator, serialized by its seed: it goes on from there as it would have.
 pub mod rng {
--- a/crates/core/src/state/review.rs
+++ b/crates/core/src/state/review.rs
@@ -10,6 +10,17 @@
     pub draws_for: f64,
 }
 
+/// Why an attempt is cancelled.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CancelReason {
+    /// Its query is over.
+    QueryOver,
+    /// It or its engine sends no updates.
+    Silent,
+    /// Its plan is bad.
+    BadPlan,
+}
+
 /// What is to be done about an attempt in flight.
 pub enum AttemptVerdict {
     /// It or its engine is silent: send it again. `lost`: its engine sends updates of all else.
