--- a/crates/controller/src/keys.rs
+++ b/crates/controller/src/keys.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{channel, sync_channel, Receiver, RecvTimeoutError, Sender, SyncSender};
 use std::time::Duration;
-use wheelfield_gossip::seal::Keys;
+use wheelfield_gossip::authentication::Keys;
 
 /// The file is read so often.
 const EVERY: Duration = Duration::from_secs(5);
--- a/crates/controller/tests/gossip.rs
+++ b/crates/controller/tests/gossip.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::net::UdpSocket;
 use std::path::Path;
-use wheelfield_gossip::seal::{Keys, Sealer};
+use wheelfield_gossip::authentication::{Authenticator, Keys};
 
 const KEY: &str = "7 0123456789abcdef0123456789abcdef\n";
 
@@ -104,10 +104,10 @@
     }
     // A holder of the key that is no member.
     let stranger = UdpSocket::bind("127.0.0.1:0").expect("a socket");
-    let mut sealer = Sealer::new(stranger.local_addr().expect("bound"), 1);
+    let mut authenticator = Authenticator::new(stranger.local_addr().expect("bound"), 1);
     let words = [PeerLoadReport { engine: EngineId(1), report: LoadReport::default() }];
     let part = wheelfield_pg_gateway::peers::written(&words, 100).remove(0).1;
     let held = Keys::read(KEY).expect("keys");
-    stranger.send_to(&sealer.seal_words(&part, &held).expect("short"), &seed).expect("sent");
+    stranger.send_to(&authenticator.authenticate_message(&part, &held).expect("short"), &seed).expect("sent");
     first.await_figure("words_untaken", |n| n >= 1);
 }
--- a/crates/endpoints-cli/src/membership.rs
+++ b/crates/endpoints-cli/src/membership.rs
@@ -8,8 +8,8 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 use wheelfield_endpoints_cli::peers::{Matrix, Told};
-use wheelfield_gossip::seal::{Keys, Sealer};
-use wheelfield_gossip::{let_go, Record, Standing};
+use wheelfield_gossip::authentication::{Authenticator, Keys};
+use wheelfield_gossip::{eviction_packet, MemberRecord, MemberState};
 
 /// Between two looks at the controllers.
 const LOOK: Duration = Duration::from_millis(200);
@@ -56,7 +56,7 @@
 ) -> Result<bool> {
     let keys = Keys::read(&text(keys)?).with_context(|| format!("{}", keys.display()))?;
     let until = Instant::now() + within;
-    let mut sealers = BTreeMap::new();
+    let mut authenticators = BTreeMap::new();
     loop {
         let mut waits = false;
         for (controller, answer) in controllers.iter().zip(ask_all(controllers, told)) {
@@ -69,21 +69,27 @@
                 bail!("{controller} holds {member} for {}; nobody was told to forget it", m.standing);
             }
             waits = true;
-            let record =
-                Record { member, start: m.start, denials: m.denials, standing: Standing::Gone, since_ms: 0 };
+            let record = MemberRecord {
+                member,
+                incarnation: m.start,
+                refutations: m.denials,
+                state: MemberState::Dead,
+                state_age_ms: 0,
+            };
             // The seal holds from where it comes: the address by which that controller is reached.
-            let (socket, sealer) = match sealers.entry(told.own) {
+            let (socket, authenticator) = match authenticators.entry(told.own) {
                 Entry::Occupied(at) => at.into_mut(),
                 Entry::Vacant(at) => {
                     let any = if told.own.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" };
                     let socket = UdpSocket::bind(any)?;
                     socket.connect(told.own)?;
                     let start = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH)?;
-                    let sealer = Sealer::new(socket.local_addr()?, start.as_micros() as u64);
-                    at.insert((socket, sealer))
+                    let authenticator = Authenticator::new(socket.local_addr()?, start.as_micros() as u64);
+                    at.insert((socket, authenticator))
                 }
             };
-            let datagram = sealer.seal(&let_go(record), &keys).context("no datagram")?;
+            let datagram =
+                authenticator.authenticate(&eviction_packet(record), &keys).context("no datagram")?;
             socket.send(&datagram).with_context(|| format!("{} can't be told", told.own))?;
         }
         if !waits {
--- a/crates/gossip/examples/converge.rs
+++ b/crates/gossip/examples/converge.rs
@@ -6,7 +6,7 @@
 
 use common::{Network, SECOND};
 use plotters::prelude::*;
-use wheelfield_gossip::Limits;
+use wheelfield_gossip::MembershipConfig;
 
 struct Point {
     nodes: usize,
@@ -21,7 +21,7 @@
 }
 
 fn measure(nodes: usize, loss: f64) -> Point {
-    let limits = Limits { expect: nodes, ..Limits::default() };
+    let limits = MembershipConfig { expected_members: nodes, ..MembershipConfig::default() };
     let mut net = Network::new(nodes as u64, limits, loss);
     (0..nodes).for_each(|i| net.start(i, i as i64 * SECOND / nodes as i64));
     let all = |net: &Network| net.views().iter().all(|v| v.count == nodes);
@@ -32,10 +32,10 @@
         net.run_until(now);
     }
     let agreed_s = now as f64 / 1e6;
-    let (before, span) = (net.counts(), 60 * SECOND);
+    let (before, span) = (net.counters(), 60 * SECOND);
     net.measure = true;
     net.run_until(now + span);
-    let after = net.counts();
+    let after = net.counters();
     assert!(all(&net), "{nodes} nodes, {loss} lost: not all are acted on");
     let of = |n: u64| n as f64 / nodes as f64;
     Point {
@@ -43,8 +43,8 @@
         loss,
         agreed_s,
         bytes_s: of(net.bytes) / 60.0,
-        false_h: of(after.suspected - before.suspected) * 60.0,
-        given_up: after.given_up,
+        false_h: of(after.suspicions - before.suspicions) * 60.0,
+        given_up: after.declared_dead,
     }
 }
 
--- a/crates/gossip/src/seal.rs
+++ b/crates/gossip/src/authentication.rs
@@ -4,10 +4,10 @@
 //! 16 bytes of HMAC-SHA-256 (RFC 2104, FIPS 180-4) over all of this and the sender's address. What does not open, or was
 //! opened before, is dropped.
 //!
-//! Forms: the first ends with the packet. The second adds a byte 2 and the sender's view ([`Tag`]). Whoever reads one form
+//! Forms: the first ends with the packet. The second adds a byte 2 and the sender's view ([`ViewTag`]). Whoever reads one form
 //! skips what stands behind it, and takes what is missing for not told, so builds of both forms make one fleet.
 
-use crate::{Packet, Tag};
+use crate::{Packet, ViewTag};
 use hmac::{Hmac, KeyInit, Mac};
 use serde::{Deserialize, Serialize};
 use sha2::Sha256;
@@ -15,51 +15,51 @@
 use std::net::SocketAddr;
 
 /// Bytes of a datagram at most, to pass any loopback or Ethernet link whole.
-pub const LONGEST: usize = 1400;
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
 /// Bytes of the seal.
-const SEAL: usize = 16;
+const MAC_BYTES: usize = 16;
 const MAGIC: &[u8; 4] = b"WFG1";
 /// Begins a datagram of words: the sender's start and sequence number, then bytes that others read.
-const WORDS: &[u8; 4] = b"WFW1";
+const MESSAGE_MAGIC: &[u8; 4] = b"WFW1";
 /// Bytes of words in a datagram at most: magic, key, start, sequence and seal stand about them.
-pub const LONGEST_WORDS: usize = LONGEST - 4 - 1 - 10 - 10 - SEAL;
+pub const MAX_MESSAGE_BYTES: usize = MAX_DATAGRAM_BYTES - 4 - 1 - 10 - 10 - MAC_BYTES;
 /// Begins what the second form adds.
-const SECOND: u8 = 2;
+const SECOND_FORM: u8 = 2;
 /// Senders remembered; beyond them the one heard longest ago is forgotten.
-const SENDERS: usize = 8_192;
+const MAX_SENDERS: usize = 8_192;
 /// Keys held at once: a new one and those that still come in.
-pub const MOST_KEYS: usize = 4;
+pub const MAX_KEYS: usize = 4;
 /// Bytes of a key at least.
-pub const LEAST_KEY: usize = 16;
+pub const MIN_KEY_BYTES: usize = 16;
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Dropped {
+pub enum VerificationError {
     /// Too short, too long, or of another kind.
     #[error("garbled")]
-    Garbled,
+    Malformed,
     /// Sealed with a key that is not held.
     #[error("sealed with a key that is not held")]
-    NoKey,
+    UnknownKey,
     /// The seal is not of this datagram, or not of this sender.
     #[error("a broken seal")]
-    Forged,
+    InvalidMac,
     /// A process of its address that started later was heard: at that time.
     #[error("of a process before the one that was heard")]
-    Before(u64),
+    StaleIncarnation(u64),
     /// It was opened before, or is older than what was.
     #[error("old or doubled")]
-    Old,
+    Replayed,
 }
 
 /// What is wrong with a text of keys.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("line {line} of the keys: {fault}")]
-pub struct KeyFault {
+#[error("line {line} of the keys: {problem}")]
+pub struct KeyFileError {
     /// The line, from 1.
     pub line: usize,
     /// What is wrong, and how to mend it.
-    pub fault: String,
+    pub problem: String,
 }
 
 /// The keys: the first seals, all open.
@@ -78,34 +78,34 @@
     /// the second line everywhere, then put it first everywhere, then remove the old one.
     ///
     /// # Errors
-    /// [`KeyFault`]; no key is shown in it.
-    pub fn read(text: &str) -> Result<Keys, KeyFault> {
+    /// [`KeyFileError`]; no key is shown in it.
+    pub fn read(text: &str) -> Result<Keys, KeyFileError> {
         let mut keys: Vec<(u8, Vec<u8>)> = Vec::new();
         for (n, line) in text.lines().enumerate() {
             let line = line.trim();
             if line.is_empty() || line.starts_with('#') {
                 continue;
             }
-            let wrong = |fault: &str| KeyFault { line: n + 1, fault: fault.to_string() };
+            let wrong = |problem: &str| KeyFileError { line: n + 1, problem: problem.to_string() };
             let (number, key) =
                 line.split_once(' ').ok_or_else(|| wrong("write a number, a blank and the key"))?;
             let number = number.parse::<u8>().map_err(|_| wrong("its number is not one of 0 to 255"))?;
             let key = key.trim().as_bytes().to_vec();
-            if key.len() < LEAST_KEY {
+            if key.len() < MIN_KEY_BYTES {
                 return Err(wrong("a key of less than 16 letters; take 32 at random"));
             }
             if keys.iter().any(|(k, _)| *k == number) {
                 return Err(wrong("its number is taken; give it another"));
             }
-            if keys.len() == MOST_KEYS {
+            if keys.len() == MAX_KEYS {
                 return Err(wrong("a fifth key; remove an old one"));
             }
             keys.push((number, key));
         }
         if keys.is_empty() {
-            return Err(KeyFault {
+            return Err(KeyFileError {
                 line: 1,
-                fault: "no key; write a number, a blank and the key".to_string(),
+                problem: "no key; write a number, a blank and the key".to_string(),
             });
         }
         Ok(Keys(keys))
@@ -120,14 +120,14 @@
 
 #[derive(Serialize, Deserialize)]
 struct Body {
-    start: u64,
+    incarnation: u64,
     sequence: u64,
     packet: Packet,
 }
 
 /// Bytes of a packet within a datagram.
-pub fn size(packet: &Packet) -> usize {
-    let tag = packet.tag.map_or(0, |tag| postcard::to_stdvec(&tag).map_or(0, |bytes| 1 + bytes.len()));
+pub fn encoded_size(packet: &Packet) -> usize {
+    let tag = packet.view_tag.map_or(0, |tag| postcard::to_stdvec(&tag).map_or(0, |bytes| 1 + bytes.len()));
     postcard::to_stdvec(packet).map_or(0, |bytes| bytes.len()) + tag
 }
 
@@ -138,43 +138,45 @@
 
 /// Seals packets of one sender.
 #[derive(Debug)]
-pub struct Sealer {
+pub struct Authenticator {
     own: SocketAddr,
-    start: u64,
+    incarnation: u64,
     sequence: u64,
 }
 
-impl Sealer {
+impl Authenticator {
     /// A sealer of a process, by its address and its start.
-    pub fn new(own: SocketAddr, start: u64) -> Sealer {
-        Sealer { own, start, sequence: 0 }
+    pub fn new(own: SocketAddr, incarnation: u64) -> Authenticator {
+        Authenticator { own, incarnation, sequence: 0 }
     }
 
     /// From now on as a process of this start. An earlier one is not taken.
-    pub fn start_at(&mut self, start: u64) {
-        if start > self.start {
-            (self.start, self.sequence) = (start, 0);
+    pub fn advance_incarnation(&mut self, incarnation: u64) {
+        if incarnation > self.incarnation {
+            (self.incarnation, self.sequence) = (incarnation, 0);
         }
     }
 
     /// A datagram; none if the packet is too long for one.
-    pub fn seal(&mut self, packet: &Packet, keys: &Keys) -> Option<Vec<u8>> {
+    pub fn authenticate(&mut self, packet: &Packet, keys: &Keys) -> Option<Vec<u8>> {
         let (number, key) = keys.0.first()?;
         self.sequence += 1;
-        let body = Body { start: self.start, sequence: self.sequence, packet: packet.clone() };
+        let body = Body { incarnation: self.incarnation, sequence: self.sequence, packet: packet.clone() };
         let mut bytes = postcard::to_extend(&body, self.head(MAGIC, *number)).ok()?;
-        if let Some(tag) = packet.tag {
-            bytes.push(SECOND);
+        if let Some(tag) = packet.view_tag {
+            bytes.push(SECOND_FORM);
             bytes = postcard::to_extend(&tag, bytes).ok()?;
         }
         self.close(bytes, key)
     }
 
     /// A datagram of words; none if they are too long for one.
-    pub fn seal_words(&mut self, words: &[u8], keys: &Keys) -> Option<Vec<u8>> {
+    pub fn authenticate_message(&mut self, words: &[u8], keys: &Keys) -> Option<Vec<u8>> {
         let (number, key) = keys.0.first()?;
         self.sequence += 1;
-        let mut bytes = postcard::to_extend(&(self.start, self.sequence), self.head(WORDS, *number)).ok()?;
+        let mut bytes =
+            postcard::to_extend(&(self.incarnation, self.sequence), self.head(MESSAGE_MAGIC, *number))
+                .ok()?;
         bytes.extend_from_slice(words);
         self.close(bytes, key)
     }
@@ -184,18 +186,18 @@
     }
 
     fn close(&self, mut bytes: Vec<u8>, key: &[u8]) -> Option<Vec<u8>> {
-        if bytes.len() + SEAL > LONGEST {
+        if bytes.len() + MAC_BYTES > MAX_DATAGRAM_BYTES {
             return None;
         }
         let mac = Keys::mac(key, &[&bytes, &origin(self.own)])?.finalize().into_bytes();
-        bytes.extend_from_slice(&mac[..SEAL]);
+        bytes.extend_from_slice(&mac[..MAC_BYTES]);
         Some(bytes)
     }
 }
 
 #[derive(Debug)]
-struct Heard {
-    start: u64,
+struct ReplayWindow {
+    incarnation: u64,
     highest: u64,
     /// Which of the 64 numbers up to the highest were opened.
     opened: u64,
@@ -204,62 +206,68 @@
 
 /// Opens datagrams, each once.
 #[derive(Debug, Default)]
-pub struct Opener {
-    senders: BTreeMap<SocketAddr, Heard>,
+pub struct Verifier {
+    senders: BTreeMap<SocketAddr, ReplayWindow>,
     opened: u64,
 }
 
-impl Opener {
+impl Verifier {
     /// Opens a datagram that came from an address.
     ///
     /// # Errors
-    /// Why it is [`Dropped`].
-    pub fn open(&mut self, from: SocketAddr, datagram: &[u8], keys: &Keys) -> Result<Packet, Dropped> {
+    /// Why it is [`VerificationError`].
+    pub fn verify(
+        &mut self,
+        from: SocketAddr,
+        datagram: &[u8],
+        keys: &Keys,
+    ) -> Result<Packet, VerificationError> {
         let bytes = unsealed(MAGIC, from, datagram, keys)?;
         let (mut body, rest): (Body, &[u8]) =
-            postcard::take_from_bytes(bytes).map_err(|_| Dropped::Garbled)?;
-        if let Some((&SECOND, rest)) = rest.split_first() {
-            let (tag, _): (Tag, &[u8]) = postcard::take_from_bytes(rest).map_err(|_| Dropped::Garbled)?;
-            body.packet.tag = Some(tag);
+            postcard::take_from_bytes(bytes).map_err(|_| VerificationError::Malformed)?;
+        if let Some((&SECOND_FORM, rest)) = rest.split_first() {
+            let (tag, _): (ViewTag, &[u8]) =
+                postcard::take_from_bytes(rest).map_err(|_| VerificationError::Malformed)?;
+            body.packet.view_tag = Some(tag);
         }
-        self.once(from, body.start, body.sequence)?;
+        self.once(from, body.incarnation, body.sequence)?;
         Ok(body.packet)
     }
 
     /// Opens a datagram of words: of which start of its sender, its number, and the words.
     ///
     /// # Errors
-    /// Why it is [`Dropped`].
-    pub fn open_words<'a>(
+    /// Why it is [`VerificationError`].
+    pub fn verify_message<'a>(
         &mut self,
         from: SocketAddr,
         datagram: &'a [u8],
         keys: &Keys,
-    ) -> Result<(u64, u64, &'a [u8]), Dropped> {
-        let bytes = unsealed(WORDS, from, datagram, keys)?;
-        let ((start, sequence), words): ((u64, u64), &[u8]) =
-            postcard::take_from_bytes(bytes).map_err(|_| Dropped::Garbled)?;
-        self.once(from, start, sequence)?;
-        Ok((start, sequence, words))
+    ) -> Result<(u64, u64, &'a [u8]), VerificationError> {
+        let bytes = unsealed(MESSAGE_MAGIC, from, datagram, keys)?;
+        let ((incarnation, sequence), words): ((u64, u64), &[u8]) =
+            postcard::take_from_bytes(bytes).map_err(|_| VerificationError::Malformed)?;
+        self.once(from, incarnation, sequence)?;
+        Ok((incarnation, sequence, words))
     }
 
     /// Notes a number; an error if it was seen before or is too old to tell.
-    fn once(&mut self, from: SocketAddr, start: u64, sequence: u64) -> Result<(), Dropped> {
+    fn once(&mut self, from: SocketAddr, incarnation: u64, sequence: u64) -> Result<(), VerificationError> {
         self.opened += 1;
         let at = self.opened;
-        let fresh = Heard { start, highest: sequence, opened: 1, at };
+        let fresh = ReplayWindow { incarnation, highest: sequence, opened: 1, at };
         let Some(heard) = self.senders.get_mut(&from) else {
-            if self.senders.len() >= SENDERS {
+            if self.senders.len() >= MAX_SENDERS {
                 let oldest = self.senders.iter().min_by_key(|(_, h)| h.at).map(|(a, _)| *a);
                 oldest.and_then(|a| self.senders.remove(&a));
             }
             self.senders.insert(from, fresh);
             return Ok(());
         };
-        if start < heard.start {
-            return Err(Dropped::Before(heard.start));
+        if incarnation < heard.incarnation {
+            return Err(VerificationError::StaleIncarnation(heard.incarnation));
         }
-        if start > heard.start {
+        if incarnation > heard.incarnation {
             *heard = fresh;
             return Ok(());
         }
@@ -272,7 +280,7 @@
         }
         let behind = heard.highest - sequence;
         if behind >= 64 || heard.opened & (1 << behind) != 0 {
-            return Err(Dropped::Old);
+            return Err(VerificationError::Replayed);
         }
         heard.opened |= 1 << behind;
         Ok(())
@@ -280,8 +288,8 @@
 }
 
 /// Whether a datagram says that it carries words.
-pub fn is_words(datagram: &[u8]) -> bool {
-    datagram.starts_with(WORDS)
+pub fn is_piggybacked_message(datagram: &[u8]) -> bool {
+    datagram.starts_with(MESSAGE_MAGIC)
 }
 
 /// What stands between the key's number and the seal, if that is good.
@@ -290,13 +298,17 @@
     from: SocketAddr,
     datagram: &'a [u8],
     keys: &Keys,
-) -> Result<&'a [u8], Dropped> {
-    if datagram.len() > LONGEST || datagram.len() < magic.len() + 1 + SEAL || &datagram[..4] != magic {
-        return Err(Dropped::Garbled);
+) -> Result<&'a [u8], VerificationError> {
+    if datagram.len() > MAX_DATAGRAM_BYTES
+        || datagram.len() < magic.len() + 1 + MAC_BYTES
+        || &datagram[..4] != magic
+    {
+        return Err(VerificationError::Malformed);
     }
-    let (bytes, seal) = datagram.split_at(datagram.len() - SEAL);
-    let key = keys.0.iter().find(|(n, _)| *n == bytes[4]).map(|(_, k)| k).ok_or(Dropped::NoKey)?;
-    let mac = Keys::mac(key, &[bytes, &origin(from)]).ok_or(Dropped::Forged)?;
-    mac.verify_truncated_left(seal).map_err(|_| Dropped::Forged)?;
+    let (bytes, seal) = datagram.split_at(datagram.len() - MAC_BYTES);
+    let key =
+        keys.0.iter().find(|(n, _)| *n == bytes[4]).map(|(_, k)| k).ok_or(VerificationError::UnknownKey)?;
+    let mac = Keys::mac(key, &[bytes, &origin(from)]).ok_or(VerificationError::InvalidMac)?;
+    mac.verify_truncated_left(seal).map_err(|_| VerificationError::InvalidMac)?;
     Ok(&bytes[5..])
 }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -6,19 +6,19 @@
 //! the probes.
 //!
 //! Believing in too few is the dangerous side, as all together then push over a cold engine. So a member that fell silent
-//! counts on until an operator or a quorum lets it go ([`Forget`]), only one that said goodbye is forgotten at once, and a
-//! fresh node counts at least as many as it was told to expect until it has listened for [`Limits::settle`] and more than half
-//! of them answer. A view has a number and a digest ([`Tag`]), which ride on each packet.
+//! counts on until an operator or a quorum lets it go ([`EvictionPolicy`]), only one that said goodbye is forgotten at once, and a
+//! fresh node counts at least as many as it was told to expect until it has listened for [`MembershipConfig::settle`] and more than half
+//! of them answer. A view has a number and a digest ([`ViewTag`]), which ride on each packet.
 //!
-//! No I/O, no clock, no globals. [`seal`] makes datagrams of packets and opens them.
+//! No I/O, no clock, no globals. [`authentication`] makes datagrams of packets and opens them.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod authentication;
+pub mod messages;
 mod node;
-pub mod seal;
-pub mod words;
 
 pub use node::{
-    let_go, Acquaintance, Change, Counts, Forget, Limits, Message, News, Node, Packet, Record, Standing, Tag,
-    View,
+    eviction_packet, Counters, EvictionPolicy, MemberRecord, MemberState, MemberStatus, MembershipChange,
+    MembershipConfig, MembershipEvent, Message, Node, Packet, View, ViewTag,
 };
--- a/crates/gossip/src/words.rs
+++ b/crates/gossip/src/messages.rs
@@ -5,27 +5,27 @@
 
 /// Bytes a second at most.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ceilings {
+pub struct RateLimits {
     /// To any one member. Of any one, twice as much is taken, as what it sent may come in a bunch.
-    pub each: u64,
+    pub per_member: u64,
     /// To all together.
-    pub all: u64,
+    pub total: u64,
 }
 
 /// Why words were not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Untaken {
+pub enum MessageRejection {
     /// Not newer than the last of their sender.
     #[error("old words")]
-    Old,
+    Stale,
     /// More than a member may send.
     #[error("more words than a member may send")]
-    CapacityExceeded,
+    RateLimited,
 }
 
 /// What may pass within a second. It starts full.
 #[derive(Clone, Copy, Debug)]
-struct Ration {
+struct TokenBucket {
     /// Bytes times microseconds, so that nothing is lost in rounding.
     left: u64,
     at: i64,
@@ -33,9 +33,9 @@
 
 const SECOND: u64 = 1_000_000;
 
-impl Ration {
-    fn full(rate: u64, now: i64) -> Ration {
-        Ration { left: rate.saturating_mul(SECOND), at: now }
+impl TokenBucket {
+    fn full(rate: u64, now: i64) -> TokenBucket {
+        TokenBucket { left: rate.saturating_mul(SECOND), at: now }
     }
 
     fn refill(&mut self, rate: u64, now: i64) {
@@ -54,60 +54,60 @@
 }
 
 #[derive(Debug)]
-struct Heard {
-    start: u64,
+struct Sender {
+    incarnation: u64,
     sequence: u64,
-    ration: Ration,
+    ration: TokenBucket,
 }
 
 /// The words to and from all members.
 #[derive(Debug)]
-pub struct Words {
-    ceilings: Ceilings,
-    all: Ration,
-    each: BTreeMap<SocketAddr, Ration>,
-    heard: BTreeMap<SocketAddr, Heard>,
+pub struct MessageLimiter {
+    limits: RateLimits,
+    all: TokenBucket,
+    each: BTreeMap<SocketAddr, TokenBucket>,
+    heard: BTreeMap<SocketAddr, Sender>,
     /// Who comes first: the first one that the last words had no bytes left for.
     first: Option<SocketAddr>,
     /// Datagrams that did not go out, by a ceiling.
-    pub unsent: u64,
+    pub suppressed: u64,
 }
 
-impl Words {
+impl MessageLimiter {
     /// None sent, none heard.
-    pub fn new(ceilings: Ceilings, now: i64) -> Words {
-        Words {
-            all: Ration::full(ceilings.all, now),
-            ceilings,
+    pub fn new(limits: RateLimits, now: i64) -> MessageLimiter {
+        MessageLimiter {
+            all: TokenBucket::full(limits.total, now),
+            limits,
             each: BTreeMap::new(),
             heard: BTreeMap::new(),
             first: None,
-            unsent: 0,
+            suppressed: 0,
         }
     }
 
     /// Only of these members anything is held from now on.
-    pub fn keep(&mut self, member: impl Fn(&SocketAddr) -> bool) {
+    pub fn retain_members(&mut self, member: impl Fn(&SocketAddr) -> bool) {
         self.each.retain(|m, _| member(m));
         self.heard.retain(|m, _| member(m));
     }
 
     /// To whom of these, in ascending order, a datagram of so many bytes goes. Whom the ceilings leave out comes first the next
     /// time, so that in a large fleet everybody hears now and then.
-    pub fn whom(&mut self, now: i64, bytes: usize, members: &[SocketAddr]) -> Vec<SocketAddr> {
+    pub fn select_recipients(&mut self, now: i64, bytes: usize, members: &[SocketAddr]) -> Vec<SocketAddr> {
         let bytes = bytes as u64;
-        self.all.refill(self.ceilings.all, now);
+        self.all.refill(self.limits.total, now);
         let from = self.first.map_or(0, |first| members.partition_point(|m| *m < first));
         let (mut to, mut left_out) = (Vec::new(), None);
         for member in members[from..].iter().chain(&members[..from]) {
-            let fresh = Ration::full(self.ceilings.each, now);
+            let fresh = TokenBucket::full(self.limits.per_member, now);
             let ration = self.each.entry(*member).or_insert(fresh);
-            ration.refill(self.ceilings.each, now);
+            ration.refill(self.limits.per_member, now);
             if !self.all.holds(bytes) {
                 left_out = left_out.or(Some(*member));
-                self.unsent += 1;
+                self.suppressed += 1;
             } else if !ration.holds(bytes) {
-                self.unsent += 1;
+                self.suppressed += 1;
             } else {
                 ration.spend(bytes);
                 self.all.spend(bytes);
@@ -121,26 +121,26 @@
     /// Whether words of a member are taken, by its start, their number and their bytes.
     ///
     /// # Errors
-    /// Why they are [`Untaken`].
-    pub fn take(
+    /// Why they are [`MessageRejection`].
+    pub fn accept(
         &mut self,
         now: i64,
         from: SocketAddr,
-        (start, sequence): (u64, u64),
+        (incarnation, sequence): (u64, u64),
         bytes: usize,
-    ) -> Result<(), Untaken> {
-        let rate = self.ceilings.each.saturating_mul(2);
-        let fresh = Heard { start, sequence: 0, ration: Ration::full(rate, now) };
+    ) -> Result<(), MessageRejection> {
+        let rate = self.limits.per_member.saturating_mul(2);
+        let fresh = Sender { incarnation, sequence: 0, ration: TokenBucket::full(rate, now) };
         let heard = self.heard.entry(from).or_insert(fresh);
-        if (start, sequence) <= (heard.start, heard.sequence) {
-            return Err(Untaken::Old);
+        if (incarnation, sequence) <= (heard.incarnation, heard.sequence) {
+            return Err(MessageRejection::Stale);
         }
         heard.ration.refill(rate, now);
         if !heard.ration.holds(bytes as u64) {
-            return Err(Untaken::CapacityExceeded);
+            return Err(MessageRejection::RateLimited);
         }
         heard.ration.spend(bytes as u64);
-        (heard.start, heard.sequence) = (start, sequence);
+        (heard.incarnation, heard.sequence) = (incarnation, sequence);
         Ok(())
     }
 }
@@ -157,39 +157,47 @@
     #[test]
     fn words_go_to_all_while_the_ceilings_allow_and_then_to_each_in_turn() {
         let all = members(10);
-        let mut words = Words::new(Ceilings { each: 10_000, all: 4_000 }, 0);
+        let mut limiter = MessageLimiter::new(RateLimits { per_member: 10_000, total: 4_000 }, 0);
         let mut reached = std::collections::BTreeSet::new();
         for second in 0..5 {
-            let to = words.whom(second * 1_000_000, 1_000, &all);
+            let to = limiter.select_recipients(second * 1_000_000, 1_000, &all);
             assert_eq!(to.len(), 4, "four kilobytes a second");
             reached.extend(to);
         }
-        assert_eq!((reached.len(), words.unsent), (10, 30), "everybody has heard");
+        assert_eq!((reached.len(), limiter.suppressed), (10, 30), "everybody has heard");
     }
 
     #[test]
     fn one_member_is_not_sent_more_than_its_own_ceiling() {
-        let mut words = Words::new(Ceilings { each: 1_500, all: 1 << 30 }, 0);
-        assert_eq!(words.whom(0, 1_000, &members(2)).len(), 2);
-        assert_eq!(words.whom(0, 1_000, &members(3)), members(3)[2..], "the other two had theirs");
-        assert_eq!(words.whom(400_000, 1_000, &members(2)).len(), 2, "four tenths of a second later");
+        let mut limiter = MessageLimiter::new(RateLimits { per_member: 1_500, total: 1 << 30 }, 0);
+        assert_eq!(limiter.select_recipients(0, 1_000, &members(2)).len(), 2);
+        assert_eq!(
+            limiter.select_recipients(0, 1_000, &members(3)),
+            members(3)[2..],
+            "the other two had theirs"
+        );
+        assert_eq!(
+            limiter.select_recipients(400_000, 1_000, &members(2)).len(),
+            2,
+            "four tenths of a second later"
+        );
     }
 
     #[test]
     fn old_doubled_and_too_many_words_are_not_taken() {
-        let mut words = Words::new(Ceilings { each: 1_000, all: 1_000 }, 0);
+        let mut limiter = MessageLimiter::new(RateLimits { per_member: 1_000, total: 1_000 }, 0);
         let from = members(1)[0];
-        assert_eq!(words.take(0, from, (5, 2), 100), Ok(()));
-        assert_eq!(words.take(0, from, (5, 2), 100), Err(Untaken::Old), "doubled");
-        assert_eq!(words.take(0, from, (5, 1), 100), Err(Untaken::Old), "late");
-        assert_eq!(words.take(0, from, (4, 9), 100), Err(Untaken::Old), "of a former life");
-        assert_eq!(words.take(0, from, (6, 1), 100), Ok(()), "started anew");
+        assert_eq!(limiter.accept(0, from, (5, 2), 100), Ok(()));
+        assert_eq!(limiter.accept(0, from, (5, 2), 100), Err(MessageRejection::Stale), "doubled");
+        assert_eq!(limiter.accept(0, from, (5, 1), 100), Err(MessageRejection::Stale), "late");
+        assert_eq!(limiter.accept(0, from, (4, 9), 100), Err(MessageRejection::Stale), "of a former life");
+        assert_eq!(limiter.accept(0, from, (6, 1), 100), Ok(()), "started anew");
         for n in 0..30 {
-            let taken = words.take(0, from, (6, 2 + n), 100);
+            let taken = limiter.accept(0, from, (6, 2 + n), 100);
             assert_eq!(taken.is_ok(), n < 18, "two kilobytes a second: {n}");
         }
-        words.keep(|_| false);
-        assert_eq!(words.take(0, from, (1, 1), 100), Ok(()), "nothing is held of one that is no member");
+        limiter.retain_members(|_| false);
+        assert_eq!(limiter.accept(0, from, (1, 1), 100), Ok(()), "nothing is held of one that is no member");
     }
 
     proptest! {
@@ -197,11 +205,11 @@
         fn no_fleet_and_no_traffic_passes_a_ceiling(
             n in 1usize..400, sizes in prop::collection::vec((1usize..1_400, 0i64..300_000), 1..60),
         ) {
-            let ceilings = Ceilings { each: 3_000, all: 20_000 };
-            let (all, mut words, mut now, mut sent) = (members(n), Words::new(ceilings, 0), 0, 0);
+            let limits = RateLimits { per_member: 3_000, total: 20_000 };
+            let (all, mut limiter, mut now, mut sent) = (members(n), MessageLimiter::new(limits, 0), 0, 0);
             for (bytes, later) in sizes {
                 now += later;
-                sent += bytes * words.whom(now, bytes, &all).len();
+                sent += bytes * limiter.select_recipients(now, bytes, &all).len();
             }
             // What was full at the start, and what came since.
             prop_assert!(sent as i64 <= 20_000 + 20_000 * now / 1_000_000 + 1);
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -6,93 +6,93 @@
 
 /// Who says that one that fell silent counts no more.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub enum Forget {
+pub enum EvictionPolicy {
     /// An operator; until then it counts, so that no split, however long, lets anybody act on too few.
     #[default]
     Operator,
-    /// Those that are more than half of all that count, [`Limits::hold`] after it was given up. A smaller part counts on.
+    /// Those that are more than half of all that count, [`MembershipConfig::hold`] after it was given up. A smaller part counts on.
     Quorum,
 }
 
 /// What a node is bounded by; times in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Limits {
+pub struct MembershipConfig {
     /// One member is probed in each period.
-    pub period: i64,
+    pub probe_period: i64,
     /// It must have answered within this, before others are asked to probe it.
-    pub answer: i64,
+    pub probe_timeout: i64,
     /// So many others are asked.
-    pub helpers: usize,
+    pub indirect_probes: usize,
     /// A suspect may deny it for so many periods, for each doubling of the members.
-    pub patience: i64,
+    pub suspicion_multiplier: i64,
     /// Who says that one that fell silent counts no more.
-    pub forget: Forget,
+    pub eviction: EvictionPolicy,
     /// A member that fell silent counts for so long after it was given up, where a quorum may forget it. Goodbyes are
     /// remembered for as long, so that nobody who missed them brings one back that left.
-    pub hold: i64,
+    pub dead_retention: i64,
     /// A fresh node goes by the number it was told to expect for so long at least, until it learned of nobody new between two
     /// fetches, and until more than half of that number answer.
-    pub settle: i64,
+    pub settling_time: i64,
     /// So many controllers are expected.
-    pub expect: usize,
+    pub expected_members: usize,
     /// All that is known is fetched from one member so often.
-    pub fetch: i64,
+    pub sync_interval: i64,
     /// Records that ride on a packet.
-    pub riders: usize,
+    pub max_piggybacked_records: usize,
     /// Members at most; further ones are not taken.
-    pub most: usize,
+    pub max_members: usize,
 }
 
-impl Default for Limits {
+impl Default for MembershipConfig {
     fn default() -> Self {
-        Limits {
-            period: 1_000_000,
-            answer: 300_000,
-            helpers: 3,
-            patience: 4,
-            forget: Forget::Operator,
-            hold: 600_000_000,
-            settle: 30_000_000,
-            expect: 1,
-            fetch: 15_000_000,
-            riders: 16,
-            most: 4_096,
+        MembershipConfig {
+            probe_period: 1_000_000,
+            probe_timeout: 300_000,
+            indirect_probes: 3,
+            suspicion_multiplier: 4,
+            eviction: EvictionPolicy::Operator,
+            dead_retention: 600_000_000,
+            settling_time: 30_000_000,
+            expected_members: 1,
+            sync_interval: 15_000_000,
+            max_piggybacked_records: 16,
+            max_members: 4_096,
         }
     }
 }
 
 /// How a member stands. Later ones overrule earlier ones of the same start and denial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Standing {
+pub enum MemberState {
     /// It answers.
     Alive,
     /// It does not, and may deny that it is gone.
     Suspect,
     /// It was given up.
-    Gone,
+    Dead,
     /// It said goodbye.
     Left,
 }
 
 /// What is known of a member. A later start overrules an earlier one, then a later denial, then the standing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Record {
+pub struct MemberRecord {
     /// Who: the address it is reached at.
     pub member: SocketAddr,
     /// When it started, in microseconds of its clock.
-    pub start: u64,
+    pub incarnation: u64,
     /// How often it denied a suspicion.
-    pub denials: u32,
+    pub refutations: u32,
     /// How it stands.
-    pub standing: Standing,
+    pub state: MemberState,
     /// For how long it has stood so, in milliseconds, rounded up; zero while it is alive. It overrules nothing, but all
     /// forget one that is gone at about the same time, and nobody learns of it anew.
-    pub since_ms: u32,
+    pub state_age_ms: u32,
 }
 
-impl Record {
-    fn rank(&self) -> (u64, u32, Standing) {
-        (self.start, self.denials, self.standing)
+impl MemberRecord {
+    fn rank(&self) -> (u64, u32, MemberState) {
+        (self.incarnation, self.refutations, self.state)
     }
 }
 
@@ -102,29 +102,29 @@
     /// Are you there?
     Probe(u32),
     /// I am.
-    Answer(u32),
+    Ack(u32),
     /// Probe this one for me.
-    Help(u32, SocketAddr),
+    IndirectProbe(u32, SocketAddr),
     /// Tell me all you know.
-    Fetch,
+    SyncRequest,
     /// A part of all I know, or mere news.
-    Tell,
+    Update,
 }
 
 /// Of whom a view consists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Tag {
+pub struct ViewTag {
     /// The view's number: it rises by one with each change, at its holder.
-    pub number: u64,
+    pub version: u64,
     /// Alike where the same members count, whoever holds the view.
     pub digest: u64,
 }
 
 /// An operator's word that one that fell silent is gone for good, as a packet for any member: a goodbye in its name. If it lives
 /// it denies that as soon as it hears of it.
-pub fn let_go(record: Record) -> Packet {
-    let record = Record { standing: Standing::Left, since_ms: 0, ..record };
-    Packet { message: Message::Tell, riders: vec![record], tag: None }
+pub fn eviction_packet(record: MemberRecord) -> Packet {
+    let record = MemberRecord { state: MemberState::Left, state_age_ms: 0, ..record };
+    Packet { message: Message::Update, records: vec![record], view_tag: None }
 }
 
 /// What is sent: a message, and records that ride on it.
@@ -133,11 +133,11 @@
     /// For what.
     pub message: Message,
     /// News.
-    pub riders: Vec<Record>,
+    pub records: Vec<MemberRecord>,
     /// The sender's view. Builds of the first form of packets neither send nor read it: it stands behind the rest
-    /// ([`crate::seal`]).
+    /// ([`crate::authentication`]).
     #[serde(skip)]
-    pub tag: Option<Tag>,
+    pub view_tag: Option<ViewTag>,
 }
 
 /// What a node acts on.
@@ -150,57 +150,57 @@
     /// Those that answer, with this one.
     pub alive: usize,
     /// It has listened long enough, and nothing is in doubt.
-    pub settled: bool,
+    pub is_settled: bool,
     /// Those that answer are more than half of all that count.
-    pub quorum: bool,
+    pub has_quorum: bool,
     /// Of whom it consists.
-    pub tag: Tag,
+    pub tag: ViewTag,
 }
 
 /// How a member stands with a node, for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Acquaintance {
+pub struct MemberStatus {
     /// What is known of it.
-    pub record: Record,
+    pub record: MemberRecord,
     /// It counts.
-    pub counts: bool,
+    pub is_counted: bool,
     /// When a packet of its own last came; none if never.
-    pub spoke: Option<i64>,
+    pub last_heard_at: Option<i64>,
     /// The view that it last told of.
-    pub tag: Option<Tag>,
+    pub view_tag: Option<ViewTag>,
 }
 
 /// What became of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Change {
+pub enum MembershipChange {
     /// It was heard of for the first time.
-    New,
+    Joined,
     /// It does not answer.
     Suspected,
     /// It denied that it is gone.
-    Denied,
+    Refuted,
     /// It was given up.
-    GivenUp,
+    DeclaredDead,
     /// It is there again: another process at its address, or the one that was given up.
-    Back,
+    Rejoined,
     /// It said goodbye, or an operator said it is gone for good.
     Left,
     /// A quorum went on without it.
-    Forgotten,
+    Evicted,
     /// Of this node itself: a process of its address that started later was heard of, and this one goes on as later still. Once
     /// is a clock that was set back; again and again is a second process under its address.
-    Overtaken,
+    Superseded,
 }
 
 /// A change, and on whose word it was believed: this node's own address where it found out itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct News {
+pub struct MembershipEvent {
     /// Whose.
     pub member: SocketAddr,
     /// What.
-    pub change: Change,
+    pub change: MembershipChange,
     /// On whose word.
-    pub by: SocketAddr,
+    pub source: SocketAddr,
 }
 
 /// Who heard nobody for so many periods is deaf, cut off, or stood still.
@@ -210,30 +210,30 @@
 
 /// What was counted since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Counts {
+pub struct Counters {
     /// Suspicions of our own.
-    pub suspected: u64,
+    pub suspicions: u64,
     /// Suspicions, of whomever, that were denied.
-    pub denied: u64,
+    pub refutations: u64,
     /// Members given up.
-    pub given_up: u64,
+    pub declared_dead: u64,
     /// Members not taken, as there were too many.
-    pub crowded: u64,
+    pub rejected_at_capacity: u64,
     /// Times that nobody was heard for so long that this node was cut off, or stood still.
-    pub deaf: u64,
+    pub isolations: u64,
     /// Suspects that were heard, and denied for.
-    pub vouched: u64,
+    pub proxy_refutations: u64,
     /// Members said to be gone by others while this node had no doubt of them, or had heard them since.
-    pub unbelieved: u64,
+    pub uncorroborated: u64,
     /// Members forgotten by a quorum.
-    pub forgotten: u64,
+    pub evicted: u64,
     /// Times that a later process of its own address was heard of; more than one: there are two.
-    pub overtaken: u64,
+    pub superseded: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Member {
-    record: Record,
+    record: MemberRecord,
     /// Since when it stands so.
     since: i64,
     /// How often this was told on.
@@ -245,14 +245,14 @@
     /// It counts.
     counts: bool,
     /// The view that it last told of.
-    tag: Option<Tag>,
+    tag: Option<ViewTag>,
 }
 
 impl Member {
     /// Its record with its age, as it is told to others.
-    fn aged(&self, now: i64) -> Record {
-        let ms = if self.record.standing == Standing::Alive { 0 } else { (now - self.since).max(0) as u64 };
-        Record { since_ms: u32::try_from(ms.div_ceil(1_000)).unwrap_or(u32::MAX), ..self.record }
+    fn aged(&self, now: i64) -> MemberRecord {
+        let ms = if self.record.state == MemberState::Alive { 0 } else { (now - self.since).max(0) as u64 };
+        MemberRecord { state_age_ms: u32::try_from(ms.div_ceil(1_000)).unwrap_or(u32::MAX), ..self.record }
     }
 }
 
@@ -270,8 +270,8 @@
 /// One controller's knowledge of all.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Node {
-    limits: Limits,
-    own: Record,
+    limits: MembershipConfig,
+    own: MemberRecord,
     seeds: Vec<SocketAddr>,
     members: BTreeMap<SocketAddr, Member>,
     began: i64,
@@ -296,25 +296,31 @@
     /// More than half of the expected number answered, once: from then on what was heard counts alone.
     confirmed: bool,
     /// Of whom the view consists.
-    tag: Tag,
+    tag: ViewTag,
     /// Since when all that was heard tells of other views than ours.
     apart: Option<i64>,
     draws: u64,
-    counts: Counts,
-    news: Vec<News>,
+    counters: Counters,
+    events: Vec<MembershipEvent>,
 }
 
 impl Node {
     /// A node that knows of itself and of whom to ask. The same seed and inputs give the same packets.
     pub fn new(
         own: SocketAddr,
-        start: u64,
+        incarnation: u64,
         seeds: Vec<SocketAddr>,
-        limits: Limits,
+        limits: MembershipConfig,
         seed: u64,
         now: i64,
     ) -> Node {
-        let own = Record { member: own, start, denials: 0, standing: Standing::Alive, since_ms: 0 };
+        let own = MemberRecord {
+            member: own,
+            incarnation,
+            refutations: 0,
+            state: MemberState::Alive,
+            state_age_ms: 0,
+        };
         let mut node = Node {
             limits,
             seeds: seeds.into_iter().filter(|s| *s != own.member).collect(),
@@ -333,14 +339,14 @@
             newest: now,
             listened: false,
             confirmed: false,
-            tag: Tag { number: 0, digest: mark(own.member) },
+            tag: ViewTag { version: 0, digest: mark(own.member) },
             apart: None,
             draws: seed,
-            counts: Counts::default(),
-            news: Vec::new(),
+            counters: Counters::default(),
+            events: Vec::new(),
         };
         // Nodes that start together do not all probe at once.
-        node.next_period = now + node.draw(limits.period.max(1) as u64) as i64;
+        node.next_period = now + node.draw(limits.probe_period.max(1) as u64) as i64;
         node
     }
 
@@ -359,37 +365,37 @@
     }
 
     /// What was counted.
-    pub fn counts(&self) -> Counts {
-        self.counts
+    pub fn counters(&self) -> Counters {
+        self.counters
     }
 
     /// What became of members since the last call.
-    pub fn news(&mut self) -> Vec<News> {
-        std::mem::take(&mut self.news)
+    pub fn take_events(&mut self) -> Vec<MembershipEvent> {
+        std::mem::take(&mut self.events)
     }
 
     /// All that are known, this one not.
-    pub fn records(&self) -> impl Iterator<Item = &Record> {
+    pub fn records(&self) -> impl Iterator<Item = &MemberRecord> {
         self.members.values().map(|m| &m.record)
     }
 
     /// Whether one is known, and has not left.
-    pub fn knows(&self, member: &SocketAddr) -> bool {
+    pub fn is_counted(&self, member: &SocketAddr) -> bool {
         self.members.get(member).is_some_and(|m| m.counts)
     }
 
     /// How all that are known stand, this one not.
-    pub fn acquaintances(&self, now: i64) -> impl Iterator<Item = Acquaintance> + '_ {
-        self.members.values().map(move |m| Acquaintance {
+    pub fn member_statuses(&self, now: i64) -> impl Iterator<Item = MemberStatus> + '_ {
+        self.members.values().map(move |m| MemberStatus {
             record: m.aged(now),
-            counts: m.counts,
-            spoke: m.spoke,
-            tag: m.tag,
+            is_counted: m.counts,
+            last_heard_at: m.spoke,
+            view_tag: m.tag,
         })
     }
 
     /// For how long all that was heard tells of other views than ours, in microseconds; zero while somebody's is alike.
-    pub fn apart(&self, now: i64) -> i64 {
+    pub fn diverged_for(&self, now: i64) -> i64 {
         self.apart.map_or(0, |since| (now - since).max(0))
     }
 
@@ -400,36 +406,42 @@
         for m in self.members.values() {
             seen += usize::from(m.counts);
             index += usize::from(m.counts && m.record.member < self.own.member);
-            alive += usize::from(m.record.standing == Standing::Alive);
-            doubtful |= m.record.standing == Standing::Suspect;
+            alive += usize::from(m.record.state == MemberState::Alive);
+            doubtful |= m.record.state == MemberState::Suspect;
         }
         let sure = self.listened && self.confirmed;
-        let count = if sure { seen } else { seen.max(self.limits.expect) };
+        let count = if sure { seen } else { seen.max(self.limits.expected_members) };
         let quorum = 2 * alive > seen;
-        View { count, index, alive, settled: sure && !doubtful, quorum, tag: self.tag }
+        View { count, index, alive, is_settled: sure && !doubtful, has_quorum: quorum, tag: self.tag }
     }
 
     /// Lets a member count, or no more.
     fn count_on(&mut self, member: SocketAddr, counts: bool) {
         if let Some(m) = self.members.get_mut(&member).filter(|m| m.counts != counts) {
             m.counts = counts;
-            self.tag = Tag { number: self.tag.number + 1, digest: self.tag.digest ^ mark(member) };
+            self.tag = ViewTag { version: self.tag.version + 1, digest: self.tag.digest ^ mark(member) };
         }
     }
 
     /// The start that this node tells of itself: at least its own, and later than that of any process before it there.
-    pub fn start(&self) -> u64 {
-        self.own.start
+    pub fn incarnation(&self) -> u64 {
+        self.own.incarnation
     }
 
     /// To one whose datagrams are dropped, as a process of its address with a later start was heard: what that start was.
-    pub fn tell_start(&self, to: SocketAddr, start: u64) -> Packet {
-        let record = Record { member: to, start, denials: 0, standing: Standing::Alive, since_ms: 0 };
-        Packet { message: Message::Tell, riders: vec![self.own, record], tag: Some(self.tag) }
+    pub fn incarnation_notice(&self, to: SocketAddr, incarnation: u64) -> Packet {
+        let record = MemberRecord {
+            member: to,
+            incarnation,
+            refutations: 0,
+            state: MemberState::Alive,
+            state_age_ms: 0,
+        };
+        Packet { message: Message::Update, records: vec![self.own, record], view_tag: Some(self.tag) }
     }
 
     /// When [`Node::tick`] is next wanted.
-    pub fn next(&self) -> i64 {
+    pub fn next_tick_at(&self) -> i64 {
         let help = self.probing.as_ref().and_then(|p| p.again_at);
         [Some(self.next_period), Some(self.next_fetch), help].into_iter().flatten().min().unwrap_or(i64::MAX)
     }
@@ -438,11 +450,11 @@
     pub fn tick(&mut self, now: i64, out: &mut Vec<(SocketAddr, Packet)>) {
         self.helping.retain(|_, (_, _, until)| now < *until);
         // Between two fetches nobody new was told of: that is all there are.
-        let quiet = now - self.newest > self.limits.fetch + self.limits.period;
-        self.listened |= self.heard && quiet && now - self.began >= self.limits.settle;
+        let quiet = now - self.newest > self.limits.sync_interval + self.limits.probe_period;
+        self.listened |= self.heard && quiet && now - self.began >= self.limits.settling_time;
         // Guards against a part of a fleet that starts anew within a split, and would take itself for all there is; and, as it
         // meets the others, what it has heard of by then.
-        self.confirmed |= self.listened && quiet && 2 * self.view().alive > self.limits.expect;
+        self.confirmed |= self.listened && quiet && 2 * self.view().alive > self.limits.expected_members;
         if self.probing.as_ref().and_then(|p| p.again_at).is_some_and(|at| now >= at) {
             self.look_again(now, out);
         }
@@ -451,7 +463,7 @@
             self.begin_period(now, out);
             self.ask_suspects(now, out);
             // A node that stood still does not make up for it.
-            self.next_period = (self.next_period + self.limits.period).max(now + 1);
+            self.next_period = (self.next_period + self.limits.probe_period).max(now + 1);
         }
         if now >= self.next_fetch {
             self.fetch(now, out);
@@ -463,13 +475,13 @@
         // suspected nor given up, and all count on.
         let deaf = self.deaf(now);
         if let Some(p) = self.probing.take().filter(|p| !p.answered && !deaf) {
-            let alive = |m: &&Member| m.record.standing == Standing::Alive;
+            let alive = |m: &&Member| m.record.state == MemberState::Alive;
             match self.members.get(&p.target).filter(alive).map(|m| m.record) {
                 // Guards against losses: one silent period is a doubt, two in a row are a suspicion.
                 Some(_) if !p.doubted => self.doubt = Some((p.target, p.number)),
                 Some(record) => {
-                    self.counts.suspected += 1;
-                    let record = Record { standing: Standing::Suspect, since_ms: 0, ..record };
+                    self.counters.suspicions += 1;
+                    let record = MemberRecord { state: MemberState::Suspect, state_age_ms: 0, ..record };
                     self.learn(now, record, self.own.member);
                 }
                 None => {}
@@ -477,48 +489,52 @@
         }
         let patience = self.patience();
         // Guards against giving up one that does not hear us, and so can't deny: as long as it is heard, it runs.
-        for m in self.members.values_mut().filter(|m| m.record.standing == Standing::Suspect) {
+        for m in self.members.values_mut().filter(|m| m.record.state == MemberState::Suspect) {
             m.since = m.since.max(m.heard);
         }
         let overdue =
-            |m: &&Member| m.record.standing == Standing::Suspect && now - m.since >= patience && !deaf;
-        let over: Vec<Record> = self.members.values().filter(overdue).map(|m| m.record).collect();
+            |m: &&Member| m.record.state == MemberState::Suspect && now - m.since >= patience && !deaf;
+        let over: Vec<MemberRecord> = self.members.values().filter(overdue).map(|m| m.record).collect();
         for record in over {
-            self.counts.given_up += 1;
-            self.learn(now, Record { standing: Standing::Gone, since_ms: 0, ..record }, self.own.member);
+            self.counters.declared_dead += 1;
+            self.learn(
+                now,
+                MemberRecord { state: MemberState::Dead, state_age_ms: 0, ..record },
+                self.own.member,
+            );
         }
         self.forget(now);
     }
 
     /// Lets go of who is gone for long, where that is allowed.
     fn forget(&mut self, now: i64) {
-        let (hold, spread) = (self.limits.hold, self.limits.fetch.saturating_mul(4));
+        let (hold, spread) = (self.limits.dead_retention, self.limits.sync_interval.saturating_mul(4));
         // Guards against a part that lost the others and would act on itself alone: it is no quorum, and counts on.
-        if self.limits.forget == Forget::Quorum && self.view().quorum {
-            let long = |m: &&Member| m.counts && m.record.standing == Standing::Gone && now - m.since >= hold;
+        if self.limits.eviction == EvictionPolicy::Quorum && self.view().has_quorum {
+            let long = |m: &&Member| m.counts && m.record.state == MemberState::Dead && now - m.since >= hold;
             let long: Vec<SocketAddr> = self.members.values().filter(long).map(|m| m.record.member).collect();
             for member in long {
-                self.counts.forgotten += 1;
+                self.counters.evicted += 1;
                 self.count_on(member, false);
-                self.tell(member, Change::Forgotten, self.own.member);
+                self.tell(member, MembershipChange::Evicted, self.own.member);
             }
         }
         // Who counts no more is remembered until all have heard, lest it be learned of anew.
         self.members.retain(|_, m| {
             m.counts
-                || match m.record.standing {
-                    Standing::Left => now - m.since < hold.max(spread),
+                || match m.record.state {
+                    MemberState::Left => now - m.since < hold.max(spread),
                     _ => now - m.since < hold + spread,
                 }
         });
     }
 
     fn begin_period(&mut self, now: i64, out: &mut Vec<(SocketAddr, Packet)>) {
-        let probed = |m: &Member| matches!(m.record.standing, Standing::Alive | Standing::Suspect);
+        let probed = |m: &Member| matches!(m.record.state, MemberState::Alive | MemberState::Suspect);
         if let Some((target, number)) =
             self.doubt.take().filter(|(a, _)| self.members.get(a).is_some_and(probed))
         {
-            let again_at = Some(now + self.limits.answer);
+            let again_at = Some(now + self.limits.probe_timeout);
             self.probing = Some(Probing { target, number, again_at, answered: false, doubted: true });
             self.probe(now, out);
             return self.ask_for_help(now, out);
@@ -542,7 +558,7 @@
             }
         };
         self.number = self.number.wrapping_add(1);
-        let (number, again_at) = (self.number, Some(now + self.limits.answer));
+        let (number, again_at) = (self.number, Some(now + self.limits.probe_timeout));
         self.probing = Some(Probing { target, number, again_at, answered: false, doubted: false });
         self.probe(now, out);
     }
@@ -566,17 +582,17 @@
 
     /// Nobody was heard for so long that what is not answered says nothing of others.
     fn deaf(&self, now: i64) -> bool {
-        now - self.last_heard > DEAF * self.limits.period
+        now - self.last_heard > DEAF * self.limits.probe_period
     }
 
     /// Somebody is heard again. What was silent meanwhile was so for us alone: doubts begin anew.
     fn hears_again(&mut self, now: i64) {
         let gap = now - self.last_heard;
-        self.counts.deaf += 1;
+        self.counters.isolations += 1;
         (self.probing, self.doubt) = (None, None);
         for m in self.members.values_mut() {
             m.heard += gap;
-            if m.record.standing == Standing::Suspect {
+            if m.record.state == MemberState::Suspect {
                 m.since += gap;
             }
         }
@@ -585,7 +601,7 @@
     /// Before a suspect is given up it is asked directly, again and again: a denial that did not come round to us comes so.
     fn ask_suspects(&mut self, now: i64, out: &mut Vec<(SocketAddr, Packet)>) {
         let half = self.patience() / 2;
-        let late = |m: &&Member| m.record.standing == Standing::Suspect && now - m.since >= half;
+        let late = |m: &&Member| m.record.state == MemberState::Suspect && now - m.since >= half;
         let late: Vec<SocketAddr> =
             self.members.values().filter(late).take(16).map(|m| m.record.member).collect();
         for suspect in late {
@@ -598,20 +614,20 @@
     /// How long a suspect may deny.
     fn patience(&self) -> i64 {
         // Less the period that a doubt took before.
-        (self.limits.patience * self.doublings() - 1) * self.limits.period
+        (self.limits.suspicion_multiplier * self.doublings() - 1) * self.limits.probe_period
     }
 
     fn ask_for_help(&mut self, now: i64, out: &mut Vec<(SocketAddr, Packet)>) {
         let Some((target, number)) = self.probing.as_ref().map(|p| (p.target, p.number)) else { return };
-        let able = |m: &&Member| m.record.standing == Standing::Alive && m.record.member != target;
+        let able = |m: &&Member| m.record.state == MemberState::Alive && m.record.member != target;
         let mut able: Vec<SocketAddr> = self.members.values().filter(able).map(|m| m.record.member).collect();
-        for _ in 0..self.limits.helpers {
+        for _ in 0..self.limits.indirect_probes {
             if able.is_empty() {
                 break;
             }
             let i = self.draw(able.len() as u64) as usize;
             let helper = able.swap_remove(i);
-            let packet = self.packet(now, Message::Help(number, target), helper);
+            let packet = self.packet(now, Message::IndirectProbe(number, target), helper);
             out.push((helper, packet));
         }
     }
@@ -621,16 +637,16 @@
     fn fetch(&mut self, now: i64, out: &mut Vec<(SocketAddr, Packet)>) {
         let mut whom: Vec<SocketAddr> = self.seeds.clone();
         if self.heard {
-            let there = self.members.values().filter(|m| m.record.standing != Standing::Left);
+            let there = self.members.values().filter(|m| m.record.state != MemberState::Left);
             whom.extend(there.map(|m| m.record.member));
         }
         whom.sort_unstable();
         whom.dedup();
         // A fresh one asks often, as what it has not heard by then comes only so.
         let wait = match (self.heard, self.listened) {
-            (_, true) => self.limits.fetch,
-            (true, false) => (3 * self.limits.period).min(self.limits.fetch),
-            (false, false) => self.limits.period,
+            (_, true) => self.limits.sync_interval,
+            (true, false) => (3 * self.limits.probe_period).min(self.limits.sync_interval),
+            (false, false) => self.limits.probe_period,
         };
         self.next_fetch = now + wait;
         if whom.is_empty() {
@@ -639,16 +655,16 @@
             return;
         }
         let i = self.draw(whom.len() as u64) as usize;
-        let packet = self.packet(now, Message::Fetch, whom[i]);
+        let packet = self.packet(now, Message::SyncRequest, whom[i]);
         out.push((whom[i], packet));
     }
 
     /// A packet with the news told least often. What we hold of its receiver rides first, if it should deny that, and what
     /// we say of ourselves always.
     fn packet(&mut self, now: i64, message: Message, to: SocketAddr) -> Packet {
-        let mut riders = vec![self.own];
-        let doubted = self.members.get(&to).map(|m| m.aged(now)).filter(|r| r.standing != Standing::Alive);
-        riders.extend(doubted);
+        let mut records = vec![self.own];
+        let doubted = self.members.get(&to).map(|m| m.aged(now)).filter(|r| r.state != MemberState::Alive);
+        records.extend(doubted);
         let most = 3 * (self.doublings() as u32 + 1);
         let mut news: Vec<(u32, SocketAddr)> = self
             .members
@@ -657,13 +673,15 @@
             .map(|m| (m.told, m.record.member))
             .collect();
         news.sort_unstable();
-        for (_, member) in news.into_iter().take(self.limits.riders.saturating_sub(riders.len())) {
+        for (_, member) in
+            news.into_iter().take(self.limits.max_piggybacked_records.saturating_sub(records.len()))
+        {
             if let Some(m) = self.members.get_mut(&member) {
                 m.told += 1;
-                riders.push(m.aged(now));
+                records.push(m.aged(now));
             }
         }
-        Packet { message, riders, tag: Some(self.tag) }
+        Packet { message, records, view_tag: Some(self.tag) }
     }
 
     /// Takes a packet. Only what was sealed by a holder of the key may come here.
@@ -684,49 +702,53 @@
                 (m.heard, m.spoke) = (now, Some(now));
             }
         }
-        for record in packet.riders.iter().take(self.limits.most) {
+        for record in packet.records.iter().take(self.limits.max_members) {
             self.learn(now, *record, from);
         }
-        self.compare(now, from, packet.tag);
+        self.compare(now, from, packet.view_tag);
         match packet.message {
             Message::Probe(number) => {
-                let packet = self.packet(now, Message::Answer(number), from);
+                let packet = self.packet(now, Message::Ack(number), from);
                 out.push((from, packet));
             }
-            Message::Answer(number) => {
+            Message::Ack(number) => {
                 if let Some(p) = self.probing.as_mut().filter(|p| p.number == number) {
                     p.answered = true;
                 } else if let Some((whom, theirs, _)) = self.helping.remove(&number) {
-                    let packet = self.packet(now, Message::Answer(theirs), whom);
+                    let packet = self.packet(now, Message::Ack(theirs), whom);
                     out.push((whom, packet));
                 }
             }
-            Message::Help(theirs, target) => {
+            Message::IndirectProbe(theirs, target) => {
                 // A helper helps so many at once, lest it be made a flood.
                 if self.helping.len() < 64 && target != self.own.member {
                     self.number = self.number.wrapping_add(1);
                     let number = self.number;
-                    self.helping.insert(number, (from, theirs, now + self.limits.period));
+                    self.helping.insert(number, (from, theirs, now + self.limits.probe_period));
                     let packet = self.packet(now, Message::Probe(number), target);
                     out.push((target, packet));
                 }
             }
-            Message::Fetch => {
-                let all: Vec<Record> =
+            Message::SyncRequest => {
+                let all: Vec<MemberRecord> =
                     std::iter::once(self.own).chain(self.members.values().map(|m| m.aged(now))).collect();
-                for riders in all.chunks(self.limits.riders.max(1)) {
+                for records in all.chunks(self.limits.max_piggybacked_records.max(1)) {
                     out.push((
                         from,
-                        Packet { message: Message::Tell, riders: riders.to_vec(), tag: Some(self.tag) },
+                        Packet {
+                            message: Message::Update,
+                            records: records.to_vec(),
+                            view_tag: Some(self.tag),
+                        },
                     ));
                 }
             }
-            Message::Tell => {}
+            Message::Update => {}
         }
     }
 
     /// Holds the view that somebody tells of against ours.
-    fn compare(&mut self, now: i64, from: SocketAddr, tag: Option<Tag>) {
+    fn compare(&mut self, now: i64, from: SocketAddr, tag: Option<ViewTag>) {
         let Some((m, tag)) = self.members.get_mut(&from).zip(tag) else { return };
         m.tag = Some(tag);
         self.apart = match self.apart {
@@ -736,40 +758,42 @@
     }
 
     /// What is said of a member, or of this one, and by whom.
-    fn learn(&mut self, now: i64, record: Record, by: SocketAddr) {
+    fn learn(&mut self, now: i64, record: MemberRecord, by: SocketAddr) {
         if record.member == self.own.member {
             // Only one process holds an address at a time, so a later start is that of a process before this one, by a clock
             // that was set back since. Ours must be later still, or nobody heeds it.
-            if record.start > self.own.start {
-                (self.own.start, self.own.denials) = (record.start.saturating_add(1), 0);
-                self.counts.overtaken += 1;
-                self.tell(self.own.member, Change::Overtaken, by);
+            if record.incarnation > self.own.incarnation {
+                (self.own.incarnation, self.own.refutations) = (record.incarnation.saturating_add(1), 0);
+                self.counters.superseded += 1;
+                self.tell(self.own.member, MembershipChange::Superseded, by);
                 return;
             }
             // Whatever is said of us that is not so is denied.
-            if record.start == self.own.start
-                && record.standing != Standing::Alive
-                && self.own.standing == Standing::Alive
-                && record.denials >= self.own.denials
+            if record.incarnation == self.own.incarnation
+                && record.state != MemberState::Alive
+                && self.own.state == MemberState::Alive
+                && record.refutations >= self.own.refutations
             {
-                self.counts.denied += 1;
-                self.own.denials = record.denials.saturating_add(1);
+                self.counters.refutations += 1;
+                self.own.refutations = record.refutations.saturating_add(1);
             }
             return;
         }
         let record = match self.doubtful(now, &record) {
             true if by != self.own.member => {
-                self.counts.unbelieved += 1;
-                Record { standing: Standing::Suspect, since_ms: 0, ..record }
+                self.counters.uncorroborated += 1;
+                MemberRecord { state: MemberState::Suspect, state_age_ms: 0, ..record }
             }
             _ => record,
         };
-        let since = now - i64::from(record.since_ms) * 1_000;
+        let since = now - i64::from(record.state_age_ms) * 1_000;
         // Nobody learns of one that left, or of one that a quorum is about to forget.
-        let fading = match record.standing {
-            Standing::Left => now - since >= self.limits.hold,
-            Standing::Gone => {
-                self.limits.forget == Forget::Quorum && now - since >= self.limits.hold && self.view().quorum
+        let fading = match record.state {
+            MemberState::Left => now - since >= self.limits.dead_retention,
+            MemberState::Dead => {
+                self.limits.eviction == EvictionPolicy::Quorum
+                    && now - since >= self.limits.dead_retention
+                    && self.view().has_quorum
             }
             _ => false,
         };
@@ -777,41 +801,43 @@
         let room = fading || self.members.contains_key(&record.member) || self.room();
         match self.members.get_mut(&record.member) {
             Some(m) if record.rank() > m.record.rank() => {
-                let was = m.record.standing;
-                if was == Standing::Suspect && record.standing == Standing::Alive {
-                    self.counts.denied += 1;
+                let was = m.record.state;
+                if was == MemberState::Suspect && record.state == MemberState::Alive {
+                    self.counters.refutations += 1;
                 }
                 // Held from when it was first given up, whoever repeats it; but each gives a suspect its own time to deny.
-                if was != record.standing || record.start != m.record.start {
-                    m.since = if record.standing == Standing::Suspect { now } else { since };
+                if was != record.state || record.incarnation != m.record.incarnation {
+                    m.since = if record.state == MemberState::Suspect { now } else { since };
                 }
-                if record.start != m.record.start {
+                if record.incarnation != m.record.incarnation {
                     m.heard = now;
                 }
-                let restarted = record.start != m.record.start;
+                let restarted = record.incarnation != m.record.incarnation;
                 (m.record, m.told) = (record, 0);
-                let counts = m.counts || restarted || record.standing < Standing::Gone;
-                let change = match (was, record.standing) {
+                let counts = m.counts || restarted || record.state < MemberState::Dead;
+                let change = match (was, record.state) {
                     (was, now) if was == now && !restarted => None,
-                    (Standing::Suspect, Standing::Alive) if !restarted => Some(Change::Denied),
-                    (_, Standing::Alive) => Some(Change::Back),
-                    (_, Standing::Suspect) => Some(Change::Suspected),
-                    (_, Standing::Gone) => Some(Change::GivenUp),
-                    (_, Standing::Left) => Some(Change::Left),
+                    (MemberState::Suspect, MemberState::Alive) if !restarted => {
+                        Some(MembershipChange::Refuted)
+                    }
+                    (_, MemberState::Alive) => Some(MembershipChange::Rejoined),
+                    (_, MemberState::Suspect) => Some(MembershipChange::Suspected),
+                    (_, MemberState::Dead) => Some(MembershipChange::DeclaredDead),
+                    (_, MemberState::Left) => Some(MembershipChange::Left),
                 };
                 change.into_iter().for_each(|change| self.tell(record.member, change, by));
-                self.count_on(record.member, counts && record.standing != Standing::Left);
+                self.count_on(record.member, counts && record.state != MemberState::Left);
             }
             Some(_) => {}
             None if fading => {}
-            None if !room => self.counts.crowded += 1,
+            None if !room => self.counters.rejected_at_capacity += 1,
             None => {
                 let (heard, spoke) = if by == record.member { (now, Some(now)) } else { (since, None) };
                 let member = Member { record, since, told: 0, heard, spoke, counts: false, tag: None };
                 self.members.insert(record.member, member);
-                self.count_on(record.member, record.standing != Standing::Left);
+                self.count_on(record.member, record.state != MemberState::Left);
                 self.newest = now;
-                self.tell(record.member, Change::New, by);
+                self.tell(record.member, MembershipChange::Joined, by);
             }
         }
     }
@@ -819,15 +845,15 @@
     /// Guards against giving up one that is heard and hears nobody: it can't deny, so who hears it does so in its place. One that
     /// hears has denied before, as it is told first of all what is held of it.
     fn vouch(&mut self, now: i64, from: SocketAddr, packet: &Packet) {
-        let own = packet.riders.iter().find(|r| r.member == from);
+        let own = packet.records.iter().find(|r| r.member == from);
         let Some((m, own)) = self.members.get(&from).zip(own) else { return };
-        let silent = matches!(m.record.standing, Standing::Suspect | Standing::Gone)
-            && (own.start, own.standing) == (m.record.start, Standing::Alive)
-            && own.denials <= m.record.denials;
-        if silent && now - m.since >= 2 * self.limits.period {
-            self.counts.vouched += 1;
-            let denials = m.record.denials.saturating_add(1);
-            self.learn(now, Record { denials, ..*own }, self.own.member);
+        let silent = matches!(m.record.state, MemberState::Suspect | MemberState::Dead)
+            && (own.incarnation, own.state) == (m.record.incarnation, MemberState::Alive)
+            && own.refutations <= m.record.refutations;
+        if silent && now - m.since >= 2 * self.limits.probe_period {
+            self.counters.proxy_refutations += 1;
+            let refutations = m.record.refutations.saturating_add(1);
+            self.learn(now, MemberRecord { refutations, ..*own }, self.own.member);
         }
     }
 
@@ -835,43 +861,44 @@
     /// the others, behind a cut or deaf: it begins a doubt, and is no end of one. Who did hear of the suspicion when it was
     /// raised has waited by now. Who was heard after the time that it is said to have left at did not leave: an operator let it
     /// be forgotten on the other side of a cut.
-    fn doubtful(&self, now: i64, record: &Record) -> bool {
-        let Some(m) = self.members.get(&record.member).filter(|m| m.record.start == record.start) else {
+    fn doubtful(&self, now: i64, record: &MemberRecord) -> bool {
+        let Some(m) = self.members.get(&record.member).filter(|m| m.record.incarnation == record.incarnation)
+        else {
             return false;
         };
-        let waited = m.record.standing == Standing::Suspect && 2 * (now - m.since) >= self.patience();
-        let since = now - i64::from(record.since_ms) * 1_000;
-        match record.standing {
-            Standing::Gone => m.record.standing < Standing::Gone && !waited,
-            Standing::Left => m.spoke.is_some_and(|spoke| spoke > since + 2 * self.limits.period),
+        let waited = m.record.state == MemberState::Suspect && 2 * (now - m.since) >= self.patience();
+        let since = now - i64::from(record.state_age_ms) * 1_000;
+        match record.state {
+            MemberState::Dead => m.record.state < MemberState::Dead && !waited,
+            MemberState::Left => m.spoke.is_some_and(|spoke| spoke > since + 2 * self.limits.probe_period),
             _ => false,
         }
     }
 
     /// Whether one more may be known; the one that left, or was forgotten, longest ago makes room.
     fn room(&mut self) -> bool {
-        if self.members.len() >= self.limits.most {
+        if self.members.len() >= self.limits.max_members {
             let past = self.members.values().filter(|m| !m.counts).min_by_key(|m| m.since);
             if let Some(past) = past.map(|m| m.record.member) {
                 self.members.remove(&past);
             }
         }
-        self.members.len() < self.limits.most
+        self.members.len() < self.limits.max_members
     }
 
-    fn tell(&mut self, member: SocketAddr, change: Change, by: SocketAddr) {
-        if self.news.len() < MOST_NEWS {
-            self.news.push(News { member, change, by });
+    fn tell(&mut self, member: SocketAddr, change: MembershipChange, by: SocketAddr) {
+        if self.events.len() < MOST_NEWS {
+            self.events.push(MembershipEvent { member, change, source: by });
         }
     }
 
     /// Says goodbye: to a few now, who tell the others.
     pub fn leave(&mut self, out: &mut Vec<(SocketAddr, Packet)>) {
-        self.own.standing = Standing::Left;
+        self.own.state = MemberState::Left;
         let mut alive: Vec<SocketAddr> = self
             .members
             .values()
-            .filter(|m| m.record.standing == Standing::Alive)
+            .filter(|m| m.record.state == MemberState::Alive)
             .map(|m| m.record.member)
             .collect();
         for _ in 0..8 {
@@ -880,7 +907,7 @@
             }
             let i = self.draw(alive.len() as u64) as usize;
             let to = alive.swap_remove(i);
-            out.push((to, Packet { message: Message::Tell, riders: vec![self.own], tag: None }));
+            out.push((to, Packet { message: Message::Update, records: vec![self.own], view_tag: None }));
         }
     }
 }
--- a/crates/gossip/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
-use wheelfield_gossip::{let_go, Counts, Limits, Node, Packet, View};
+use wheelfield_gossip::{eviction_packet, Counters, MembershipConfig, Node, Packet, View};
 use wheelfield_network_faults::{Entry, Fault, Parties, Timetable};
 
 pub const MS: i64 = 1_000;
@@ -14,7 +14,7 @@
 }
 
 pub struct Network {
-    limits: Limits,
+    limits: MembershipConfig,
     loss: f64,
     pub now: i64,
     nodes: BTreeMap<usize, Node>,
@@ -36,13 +36,13 @@
     pub packets: u64,
     pub measure: bool,
     draws: u64,
-    gone: Counts,
+    gone: Counters,
     /// The most that the parts of a cold engine's budget came to, by the counts that all act on.
     pub parts: f64,
 }
 
 impl Network {
-    pub fn new(seed: u64, limits: Limits, loss: f64) -> Network {
+    pub fn new(seed: u64, limits: MembershipConfig, loss: f64) -> Network {
         Network {
             limits,
             loss,
@@ -61,7 +61,7 @@
             packets: 0,
             measure: false,
             draws: seed.wrapping_mul(0x1234_5678_9abc_def1) ^ 0x5555,
-            gone: Counts::default(),
+            gone: Counters::default(),
             parts: 0.0,
         }
     }
@@ -81,13 +81,13 @@
         let seeds = (0..3).map(address).collect();
         let seed = (self.draw() * 1e15) as u64;
         let node = Node::new(address(i), self.now as u64 + 1, seeds, self.limits, seed, self.now);
-        self.wakes.insert((node.next(), i));
+        self.wakes.insert((node.next_tick_at(), i));
         self.nodes.insert(i, node);
     }
 
     pub fn kill(&mut self, i: usize) {
         if let Some(node) = self.nodes.remove(&i) {
-            self.count(node.counts());
+            self.count(node.counters());
         }
     }
 
@@ -95,24 +95,24 @@
         let Some(mut node) = self.nodes.remove(&i) else { return };
         let mut out = Vec::new();
         node.leave(&mut out);
-        self.count(node.counts());
+        self.count(node.counters());
         self.send(i, out);
     }
 
-    fn count(&mut self, c: Counts) {
-        self.gone.suspected += c.suspected;
-        self.gone.denied += c.denied;
-        self.gone.given_up += c.given_up;
-        self.gone.unbelieved += c.unbelieved;
+    fn count(&mut self, c: Counters) {
+        self.gone.suspicions += c.suspicions;
+        self.gone.refutations += c.refutations;
+        self.gone.declared_dead += c.declared_dead;
+        self.gone.uncorroborated += c.uncorroborated;
     }
 
-    pub fn counts(&self) -> Counts {
+    pub fn counters(&self) -> Counters {
         let mut all = self.gone;
-        for c in self.nodes.values().map(Node::counts) {
-            all.suspected += c.suspected;
-            all.denied += c.denied;
-            all.given_up += c.given_up;
-            all.unbelieved += c.unbelieved;
+        for c in self.nodes.values().map(Node::counters) {
+            all.suspicions += c.suspicions;
+            all.refutations += c.refutations;
+            all.declared_dead += c.declared_dead;
+            all.uncorroborated += c.uncorroborated;
         }
         all
     }
@@ -120,7 +120,7 @@
     /// An operator tells one that another is gone for good.
     pub fn forget(&mut self, told: usize, whom: usize) {
         let record = self.nodes[&told].records().find(|r| r.member == address(whom)).copied();
-        let packet = let_go(record.expect("known"));
+        let packet = eviction_packet(record.expect("known"));
         let (now, mut out) = (self.now, Vec::new());
         if let Some(node) = self.nodes.get_mut(&told) {
             node.receive(now, address(999), &packet, &mut out);
@@ -173,7 +173,7 @@
             self.packets += 1;
             if self.measure {
                 // Magic, key, start, sequence and seal are some forty bytes more.
-                self.bytes += 40 + wheelfield_gossip::seal::size(&packet) as u64;
+                self.bytes += 40 + wheelfield_gossip::authentication::encoded_size(&packet) as u64;
             }
             let to = Self::number(to);
             if self.roads.fault(from, to, self.now).cut {
@@ -255,10 +255,10 @@
         }
         let node = self.nodes.get_mut(&i)?;
         // Of a restarted one, an old wake may be left.
-        if node.next() <= now {
+        if node.next_tick_at() <= now {
             node.tick(now, &mut out);
         }
-        let next = node.next().max(now + 1);
+        let next = node.next_tick_at().max(now + 1);
         if !self.wakes.iter().any(|(_, j)| *j == i) {
             self.wakes.insert((next, i));
         }
--- a/crates/gossip/tests/model.rs
+++ b/crates/gossip/tests/model.rs
@@ -3,7 +3,7 @@
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
-use wheelfield_gossip::{Forget, Limits, Node, Packet, Standing};
+use wheelfield_gossip::{EvictionPolicy, MemberState, MembershipConfig, Node, Packet};
 
 const NODES: usize = 3;
 /// Times are in these steps; a period is one of them.
@@ -13,19 +13,19 @@
     SocketAddr::from(([127, 0, 0, 1], 7_000 + i as u16))
 }
 
-fn limits() -> Limits {
-    Limits {
-        period: PERIOD,
-        answer: 400,
-        helpers: 1,
-        patience: 2,
-        forget: Forget::Operator,
-        hold: 40 * PERIOD,
-        settle: 2 * PERIOD,
-        expect: NODES,
-        fetch: 2 * PERIOD,
-        riders: 4,
-        most: 8,
+fn limits() -> MembershipConfig {
+    MembershipConfig {
+        probe_period: PERIOD,
+        probe_timeout: 400,
+        indirect_probes: 1,
+        suspicion_multiplier: 2,
+        eviction: EvictionPolicy::Operator,
+        dead_retention: 40 * PERIOD,
+        settling_time: 2 * PERIOD,
+        expected_members: NODES,
+        sync_interval: 2 * PERIOD,
+        max_piggybacked_records: 4,
+        max_members: 8,
     }
 }
 
@@ -105,7 +105,7 @@
     fn count(&self, state: &State, i: usize) -> usize {
         let node = &state.nodes[i];
         if self.plant == Plant::Forgets {
-            return node.records().filter(|r| r.standing == Standing::Alive).count() + 1;
+            return node.records().filter(|r| r.state == MemberState::Alive).count() + 1;
         }
         node.view().count
     }
@@ -134,15 +134,15 @@
     /// A packet as a node with a fault reads it: what is said of one to be alive is news, whatever its number.
     fn misread(&self, node: &Node, packet: &Packet) -> Packet {
         let believed = match self.plant {
-            Plant::OldDenial => Standing::Suspect,
-            Plant::Undone => Standing::Left,
+            Plant::OldDenial => MemberState::Suspect,
+            Plant::Undone => MemberState::Left,
             _ => return packet.clone(),
         };
         let mut packet = packet.clone();
-        for rider in packet.riders.iter_mut().filter(|r| r.standing == Standing::Alive) {
-            let held = node.records().find(|r| r.member == rider.member && r.standing == believed);
-            if let Some(held) = held.filter(|r| r.start == rider.start) {
-                rider.denials = held.denials + 1;
+        for rider in packet.records.iter_mut().filter(|r| r.state == MemberState::Alive) {
+            let held = node.records().find(|r| r.member == rider.member && r.state == believed);
+            if let Some(held) = held.filter(|r| r.incarnation == rider.incarnation) {
+                rider.refutations = held.refutations + 1;
             }
         }
         packet
@@ -156,7 +156,7 @@
         let packet = self.misread(&state.nodes[to], packet);
         state.nodes[to].receive(state.now, address(from), &packet, &mut out);
         // What was told to the log makes no other state.
-        state.nodes[to].news();
+        state.nodes[to].take_events();
         Self::put(state, to, out);
     }
 
@@ -177,7 +177,7 @@
             held: false,
         };
         let sound = SOUND;
-        while !state.nodes.iter().all(|n| n.view().settled) {
+        while !state.nodes.iter().all(|n| n.view().is_settled) {
             sound.step(&mut state, false, None, None);
             assert!(state.now < 100 * PERIOD, "it settles");
         }
@@ -206,20 +206,20 @@
         }
         if let Some((ended, _, true)) = state.ended {
             let heard =
-                |n: &Node| n.records().any(|r| r.member == address(ended) && r.standing == Standing::Left);
+                |n: &Node| n.records().any(|r| r.member == address(ended) && r.state == MemberState::Left);
             let all = Self::run(state).all(|i| heard(&state.nodes[i]));
             state.known |= all;
         }
         if state.wire.is_empty() {
-            let next = Self::run(state).map(|i| state.nodes[i].next()).min().unwrap_or(state.now);
+            let next = Self::run(state).map(|i| state.nodes[i].next_tick_at()).min().unwrap_or(state.now);
             state.now = state.now.max(next);
             let run: Vec<usize> = Self::run(state).collect();
             for i in run {
                 let mut out = Vec::new();
-                if state.nodes[i].next() <= state.now {
+                if state.nodes[i].next_tick_at() <= state.now {
                     let now = state.now;
                     state.nodes[i].tick(now, &mut out);
-                    state.nodes[i].news();
+                    state.nodes[i].take_events();
                 }
                 Self::put(state, i, out);
             }
@@ -281,8 +281,9 @@
                 if goodbye {
                     next.nodes[i].leave(&mut out);
                 }
-                let denials = next.nodes.iter().flat_map(Node::records).filter(|r| r.member == address(i));
-                next.ended = Some((i, denials.map(|r| r.denials).max().unwrap_or(0), goodbye));
+                let refutations =
+                    next.nodes.iter().flat_map(Node::records).filter(|r| r.member == address(i));
+                next.ended = Some((i, refutations.map(|r| r.refutations).max().unwrap_or(0), goodbye));
                 Membership::put(&mut next, i, out);
             }
             Action::Hold(n) => {
@@ -294,8 +295,9 @@
                 let (from, to, packet) = next.late.take()?;
                 self.deliver(&mut next, from, to, &packet);
                 // A packet of its own that comes late is taken for a sign of life, once: nothing tells it from one.
-                next.ended =
-                    next.ended.map(|(i, denials, bye)| (i, denials + u32::from(i == from && !bye), bye));
+                next.ended = next
+                    .ended
+                    .map(|(i, refutations, bye)| (i, refutations + u32::from(i == from && !bye), bye));
             }
             Action::Cut(whom, deaf) => next.cut = Some((whom, deaf, next.now + CUT)),
             Action::Restart(i) => {
@@ -318,7 +320,7 @@
                 "no two that have settled have one number",
                 |model: &Membership, state: &State| {
                     let digest = state.nodes[Membership::run(state).next().unwrap_or(0)].view().tag.digest;
-                    let one = |n: &&Node| n.view().settled && n.view().tag.digest == digest;
+                    let one = |n: &&Node| n.view().is_settled && n.view().tag.digest == digest;
                     let settled = Membership::run(state).map(|i| &state.nodes[i]).filter(one);
                     let indexes: Vec<usize> = settled.map(|n| model.index(n)).collect();
                     indexes.iter().collect::<BTreeSet<_>>().len() == indexes.len()
@@ -328,9 +330,9 @@
                 (0..NODES).all(|i| model.count(state, i) <= NODES)
             }),
             Property::always("nobody denies for one that is no more", |_, state: &State| {
-                let Some((ended, denials, _)) = state.ended else { return true };
-                let said = |n: &Node| n.records().find(|r| r.member == address(ended)).map(|r| r.denials);
-                Membership::run(state).all(|i| said(&state.nodes[i]).is_none_or(|d| d <= denials))
+                let Some((ended, refutations, _)) = state.ended else { return true };
+                let said = |n: &Node| n.records().find(|r| r.member == address(ended)).map(|r| r.refutations);
+                Membership::run(state).all(|i| said(&state.nodes[i]).is_none_or(|d| d <= refutations))
             }),
             Property::always(
                 "one that left counts no more once all have heard",
@@ -339,18 +341,18 @@
                 },
             ),
             Property::sometimes("one that was killed is given up", |_, state: &State| {
-                let gone = |n: &Node| n.records().any(|r| r.standing == Standing::Gone);
+                let gone = |n: &Node| n.records().any(|r| r.state == MemberState::Dead);
                 state.ended.is_some() && Membership::run(state).all(|i| gone(&state.nodes[i]))
             }),
             Property::sometimes("a goodbye came round to all", |_, state: &State| state.known),
             Property::sometimes("somebody is suspected", |_, state: &State| {
-                state.nodes.iter().any(|n| n.records().any(|r| r.standing == Standing::Suspect))
+                state.nodes.iter().any(|n| n.records().any(|r| r.state == MemberState::Suspect))
             }),
             Property::sometimes("a suspicion is denied", |_, state: &State| {
-                state.nodes.iter().any(|n| n.counts().denied > 0)
+                state.nodes.iter().any(|n| n.counters().refutations > 0)
             }),
             Property::sometimes("a fresh one has settled again", |_, state: &State| {
-                state.restarts > 0 && state.nodes.iter().all(|n| n.view().settled)
+                state.restarts > 0 && state.nodes.iter().all(|n| n.view().is_settled)
             }),
         ]
     }
--- a/crates/gossip/tests/network.rs
+++ b/crates/gossip/tests/network.rs
@@ -4,18 +4,18 @@
 
 use common::{Network, MS, SECOND};
 use std::collections::BTreeSet;
-use wheelfield_gossip::{Forget, Limits};
+use wheelfield_gossip::{EvictionPolicy, MembershipConfig};
 use wheelfield_network_faults::Parties;
 
-fn limits(expect: usize) -> Limits {
-    Limits { expect, ..Limits::default() }
+fn limits(expect: usize) -> MembershipConfig {
+    MembershipConfig { expected_members: expect, ..MembershipConfig::default() }
 }
 
 /// All that live act on so many, and each has a number of its own.
 fn agreed(net: &Network, count: usize) -> bool {
     let views: Vec<_> = net.views();
     let indexes: BTreeSet<usize> = views.iter().map(|v| v.index).collect();
-    views.iter().all(|v| v.count == count && v.settled) && indexes.len() == views.len()
+    views.iter().all(|v| v.count == count && v.is_settled) && indexes.len() == views.len()
 }
 
 #[test]
@@ -27,7 +27,7 @@
     let lowest = net.watch_until(60 * SECOND);
     assert_eq!(lowest, 180, "nobody ever acts on fewer than expected");
     assert!(agreed(&net, 180));
-    assert_eq!(net.counts().given_up, 0);
+    assert_eq!(net.counters().declared_dead, 0);
 }
 
 #[test]
@@ -37,9 +37,12 @@
         (0..40).for_each(|i| net.start(i, 0));
         let lowest = net.watch_until(300 * SECOND);
         assert_eq!(lowest, 40, "seed {seed}");
-        let counts = net.counts();
-        assert!(counts.suspected > 0 && counts.denied > 0, "loss leads to suspicions, and they are denied");
-        assert_eq!(counts.given_up, 0, "seed {seed}: nobody that lives is given up");
+        let counters = net.counters();
+        assert!(
+            counters.suspicions > 0 && counters.refutations > 0,
+            "loss leads to suspicions, and they are denied"
+        );
+        assert_eq!(counters.declared_dead, 0, "seed {seed}: nobody that lives is given up");
         // Between two suspicions there is a moment without any.
         assert!(net.views().iter().all(|v| v.count == 40));
     }
@@ -48,7 +51,11 @@
 #[test]
 fn a_silent_one_counts_for_the_hold_and_one_that_left_does_not() {
     let hold = 60 * SECOND;
-    let mut net = Network::new(2, Limits { hold, forget: Forget::Quorum, ..limits(12) }, 0.0);
+    let mut net = Network::new(
+        2,
+        MembershipConfig { dead_retention: hold, eviction: EvictionPolicy::Quorum, ..limits(12) },
+        0.0,
+    );
     (0..12).for_each(|i| net.start(i, 0));
     net.run_until(40 * SECOND);
     assert!(agreed(&net, 12));
@@ -85,16 +92,20 @@
 /// Before, each half counted itself alone after the hold: their parts of a cold engine came to twice the whole.
 #[test]
 fn a_split_of_whatever_length_makes_nobody_act_on_too_few_but_a_quorum_that_may_forget() {
-    for forget in [Forget::Operator, Forget::Quorum] {
-        let mut net = Network::new(4, Limits { hold: 30 * SECOND, forget, ..limits(9) }, 0.0);
+    for forget in [EvictionPolicy::Operator, EvictionPolicy::Quorum] {
+        let mut net = Network::new(
+            4,
+            MembershipConfig { dead_retention: 30 * SECOND, eviction: forget, ..limits(9) },
+            0.0,
+        );
         (0..9).for_each(|i| net.start(i, 0));
         net.run_until(40 * SECOND);
         net.split(|i| i < 4);
         net.run_until(600 * SECOND);
         for i in 0..9 {
             let (view, larger) = (net.node(i).view(), i >= 4);
-            let expected = if larger && forget == Forget::Quorum { 5 } else { 9 };
-            assert_eq!((view.count, view.quorum), (expected, larger), "{forget:?}, {i}");
+            let expected = if larger && forget == EvictionPolicy::Quorum { 5 } else { 9 };
+            assert_eq!((view.count, view.has_quorum), (expected, larger), "{forget:?}, {i}");
         }
         net.heal();
         // Who was forgotten is found by its own probes and the seeds.
@@ -106,7 +117,11 @@
 
 #[test]
 fn two_equal_halves_are_no_quorum_either() {
-    let mut net = Network::new(4, Limits { hold: 30 * SECOND, forget: Forget::Quorum, ..limits(8) }, 0.0);
+    let mut net = Network::new(
+        4,
+        MembershipConfig { dead_retention: 30 * SECOND, eviction: EvictionPolicy::Quorum, ..limits(8) },
+        0.0,
+    );
     (0..8).for_each(|i| net.start(i, 0));
     net.run_until(40 * SECOND);
     net.split(|i| i < 4);
@@ -150,7 +165,7 @@
     assert_eq!(net.watch_until(330 * SECOND), 10);
     assert!(agreed(&net, 11), "{:?}", net.views());
     assert!(
-        net.node(5).counts().unbelieved > 0 || net.node(4).counts().denied > 0,
+        net.node(5).counters().uncorroborated > 0 || net.node(4).counters().refutations > 0,
         "it was said, and not so"
     );
 }
@@ -159,7 +174,7 @@
 fn views_have_a_number_and_those_that_agree_one_digest() {
     let mut net = settled(2);
     let digests = |net: &Network| net.views().iter().map(|v| v.tag.digest).collect::<BTreeSet<_>>();
-    let numbers = |net: &Network| net.views().iter().map(|v| v.tag.number).collect::<Vec<_>>();
+    let numbers = |net: &Network| net.views().iter().map(|v| v.tag.version).collect::<Vec<_>>();
     assert_eq!(digests(&net).len(), 1);
     let (digest, before) = (digests(&net), numbers(&net));
     net.kill(3);
@@ -198,11 +213,11 @@
     net.start(0, 0);
     net.run_until(29 * SECOND);
     let view = net.views()[0];
-    assert_eq!((view.count, view.settled), (30, false));
+    assert_eq!((view.count, view.is_settled), (30, false));
     // Who hears nobody does not take itself for alone.
     net.run_until(400 * SECOND);
     let view = net.views()[0];
-    assert_eq!((view.count, view.settled), (30, false));
+    assert_eq!((view.count, view.is_settled), (30, false));
     // With half of them it does not know better either: as many may be behind a cut.
     (1..15).for_each(|i| net.start(i, 400 * SECOND));
     net.run_until(470 * SECOND);
@@ -254,10 +269,10 @@
         let mut net = settled(seed);
         net.cut(Parties::All, one(5), 60 * SECOND);
         let lowest = net.watch_until(100 * SECOND);
-        assert_eq!((lowest, net.counts().given_up), (12, 0), "seed {seed}");
+        assert_eq!((lowest, net.counters().declared_dead), (12, 0), "seed {seed}");
         net.run_until(140 * SECOND);
         assert!(agreed(&net, 12) && net.views().iter().all(|v| v.alive == 12), "seed {seed}");
-        assert!(net.node(5).counts().deaf >= 1, "it says so");
+        assert!(net.node(5).counters().isolations >= 1, "it says so");
     }
 }
 
@@ -279,13 +294,13 @@
         let mut net = settled(seed);
         net.split(|i| i < 4);
         net.run_until(100 * SECOND);
-        let apart = net.counts().given_up;
+        let apart = net.counters().declared_dead;
         assert!(apart >= 8 + 4, "each side gave the other up");
         net.heal();
         net.run_until(160 * SECOND);
-        assert_eq!(net.counts().given_up, apart, "seed {seed}: nobody more is given up as they meet");
+        assert_eq!(net.counters().declared_dead, apart, "seed {seed}: nobody more is given up as they meet");
         assert!(agreed(&net, 12) && net.views().iter().all(|v| v.alive == 12), "seed {seed}");
-        assert!((0..12).any(|i| net.node(i).counts().unbelieved > 0), "and it was said");
+        assert!((0..12).any(|i| net.node(i).counters().uncorroborated > 0), "and it was said");
     }
 }
 
@@ -302,7 +317,7 @@
             assert_eq!(net.watch_until(at), 12, "{lasts}");
         }
         // Ten seconds are as long as a suspect has to deny; a shorter pause is never taken for death.
-        assert!(lasts == 10 * SECOND || net.counts().given_up == 0, "{lasts}");
+        assert!(lasts == 10 * SECOND || net.counters().declared_dead == 0, "{lasts}");
         net.run_until(at + 60 * SECOND);
         assert!(agreed(&net, 12) && net.views().iter().all(|v| v.alive == 12), "{lasts}");
     }
@@ -314,9 +329,9 @@
     let mut net = Network::new(9, limits(40), 0.3);
     (0..40).for_each(|i| net.start(i, 0));
     net.run_until(60 * SECOND);
-    let before = net.counts().suspected;
+    let before = net.counters().suspicions;
     net.run_until(660 * SECOND);
-    let an_hour = (net.counts().suspected - before) as f64 * 6.0 / 40.0;
+    let an_hour = (net.counters().suspicions - before) as f64 * 6.0 / 40.0;
     assert!(an_hour < 30.0, "{an_hour} a member and hour");
 }
 
@@ -328,7 +343,7 @@
         net.kill(3);
         // A period until it is probed, one of doubt, and eleven to deny.
         net.run_until(40 * SECOND + 16 * SECOND);
-        assert!(net.counts().given_up > 0, "seed {seed}");
+        assert!(net.counters().declared_dead > 0, "seed {seed}");
         net.run_until(40 * SECOND + 30 * SECOND);
         assert!(net.views().iter().all(|v| v.alive == 11 && v.count == 12), "seed {seed}");
     }
@@ -338,8 +353,12 @@
 /// long they are apart and whoever is killed; a quorum that may forget takes up to half as much again.
 #[test]
 fn the_parts_of_all_come_to_one_whole_whatever_is_cut_or_killed() {
-    for (forget, most) in [(Forget::Operator, 1.0), (Forget::Quorum, 1.5)] {
-        let mut net = Network::new(4, Limits { hold: 30 * SECOND, forget, ..limits(20) }, 0.1);
+    for (forget, most) in [(EvictionPolicy::Operator, 1.0), (EvictionPolicy::Quorum, 1.5)] {
+        let mut net = Network::new(
+            4,
+            MembershipConfig { dead_retention: 30 * SECOND, eviction: forget, ..limits(20) },
+            0.1,
+        );
         (0..20).for_each(|i| net.start(i, i as i64 * SECOND / 20));
         net.run_until(60 * SECOND);
         net.split(|i| i < 7);
@@ -354,7 +373,7 @@
         (7..17).for_each(|i| net.kill(i));
         net.run_until(900 * SECOND);
         assert!(net.parts <= most + 1e-9, "{forget:?}: {}", net.parts);
-        assert!(forget == Forget::Operator || net.parts > 1.2, "what a quorum costs: {}", net.parts);
+        assert!(forget == EvictionPolicy::Operator || net.parts > 1.2, "what a quorum costs: {}", net.parts);
     }
 }
 
--- a/crates/pg-gateway/src/bootstrap.rs
+++ b/crates/pg-gateway/src/bootstrap.rs
@@ -3,7 +3,7 @@
 use crate::fault_injection::FaultInjection;
 use std::net::SocketAddr;
 use wheelfield_capture::Recorder;
-use wheelfield_gossip::seal::Keys;
+use wheelfield_gossip::authentication::Keys;
 use wheelfield_recorder::DecisionEngine;
 
 /// What a controller starts with.
--- a/crates/pg-gateway/src/event.rs
+++ b/crates/pg-gateway/src/event.rs
@@ -1,7 +1,7 @@
 //! What a controller is told.
 
 use wheelfield_endpoints::News;
-use wheelfield_gossip::seal::Keys;
+use wheelfield_gossip::authentication::Keys;
 use wheelfield_sans_io::IoEvent;
 
 /// Something that happened outside the controller.
--- a/crates/testbed/src/day.rs
+++ b/crates/testbed/src/day.rs
@@ -6,7 +6,7 @@
 use wheelfield::interface::Settings;
 use wheelfield_config::units::{Size, Time};
 use wheelfield_config::{Config, Fault};
-use wheelfield_gossip::Limits;
+use wheelfield_gossip::MembershipConfig;
 use wheelfield_network_faults::Timetable;
 
 /// A day as its script tells it.
@@ -489,11 +489,11 @@
 
     /// A silence among controllers that lasted no longer than this may still be what a process acts on, in microseconds.
     pub fn patience(&self) -> i64 {
-        let usual = Limits::default();
-        let period = self.checked().ok().and_then(|c| c.gossip).map_or(usual.period, |g| g.period.0);
+        let usual = MembershipConfig::default();
+        let period = self.checked().ok().and_then(|c| c.gossip).map_or(usual.probe_period, |g| g.period.0);
         let doublings = i64::from((self.controllers as u64 + 1).ilog2()).max(1);
         // Suspected by one, told on to all, and denied or not: twice the time that a suspect has.
-        2 * usual.patience * doublings * period
+        2 * usual.suspicion_multiplier * doublings * period
     }
 
     /// What goes wrong between controllers, in times from the day's start.
--- a/crates/testbed/src/fleet/judge.rs
+++ b/crates/testbed/src/fleet/judge.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use wheelfield_gossip::Change;
+use wheelfield_gossip::MembershipChange;
 use wheelfield_invariants::Life;
 use wheelfield_network_faults::Timetable;
 
@@ -21,7 +21,7 @@
         index: usize,
     },
     /// What it believes became of a member.
-    Member(SocketAddr, Change),
+    Member(SocketAddr, MembershipChange),
 }
 
 /// When it was logged, by which controller's process.
@@ -45,11 +45,11 @@
         "controllers" => Said::Acts { count: figure("count")?, index: figure("index")? },
         message => {
             let change = match message.strip_prefix("member: ")? {
-                "suspected" => Change::Suspected,
-                "denied" => Change::Denied,
-                "given up" => Change::GivenUp,
-                "back" => Change::Back,
-                "left" => Change::Left,
+                "suspected" => MembershipChange::Suspected,
+                "denied" => MembershipChange::Refuted,
+                "given up" => MembershipChange::DeclaredDead,
+                "back" => MembershipChange::Rejoined,
+                "left" => MembershipChange::Left,
                 _ => return None,
             };
             Said::Member(value["member"].as_str()?.parse().ok()?, change)
@@ -157,15 +157,17 @@
                     let Some(whom) = numbers.get(&member).copied() else { continue };
                     let lives = self.life(whom, line.at).is_some();
                     match change {
-                        Change::Suspected if lives => verdict.false_suspicions += 1,
-                        Change::GivenUp if lives && self.unheard(whom, line.by, line.at, patience) => {
+                        MembershipChange::Suspected if lives => verdict.false_suspicions += 1,
+                        MembershipChange::DeclaredDead
+                            if lives && self.unheard(whom, line.by, line.at, patience) =>
+                        {
                             verdict.given_up_cut += 1;
                         }
-                        Change::GivenUp if lives => {
+                        MembershipChange::DeclaredDead if lives => {
                             let what = format!("controller {} gave up {whom}, which runs", line.by);
                             verdict.given_up_alive.push(wrong(what));
                         }
-                        Change::GivenUp => {
+                        MembershipChange::DeclaredDead => {
                             let died = self.lives.iter().filter(|l| l.controller == whom);
                             if let Some(died) = died.filter_map(|l| l.killed).filter(|k| *k <= line.at).max()
                             {
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -30,7 +30,7 @@
 use wheelfield_engine_emulator::registry::{Line as Listed, Registry, Standing};
 use wheelfield_engine_emulator::setup::Setup;
 use wheelfield_engine_emulator::stand::Stand;
-use wheelfield_gossip::seal::Keys;
+use wheelfield_gossip::authentication::Keys;
 use wheelfield_invariants::{End, Life, Line, NotUp};
 use wheelfield_network_faults::Roads;
 use wheelfield_pg_gateway::fault_injection::FaultInjection;
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -4,7 +4,7 @@
 //! The programs are those that `cargo test` builds for the whole workspace.
 
 use std::net::SocketAddr;
-use wheelfield_gossip::Change;
+use wheelfield_gossip::MembershipChange;
 use wheelfield_invariants::Life;
 use wheelfield_network_faults::{Entry, Fault, Parties, Timetable};
 use wheelfield_testbed::day::Day;
@@ -120,7 +120,7 @@
 #[test]
 fn the_judge_tells_what_was_so_from_what_was_believed() {
     let acts = |count| Said::Acts { count, index: 0 };
-    let gone = |n| Said::Member(at(n), Change::GivenUp);
+    let gone = |n| Said::Member(at(n), MembershipChange::DeclaredDead);
     assert!(judged(&[(10, 0, acts(3)), (150, 0, acts(2)), (160, 0, gone(2))]).kept());
     assert_eq!(judged(&[(10, 0, acts(2))]).undercounts.len(), 1, "three run");
     assert_eq!(judged(&[(150, 1, acts(1))]).undercounts.len(), 1, "two run");
@@ -136,7 +136,9 @@
 #[test]
 fn what_controllers_log_is_read() {
     let line = r#"{"timestamp":"2026-12-01T00:00:01.500000Z","level":"INFO","message":"member: given up","member":"127.0.0.1:1002","by":"127.0.0.1:1001","target":"x"}"#;
-    let Some(Line { at: time, by: 7, said: Said::Member(member, Change::GivenUp) }) = read(7, line) else {
+    let Some(Line { at: time, by: 7, said: Said::Member(member, MembershipChange::DeclaredDead) }) =
+        read(7, line)
+    else {
         panic!("not read")
     };
     assert_eq!((time % 60_000_000, member), (1_500_000, at(2)));
