--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,24 +1,30 @@
-//! Which controllers there are.
+//! Group membership of the controllers, by a SWIM-like gossip protocol without I/O.
 //!
-//! The module's budget for cold engines and its shares rest on the number of gateways and on their own numbers among
-//! them. [`Node`] finds both out, in the manner of SWIM (Das, Gupta, Motivala 2002): in each period one member is probed,
-//! by way of others if it does not answer; one that answers nobody is suspected, and may deny it; what is learned rides on
-//! the probes.
+//! Work limits and quota shares depend on the number of controllers and on each controller's index among them. [`Node`]
+//! determines both in the manner of SWIM (Das, Gupta, Motivala 2002): in each period it probes one member, directly and, if
+//! no acknowledgement comes, through other members. A member that answers nobody is suspected and may refute the suspicion;
+//! membership records are piggybacked on the probes.
 //!
-//! Believing in too few is the dangerous side, as all together then push over a cold engine. So a member that fell silent
-//! counts on until an operator or a quorum lets it go ([`EvictionPolicy`]), only one that said goodbye is forgotten at once, and a
-//! fresh node counts at least as many as it was told to expect until it has listened for [`MembershipConfig::settle`] and more than half
-//! of them answer. A view has a number and a digest ([`ViewTag`]), which ride on each packet.
+//! Counting too few members is the unsafe error, because all controllers together would then exceed a limit. Therefore an
+//! unreachable member stays counted until an operator or a quorum evicts it ([`EvictionPolicy`]), only a member that left is
+//! removed at once, and a fresh node counts at least the expected number of members until it has listened for
+//! [`MembershipConfig::settling_time`] and more than half of the expected members answer. Each view has a version and a digest
+//! ([`ViewTag`]), which every packet carries.
 //!
-//! No I/O, no clock, no globals. [`authentication`] makes datagrams of packets and opens them.
+//! The crate performs no I/O, reads no clock and has no global state. [`authentication`] converts packets to authenticated
+//! datagrams and back; [`messages`] limits the rate of application messages between members.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod authentication;
+mod config;
+mod event;
 pub mod messages;
 mod node;
+mod packet;
+mod random;
 
-pub use node::{
-    eviction_packet, Counters, EvictionPolicy, MemberRecord, MemberState, MemberStatus, MembershipChange,
-    MembershipConfig, MembershipEvent, Message, Node, Packet, View, ViewTag,
-};
+pub use config::{EvictionPolicy, MembershipConfig};
+pub use event::{Counters, MembershipChange, MembershipEvent};
+pub use node::{MemberStatus, Node, Outbox, View};
+pub use packet::{eviction_packet, MemberRecord, MemberState, Message, Packet, ViewTag};
