--- a/crates/gossip/tests/recorded.rs
+++ b/crates/gossip/tests/recorded.rs
@@ -51,7 +51,10 @@
         assert_eq!(verifier.verify(address(7_001), datagram, &keys), Ok(packet));
     }
     let message = verifier.verify_message(address(7_001), PIGGYBACKED, &keys).expect("sealed with the key");
-    assert_eq!((message.0, message.2), (SENDER_INCARNATION, &b"load of three engines"[..]));
+    assert_eq!(
+        (message.id.incarnation, message.payload),
+        (SENDER_INCARNATION, &b"load of three engines"[..])
+    );
 }
 
 #[test]
--- a/crates/pg-gateway/src/gossip.rs
+++ b/crates/pg-gateway/src/gossip.rs
@@ -11,7 +11,7 @@
 use wheelfield::interface::PeerLoadReport;
 use wheelfield_config::Config;
 use wheelfield_gossip::authentication::{
-    is_piggybacked_message, Authenticator, Keys, VerificationError, Verifier, MAX_DATAGRAM_BYTES,
+    is_message, Authenticator, Keys, VerificationError, VerifiedMessage, Verifier, MAX_DATAGRAM_BYTES,
     MAX_MESSAGE_BYTES,
 };
 use wheelfield_gossip::messages::{MessageLimiter, RateLimits};
@@ -162,11 +162,10 @@
         out: &mut EffectQueue,
     ) -> Option<Vec<PeerLoadReport>> {
         match self.verifier.verify_message(from, datagram, &self.keys) {
-            Ok((start, sequence, part)) => {
+            Ok(VerifiedMessage { id, payload: part }) => {
                 let known = self.node.is_counted(&from);
                 let words = self.words.as_mut().filter(|_| known);
-                let taken =
-                    words.is_some_and(|w| w.accept(out.now, from, (start, sequence), datagram.len()).is_ok());
+                let taken = words.is_some_and(|w| w.accept(out.now, from, id, datagram.len()).is_ok());
                 let told = taken.then(|| read(part)).flatten();
                 *(if told.is_some() { &mut self.heard } else { &mut self.untaken }) += 1;
                 told
@@ -195,7 +194,7 @@
         datagram: &[u8],
         out: &mut EffectQueue,
     ) -> Option<Vec<PeerLoadReport>> {
-        if is_piggybacked_message(datagram) {
+        if is_message(datagram) {
             return self.listen(from, datagram, out);
         }
         match self.verifier.verify(from, datagram, &self.keys) {
