--- a/crates/gossip/examples/converge.rs
+++ b/crates/gossip/examples/converge.rs
@@ -1,5 +1,5 @@
-//! How long it takes, and what it costs, for so many controllers to agree: on the tests' emulated network, cold start, with
-//! and without loss. Writes lines of CSV, and a plot: `converge OUT.svg [N...]`.
+//! Measures how long groups of several sizes take to agree after a simultaneous start, and the traffic of each member, on the
+//! emulated network of the tests with and without loss. Prints CSV and draws a plot: `converge OUT.svg [N...]`.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -11,22 +11,22 @@
 struct Point {
     nodes: usize,
     loss: f64,
-    /// Until each has heard of each, in seconds.
+    /// Seconds until each node knows all others.
     agreed_s: f64,
-    /// Sent by each, in bytes a second, from then on.
+    /// Bytes per second sent by each node afterwards.
     bytes_s: f64,
-    /// Suspicions of members that live, for each member and hour.
+    /// Suspicions of live members, per member and hour.
     false_h: f64,
-    given_up: u64,
+    declared_dead: u64,
 }
 
 fn measure(nodes: usize, loss: f64) -> Point {
-    let limits = MembershipConfig { expected_members: nodes, ..MembershipConfig::default() };
-    let mut net = Network::new(nodes as u64, limits, loss);
+    let config = MembershipConfig { expected_members: nodes, ..MembershipConfig::default() };
+    let mut net = Network::new(nodes as u64, config, loss);
     (0..nodes).for_each(|i| net.start(i, i as i64 * SECOND / nodes as i64));
     let all = |net: &Network| net.views().iter().all(|v| v.count == nodes);
     let mut now = 0;
-    // Acting on all is sure from the start, as so many are expected; here each must have heard of each, too.
+    // All nodes act on the expected number from the start; here each must also know all others.
     while (now < 2 * SECOND || net.fewest_known() < nodes) && now < 600 * SECOND {
         now += SECOND / 4;
         net.run_until(now);
@@ -37,14 +37,14 @@
     net.run_until(now + span);
     let after = net.counters();
     assert!(all(&net), "{nodes} nodes, {loss} lost: not all are acted on");
-    let of = |n: u64| n as f64 / nodes as f64;
+    let per_node = |n: u64| n as f64 / nodes as f64;
     Point {
         nodes,
         loss,
         agreed_s,
-        bytes_s: of(net.bytes) / 60.0,
-        false_h: of(after.suspicions - before.suspicions) * 60.0,
-        given_up: after.declared_dead,
+        bytes_s: per_node(net.bytes) / 60.0,
+        false_h: per_node(after.suspicions - before.suspicions) * 60.0,
+        declared_dead: after.declared_dead,
     }
 }
 
@@ -61,13 +61,13 @@
     for loss in [0.0, 0.3] {
         for n in &sizes {
             let p = measure(*n, loss);
-            let Point { nodes, loss, agreed_s, bytes_s, false_h, given_up } = &p;
-            println!("{nodes},{loss},{agreed_s:.2},{bytes_s:.0},{false_h:.1},{given_up}");
+            let Point { nodes, loss, agreed_s, bytes_s, false_h, declared_dead } = &p;
+            println!("{nodes},{loss},{agreed_s:.2},{bytes_s:.0},{false_h:.1},{declared_dead}");
             points.push(p);
         }
     }
-    if let Err(fault) = plot(&out, &points) {
-        eprintln!("cannot draw {out}: {fault}");
+    if let Err(error) = plot(&out, &points) {
+        eprintln!("cannot draw {out}: {error}");
         std::process::exit(1);
     }
 }
--- a/crates/gossip/tests/authentication.rs
+++ b/crates/gossip/tests/authentication.rs
@@ -1,4 +1,4 @@
-//! Sealed datagrams: opened once, by holders of the key, from where they were sealed.
+//! Authenticated datagrams: accepted once, with a shared key, from the address of their sender.
 
 use hmac::{Hmac, KeyInit, Mac};
 use proptest::prelude::*;
@@ -35,7 +35,7 @@
 const ONE: &str = "1 0123456789abcdef0123456789abcdef\n";
 
 #[test]
-fn a_datagram_opens_once_and_only_as_it_was() {
+fn a_datagram_is_accepted_once_and_only_unchanged() {
     let (keys, from) = (keys(ONE), at(7_001));
     let mut authenticator = Authenticator::new(from, 100);
     let datagram = authenticator.authenticate(&packet(3), &keys).expect("short");
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn late_ones_open_and_very_late_ones_and_those_of_an_old_start_do_not() {
+fn late_datagrams_are_accepted_and_very_late_ones_and_those_of_an_earlier_incarnation_are_not() {
     let (keys, from) = (keys(ONE), at(7_001));
     let mut authenticator = Authenticator::new(from, 100);
     let mut all: Vec<Vec<u8>> =
@@ -75,53 +75,54 @@
     let old = authenticator.authenticate(&packet(0), &keys).expect("short");
     assert!(
         matches!(verifier.verify(from, &old, &keys), Err(VerificationError::StaleIncarnation(_))),
-        "of the process before"
+        "of the earlier incarnation"
     );
 }
 
 #[test]
-fn keys_change_without_a_break() {
+fn keys_are_rotated_without_interruption() {
     let (old, both, new) = (
         keys("1 oldoldoldoldoldold"),
         keys("1 oldoldoldoldoldold\n2 newnewnewnewnewnew\n"),
         keys("2 newnewnewnewnewnew"),
     );
-    let turned = keys("# the new one seals\n2 newnewnewnewnewnew\n1 oldoldoldoldoldold\n");
-    let open = |by: &Keys, with: &Keys| {
+    let rotated = keys("# the new one authenticates\n2 newnewnewnewnewnew\n1 oldoldoldoldoldold\n");
+    let verify = |by: &Keys, with: &Keys| {
         let datagram = Authenticator::new(at(1), 5).authenticate(&packet(1), by).expect("short");
         Verifier::default().verify(at(1), &datagram, with).map(|_| ())
     };
-    assert_eq!(open(&old, &both), Ok(()));
-    assert_eq!(open(&both, &old), Ok(()), "the new one does not seal yet");
-    assert_eq!(open(&turned, &both), Ok(()));
-    assert_eq!(open(&new, &turned), Ok(()));
-    assert_eq!(open(&old, &new), Err(VerificationError::UnknownKey));
+    assert_eq!(verify(&old, &both), Ok(()));
+    assert_eq!(verify(&both, &old), Ok(()), "the new one does not authenticate yet");
+    assert_eq!(verify(&rotated, &both), Ok(()));
+    assert_eq!(verify(&new, &rotated), Ok(()));
+    assert_eq!(verify(&old, &new), Err(VerificationError::UnknownKey));
     // The same number for another key.
-    assert_eq!(open(&keys("1 otherotherotherother"), &old), Err(VerificationError::InvalidMac));
-    for (text, fault) in [
+    assert_eq!(verify(&keys("1 otherotherotherother"), &old), Err(VerificationError::InvalidMac));
+    for (text, problem) in [
         ("", "no key"),
         ("1 short", "less than 16"),
         ("x 0123456789abcdef", "not one of 0 to 255"),
         ("10123456789abcdef", "a blank"),
         ("1 0123456789abcdef\n1 0123456789abcdeg", "line 2"),
     ] {
-        let told = Keys::read(text).expect_err(text).to_string();
-        assert!(told.contains(fault) && !told.contains("0123456789"), "{told}");
+        let message = Keys::read(text).expect_err(text).to_string();
+        assert!(message.contains(problem) && !message.contains("0123456789"), "{message}");
     }
 }
 
 #[test]
-fn what_a_node_sends_fits_a_datagram() {
-    let records = MembershipConfig::default().max_piggybacked_records;
-    let datagram =
-        Authenticator::new(at(65_535), u64::MAX).authenticate(&packet(records), &keys(ONE)).expect("it fits");
+fn the_largest_packet_of_a_node_fits_a_datagram() {
+    let max_records = MembershipConfig::default().max_piggybacked_records;
+    let datagram = Authenticator::new(at(65_535), u64::MAX)
+        .authenticate(&packet(max_records), &keys(ONE))
+        .expect("it fits");
     assert!(datagram.len() <= MAX_DATAGRAM_BYTES, "{}", datagram.len());
     assert!(Authenticator::new(at(1), 1).authenticate(&packet(100), &keys(ONE)).is_none());
 }
 
 proptest! {
     #[test]
-    fn any_bytes_are_opened_or_dropped(bytes in prop::collection::vec(any::<u8>(), 0..1_600)) {
+    fn arbitrary_bytes_are_dropped(bytes in prop::collection::vec(any::<u8>(), 0..1_600)) {
         prop_assert!(Verifier::default().verify(at(1), &bytes, &keys(ONE)).is_err());
         let mut headed = b"WFG1\x01".to_vec();
         headed.extend(&bytes);
@@ -129,7 +130,7 @@
     }
 }
 
-/// A process that holds an address: its node, and what seals and opens for it.
+/// A process at an address: its node, and the authentication of its datagrams.
 struct Process {
     node: Node,
     authenticator: Authenticator,
@@ -151,8 +152,8 @@
     }
 }
 
-/// Both go on for so many seconds, as a controller does.
-fn talk(all: &mut [(SocketAddr, Process); 2], keys: &Keys, from_s: i64, to_s: i64) {
+/// Runs both processes from one second to another, as a controller does.
+fn run(all: &mut [(SocketAddr, Process); 2], keys: &Keys, from_s: i64, to_s: i64) {
     for now in (from_s * 10..to_s * 10).map(|tenth| tenth * 100_000) {
         let mut wire: Vec<(SocketAddr, SocketAddr, Vec<u8>)> = Vec::new();
         for (own, p) in all.iter_mut() {
@@ -186,28 +187,28 @@
 }
 
 #[test]
-fn a_process_whose_clock_was_set_back_is_heard_again() {
+fn a_process_whose_clock_was_set_back_is_accepted_again() {
     let keys = Keys::read("1 a-key-of-sixteen-letters\n").expect("keys");
     let (a, b): (SocketAddr, SocketAddr) =
         ("127.0.0.1:7001".parse().expect("one"), "127.0.0.1:7002".parse().expect("two"));
     let mut all = [(a, process(a, 1_000, b)), (b, process(b, 1_000_000, a))];
-    talk(&mut all, &keys, 0, 60);
+    run(&mut all, &keys, 0, 60);
     assert!(all.iter().all(|(_, p)| p.node.view().alive == 2));
-    // The second dies and comes back by a clock an hour behind.
+    // The second is killed and restarts with a clock that was set back.
     all[1].1 = process(b, 10, a);
-    talk(&mut all, &keys, 60, 65);
-    assert!(all[1].1.node.incarnation() > 1_000_000, "it learned when the process before it had started");
+    run(&mut all, &keys, 60, 65);
+    assert!(all[1].1.node.incarnation() > 1_000_000, "it learned the earlier incarnation of its address");
     let view = all[0].1.node.view();
     assert_eq!((view.alive, view.count), (2, 2));
     let before = all[0].1.node.counters().declared_dead;
-    talk(&mut all, &keys, 65, 200);
-    assert_eq!(all[0].1.node.counters().declared_dead, before, "and it stays");
+    run(&mut all, &keys, 65, 200);
+    assert_eq!(all[0].1.node.counters().declared_dead, before, "and it stays alive");
     assert!(all.iter().all(|(_, p)| p.node.view().alive == 2));
 }
 
-/// What builds of the first form read: the packet, and nothing behind it.
+/// What builds of the first format read: the packet, and nothing after it.
 #[derive(serde::Deserialize)]
-struct First {
+struct FirstFormat {
     incarnation: u64,
     sequence: u64,
     message: Message,
@@ -215,7 +216,7 @@
 }
 
 #[test]
-fn packets_of_both_forms_are_read_by_both() {
+fn packets_of_both_formats_are_read_by_both() {
     let tag = ViewTag { version: 3, digest: u64::MAX };
     let plain = packet(3);
     let tagged = Packet { view_tag: Some(tag), ..plain.clone() };
@@ -225,29 +226,29 @@
         (1..sequence).for_each(|_| drop(authenticator.authenticate(&plain, &keys(ONE))));
         let datagram = authenticator.authenticate(sent, &keys(ONE)).expect("it fits");
         assert_eq!(verifier.verify(at(1), &datagram, &keys(ONE)).as_ref(), Ok(sent));
-        let first: First = postcard::from_bytes(&datagram[5..datagram.len() - 16]).expect("read");
+        let first: FirstFormat = postcard::from_bytes(&datagram[5..datagram.len() - 16]).expect("read");
         assert_eq!((first.incarnation, first.sequence), (9, sequence));
         assert_eq!((first.message, first.records), (plain.message, plain.records.clone()));
     }
 }
 
 #[test]
-fn a_view_that_is_cut_short_is_garbled_and_a_later_form_is_skipped() {
+fn a_truncated_view_tag_is_malformed_and_fields_of_a_later_format_are_ignored() {
     let mut authenticator = Authenticator::new(at(1), 9);
     let tagged = Packet { view_tag: Some(ViewTag { version: 3, digest: 1 << 60 }), ..packet(1) };
     let whole = authenticator.authenticate(&tagged, &keys(ONE)).expect("it fits");
     let (body, _) = whole.split_at(whole.len() - 16);
-    let resealed = |body: &[u8]| {
+    let with_new_mac = |body: &[u8]| {
         let mut mac = <Hmac<Sha256> as KeyInit>::new_from_slice(&ONE.trim().as_bytes()[2..]).expect("a key");
         mac.update(body);
         mac.update(at(1).to_string().as_bytes());
         [body, &mac.finalize().into_bytes()[..16]].concat()
     };
     assert_eq!(
-        Verifier::default().verify(at(1), &resealed(&body[..body.len() - 1]), &keys(ONE)),
+        Verifier::default().verify(at(1), &with_new_mac(&body[..body.len() - 1]), &keys(ONE)),
         Err(VerificationError::Malformed)
     );
     let mut longer = body.to_vec();
     longer.extend([3, 1, 4, 1, 5]);
-    assert_eq!(Verifier::default().verify(at(1), &resealed(&longer), &keys(ONE)), Ok(tagged));
+    assert_eq!(Verifier::default().verify(at(1), &with_new_mac(&longer), &keys(ONE)), Ok(tagged));
 }
--- a/crates/gossip/tests/model.rs
+++ b/crates/gossip/tests/model.rs
@@ -1,4 +1,5 @@
-//! The membership as a model: every order of delivery, loss, doubling and restart within bounds, explored by stateright.
+//! A model of the membership protocol: delivery orders, losses, duplicates, restarts and one-way partitions within bounds,
+//! explored by stateright.
 
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
@@ -6,7 +7,7 @@
 use wheelfield_gossip::{EvictionPolicy, MemberState, MembershipConfig, Node, Packet};
 
 const NODES: usize = 3;
-/// Times are in these steps; a period is one of them.
+/// The probe period, in microseconds of virtual time.
 const PERIOD: i64 = 1_000;
 
 fn address(i: usize) -> SocketAddr {
@@ -33,78 +34,86 @@
 struct State {
     now: i64,
     nodes: Vec<Node>,
-    /// Datagrams under way; a set, as the order means nothing.
-    wire: BTreeSet<(usize, usize, u64, Packet)>,
+    /// Packets in flight; a set, as their order has no meaning.
+    in_flight: BTreeSet<(usize, usize, u64, Packet)>,
     lost: u8,
-    doubled: u8,
+    duplicated: u8,
     restarts: u8,
-    /// One that hears nobody, or that nobody hears, and until when.
-    cut: Option<(usize, bool, i64)>,
-    /// One that is no more, how often it had denied, and whether it said goodbye.
-    ended: Option<(usize, u32, bool)>,
-    /// All others heard the goodbye.
-    known: bool,
-    /// A packet that is held up on its way, and whether one was.
-    late: Option<(usize, usize, Packet)>,
-    held: bool,
+    /// A one-way partition of a node: whether it cannot receive (true) or cannot send, and until when.
+    partition: Option<(usize, bool, i64)>,
+    /// A stopped node, its refutations, and whether it left (true) or was killed.
+    stopped: Option<(usize, u32, bool)>,
+    /// All others know of the leave.
+    is_leave_known: bool,
+    /// A packet that is delayed.
+    delayed: Option<(usize, usize, Packet)>,
+    /// A packet was delayed.
+    was_delayed: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Action {
-    /// All that is under way arrives, in this order or the other, but for one that is lost.
-    Round { backwards: bool, lost: Option<usize>, doubled: Option<usize> },
-    /// One is killed and starts again at its place.
+    /// All packets in flight arrive, in this order or the reverse, except a lost one.
+    Round { backwards: bool, lost: Option<usize>, duplicated: Option<usize> },
+    /// A node is killed and restarts at its address.
     Restart(usize),
-    /// From now on one hears nobody (true), or is heard by nobody.
-    Cut(usize, bool),
-    /// One ends, with a goodbye (true) or killed.
-    End(usize, bool),
-    /// A packet is held up, and comes after all.
-    Hold(usize),
-    /// It comes.
-    Late,
+    /// From now on a node cannot receive (true) or cannot send.
+    Partition(usize, bool),
+    /// A node stops: it leaves (true) or is killed.
+    Stop(usize, bool),
+    /// A packet is delayed.
+    Delay(usize),
+    /// The delayed packet arrives.
+    DeliverDelayed,
 }
 
-/// What is done wrong, for the properties to find.
+/// A fault of the implementation, for the properties to detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Plant {
+enum Fault {
     None,
-    /// A node that is suspected counts no more.
-    Forgets,
-    /// A denial with an old number is believed.
-    OldDenial,
-    /// Two go by one number.
-    Number,
-    /// A packet that comes late undoes a goodbye.
-    Undone,
+    /// A suspected member is not counted.
+    UncountedSuspect,
+    /// A stale record refutes a suspicion.
+    StaleRefutation,
+    /// Two nodes have the same index.
+    DuplicateIndex,
+    /// A delayed packet undoes a leave.
+    UndoneLeave,
 }
 
-/// For so long one is cut off in one direction.
-const CUT: i64 = 9 * PERIOD;
+/// Duration of a one-way partition.
+const PARTITION_TIME: i64 = 9 * PERIOD;
 
-/// The membership within bounds.
+/// The protocol within bounds.
 #[derive(Clone, Copy, Debug)]
 struct Membership {
-    plant: Plant,
+    fault: Fault,
     losses: u8,
     restarts: u8,
-    cuts: bool,
-    /// One may end.
-    ends: bool,
-    /// One packet may be held up.
-    lates: bool,
-    /// Time ends here.
+    partitions: bool,
+    /// A node may stop.
+    stops: bool,
+    /// A packet may be delayed.
+    delays: bool,
+    /// The time at which the exploration ends.
     end: i64,
 }
 
-/// Nothing goes wrong in it, for no time.
-const SOUND: Membership =
-    Membership { plant: Plant::None, losses: 0, restarts: 0, cuts: false, ends: false, lates: false, end: 0 };
+/// No fault, for no time.
+const NO_FAULTS: Membership = Membership {
+    fault: Fault::None,
+    losses: 0,
+    restarts: 0,
+    partitions: false,
+    stops: false,
+    delays: false,
+    end: 0,
+};
 
 impl Membership {
     fn count(&self, state: &State, i: usize) -> usize {
         let node = &state.nodes[i];
-        if self.plant == Plant::Forgets {
+        if self.fault == Fault::UncountedSuspect {
             return node.records().filter(|r| r.state == MemberState::Alive).count() + 1;
         }
         node.view().count
@@ -113,82 +122,81 @@
     fn put(state: &mut State, from: usize, out: Vec<(SocketAddr, Packet)>) {
         for (n, (to, packet)) in out.into_iter().enumerate() {
             let to = usize::from(to.port() - 7_000);
-            state.wire.insert((from, to, n as u64, packet));
+            state.in_flight.insert((from, to, n as u64, packet));
         }
     }
 
     fn index(&self, node: &Node) -> usize {
         let index = node.view().index;
-        if self.plant == Plant::Number {
+        if self.fault == Fault::DuplicateIndex {
             index.saturating_sub(1)
         } else {
             index
         }
     }
 
-    /// Those that run.
-    fn run(state: &State) -> impl Iterator<Item = usize> + '_ {
-        (0..NODES).filter(|i| state.ended.is_none_or(|(ended, ..)| ended != *i))
+    /// The running nodes.
+    fn running(state: &State) -> impl Iterator<Item = usize> + '_ {
+        (0..NODES).filter(|i| state.stopped.is_none_or(|(stopped, ..)| stopped != *i))
     }
 
-    /// A packet as a node with a fault reads it: what is said of one to be alive is news, whatever its number.
+    /// A packet as a faulty node reads it: a record of a live member takes precedence, whatever its refutation count.
     fn misread(&self, node: &Node, packet: &Packet) -> Packet {
-        let believed = match self.plant {
-            Plant::OldDenial => MemberState::Suspect,
-            Plant::Undone => MemberState::Left,
+        let believed = match self.fault {
+            Fault::StaleRefutation => MemberState::Suspect,
+            Fault::UndoneLeave => MemberState::Left,
             _ => return packet.clone(),
         };
         let mut packet = packet.clone();
-        for rider in packet.records.iter_mut().filter(|r| r.state == MemberState::Alive) {
-            let held = node.records().find(|r| r.member == rider.member && r.state == believed);
-            if let Some(held) = held.filter(|r| r.incarnation == rider.incarnation) {
-                rider.refutations = held.refutations + 1;
+        for record in packet.records.iter_mut().filter(|r| r.state == MemberState::Alive) {
+            let held = node.records().find(|r| r.member == record.member && r.state == believed);
+            if let Some(held) = held.filter(|r| r.incarnation == record.incarnation) {
+                record.refutations = held.refutations + 1;
             }
         }
         packet
     }
 
     fn deliver(&self, state: &mut State, from: usize, to: usize, packet: &Packet) {
-        if !Self::run(state).any(|i| i == to) {
+        if !Self::running(state).any(|i| i == to) {
             return;
         }
         let mut out = Vec::new();
         let packet = self.misread(&state.nodes[to], packet);
         state.nodes[to].receive(state.now, address(from), &packet, &mut out);
-        // What was told to the log makes no other state.
+        // Events for the log do not distinguish states.
         state.nodes[to].take_events();
         Self::put(state, to, out);
     }
 
-    /// Everybody knows everybody, and has listened.
+    /// A state in which all nodes are settled.
     fn settled() -> State {
         let node = |i| Node::new(address(i), 1, (0..NODES).map(address).collect(), limits(), 7 + i as u64, 0);
         let mut state = State {
             now: 0,
             nodes: (0..NODES).map(node).collect(),
-            wire: BTreeSet::new(),
+            in_flight: BTreeSet::new(),
             lost: 0,
-            doubled: 0,
+            duplicated: 0,
             restarts: 0,
-            cut: None,
-            ended: None,
-            known: false,
-            late: None,
-            held: false,
+            partition: None,
+            stopped: None,
+            is_leave_known: false,
+            delayed: None,
+            was_delayed: false,
         };
-        let sound = SOUND;
         while !state.nodes.iter().all(|n| n.view().is_settled) {
-            sound.step(&mut state, false, None, None);
-            assert!(state.now < 100 * PERIOD, "it settles");
+            NO_FAULTS.step(&mut state, false, None, None);
+            assert!(state.now < 100 * PERIOD, "the group settles");
         }
         state
     }
 
-    /// Delivers what is under way, then lets the time pass to what comes due next.
-    fn step(&self, state: &mut State, backwards: bool, lost: Option<usize>, doubled: Option<usize>) {
-        let mut all: Vec<_> = std::mem::take(&mut state.wire).into_iter().collect();
-        if let Some(twice) = doubled.and_then(|d| all.get(d).cloned()) {
-            all.push(twice);
+    /// Delivers the packets in flight, then advances the time to the next tick.
+    fn step(&self, state: &mut State, backwards: bool, lost: Option<usize>, duplicated: Option<usize>) {
+        let mut all: Vec<_> = std::mem::take(&mut state.in_flight).into_iter().collect();
+        if let Some(duplicate) = duplicated.and_then(|d| all.get(d).cloned()) {
+            all.push(duplicate);
         }
         if let Some(lost) = lost.filter(|l| *l < all.len()) {
             all.remove(lost);
@@ -198,23 +206,24 @@
         }
         let now = state.now;
         for (from, to, _, packet) in all {
-            let cut = |(whom, deaf, until)| now < until && whom == if deaf { to } else { from };
-            if state.cut.is_some_and(cut) {
+            let is_cut =
+                |(node, is_inbound, until)| now < until && node == if is_inbound { to } else { from };
+            if state.partition.is_some_and(is_cut) {
                 continue;
             }
             self.deliver(state, from, to, &packet);
         }
-        if let Some((ended, _, true)) = state.ended {
+        if let Some((stopped, _, true)) = state.stopped {
             let heard =
-                |n: &Node| n.records().any(|r| r.member == address(ended) && r.state == MemberState::Left);
-            let all = Self::run(state).all(|i| heard(&state.nodes[i]));
-            state.known |= all;
+                |n: &Node| n.records().any(|r| r.member == address(stopped) && r.state == MemberState::Left);
+            let all = Self::running(state).all(|i| heard(&state.nodes[i]));
+            state.is_leave_known |= all;
         }
-        if state.wire.is_empty() {
-            let next = Self::run(state).map(|i| state.nodes[i].next_tick_at()).min().unwrap_or(state.now);
+        if state.in_flight.is_empty() {
+            let next = Self::running(state).map(|i| state.nodes[i].next_tick_at()).min().unwrap_or(state.now);
             state.now = state.now.max(next);
-            let run: Vec<usize> = Self::run(state).collect();
-            for i in run {
+            let running: Vec<usize> = Self::running(state).collect();
+            for i in running {
                 let mut out = Vec::new();
                 if state.nodes[i].next_tick_at() <= state.now {
                     let now = state.now;
@@ -240,28 +249,29 @@
             return;
         }
         for backwards in [false, true] {
-            actions.push(Action::Round { backwards, lost: None, doubled: None });
+            actions.push(Action::Round { backwards, lost: None, duplicated: None });
         }
-        for n in 0..state.wire.len() {
+        for n in 0..state.in_flight.len() {
             if state.lost < self.losses {
-                actions.push(Action::Round { backwards: false, lost: Some(n), doubled: None });
+                actions.push(Action::Round { backwards: false, lost: Some(n), duplicated: None });
             }
-            // A cut shows late: other faults beside it would keep the search from getting there.
-            if state.doubled < 1 && !self.cuts && !self.ends {
-                actions.push(Action::Round { backwards: false, lost: None, doubled: Some(n) });
+            // A partition has late effects: further faults would keep the search from reaching them.
+            if state.duplicated < 1 && !self.partitions && !self.stops {
+                actions.push(Action::Round { backwards: false, lost: None, duplicated: Some(n) });
             }
         }
-        if self.cuts && state.cut.is_none() {
-            actions.extend((0..NODES).flat_map(|i| [Action::Cut(i, true), Action::Cut(i, false)]));
+        if self.partitions && state.partition.is_none() {
+            actions
+                .extend((0..NODES).flat_map(|i| [Action::Partition(i, true), Action::Partition(i, false)]));
         }
-        if self.ends && state.ended.is_none() {
-            actions.extend((0..NODES).flat_map(|i| [Action::End(i, true), Action::End(i, false)]));
+        if self.stops && state.stopped.is_none() {
+            actions.extend((0..NODES).flat_map(|i| [Action::Stop(i, true), Action::Stop(i, false)]));
         }
-        if self.lates && !state.held {
-            actions.extend((0..state.wire.len()).map(Action::Hold));
+        if self.delays && !state.was_delayed {
+            actions.extend((0..state.in_flight.len()).map(Action::Delay));
         }
-        if state.late.is_some() {
-            actions.push(Action::Late);
+        if state.delayed.is_some() {
+            actions.push(Action::DeliverDelayed);
         }
         if state.restarts < self.restarts {
             actions.extend((0..NODES).map(Action::Restart));
@@ -271,35 +281,37 @@
     fn next_state(&self, state: &State, action: Action) -> Option<State> {
         let mut next = state.clone();
         match action {
-            Action::Round { backwards, lost, doubled } => {
+            Action::Round { backwards, lost, duplicated } => {
                 next.lost += u8::from(lost.is_some());
-                next.doubled += u8::from(doubled.is_some());
-                self.step(&mut next, backwards, lost, doubled);
+                next.duplicated += u8::from(duplicated.is_some());
+                self.step(&mut next, backwards, lost, duplicated);
             }
-            Action::End(i, goodbye) => {
+            Action::Stop(i, leaves) => {
                 let mut out = Vec::new();
-                if goodbye {
+                if leaves {
                     next.nodes[i].leave(&mut out);
                 }
                 let refutations =
                     next.nodes.iter().flat_map(Node::records).filter(|r| r.member == address(i));
-                next.ended = Some((i, refutations.map(|r| r.refutations).max().unwrap_or(0), goodbye));
+                next.stopped = Some((i, refutations.map(|r| r.refutations).max().unwrap_or(0), leaves));
                 Membership::put(&mut next, i, out);
             }
-            Action::Hold(n) => {
-                let parcel = next.wire.iter().nth(n).cloned()?;
-                next.wire.remove(&parcel);
-                (next.held, next.late) = (true, Some((parcel.0, parcel.1, parcel.3)));
+            Action::Delay(n) => {
+                let flight = next.in_flight.iter().nth(n).cloned()?;
+                next.in_flight.remove(&flight);
+                (next.was_delayed, next.delayed) = (true, Some((flight.0, flight.1, flight.3)));
             }
-            Action::Late => {
-                let (from, to, packet) = next.late.take()?;
+            Action::DeliverDelayed => {
+                let (from, to, packet) = next.delayed.take()?;
                 self.deliver(&mut next, from, to, &packet);
-                // A packet of its own that comes late is taken for a sign of life, once: nothing tells it from one.
-                next.ended = next
-                    .ended
-                    .map(|(i, refutations, bye)| (i, refutations + u32::from(i == from && !bye), bye));
+                // A delayed packet of the stopped node cannot be told from one of a live node, and refutes once.
+                next.stopped = next.stopped.map(|(i, refutations, has_left)| {
+                    (i, refutations + u32::from(i == from && !has_left), has_left)
+                });
+            }
+            Action::Partition(node, is_inbound) => {
+                next.partition = Some((node, is_inbound, next.now + PARTITION_TIME))
             }
-            Action::Cut(whom, deaf) => next.cut = Some((whom, deaf, next.now + CUT)),
             Action::Restart(i) => {
                 next.restarts += 1;
                 let start = 2 + next.now as u64;
@@ -312,125 +324,139 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nobody acts on fewer than there are", |model: &Membership, state: &State| {
-                let there = NODES - usize::from(state.ended.is_some_and(|(_, _, goodbye)| goodbye));
-                Membership::run(state).all(|i| model.count(state, i) >= there)
-            }),
             Property::always(
-                "no two that have settled have one number",
+                "no node acts on fewer members than exist",
                 |model: &Membership, state: &State| {
-                    let digest = state.nodes[Membership::run(state).next().unwrap_or(0)].view().tag.digest;
+                    let there = NODES - usize::from(state.stopped.is_some_and(|(_, _, has_left)| has_left));
+                    Membership::running(state).all(|i| model.count(state, i) >= there)
+                },
+            ),
+            Property::always(
+                "no two settled nodes have the same index",
+                |model: &Membership, state: &State| {
+                    let digest =
+                        state.nodes[Membership::running(state).next().unwrap_or(0)].view().tag.digest;
                     let one = |n: &&Node| n.view().is_settled && n.view().tag.digest == digest;
-                    let settled = Membership::run(state).map(|i| &state.nodes[i]).filter(one);
+                    let settled = Membership::running(state).map(|i| &state.nodes[i]).filter(one);
                     let indexes: Vec<usize> = settled.map(|n| model.index(n)).collect();
                     indexes.iter().collect::<BTreeSet<_>>().len() == indexes.len()
                 },
             ),
-            Property::always("nobody acts on more than there are", |model: &Membership, state: &State| {
-                (0..NODES).all(|i| model.count(state, i) <= NODES)
-            }),
-            Property::always("nobody denies for one that is no more", |_, state: &State| {
-                let Some((ended, refutations, _)) = state.ended else { return true };
-                let said = |n: &Node| n.records().find(|r| r.member == address(ended)).map(|r| r.refutations);
-                Membership::run(state).all(|i| said(&state.nodes[i]).is_none_or(|d| d <= refutations))
+            Property::always(
+                "no node acts on more members than exist",
+                |model: &Membership, state: &State| (0..NODES).all(|i| model.count(state, i) <= NODES),
+            ),
+            Property::always("nobody refutes on behalf of a stopped node", |_, state: &State| {
+                let Some((stopped, refutations, _)) = state.stopped else { return true };
+                let refutations_of =
+                    |n: &Node| n.records().find(|r| r.member == address(stopped)).map(|r| r.refutations);
+                Membership::running(state)
+                    .all(|i| refutations_of(&state.nodes[i]).is_none_or(|d| d <= refutations))
             }),
             Property::always(
-                "one that left counts no more once all have heard",
+                "a member that left is not counted once all know",
                 |model: &Membership, state: &State| {
-                    !state.known || Membership::run(state).all(|i| model.count(state, i) == NODES - 1)
+                    !state.is_leave_known
+                        || Membership::running(state).all(|i| model.count(state, i) == NODES - 1)
                 },
             ),
-            Property::sometimes("one that was killed is given up", |_, state: &State| {
-                let gone = |n: &Node| n.records().any(|r| r.state == MemberState::Dead);
-                state.ended.is_some() && Membership::run(state).all(|i| gone(&state.nodes[i]))
+            Property::sometimes("a killed member is declared dead", |_, state: &State| {
+                let knows_dead = |n: &Node| n.records().any(|r| r.state == MemberState::Dead);
+                state.stopped.is_some() && Membership::running(state).all(|i| knows_dead(&state.nodes[i]))
             }),
-            Property::sometimes("a goodbye came round to all", |_, state: &State| state.known),
-            Property::sometimes("somebody is suspected", |_, state: &State| {
+            Property::sometimes("a leave reached all nodes", |_, state: &State| state.is_leave_known),
+            Property::sometimes("a member is suspected", |_, state: &State| {
                 state.nodes.iter().any(|n| n.records().any(|r| r.state == MemberState::Suspect))
             }),
-            Property::sometimes("a suspicion is denied", |_, state: &State| {
+            Property::sometimes("a suspicion is refuted", |_, state: &State| {
                 state.nodes.iter().any(|n| n.counters().refutations > 0)
             }),
-            Property::sometimes("a fresh one has settled again", |_, state: &State| {
+            Property::sometimes("a restarted node has settled", |_, state: &State| {
                 state.restarts > 0 && state.nodes.iter().all(|n| n.view().is_settled)
             }),
         ]
     }
 }
 
-/// Nothing but both orders of delivery.
+/// Only both orders of delivery, for a number of periods.
 fn plain(periods: i64) -> Membership {
     let end = Membership::settled().now + periods * PERIOD;
-    Membership { end, ..SOUND }
+    Membership { end, ..NO_FAULTS }
 }
 
-/// Explores so many states, by breadth or by depth, and gives what was reached; no bad state may be.
+/// Explores a number of states and returns the properties with a discovery; no safety property may be violated.
 fn explored(model: Membership, states: usize, deep: bool) -> Vec<&'static str> {
-    let told = format!("{model:?}");
+    let description = format!("{model:?}");
     let checker = model.checker().target_state_count(states).threads(2);
     let checker: Box<dyn Checker<Membership>> =
         if deep { Box::new(checker.spawn_dfs().join()) } else { Box::new(checker.spawn_bfs().join()) };
-    let (all, unlike, depth) = (checker.state_count(), checker.unique_state_count(), checker.max_depth());
-    eprintln!("{told}: {all} states, {unlike} of them unlike, depth {depth}");
-    for property in ALWAYS {
+    let (all, unique, depth) = (checker.state_count(), checker.unique_state_count(), checker.max_depth());
+    eprintln!("{description}: {all} states, {unique} of them unique, depth {depth}");
+    for property in SAFETY_PROPERTIES {
         let found = checker.discovery(property).map(|p| p.into_actions());
         assert!(found.is_none(), "{property}: {found:?}");
     }
-    assert!(unlike > 1_000);
+    assert!(unique > 1_000);
     checker.discoveries().into_keys().collect()
 }
 
 #[test]
-fn nobody_ever_acts_on_too_few_whatever_is_lost_or_doubled() {
+fn no_node_acts_on_too_few_members_with_losses_and_duplicates() {
     explored(Membership { losses: 4, ..plain(9) }, 60_000, false);
 }
 
-/// One deaf or mute for some time, whenever it begins.
+/// A node cannot receive or cannot send for some time, whenever it begins.
 #[test]
-fn nobody_ever_acts_on_too_few_whoever_is_cut_off_one_way() {
-    let seen = explored(Membership { cuts: true, ..plain(24) }, 120_000, false);
-    for wanted in ["somebody is suspected", "a suspicion is denied"] {
+fn no_node_acts_on_too_few_members_in_one_way_partitions() {
+    let seen = explored(Membership { partitions: true, ..plain(24) }, 120_000, false);
+    for wanted in ["a member is suspected", "a suspicion is refuted"] {
         assert!(seen.contains(&wanted), "the bounds are too narrow for: {wanted}; {seen:?}");
     }
 }
 
 #[test]
-fn nobody_ever_acts_on_too_few_whoever_restarts() {
+fn no_node_acts_on_too_few_members_when_a_node_restarts() {
     let seen = explored(Membership { restarts: 1, ..plain(9) }, 60_000, false);
-    assert!(seen.contains(&"a fresh one has settled again"), "the bounds are too narrow: {seen:?}");
+    assert!(seen.contains(&"a restarted node has settled"), "the bounds are too narrow: {seen:?}");
 }
 
-/// One ends at any time, with a goodbye or without, while a packet is lost and all come in either order.
+/// A node leaves or is killed at any time, while a packet is lost and packets arrive in either order.
 #[test]
-fn who_left_counts_no_more_and_who_was_killed_does_whenever_it_ends() {
-    let seen = explored(Membership { losses: 1, ends: true, ..plain(18) }, 120_000, false);
-    for wanted in ["one that was killed is given up", "a goodbye came round to all"] {
+fn a_member_that_left_is_not_counted_and_a_killed_one_is() {
+    let seen = explored(Membership { losses: 1, stops: true, ..plain(18) }, 120_000, false);
+    for wanted in ["a killed member is declared dead", "a leave reached all nodes"] {
         assert!(seen.contains(&wanted), "the bounds are too narrow for: {wanted}; {seen:?}");
     }
-    // And a packet that comes late, whenever.
-    let seen = explored(Membership { ends: true, lates: true, ..plain(18) }, 120_000, true);
-    assert!(seen.contains(&"a goodbye came round to all"), "the bounds are too narrow: {seen:?}");
+    // And a delayed packet, at any time.
+    let seen = explored(Membership { stops: true, delays: true, ..plain(18) }, 120_000, true);
+    assert!(seen.contains(&"a leave reached all nodes"), "the bounds are too narrow: {seen:?}");
 }
 
-const ALWAYS: [&str; 5] = [
-    "nobody acts on fewer than there are",
-    "no two that have settled have one number",
-    "nobody acts on more than there are",
-    "nobody denies for one that is no more",
-    "one that left counts no more once all have heard",
+const SAFETY_PROPERTIES: [&str; 5] = [
+    "no node acts on fewer members than exist",
+    "no two settled nodes have the same index",
+    "no node acts on more members than exist",
+    "nobody refutes on behalf of a stopped node",
+    "a member that left is not counted once all know",
 ];
 
 #[test]
-fn planted_faults_are_found_each_by_its_property() {
-    let planted = [
-        (Membership { plant: Plant::Forgets, cuts: true, ..plain(24) }, ALWAYS[0]),
-        (Membership { plant: Plant::Number, ..plain(24) }, ALWAYS[1]),
-        (Membership { plant: Plant::OldDenial, ends: true, lates: true, ..plain(24) }, ALWAYS[3]),
-        (Membership { plant: Plant::Undone, ends: true, lates: true, ..plain(24) }, ALWAYS[4]),
+fn each_planted_fault_violates_its_property() {
+    let faulty = [
+        (Membership { fault: Fault::UncountedSuspect, partitions: true, ..plain(24) }, SAFETY_PROPERTIES[0]),
+        (Membership { fault: Fault::DuplicateIndex, ..plain(24) }, SAFETY_PROPERTIES[1]),
+        (
+            Membership { fault: Fault::StaleRefutation, stops: true, delays: true, ..plain(24) },
+            SAFETY_PROPERTIES[3],
+        ),
+        (
+            Membership { fault: Fault::UndoneLeave, stops: true, delays: true, ..plain(24) },
+            SAFETY_PROPERTIES[4],
+        ),
     ];
-    for (model, property) in planted {
-        let plant = model.plant;
+    for (model, property) in faulty {
+        let fault = model.fault;
         let checker = model.checker().target_state_count(200_000).threads(1).spawn_dfs().join();
-        assert!(checker.discovery(property).is_some(), "{plant:?} breaks no `{property}`");
+        assert!(checker.discovery(property).is_some(), "{fault:?} does not violate `{property}`");
     }
 }
--- a/crates/gossip/tests/network.rs
+++ b/crates/gossip/tests/network.rs
@@ -1,4 +1,4 @@
-//! Many nodes on an emulated network in virtual time: loss, doubling, delays, splits, deaths and restarts.
+//! Many nodes on an emulated network in virtual time: loss, duplication, delays, partitions, deaths and restarts.
 
 mod common;
 
@@ -7,11 +7,11 @@
 use wheelfield_gossip::{EvictionPolicy, MembershipConfig};
 use wheelfield_network_faults::Parties;
 
-fn limits(expect: usize) -> MembershipConfig {
+fn config(expect: usize) -> MembershipConfig {
     MembershipConfig { expected_members: expect, ..MembershipConfig::default() }
 }
 
-/// All that live act on so many, and each has a number of its own.
+/// Whether all live nodes are settled on this count, and each has an index of its own.
 fn agreed(net: &Network, count: usize) -> bool {
     let views: Vec<_> = net.views();
     let indexes: BTreeSet<usize> = views.iter().map(|v| v.index).collect();
@@ -19,41 +19,41 @@
 }
 
 #[test]
-fn a_hundred_and_eighty_that_start_in_one_second_agree() {
-    let mut net = Network::new(1, limits(180), 0.0);
+fn a_hundred_and_eighty_nodes_that_start_within_one_second_agree() {
+    let mut net = Network::new(1, config(180), 0.0);
     for i in 0..180 {
         net.start(i, i as i64 * SECOND / 180);
     }
     let lowest = net.watch_until(60 * SECOND);
-    assert_eq!(lowest, 180, "nobody ever acts on fewer than expected");
+    assert_eq!(lowest, 180, "no node ever acts on fewer than expected");
     assert!(agreed(&net, 180));
     assert_eq!(net.counters().declared_dead, 0);
 }
 
 #[test]
-fn with_three_in_ten_datagrams_lost_they_agree_and_stay_so() {
+fn nodes_agree_and_stay_in_agreement_with_three_in_ten_datagrams_lost() {
     for seed in 0..3 {
-        let mut net = Network::new(seed, limits(40), 0.3);
+        let mut net = Network::new(seed, config(40), 0.3);
         (0..40).for_each(|i| net.start(i, 0));
         let lowest = net.watch_until(300 * SECOND);
         assert_eq!(lowest, 40, "seed {seed}");
         let counters = net.counters();
         assert!(
             counters.suspicions > 0 && counters.refutations > 0,
-            "loss leads to suspicions, and they are denied"
+            "loss leads to suspicions, and they are refuted"
         );
-        assert_eq!(counters.declared_dead, 0, "seed {seed}: nobody that lives is given up");
-        // Between two suspicions there is a moment without any.
+        assert_eq!(counters.declared_dead, 0, "seed {seed}: no live member is declared dead");
+        // All nodes act on the whole group, whatever they suspect.
         assert!(net.views().iter().all(|v| v.count == 40));
     }
 }
 
 #[test]
-fn a_silent_one_counts_for_the_hold_and_one_that_left_does_not() {
+fn a_dead_member_counts_for_its_retention_and_one_that_left_does_not() {
     let hold = 60 * SECOND;
     let mut net = Network::new(
         2,
-        MembershipConfig { dead_retention: hold, eviction: EvictionPolicy::Quorum, ..limits(12) },
+        MembershipConfig { dead_retention: hold, eviction: EvictionPolicy::Quorum, ..config(12) },
         0.0,
     );
     (0..12).for_each(|i| net.start(i, 0));
@@ -61,27 +61,27 @@
     assert!(agreed(&net, 12));
     net.kill(3);
     let lowest = net.watch_until(90 * SECOND);
-    assert_eq!(lowest, 12, "given up, it counts on");
-    assert!(net.views().iter().all(|v| v.alive == 11), "and it is known to be gone");
+    assert_eq!(lowest, 12, "declared dead, it stays counted");
+    assert!(net.views().iter().all(|v| v.alive == 11), "and all nodes know that it is dead");
     net.run_until(200 * SECOND);
     assert!(agreed(&net, 11), "{:?}", net.views());
     net.leave(7);
     net.run_until(215 * SECOND);
     assert!(agreed(&net, 10), "{:?}", net.views());
-    // Nobody learns of the gone ones anew.
+    // No node learns of the removed members anew.
     net.run_until(500 * SECOND);
     assert!(agreed(&net, 10));
 }
 
 #[test]
-fn two_halves_that_lose_each_other_go_on_acting_on_the_whole() {
-    let mut net = Network::new(3, limits(20), 0.0);
+fn two_halves_of_a_partition_keep_acting_on_the_whole_group() {
+    let mut net = Network::new(3, config(20), 0.0);
     (0..20).for_each(|i| net.start(i, 0));
     net.run_until(40 * SECOND);
     assert!(agreed(&net, 20));
     net.split(|i| i < 10);
     let lowest = net.watch_until(340 * SECOND);
-    assert_eq!(lowest, 20, "within the hold neither half acts on itself alone");
+    assert_eq!(lowest, 20, "within the retention neither half acts on itself alone");
     assert!(net.views().iter().all(|v| v.alive == 10));
     net.heal();
     let lowest = net.watch_until(460 * SECOND);
@@ -89,26 +89,23 @@
     assert!(agreed(&net, 20) && net.views().iter().all(|v| v.alive == 20), "{:?}", net.views()[0]);
 }
 
-/// Before, each half counted itself alone after the hold: their parts of a cold engine came to twice the whole.
+/// Regression: each half counted itself alone after the retention, so that their shares of a quota summed to two.
 #[test]
-fn a_split_of_whatever_length_makes_nobody_act_on_too_few_but_a_quorum_that_may_forget() {
-    for forget in [EvictionPolicy::Operator, EvictionPolicy::Quorum] {
-        let mut net = Network::new(
-            4,
-            MembershipConfig { dead_retention: 30 * SECOND, eviction: forget, ..limits(9) },
-            0.0,
-        );
+fn in_a_partition_of_any_length_only_a_quorum_that_may_evict_acts_on_fewer() {
+    for eviction in [EvictionPolicy::Operator, EvictionPolicy::Quorum] {
+        let mut net =
+            Network::new(4, MembershipConfig { dead_retention: 30 * SECOND, eviction, ..config(9) }, 0.0);
         (0..9).for_each(|i| net.start(i, 0));
         net.run_until(40 * SECOND);
         net.split(|i| i < 4);
         net.run_until(600 * SECOND);
         for i in 0..9 {
             let (view, larger) = (net.node(i).view(), i >= 4);
-            let expected = if larger && forget == EvictionPolicy::Quorum { 5 } else { 9 };
-            assert_eq!((view.count, view.has_quorum), (expected, larger), "{forget:?}, {i}");
+            let expected = if larger && eviction == EvictionPolicy::Quorum { 5 } else { 9 };
+            assert_eq!((view.count, view.has_quorum), (expected, larger), "{eviction:?}, {i}");
         }
         net.heal();
-        // Who was forgotten is found by its own probes and the seeds.
+        // Evicted members are found through their own probes and the seeds.
         net.run_until(720 * SECOND);
         assert!(agreed(&net, 9), "{:?}", net.views());
         assert!(net.views().iter().all(|v| v.tag.digest == net.views()[0].tag.digest), "one view");
@@ -116,10 +113,10 @@
 }
 
 #[test]
-fn two_equal_halves_are_no_quorum_either() {
+fn neither_of_two_equal_halves_has_a_quorum() {
     let mut net = Network::new(
         4,
-        MembershipConfig { dead_retention: 30 * SECOND, eviction: EvictionPolicy::Quorum, ..limits(8) },
+        MembershipConfig { dead_retention: 30 * SECOND, eviction: EvictionPolicy::Quorum, ..config(8) },
         0.0,
     );
     (0..8).for_each(|i| net.start(i, 0));
@@ -128,10 +125,10 @@
     assert_eq!(net.watch_until(400 * SECOND), 8);
 }
 
-/// A part that is killed and started anew within a split remembers nobody; the expected number stands in.
+/// Nodes that restart during a partition remember no member; the expected number takes its place.
 #[test]
-fn a_smaller_part_that_starts_anew_within_a_split_acts_on_the_expected_number() {
-    let mut net = Network::new(8, limits(9), 0.0);
+fn a_minority_that_restarts_during_a_partition_acts_on_the_expected_number() {
+    let mut net = Network::new(8, config(9), 0.0);
     (0..9).for_each(|i| net.start(i, 0));
     net.run_until(40 * SECOND);
     net.split(|i| i < 4);
@@ -145,19 +142,19 @@
     assert!(agreed(&net, 9), "{:?}", net.views());
 }
 
-/// An operator's word is a goodbye in the name of one that is gone. Nobody who heard the member since believes it.
+/// An operator's eviction is a leave in the name of a dead member. Nodes that heard the member since reject it.
 #[test]
-fn an_operator_lets_one_go_and_one_that_lives_comes_back() {
+fn an_operator_evicts_a_member_and_a_live_one_rejoins() {
     let mut net = settled(3);
     net.kill(7);
     net.run_until(100 * SECOND);
-    net.forget(0, 7);
+    net.evict(0, 7);
     net.run_until(130 * SECOND);
     assert!(agreed(&net, 11), "{:?}", net.views());
-    // By mistake: one that is only cut off.
+    // By mistake: a member that is only partitioned.
     net.split(|i| i == 4 || i == 5);
     net.run_until(200 * SECOND);
-    net.forget(0, 4);
+    net.evict(0, 4);
     net.run_until(230 * SECOND);
     assert_eq!((net.node(0).view().count, net.node(5).view().count), (10, 11));
     net.heal();
@@ -166,12 +163,12 @@
     assert!(agreed(&net, 11), "{:?}", net.views());
     assert!(
         net.node(5).counters().uncorroborated > 0 || net.node(4).counters().refutations > 0,
-        "it was said, and not so"
+        "the eviction was contradicted or refuted"
     );
 }
 
 #[test]
-fn views_have_a_number_and_those_that_agree_one_digest() {
+fn views_have_a_version_and_agreeing_views_one_digest() {
     let mut net = settled(2);
     let digests = |net: &Network| net.views().iter().map(|v| v.tag.digest).collect::<BTreeSet<_>>();
     let numbers = |net: &Network| net.views().iter().map(|v| v.tag.version).collect::<Vec<_>>();
@@ -179,7 +176,7 @@
     let (digest, before) = (digests(&net), numbers(&net));
     net.kill(3);
     net.run_until(100 * SECOND);
-    assert_eq!(digests(&net), digest, "given up, it counts on");
+    assert_eq!(digests(&net), digest, "declared dead, it stays counted");
     net.leave(5);
     net.run_until(130 * SECOND);
     assert_eq!(digests(&net).len(), 1);
@@ -188,8 +185,8 @@
 }
 
 #[test]
-fn a_flapping_one_is_one_member() {
-    let mut net = Network::new(5, limits(10), 0.05);
+fn a_flapping_node_is_one_member() {
+    let mut net = Network::new(5, config(10), 0.05);
     (0..10).for_each(|i| net.start(i, 0));
     net.run_until(40 * SECOND);
     let mut at = 40 * SECOND;
@@ -201,28 +198,28 @@
         at += 2_300 * MS;
         let lowest = net.watch_until(at);
         assert_eq!(lowest, 10);
-        assert!(net.views().iter().all(|v| v.count == 10), "never one more either");
+        assert!(net.views().iter().all(|v| v.count == 10), "nor on one more");
     }
     net.run_until(at + 60 * SECOND);
     assert!(agreed(&net, 10));
 }
 
 #[test]
-fn a_fresh_one_goes_by_what_it_was_told_to_expect() {
-    let mut net = Network::new(6, limits(30), 0.0);
+fn a_fresh_node_acts_on_the_expected_number() {
+    let mut net = Network::new(6, config(30), 0.0);
     net.start(0, 0);
     net.run_until(29 * SECOND);
     let view = net.views()[0];
     assert_eq!((view.count, view.is_settled), (30, false));
-    // Who hears nobody does not take itself for alone.
+    // A node that hears nobody does not assume that it is alone.
     net.run_until(400 * SECOND);
     let view = net.views()[0];
     assert_eq!((view.count, view.is_settled), (30, false));
-    // With half of them it does not know better either: as many may be behind a cut.
+    // With half of the members it is not confirmed either: as many may be on the other side of a partition.
     (1..15).for_each(|i| net.start(i, 400 * SECOND));
     net.run_until(470 * SECOND);
     assert!(net.views().iter().all(|v| v.count == 30 && v.alive == 15), "{:?}", net.views()[0]);
-    // With one more it does, once it has listened.
+    // With one more it is, once it has listened.
     net.start(15, 470 * SECOND);
     net.run_until(490 * SECOND);
     assert_eq!(net.views()[15].count, 30);
@@ -231,17 +228,17 @@
 }
 
 #[test]
-fn all_replaced_one_after_the_other_with_goodbyes() {
-    let mut net = Network::new(7, limits(10), 0.0);
+fn a_rolling_replacement_with_leaves_keeps_agreement() {
+    let mut net = Network::new(7, config(10), 0.0);
     (0..10).for_each(|i| net.start(i, 0));
     net.run_until(40 * SECOND);
     let mut at = 40 * SECOND;
-    // All but the seeds, which a fresh one must find.
+    // All but the seeds, which a fresh node must reach.
     for i in 3..10 {
         net.leave(i);
         at += 5 * SECOND;
         net.start(100 + i, at);
-        // For the five seconds there is one less; never two.
+        // For five seconds there is one member less, never two.
         assert!(net.watch_until(at + 5 * SECOND) >= 9);
         at += 5 * SECOND;
     }
@@ -249,37 +246,37 @@
     assert!(agreed(&net, 10), "{:?}", net.views());
 }
 
-fn one(i: usize) -> Parties {
+fn only(i: usize) -> Parties {
     Parties::These([i].into())
 }
 
-/// Twelve that know each other.
+/// A settled group of twelve.
 fn settled(seed: u64) -> Network {
-    let mut net = Network::new(seed, limits(12), 0.0);
+    let mut net = Network::new(seed, config(12), 0.0);
     (0..12).for_each(|i| net.start(i, 0));
     net.run_until(40 * SECOND);
     assert!(agreed(&net, 12));
     net
 }
 
-/// Found on processes: one that heard nobody gave all others up, and was believed once it was back.
+/// Regression: an isolated node declared all others dead, and was believed once it was back.
 #[test]
-fn one_that_hears_nobody_gives_nobody_up_and_as_it_is_heard_is_not_given_up() {
+fn a_node_that_receives_nothing_declares_nobody_dead_and_is_not_declared_dead() {
     for seed in 0..4 {
         let mut net = settled(seed);
-        net.cut(Parties::All, one(5), 60 * SECOND);
+        net.cut(Parties::All, only(5), 60 * SECOND);
         let lowest = net.watch_until(100 * SECOND);
         assert_eq!((lowest, net.counters().declared_dead), (12, 0), "seed {seed}");
         net.run_until(140 * SECOND);
         assert!(agreed(&net, 12) && net.views().iter().all(|v| v.alive == 12), "seed {seed}");
-        assert!(net.node(5).counters().isolations >= 1, "it says so");
+        assert!(net.node(5).counters().isolations >= 1, "it noticed its isolation");
     }
 }
 
 #[test]
-fn one_that_nobody_hears_is_given_up_counts_on_and_is_one_again() {
+fn a_node_that_nobody_receives_is_declared_dead_stays_counted_and_rejoins() {
     let mut net = settled(1);
-    net.cut(one(5), Parties::All, 60 * SECOND);
+    net.cut(only(5), Parties::All, 60 * SECOND);
     let lowest = net.watch_until(95 * SECOND);
     assert_eq!(lowest, 12);
     assert!((0..12).filter(|i| *i != 5).all(|i| net.node(i).view().alive == 11));
@@ -287,25 +284,29 @@
     assert!(agreed(&net, 12) && net.views().iter().all(|v| v.alive == 12));
 }
 
-/// Found on processes: after a cut between zones each side believed the other of members of its own.
+/// Regression: after a partition between zones each side believed the death reports of the other about its own members.
 #[test]
-fn the_word_of_those_who_lost_the_others_gives_nobody_up() {
+fn reports_of_a_partitioned_side_declare_nobody_dead() {
     for seed in 0..4 {
         let mut net = settled(seed);
         net.split(|i| i < 4);
         net.run_until(100 * SECOND);
         let apart = net.counters().declared_dead;
-        assert!(apart >= 8 + 4, "each side gave the other up");
+        assert!(apart >= 8 + 4, "each side declared the other dead");
         net.heal();
         net.run_until(160 * SECOND);
-        assert_eq!(net.counters().declared_dead, apart, "seed {seed}: nobody more is given up as they meet");
+        assert_eq!(
+            net.counters().declared_dead,
+            apart,
+            "seed {seed}: no further member is declared dead as the partition heals"
+        );
         assert!(agreed(&net, 12) && net.views().iter().all(|v| v.alive == 12), "seed {seed}");
-        assert!((0..12).any(|i| net.node(i).counters().uncorroborated > 0), "and it was said");
+        assert!((0..12).any(|i| net.node(i).counters().uncorroborated > 0), "and deaths were reported");
     }
 }
 
 #[test]
-fn pauses_of_whatever_length_give_nobody_up() {
+fn pauses_declare_nobody_dead() {
     for (seed, lasts) in [(0, 100 * MS), (1, SECOND), (2, 4 * SECOND), (3, 10 * SECOND)] {
         let mut net = settled(seed);
         let mut at = 40 * SECOND;
@@ -316,32 +317,32 @@
             at += lasts + 5 * SECOND;
             assert_eq!(net.watch_until(at), 12, "{lasts}");
         }
-        // Ten seconds are as long as a suspect has to deny; a shorter pause is never taken for death.
+        // Ten seconds are about the suspicion timeout; a shorter pause is never taken for a death.
         assert!(lasts == 10 * SECOND || net.counters().declared_dead == 0, "{lasts}");
         net.run_until(at + 60 * SECOND);
         assert!(agreed(&net, 12) && net.views().iter().all(|v| v.alive == 12), "{lasts}");
     }
 }
 
-/// With three in ten lost, 640 suspicions a member and hour were raised before one silent period was a doubt only.
+/// With three in ten datagrams lost, 640 suspicions per member and hour were raised when one missed probe was enough.
 #[test]
 fn losses_alone_raise_few_suspicions() {
-    let mut net = Network::new(9, limits(40), 0.3);
+    let mut net = Network::new(9, config(40), 0.3);
     (0..40).for_each(|i| net.start(i, 0));
     net.run_until(60 * SECOND);
     let before = net.counters().suspicions;
     net.run_until(660 * SECOND);
     let an_hour = (net.counters().suspicions - before) as f64 * 6.0 / 40.0;
-    assert!(an_hour < 30.0, "{an_hour} a member and hour");
+    assert!(an_hour < 30.0, "{an_hour} per member and hour");
 }
 
-/// What is believed late because of doubts is still believed: a death is found by all.
+/// Corroboration delays the detection of a death and does not prevent it.
 #[test]
-fn a_death_is_found_by_all_though_each_believes_its_own_doubt() {
+fn all_nodes_detect_a_death() {
     for seed in 0..4 {
         let mut net = settled(seed);
         net.kill(3);
-        // A period until it is probed, one of doubt, and eleven to deny.
+        // A period until it is probed, one for the second attempt, and eleven of suspicion.
         net.run_until(40 * SECOND + 16 * SECOND);
         assert!(net.counters().declared_dead > 0, "seed {seed}");
         net.run_until(40 * SECOND + 30 * SECOND);
@@ -349,21 +350,18 @@
     }
 }
 
-/// Rule 4 rests on this: by the counts that they act on, all together never take more than one cold engine's budget, however
-/// long they are apart and whoever is killed; a quorum that may forget takes up to half as much again.
+/// Rule 4 relies on this: by the counts that they act on, all nodes together never take more than one quota, however long a
+/// partition lasts and whichever nodes are killed; a quorum that may evict takes up to half as much again.
 #[test]
-fn the_parts_of_all_come_to_one_whole_whatever_is_cut_or_killed() {
-    for (forget, most) in [(EvictionPolicy::Operator, 1.0), (EvictionPolicy::Quorum, 1.5)] {
-        let mut net = Network::new(
-            4,
-            MembershipConfig { dead_retention: 30 * SECOND, eviction: forget, ..limits(20) },
-            0.1,
-        );
+fn the_quota_shares_sum_to_at_most_one_during_partitions_and_kills() {
+    for (eviction, max_share_sum) in [(EvictionPolicy::Operator, 1.0), (EvictionPolicy::Quorum, 1.5)] {
+        let mut net =
+            Network::new(4, MembershipConfig { dead_retention: 30 * SECOND, eviction, ..config(20) }, 0.1);
         (0..20).for_each(|i| net.start(i, i as i64 * SECOND / 20));
         net.run_until(60 * SECOND);
         net.split(|i| i < 7);
         net.run_until(300 * SECOND);
-        // Seven in ten of both sides at once, back a second later.
+        // Seven in ten nodes of both sides are killed at once and restart a second later.
         let killed: Vec<usize> = (0..20).filter(|i| i % 10 < 7).collect();
         killed.iter().for_each(|i| net.kill(*i));
         killed.iter().for_each(|i| net.start(*i, 301 * SECOND));
@@ -372,36 +370,40 @@
         net.run_until(700 * SECOND);
         (7..17).for_each(|i| net.kill(i));
         net.run_until(900 * SECOND);
-        assert!(net.parts <= most + 1e-9, "{forget:?}: {}", net.parts);
-        assert!(forget == EvictionPolicy::Operator || net.parts > 1.2, "what a quorum costs: {}", net.parts);
+        assert!(net.share_sum <= max_share_sum + 1e-9, "{eviction:?}: {}", net.share_sum);
+        assert!(
+            eviction == EvictionPolicy::Operator || net.share_sum > 1.2,
+            "the cost of a quorum: {}",
+            net.share_sum
+        );
     }
 }
 
-/// Newcomers are counted as soon as they are heard of, and act on no fewer than they were told to expect.
+/// New members are counted as soon as they are known, and act on no fewer than the expected number.
 #[test]
-fn as_many_newcomers_again_take_their_parts_within_seconds() {
+fn a_group_that_doubles_divides_its_quota_within_seconds() {
     let mut net = settled(5);
     (12..24).for_each(|i| net.start(i, 40 * SECOND));
     net.run_until(49 * SECOND);
-    assert!(net.parts <= 2.0, "at once, before anybody heard: {}", net.parts);
-    net.parts = 0.0;
+    assert!(net.share_sum <= 2.0, "before any node knows them: {}", net.share_sum);
+    net.share_sum = 0.0;
     net.run_until(200 * SECOND);
-    assert!(net.parts <= 1.0 + 1e-9, "{}", net.parts);
+    assert!(net.share_sum <= 1.0 + 1e-9, "{}", net.share_sum);
     assert!(agreed(&net, 24));
 }
 
 #[test]
-fn many_that_start_within_a_second_and_lose_all_seeds_stay_one_fleet() {
+fn a_group_that_starts_within_a_second_and_loses_all_seeds_stays_one_group() {
     let all = 120;
-    let mut net = Network::new(10, limits(all), 0.05);
+    let mut net = Network::new(10, config(all), 0.05);
     (0..all).for_each(|i| net.start(i, i as i64 * SECOND / all as i64));
     assert_eq!(net.watch_until(60 * SECOND), all);
     assert!(agreed(&net, all));
-    // Seven in ten are killed, all seeds among them, and start again; whom they are told to ask are dead.
+    // Seven in ten nodes are killed, all seeds among them, and all but the seeds restart: no seed answers.
     let killed: Vec<usize> = (0..all).filter(|i| i % 10 < 7).collect();
     killed.iter().for_each(|i| net.kill(*i));
     killed.iter().filter(|i| **i >= 3).for_each(|i| net.start(*i, 61 * SECOND));
     assert_eq!(net.watch_until(120 * SECOND), all);
     assert!(net.views().iter().all(|v| v.count == all && v.alive == all - 3), "{:?}", net.views()[0]);
-    assert!(net.parts <= 1.0 + 1e-9, "{}", net.parts);
+    assert!(net.share_sum <= 1.0 + 1e-9, "{}", net.share_sum);
 }
--- a/crates/gossip/tests/recorded.rs
+++ b/crates/gossip/tests/recorded.rs
@@ -1,12 +1,12 @@
-//! Datagrams recorded from version 0.2.0: every later build must read them, and write the same bytes.
+//! Datagrams recorded from version 0.2.0: every later build must read them and write the same bytes.
 
 use std::net::SocketAddr;
 use wheelfield_gossip::authentication::{Authenticator, Keys, Verifier};
 use wheelfield_gossip::{MemberRecord, MemberState, Message, Packet, ViewTag};
 
-const FIRST_FORM: &[u8] = include_bytes!("recorded/first-form.bin");
-const SECOND_FORM: &[u8] = include_bytes!("recorded/second-form.bin");
-const PIGGYBACKED: &[u8] = include_bytes!("recorded/words.bin");
+const FIRST_FORMAT: &[u8] = include_bytes!("recorded/first-form.bin");
+const SECOND_FORMAT: &[u8] = include_bytes!("recorded/second-form.bin");
+const APPLICATION_MESSAGE: &[u8] = include_bytes!("recorded/words.bin");
 const KEY_FILE: &str = "7 0123456789abcdef0123456789abcdef\n";
 const SENDER_INCARNATION: u64 = 100;
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// The packets as they were before they were sealed, in the order of sending.
+/// The contents of the recorded datagrams, in the order of sending.
 fn packets() -> [Packet; 2] {
     let records = vec![
         record(0, MemberState::Alive),
@@ -44,13 +44,15 @@
 }
 
 #[test]
-fn recorded_datagrams_of_both_forms_are_read() {
+fn recorded_datagrams_of_both_formats_are_read() {
     let keys = Keys::read(KEY_FILE).expect("a key");
     let mut verifier = Verifier::default();
-    for (datagram, packet) in [FIRST_FORM, SECOND_FORM].into_iter().zip(packets()) {
+    for (datagram, packet) in [FIRST_FORMAT, SECOND_FORMAT].into_iter().zip(packets()) {
         assert_eq!(verifier.verify(address(7_001), datagram, &keys), Ok(packet));
     }
-    let message = verifier.verify_message(address(7_001), PIGGYBACKED, &keys).expect("sealed with the key");
+    let message = verifier
+        .verify_message(address(7_001), APPLICATION_MESSAGE, &keys)
+        .expect("authenticated with the key");
     assert_eq!(
         (message.id.incarnation, message.payload),
         (SENDER_INCARNATION, &b"load of three engines"[..])
@@ -61,11 +63,11 @@
 fn the_same_packets_are_written_to_the_recorded_bytes() {
     let keys = Keys::read(KEY_FILE).expect("a key");
     let mut authenticator = Authenticator::new(address(7_001), SENDER_INCARNATION);
-    for (datagram, packet) in [FIRST_FORM, SECOND_FORM].into_iter().zip(packets()) {
+    for (datagram, packet) in [FIRST_FORMAT, SECOND_FORMAT].into_iter().zip(packets()) {
         assert_eq!(authenticator.authenticate(&packet, &keys).as_deref(), Some(datagram));
     }
     assert_eq!(
         authenticator.authenticate_message(b"load of three engines", &keys).as_deref(),
-        Some(PIGGYBACKED)
+        Some(APPLICATION_MESSAGE)
     );
 }
