--- a/crates/gossip/tests/model.rs
+++ b/crates/gossip/tests/model/membership.rs
@@ -1,14 +1,13 @@
-//! A model of the membership protocol: delivery orders, losses, duplicates, restarts and one-way partitions within bounds,
-//! explored by stateright.
+//! The model: its states, the actions that lead from one to another, and the properties of all states.
 
-use stateright::{Checker, Model, Property};
+use stateright::{Model, Property};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use wheelfield_gossip::{EvictionPolicy, MemberState, MembershipConfig, Node, Packet};
 
 const NODES: usize = 3;
 /// The probe period, in microseconds of virtual time.
-const PERIOD: i64 = 1_000;
+pub const PERIOD: i64 = 1_000;
 
 fn address(i: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 7_000 + i as u16))
@@ -31,28 +30,28 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct State {
-    now: i64,
-    nodes: Vec<Node>,
+pub struct State {
+    pub now: i64,
+    pub nodes: Vec<Node>,
     /// Packets in flight; a set, as their order has no meaning.
-    in_flight: BTreeSet<(usize, usize, u64, Packet)>,
-    lost: u8,
-    duplicated: u8,
-    restarts: u8,
+    pub in_flight: BTreeSet<(usize, usize, u64, Packet)>,
+    pub lost: u8,
+    pub duplicated: u8,
+    pub restarts: u8,
     /// A one-way partition of a node: whether it cannot receive (true) or cannot send, and until when.
-    partition: Option<(usize, bool, i64)>,
+    pub partition: Option<(usize, bool, i64)>,
     /// A stopped node, its refutations, and whether it left (true) or was killed.
-    stopped: Option<(usize, u32, bool)>,
+    pub stopped: Option<(usize, u32, bool)>,
     /// All others know of the leave.
-    is_leave_known: bool,
+    pub is_leave_known: bool,
     /// A packet that is delayed.
-    delayed: Option<(usize, usize, Packet)>,
+    pub delayed: Option<(usize, usize, Packet)>,
     /// A packet was delayed.
-    was_delayed: bool,
+    pub was_delayed: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Action {
+pub enum Action {
     /// All packets in flight arrive, in this order or the reverse, except a lost one.
     Round { backwards: bool, lost: Option<usize>, duplicated: Option<usize> },
     /// A node is killed and restarts at its address.
@@ -69,7 +68,7 @@
 
 /// A fault of the implementation, for the properties to detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fault {
+pub enum Fault {
     None,
     /// A suspected member is not counted.
     UncountedSuspect,
@@ -86,21 +85,21 @@
 
 /// The protocol within bounds.
 #[derive(Clone, Copy, Debug)]
-struct Membership {
-    fault: Fault,
-    losses: u8,
-    restarts: u8,
-    partitions: bool,
+pub struct Membership {
+    pub fault: Fault,
+    pub losses: u8,
+    pub restarts: u8,
+    pub partitions: bool,
     /// A node may stop.
-    stops: bool,
+    pub stops: bool,
     /// A packet may be delayed.
-    delays: bool,
+    pub delays: bool,
     /// The time at which the exploration ends.
-    end: i64,
+    pub end: i64,
 }
 
 /// No fault, for no time.
-const NO_FAULTS: Membership = Membership {
+pub const NO_FAULTS: Membership = Membership {
     fault: Fault::None,
     losses: 0,
     restarts: 0,
@@ -170,7 +169,7 @@
     }
 
     /// A state in which all nodes are settled.
-    fn settled() -> State {
+    pub fn settled() -> State {
         let node = |i| Node::new(address(i), 1, (0..NODES).map(address).collect(), limits(), 7 + i as u64, 0);
         let mut state = State {
             now: 0,
@@ -236,6 +235,15 @@
     }
 }
 
+/// The properties that hold in all states.
+pub const SAFETY_PROPERTIES: [&str; 5] = [
+    "no node acts on fewer members than exist",
+    "no two settled nodes have the same index",
+    "no node acts on more members than exist",
+    "nobody refutes on behalf of a stopped node",
+    "a member that left is not counted once all know",
+];
+
 impl Model for Membership {
     type State = State;
     type Action = Action;
@@ -377,86 +385,3 @@
         ]
     }
 }
-
-/// Only both orders of delivery, for a number of periods.
-fn plain(periods: i64) -> Membership {
-    let end = Membership::settled().now + periods * PERIOD;
-    Membership { end, ..NO_FAULTS }
-}
-
-/// Explores a number of states and returns the properties with a discovery; no safety property may be violated.
-fn explored(model: Membership, states: usize, deep: bool) -> Vec<&'static str> {
-    let description = format!("{model:?}");
-    let checker = model.checker().target_state_count(states).threads(2);
-    let checker: Box<dyn Checker<Membership>> =
-        if deep { Box::new(checker.spawn_dfs().join()) } else { Box::new(checker.spawn_bfs().join()) };
-    let (all, unique, depth) = (checker.state_count(), checker.unique_state_count(), checker.max_depth());
-    eprintln!("{description}: {all} states, {unique} of them unique, depth {depth}");
-    for property in SAFETY_PROPERTIES {
-        let found = checker.discovery(property).map(|p| p.into_actions());
-        assert!(found.is_none(), "{property}: {found:?}");
-    }
-    assert!(unique > 1_000);
-    checker.discoveries().into_keys().collect()
-}
-
-#[test]
-fn no_node_acts_on_too_few_members_with_losses_and_duplicates() {
-    explored(Membership { losses: 4, ..plain(9) }, 60_000, false);
-}
-
-/// A node cannot receive or cannot send for some time, whenever it begins.
-#[test]
-fn no_node_acts_on_too_few_members_in_one_way_partitions() {
-    let seen = explored(Membership { partitions: true, ..plain(24) }, 120_000, false);
-    for wanted in ["a member is suspected", "a suspicion is refuted"] {
-        assert!(seen.contains(&wanted), "the bounds are too narrow for: {wanted}; {seen:?}");
-    }
-}
-
-#[test]
-fn no_node_acts_on_too_few_members_when_a_node_restarts() {
-    let seen = explored(Membership { restarts: 1, ..plain(9) }, 60_000, false);
-    assert!(seen.contains(&"a restarted node has settled"), "the bounds are too narrow: {seen:?}");
-}
-
-/// A node leaves or is killed at any time, while a packet is lost and packets arrive in either order.
-#[test]
-fn a_member_that_left_is_not_counted_and_a_killed_one_is() {
-    let seen = explored(Membership { losses: 1, stops: true, ..plain(18) }, 120_000, false);
-    for wanted in ["a killed member is declared dead", "a leave reached all nodes"] {
-        assert!(seen.contains(&wanted), "the bounds are too narrow for: {wanted}; {seen:?}");
-    }
-    // And a delayed packet, at any time.
-    let seen = explored(Membership { stops: true, delays: true, ..plain(18) }, 120_000, true);
-    assert!(seen.contains(&"a leave reached all nodes"), "the bounds are too narrow: {seen:?}");
-}
-
-const SAFETY_PROPERTIES: [&str; 5] = [
-    "no node acts on fewer members than exist",
-    "no two settled nodes have the same index",
-    "no node acts on more members than exist",
-    "nobody refutes on behalf of a stopped node",
-    "a member that left is not counted once all know",
-];
-
-#[test]
-fn each_planted_fault_violates_its_property() {
-    let faulty = [
-        (Membership { fault: Fault::UncountedSuspect, partitions: true, ..plain(24) }, SAFETY_PROPERTIES[0]),
-        (Membership { fault: Fault::DuplicateIndex, ..plain(24) }, SAFETY_PROPERTIES[1]),
-        (
-            Membership { fault: Fault::StaleRefutation, stops: true, delays: true, ..plain(24) },
-            SAFETY_PROPERTIES[3],
-        ),
-        (
-            Membership { fault: Fault::UndoneLeave, stops: true, delays: true, ..plain(24) },
-            SAFETY_PROPERTIES[4],
-        ),
-    ];
-    for (model, property) in faulty {
-        let fault = model.fault;
-        let checker = model.checker().target_state_count(200_000).threads(1).spawn_dfs().join();
-        assert!(checker.discovery(property).is_some(), "{fault:?} does not violate `{property}`");
-    }
-}
