--- a/crates/invariant-check/src/gather.rs
+++ b/crates/invariant-check/src/gather.rs
@@ -7,8 +7,8 @@
 use wheelfield_capture::RecordedInput;
 use wheelfield_driver::{Answer, AttemptId, Driver, Input, Instruction};
 use wheelfield_invariants::{Asked, End, Life, Line, NotUp, OfClass};
-use wheelfield_replay::words::Names;
-use wheelfield_replay::{ReplayError, Step, Verdict};
+use wheelfield_replay::describe::Names;
+use wheelfield_replay::{ReplayError, ReplayedStep, Step, Verdict};
 
 /// A controller that was told to wake at a time, and took its next step so much later, stood still, in microseconds.
 const STOOD_STILL: i64 = 20_000;
@@ -65,8 +65,8 @@
     ) -> Result<Option<Verdict>, ReplayError> {
         // Names of engines come as they become known; a line needs them from the start.
         let mut player = open(path)?;
-        while player.feed()?.is_some() {}
-        let Some(start) = player.start.clone() else { return Ok(Some(player.verdict())) };
+        while player.next_step()?.is_some() {}
+        let Some(start) = player.start.clone() else { return Ok(Some(player.into_verdict())) };
         let names = Names { engines: player.engines.clone(), classes: start.classes.clone() };
         let same = |a: &Settings, b: &Settings| {
             let plain = |s: &Settings| Settings { gateway_index: 0.0, zone: None, ..s.clone() };
@@ -93,10 +93,10 @@
         };
         let mut player = open(path)?;
         let (mut last, mut losses, mut due): (Option<Micros>, usize, Option<Micros>) = (None, 0, None);
-        while let Some((step, _, _)) = player.feed()? {
+        while let Some(ReplayedStep { recorded: step, .. }) = player.next_step()? {
             let lost = player.losses();
             if last.is_none() || lost > losses {
-                run.lives_on(step.at, last, matches!(step.told, RecordedInput::Input(Input::Started)));
+                run.lives_on(step.at, last, matches!(step.input, RecordedInput::Input(Input::Started)));
                 losses = lost;
                 due = None;
             }
@@ -115,7 +115,7 @@
         if let (Some(last), Some(life)) = (last, run.all.lives.last_mut()) {
             life.killed = Some(last.0);
         }
-        Ok(Some(player.verdict()))
+        Ok(Some(player.into_verdict()))
     }
 
     /// Ends the gathering: lines in order, and queries that nothing can be said of left out.
@@ -220,9 +220,9 @@
 
     /// Takes a step; `driver` stands behind it.
     fn step(&mut self, step: &Step, driver: &Driver) {
-        match &step.told {
+        match &step.input {
             RecordedInput::Arrive { arrival, .. } | RecordedInput::ArriveAs { arrival, .. } => {
-                if let Some(query) = step.taken {
+                if let Some(query) = step.accepted {
                     self.queries.insert(query, self.all.asked.len());
                     let name = self.id(query);
                     self.all.asked.push(Asked {
@@ -263,7 +263,7 @@
                     self.works(class, *work);
                 }
                 let answered =
-                    step.out.iter().any(|i| matches!(i, Instruction::Answer(q, _) if *q == attempt.query));
+                    step.answer.iter().any(|i| matches!(i, Instruction::Answer(q, _) if *q == attempt.query));
                 if *outcome == Outcome::Served
                     && !answered
                     && self.open(attempt.query)
@@ -275,7 +275,7 @@
             RecordedInput::Input(Input::Abandoned(query)) => self.ended(*query, step.at, End::Left),
             _ => {}
         }
-        for instruction in &step.out {
+        for instruction in &step.answer {
             match instruction {
                 Instruction::Start { attempt, engine, .. } => {
                     self.attempts.insert(*attempt, *engine);
--- a/crates/invariant-check/src/lib.rs
+++ b/crates/invariant-check/src/lib.rs
@@ -74,7 +74,7 @@
             .file(file, &mut settings)
             .map_err(|fault| CheckError::Replay { file: file.clone(), fault })?
             .ok_or_else(|| CheckError::Differs(file.clone()))?;
-        if !verdict.unvouched.is_empty() || verdict.torn_after.is_some() {
+        if !verdict.unverified.is_empty() || verdict.truncated_after.is_some() {
             checked.unvouched.push((file.clone(), verdict));
         }
     }
--- a/crates/invariant-check/src/main.rs
+++ b/crates/invariant-check/src/main.rs
@@ -113,10 +113,10 @@
 fn unvouched(checked: &Checked) -> Vec<String> {
     let mut lines = Vec::new();
     for (file, verdict) in &checked.unvouched {
-        for (from, to) in &verdict.unvouched {
+        for wheelfield_replay::UnverifiedSpan { after_step: from, to_step: to } in &verdict.unverified {
             lines.push(format!("{}: records are lost between steps {from} and {to}", file.display()));
         }
-        if let Some(step) = verdict.torn_after {
+        if let Some(step) = verdict.truncated_after {
             lines.push(format!("{}: torn after step {step}", file.display()));
         }
     }
--- /dev/null
+++ b/crates/replay/src/commands/stats.rs
@@ -0,0 +1,92 @@
+//! `stats`: counts and sizes of a capture.
+
+use super::{open_over_gaps, Outcome};
+use anyhow::Result;
+use std::collections::BTreeMap;
+use std::path::Path;
+use wheelfield::interface::Micros;
+use wheelfield_capture::{Header, Reader, RecordedInput, Start};
+use wheelfield_driver::{Input, Instruction};
+use wheelfield_replay::Step;
+
+/// Counts of a capture's steps.
+#[derive(Default)]
+struct Stats {
+    steps: u64,
+    first_at: Option<Micros>,
+    last_at: Micros,
+    inputs: BTreeMap<&'static str, u64>,
+    instructions: BTreeMap<&'static str, u64>,
+}
+
+impl Stats {
+    fn add(&mut self, step: &Step) {
+        self.steps += 1;
+        self.first_at = self.first_at.or(Some(step.at));
+        self.last_at = step.at;
+        *self.inputs.entry(input_kind(&step.input)).or_default() += 1;
+        for instruction in &step.answer {
+            *self.instructions.entry(instruction_kind(instruction)).or_default() += 1;
+        }
+    }
+
+    fn print(&self, headers: &[Header], start: Option<&Start>) {
+        let compressed: u64 = headers.iter().map(|header| u64::from(header.compressed_bytes)).sum();
+        let raw: u64 = headers.iter().map(|header| u64::from(header.raw_bytes)).sum();
+        let span = self.first_at.map_or(0.0, |first| (self.last_at - first).as_secs_f64());
+        if let Some(Start { build, index, settings, seed, .. }) = start {
+            println!("{build} controller {index} of {}, seed {seed}", settings.gateway_count);
+        }
+        let (steps, blocks) = (self.steps, headers.len());
+        println!("{steps} steps over {span:.1} s in {blocks} blocks: {compressed} bytes, {raw} unpacked");
+        let arrivals = self.inputs.get("arrivals").copied().unwrap_or(0).max(1);
+        println!("{:.0} bytes a query", compressed as f64 / arrivals as f64);
+        println!("told:     {:?}", self.inputs);
+        println!("answered: {:?}", self.instructions);
+    }
+}
+
+/// Prints counts and sizes of a capture.
+pub fn print_stats(file: &Path) -> Result<Outcome> {
+    let headers = Reader::open(file)?.headers()?;
+    let mut player = open_over_gaps(file)?;
+    let mut stats = Stats::default();
+    while let Some(step) = player.next_step()? {
+        stats.add(&step.recorded);
+    }
+    stats.print(&headers, player.start.as_ref());
+    Ok(Outcome::Done)
+}
+
+fn input_kind(input: &RecordedInput) -> &'static str {
+    match input {
+        RecordedInput::Arrive { .. } | RecordedInput::ArriveAs { .. } => "arrivals",
+        RecordedInput::Due | RecordedInput::Woke(_) => "time passed",
+        RecordedInput::Input(input) => match input {
+            Input::AttemptEnded { .. } | Input::AttemptMeasured { .. } => "endings",
+            Input::AttemptUpdated(..) => "notes",
+            Input::Dispatched(_) => "written",
+            Input::AnswerStarted(_) => "answers begun",
+            Input::Engines { .. } | Input::ListUnavailable => "engine lists",
+            Input::Abandoned(_) => "departures",
+            Input::ShutdownDeadline(_) => "times up",
+            Input::ProbeEnded { .. } => "probes",
+            Input::PeerReports(_) => "messages",
+            Input::Started => "starts",
+            Input::GatewayCountChanged { .. } => "numbers of controllers",
+        },
+    }
+}
+
+fn instruction_kind(instruction: &Instruction) -> &'static str {
+    match instruction {
+        Instruction::Start { .. } => "sends",
+        Instruction::Cancel(_) => "withdrawals",
+        Instruction::Answer(..) => "answers",
+        Instruction::SetOptions(..) => "terms",
+        Instruction::Probe(_) => "probes",
+        Instruction::ShareReports(_) => "messages",
+        Instruction::Subscribe => "list asked for",
+        Instruction::Log(_) => "log lines",
+    }
+}
--- a/crates/replay/src/rewrite.rs
+++ b/crates/replay/src/rewrite.rs
@@ -1,6 +1,6 @@
 //! Captures made of captures: a shorter one that still replays, and one without names.
 
-use crate::{feed, Options, Player, ReplayError};
+use crate::{feed, Options, Player, ReplayError, ReplayedStep, Snapshots};
 use std::collections::BTreeMap;
 use std::path::Path;
 use wheelfield::interface::Micros;
@@ -49,10 +49,10 @@
 /// [`RewriteError`].
 pub fn cut(file: &Path, from: Micros, to: Micros, out: &Path) -> Result<u64, RewriteError> {
     let mut player = Player::open(file, Options::default())?;
-    player.keep_all = true;
+    player.snapshots = Snapshots::BeforeEveryStep;
     let (mut recorder, mut kept): (Option<Recorder>, u64) = (None, 0);
     let mut last = from;
-    while let Some((step, _, _)) = player.feed()? {
+    while let Some(ReplayedStep { recorded: step, .. }) = player.next_step()? {
         if step.at < from {
             continue;
         }
@@ -60,7 +60,7 @@
             break;
         }
         if recorder.is_none() {
-            let (Some(start), Some(before)) = (&player.start, player.before()) else {
+            let (Some(start), Some(before)) = (&player.start, player.snapshot()) else {
                 return Err(RewriteError::Empty);
             };
             recorder = Some(Recorder::begin(out, start.clone(), unhurried(), before, step.at)?);
@@ -69,7 +69,7 @@
             if kept == 0 {
                 recorder.engines(step.at, player.engines.iter().cloned());
             }
-            recorder.step(step.at, &step.told, step.taken, &step.out);
+            recorder.step(step.at, &step.input, step.accepted, &step.answer);
             if let Some(driver) = player.driver() {
                 recorder.tend(driver, step.at);
             }
@@ -107,10 +107,10 @@
     let mut keys = Pseudonyms { prefix: "key", known: BTreeMap::new() };
     let mut state: Option<(Driver, Recorder)> = None;
     let (mut steps, mut last) = (0, Micros(0));
-    while let Some((step, _, _)) = player.feed()? {
+    while let Some(ReplayedStep { recorded: step, .. }) = player.next_step()? {
         if state.is_none() {
             let Some(start) = &player.start else { return Err(RewriteError::Middle) };
-            if !matches!(step.told, RecordedInput::Input(wheelfield_driver::Input::Started)) {
+            if !matches!(step.input, RecordedInput::Input(wheelfield_driver::Input::Started)) {
                 return Err(RewriteError::Middle);
             }
             let mut start = start.clone();
@@ -121,7 +121,7 @@
             state = Some((driver, recorder));
         }
         let Some((driver, recorder)) = &mut state else { return Err(RewriteError::Empty) };
-        let told = match step.told {
+        let told = match step.input {
             RecordedInput::Arrive { mut arrival, label } => {
                 arrival.key = arrival.key.map(|k| keys.of(&k));
                 RecordedInput::Arrive { arrival, label: labels.of(&label) }
@@ -134,7 +134,7 @@
         };
         let mut answered = Vec::new();
         let taken = feed(driver, step.at, &told, &mut answered);
-        if answered != step.out || taken != step.taken {
+        if answered != step.answer || taken != step.accepted {
             return Err(RewriteError::Decides(step.number));
         }
         recorder.engines(step.at, player.engines.iter().cloned());
--- a/crates/replay/src/shadow.rs
+++ b/crates/replay/src/shadow.rs
@@ -4,7 +4,7 @@
 //! told of the first one's attempts means nothing to the second; its books drop it by number. The further they part, the
 //! less the second side tells of what would have happened; what is certain is the first decision that differs.
 
-use crate::{feed, Options, Player, ReplayError, Step};
+use crate::{feed, Options, Player, ReplayError, ReplayedStep};
 use std::collections::BTreeMap;
 use std::path::Path;
 use wheelfield::interface::{QueryId, Settings};
@@ -126,7 +126,6 @@
 }
 
 fn decided(
-    step: &Step,
     taken: Option<QueryId>,
     out: &[Instruction],
     name: &impl Fn(wheelfield::interface::EngineId) -> String,
@@ -134,7 +133,6 @@
     if taken.is_none() {
         return Decided::CapacityExceeded;
     }
-    let _ = step;
     for i in out {
         match i {
             Instruction::Start { attempt, engine, .. } if Some(attempt.query) == taken => {
@@ -158,26 +156,26 @@
     let mut player = Player::open(path, Options::default())?;
     let mut shadow: Option<Driver> = None;
     let mut comparison = Comparison::default();
-    while let Some((step, taken, out)) = player.feed()? {
+    while let Some(ReplayedStep { recorded: step, accepted, answer }) = player.next_step()? {
         if shadow.is_none() {
             let Some(start) = &player.start else { return Err(ReplayError::NoStart) };
             shadow = Some(Driver::new(alter(&start.settings), start.seed, start.bounds));
         }
         let Some(shadow) = &mut shadow else { return Err(ReplayError::NoStart) };
         let mut other = Vec::new();
-        let other_taken = feed(shadow, step.at, &step.told, &mut other);
-        if let Some((arrival, label)) = step.told.arrival() {
+        let other_taken = feed(shadow, step.at, &step.input, &mut other);
+        if let Some((arrival, label)) = step.input.arrival() {
             comparison.arrivals += 1;
             let name = |id| {
                 let known = player.engines.iter().find(|(e, _)| *e == id);
                 known.map_or_else(|| format!("{id:?}"), |(_, name)| name.clone())
             };
-            let (was, now) = (decided(&step, taken, &out, &name), decided(&step, other_taken, &other, &name));
+            let (was, now) = (decided(accepted, &answer, &name), decided(other_taken, &other, &name));
             if was != now {
                 let class = arrival.class;
                 *comparison.table.entry((class, was.clone(), now.clone())).or_default() += 1;
                 let altered =
-                    Altered { step: step.number, query: taken, label: label.to_string(), class, was, now };
+                    Altered { step: step.number, query: accepted, label: label.to_string(), class, was, now };
                 comparison.altered.push(altered);
             }
         }
--- a/crates/replay/tests/captures.rs
+++ b/crates/replay/tests/captures.rs
@@ -125,8 +125,10 @@
     let verdict = run(&clean, Options::default()).expect("whole");
     assert!(verdict.equal() && verdict.steps == steps);
     let mut player = wheelfield_replay::Player::open(&clean, Options::default()).expect("whole");
-    while let Some((step, _, _)) = player.feed().expect("whole") {
-        if let RecordedInput::Arrive { label, .. } = step.told {
+    while let Some(wheelfield_replay::ReplayedStep { recorded: step, .. }) =
+        player.next_step().expect("whole")
+    {
+        if let RecordedInput::Arrive { label, .. } = step.input {
             assert!(label.starts_with('q'), "{label}");
         }
     }
@@ -332,7 +334,7 @@
     );
     let verdict = run(&path, Options { over_gaps: true, from: None }).expect("readable");
     assert!(verdict.equal(), "{:?}", verdict.difference);
-    assert!(!verdict.unvouched.is_empty(), "and it says from where on it can't vouch");
+    assert!(!verdict.unverified.is_empty(), "and it says from where on it can't vouch");
     verdict
 }
 
--- a/crates/replay/tests/ring.rs
+++ b/crates/replay/tests/ring.rs
@@ -36,7 +36,7 @@
 fn equal(path: &Path) -> Verdict {
     let verdict = run(path, Options::default()).expect("whole");
     assert!(verdict.equal(), "{verdict:?}");
-    assert!(verdict.torn_after.is_none());
+    assert!(verdict.truncated_after.is_none());
     verdict
 }
 
