--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -30,7 +30,3 @@
 pub use recorder::{Limits, Recorder, State};
 pub use ring::RingLimits;
 pub use triggers::{Reason, TriggerDetector, Triggers};
-
-/// Earlier name, which `wheelfield-recorder` still uses.
-#[doc(hidden)]
-pub use RecordedInput as Told;
--- a/crates/platform/src/bootstrap.rs
+++ b/crates/platform/src/bootstrap.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use wheelfield::interface::{EngineEntry, Micros, Settings, Status};
-use wheelfield_settings::{Names, SettingsError};
+use wheelfield_settings::{parse_settings, Names, SettingsError};
 
 /// Why a configuration can't be used.
 #[derive(Debug, thiserror::Error)]
@@ -123,9 +123,9 @@
     /// The executor as the policy takes it. Its name is added to `names`.
     pub fn to_entry(&self, names: &mut Names) -> EngineEntry {
         EngineEntry {
-            engine: names.engine(&self.name),
-            zone: names.zone(&self.zone),
-            kind: names.kind(&self.kind),
+            engine: names.register_engine(&self.name),
+            zone: names.zone_position(&self.zone),
+            kind: names.kind_position(&self.kind),
             cell: self.cell,
             status: self.status,
             started_at: self.started_at,
@@ -255,7 +255,7 @@
     /// [`BootstrapError`] if it can't be used.
     pub fn parse(text: &str) -> Result<BootstrapConfig, BootstrapError> {
         let file: ConfigFile = serde_json::from_str(text)?;
-        let (names, settings) = Names::settings(&file.settings)?;
+        let (names, settings) = parse_settings(&file.settings)?;
         if names.classes.is_empty() || names.classes.iter().any(String::is_empty) {
             return Err(BootstrapError::Classes);
         }
--- a/crates/platform/src/executors/responses.rs
+++ b/crates/platform/src/executors/responses.rs
@@ -9,7 +9,7 @@
 use tracing::debug;
 use wheelfield::interface::{AttemptUpdate, LoadReport, Outcome};
 use wheelfield_sans_io::{ConnId, EffectQueue};
-use wheelfield_settings::take_figure;
+use wheelfield_settings::set_load_metric;
 
 /// What a response means to the attempt it belongs to.
 enum ResponseEffect {
@@ -218,7 +218,7 @@
         let Some((name, value)) = pair.split_once(':') else { continue };
         let Ok(value) = value.parse::<f64>() else { continue };
         if value.is_finite() {
-            take_figure(&mut report, name, value);
+            set_load_metric(&mut report, name, value);
         }
     }
     report
--- a/crates/platform/src/peers.rs
+++ b/crates/platform/src/peers.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 use wheelfield::interface::{EngineId, PeerLoadReport};
-use wheelfield_settings::{message, words, LONGEST_MESSAGE};
+use wheelfield_settings::{decode_load_reports, encode_load_reports, MAX_MESSAGE_BYTES};
 
 /// The other controllers.
 #[derive(Debug, Default)]
@@ -21,7 +21,7 @@
 
     /// Encodes a message of load reports.
     pub fn encode(&self, reports: &[PeerLoadReport]) -> Vec<u8> {
-        message(reports)
+        encode_load_reports(reports)
     }
 
     /// The addresses that a message is sent to.
@@ -40,9 +40,9 @@
         known_engines: impl Iterator<Item = &'a EngineId> + Clone,
         datagram: &[u8],
     ) -> Option<Vec<PeerLoadReport>> {
-        if !self.others.contains(&from) || datagram.len() > LONGEST_MESSAGE {
+        if !self.others.contains(&from) || datagram.len() > MAX_MESSAGE_BYTES {
             return None;
         }
-        Some(words(known_engines, datagram)).filter(|reports| !reports.is_empty())
+        Some(decode_load_reports(known_engines, datagram)).filter(|reports| !reports.is_empty())
     }
 }
--- a/crates/recorder/src/recording_driver.rs
+++ b/crates/recorder/src/recording_driver.rs
@@ -3,7 +3,7 @@
 use crate::DecisionEngine;
 use std::collections::VecDeque;
 use wheelfield::interface::{EngineId, Micros, QueryId};
-use wheelfield_capture::{Recorder, State, Told};
+use wheelfield_capture::{RecordedInput, Recorder, State};
 use wheelfield_driver::{Arrival, CapacityExceeded, Input, Instruction};
 
 /// The one path from a controller to what decides in it. Whatever takes it is recorded, where a capture is wanted.
@@ -24,7 +24,7 @@
 
     /// Hands in something that happened.
     pub fn handle_input(&mut self, now: i64, input: Input) {
-        let recorded = self.recorder.is_some().then(|| Told::Input(input.clone()));
+        let recorded = self.recorder.is_some().then(|| RecordedInput::Input(input.clone()));
         self.engine.handle_input(Micros(now), input, &mut self.fresh);
         self.finish_step(now, recorded, None);
     }
@@ -34,7 +34,7 @@
     /// # Errors
     /// [`CapacityExceeded`] when as many queries are held as may be.
     pub fn submit(&mut self, now: i64, arrival: Arrival, label: &str) -> Result<QueryId, CapacityExceeded> {
-        let record = || Told::Arrive { arrival: arrival.clone(), label: label.to_string() };
+        let record = || RecordedInput::Arrive { arrival: arrival.clone(), label: label.to_string() };
         let recorded = self.recorder.is_some().then(record);
         let submitted = self.engine.submit(Micros(now), arrival, &mut self.fresh);
         self.finish_step(now, recorded, submitted.ok());
@@ -44,12 +44,12 @@
     /// Lets the time pass.
     pub fn handle_timers(&mut self, now: i64) {
         if self.engine.handle_timers(Micros(now), &mut self.fresh) {
-            self.finish_step(now, Some(Told::Due), None);
+            self.finish_step(now, Some(RecordedInput::Due), None);
         }
     }
 
     /// Records a step, and keeps its instructions until they are taken.
-    fn finish_step(&mut self, now: i64, recorded: Option<Told>, submitted: Option<QueryId>) {
+    fn finish_step(&mut self, now: i64, recorded: Option<RecordedInput>, submitted: Option<QueryId>) {
         if let (Some(recorder), Some(told)) = (&mut self.recorder, recorded) {
             recorder.step(Micros(now), &told, submitted, &self.fresh);
             self.maintain_capture(now);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -13,10 +13,3 @@
 pub use names::{engine_id, position, Names};
 pub use parse::{parse_settings, SettingsError};
 pub use peer_message::{decode_load_reports, encode_load_reports, MAX_MESSAGE_BYTES};
-
-// Earlier names, which `wheelfield-platform` still uses.
-#[doc(hidden)]
-pub use {
-    decode_load_reports as words, encode_load_reports as message, set_load_metric as take_figure,
-    MAX_MESSAGE_BYTES as LONGEST_MESSAGE,
-};
--- a/crates/settings/src/names.rs
+++ b/crates/settings/src/names.rs
@@ -43,26 +43,6 @@
     }
 }
 
-/// Earlier names, which `wheelfield-platform` still uses.
-#[doc(hidden)]
-impl Names {
-    pub fn settings(value: &Value) -> Result<(Names, Settings), SettingsError> {
-        parse_settings(value)
-    }
-
-    pub fn engine(&mut self, name: &str) -> EngineId {
-        self.register_engine(name)
-    }
-
-    pub fn zone(&self, name: &str) -> usize {
-        self.zone_position(name)
-    }
-
-    pub fn kind(&self, name: &str) -> usize {
-        self.kind_position(name)
-    }
-}
-
 /// The position of a name in a list.
 pub fn position(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|n| n == name)
