--- a/crates/settings/src/names.rs
+++ b/crates/settings/src/names.rs
@@ -1,9 +1,7 @@
 //! The operators' names and the numbers that the policy uses in their place.
 
-use crate::{parse_settings, SettingsError};
-use serde_json::Value;
 use std::collections::BTreeMap;
-use wheelfield::interface::{EngineId, Settings};
+use wheelfield::interface::EngineId;
 
 /// Initial value and factor of the FNV-1a hash.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
