--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,17 +1,20 @@
-//! The configuration of a controller: TOML in, checked settings out.
+//! The configuration of a controller: reads TOML and returns validated settings.
 //!
-//! Nothing is guessed: an unknown key, a time without a unit, a name that nothing bears or two keys that contradict
-//! each other is a [`Fault`] with its file, line, column, what is wrong and how to mend it.
+//! Nothing is guessed. An unknown key, a time without a unit, a reference to an undefined name and two keys that
+//! contradict each other are each reported as a [`Fault`] with the file, the line, the column, what is wrong
+//! and how to correct it.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod check;
 mod fault;
 mod file;
+mod model;
 pub mod units;
+mod validate;
 
-pub use check::{
-    engine_id, parse, Capture, Config, EngineAt, Gossip, Limits, Members, Names, Peers, Refresh, Registry,
-    Ring, Route, Selector, Timing, Words,
-};
 pub use fault::{locate, Fault};
+pub use model::{
+    engine_id, Capture, Config, EngineAt, Gossip, Limits, Members, Names, Peers, Refresh, Registry, Ring,
+    Route, Selector, Timing, Words,
+};
+pub use validate::parse;
--- /dev/null
+++ b/crates/config/src/validate/capture.rs
@@ -0,0 +1,64 @@
+//! `[capture]`: the recording of the driver's inputs and outputs.
+
+use super::source::{seconds, Checked, Source};
+use crate::file::{self, CaptureMode};
+use crate::model::{Capture, Ring};
+use crate::units::Size;
+use toml::Spanned;
+
+const MIN_BYTES: u64 = 1 << 20;
+const DEFAULT_SEGMENT_BYTES: u64 = 256 << 20;
+const DEFAULT_KEPT_BYTES: u64 = 4 << 30;
+const DEFAULT_RING_BYTES: u64 = 64 << 20;
+const DEFAULT_QUEUED_BLOCKS: usize = 64;
+const DEFAULT_REFUSED_FRACTION: f64 = 0.3;
+
+/// All keys are checked in each mode; the result is none where the capture is off.
+pub(super) fn validate(source: &Source<'_>, section: &file::Capture) -> Checked<Option<Capture>> {
+    let file_name = section.file.get_ref();
+    if !file_name.ends_with(".wfcap") {
+        let fault = format!("a capture named `{file_name}`");
+        return Err(source.error(&section.file, fault, "let its name end in .wfcap"));
+    }
+    let ring = validate_ring(source, section)?;
+    let capture = Capture {
+        file: file_name.into(),
+        segment: size_or(source, section.segment.as_ref(), DEFAULT_SEGMENT_BYTES)?,
+        keep: size_or(source, section.keep.as_ref(), DEFAULT_KEPT_BYTES)?,
+        checkpoint: source.time_or(section.checkpoint.as_ref(), seconds(60), "checkpoint")?,
+        sync: source.time_or(section.sync.as_ref(), seconds(1), "sync")?,
+        queue: match &section.queue {
+            Some(blocks) => (*blocks.get_ref()).clamp(2, 65_536) as usize,
+            None => DEFAULT_QUEUED_BLOCKS,
+        },
+        ring: (section.mode == CaptureMode::Ring).then_some(ring),
+    };
+    if capture.ring.is_none() && capture.keep < capture.segment {
+        let mend = "make `keep` at least `segment`";
+        return Err(source.error(&section.file, "`keep` is less than one file", mend));
+    }
+    Ok((section.mode != CaptureMode::Off).then_some(capture))
+}
+
+fn validate_ring(source: &Source<'_>, section: &file::Capture) -> Checked<Ring> {
+    let triggers = &section.triggers;
+    let refusals_mend = "write one from 0 to 1; 1 is never reached";
+    Ok(Ring {
+        memory: size_or(source, section.memory.as_ref(), DEFAULT_RING_BYTES)?,
+        span: source.time_or(section.span.as_ref(), seconds(600), "span")?,
+        set_aside: triggers.set_aside.unwrap_or(true),
+        refusals: source.fraction_or(triggers.refusals.as_ref(), DEFAULT_REFUSED_FRACTION, refusals_mend)?,
+        window: source.time_or(triggers.window.as_ref(), seconds(10), "window")?,
+        stall: source.time_or(triggers.stall.as_ref(), seconds(1), "stall")?,
+        after: source.time_or(triggers.after.as_ref(), seconds(5), "after")?,
+        rest: source.time_or(triggers.rest.as_ref(), seconds(300), "rest")?,
+    })
+}
+
+fn size_or(source: &Source<'_>, at: Option<&Spanned<Size>>, default: u64) -> Checked<u64> {
+    match at {
+        None => Ok(default),
+        Some(at) if at.get_ref().0 >= MIN_BYTES => Ok(at.get_ref().0),
+        Some(at) => Err(source.error(at, "under a megabyte", "write at least \"1MB\"")),
+    }
+}
--- /dev/null
+++ b/crates/config/src/validate/controller.rs
@@ -0,0 +1,34 @@
+//! `[controller]`: this controller's place among the others.
+
+use super::source::{Checked, Source};
+use crate::file;
+use crate::model::Names;
+
+/// This controller's place among the others.
+pub(super) struct Position {
+    /// Its number, from 0.
+    pub index: u32,
+    /// The number of controllers.
+    pub count: u32,
+    /// Its zone, by position.
+    pub zone: Option<usize>,
+}
+
+pub(super) fn validate(
+    source: &Source<'_>,
+    controller: &file::Controller,
+    names: &Names,
+) -> Checked<Position> {
+    let count = controller.count.as_ref().map_or(1, |count| *count.get_ref());
+    let index = controller.index.as_ref().map_or(0, |index| *index.get_ref());
+    if let Some(at) = controller.count.as_ref().filter(|_| count == 0) {
+        return Err(source.error(at, "no controller at all", "write at least 1"));
+    }
+    if let Some(at) = controller.index.as_ref().filter(|_| index >= count) {
+        let fault = format!("`index` is {index}, but `count` is {count}");
+        let mend = "count controllers from 0, and tell in `count` how many there are";
+        return Err(source.error(at, fault, mend));
+    }
+    let zone = controller.zone.as_ref().map(|zone| source.index_of_name(&names.zones, zone, "zone"));
+    Ok(Position { index, count, zone: zone.transpose()? })
+}
--- /dev/null
+++ b/crates/config/src/validate/fleet.rs
@@ -0,0 +1,52 @@
+//! `[fleet]`: the zones and the kinds of machine.
+
+use super::source::{Checked, Source};
+use crate::file;
+use crate::model::Names;
+use toml::Spanned;
+
+const BYTES_PER_MB: f64 = 1_048_576.0;
+const MIN_MEMORY_MB: f64 = 64.0;
+
+/// The size of each kind of machine, by the position of the kind.
+#[derive(Default)]
+pub(super) struct Machines {
+    pub cores: Vec<f64>,
+    pub memory_mb: Vec<f64>,
+}
+
+/// Adds the names of zones and kinds to `names`, and returns the sizes of the kinds.
+pub(super) fn validate(source: &Source<'_>, fleet: &file::Fleet, names: &mut Names) -> Checked<Machines> {
+    for zone in &fleet.zones {
+        source.add_unique_name(&mut names.zones, zone, "zone")?;
+    }
+    let mut machines = Machines::default();
+    for kind in fleet.kinds.get_ref() {
+        add_kind(source, kind, names, &mut machines)?;
+    }
+    if names.kinds.is_empty() {
+        return Err(source.error(&fleet.kinds, "no kind of machine is named", "add [[fleet.kinds]]"));
+    }
+    Ok(machines)
+}
+
+fn add_kind(
+    source: &Source<'_>,
+    at: &Spanned<file::Kind>,
+    names: &mut Names,
+    machines: &mut Machines,
+) -> Checked<()> {
+    let kind = at.get_ref();
+    if names.kinds.contains(&kind.name) {
+        return Err(source.error(at, format!("two kinds are named `{}`", kind.name), "rename one"));
+    }
+    names.kinds.push(kind.name.clone());
+    machines.cores.push(source.number_in_range(&kind.cores, "cores", 1.0, 1024.0)?);
+    let memory_mb = kind.memory.get_ref().0 as f64 / BYTES_PER_MB;
+    if memory_mb < MIN_MEMORY_MB {
+        let fault = format!("an engine with {memory_mb} MB of memory");
+        return Err(source.error(&kind.memory, fault, "write at least \"64MB\""));
+    }
+    machines.memory_mb.push(memory_mb);
+    Ok(())
+}
--- /dev/null
+++ b/crates/config/src/validate/gossip.rs
@@ -0,0 +1,115 @@
+//! `[gossip]` and `[peers]`: how controllers find each other and exchange messages.
+
+use super::source::{milliseconds, seconds, Checked, Source};
+use crate::file::{self, File};
+use crate::model::{Gossip, Peers, Words};
+use crate::units::Size;
+use toml::Spanned;
+use wheelfield::interface::Micros;
+
+const MAX_SEEDS: usize = 64;
+const MAX_PEERS: usize = 4095;
+const MIN_PERIOD: Micros = milliseconds(10);
+/// A lower limit on messages, in bytes a second, would not let a single datagram pass.
+const MIN_MESSAGE_BYTES: u64 = 2_000;
+const DEFAULT_BYTES_TO_EACH: u64 = 16 << 10;
+const DEFAULT_BYTES_TO_ALL: u64 = 1 << 20;
+
+/// How messages between controllers are sent: with gossip, or to a fixed list of peers.
+pub(super) struct Messaging {
+    /// The limits of messages that gossip carries, if it carries any.
+    pub words: Option<Words>,
+    /// The other controllers, where there is no gossip.
+    pub peers: Option<Peers>,
+}
+
+/// `peer_messages` says whether controllers may send messages; it then needs `[gossip]` or `[peers]`.
+pub(super) fn validate_messaging(
+    source: &Source<'_>,
+    file: &File,
+    peer_messages: bool,
+) -> Checked<Messaging> {
+    let words = (file.gossip.is_some() && peer_messages)
+        .then(|| message_limits(source, file.peers.as_ref().map(Spanned::get_ref)))
+        .transpose()?;
+    // With gossip, messages arrive through it alone. The addresses under [peers] are not checked then: earlier
+    // versions read them from the same file.
+    let listed = file.peers.as_ref().filter(|_| file.gossip.is_none());
+    let peers = listed.map(|at| validate_peers(source, at)).transpose()?;
+    if peer_messages && peers.is_none() && file.gossip.is_none() {
+        let mend = "add [gossip] or [peers], or write messages = false under [means]";
+        return Err(source.error(&file.fleet, "controllers may send messages, but none is named", mend));
+    }
+    Ok(Messaging { words, peers })
+}
+
+/// Validates `[gossip]`; `words` limits the messages that it carries.
+pub(super) fn validate(source: &Source<'_>, section: &file::Gossip, words: Option<Words>) -> Checked<Gossip> {
+    let seeds = &section.seeds;
+    if seeds.len() > MAX_SEEDS {
+        let fault = format!("{} seeds", seeds.len());
+        return Err(source.error(&seeds[MAX_SEEDS], fault, "name at most 64; they tell of the others"));
+    }
+    let gossip = Gossip {
+        listen: source.loopback_address(&section.listen)?,
+        advertise: section.advertise.as_ref().map(|at| source.loopback_address(at)).transpose()?,
+        seeds: seeds.iter().map(|at| source.loopback_address(at)).collect::<Checked<Vec<_>>>()?,
+        keys: section.keys.get_ref().into(),
+        period: source.time_or(section.period.as_ref(), seconds(1), "period")?,
+        quorum: section.forget == file::Forget::Quorum,
+        hold: source.time_or(section.hold.as_ref(), seconds(600), "hold")?,
+        settle: source.time_or(section.settle.as_ref(), seconds(30), "settle")?,
+        words,
+    };
+    check_gossip(source, section, &gossip)?;
+    Ok(gossip)
+}
+
+fn check_gossip(source: &Source<'_>, section: &file::Gossip, gossip: &Gossip) -> Checked<()> {
+    if let Some(at) = section.period.as_ref().filter(|_| gossip.period < MIN_PERIOD) {
+        return Err(source.error(at, "a period under 10ms", "write one of 100ms to 10s"));
+    }
+    if let Some(at) = section.hold.as_ref().filter(|_| gossip.hold < gossip.period + gossip.period) {
+        let fault = "a member would be forgotten sooner than it can be missed";
+        return Err(source.error(at, fault, "make `hold` many times `period`"));
+    }
+    let has_no_port = gossip.advertise.is_some_and(|address| address.port() == 0);
+    if let Some(at) = section.advertise.as_ref().filter(|_| has_no_port) {
+        let mend = "write where others reach this one";
+        return Err(source.error(at, "an advertised address without a port", mend));
+    }
+    Ok(())
+}
+
+fn message_limits(source: &Source<'_>, section: Option<&file::Peers>) -> Checked<Words> {
+    let each = section.and_then(|peers| peers.most_each.as_ref());
+    let all = section.and_then(|peers| peers.most.as_ref());
+    Ok(Words {
+        each: bytes_per_second(source, each, DEFAULT_BYTES_TO_EACH)?,
+        all: bytes_per_second(source, all, DEFAULT_BYTES_TO_ALL)?,
+    })
+}
+
+fn bytes_per_second(source: &Source<'_>, at: Option<&Spanned<Size>>, default: u64) -> Checked<u64> {
+    match at {
+        Some(at) if at.get_ref().0 < MIN_MESSAGE_BYTES => {
+            Err(source.error(at, "less than a datagram a second", "write 2KB or more"))
+        }
+        Some(at) => Ok(at.get_ref().0),
+        None => Ok(default),
+    }
+}
+
+fn validate_peers(source: &Source<'_>, at: &Spanned<file::Peers>) -> Checked<Peers> {
+    let section = at.get_ref();
+    let Some(listen) = &section.listen else {
+        let mend = "add `listen`, or find the others by [gossip]";
+        return Err(source.error(at, "no address to listen at", mend));
+    };
+    let addresses = section.addresses.iter().map(|at| source.loopback_address(at));
+    let addresses = addresses.collect::<Checked<Vec<_>>>()?;
+    if addresses.len() > MAX_PEERS {
+        return Err(source.error(at, format!("{} peers", addresses.len()), "name at most 4095"));
+    }
+    Ok(Peers { listen: source.loopback_address(listen)?, addresses })
+}
--- /dev/null
+++ b/crates/config/src/validate/limits.rs
@@ -0,0 +1,45 @@
+//! `[limits]`: limits on numbers and sizes.
+
+use super::source::{Checked, Source};
+use crate::file;
+use crate::model::Limits;
+use crate::units::Size;
+use toml::Spanned;
+
+const MAX_BYTES: u64 = 1 << 30;
+
+pub(super) fn validate(source: &Source<'_>, limits: &file::Limits) -> Checked<Limits> {
+    let number = |at: &Option<Spanned<u32>>, default: u32, max: u32, key: &str| {
+        at.as_ref().map_or(Ok(default), |at| number_up_to(source, at, max, key))
+    };
+    let size = |at: &Option<Spanned<Size>>, default: usize, min: u64, key: &str| {
+        at.as_ref().map_or(Ok(default), |at| size_from(source, at, min, key))
+    };
+    Ok(Limits {
+        clients: number(&limits.clients, 12_000, 1_000_000, "clients")? as usize,
+        queries: number(&limits.queries, 20_000, 1_000_000, "queries")? as usize,
+        message: size(&limits.message, 1 << 20, 1024, "message")?,
+        statements: number(&limits.statements, 256, 100_000, "statements")? as usize,
+        prepared: size(&limits.prepared, 4 << 20, 4096, "prepared")?,
+        buffer: size(&limits.buffer, 256 << 10, 4096, "buffer")?,
+        sessions: number(&limits.sessions, 200, 100_000, "sessions")? as usize,
+        backlog: number(&limits.backlog, 1024, 65_535, "backlog")?,
+    })
+}
+
+fn number_up_to(source: &Source<'_>, at: &Spanned<u32>, max: u32, key: &str) -> Checked<u32> {
+    let number = *at.get_ref();
+    if (1..=max).contains(&number) {
+        return Ok(number);
+    }
+    Err(source.error(at, format!("`{key}` is {number}"), format!("write a number from 1 to {max}")))
+}
+
+fn size_from(source: &Source<'_>, at: &Spanned<Size>, min: u64, key: &str) -> Checked<usize> {
+    let bytes = at.get_ref().0;
+    if (min..=MAX_BYTES).contains(&bytes) {
+        return Ok(bytes as usize);
+    }
+    let mend = format!("write a size from {min} bytes to 1GB");
+    Err(source.error(at, format!("`{key}` is {bytes} bytes"), mend))
+}
--- /dev/null
+++ b/crates/config/src/validate/mod.rs
@@ -0,0 +1,96 @@
+//! Validation: turns the file as written into a consistent [`Config`], one module per section of the file.
+//!
+//! The sections are checked in a fixed order, and the first problem found is returned.
+
+mod capture;
+mod classes;
+mod controller;
+mod endpoints;
+mod fleet;
+mod gossip;
+mod limits;
+mod route;
+mod settings;
+mod source;
+mod timing;
+
+use crate::fault::Fault;
+use crate::file::{self, File};
+use crate::model::{Config, Names};
+use source::{Checked, Source};
+use std::net::SocketAddr;
+use toml::Spanned;
+use wheelfield::interface::Class;
+
+/// The address for clients where the file names none.
+const DEFAULT_LISTEN: ([u8; 4], u16) = ([127, 0, 0, 1], 6432);
+/// The user and the database at the engines where the file names none.
+const DEFAULT_LOGIN: &str = "wheelfield";
+
+/// Reads and validates a configuration. `name` is the name of the file, used in errors.
+///
+/// # Errors
+/// The first problem found.
+pub fn parse(name: &str, text: &str) -> Result<Config, Fault> {
+    let file: File = toml::from_str(text).map_err(|error| Fault::of_toml(name, text, &error))?;
+    let source = Source { file: name, text };
+    let mut names = Names::default();
+    let machines = fleet::validate(&source, file.fleet.get_ref(), &mut names)?;
+    let mut classes = classes::validate(&source, &file.classes, &mut names)?;
+    add_tenant_names(&source, &file.tenants, &mut names)?;
+    let route = route::validate(&source, &file.route, &names, classes.len())?;
+    add_describe_class(&mut classes, &mut names, route.default_class);
+    let position = controller::validate(&source, &file.controller, &names)?;
+    let settings = settings::validate(&source, &file, position, classes, machines)?;
+    let endpoints = endpoints::validate(&source, &file, &names)?;
+    let messaging = gossip::validate_messaging(&source, &file, settings.peer_messages)?;
+    let timing = timing::validate(&source, &file.timing)?;
+    timing::check_deadlines(&source, file.classes.get_ref(), timing.answer_margin)?;
+    let listen = optional_address(&source, file.listen.as_ref())?;
+    let admin = optional_address(&source, file.admin.as_ref())?;
+    let words = messaging.words;
+    let gossip = file.gossip.as_ref().map(|at| gossip::validate(&source, at.get_ref(), words)).transpose()?;
+    let capture = file.capture.as_ref().map(|at| capture::validate(&source, at.get_ref())).transpose()?;
+    let login = |name: Option<String>| name.unwrap_or_else(|| DEFAULT_LOGIN.to_string());
+    Ok(Config {
+        listen: listen.unwrap_or_else(|| SocketAddr::from(DEFAULT_LISTEN)),
+        admin,
+        seed: file.seed,
+        user: login(file.controller.user),
+        database: login(file.controller.database),
+        settings,
+        names,
+        route,
+        engines: endpoints.engines,
+        registry: endpoints.registry,
+        members: endpoints.members,
+        gossip,
+        peers: messaging.peers,
+        capture: capture.flatten(),
+        limits: limits::validate(&source, &file.limits)?,
+        timing,
+    })
+}
+
+fn add_tenant_names(
+    source: &Source<'_>,
+    tenants: &[Spanned<file::Tenant>],
+    names: &mut Names,
+) -> Checked<()> {
+    for tenant in tenants {
+        source.add_unique_name(&mut names.tenants, &tenant.get_ref().name, "tenant")?;
+    }
+    Ok(())
+}
+
+/// Adds the class of descriptions. They run nothing at an engine, so they have a class of their own: their
+/// durations must not influence the estimates of the other classes.
+fn add_describe_class(classes: &mut Vec<Class>, names: &mut Names, default_class: usize) {
+    let describe = classes::describe_class(classes, default_class);
+    classes.push(describe);
+    names.classes.push("describe".to_string());
+}
+
+fn optional_address(source: &Source<'_>, at: Option<&Spanned<String>>) -> Checked<Option<SocketAddr>> {
+    at.map(|at| source.loopback_address(at)).transpose()
+}
--- /dev/null
+++ b/crates/config/src/validate/timing.rs
@@ -0,0 +1,40 @@
+//! `[timing]`: timeouts.
+
+use super::source::{milliseconds, Checked, Source};
+use crate::file;
+use crate::model::Timing;
+use crate::units::Time;
+use toml::Spanned;
+use wheelfield::interface::Micros;
+
+pub(super) fn validate(source: &Source<'_>, timing: &file::Timing) -> Checked<Timing> {
+    let time = |at: &Option<Spanned<Time>>, default_ms: i64, key: &str| {
+        source.time_or(at.as_ref(), milliseconds(default_ms), key)
+    };
+    Ok(Timing {
+        answer_margin: time(&timing.answer_margin, 50, "answer_margin")?,
+        connect: time(&timing.connect, 500, "connect")?,
+        startup: time(&timing.startup, 10_000, "startup")?,
+        stall: time(&timing.stall, 5_000, "stall")?,
+        withdraw: time(&timing.withdraw, 250, "withdraw")?,
+        session_idle: time(&timing.session_idle, 30_000, "session_idle")?,
+        drain: time(&timing.drain, 30_000, "drain")?,
+        probe: time(&timing.probe, 250, "probe")?,
+    })
+}
+
+/// The deadline of each class must be longer than the margin in which its last answer is sent.
+pub(super) fn check_deadlines(
+    source: &Source<'_>,
+    classes: &[Spanned<file::Class>],
+    answer_margin: Micros,
+) -> Checked<()> {
+    let is_within_margin =
+        |class: &&Spanned<file::Class>| class.get_ref().deadline.get_ref().0 <= answer_margin;
+    if let Some(class) = classes.iter().find(is_within_margin) {
+        let name = class.get_ref().name.get_ref();
+        let fault = format!("`deadline` of class `{name}` is within `answer_margin`");
+        return Err(source.error(class, fault, "shorten `answer_margin` under [timing]"));
+    }
+    Ok(())
+}
