--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,18 +1,18 @@
 //! The configuration of a controller: reads TOML and returns validated settings.
 //!
 //! Nothing is guessed. An unknown key, a time without a unit, a reference to an undefined name and two keys that
-//! contradict each other are each reported as a [`Fault`] with the file, the line, the column, what is wrong
+//! contradict each other are each reported as a [`ConfigError`] with the file, the line, the column, what is wrong
 //! and how to correct it.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod fault;
-mod file;
+mod error;
 mod model;
+mod schema;
 pub mod units;
 mod validate;
 
-pub use fault::{locate, Fault};
+pub use error::{locate, ConfigError};
 pub use model::{
     engine_id, Capture, Config, EngineAt, Gossip, Limits, Members, Names, Peers, Refresh, Registry, Ring,
     Route, Selector, Timing, Words,
--- a/crates/config/src/file.rs
+++ b/crates/config/src/schema.rs
@@ -1,4 +1,4 @@
-//! The file as it is written. Every key has its place here, and no other is taken.
+//! The keys of the file as written, by section. A key that is not listed here is rejected.
 
 use crate::units::{Size, Time};
 use serde::Deserialize;
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -1,9 +1,14 @@
-//! Times and sizes with their units. A bare number is refused: whether it means seconds or milliseconds can't be told.
+//! Times and sizes with their units. A bare number is rejected, as it does not say whether it is in seconds or
+//! milliseconds.
 
-use crate::fault::PART;
 use serde::{de, Deserialize, Deserializer};
 use wheelfield::interface::Micros;
 
+/// The longest time: about 30 years.
+const MAX_MICROS: f64 = 1e15;
+const TIME_FORMAT: &str = "write a number and us, ms, s, m or h, such as \"250ms\"";
+const SIZE_FORMAT: &str = "write a number and B, KB, MB or GB, such as \"64MB\"";
+
 /// A time, written as `"250ms"`, `"1.5s"`, `"2m"`, `"100us"` or `"1h"`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Time(pub Micros);
@@ -12,7 +17,38 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Size(pub u64);
 
-fn split(text: &str) -> (Option<f64>, &str) {
+/// A time or size that cannot be read.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{problem}; {suggestion}")]
+pub struct UnitError {
+    /// What is wrong.
+    pub problem: String,
+    /// How to correct it.
+    pub suggestion: String,
+}
+
+impl UnitError {
+    /// Separates the problem from the suggestion in messages that pass through the TOML reader.
+    const SEPARATOR: char = '\u{1f}';
+
+    fn new(problem: impl Into<String>, suggestion: impl Into<String>) -> UnitError {
+        UnitError { problem: problem.into(), suggestion: suggestion.into() }
+    }
+
+    /// The message of this error for the TOML reader.
+    fn to_message(&self) -> String {
+        format!("{}{}{}", self.problem, Self::SEPARATOR, self.suggestion)
+    }
+
+    /// The error in a message of the TOML reader, if it comes from this module.
+    pub(crate) fn from_message(message: &str) -> Option<UnitError> {
+        let (problem, suggestion) = message.split_once(Self::SEPARATOR)?;
+        Some(UnitError::new(problem, suggestion))
+    }
+}
+
+/// Splits a text into its number, if it begins with one, and its unit.
+fn split_unit(text: &str) -> (Option<f64>, &str) {
     let text = text.trim();
     let end = text.find(|c: char| !(c.is_ascii_digit() || c == '.' || c == '_')).unwrap_or(text.len());
     (text[..end].replace('_', "").parse().ok(), text[end..].trim())
@@ -21,23 +57,24 @@
 /// Reads a time.
 ///
 /// # Errors
-/// What is wrong, and its mend.
-pub fn time(text: &str) -> Result<Time, (String, String)> {
-    let mend = || "write a number and us, ms, s, m or h, such as \"250ms\"".to_string();
-    let (number, unit) = split(text);
-    let Some(number) = number else { return Err((format!("`{text}` is no time"), mend())) };
-    let micros = match unit {
+/// A text without a number or without a known unit, or a time of more than 30 years.
+pub fn parse_time(text: &str) -> Result<Time, UnitError> {
+    let (number, unit) = split_unit(text);
+    let Some(number) = number else {
+        return Err(UnitError::new(format!("`{text}` is no time"), TIME_FORMAT));
+    };
+    let micros_per_unit = match unit {
         "us" => 1.0,
         "ms" => 1e3,
         "s" => 1e6,
         "m" | "min" => 6e7,
         "h" => 3.6e9,
-        "" => return Err((format!("the time `{text}` has no unit"), mend())),
-        other => return Err((format!("`{other}` is no unit of time"), mend())),
+        "" => return Err(UnitError::new(format!("the time `{text}` has no unit"), TIME_FORMAT)),
+        other => return Err(UnitError::new(format!("`{other}` is no unit of time"), TIME_FORMAT)),
     };
-    let micros = number * micros;
-    if micros > 1e15 {
-        return Err((format!("the time `{text}` is out of range"), "at most 30 years".to_string()));
+    let micros = number * micros_per_unit;
+    if micros > MAX_MICROS {
+        return Err(UnitError::new(format!("the time `{text}` is out of range"), "at most 30 years"));
     }
     Ok(Time(Micros(micros.round() as i64)))
 }
@@ -45,43 +82,47 @@
 /// Reads a size.
 ///
 /// # Errors
-/// What is wrong, and its mend.
-pub fn size(text: &str) -> Result<Size, (String, String)> {
-    let mend = || "write a number and B, KB, MB or GB, such as \"64MB\"".to_string();
-    let (number, unit) = split(text);
-    let Some(number) = number else { return Err((format!("`{text}` is no size"), mend())) };
-    let bytes = match unit.to_ascii_uppercase().as_str() {
+/// A text without a number or without a known unit.
+pub fn parse_size(text: &str) -> Result<Size, UnitError> {
+    let (number, unit) = split_unit(text);
+    let Some(number) = number else {
+        return Err(UnitError::new(format!("`{text}` is no size"), SIZE_FORMAT));
+    };
+    let bytes_per_unit = match unit.to_ascii_uppercase().as_str() {
         "B" => 1.0,
         "KB" | "KIB" => 1024.0,
         "MB" | "MIB" => 1_048_576.0,
         "GB" | "GIB" => 1_073_741_824.0,
         "TB" | "TIB" => 1_099_511_627_776.0,
-        "" => return Err((format!("the size `{text}` has no unit"), mend())),
-        _ => return Err((format!("`{unit}` is no unit of size"), mend())),
+        "" => return Err(UnitError::new(format!("the size `{text}` has no unit"), SIZE_FORMAT)),
+        _ => return Err(UnitError::new(format!("`{unit}` is no unit of size"), SIZE_FORMAT)),
     };
-    Ok(Size((number * bytes).round() as u64))
+    Ok(Size((number * bytes_per_unit).round() as u64))
 }
 
-/// Writes a time with the largest unit that keeps it whole.
-pub fn show(time: Micros) -> String {
-    let n = time.0;
-    match n {
-        n if n != 0 && n % 60_000_000 == 0 => format!("{}m", n / 60_000_000),
-        n if n % 1_000_000 == 0 => format!("{}s", n / 1_000_000),
-        n if n % 1_000 == 0 => format!("{}ms", n / 1_000),
-        n => format!("{n}us"),
+/// Writes a time with the largest unit in which it is a whole number.
+pub fn format_time(time: Micros) -> String {
+    match time.0 {
+        micros if micros != 0 && micros % 60_000_000 == 0 => format!("{}m", micros / 60_000_000),
+        micros if micros % 1_000_000 == 0 => format!("{}s", micros / 1_000_000),
+        micros if micros % 1_000 == 0 => format!("{}ms", micros / 1_000),
+        micros => format!("{micros}us"),
     }
 }
 
-struct Reader<T>(fn(&str) -> Result<T, (String, String)>, &'static str);
+/// Reads a value with its unit from TOML. A number is passed on as text, so that the error says what is missing.
+struct UnitVisitor<T> {
+    parse: fn(&str) -> Result<T, UnitError>,
+    expected: &'static str,
+}
 
-impl<T> de::Visitor<'_> for Reader<T> {
+impl<T> de::Visitor<'_> for UnitVisitor<T> {
     type Value = T;
     fn expecting(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(self.1)
+        f.write_str(self.expected)
     }
     fn visit_str<E: de::Error>(self, text: &str) -> Result<T, E> {
-        (self.0)(text).map_err(|(fault, mend)| E::custom(format!("{fault}{PART}{mend}")))
+        (self.parse)(text).map_err(|error| E::custom(error.to_message()))
     }
     fn visit_i64<E: de::Error>(self, number: i64) -> Result<T, E> {
         self.visit_str(&number.to_string())
@@ -93,12 +134,14 @@
 
 impl<'de> Deserialize<'de> for Time {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Time, D::Error> {
-        deserializer.deserialize_any(Reader(time, "a time with its unit"))
+        let visitor = UnitVisitor { parse: parse_time, expected: "a time with its unit" };
+        deserializer.deserialize_any(visitor)
     }
 }
 
 impl<'de> Deserialize<'de> for Size {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Size, D::Error> {
-        deserializer.deserialize_any(Reader(size, "a size with its unit"))
+        let visitor = UnitVisitor { parse: parse_size, expected: "a size with its unit" };
+        deserializer.deserialize_any(visitor)
     }
 }
--- a/crates/config/src/validate/capture.rs
+++ b/crates/config/src/validate/capture.rs
@@ -1,8 +1,8 @@
 //! `[capture]`: the recording of the driver's inputs and outputs.
 
 use super::source::{seconds, Checked, Source};
-use crate::file::{self, CaptureMode};
 use crate::model::{Capture, Ring};
+use crate::schema::{self, CaptureMode};
 use crate::units::Size;
 use toml::Spanned;
 
@@ -14,11 +14,11 @@
 const DEFAULT_REFUSED_FRACTION: f64 = 0.3;
 
 /// All keys are checked in each mode; the result is none where the capture is off.
-pub(super) fn validate(source: &Source<'_>, section: &file::Capture) -> Checked<Option<Capture>> {
+pub(super) fn validate(source: &Source<'_>, section: &schema::Capture) -> Checked<Option<Capture>> {
     let file_name = section.file.get_ref();
     if !file_name.ends_with(".wfcap") {
-        let fault = format!("a capture named `{file_name}`");
-        return Err(source.error(&section.file, fault, "let its name end in .wfcap"));
+        let problem = format!("a capture named `{file_name}`");
+        return Err(source.error(&section.file, problem, "let its name end in .wfcap"));
     }
     let ring = validate_ring(source, section)?;
     let capture = Capture {
@@ -34,20 +34,24 @@
         ring: (section.mode == CaptureMode::Ring).then_some(ring),
     };
     if capture.ring.is_none() && capture.keep < capture.segment {
-        let mend = "make `keep` at least `segment`";
-        return Err(source.error(&section.file, "`keep` is less than one file", mend));
+        let suggestion = "make `keep` at least `segment`";
+        return Err(source.error(&section.file, "`keep` is less than one file", suggestion));
     }
     Ok((section.mode != CaptureMode::Off).then_some(capture))
 }
 
-fn validate_ring(source: &Source<'_>, section: &file::Capture) -> Checked<Ring> {
+fn validate_ring(source: &Source<'_>, section: &schema::Capture) -> Checked<Ring> {
     let triggers = &section.triggers;
-    let refusals_mend = "write one from 0 to 1; 1 is never reached";
+    let refusals_suggestion = "write one from 0 to 1; 1 is never reached";
     Ok(Ring {
         memory: size_or(source, section.memory.as_ref(), DEFAULT_RING_BYTES)?,
         span: source.time_or(section.span.as_ref(), seconds(600), "span")?,
         set_aside: triggers.set_aside.unwrap_or(true),
-        refusals: source.fraction_or(triggers.refusals.as_ref(), DEFAULT_REFUSED_FRACTION, refusals_mend)?,
+        refusals: source.fraction_or(
+            triggers.refusals.as_ref(),
+            DEFAULT_REFUSED_FRACTION,
+            refusals_suggestion,
+        )?,
         window: source.time_or(triggers.window.as_ref(), seconds(10), "window")?,
         stall: source.time_or(triggers.stall.as_ref(), seconds(1), "stall")?,
         after: source.time_or(triggers.after.as_ref(), seconds(5), "after")?,
--- a/crates/config/src/validate/classes.rs
+++ b/crates/config/src/validate/classes.rs
@@ -1,15 +1,15 @@
 //! `[[classes]]`: the classes of queries.
 
 use super::source::{seconds, Checked, Source};
-use crate::file::{self, Dedup, Effect};
 use crate::model::Names;
+use crate::schema::{self, Dedup, Effect};
 use toml::Spanned;
 use wheelfield::interface::{Class, DeduplicationScope, ExecutionSemantics, Micros};
 
 /// Adds the names of the classes to `names`, and returns the classes in the order of the file.
 pub(super) fn validate(
     source: &Source<'_>,
-    at: &Spanned<Vec<Spanned<file::Class>>>,
+    at: &Spanned<Vec<Spanned<schema::Class>>>,
     names: &mut Names,
 ) -> Checked<Vec<Class>> {
     let mut classes = Vec::new();
@@ -35,13 +35,13 @@
     }
 }
 
-fn validate_class(source: &Source<'_>, at: &Spanned<file::Class>, names: &Names) -> Checked<Class> {
+fn validate_class(source: &Source<'_>, at: &Spanned<schema::Class>, names: &Names) -> Checked<Class> {
     let class = at.get_ref();
     let latency_objective = source.positive_time(&class.aim, "aim")?;
     let deadline = source.positive_time(&class.deadline, "deadline")?;
     if latency_objective > deadline {
-        let fault = format!("class `{}` is wanted after its clients have given up", class.name.get_ref());
-        return Err(source.error(&class.aim, fault, "make `aim` at most `deadline`"));
+        let problem = format!("class `{}` is wanted after its clients have given up", class.name.get_ref());
+        return Err(source.error(&class.aim, problem, "make `aim` at most `deadline`"));
     }
     check_deduplication(source, at)?;
     Ok(Class {
@@ -67,21 +67,21 @@
 }
 
 /// `window` is required with an idempotency key; `dedup` and `window` are rejected without one.
-fn check_deduplication(source: &Source<'_>, at: &Spanned<file::Class>) -> Checked<()> {
+fn check_deduplication(source: &Source<'_>, at: &Spanned<schema::Class>) -> Checked<()> {
     let class = at.get_ref();
     let by_key = class.effect == Effect::ByKey;
     if let Some(dedup) = class.dedup.as_ref().filter(|_| !by_key) {
-        let mend = "remove `dedup`, or write effect = \"by_key\"";
-        return Err(source.error(dedup, "`dedup` goes with effect = \"by_key\" alone", mend));
+        let suggestion = "remove `dedup`, or write effect = \"by_key\"";
+        return Err(source.error(dedup, "`dedup` goes with effect = \"by_key\" alone", suggestion));
     }
     if by_key && class.window.is_none() {
         let name = class.name.get_ref();
-        let fault = format!("class `{name}` is by key, but for how long repeats are dropped is not said");
-        return Err(source.error(at, fault, "add `window`, such as \"5s\""));
+        let problem = format!("class `{name}` is by key, but for how long repeats are dropped is not said");
+        return Err(source.error(at, problem, "add `window`, such as \"5s\""));
     }
     if let Some(window) = class.window.as_ref().filter(|_| !by_key) {
-        let mend = "remove `window`, or write effect = \"by_key\"";
-        return Err(source.error(window, "`window` goes with effect = \"by_key\" alone", mend));
+        let suggestion = "remove `window`, or write effect = \"by_key\"";
+        return Err(source.error(window, "`window` goes with effect = \"by_key\" alone", suggestion));
     }
     Ok(())
 }
--- a/crates/config/src/validate/controller.rs
+++ b/crates/config/src/validate/controller.rs
@@ -1,8 +1,8 @@
 //! `[controller]`: this controller's place among the others.
 
 use super::source::{Checked, Source};
-use crate::file;
 use crate::model::Names;
+use crate::schema;
 
 /// This controller's place among the others.
 pub(super) struct Position {
@@ -16,7 +16,7 @@
 
 pub(super) fn validate(
     source: &Source<'_>,
-    controller: &file::Controller,
+    controller: &schema::Controller,
     names: &Names,
 ) -> Checked<Position> {
     let count = controller.count.as_ref().map_or(1, |count| *count.get_ref());
@@ -25,9 +25,9 @@
         return Err(source.error(at, "no controller at all", "write at least 1"));
     }
     if let Some(at) = controller.index.as_ref().filter(|_| index >= count) {
-        let fault = format!("`index` is {index}, but `count` is {count}");
-        let mend = "count controllers from 0, and tell in `count` how many there are";
-        return Err(source.error(at, fault, mend));
+        let problem = format!("`index` is {index}, but `count` is {count}");
+        let suggestion = "count controllers from 0, and tell in `count` how many there are";
+        return Err(source.error(at, problem, suggestion));
     }
     let zone = controller.zone.as_ref().map(|zone| source.index_of_name(&names.zones, zone, "zone"));
     Ok(Position { index, count, zone: zone.transpose()? })
--- a/crates/config/src/validate/endpoints.rs
+++ b/crates/config/src/validate/endpoints.rs
@@ -1,8 +1,8 @@
 //! Where the engines are listed: `[[engines]]`, `[registry]` or `[members]`.
 
 use super::source::{milliseconds, seconds, Checked, Source};
-use crate::file::{self, File};
 use crate::model::{EngineAt, Members, Names, Refresh, Registry};
+use crate::schema::{self, File};
 use std::collections::BTreeSet;
 use toml::Spanned;
 use wheelfield::interface::Micros;
@@ -22,24 +22,24 @@
     let engines = validate_engines(source, &file.engines, names)?;
     let registry = file.registry.as_ref().map(|at| validate_registry(source, at.get_ref())).transpose()?;
     if let Some(at) = file.registry.as_ref().filter(|_| !engines.is_empty()) {
-        let mend = "keep either [registry] or [[engines]]";
-        return Err(source.error(at, "engines are named here and kept in a registry too", mend));
+        let suggestion = "keep either [registry] or [[engines]]";
+        return Err(source.error(at, "engines are named here and kept in a registry too", suggestion));
     }
     let members = file.members.as_ref().map(|at| validate_files(source, at.get_ref())).transpose()?;
     if let Some(at) = file.members.as_ref().filter(|_| !engines.is_empty()) {
-        let mend = "keep either [members] or [[engines]]";
-        return Err(source.error(at, "engines are named here and kept in files too", mend));
+        let suggestion = "keep either [members] or [[engines]]";
+        return Err(source.error(at, "engines are named here and kept in files too", suggestion));
     }
     if registry.is_none() && members.is_none() && engines.is_empty() {
-        let fault = "no engine, no file of engines and no registry is named";
-        return Err(source.error(&file.fleet, fault, "add [members], [registry] or [[engines]]"));
+        let problem = "no engine, no file of engines and no registry is named";
+        return Err(source.error(&file.fleet, problem, "add [members], [registry] or [[engines]]"));
     }
     Ok(Endpoints { engines, registry, members })
 }
 
 fn validate_engines(
     source: &Source<'_>,
-    listed: &[Spanned<file::Engine>],
+    listed: &[Spanned<schema::Engine>],
     names: &Names,
 ) -> Checked<Vec<EngineAt>> {
     let (mut engines, mut ids, mut addresses) = (Vec::new(), Vec::new(), BTreeSet::new());
@@ -47,8 +47,8 @@
         source.add_unique_name(&mut ids, &engine.id, "engine")?;
         let address = source.loopback_address(&engine.address)?;
         if !addresses.insert(address) {
-            let fault = format!("two engines listen at `{address}`");
-            return Err(source.error(&engine.address, fault, "give each its own address"));
+            let problem = format!("two engines listen at `{address}`");
+            return Err(source.error(&engine.address, problem, "give each its own address"));
         }
         engines.push(EngineAt {
             name: engine.id.get_ref().clone(),
@@ -64,18 +64,18 @@
     Ok(engines)
 }
 
-fn validate_registry(source: &Source<'_>, registry: &file::Registry) -> Checked<Registry> {
+fn validate_registry(source: &Source<'_>, registry: &schema::Registry) -> Checked<Registry> {
     Ok(Registry {
         address: source.loopback_address(&registry.address)?,
         refresh: match registry.mode {
-            file::Mode::Watch => Refresh::Watch,
-            file::Mode::Poll => Refresh::Poll,
+            schema::Mode::Watch => Refresh::Watch,
+            schema::Mode::Poll => Refresh::Poll,
         },
         every: registry.every.map_or(seconds(1), |interval| interval.0).max(MIN_POLL_INTERVAL),
     })
 }
 
-fn validate_files(source: &Source<'_>, members: &file::Members) -> Checked<Members> {
+fn validate_files(source: &Source<'_>, members: &schema::Members) -> Checked<Members> {
     let files = members.files.get_ref();
     if files.is_empty() {
         return Err(source.error(&members.files, "no file of engines is named", "name one, or a pattern"));
@@ -83,8 +83,8 @@
     for file in files {
         check_file_pattern(source, file)?;
     }
-    let max_lost_mend = "write one from 0 to 1";
-    let most_lost = source.fraction_or(members.most_lost.as_ref(), DEFAULT_MAX_LOST, max_lost_mend)?;
+    let max_lost_suggestion = "write one from 0 to 1";
+    let most_lost = source.fraction_or(members.most_lost.as_ref(), DEFAULT_MAX_LOST, max_lost_suggestion)?;
     Ok(Members {
         files: files.iter().map(|file| file.get_ref().into()).collect(),
         last_good: members.last_good.as_ref().map(|file| file.get_ref().into()),
@@ -102,8 +102,8 @@
     let path = at.get_ref();
     let (directory, name) = path.rsplit_once('/').unwrap_or(("", path));
     if directory.contains('*') || name.is_empty() {
-        let fault = format!("`{path}` is no file, directory or pattern");
-        return Err(source.error(at, fault, "write * in the last part alone, and no / at the end"));
+        let problem = format!("`{path}` is no file, directory or pattern");
+        return Err(source.error(at, problem, "write * in the last part alone, and no / at the end"));
     }
     Ok(())
 }
--- a/crates/config/src/validate/fleet.rs
+++ b/crates/config/src/validate/fleet.rs
@@ -1,8 +1,8 @@
 //! `[fleet]`: the zones and the kinds of machine.
 
 use super::source::{Checked, Source};
-use crate::file;
 use crate::model::Names;
+use crate::schema;
 use toml::Spanned;
 
 const BYTES_PER_MB: f64 = 1_048_576.0;
@@ -16,7 +16,7 @@
 }
 
 /// Adds the names of zones and kinds to `names`, and returns the sizes of the kinds.
-pub(super) fn validate(source: &Source<'_>, fleet: &file::Fleet, names: &mut Names) -> Checked<Machines> {
+pub(super) fn validate(source: &Source<'_>, fleet: &schema::Fleet, names: &mut Names) -> Checked<Machines> {
     for zone in &fleet.zones {
         source.add_unique_name(&mut names.zones, zone, "zone")?;
     }
@@ -32,7 +32,7 @@
 
 fn add_kind(
     source: &Source<'_>,
-    at: &Spanned<file::Kind>,
+    at: &Spanned<schema::Kind>,
     names: &mut Names,
     machines: &mut Machines,
 ) -> Checked<()> {
@@ -44,8 +44,8 @@
     machines.cores.push(source.number_in_range(&kind.cores, "cores", 1.0, 1024.0)?);
     let memory_mb = kind.memory.get_ref().0 as f64 / BYTES_PER_MB;
     if memory_mb < MIN_MEMORY_MB {
-        let fault = format!("an engine with {memory_mb} MB of memory");
-        return Err(source.error(&kind.memory, fault, "write at least \"64MB\""));
+        let problem = format!("an engine with {memory_mb} MB of memory");
+        return Err(source.error(&kind.memory, problem, "write at least \"64MB\""));
     }
     machines.memory_mb.push(memory_mb);
     Ok(())
--- a/crates/config/src/validate/gossip.rs
+++ b/crates/config/src/validate/gossip.rs
@@ -1,8 +1,8 @@
 //! `[gossip]` and `[peers]`: how controllers find each other and exchange messages.
 
 use super::source::{milliseconds, seconds, Checked, Source};
-use crate::file::{self, File};
 use crate::model::{Gossip, Peers, Words};
+use crate::schema::{self, File};
 use crate::units::Size;
 use toml::Spanned;
 use wheelfield::interface::Micros;
@@ -37,18 +37,26 @@
     let listed = file.peers.as_ref().filter(|_| file.gossip.is_none());
     let peers = listed.map(|at| validate_peers(source, at)).transpose()?;
     if peer_messages && peers.is_none() && file.gossip.is_none() {
-        let mend = "add [gossip] or [peers], or write messages = false under [means]";
-        return Err(source.error(&file.fleet, "controllers may send messages, but none is named", mend));
+        let suggestion = "add [gossip] or [peers], or write messages = false under [means]";
+        return Err(source.error(
+            &file.fleet,
+            "controllers may send messages, but none is named",
+            suggestion,
+        ));
     }
     Ok(Messaging { words, peers })
 }
 
 /// Validates `[gossip]`; `words` limits the messages that it carries.
-pub(super) fn validate(source: &Source<'_>, section: &file::Gossip, words: Option<Words>) -> Checked<Gossip> {
+pub(super) fn validate(
+    source: &Source<'_>,
+    section: &schema::Gossip,
+    words: Option<Words>,
+) -> Checked<Gossip> {
     let seeds = &section.seeds;
     if seeds.len() > MAX_SEEDS {
-        let fault = format!("{} seeds", seeds.len());
-        return Err(source.error(&seeds[MAX_SEEDS], fault, "name at most 64; they tell of the others"));
+        let problem = format!("{} seeds", seeds.len());
+        return Err(source.error(&seeds[MAX_SEEDS], problem, "name at most 64; they tell of the others"));
     }
     let gossip = Gossip {
         listen: source.loopback_address(&section.listen)?,
@@ -56,7 +64,7 @@
         seeds: seeds.iter().map(|at| source.loopback_address(at)).collect::<Checked<Vec<_>>>()?,
         keys: section.keys.get_ref().into(),
         period: source.time_or(section.period.as_ref(), seconds(1), "period")?,
-        quorum: section.forget == file::Forget::Quorum,
+        quorum: section.forget == schema::Forget::Quorum,
         hold: source.time_or(section.hold.as_ref(), seconds(600), "hold")?,
         settle: source.time_or(section.settle.as_ref(), seconds(30), "settle")?,
         words,
@@ -65,23 +73,23 @@
     Ok(gossip)
 }
 
-fn check_gossip(source: &Source<'_>, section: &file::Gossip, gossip: &Gossip) -> Checked<()> {
+fn check_gossip(source: &Source<'_>, section: &schema::Gossip, gossip: &Gossip) -> Checked<()> {
     if let Some(at) = section.period.as_ref().filter(|_| gossip.period < MIN_PERIOD) {
         return Err(source.error(at, "a period under 10ms", "write one of 100ms to 10s"));
     }
     if let Some(at) = section.hold.as_ref().filter(|_| gossip.hold < gossip.period + gossip.period) {
-        let fault = "a member would be forgotten sooner than it can be missed";
-        return Err(source.error(at, fault, "make `hold` many times `period`"));
+        let problem = "a member would be forgotten sooner than it can be missed";
+        return Err(source.error(at, problem, "make `hold` many times `period`"));
     }
     let has_no_port = gossip.advertise.is_some_and(|address| address.port() == 0);
     if let Some(at) = section.advertise.as_ref().filter(|_| has_no_port) {
-        let mend = "write where others reach this one";
-        return Err(source.error(at, "an advertised address without a port", mend));
+        let suggestion = "write where others reach this one";
+        return Err(source.error(at, "an advertised address without a port", suggestion));
     }
     Ok(())
 }
 
-fn message_limits(source: &Source<'_>, section: Option<&file::Peers>) -> Checked<Words> {
+fn message_limits(source: &Source<'_>, section: Option<&schema::Peers>) -> Checked<Words> {
     let each = section.and_then(|peers| peers.most_each.as_ref());
     let all = section.and_then(|peers| peers.most.as_ref());
     Ok(Words {
@@ -100,11 +108,11 @@
     }
 }
 
-fn validate_peers(source: &Source<'_>, at: &Spanned<file::Peers>) -> Checked<Peers> {
+fn validate_peers(source: &Source<'_>, at: &Spanned<schema::Peers>) -> Checked<Peers> {
     let section = at.get_ref();
     let Some(listen) = &section.listen else {
-        let mend = "add `listen`, or find the others by [gossip]";
-        return Err(source.error(at, "no address to listen at", mend));
+        let suggestion = "add `listen`, or find the others by [gossip]";
+        return Err(source.error(at, "no address to listen at", suggestion));
     };
     let addresses = section.addresses.iter().map(|at| source.loopback_address(at));
     let addresses = addresses.collect::<Checked<Vec<_>>>()?;
--- a/crates/config/src/validate/limits.rs
+++ b/crates/config/src/validate/limits.rs
@@ -1,14 +1,14 @@
 //! `[limits]`: limits on numbers and sizes.
 
 use super::source::{Checked, Source};
-use crate::file;
 use crate::model::Limits;
+use crate::schema;
 use crate::units::Size;
 use toml::Spanned;
 
 const MAX_BYTES: u64 = 1 << 30;
 
-pub(super) fn validate(source: &Source<'_>, limits: &file::Limits) -> Checked<Limits> {
+pub(super) fn validate(source: &Source<'_>, limits: &schema::Limits) -> Checked<Limits> {
     let number = |at: &Option<Spanned<u32>>, default: u32, max: u32, key: &str| {
         at.as_ref().map_or(Ok(default), |at| number_up_to(source, at, max, key))
     };
@@ -40,6 +40,6 @@
     if (min..=MAX_BYTES).contains(&bytes) {
         return Ok(bytes as usize);
     }
-    let mend = format!("write a size from {min} bytes to 1GB");
-    Err(source.error(at, format!("`{key}` is {bytes} bytes"), mend))
+    let suggestion = format!("write a size from {min} bytes to 1GB");
+    Err(source.error(at, format!("`{key}` is {bytes} bytes"), suggestion))
 }
--- a/crates/config/src/validate/mod.rs
+++ b/crates/config/src/validate/mod.rs
@@ -14,9 +14,9 @@
 mod source;
 mod timing;
 
-use crate::fault::Fault;
-use crate::file::{self, File};
+use crate::error::ConfigError;
 use crate::model::{Config, Names};
+use crate::schema::{self, File};
 use source::{Checked, Source};
 use std::net::SocketAddr;
 use toml::Spanned;
@@ -31,8 +31,8 @@
 ///
 /// # Errors
 /// The first problem found.
-pub fn parse(name: &str, text: &str) -> Result<Config, Fault> {
-    let file: File = toml::from_str(text).map_err(|error| Fault::of_toml(name, text, &error))?;
+pub fn parse(name: &str, text: &str) -> Result<Config, ConfigError> {
+    let file: File = toml::from_str(text).map_err(|error| ConfigError::from_toml(name, text, &error))?;
     let source = Source { file: name, text };
     let mut names = Names::default();
     let machines = fleet::validate(&source, file.fleet.get_ref(), &mut names)?;
@@ -74,7 +74,7 @@
 
 fn add_tenant_names(
     source: &Source<'_>,
-    tenants: &[Spanned<file::Tenant>],
+    tenants: &[Spanned<schema::Tenant>],
     names: &mut Names,
 ) -> Checked<()> {
     for tenant in tenants {
--- a/crates/config/src/validate/route.rs
+++ b/crates/config/src/validate/route.rs
@@ -1,8 +1,8 @@
 //! `[route]`: how a query is assigned to a class.
 
 use super::source::{Checked, Source};
-use crate::file;
 use crate::model::{Names, Route, Selector};
+use crate::schema;
 use toml::Spanned;
 
 /// The compiled size of a selector's pattern, in bytes, at most.
@@ -11,7 +11,7 @@
 /// `describe_class` is the position that the class of descriptions will have.
 pub(super) fn validate(
     source: &Source<'_>,
-    route: &file::Route,
+    route: &schema::Route,
     names: &Names,
     describe_class: usize,
 ) -> Checked<Route> {
@@ -25,14 +25,14 @@
 
 fn validate_selector(
     source: &Source<'_>,
-    at: &Spanned<file::Select>,
+    at: &Spanned<schema::Select>,
     classes: &[String],
 ) -> Checked<Selector> {
     let select = at.get_ref();
     let named = [&select.user, &select.database, &select.application];
     if named.iter().all(|name| name.is_none()) && select.pattern.is_none() {
-        let mend = "name a user, a database, an application or a pattern, or use `default_class`";
-        return Err(source.error(at, "a selector that matches everything", mend));
+        let suggestion = "name a user, a database, an application or a pattern, or use `default_class`";
+        return Err(source.error(at, "a selector that matches everything", suggestion));
     }
     Ok(Selector {
         user: select.user.clone(),
--- a/crates/config/src/validate/settings.rs
+++ b/crates/config/src/validate/settings.rs
@@ -3,7 +3,7 @@
 use super::controller::Position;
 use super::fleet::Machines;
 use super::source::{Checked, Source};
-use crate::file::{File, Reports, Rules, WhenShort};
+use crate::schema::{File, Reports, Rules, WhenShort};
 use toml::Spanned;
 use wheelfield::interface::{Class, Micros, RetryBudget, Settings};
 
@@ -112,14 +112,14 @@
     }
     let is_ordered = settings.classes.iter().any(|class| class.ordered_by_key);
     if is_ordered && settings.key_cooldown.0 == 0 {
-        let fault = "a class keeps order, but how long a key rests is not said";
-        let mend = "add `order_pause` under [rules], such as \"2s\"";
-        return Err(source.error(&file.classes, fault, mend));
+        let problem = "a class keeps order, but how long a key rests is not said";
+        let suggestion = "add `order_pause` under [rules], such as \"2s\"";
+        return Err(source.error(&file.classes, problem, suggestion));
     }
     if settings.reports_by_probe && !settings.probes {
-        let fault = "reports come by probe alone, but probes are not allowed";
-        let mend = "write probes = true under [means], or reports = \"none\" under [signals]";
-        return Err(source.error(&file.fleet, fault, mend));
+        let problem = "reports come by probe alone, but probes are not allowed";
+        let suggestion = "write probes = true under [means], or reports = \"none\" under [signals]";
+        return Err(source.error(&file.fleet, problem, suggestion));
     }
     Ok(())
 }
@@ -127,9 +127,9 @@
 fn check_overload_rules(source: &Source<'_>, rules: &Spanned<Rules>, settings: &Settings) -> Checked<()> {
     let is_incomplete = settings.slow_start_duration.0 == 0 || settings.overload_window.0 == 0;
     if settings.overload_multiple > 0.0 && is_incomplete {
-        let fault = "`fall_multiple` without `cold_for` and `fall_span` guards nothing";
-        let mend = "add `cold_for` and `fall_span`, or remove `fall_multiple`";
-        return Err(source.error(rules, fault, mend));
+        let problem = "`fall_multiple` without `cold_for` and `fall_span` guards nothing";
+        let suggestion = "add `cold_for` and `fall_span`, or remove `fall_multiple`";
+        return Err(source.error(rules, problem, suggestion));
     }
     Ok(())
 }
--- a/crates/config/src/validate/source.rs
+++ b/crates/config/src/validate/source.rs
@@ -1,13 +1,13 @@
 //! The text being validated, and the checks that several sections share.
 
-use crate::fault::Fault;
+use crate::error::ConfigError;
 use crate::units::Time;
 use std::net::SocketAddr;
 use toml::Spanned;
 use wheelfield::interface::Micros;
 
 /// The result of a check.
-pub(super) type Checked<T> = Result<T, Fault>;
+pub(super) type Checked<T> = Result<T, ConfigError>;
 
 /// The name and the text of the file being validated, from which errors get their line and column.
 pub(super) struct Source<'a> {
@@ -17,19 +17,25 @@
 
 impl Source<'_> {
     /// An error at the place of `at`: what is wrong, and how to correct it.
-    pub fn error<T>(&self, at: &Spanned<T>, fault: impl Into<String>, mend: impl Into<String>) -> Fault {
-        Fault::at(self.file, self.text, at.span().start, fault, mend)
+    pub fn error<T>(
+        &self,
+        at: &Spanned<T>,
+        problem: impl Into<String>,
+        suggestion: impl Into<String>,
+    ) -> ConfigError {
+        ConfigError::at(self.file, self.text, at.span().start, problem, suggestion)
     }
 
     /// A loopback address with its port. Others are rejected, as clients are not asked for a password.
     pub fn loopback_address(&self, at: &Spanned<String>) -> Checked<SocketAddr> {
         let address: SocketAddr = at.get_ref().parse().map_err(|_| {
-            let mend = "write an address and a port, such as \"127.0.0.1:6432\"";
-            self.error(at, format!("`{}` is no address", at.get_ref()), mend)
+            let suggestion = "write an address and a port, such as \"127.0.0.1:6432\"";
+            self.error(at, format!("`{}` is no address", at.get_ref()), suggestion)
         })?;
         if !address.ip().is_loopback() {
-            let fault = format!("`{address}` is not a loopback address, and nobody is asked for a password");
-            return Err(self.error(at, fault, "use an address of 127.0.0.0/8"));
+            let problem =
+                format!("`{address}` is not a loopback address, and nobody is asked for a password");
+            return Err(self.error(at, problem, "use an address of 127.0.0.0/8"));
         }
         Ok(address)
     }
@@ -61,16 +67,16 @@
         if number.is_finite() && (low..=high).contains(&number) {
             return Ok(number);
         }
-        let mend = format!("write a number from {low} to {high}");
-        Err(self.error(at, format!("{key} is {number}"), mend))
+        let suggestion = format!("write a number from {low} to {high}");
+        Err(self.error(at, format!("{key} is {number}"), suggestion))
     }
 
     /// A fraction from 0 to 1, or `default` where the key is absent.
-    pub fn fraction_or(&self, at: Option<&Spanned<f64>>, default: f64, mend: &str) -> Checked<f64> {
+    pub fn fraction_or(&self, at: Option<&Spanned<f64>>, default: f64, suggestion: &str) -> Checked<f64> {
         match at {
             None => Ok(default),
             Some(at) if (0.0..=1.0).contains(at.get_ref()) => Ok(*at.get_ref()),
-            Some(at) => Err(self.error(at, format!("{} is no share", at.get_ref()), mend)),
+            Some(at) => Err(self.error(at, format!("{} is no share", at.get_ref()), suggestion)),
         }
     }
 
--- a/crates/config/src/validate/timing.rs
+++ b/crates/config/src/validate/timing.rs
@@ -1,13 +1,13 @@
 //! `[timing]`: timeouts.
 
 use super::source::{milliseconds, Checked, Source};
-use crate::file;
 use crate::model::Timing;
+use crate::schema;
 use crate::units::Time;
 use toml::Spanned;
 use wheelfield::interface::Micros;
 
-pub(super) fn validate(source: &Source<'_>, timing: &file::Timing) -> Checked<Timing> {
+pub(super) fn validate(source: &Source<'_>, timing: &schema::Timing) -> Checked<Timing> {
     let time = |at: &Option<Spanned<Time>>, default_ms: i64, key: &str| {
         source.time_or(at.as_ref(), milliseconds(default_ms), key)
     };
@@ -26,15 +26,15 @@
 /// The deadline of each class must be longer than the margin in which its last answer is sent.
 pub(super) fn check_deadlines(
     source: &Source<'_>,
-    classes: &[Spanned<file::Class>],
+    classes: &[Spanned<schema::Class>],
     answer_margin: Micros,
 ) -> Checked<()> {
     let is_within_margin =
-        |class: &&Spanned<file::Class>| class.get_ref().deadline.get_ref().0 <= answer_margin;
+        |class: &&Spanned<schema::Class>| class.get_ref().deadline.get_ref().0 <= answer_margin;
     if let Some(class) = classes.iter().find(is_within_margin) {
         let name = class.get_ref().name.get_ref();
-        let fault = format!("`deadline` of class `{name}` is within `answer_margin`");
-        return Err(source.error(class, fault, "shorten `answer_margin` under [timing]"));
+        let problem = format!("`deadline` of class `{name}` is within `answer_margin`");
+        return Err(source.error(class, problem, "shorten `answer_margin` under [timing]"));
     }
     Ok(())
 }
--- a/crates/config/tests/faults.rs
+++ b/crates/config/tests/faults.rs
@@ -65,7 +65,7 @@
     assert!(GOOD.contains(from), "{from}");
     let fault = parse("x.toml", &GOOD.replacen(from, to, 1)).expect_err(to);
     assert_eq!(fault.file, "x.toml");
-    (fault.line, fault.fault, fault.mend)
+    (fault.line, fault.problem, fault.suggestion)
 }
 
 #[test]
@@ -99,28 +99,32 @@
 #[test]
 fn what_contradicts_itself_is_told() {
     let more = |text: &str| parse("x.toml", &format!("{GOOD}{text}")).expect_err(text);
-    assert!(more("[registry]\naddress = \"127.0.0.1:1\"\n").fault.contains("registry too"));
-    assert!(more("[means]\nmessages = true\n").mend.contains("[peers]"));
-    assert!(more("[signals]\nreports = \"probe\"\n").fault.contains("probes are not allowed"));
-    assert!(more("[controller]\nindex = 2\ncount = 2\n").fault.contains("`index` is 2"));
+    assert!(more("[registry]\naddress = \"127.0.0.1:1\"\n").problem.contains("registry too"));
+    assert!(more("[means]\nmessages = true\n").suggestion.contains("[peers]"));
+    assert!(more("[signals]\nreports = \"probe\"\n").problem.contains("probes are not allowed"));
+    assert!(more("[controller]\nindex = 2\ncount = 2\n").problem.contains("`index` is 2"));
     assert!(more("[[engines]]\nid = \"e1\"\naddress = \"127.0.0.1:9\"\nkind = \"std\"\n")
-        .fault
+        .problem
         .contains("named twice"));
     assert!(more("[[engines]]\nid = \"e2\"\naddress = \"127.0.0.1:5001\"\nkind = \"std\"\n")
-        .fault
+        .problem
         .contains("two engines listen"));
-    assert!(more("[timing]\nanswer_margin = \"8s\"\n").fault.contains("answer_margin"));
-    assert!(more("[limits]\nsessions = 0\n").mend.contains("from 1"));
+    assert!(more("[timing]\nanswer_margin = \"8s\"\n").problem.contains("answer_margin"));
+    assert!(more("[limits]\nsessions = 0\n").suggestion.contains("from 1"));
 }
 
 #[test]
 fn units_are_read_and_shown() {
-    assert_eq!(units::time("1.5s").map(|t| t.0), Ok(Micros(1_500_000)));
-    assert_eq!(units::time("100us").map(|t| t.0), Ok(Micros(100)));
-    assert_eq!(units::size("2KB").map(|s| s.0), Ok(2048));
-    assert!(units::time("-1s").is_err() && units::time("s").is_err() && units::size("x").is_err());
+    assert_eq!(units::parse_time("1.5s").map(|t| t.0), Ok(Micros(1_500_000)));
+    assert_eq!(units::parse_time("100us").map(|t| t.0), Ok(Micros(100)));
+    assert_eq!(units::parse_size("2KB").map(|s| s.0), Ok(2048));
+    assert!(
+        units::parse_time("-1s").is_err()
+            && units::parse_time("s").is_err()
+            && units::parse_size("x").is_err()
+    );
     for text in ["250ms", "3s", "2m", "7us"] {
-        assert_eq!(units::time(text).map(|t| units::show(t.0)), Ok(text.to_string()));
+        assert_eq!(units::parse_time(text).map(|t| units::format_time(t.0)), Ok(text.to_string()));
     }
 }
 
@@ -132,7 +136,7 @@
         let at = at.min(text.len());
         text.insert_str(at, &junk);
         if let Err(fault) = parse("x.toml", &text) {
-            proptest::prop_assert!(fault.line >= 1 && !fault.mend.is_empty());
+            proptest::prop_assert!(fault.line >= 1 && !fault.suggestion.is_empty());
         }
     }
 }
@@ -155,7 +159,7 @@
         ("[capture.triggers]\nstalls = \"1s\"", "unknown field `stalls`"),
     ] {
         let got = with(text).expect_err(text);
-        assert!(got.fault.contains(fault), "{text}: {got:?}");
+        assert!(got.problem.contains(fault), "{text}: {got:?}");
         assert!(got.line >= 39, "{text}: {got:?}");
     }
 }
--- a/crates/endpoints-cli/src/main.rs
+++ b/crates/endpoints-cli/src/main.rs
@@ -151,7 +151,7 @@
 }
 
 fn span(text: &str) -> Result<Time, String> {
-    wheelfield_config::units::time(text).map_err(|(fault, mend)| format!("{fault}; {mend}"))
+    wheelfield_config::units::parse_time(text).map_err(|error| error.to_string())
 }
 
 fn main() -> ExitCode {
--- a/crates/endpoints/src/file.rs
+++ b/crates/endpoints/src/file.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use toml::Spanned;
 use wheelfield::interface::{EngineEntry, Micros, Status};
-use wheelfield_config::{engine_id, Fault, Names};
+use wheelfield_config::{engine_id, ConfigError, Names};
 
 type At<T> = Spanned<T>;
 
@@ -107,8 +107,8 @@
 }
 
 impl Checker<'_> {
-    fn wrong<T>(&self, at: &At<T>, fault: impl Into<String>, mend: impl Into<String>) -> Fault {
-        Fault::at(self.file, self.text, at.span().start, fault, mend)
+    fn wrong<T>(&self, at: &At<T>, fault: impl Into<String>, mend: impl Into<String>) -> ConfigError {
+        ConfigError::at(self.file, self.text, at.span().start, fault, mend)
     }
 }
 
@@ -116,17 +116,17 @@
 ///
 /// # Errors
 /// The first fault, by line and column.
-pub fn read(file: &str, text: &str, places: &mut Places) -> Result<Read, Fault> {
+pub fn read(file: &str, text: &str, places: &mut Places) -> Result<Read, ConfigError> {
     if text.len() > LONGEST {
         let fault = format!("{} bytes, {LONGEST} at most", text.len());
-        return Err(Fault::at(file, text, 0, fault, "split it, and name the parts by a pattern"));
+        return Err(ConfigError::at(file, text, 0, fault, "split it, and name the parts by a pattern"));
     }
-    let parsed: File = toml::from_str(text).map_err(|e| Fault::of_toml(file, text, &e))?;
+    let parsed: File = toml::from_str(text).map_err(|e| ConfigError::from_toml(file, text, &e))?;
     let c = Checker { file, text };
     let last = text.len().saturating_sub(1);
     let mend = "end the file with a table [end] that says `engines = ` and their number";
     let Some(end) = &parsed.end else {
-        return Err(Fault::at(
+        return Err(ConfigError::at(
             file,
             text,
             last,
@@ -147,7 +147,7 @@
     }
     if !text.ends_with('\n') {
         let mend = "end the last line";
-        return Err(Fault::at(file, text, last, "the last line is not whole", mend));
+        return Err(ConfigError::at(file, text, last, "the last line is not whole", mend));
     }
     if found == 0 {
         return Err(c.wrong(end, "no engine at all", "name at least one; to stop all, stop the controllers"));
@@ -177,7 +177,7 @@
     Ok(Read { set, confirmed: parsed.confirmed, kept: parsed.kept_us.map(Micros) })
 }
 
-fn engine(c: &Checker<'_>, line: &At<Line>, places: &mut Places) -> Result<Known, Fault> {
+fn engine(c: &Checker<'_>, line: &At<Line>, places: &mut Places) -> Result<Known, ConfigError> {
     let l = line.get_ref();
     let name = l.id.get_ref();
     let plain = |ch: char| ch.is_ascii_alphanumeric() || matches!(ch, '-' | '_' | '.' | ':');
@@ -235,7 +235,7 @@
 }
 
 /// Cores, where they are written, must be those of the kind.
-fn cores(c: &Checker<'_>, at: &At<toml::Value>, of_kind: Option<f64>) -> Result<(), Fault> {
+fn cores(c: &Checker<'_>, at: &At<toml::Value>, of_kind: Option<f64>) -> Result<(), ConfigError> {
     let said = match at.get_ref() {
         toml::Value::Integer(n) => *n as f64,
         toml::Value::Float(x) => *x,
--- a/crates/endpoints/src/keeper.rs
+++ b/crates/endpoints/src/keeper.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use wheelfield::interface::{EngineId, Micros, Status};
-use wheelfield_config::Fault;
+use wheelfield_config::ConfigError;
 
 /// What is asked of a candidate.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -42,7 +42,7 @@
     /// It is sound, but takes away too much: why, and when it is taken if it still stands.
     Held(String, Option<Micros>),
     /// It is not taken; what is in force stays. The flag says that this was not told of these bytes before.
-    Refused(Fault, bool),
+    Refused(ConfigError, bool),
     /// It is the set in force now.
     Swap(EngineSet),
 }
@@ -60,7 +60,7 @@
     /// What was read last, and since when it stands.
     seen: Option<(u64, Micros)>,
     /// Bytes that were refused, by their sum.
-    refused: Option<(u64, Fault)>,
+    refused: Option<(u64, ConfigError)>,
     held_since: Option<(u64, Micros)>,
     /// Where engines were that are gone, and since when.
     gone: BTreeMap<EngineId, (SocketAddr, Micros)>,
@@ -109,7 +109,7 @@
     }
 
     /// Why what the files hold is not in force, if it is not.
-    pub fn fault(&self) -> Option<&Fault> {
+    pub fn fault(&self) -> Option<&ConfigError> {
         self.refused.as_ref().map(|(_, fault)| fault)
     }
 
@@ -169,15 +169,15 @@
         !reading.is_empty() && reading.len() == self.files.len() && reading.iter().all(same)
     }
 
-    fn judge(&mut self, now: Micros, sum_now: u64, reading: &[Reading]) -> Result<Verdict, Fault> {
+    fn judge(&mut self, now: Micros, sum_now: u64, reading: &[Reading]) -> Result<Verdict, ConfigError> {
         if reading.is_empty() {
             let mend = "write one where the configuration looks for it";
-            return Err(Fault::at("engines", "", 0, "there is no file of engines", mend));
+            return Err(ConfigError::at("engines", "", 0, "there is no file of engines", mend));
         }
         let whole: usize = reading.iter().filter_map(|(_, t)| t.as_ref().ok()).map(String::len).sum();
         if whole > LONGEST {
             let fault = format!("{whole} bytes in all files, {LONGEST} at most");
-            return Err(Fault::at(&reading[0].0, "", 0, fault, "name fewer engines"));
+            return Err(ConfigError::at(&reading[0].0, "", 0, fault, "name fewer engines"));
         }
         let mut places = self.places.clone();
         let (mut candidate, mut files) = (EngineSet::default(), BTreeMap::new());
@@ -186,7 +186,7 @@
         let mut addresses: BTreeMap<SocketAddr, String> = BTreeMap::new();
         for (name, text) in reading {
             let text = text.as_ref().map_err(|why| {
-                Fault::at(
+                ConfigError::at(
                     name,
                     "",
                     0,
@@ -200,12 +200,18 @@
             for (id, known) in found.set.engines {
                 if let Some(other) = owners.insert(id, name) {
                     let fault = format!("`{}` is in {other} too", known.name);
-                    return Err(Fault::at(name, text, place(&known.name), fault, "keep it in one file"));
+                    return Err(ConfigError::at(
+                        name,
+                        text,
+                        place(&known.name),
+                        fault,
+                        "keep it in one file",
+                    ));
                 }
                 let taken = addresses.insert(known.address, known.name.clone());
                 if let Some(other) = taken {
                     let fault = format!("`{other}` has the address of `{}`, {}", known.name, known.address);
-                    return Err(Fault::at(name, text, place(&known.name), fault, "give each its own"));
+                    return Err(ConfigError::at(name, text, place(&known.name), fault, "give each its own"));
                 }
                 self.address_stays(now, name, text, place(&known.name), &known)?;
                 candidate.engines.insert(id, known);
@@ -216,7 +222,7 @@
         }
         if candidate.engines.len() > MOST {
             let fault = format!("{} engines in all files, {MOST} at most", candidate.engines.len());
-            return Err(Fault::at(&reading[0].0, "", 0, fault, "name fewer"));
+            return Err(ConfigError::at(&reading[0].0, "", 0, fault, "name fewer"));
         }
         if let Some(held) = self.too_much_lost(now, sum_now, &candidate, confirmed) {
             return Ok(held);
@@ -225,13 +231,13 @@
     }
 
     /// A file that changed must say so by its version.
-    fn version_rises(&self, name: &str, text: &str, found: &Read) -> Result<(), Fault> {
+    fn version_rises(&self, name: &str, text: &str, found: &Read) -> Result<(), ConfigError> {
         let version = found.set.version;
         let Some((old, old_sum)) = self.files.get(name) else { return Ok(()) };
         let at = text.find("version").unwrap_or(0);
         if version < *old {
             let fault = format!("version {version}, and {old} is in force: an old file came back");
-            return Err(Fault::at(
+            return Err(ConfigError::at(
                 name,
                 text,
                 at,
@@ -241,7 +247,7 @@
         }
         if version == *old && *old_sum != sum(text) {
             let fault = format!("changed, but its version is still {version}");
-            return Err(Fault::at(name, text, at, fault, format!("write version = {}", old + 1)));
+            return Err(ConfigError::at(name, text, at, fault, format!("write version = {}", old + 1)));
         }
         Ok(())
     }
@@ -254,7 +260,7 @@
         text: &str,
         at: usize,
         known: &crate::Known,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), ConfigError> {
         let id = known.entry.engine;
         let in_force = self.current.as_ref().filter(|_| !self.from_before).and_then(|c| c.engines.get(&id));
         let old = match in_force {
@@ -268,7 +274,7 @@
         match old {
             Some(old) if old != known.address => {
                 let fault = format!("`{}` was at {old} and would be at {} now", known.name, known.address);
-                Err(Fault::at(file, text, at, fault, "give the new engine an id of its own"))
+                Err(ConfigError::at(file, text, at, fault, "give the new engine an id of its own"))
             }
             _ => Ok(()),
         }
--- a/crates/endpoints/src/news.rs
+++ b/crates/endpoints/src/news.rs
@@ -3,7 +3,7 @@
 use crate::EngineSet;
 use std::sync::Arc;
 use wheelfield::interface::Micros;
-use wheelfield_config::Fault;
+use wheelfield_config::ConfigError;
 
 /// What there is to tell.
 #[derive(Clone, Debug, PartialEq)]
@@ -15,7 +15,7 @@
     /// The set that was kept can't be used.
     KeptBad(String),
     /// What the files hold is not taken; the set in force stays.
-    Refused(Fault),
+    Refused(ConfigError),
     /// It is sound, but would take away too much; until when it is held, if it is taken then.
     Held(String, Option<Micros>),
     /// The files hold again what is in force.
--- a/crates/endpoints/tests/sets.rs
+++ b/crates/endpoints/tests/sets.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 use wheelfield::interface::{Micros, Status};
-use wheelfield_config::{engine_id, Fault, Names};
+use wheelfield_config::{engine_id, ConfigError, Names};
 use wheelfield_endpoints::file::{read, write, Places, Read};
 use wheelfield_endpoints::keeper::{Keeper, Policy, Reading, Verdict};
 use wheelfield_endpoints::merge::{merge, Contradiction};
@@ -62,7 +62,7 @@
 }
 
 /// What a text gets that is read after twelve engines are in force, which then must still be.
-fn refused(text: &str) -> Fault {
+fn refused(text: &str) -> ConfigError {
     let (mut keeper, set) = in_force();
     let verdict = settled(&mut keeper, 60 * SECOND, &one(text));
     let Verdict::Refused(fault, true) = verdict else { panic!("{verdict:?} for\n{text}") };
@@ -193,14 +193,14 @@
             assert!(good.contains(&from), "{what}: {from}");
             let text = good.replacen(&from, &to, 1);
             let fault = refused(&text);
-            assert!(fault.fault.contains(must), "{what} at e{n}: {fault}");
-            assert!(fault.line > 1 && !fault.mend.is_empty(), "{what} at e{n}: {fault}");
+            assert!(fault.problem.contains(must), "{what} at e{n}: {fault}");
+            assert!(fault.line > 1 && !fault.suggestion.is_empty(), "{what} at e{n}: {fault}");
             // The place is at the engine meant, or at the other of two that are alike.
             let own = good[..good.find(&line(n)).unwrap_or(0)].matches('\n').count() + 1;
             let near = (own.saturating_sub(2)..own + 9).contains(&fault.line);
             let pair = what.ends_with("twice") && fault.line > 1;
             assert!(near || pair, "{what} at e{n}, line {own}: {fault}");
-            faults.insert(fault.fault.clone());
+            faults.insert(fault.problem.clone());
             planted += 1;
         }
     }
@@ -227,7 +227,7 @@
     ];
     for (text, must) in whole {
         let fault = refused(&text);
-        assert!(fault.fault.contains(must) && !fault.mend.is_empty(), "{must}: {fault}");
+        assert!(fault.problem.contains(must) && !fault.suggestion.is_empty(), "{must}: {fault}");
         planted += 1;
     }
     assert!(planted >= 200, "{planted}");
@@ -258,12 +258,12 @@
     let (mut keeper, set) = in_force();
     let verdict = settled(&mut keeper, 60 * SECOND, &[]);
     let Verdict::Refused(fault, true) = verdict else { panic!("{verdict:?}") };
-    assert!(fault.fault.contains("no file of engines"));
+    assert!(fault.problem.contains("no file of engines"));
     let gone = vec![("engines.toml".to_string(), Err("No such file or directory".to_string()))];
     let Verdict::Refused(fault, true) = settled(&mut keeper, 61 * SECOND, &gone) else {
         panic!("unreadable")
     };
-    assert!(fault.fault.contains("No such file"));
+    assert!(fault.problem.contains("No such file"));
     assert_eq!(keeper.current(), Some(&set));
     assert_eq!(keeper.look(Micros(62 * SECOND), &one(&fleet(5, 12))), Verdict::Same);
     let verdict = settled(&mut keeper, 63 * SECOND, &one(&fleet(6, 13)));
@@ -324,7 +324,7 @@
     let Verdict::Refused(fault, _) = settled(&mut keeper, 61 * SECOND, &one(&moved(7))) else {
         panic!("moved")
     };
-    assert!(fault.fault.contains("`e0` was at 127.0.0.1:5500"), "{fault}");
+    assert!(fault.problem.contains("`e0` was at 127.0.0.1:5500"), "{fault}");
     assert!(
         matches!(settled(&mut keeper, 62 * SECOND, &one(&fleet(7, 12))), Verdict::Swap(_)),
         "at its place"
@@ -355,7 +355,10 @@
         (two_text.replace("version = 9", "version = 10").replace(":5504\"", ":5500\""), "has the address of"),
     ] {
         let verdict = settled(&mut keeper, 3 * SECOND, &both(&one_text, &text));
-        assert!(matches!(&verdict, Verdict::Refused(f, _) if f.fault.contains(must)), "{must}: {verdict:?}");
+        assert!(
+            matches!(&verdict, Verdict::Refused(f, _) if f.problem.contains(must)),
+            "{must}: {verdict:?}"
+        );
     }
 }
 
--- a/crates/engine-emulator/src/setup.rs
+++ b/crates/engine-emulator/src/setup.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use wheelfield_config::units::{Size, Time};
-use wheelfield_config::Fault;
+use wheelfield_config::ConfigError;
 
 /// An engine to be hosted.
 #[derive(Clone, Debug)]
@@ -104,10 +104,10 @@
     /// Reads a file.
     ///
     /// # Errors
-    /// The first [`Fault`] found.
+    /// The first [`ConfigError`] found.
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
-    pub fn parse(name: &str, text: &str) -> Result<Setup, Fault> {
-        let file: File = toml::from_str(text).map_err(|e| Fault::of_toml(name, text, &e))?;
+    pub fn parse(name: &str, text: &str) -> Result<Setup, ConfigError> {
+        let file: File = toml::from_str(text).map_err(|e| ConfigError::from_toml(name, text, &e))?;
         // Faults in names are told at the line that bears them.
         let at = |what: &str| text.find(&format!("\"{what}\"")).unwrap_or(0);
         let mut kinds = BTreeMap::new();
@@ -119,7 +119,7 @@
                 Some("page") => Short::Page,
                 Some(other) => {
                     let fault = format!("no way of being short is named `{other}`");
-                    return Err(Fault::at(name, text, at(other), fault, "known: wait, shrink, page"));
+                    return Err(ConfigError::at(name, text, at(other), fault, "known: wait, shrink, page"));
                 }
             };
             let micros = |t: Option<Time>, usual: i64| t.map_or(usual, |t| t.0 .0);
@@ -152,7 +152,7 @@
                 .all(|x| x.is_finite() && *x > 0.0);
             if !sound || spec.sessions == 0 {
                 let fault = format!("kind `{}` has no cores, speed, disks, memory or sessions", kind.name);
-                return Err(Fault::at(name, text, at(&kind.name), fault, "write numbers above 0"));
+                return Err(ConfigError::at(name, text, at(&kind.name), fault, "write numbers above 0"));
             }
             let listed = kind.listed_as.unwrap_or_else(|| kind.name.clone());
             kinds.insert(kind.name, (listed, spec));
@@ -162,7 +162,7 @@
             let Some((listed, spec)) = kinds.get(&e.kind) else {
                 let known: Vec<&str> = kinds.keys().map(String::as_str).collect();
                 let fault = format!("engine `{}` is of kind `{}`, which is not named", e.id, e.kind);
-                return Err(Fault::at(
+                return Err(ConfigError::at(
                     name,
                     text,
                     at(&e.kind),
@@ -171,7 +171,7 @@
                 ));
             };
             if engines.iter().any(|other| other.name == e.id) {
-                return Err(Fault::at(
+                return Err(ConfigError::at(
                     name,
                     text,
                     at(&e.id),
@@ -188,7 +188,7 @@
             });
         }
         if engines.is_empty() {
-            return Err(Fault::at(name, text, 0, "no engine is named", "add [[engines]]"));
+            return Err(ConfigError::at(name, text, 0, "no engine is named", "add [[engines]]"));
         }
         let notice = file.registry.notice.map_or(1_000_000, |t| t.0 .0);
         let listed_after = file.registry.listed_after.map_or(200_000, |t| t.0 .0);
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
-use wheelfield_config::units::{time, Time};
+use wheelfield_config::units::{parse_time, Time};
 use wheelfield_load::runner::{self, Plans};
 use wheelfield_load::schedule;
 use wheelfield_load::script::Script;
@@ -84,7 +84,7 @@
 }
 
 fn span(text: &str) -> Result<Time, String> {
-    time(text).map_err(|(fault, mend)| format!("{fault}; {mend}"))
+    parse_time(text).map_err(|error| error.to_string())
 }
 
 fn read(path: &Path) -> Result<Script> {
--- a/crates/load/src/script.rs
+++ b/crates/load/src/script.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use wheelfield::interface::Micros;
 use wheelfield_config::units::Time;
-use wheelfield_config::Fault;
+use wheelfield_config::ConfigError;
 
 /// Connections at most, over all workers.
 pub const MOST_CONNECTIONS: usize = 200_000;
@@ -295,12 +295,13 @@
     /// Reads a script.
     ///
     /// # Errors
-    /// The first [`Fault`] found.
+    /// The first [`ConfigError`] found.
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
-    pub fn parse(name: &str, text: &str) -> Result<Script, Fault> {
-        let script: Script = toml::from_str(text).map_err(|e| Fault::of_toml(name, text, &e))?;
+    pub fn parse(name: &str, text: &str) -> Result<Script, ConfigError> {
+        let script: Script = toml::from_str(text).map_err(|e| ConfigError::from_toml(name, text, &e))?;
         let at = |what: &str| text.find(what).unwrap_or(0);
-        let wrong = |what: &str, fault: String, mend: &str| Err(Fault::at(name, text, at(what), fault, mend));
+        let wrong =
+            |what: &str, fault: String, mend: &str| Err(ConfigError::at(name, text, at(what), fault, mend));
         if script.length.0 .0 <= 0 || script.length.0 .0 > 86_400_000_000 {
             return wrong("length", "no length, or over a day".into(), "write \"60s\"");
         }
--- a/crates/testbed/src/day.rs
+++ b/crates/testbed/src/day.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write as _;
 use wheelfield::interface::Settings;
 use wheelfield_config::units::{Size, Time};
-use wheelfield_config::{Config, Fault};
+use wheelfield_config::{Config, ConfigError};
 use wheelfield_gossip::Limits;
 use wheelfield_network_faults::Timetable;
 
@@ -398,11 +398,12 @@
     /// Reads a script.
     ///
     /// # Errors
-    /// The first [`Fault`] found.
-    pub fn parse(name: &str, text: &str) -> Result<Day, Fault> {
-        let day: Day = toml::from_str(text).map_err(|e| Fault::of_toml(name, text, &e))?;
+    /// The first [`ConfigError`] found.
+    pub fn parse(name: &str, text: &str) -> Result<Day, ConfigError> {
+        let day: Day = toml::from_str(text).map_err(|e| ConfigError::from_toml(name, text, &e))?;
         let at = |what: &str| text.find(what).unwrap_or(0);
-        let wrong = |what: &str, fault: String, mend: &str| Err(Fault::at(name, text, at(what), fault, mend));
+        let wrong =
+            |what: &str, fault: String, mend: &str| Err(ConfigError::at(name, text, at(what), fault, mend));
         if day.length.0 .0 <= 0 || day.length.0 .0 > 3_600_000_000 {
             return wrong("length", "a day of no length, or of over an hour".into(), "write \"30s\"");
         }
@@ -441,14 +442,14 @@
         }
         if let Err((n, fault)) = script::timetable(&day.roads, day.controllers, 0) {
             let place = text.match_indices("[[roads]]").nth(n).map_or(0, |(at, _)| at);
-            return Err(Fault::at(name, text, place, fault, "see docs/lab.md, fleets"));
+            return Err(ConfigError::at(name, text, place, fault, "see docs/lab.md, fleets"));
         }
         // What a controller would refuse, it refuses here.
         if let Err(fault) = day.checked() {
             return wrong(
                 "[[classes]]",
-                format!("its controllers would not start: {}", fault.fault),
-                &fault.mend,
+                format!("its controllers would not start: {}", fault.problem),
+                &fault.suggestion,
             );
         }
         Ok(day)
@@ -457,8 +458,8 @@
     /// The configuration that its controllers get, checked.
     ///
     /// # Errors
-    /// The first [`Fault`] found.
-    pub fn checked(&self) -> Result<Config, Fault> {
+    /// The first [`ConfigError`] found.
+    pub fn checked(&self) -> Result<Config, ConfigError> {
         let peers = (0..self.controllers).map(|i| format!("127.0.0.1:{}", 1 + i)).collect::<Vec<_>>();
         let mut text = self.controller(0, "127.0.0.1:1", "127.0.0.1:0", &peers);
         if self.registry.files {
@@ -508,8 +509,8 @@
     /// What the module of each controller is handed.
     ///
     /// # Errors
-    /// The first [`Fault`] found.
-    pub fn settings(&self) -> Result<Settings, Fault> {
+    /// The first [`ConfigError`] found.
+    pub fn settings(&self) -> Result<Settings, ConfigError> {
         self.checked().map(|config| config.settings)
     }
 
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -15,7 +15,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::channel;
 use std::sync::Mutex;
-use wheelfield_config::Fault;
+use wheelfield_config::ConfigError;
 
 /// Runs of an experiment at most.
 const MOST_RUNS: usize = 20_000;
@@ -108,11 +108,12 @@
     /// Reads a file.
     ///
     /// # Errors
-    /// The first [`Fault`] found.
-    pub fn parse(name: &str, text: &str) -> Result<Experiment, Fault> {
-        let e: Experiment = toml::from_str(text).map_err(|e| Fault::of_toml(name, text, &e))?;
+    /// The first [`ConfigError`] found.
+    pub fn parse(name: &str, text: &str) -> Result<Experiment, ConfigError> {
+        let e: Experiment = toml::from_str(text).map_err(|e| ConfigError::from_toml(name, text, &e))?;
         let at = |what: &str| text.find(what).unwrap_or(0);
-        let wrong = |what: &str, fault: String, mend: &str| Err(Fault::at(name, text, at(what), fault, mend));
+        let wrong =
+            |what: &str, fault: String, mend: &str| Err(ConfigError::at(name, text, at(what), fault, mend));
         if e.days.is_empty() || e.variants.is_empty() || e.seeds == 0 || e.sizes.is_empty() {
             return wrong(
                 "name",
@@ -261,8 +262,8 @@
             for size in &e.sizes {
                 for turn in 0..e.variants.len() {
                     let v = &e.variants[(turn + seed as usize) % e.variants.len()];
-                    let mut table: toml::Table =
-                        toml::from_str(&texts[name]).map_err(|f| Fault::of_toml(name, &texts[name], &f))?;
+                    let mut table: toml::Table = toml::from_str(&texts[name])
+                        .map_err(|f| ConfigError::from_toml(name, &texts[name], &f))?;
                     merge(&mut table, &v.set);
                     let text = toml::to_string(&table).context("a day can't be written")?;
                     let mut day = Day::parse(&format!("{name} of variant {}", v.name), &text)?;
--- a/crates/testbed/src/explore/mod.rs
+++ b/crates/testbed/src/explore/mod.rs
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
-use wheelfield_config::Fault;
+use wheelfield_config::ConfigError;
 use wheelfield_invariants::End;
 use wheelfield_pg_gateway::fault_injection::FaultInjection;
 
@@ -49,7 +49,10 @@
 ///
 /// # Errors
 /// The first fault of its script.
-pub fn course(scenario: &Scenario, plant: Option<FaultInjection>) -> Result<(Day, Plan, Played), Fault> {
+pub fn course(
+    scenario: &Scenario,
+    plant: Option<FaultInjection>,
+) -> Result<(Day, Plan, Played), ConfigError> {
     let day = scenario.day()?;
     let plan = Plan::draw(&day, scenario.seed);
     let visits = scenario.visits_ms as i64 * 1000;
@@ -62,7 +65,7 @@
 ///
 /// # Errors
 /// The first fault of its script.
-pub fn play(scenario: &Scenario, plant: Option<FaultInjection>) -> Result<Outcome, Fault> {
+pub fn play(scenario: &Scenario, plant: Option<FaultInjection>) -> Result<Outcome, ConfigError> {
     std::panic::catch_unwind(|| judged(scenario, plant)).unwrap_or_else(|panic| {
         let text = panic.downcast_ref::<String>().cloned();
         let text = text.or_else(|| panic.downcast_ref::<&str>().map(|s| (*s).to_string()));
@@ -71,7 +74,7 @@
     })
 }
 
-fn judged(scenario: &Scenario, plant: Option<FaultInjection>) -> Result<Outcome, Fault> {
+fn judged(scenario: &Scenario, plant: Option<FaultInjection>) -> Result<Outcome, ConfigError> {
     let (day, plan, played) = course(scenario, plant)?;
     let settings = day.settings()?;
     let known = Known { day: &day, settings: &settings, plan: &plan, start: virtual_time::start() };
@@ -156,7 +159,7 @@
     all
 }
 
-fn add(all: &mut Explored, scenario: Scenario, outcome: Result<Outcome, Fault>) {
+fn add(all: &mut Explored, scenario: Scenario, outcome: Result<Outcome, ConfigError>) {
     all.days += 1;
     match outcome {
         Ok(outcome) => {
--- a/crates/testbed/src/explore/scenario.rs
+++ b/crates/testbed/src/explore/scenario.rs
@@ -7,7 +7,7 @@
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 use std::fmt::Write as _;
-use wheelfield_config::Fault;
+use wheelfield_config::ConfigError;
 
 /// Something that goes wrong, as a day's script has it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -264,7 +264,7 @@
     ///
     /// # Errors
     /// The first fault of its script.
-    pub fn day(&self) -> Result<Day, Fault> {
+    pub fn day(&self) -> Result<Day, ConfigError> {
         Day::parse(&format!("scenario {}", self.seed), &self.script())
     }
 }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -237,7 +237,7 @@
 ];
 
 fn span(text: &str) -> Result<Time, String> {
-    wheelfield_config::units::time(text).map_err(|(fault, mend)| format!("{fault}; {mend}"))
+    wheelfield_config::units::parse_time(text).map_err(|error| error.to_string())
 }
 
 fn read(file: Option<&PathBuf>) -> Result<Day> {
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -22,7 +22,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use wheelfield::interface::{Settings, Status};
-use wheelfield_config::{Config, Fault};
+use wheelfield_config::{Config, ConfigError};
 use wheelfield_driver::{Driver, DriverLimits};
 use wheelfield_endpoints::tracker::from_registry;
 use wheelfield_endpoints::EngineSet;
@@ -150,22 +150,22 @@
 /// Plays a day.
 ///
 /// # Errors
-/// The first [`Fault`] of its script.
-pub fn play(day: &Day, plan: &Plan, seed: u64, policy: Policy) -> Result<Played, Fault> {
+/// The first [`ConfigError`] of its script.
+pub fn play(day: &Day, plan: &Plan, seed: u64, policy: Policy) -> Result<Played, ConfigError> {
     play_under(day, plan, seed, policy, Conditions::default())
 }
 
 /// Plays a day under conditions.
 ///
 /// # Errors
-/// The first [`Fault`] of its script.
+/// The first [`ConfigError`] of its script.
 pub fn play_under(
     day: &Day,
     plan: &Plan,
     seed: u64,
     policy: Policy,
     conditions: Conditions,
-) -> Result<Played, Fault> {
+) -> Result<Played, ConfigError> {
     let config = day.checked()?;
     let bounds = DriverLimits {
         max_queries: config.limits.queries,
@@ -183,14 +183,14 @@
 /// Plays a day with controllers that decide in a way of their own.
 ///
 /// # Errors
-/// The first [`Fault`] of its script.
+/// The first [`ConfigError`] of its script.
 pub fn play_with(
     day: &Day,
     plan: &Plan,
     seed: u64,
     minds: &Minds<'_>,
     conditions: Conditions,
-) -> Result<Played, Fault> {
+) -> Result<Played, ConfigError> {
     let mut world = World::new(day, plan, seed, minds, conditions)?;
     let longest = day.classes.iter().map(|c| c.deadline.0 .0).max().unwrap_or(0);
     let mut end = START + LEAD + day.length.0 .0 + 2 * longest + 5_000_000;
@@ -236,7 +236,7 @@
         seed: u64,
         minds: &'a Minds<'a>,
         conditions: Conditions,
-    ) -> Result<World<'a>, Fault> {
+    ) -> Result<World<'a>, ConfigError> {
         let config = day.checked()?;
         let setup = Setup::parse("generated", &day.stand_ins(&config.settings, &plan.engines))?;
         let address = |i: usize| format!("127.{}.{}.1:5432", 1 + i / 250, 1 + i % 250);
@@ -251,7 +251,7 @@
         };
         let registry = Registry::new(setup.engines.iter().enumerate().map(line));
         let set = from_registry(registry.list().as_bytes(), &config.names, 0)
-            .map_err(|e| Fault::at("generated", "", 0, e.to_string(), "mend the fleet"))?;
+            .map_err(|e| ConfigError::at("generated", "", 0, e.to_string(), "mend the fleet"))?;
         let mut by_address: HashMap<SocketAddr, Proc> = HashMap::new();
         for i in 0..setup.engines.len() {
             by_address.extend(address(i).parse().ok().map(|a| (a, Proc::Engine(i))));
--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -51,7 +51,7 @@
 fn the_grown_size_keeps_the_rules() {
     let mut grown = day("grown");
     // A quarter of its length, with a crash and controllers killed.
-    grown.length = wheelfield_config::units::time("10s").expect("a time");
+    grown.length = wheelfield_config::units::parse_time("10s").expect("a time");
     let (report, _) = play_virtual(&grown, 1, Policy::Module).expect("sound");
     assert!(report.kept(), "{:?}", report.breaches);
     assert!(report.queries > 3_000 && report.service > 0.9, "{report:?}");
