--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -1,49 +1,50 @@
 //! A validated configuration, as the controller uses it.
 
 use std::net::SocketAddr;
+use std::path::PathBuf;
 use wheelfield::interface::{EngineId, Micros, Settings};
 
-/// A checked configuration.
+/// A validated configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Where clients connect; port 0 lets the system choose.
+    /// The address where clients connect; with port 0 the system chooses the port.
     pub listen: SocketAddr,
-    /// Where health and figures are told over HTTP.
+    /// The address of the HTTP pages for health and metrics, if they are served.
     pub admin: Option<SocketAddr>,
-    /// Seed of the module's chance; none for one from the system.
+    /// The seed of the decision core's random numbers; `None` takes one from the system.
     pub seed: Option<u64>,
-    /// The login at the engines.
+    /// The user name for sessions with engines.
     pub user: String,
-    /// The database at the engines.
+    /// The database for sessions with engines.
     pub database: String,
-    /// What the module is handed.
+    /// The settings of the decision core.
     pub settings: Settings,
-    /// The names that the module's numbers stand for.
+    /// The names of classes, tenants, zones and kinds, which the settings refer to by position.
     pub names: Names,
-    /// How a query finds its class.
+    /// How a query is assigned to a class.
     pub route: Route,
-    /// Engines named in the file itself.
-    pub engines: Vec<EngineAt>,
-    /// Where the engine list is kept, if elsewhere.
+    /// The engines listed in the configuration itself.
+    pub engines: Vec<EngineEndpoint>,
+    /// The registry that serves the endpoint list, if there is one.
     pub registry: Option<Registry>,
-    /// Files in which it is kept, if so.
-    pub members: Option<Members>,
-    /// The other controllers.
+    /// The files that contain the endpoint list, if there are any.
+    pub endpoint_files: Option<EndpointFiles>,
+    /// The other controllers, where they are listed rather than found by gossip.
     pub peers: Option<Peers>,
-    /// How the controllers find out how many they are, if they do.
+    /// The gossip with other controllers, if it is enabled.
     pub gossip: Option<Gossip>,
-    /// Where all that the driver is told and answers is recorded, if at all.
+    /// The recording of the driver's inputs and outputs, if it is enabled.
     pub capture: Option<Capture>,
-    /// What is bounded by number and size.
+    /// Limits on numbers and sizes.
     pub limits: Limits,
-    /// What is bounded by time.
+    /// Timeouts.
     pub timing: Timing,
 }
 
 /// Names by position.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// Classes; the last is that of descriptions, which has no name of its own in the file.
+    /// Classes; the last is the class of descriptions, which the file does not define.
     pub classes: Vec<String>,
     /// Tenants.
     pub tenants: Vec<String>,
@@ -53,214 +54,218 @@
     pub kinds: Vec<String>,
 }
 
-/// An engine and where it listens.
+/// An engine and its address.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EngineAt {
-    /// Its name.
+pub struct EngineEndpoint {
+    /// The name of the engine.
     pub name: String,
-    /// Where it listens.
+    /// The address where it listens.
     pub address: SocketAddr,
-    /// Its zone, by position; `usize::MAX` where it has none.
+    /// Its zone, by position; `usize::MAX` if it has none.
     pub zone: usize,
-    /// Its kind, by position.
+    /// Its kind of machine, by position.
     pub kind: usize,
-    /// Its cell.
+    /// The cell that it belongs to.
     pub cell: i64,
 }
 
-/// How a query finds its class: its own hint, the session's, the first selector that matches, or the default.
+/// How a query is assigned to a class: by its own hint, the hint of its session, the first selector that
+/// matches, or the default, in this order.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// The class of what nothing else tells of.
+    /// The class of queries that nothing else assigns.
     pub default_class: usize,
-    /// The class of descriptions, which run nothing.
+    /// The class of descriptions, which run nothing at an engine.
     pub describe_class: usize,
-    /// In turn.
+    /// The selectors, in the order in which they are tried.
     pub selectors: Vec<Selector>,
 }
 
-/// Matches if all that it names does.
+/// A rule that assigns a class. It matches if each of its conditions does.
 #[derive(Clone, Debug)]
 pub struct Selector {
-    /// The login.
+    /// The user name of the session.
     pub user: Option<String>,
-    /// The database.
+    /// The database of the session.
     pub database: Option<String>,
-    /// The application's name.
+    /// The application name of the session.
     pub application: Option<String>,
-    /// Found in the text.
+    /// A pattern to be found in the text of the query.
     pub pattern: Option<regex::Regex>,
-    /// The class of what matches.
+    /// The class of queries that match, by position.
     pub class: usize,
 }
 
-/// How the list is kept fresh.
+/// How the endpoint list of a registry is kept up to date.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refresh {
-    /// A call waits at the registry until something changes.
+    /// A request waits at the registry until something changes.
     Watch,
-    /// The list is asked for again and again.
+    /// The list is requested at a fixed interval.
     Poll,
 }
 
-/// A registry that keeps the engine list.
+/// A registry that serves the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Registry {
-    /// Where it listens.
+    /// The address where it listens.
     pub address: SocketAddr,
-    /// How it is asked.
+    /// How the list is kept up to date.
     pub refresh: Refresh,
-    /// Between two calls, and after a failed one.
-    pub every: Micros,
+    /// The interval between two requests, and the delay after a failed one.
+    pub poll_interval: Micros,
 }
 
-/// Words to other controllers that are found by gossip, in bytes a second at most.
+/// The limits of messages to other controllers that gossip carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Words {
-    /// To each,
-    pub each: u64,
-    /// and to all together.
-    pub all: u64,
+pub struct PeerMessageLimits {
+    /// Bytes a second to each controller.
+    pub bytes_per_second_to_each: u64,
+    /// Bytes a second to all controllers together.
+    pub bytes_per_second_to_all: u64,
 }
 
-/// The other controllers, where they are not found by gossip.
+/// The other controllers, where they are listed rather than found by gossip.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peers {
-    /// Where this one listens.
+    /// The address where this controller listens for messages.
     pub listen: SocketAddr,
-    /// Where the others do.
+    /// The addresses of the others.
     pub addresses: Vec<SocketAddr>,
 }
 
-/// How controllers find out how many they are.
+/// The gossip by which controllers find each other.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Gossip {
-    /// Where this one listens; port 0 lets the system choose.
+    /// The address where this controller listens; with port 0 the system chooses the port.
     pub listen: SocketAddr,
-    /// Where the others reach it, if addresses are translated on the way; else where it listens. Its datagrams come to them from
-    /// there, and its number is this address's rank.
+    /// The address where the others reach this controller, if addresses are translated on the way; `None` if it
+    /// is `listen`. Its datagrams must arrive from there, and its index is the rank of this address.
     pub advertise: Option<SocketAddr>,
-    /// Whom to ask first.
+    /// The members to contact first.
     pub seeds: Vec<SocketAddr>,
-    /// The file of the keys.
-    pub keys: std::path::PathBuf,
-    /// One member is probed so often.
-    pub period: Micros,
-    /// Who says that one that fell silent counts no more: more than half of all, after `hold`, or only an operator.
-    pub quorum: bool,
-    /// One that fell silent counts for so long at least where a quorum may forget it.
-    pub hold: Micros,
-    /// At the start, at least `count` are gone by for so long.
-    pub settle: Micros,
-    /// Words for the others ride on it, within these bounds; none do if controllers send no messages.
-    pub words: Option<Words>,
+    /// The file with the encryption keys.
+    pub keys: PathBuf,
+    /// The interval at which one member is probed.
+    pub probe_interval: Micros,
+    /// Whether a quorum (more than half of all members) may evict an unreachable member after `evict_after`.
+    /// Otherwise only an operator may.
+    pub quorum_evicts: bool,
+    /// How long a member must be unreachable, at least, before a quorum may evict it.
+    pub evict_after: Micros,
+    /// How long after the start at least `count` controllers are assumed.
+    pub startup_grace: Micros,
+    /// The limits of messages carried by gossip; `None` if controllers send no messages.
+    pub message_limits: Option<PeerMessageLimits>,
 }
 
-/// Files of engines that are watched.
+/// Files that contain the endpoint list and are watched for changes.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Members {
+pub struct EndpointFiles {
     /// Files, directories, and patterns with `*` in their last part.
-    pub files: Vec<std::path::PathBuf>,
-    /// Where the set in force is kept, for a start without a good file.
-    pub last_good: Option<std::path::PathBuf>,
-    /// Files must have stood still for so long.
-    pub settle: Micros,
-    /// They are read so often, whatever the system tells of changes.
-    pub poll: Micros,
-    /// At most this share of the capacity goes at once without a word.
-    pub most_lost: f64,
-    /// A set that takes away more is taken after so long; none: when its file says that it is confirmed.
+    pub files: Vec<PathBuf>,
+    /// The file where the active endpoint set is persisted, for a start without a valid file.
+    pub last_good: Option<PathBuf>,
+    /// How long files must be unchanged before they are read.
+    pub settle_time: Micros,
+    /// The interval at which the files are read even if the system reports no change.
+    pub poll_interval: Micros,
+    /// The fraction of the capacity that a new set may remove without confirmation.
+    pub max_lost_fraction: f64,
+    /// How long a set that removes more is held before it is taken; `None` holds it until its file confirms it.
     pub hold: Option<Micros>,
-    /// An id may come back at another address only so long after it was gone.
-    pub reuse_after: Micros,
-    /// A registry beside that was not heard for so long says nothing.
-    pub registry_age: Micros,
+    /// How long after its removal an id may return at another address.
+    pub id_reuse_delay: Micros,
+    /// The age beyond which the last answer of a registry used at the same time is ignored.
+    pub max_registry_age: Micros,
 }
 
-/// How a controller records what its driver is told and answers.
+/// How a controller records the inputs and outputs of its driver.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Capture {
-    /// The first file; later ones are named after it.
-    pub file: std::path::PathBuf,
-    /// Bytes of a file, after which the next one begins.
-    pub segment: u64,
-    /// Bytes of all files together, after which the oldest goes.
-    pub keep: u64,
-    /// The whole state is written so often.
-    pub checkpoint: Micros,
-    /// What was written is made durable so often.
-    pub sync: Micros,
-    /// Blocks that wait to be written; one more is dropped.
-    pub queue: usize,
-    /// In memory alone, until there is a reason to keep it; none writes always.
-    pub ring: Option<Ring>,
+    /// The first file; the names of later ones are derived from it.
+    pub file: PathBuf,
+    /// The size of a file, in bytes, at which the next one begins.
+    pub segment_bytes: u64,
+    /// The size of all files together, in bytes, above which the oldest is removed.
+    pub max_total_bytes: u64,
+    /// The interval at which the whole state is written.
+    pub checkpoint_interval: Micros,
+    /// The interval at which written data is synced to disk.
+    pub sync_interval: Micros,
+    /// The blocks that may wait to be written; further ones are dropped.
+    pub max_queued_blocks: usize,
+    /// Recording in memory, written on a trigger; `None` writes to the file at all times.
+    pub ring: Option<RingCapture>,
 }
 
-/// A capture in memory, and the reasons to keep it.
+/// A recording in memory, and the triggers that write it to the file.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ring {
-    /// Bytes held.
-    pub memory: u64,
-    /// So far back, if the bytes suffice.
+pub struct RingCapture {
+    /// The size of the recording, in bytes.
+    pub max_bytes: u64,
+    /// How far back the recording reaches, if its size allows it.
     pub span: Micros,
-    /// An engine set aside is a reason.
-    pub set_aside: bool,
-    /// More than this share of the queries of the window refused is one.
-    pub refusals: f64,
-    /// The window.
+    /// Whether the ejection of an engine is a trigger.
+    pub on_engine_ejected: bool,
+    /// The trigger fraction of queries rejected within `window`.
+    pub rejected_fraction: f64,
+    /// The window over which rejected queries are counted.
     pub window: Micros,
-    /// A controller that stood still for so long is one.
+    /// The trigger duration for which the controller made no progress.
     pub stall: Micros,
-    /// What follows a reason for so long is kept too.
-    pub after: Micros,
-    /// The next reason counts so much later.
-    pub rest: Micros,
+    /// How long the recording continues after a trigger.
+    pub record_after: Micros,
+    /// How long after a trigger the next one is ignored.
+    pub cooldown: Micros,
 }
 
-/// What is bounded by number and size.
+/// Limits on numbers and sizes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Client connections; one more is told so and closed.
+    /// Client connections; a further one gets an error and is closed.
     pub clients: usize,
-    /// Queries held; one more is refused.
+    /// Queries in the controller; a further one is rejected.
     pub queries: usize,
-    /// Bytes of a client's message; a longer one ends its connection.
+    /// The size of a message of a client, in bytes; a longer one ends its connection.
     pub message: usize,
     /// Prepared statements of a session.
     pub statements: usize,
-    /// Bytes of the prepared statements of a session, and of a batch.
+    /// The size of the prepared statements of a session, and of a batch, in bytes.
     pub prepared: usize,
-    /// Bytes on their way to one client; no more are read from the engine until some have left.
+    /// Bytes waiting to be sent to one client; above it, reading from the engine pauses.
     pub buffer: usize,
-    /// Sessions with one engine; an attempt that finds none free is told as turned away.
+    /// Sessions with one engine; an attempt that finds none free is treated as rejected by the engine.
     pub sessions: usize,
     /// Connections that wait to be accepted.
     pub backlog: u32,
 }
 
-/// What is bounded by time.
+/// Timeouts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// The final answer leaves so long before the client gives up.
+    /// How long before a query's deadline its final answer is sent.
     pub answer_margin: Micros,
-    /// Until an engine must be connected and let us in.
+    /// For connecting to an engine, including the login.
     pub connect: Micros,
-    /// Until a client must have introduced itself.
+    /// For the startup message and login of a client.
     pub startup: Micros,
-    /// An engine that has begun an answer and sends nothing for so long is lost.
+    /// For further data from an engine that has begun an answer; after it, the engine is treated as lost.
     pub stall: Micros,
-    /// A withdrawn attempt that the engine does not confirm counts as ended after this.
-    pub withdraw: Micros,
-    /// An unused session with an engine is closed after this.
+    /// For the confirmation of a cancelled attempt; after it, the attempt counts as ended.
+    pub cancel: Micros,
+    /// For an unused session with an engine, which is then closed.
     pub session_idle: Micros,
-    /// After a request to stop, clients get so long to finish.
+    /// For clients to finish after a request to stop.
     pub drain: Micros,
-    /// Until a probe must be answered.
+    /// For the answer to a probe.
     pub probe: Micros,
 }
 
-/// The number of an engine: the same for the same name at every controller.
+/// The id of an engine, a hash of its name: the same at each controller.
 pub fn engine_id(name: &str) -> EngineId {
-    let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
-    EngineId(name.bytes().fold(0xcbf2_9ce4_8422_2325, step))
+    const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const FNV_PRIME: u64 = 0x0100_0000_01b3;
+    let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
+    EngineId(name.bytes().fold(FNV_OFFSET_BASIS, step))
 }
--- a/crates/config/src/validate/capture.rs
+++ b/crates/config/src/validate/capture.rs
@@ -1,7 +1,7 @@
 //! `[capture]`: the recording of the driver's inputs and outputs.
 
 use super::source::{seconds, Checked, Source};
-use crate::model::{Capture, Ring};
+use crate::model::{Capture, RingCapture};
 use crate::schema::{self, CaptureMode};
 use crate::units::Size;
 use toml::Spanned;
@@ -11,7 +11,7 @@
 const DEFAULT_KEPT_BYTES: u64 = 4 << 30;
 const DEFAULT_RING_BYTES: u64 = 64 << 20;
 const DEFAULT_QUEUED_BLOCKS: usize = 64;
-const DEFAULT_REFUSED_FRACTION: f64 = 0.3;
+const DEFAULT_REJECTED_FRACTION: f64 = 0.3;
 
 /// All keys are checked in each mode; the result is none where the capture is off.
 pub(super) fn validate(source: &Source<'_>, section: &schema::Capture) -> Checked<Option<Capture>> {
@@ -23,39 +23,39 @@
     let ring = validate_ring(source, section)?;
     let capture = Capture {
         file: file_name.into(),
-        segment: size_or(source, section.segment.as_ref(), DEFAULT_SEGMENT_BYTES)?,
-        keep: size_or(source, section.keep.as_ref(), DEFAULT_KEPT_BYTES)?,
-        checkpoint: source.time_or(section.checkpoint.as_ref(), seconds(60), "checkpoint")?,
-        sync: source.time_or(section.sync.as_ref(), seconds(1), "sync")?,
-        queue: match &section.queue {
+        segment_bytes: size_or(source, section.segment.as_ref(), DEFAULT_SEGMENT_BYTES)?,
+        max_total_bytes: size_or(source, section.keep.as_ref(), DEFAULT_KEPT_BYTES)?,
+        checkpoint_interval: source.time_or(section.checkpoint.as_ref(), seconds(60), "checkpoint")?,
+        sync_interval: source.time_or(section.sync.as_ref(), seconds(1), "sync")?,
+        max_queued_blocks: match &section.queue {
             Some(blocks) => (*blocks.get_ref()).clamp(2, 65_536) as usize,
             None => DEFAULT_QUEUED_BLOCKS,
         },
         ring: (section.mode == CaptureMode::Ring).then_some(ring),
     };
-    if capture.ring.is_none() && capture.keep < capture.segment {
+    if capture.ring.is_none() && capture.max_total_bytes < capture.segment_bytes {
         let suggestion = "make `keep` at least `segment`";
         return Err(source.error(&section.file, "`keep` is less than one file", suggestion));
     }
     Ok((section.mode != CaptureMode::Off).then_some(capture))
 }
 
-fn validate_ring(source: &Source<'_>, section: &schema::Capture) -> Checked<Ring> {
+fn validate_ring(source: &Source<'_>, section: &schema::Capture) -> Checked<RingCapture> {
     let triggers = &section.triggers;
     let refusals_suggestion = "write one from 0 to 1; 1 is never reached";
-    Ok(Ring {
-        memory: size_or(source, section.memory.as_ref(), DEFAULT_RING_BYTES)?,
+    Ok(RingCapture {
+        max_bytes: size_or(source, section.memory.as_ref(), DEFAULT_RING_BYTES)?,
         span: source.time_or(section.span.as_ref(), seconds(600), "span")?,
-        set_aside: triggers.set_aside.unwrap_or(true),
-        refusals: source.fraction_or(
+        on_engine_ejected: triggers.set_aside.unwrap_or(true),
+        rejected_fraction: source.fraction_or(
             triggers.refusals.as_ref(),
-            DEFAULT_REFUSED_FRACTION,
+            DEFAULT_REJECTED_FRACTION,
             refusals_suggestion,
         )?,
         window: source.time_or(triggers.window.as_ref(), seconds(10), "window")?,
         stall: source.time_or(triggers.stall.as_ref(), seconds(1), "stall")?,
-        after: source.time_or(triggers.after.as_ref(), seconds(5), "after")?,
-        rest: source.time_or(triggers.rest.as_ref(), seconds(300), "rest")?,
+        record_after: source.time_or(triggers.after.as_ref(), seconds(5), "after")?,
+        cooldown: source.time_or(triggers.rest.as_ref(), seconds(300), "rest")?,
     })
 }
 
--- a/crates/config/src/validate/endpoints.rs
+++ b/crates/config/src/validate/endpoints.rs
@@ -1,7 +1,7 @@
 //! Where the engines are listed: `[[engines]]`, `[registry]` or `[members]`.
 
 use super::source::{milliseconds, seconds, Checked, Source};
-use crate::model::{EngineAt, Members, Names, Refresh, Registry};
+use crate::model::{EndpointFiles, EngineEndpoint, Names, Refresh, Registry};
 use crate::schema::{self, File};
 use std::collections::BTreeSet;
 use toml::Spanned;
@@ -12,9 +12,9 @@
 
 /// The sources of the endpoint list.
 pub(super) struct Endpoints {
-    pub engines: Vec<EngineAt>,
+    pub engines: Vec<EngineEndpoint>,
     pub registry: Option<Registry>,
-    pub members: Option<Members>,
+    pub files: Option<EndpointFiles>,
 }
 
 /// At least one source is needed, and engines in the file itself exclude the other two.
@@ -25,23 +25,23 @@
         let suggestion = "keep either [registry] or [[engines]]";
         return Err(source.error(at, "engines are named here and kept in a registry too", suggestion));
     }
-    let members = file.members.as_ref().map(|at| validate_files(source, at.get_ref())).transpose()?;
+    let files = file.members.as_ref().map(|at| validate_files(source, at.get_ref())).transpose()?;
     if let Some(at) = file.members.as_ref().filter(|_| !engines.is_empty()) {
         let suggestion = "keep either [members] or [[engines]]";
         return Err(source.error(at, "engines are named here and kept in files too", suggestion));
     }
-    if registry.is_none() && members.is_none() && engines.is_empty() {
+    if registry.is_none() && files.is_none() && engines.is_empty() {
         let problem = "no engine, no file of engines and no registry is named";
         return Err(source.error(&file.fleet, problem, "add [members], [registry] or [[engines]]"));
     }
-    Ok(Endpoints { engines, registry, members })
+    Ok(Endpoints { engines, registry, files })
 }
 
 fn validate_engines(
     source: &Source<'_>,
     listed: &[Spanned<schema::Engine>],
     names: &Names,
-) -> Checked<Vec<EngineAt>> {
+) -> Checked<Vec<EngineEndpoint>> {
     let (mut engines, mut ids, mut addresses) = (Vec::new(), Vec::new(), BTreeSet::new());
     for engine in listed.iter().map(Spanned::get_ref) {
         source.add_unique_name(&mut ids, &engine.id, "engine")?;
@@ -50,7 +50,7 @@
             let problem = format!("two engines listen at `{address}`");
             return Err(source.error(&engine.address, problem, "give each its own address"));
         }
-        engines.push(EngineAt {
+        engines.push(EngineEndpoint {
             name: engine.id.get_ref().clone(),
             address,
             zone: match &engine.zone {
@@ -71,29 +71,30 @@
             schema::Mode::Watch => Refresh::Watch,
             schema::Mode::Poll => Refresh::Poll,
         },
-        every: registry.every.map_or(seconds(1), |interval| interval.0).max(MIN_POLL_INTERVAL),
+        poll_interval: registry.every.map_or(seconds(1), |interval| interval.0).max(MIN_POLL_INTERVAL),
     })
 }
 
-fn validate_files(source: &Source<'_>, members: &schema::Members) -> Checked<Members> {
-    let files = members.files.get_ref();
+fn validate_files(source: &Source<'_>, section: &schema::Members) -> Checked<EndpointFiles> {
+    let files = section.files.get_ref();
     if files.is_empty() {
-        return Err(source.error(&members.files, "no file of engines is named", "name one, or a pattern"));
+        return Err(source.error(&section.files, "no file of engines is named", "name one, or a pattern"));
     }
     for file in files {
         check_file_pattern(source, file)?;
     }
     let max_lost_suggestion = "write one from 0 to 1";
-    let most_lost = source.fraction_or(members.most_lost.as_ref(), DEFAULT_MAX_LOST, max_lost_suggestion)?;
-    Ok(Members {
+    let max_lost_fraction =
+        source.fraction_or(section.most_lost.as_ref(), DEFAULT_MAX_LOST, max_lost_suggestion)?;
+    Ok(EndpointFiles {
         files: files.iter().map(|file| file.get_ref().into()).collect(),
-        last_good: members.last_good.as_ref().map(|file| file.get_ref().into()),
-        settle: source.time_or(members.settle.as_ref(), milliseconds(100), "settle")?,
-        poll: source.time_or(members.poll.as_ref(), seconds(5), "poll")?,
-        most_lost,
-        hold: members.hold.as_ref().map(|at| source.positive_time(at, "hold")).transpose()?,
-        reuse_after: source.time_or(members.reuse_after.as_ref(), seconds(600), "reuse_after")?,
-        registry_age: source.time_or(members.registry_age.as_ref(), seconds(60), "registry_age")?,
+        last_good: section.last_good.as_ref().map(|file| file.get_ref().into()),
+        settle_time: source.time_or(section.settle.as_ref(), milliseconds(100), "settle")?,
+        poll_interval: source.time_or(section.poll.as_ref(), seconds(5), "poll")?,
+        max_lost_fraction,
+        hold: section.hold.as_ref().map(|at| source.positive_time(at, "hold")).transpose()?,
+        id_reuse_delay: source.time_or(section.reuse_after.as_ref(), seconds(600), "reuse_after")?,
+        max_registry_age: source.time_or(section.registry_age.as_ref(), seconds(60), "registry_age")?,
     })
 }
 
--- a/crates/config/src/validate/gossip.rs
+++ b/crates/config/src/validate/gossip.rs
@@ -1,7 +1,7 @@
 //! `[gossip]` and `[peers]`: how controllers find each other and exchange messages.
 
 use super::source::{milliseconds, seconds, Checked, Source};
-use crate::model::{Gossip, Peers, Words};
+use crate::model::{Gossip, PeerMessageLimits, Peers};
 use crate::schema::{self, File};
 use crate::units::Size;
 use toml::Spanned;
@@ -18,7 +18,7 @@
 /// How messages between controllers are sent: with gossip, or to a fixed list of peers.
 pub(super) struct Messaging {
     /// The limits of messages that gossip carries, if it carries any.
-    pub words: Option<Words>,
+    pub message_limits: Option<PeerMessageLimits>,
     /// The other controllers, where there is no gossip.
     pub peers: Option<Peers>,
 }
@@ -29,8 +29,8 @@
     file: &File,
     peer_messages: bool,
 ) -> Checked<Messaging> {
-    let words = (file.gossip.is_some() && peer_messages)
-        .then(|| message_limits(source, file.peers.as_ref().map(Spanned::get_ref)))
+    let message_limits = (file.gossip.is_some() && peer_messages)
+        .then(|| validate_message_limits(source, file.peers.as_ref().map(Spanned::get_ref)))
         .transpose()?;
     // With gossip, messages arrive through it alone. The addresses under [peers] are not checked then: earlier
     // versions read them from the same file.
@@ -44,14 +44,14 @@
             suggestion,
         ));
     }
-    Ok(Messaging { words, peers })
+    Ok(Messaging { message_limits, peers })
 }
 
-/// Validates `[gossip]`; `words` limits the messages that it carries.
+/// Validates `[gossip]`; `message_limits` limits the messages that it carries.
 pub(super) fn validate(
     source: &Source<'_>,
     section: &schema::Gossip,
-    words: Option<Words>,
+    message_limits: Option<PeerMessageLimits>,
 ) -> Checked<Gossip> {
     let seeds = &section.seeds;
     if seeds.len() > MAX_SEEDS {
@@ -63,21 +63,23 @@
         advertise: section.advertise.as_ref().map(|at| source.loopback_address(at)).transpose()?,
         seeds: seeds.iter().map(|at| source.loopback_address(at)).collect::<Checked<Vec<_>>>()?,
         keys: section.keys.get_ref().into(),
-        period: source.time_or(section.period.as_ref(), seconds(1), "period")?,
-        quorum: section.forget == schema::Forget::Quorum,
-        hold: source.time_or(section.hold.as_ref(), seconds(600), "hold")?,
-        settle: source.time_or(section.settle.as_ref(), seconds(30), "settle")?,
-        words,
+        probe_interval: source.time_or(section.period.as_ref(), seconds(1), "period")?,
+        quorum_evicts: section.forget == schema::Forget::Quorum,
+        evict_after: source.time_or(section.hold.as_ref(), seconds(600), "hold")?,
+        startup_grace: source.time_or(section.settle.as_ref(), seconds(30), "settle")?,
+        message_limits,
     };
     check_gossip(source, section, &gossip)?;
     Ok(gossip)
 }
 
 fn check_gossip(source: &Source<'_>, section: &schema::Gossip, gossip: &Gossip) -> Checked<()> {
-    if let Some(at) = section.period.as_ref().filter(|_| gossip.period < MIN_PERIOD) {
+    if let Some(at) = section.period.as_ref().filter(|_| gossip.probe_interval < MIN_PERIOD) {
         return Err(source.error(at, "a period under 10ms", "write one of 100ms to 10s"));
     }
-    if let Some(at) = section.hold.as_ref().filter(|_| gossip.hold < gossip.period + gossip.period) {
+    if let Some(at) =
+        section.hold.as_ref().filter(|_| gossip.evict_after < gossip.probe_interval + gossip.probe_interval)
+    {
         let problem = "a member would be forgotten sooner than it can be missed";
         return Err(source.error(at, problem, "make `hold` many times `period`"));
     }
@@ -89,12 +91,15 @@
     Ok(())
 }
 
-fn message_limits(source: &Source<'_>, section: Option<&schema::Peers>) -> Checked<Words> {
+fn validate_message_limits(
+    source: &Source<'_>,
+    section: Option<&schema::Peers>,
+) -> Checked<PeerMessageLimits> {
     let each = section.and_then(|peers| peers.most_each.as_ref());
     let all = section.and_then(|peers| peers.most.as_ref());
-    Ok(Words {
-        each: bytes_per_second(source, each, DEFAULT_BYTES_TO_EACH)?,
-        all: bytes_per_second(source, all, DEFAULT_BYTES_TO_ALL)?,
+    Ok(PeerMessageLimits {
+        bytes_per_second_to_each: bytes_per_second(source, each, DEFAULT_BYTES_TO_EACH)?,
+        bytes_per_second_to_all: bytes_per_second(source, all, DEFAULT_BYTES_TO_ALL)?,
     })
 }
 
--- a/crates/config/src/validate/mod.rs
+++ b/crates/config/src/validate/mod.rs
@@ -48,8 +48,9 @@
     timing::check_deadlines(&source, file.classes.get_ref(), timing.answer_margin)?;
     let listen = optional_address(&source, file.listen.as_ref())?;
     let admin = optional_address(&source, file.admin.as_ref())?;
-    let words = messaging.words;
-    let gossip = file.gossip.as_ref().map(|at| gossip::validate(&source, at.get_ref(), words)).transpose()?;
+    let message_limits = messaging.message_limits;
+    let gossip =
+        file.gossip.as_ref().map(|at| gossip::validate(&source, at.get_ref(), message_limits)).transpose()?;
     let capture = file.capture.as_ref().map(|at| capture::validate(&source, at.get_ref())).transpose()?;
     let login = |name: Option<String>| name.unwrap_or_else(|| DEFAULT_LOGIN.to_string());
     Ok(Config {
@@ -63,7 +64,7 @@
         route,
         engines: endpoints.engines,
         registry: endpoints.registry,
-        members: endpoints.members,
+        endpoint_files: endpoints.files,
         gossip,
         peers: messaging.peers,
         capture: capture.flatten(),
--- a/crates/config/src/validate/timing.rs
+++ b/crates/config/src/validate/timing.rs
@@ -16,7 +16,7 @@
         connect: time(&timing.connect, 500, "connect")?,
         startup: time(&timing.startup, 10_000, "startup")?,
         stall: time(&timing.stall, 5_000, "stall")?,
-        withdraw: time(&timing.withdraw, 250, "withdraw")?,
+        cancel: time(&timing.withdraw, 250, "withdraw")?,
         session_idle: time(&timing.session_idle, 30_000, "session_idle")?,
         drain: time(&timing.drain, 30_000, "drain")?,
         probe: time(&timing.probe, 250, "probe")?,
--- a/crates/config/tests/faults.rs
+++ b/crates/config/tests/faults.rs
@@ -149,8 +149,8 @@
     assert!(capture("mode = \"off\"").is_none());
     let more = "mode = \"ring\"\nmemory = \"8MB\"\n[capture.triggers]\nrefusals = 0.5\nstall = \"2s\"";
     let ring = capture(more).and_then(|c| c.ring).expect("in memory");
-    assert_eq!((ring.memory, ring.refusals, ring.stall), (8 << 20, 0.5, Micros(2_000_000)));
-    assert_eq!((ring.span, ring.set_aside), (Micros(600_000_000), true));
+    assert_eq!((ring.max_bytes, ring.rejected_fraction, ring.stall), (8 << 20, 0.5, Micros(2_000_000)));
+    assert_eq!((ring.span, ring.on_engine_ejected), (Micros(600_000_000), true));
     for (text, fault) in [
         ("mode = \"rings\"", "unknown variant `rings`"),
         ("memory = \"8KB\"", "under a megabyte"),
--- a/crates/controller/src/capture.rs
+++ b/crates/controller/src/capture.rs
@@ -28,25 +28,25 @@
         tenants: config.names.tenants.clone(),
     };
     let limits = Limits {
-        max_queued_blocks: capture.queue,
-        segment_bytes: capture.segment,
-        max_total_bytes: capture.keep,
-        checkpoint_interval: capture.checkpoint,
-        sync_interval: capture.sync,
+        max_queued_blocks: capture.max_queued_blocks,
+        segment_bytes: capture.segment_bytes,
+        max_total_bytes: capture.max_total_bytes,
+        checkpoint_interval: capture.checkpoint_interval,
+        sync_interval: capture.sync_interval,
         ..Limits::default()
     };
     let (file, now) = (&capture.file, Micros(now));
     let recorder = match &capture.ring {
         None => Recorder::begin(file, start, limits, driver, now),
         Some(ring) => {
-            let ring_limits = RingLimits { max_bytes: ring.memory, min_span: ring.span };
+            let ring_limits = RingLimits { max_bytes: ring.max_bytes, min_span: ring.span };
             let triggers = Triggers {
-                on_engine_ejected: ring.set_aside,
-                rejected_fraction: Some(ring.refusals),
+                on_engine_ejected: ring.on_engine_ejected,
+                rejected_fraction: Some(ring.rejected_fraction),
                 window: ring.window,
                 stall: Some(ring.stall),
-                record_after: ring.after,
-                cooldown: ring.rest,
+                record_after: ring.record_after,
+                cooldown: ring.cooldown,
             };
             Recorder::begin_in_memory(file, start, limits, (ring_limits, triggers), driver, now)
         }
--- a/crates/controller/src/endpoint_files.rs
+++ b/crates/controller/src/endpoint_files.rs
@@ -18,20 +18,20 @@
     config: &Config,
     clock: Clock,
 ) -> Result<Option<(Watching, UnixStream)>, ControllerError> {
-    let Some(members) = &config.members else { return Ok(None) };
+    let Some(endpoint_files) = &config.endpoint_files else { return Ok(None) };
     let policy = Policy {
-        settle: members.settle,
-        most_lost: members.most_lost,
-        hold: members.hold,
-        reuse_after: members.reuse_after,
+        settle: endpoint_files.settle_time,
+        most_lost: endpoint_files.max_lost_fraction,
+        hold: endpoint_files.hold,
+        reuse_after: endpoint_files.id_reuse_delay,
     };
     let names = Places { names: config.names.clone(), cores: config.settings.cores.clone(), open: false };
     let watch = Watch {
-        places: members.files.iter().cloned().map(Place).collect(),
-        poll: members.poll,
+        places: endpoint_files.files.iter().cloned().map(Place).collect(),
+        poll: endpoint_files.poll_interval,
         policy,
         names,
-        last_good: members.last_good.clone(),
+        last_good: endpoint_files.last_good.clone(),
     };
     let (wakeup, notifier) = UnixStream::pair()?;
     notifier.set_nonblocking(true)?;
--- a/crates/controller/src/postgres.rs
+++ b/crates/controller/src/postgres.rs
@@ -201,7 +201,7 @@
 ) -> Result<PgGateway, ControllerError> {
     let limits = DriverLimits {
         max_queries: config.limits.queries,
-        cancel_confirmation_timeout: config.timing.withdraw,
+        cancel_confirmation_timeout: config.timing.cancel,
     };
     let driver = Driver::new(config.settings.clone(), seed, limits);
     let recorder = start_recorder(&config, seed, limits, &driver, now)?;
--- a/crates/endpoints/src/tracker.rs
+++ b/crates/endpoints/src/tracker.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use wheelfield::interface::{EngineEntry, EngineId, Micros, Status};
-use wheelfield_config::{engine_id, Config, EngineAt, Names};
+use wheelfield_config::{engine_id, Config, EngineEndpoint, Names};
 
 #[derive(Deserialize)]
 struct List {
@@ -120,7 +120,7 @@
 
     /// Takes the engines that the configuration itself names.
     pub fn fixed(&mut self, config: &Config) -> Change {
-        let known = |e: &EngineAt| {
+        let known = |e: &EngineEndpoint| {
             let engine = engine_id(&e.name);
             let entry = EngineEntry {
                 engine,
--- a/crates/pg-gateway/src/endpoint_sets.rs
+++ b/crates/pg-gateway/src/endpoint_sets.rs
@@ -41,7 +41,8 @@
 
 impl EndpointSets {
     pub fn new(config: &Config) -> EndpointSets {
-        let files = config.members.as_ref().map(|m| Files { age: m.registry_age, ..Files::default() });
+        let files =
+            config.endpoint_files.as_ref().map(|m| Files { age: m.max_registry_age, ..Files::default() });
         EndpointSets { engines: Engines::default(), files, counts: Counts::default() }
     }
 
--- a/crates/pg-gateway/src/engines.rs
+++ b/crates/pg-gateway/src/engines.rs
@@ -408,7 +408,7 @@
 
     /// Nobody wants a session's answer any more.
     pub fn discard(&mut self, id: ConnId, out: &mut EffectQueue) {
-        let patience = if self.heeded { self.timing.withdraw.0 } else { ABANDON_UNHEEDED };
+        let patience = if self.heeded { self.timing.cancel.0 } else { ABANDON_UNHEEDED };
         // What has not gone whole need not go at all: its engine never runs it, and sees the session end.
         let attempt = |job: Option<Job>| matches!(job, Some(Job::Attempt { .. }));
         if self.sessions.get(id).is_some_and(|s| attempt(s.job) && !s.wire.output.is_empty()) {
--- a/crates/pg-gateway/src/gossip.rs
+++ b/crates/pg-gateway/src/gossip.rs
@@ -54,12 +54,12 @@
         let g = config.gossip.as_ref()?;
         let (count, index) = (config.settings.gateway_count as u32, config.settings.gateway_index as u32);
         let limits = Limits {
-            period: g.period.0,
-            answer: g.period.0 * 3 / 10,
-            forget: if g.quorum { Forget::Quorum } else { Forget::Operator },
-            hold: g.hold.0,
-            settle: g.settle.0,
-            fetch: g.period.0.saturating_mul(15),
+            period: g.probe_interval.0,
+            answer: g.probe_interval.0 * 3 / 10,
+            forget: if g.quorum_evicts { Forget::Quorum } else { Forget::Operator },
+            hold: g.evict_after.0,
+            settle: g.startup_grace.0,
+            fetch: g.probe_interval.0.saturating_mul(15),
             expect: count as usize,
             ..Limits::default()
         };
@@ -72,10 +72,12 @@
             timer: None,
             told: (count, index),
             quorum: true,
-            period: g.period.0,
+            period: g.probe_interval.0,
             dropped: 0,
             unsent: 0,
-            words: g.words.map(|w| Words::new(Ceilings { each: w.each, all: w.all }, now)),
+            words: g.message_limits.map(|w| {
+                Words::new(Ceilings { each: w.bytes_per_second_to_each, all: w.bytes_per_second_to_all }, now)
+            }),
             heard: 0,
             untaken: 0,
             plant,
--- a/crates/pg-gateway/src/registry.rs
+++ b/crates/pg-gateway/src/registry.rs
@@ -112,7 +112,7 @@
         }
         self.silent = false;
         // A call that waits there comes next; a registry that does not let it wait is not asked more often than this.
-        let after = match self.at.map(|r| (r.refresh, r.every.0)) {
+        let after = match self.at.map(|r| (r.refresh, r.poll_interval.0)) {
             Some((Refresh::Poll, every)) => every,
             _ => 1_000,
         };
@@ -135,7 +135,7 @@
             out.cancel_timer(&mut self.timer);
             return Some(Told::Unavailable);
         }
-        let every = self.at.map_or(1_000_000, |r| r.every.0);
+        let every = self.at.map_or(1_000_000, |r| r.poll_interval.0);
         out.reset_timer(&mut self.timer, every, TimerEvent::Registry);
         None
     }
--- a/crates/testbed/src/day.rs
+++ b/crates/testbed/src/day.rs
@@ -491,7 +491,7 @@
     /// A silence among controllers that lasted no longer than this may still be what a process acts on, in microseconds.
     pub fn patience(&self) -> i64 {
         let usual = Limits::default();
-        let period = self.checked().ok().and_then(|c| c.gossip).map_or(usual.period, |g| g.period.0);
+        let period = self.checked().ok().and_then(|c| c.gossip).map_or(usual.period, |g| g.probe_interval.0);
         let doublings = i64::from((self.controllers as u64 + 1).ilog2()).max(1);
         // Suspected by one, told on to all, and denied or not: twice the time that a suspect has.
         2 * usual.patience * doublings * period
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -169,7 +169,7 @@
     let config = day.checked()?;
     let bounds = DriverLimits {
         max_queries: config.limits.queries,
-        cancel_confirmation_timeout: config.timing.withdraw,
+        cancel_confirmation_timeout: config.timing.cancel,
     };
     let minds = |settings: Settings, seed: u64| -> Box<dyn DecisionEngine> {
         match policy {
