--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -4,8 +4,10 @@
 use serde::Deserialize;
 use toml::Spanned;
 
+/// A value with its place in the file.
 type At<T> = Spanned<T>;
 
+/// The whole file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct File {
@@ -40,6 +42,7 @@
     pub timing: Timing,
 }
 
+/// `[controller]`: this controller.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Controller {
@@ -50,6 +53,7 @@
     pub database: Option<String>,
 }
 
+/// `[fleet]`: zones, kinds of machine and memory grants.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Fleet {
@@ -60,6 +64,7 @@
     pub when_short: Option<WhenShort>,
 }
 
+/// What an engine does with a query when its memory is short.
 #[derive(Clone, Copy, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum WhenShort {
@@ -68,6 +73,7 @@
     Page,
 }
 
+/// `[[fleet.kinds]]`: a kind of machine.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Kind {
@@ -76,6 +82,7 @@
     pub memory: At<Size>,
 }
 
+/// `[[classes]]`: a class of queries.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Class {
@@ -103,6 +110,7 @@
     pub waits_for_loads: bool,
 }
 
+/// What repeating a query of a class does.
 #[derive(Clone, Copy, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Effect {
@@ -111,6 +119,7 @@
     Once,
 }
 
+/// The engines among which repeats with the same key are dropped.
 #[derive(Clone, Copy, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum Dedup {
@@ -119,6 +128,7 @@
     Cell,
 }
 
+/// `[[tenants]]`: a tenant and its rate.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Tenant {
@@ -126,6 +136,7 @@
     pub allowance: f64,
 }
 
+/// How load reports arrive.
 #[derive(Clone, Copy, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum Reports {
@@ -135,6 +146,7 @@
     None,
 }
 
+/// `[signals]`: what engines report.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Signals {
@@ -144,6 +156,7 @@
     pub bills: bool,
 }
 
+/// `[means]`: the mechanisms that the controller may use.
 #[derive(Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Means {
@@ -174,6 +187,7 @@
     }
 }
 
+/// `[prices]`: the costs of optional actions.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Prices {
@@ -182,6 +196,7 @@
     pub message: f64,
 }
 
+/// `[rules]`: slow start, overload, ordered keys and retries.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Rules {
@@ -193,6 +208,7 @@
     pub budget: Option<Budget>,
 }
 
+/// `budget` under `[rules]`: the retry budget.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Budget {
@@ -201,6 +217,7 @@
     pub span: At<Time>,
 }
 
+/// `[route]`: how a query is assigned to a class.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Route {
@@ -208,6 +225,7 @@
     pub select: Vec<At<Select>>,
 }
 
+/// `[[route.select]]`: conditions and the class that they assign.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Select {
@@ -218,6 +236,7 @@
     pub class: At<String>,
 }
 
+/// `[[engines]]`: an engine.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Engine {
@@ -229,6 +248,7 @@
     pub cell: i64,
 }
 
+/// How the endpoint list of a registry is kept up to date.
 #[derive(Clone, Copy, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum Mode {
@@ -237,6 +257,7 @@
     Poll,
 }
 
+/// `[registry]`: a registry that serves the endpoint list.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Registry {
@@ -246,6 +267,7 @@
     pub every: Option<Time>,
 }
 
+/// `[peers]`: the other controllers, and the limits of messages to them.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Peers {
@@ -256,6 +278,7 @@
     pub most: Option<At<Size>>,
 }
 
+/// `[limits]`: limits on numbers and sizes.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Limits {
@@ -269,6 +292,7 @@
     pub backlog: Option<At<u32>>,
 }
 
+/// `[timing]`: timeouts.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Timing {
@@ -282,6 +306,7 @@
     pub probe: Option<At<Time>>,
 }
 
+/// `[capture]`: the recording of inputs and outputs.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Capture {
@@ -299,6 +324,7 @@
     pub queue: Option<At<u32>>,
 }
 
+/// Whether the capture is written at all times, not at all, or on a trigger.
 #[derive(Clone, Copy, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum CaptureMode {
@@ -308,6 +334,7 @@
     Ring,
 }
 
+/// `[capture.triggers]`: what writes a recording in memory to the file.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Triggers {
@@ -319,6 +346,7 @@
     pub rest: Option<At<Time>>,
 }
 
+/// `[members]`: files that contain the endpoint list.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Members {
@@ -332,6 +360,7 @@
     pub registry_age: Option<At<Time>>,
 }
 
+/// `[gossip]`: how controllers find each other.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Gossip {
@@ -347,6 +376,7 @@
     pub settle: Option<At<Time>>,
 }
 
+/// Who may evict an unreachable member.
 #[derive(Clone, Copy, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum Forget {
--- a/crates/config/tests/faults.rs
+++ b/crates/config/tests/validation.rs
@@ -1,9 +1,9 @@
-//! Broken files, each with the message it must get.
+//! Valid and invalid configurations; each invalid one with the error that it must get.
 
 use wheelfield::interface::{ExecutionSemantics, Micros};
-use wheelfield_config::{parse, units};
+use wheelfield_config::{parse, units, ConfigError};
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 listen = "127.0.0.1:0"
 [fleet]
 zones = ["a", "b"]
@@ -44,8 +44,8 @@
 "#;
 
 #[test]
-fn a_good_file_is_taken_whole() {
-    let config = parse("good.toml", GOOD).expect("good");
+fn a_valid_file_is_read_completely() {
+    let config = parse("good.toml", VALID).expect("good");
     let s = &config.settings;
     assert_eq!(s.classes.len(), 3, "descriptions have a class of their own");
     assert_eq!(
@@ -60,17 +60,17 @@
     assert_eq!(config.engines[0].kind, 0);
 }
 
-/// Replaces a line of the good file, and gives line, fault and mend.
-fn broken(from: &str, to: &str) -> (usize, String, String) {
-    assert!(GOOD.contains(from), "{from}");
-    let fault = parse("x.toml", &GOOD.replacen(from, to, 1)).expect_err(to);
-    assert_eq!(fault.file, "x.toml");
-    (fault.line, fault.problem, fault.suggestion)
+/// Replaces a line of the valid file, and returns the error.
+fn error_after_replacing(from: &str, to: &str) -> ConfigError {
+    assert!(VALID.contains(from), "{from}");
+    let error = parse("x.toml", &VALID.replacen(from, to, 1)).expect_err(to);
+    assert_eq!(error.file, "x.toml");
+    error
 }
 
 #[test]
-fn faults_name_line_fault_and_mend() {
-    for (from, to, line, fault, mend) in [
+fn errors_name_line_problem_and_suggestion() {
+    for (from, to, line, problem, suggestion) in [
         ("aim = \"1.5s\"", "aim = 1500", 12, "has no unit", "\"250ms\""),
         ("aim = \"1.5s\"", "aim = \"1.5sec\"", 12, "`sec` is no unit", "\"250ms\""),
         ("aim = \"1.5s\"", "aim = \"9s\"", 12, "after its clients have given up", "at most"),
@@ -90,15 +90,16 @@
         ("address = \"127.0.0.1:5001\"", "address = \"here\"", 36, "no address", "port"),
         ("listen = \"127.0.0.1:0\"", "listen = \"127.0.0.1:0", 2, "", "repair the TOML"),
     ] {
-        let got = broken(from, to);
-        assert_eq!(got.0, line, "{to}: {got:?}");
-        assert!(got.1.contains(fault) && got.2.contains(mend), "{to}: {got:?}");
+        let error = error_after_replacing(from, to);
+        assert_eq!(error.line, line, "{to}: {error:?}");
+        assert!(error.problem.contains(problem), "{to}: {error:?}");
+        assert!(error.suggestion.contains(suggestion), "{to}: {error:?}");
     }
 }
 
 #[test]
-fn what_contradicts_itself_is_told() {
-    let more = |text: &str| parse("x.toml", &format!("{GOOD}{text}")).expect_err(text);
+fn contradictory_keys_are_rejected() {
+    let more = |text: &str| parse("x.toml", &format!("{VALID}{text}")).expect_err(text);
     assert!(more("[registry]\naddress = \"127.0.0.1:1\"\n").problem.contains("registry too"));
     assert!(more("[means]\nmessages = true\n").suggestion.contains("[peers]"));
     assert!(more("[signals]\nreports = \"probe\"\n").problem.contains("probes are not allowed"));
@@ -114,7 +115,7 @@
 }
 
 #[test]
-fn units_are_read_and_shown() {
+fn units_are_parsed_and_formatted() {
     assert_eq!(units::parse_time("1.5s").map(|t| t.0), Ok(Micros(1_500_000)));
     assert_eq!(units::parse_time("100us").map(|t| t.0), Ok(Micros(100)));
     assert_eq!(units::parse_size("2KB").map(|s| s.0), Ok(2048));
@@ -129,21 +130,21 @@
 }
 
 proptest::proptest! {
-    /// No text makes the reader panic.
+    /// No text makes the parser panic.
     #[test]
-    fn any_text_is_read_or_told(at in 0usize..700, junk in "[\\[\\]=\"a-z0-9\n{}é]{0,12}") {
-        let mut text = GOOD.to_string();
+    fn any_text_is_read_or_rejected_with_a_suggestion(at in 0usize..700, junk in "[\\[\\]=\"a-z0-9\n{}é]{0,12}") {
+        let mut text = VALID.to_string();
         let at = at.min(text.len());
         text.insert_str(at, &junk);
-        if let Err(fault) = parse("x.toml", &text) {
-            proptest::prop_assert!(fault.line >= 1 && !fault.suggestion.is_empty());
+        if let Err(error) = parse("x.toml", &text) {
+            proptest::prop_assert!(error.line >= 1 && !error.suggestion.is_empty());
         }
     }
 }
 
 #[test]
-fn a_capture_is_on_off_or_in_memory() {
-    let with = |text: &str| parse("x.toml", &format!("{GOOD}[capture]\nfile = \"c.wfcap\"\n{text}"));
+fn a_capture_is_on_or_off_or_in_memory() {
+    let with = |text: &str| parse("x.toml", &format!("{VALID}[capture]\nfile = \"c.wfcap\"\n{text}"));
     let capture = |text: &str| with(text).expect(text).capture;
     assert!(capture("").is_some_and(|c| c.ring.is_none()));
     assert!(capture("mode = \"off\"").is_none());
@@ -151,7 +152,7 @@
     let ring = capture(more).and_then(|c| c.ring).expect("in memory");
     assert_eq!((ring.max_bytes, ring.rejected_fraction, ring.stall), (8 << 20, 0.5, Micros(2_000_000)));
     assert_eq!((ring.span, ring.on_engine_ejected), (Micros(600_000_000), true));
-    for (text, fault) in [
+    for (text, problem) in [
         ("mode = \"rings\"", "unknown variant `rings`"),
         ("memory = \"8KB\"", "under a megabyte"),
         ("[capture.triggers]\nrefusals = 30", "30 is no share"),
@@ -159,23 +160,23 @@
         ("[capture.triggers]\nstalls = \"1s\"", "unknown field `stalls`"),
     ] {
         let got = with(text).expect_err(text);
-        assert!(got.problem.contains(fault), "{text}: {got:?}");
+        assert!(got.problem.contains(problem), "{text}: {got:?}");
         assert!(got.line >= 39, "{text}: {got:?}");
     }
 }
 
 #[test]
-fn an_advertised_address_is_one_that_others_can_reach() {
+fn an_advertised_address_must_be_reachable() {
     let with = |advertise: &str| {
         let gossip =
             format!("[gossip]\nlisten = \"127.0.0.1:0\"\nadvertise = \"{advertise}\"\nkeys = \"keys\"\n");
-        parse("test.toml", &format!("{GOOD}\n{gossip}"))
+        parse("test.toml", &format!("{VALID}\n{gossip}"))
     };
     let taken = with("127.0.0.1:7946").expect("sound").gossip.expect("told");
     assert_eq!(taken.advertise.map(|a| a.port()), Some(7946));
     for bad in ["127.0.0.1:0", "nowhere"] {
-        let fault = with(bad).expect_err(bad).to_string();
-        let line = GOOD.lines().count() + 4;
-        assert!(fault.contains(&format!("test.toml:{line}")), "{bad}: {fault}");
+        let error = with(bad).expect_err(bad).to_string();
+        let line = VALID.lines().count() + 4;
+        assert!(error.contains(&format!("test.toml:{line}")), "{bad}: {error}");
     }
 }
