--- a/crates/pg-gateway/src/gossip.rs
+++ b/crates/pg-gateway/src/gossip.rs
@@ -60,12 +60,12 @@
         let g = config.gossip.as_ref()?;
         let (count, index) = (config.settings.gateway_count as u32, config.settings.gateway_index as u32);
         let limits = MembershipConfig {
-            probe_period: g.period.0,
-            probe_timeout: g.period.0 * 3 / 10,
-            eviction: if g.quorum { EvictionPolicy::Quorum } else { EvictionPolicy::Operator },
-            dead_retention: g.hold.0,
-            settling_time: g.settle.0,
-            sync_interval: g.period.0.saturating_mul(15),
+            probe_period: g.probe_interval.0,
+            probe_timeout: g.probe_interval.0 * 3 / 10,
+            eviction: if g.quorum_evicts { EvictionPolicy::Quorum } else { EvictionPolicy::Operator },
+            dead_retention: g.evict_after.0,
+            settling_time: g.startup_grace.0,
+            sync_interval: g.probe_interval.0.saturating_mul(15),
             expected_members: count as usize,
             ..MembershipConfig::default()
         };
@@ -78,10 +78,16 @@
             timer: None,
             told: (count, index),
             quorum: true,
-            period: g.period.0,
+            period: g.probe_interval.0,
             dropped: 0,
             unsent: 0,
-            words: g.words.map(|w| MessageLimiter::new(RateLimits { per_member: w.each, total: w.all }, now)),
+            words: g.message_limits.map(|limits| {
+                let rates = RateLimits {
+                    per_member: limits.bytes_per_second_to_each,
+                    total: limits.bytes_per_second_to_all,
+                };
+                MessageLimiter::new(rates, now)
+            }),
             heard: 0,
             untaken: 0,
             plant,
