--- a/crates/capture/src/block_buffer.rs
+++ b/crates/capture/src/block_buffer.rs
@@ -19,7 +19,11 @@
     /// An empty buffer for blocks of `block_bytes`.
     pub fn new(block_bytes: usize) -> BlockBuffer {
         let capacity = block_bytes * 2;
-        BlockBuffer { bytes: Vec::with_capacity(capacity), head: Head::default(), capacity }
+        BlockBuffer {
+            bytes: Vec::with_capacity(capacity),
+            head: Head::default(),
+            capacity,
+        }
     }
 
     /// Bytes of all records.
@@ -69,7 +73,10 @@
 
     /// Takes the block, and begins the next one; `None` if there is no record.
     pub fn take(&mut self) -> Option<(Head, Vec<u8>)> {
-        let empty = Head { number: self.head.number, ..Head::default() };
+        let empty = Head {
+            number: self.head.number,
+            ..Head::default()
+        };
         let mut head = std::mem::replace(&mut self.head, empty);
         if head.records == 0 {
             return None;
@@ -78,6 +85,9 @@
         if head.low == u64::MAX {
             (head.low, head.high) = (0, 0);
         }
-        Some((head, std::mem::replace(&mut self.bytes, Vec::with_capacity(self.capacity))))
+        Some((
+            head,
+            std::mem::replace(&mut self.bytes, Vec::with_capacity(self.capacity)),
+        ))
     }
 }
--- a/crates/capture/src/file_writer.rs
+++ b/crates/capture/src/file_writer.rs
@@ -26,12 +26,19 @@
         let mut file = maker(&path)?;
         file.append(MAGIC)?;
         file.append(&VERSION.to_be_bytes())?;
-        Ok(Segment { path, file, length: FILE_HEAD })
+        Ok(Segment {
+            path,
+            file,
+            length: FILE_HEAD,
+        })
     }
 
     /// Writes a block whole, or leaves the file as it was: a reader could not go on behind a part of one.
     fn write(&mut self, head: &[u8], packed: &[u8]) -> io::Result<()> {
-        let written = self.file.append(head).and_then(|()| self.file.append(packed));
+        let written = self
+            .file
+            .append(head)
+            .and_then(|()| self.file.append(packed));
         if written.is_err() {
             self.file.cut(self.length)?;
             return written;
@@ -69,7 +76,10 @@
             first_path: first.path.clone(),
             maker,
             limits,
-            files: vec![WrittenFile { path: first.path.clone(), bytes: 0 }],
+            files: vec![WrittenFile {
+                path: first.path.clone(),
+                bytes: 0,
+            }],
             segment: Some(first),
             number: 0,
             synced_at: Instant::now(),
@@ -96,11 +106,15 @@
         match self.append_block(&mut head, records) {
             Ok(length) => {
                 status.segment_bytes.store(length, Ordering::Relaxed);
-                status.written_bytes.fetch_add(u64::from(head.packed), Ordering::Relaxed);
+                status
+                    .written_bytes
+                    .fetch_add(u64::from(head.packed), Ordering::Relaxed);
                 status.is_failing.store(false, Ordering::Relaxed);
             }
             Err(_) => {
-                status.lost_records.fetch_add(u64::from(head.records), Ordering::Relaxed);
+                status
+                    .lost_records
+                    .fetch_add(u64::from(head.records), Ordering::Relaxed);
                 status.is_failing.store(true, Ordering::Relaxed);
             }
         }
@@ -122,10 +136,18 @@
         }
         let path = numbered_path(&self.first_path, self.number);
         self.segment = Segment::create(path, &mut self.maker).ok();
-        status.is_failing.store(self.segment.is_none(), Ordering::Relaxed);
+        status
+            .is_failing
+            .store(self.segment.is_none(), Ordering::Relaxed);
         status.segment_bytes.store(0, Ordering::Relaxed);
-        status.segments_begun.store(u64::from(self.number), Ordering::Relaxed);
-        self.files.extend(self.segment.as_ref().map(|s| WrittenFile { path: s.path.clone(), bytes: 0 }));
+        status
+            .segments_begun
+            .store(u64::from(self.number), Ordering::Relaxed);
+        self.files
+            .extend(self.segment.as_ref().map(|s| WrittenFile {
+                path: s.path.clone(),
+                bytes: 0,
+            }));
         self.remove_oldest_files();
     }
 
@@ -158,6 +180,8 @@
     if number == 0 {
         return first.to_path_buf();
     }
-    let stem = first.file_stem().map_or_else(String::new, |stem| stem.to_string_lossy().into_owned());
+    let stem = first
+        .file_stem()
+        .map_or_else(String::new, |stem| stem.to_string_lossy().into_owned());
     first.with_file_name(format!("{stem}.{number:04}.wfcap"))
 }
--- a/crates/capture/src/format.rs
+++ b/crates/capture/src/format.rs
@@ -81,9 +81,8 @@
     /// The query and the name that its client gave it, if this is an arrival.
     pub fn arrival(&self) -> Option<(&Arrival, &str)> {
         match self {
-            RecordedInput::Arrive { arrival, label } | RecordedInput::ArriveAs { arrival, label, .. } => {
-                Some((arrival, label))
-            }
+            RecordedInput::Arrive { arrival, label }
+            | RecordedInput::ArriveAs { arrival, label, .. } => Some((arrival, label)),
             _ => None,
         }
     }
@@ -128,9 +127,20 @@
 #[derive(Serialize)]
 pub(crate) enum RecordRef<'a> {
     Start(&'a Start),
-    Checkpoint { at: Micros, driver: &'a [u8] },
-    Step { at: Micros, told: &'a RecordedInput, taken: Option<QueryId>, out: &'a [Instruction] },
-    Gap { at: Micros, lost: u64 },
+    Checkpoint {
+        at: Micros,
+        driver: &'a [u8],
+    },
+    Step {
+        at: Micros,
+        told: &'a RecordedInput,
+        taken: Option<QueryId>,
+        out: &'a [Instruction],
+    },
+    Gap {
+        at: Micros,
+        lost: u64,
+    },
     Engines(&'a [(EngineId, String)]),
 }
 
@@ -182,8 +192,18 @@
 
     /// Reads a head and the CRC-32 in it; `None` if no block begins here.
     pub fn parse(bytes: &[u8; BLOCK_HEAD]) -> Option<(Head, u32)> {
-        let u64_at = |at: usize| bytes[at..at + 8].try_into().map(u64::from_be_bytes).unwrap_or(0);
-        let u32_at = |at: usize| bytes[at..at + 4].try_into().map(u32::from_be_bytes).unwrap_or(0);
+        let u64_at = |at: usize| {
+            bytes[at..at + 8]
+                .try_into()
+                .map(u64::from_be_bytes)
+                .unwrap_or(0)
+        };
+        let u32_at = |at: usize| {
+            bytes[at..at + 4]
+                .try_into()
+                .map(u32::from_be_bytes)
+                .unwrap_or(0)
+        };
         if &bytes[..4] != BLOCK {
             return None;
         }
--- a/crates/capture/src/older_versions.rs
+++ b/crates/capture/src/older_versions.rs
@@ -64,7 +64,23 @@
     /// If a number is not finite; no program writes such a one.
     pub fn into_current(self) -> Result<Start, serde_json::Error> {
         let settings: Settings = serde_json::from_value(serde_json::to_value(self.settings)?)?;
-        let StartV2 { build, index, seed, bounds, classes, tenants, .. } = self;
-        Ok(Start { build, index, seed, settings, bounds, classes, tenants })
+        let StartV2 {
+            build,
+            index,
+            seed,
+            bounds,
+            classes,
+            tenants,
+            ..
+        } = self;
+        Ok(Start {
+            build,
+            index,
+            seed,
+            settings,
+            bounds,
+            classes,
+            tenants,
+        })
     }
 }
--- a/crates/capture/src/reader.rs
+++ b/crates/capture/src/reader.rs
@@ -1,6 +1,8 @@
 //! Reads captures block by block, checking every CRC-32, to the end or to where the file is truncated.
 
-use crate::format::{Head, Record, BLOCK_HEAD, FILE_HEAD, MAGIC, MAX_BLOCK_BYTES, RECORD_HEAD, VERSION};
+use crate::format::{
+    Head, Record, BLOCK_HEAD, FILE_HEAD, MAGIC, MAX_BLOCK_BYTES, RECORD_HEAD, VERSION,
+};
 use crate::older_versions::StartV2;
 use std::collections::VecDeque;
 use std::fs::File;
@@ -126,7 +128,10 @@
     }
 
     fn damaged(&self, what: impl Into<String>) -> ReadError {
-        ReadError::Damaged { at: self.at, what: what.into() }
+        ReadError::Damaged {
+            at: self.at,
+            what: what.into(),
+        }
     }
 
     /// Reads the head of the next block; `None` where the file is truncated.
@@ -136,7 +141,9 @@
         }
         let mut bytes = [0; BLOCK_HEAD];
         self.file.read_exact(&mut bytes)?;
-        let Some((head, crc)) = Head::parse(&bytes) else { return Err(self.damaged("no block begins here")) };
+        let Some((head, crc)) = Head::parse(&bytes) else {
+            return Err(self.damaged("no block begins here"));
+        };
         if head.raw as usize > MAX_BLOCK_BYTES || head.packed as usize > MAX_BLOCK_BYTES {
             return Err(self.damaged("a block of an impossible length"));
         }
@@ -189,8 +196,9 @@
             };
             let raw = self.read_records(&head, crc, &bytes)?;
             if let Some(expected) = self.next_number.filter(|n| *n != head.number) {
-                self.pending
-                    .push_back(Entry::Missing { blocks: head.number.saturating_sub(expected).max(1) });
+                self.pending.push_back(Entry::Missing {
+                    blocks: head.number.saturating_sub(expected).max(1),
+                });
             }
             self.next_number = Some(head.number + 1);
             self.unpack(&raw)?;
@@ -222,7 +230,9 @@
         match bytes.split_first() {
             Some((0, start)) if self.version < 3 => {
                 let start: StartV2 = postcard::from_bytes(start).map_err(|e| e.to_string())?;
-                Ok(Record::Start(Box::new(start.into_current().map_err(|e| e.to_string())?)))
+                Ok(Record::Start(Box::new(
+                    start.into_current().map_err(|e| e.to_string())?,
+                )))
             }
             _ => postcard::from_bytes(bytes).map_err(|e| e.to_string()),
         }
--- a/crates/capture/src/recorder.rs
+++ b/crates/capture/src/recorder.rs
@@ -130,7 +130,9 @@
         let writer = WriterThread::start(limits.max_queued_blocks, move |messages, status| {
             FileWriter::new(first, maker, limits).run(messages, status);
         })?;
-        Ok(Recorder::new(path, start, limits, writer, None, driver, now))
+        Ok(Recorder::new(
+            path, start, limits, writer, None, driver, now,
+        ))
     }
 
     /// Begins a capture that is held in memory. When one of the triggers fires, it is written to a file named after `path`,
@@ -146,7 +148,10 @@
         driver: &Driver,
         now: Micros,
     ) -> io::Result<Recorder> {
-        let limits = Limits { segment_bytes: (ring_limits.max_bytes / SPANS_IN_RING).max(1), ..limits };
+        let limits = Limits {
+            segment_bytes: (ring_limits.max_bytes / SPANS_IN_RING).max(1),
+            ..limits
+        };
         let ring_writer = RingWriter {
             ring: Ring::new(ring_limits),
             path: path.to_path_buf(),
@@ -156,7 +161,9 @@
             ring_writer.run(messages, status);
         })?;
         let triggers = Some(TriggerDetector::new(triggers));
-        Ok(Recorder::new(path, start, limits, writer, triggers, driver, now))
+        Ok(Recorder::new(
+            path, start, limits, writer, triggers, driver, now,
+        ))
     }
 
     fn new(
@@ -194,7 +201,15 @@
         accepted: Option<QueryId>,
         answer: &[Instruction],
     ) {
-        self.put(at, &RecordRef::Step { at, told: input, taken: accepted, out: answer });
+        self.put(
+            at,
+            &RecordRef::Step {
+                at,
+                told: input,
+                taken: accepted,
+                out: answer,
+            },
+        );
         if let Some(triggers) = &mut self.triggers {
             triggers.observe_step(at, input, answer);
         }
@@ -205,7 +220,8 @@
 
     /// Records names of engines that were not recorded yet.
     pub fn engines(&mut self, at: Micros, names: impl Iterator<Item = (EngineId, String)>) {
-        let new: Vec<(EngineId, String)> = names.filter(|name| !self.engines.contains(name)).collect();
+        let new: Vec<(EngineId, String)> =
+            names.filter(|name| !self.engines.contains(name)).collect();
         if !new.is_empty() {
             self.put(at, &RecordRef::Engines(&new));
             self.engines.extend(new);
@@ -245,7 +261,11 @@
 
     /// Hands over the rest and waits until it is written. A capture in memory is written to a file if a trigger has fired.
     pub fn end(mut self, now: Micros) -> State {
-        if let Some(reason) = self.triggers.as_mut().and_then(|triggers| triggers.take_pending(now)) {
+        if let Some(reason) = self
+            .triggers
+            .as_mut()
+            .and_then(|triggers| triggers.take_pending(now))
+        {
             self.request_ring_file(reason, now);
         }
         self.flush(now);
@@ -279,7 +299,13 @@
         self.checkpoint_at = now;
         // Serializing into memory fails only for types that can't be serialized; a driver has none.
         if let Ok(bytes) = postcard::to_stdvec(driver) {
-            self.put(now, &RecordRef::Checkpoint { at: now, driver: &bytes });
+            self.put(
+                now,
+                &RecordRef::Checkpoint {
+                    at: now,
+                    driver: &bytes,
+                },
+            );
         }
     }
 
@@ -327,12 +353,17 @@
 
     /// Requests a file of a capture in memory, if a trigger has fired.
     fn check_triggers(&mut self, driver: &Driver, now: Micros) {
-        let Some(triggers) = &mut self.triggers else { return };
+        let Some(triggers) = &mut self.triggers else {
+            return;
+        };
         triggers.set_next_timer(driver.next_timer_at());
         if let Some(reason) = triggers.take_due(now) {
             self.request_ring_file(reason, now);
         }
-        self.ring_file = self.ring_file.take().and_then(|path| self.writer.write_ring(path));
+        self.ring_file = self
+            .ring_file
+            .take()
+            .and_then(|path| self.writer.write_ring(path));
     }
 
     /// Asks the writer thread to begin a file or span; false if it can't be asked now.
@@ -344,9 +375,14 @@
 
     fn request_ring_file(&mut self, reason: Reason, now: Micros) {
         self.flush(now);
-        let stem = self.path.file_stem().map_or_else(String::new, |stem| stem.to_string_lossy().into_owned());
+        let stem = self
+            .path
+            .file_stem()
+            .map_or_else(String::new, |stem| stem.to_string_lossy().into_owned());
         let time = UNIX_EPOCH + Duration::from_micros(now.0.max(0) as u64);
-        let time = humantime::format_rfc3339_millis(time).to_string().replace([':', '.'], "-");
+        let time = humantime::format_rfc3339_millis(time)
+            .to_string()
+            .replace([':', '.'], "-");
         let name = format!("{stem}-{time}-{}.wfcap", reason.file_name_part());
         self.ring_file = Some(self.path.with_file_name(name));
     }
@@ -354,7 +390,9 @@
     /// Hands the block over; false if it was dropped.
     fn flush(&mut self, now: Micros) -> bool {
         self.flushed_at = now;
-        let Some((head, bytes)) = self.buffer.take() else { return true };
+        let Some((head, bytes)) = self.buffer.take() else {
+            return true;
+        };
         let records = u64::from(head.records);
         let sent = self.writer.send_block(head, bytes);
         if sent {
--- a/crates/capture/src/ring.rs
+++ b/crates/capture/src/ring.rs
@@ -21,7 +21,10 @@
 
 impl Default for RingLimits {
     fn default() -> Self {
-        RingLimits { max_bytes: 64 << 20, min_span: Micros(600_000_000) }
+        RingLimits {
+            max_bytes: 64 << 20,
+            min_span: Micros(600_000_000),
+        }
     }
 }
 
@@ -43,7 +46,11 @@
 impl Ring {
     /// A ring with one empty span.
     pub fn new(limits: RingLimits) -> Ring {
-        Ring { limits, spans: VecDeque::from([Span::default()]), total_bytes: 0 }
+        Ring {
+            limits,
+            spans: VecDeque::from([Span::default()]),
+            total_bytes: 0,
+        }
     }
 
     fn begin_span(&mut self) {
@@ -54,18 +61,26 @@
     /// reaches back far enough. Returns the bytes of the newest span.
     fn push(&mut self, head: &Head, packed: &[u8]) -> u64 {
         let head_bytes = head.bytes(packed);
-        let Some(span) = self.spans.back_mut() else { return 0 };
+        let Some(span) = self.spans.back_mut() else {
+            return 0;
+        };
         span.bytes.extend_from_slice(&head_bytes);
         span.bytes.extend_from_slice(packed);
         span.first = span.first.or(Some(head.first));
         let span_bytes = span.bytes.len() as u64;
         self.total_bytes += (head_bytes.len() + packed.len()) as u64;
-        let reaches_back =
-            |span: &Span| span.first.is_some_and(|first| head.last - first >= self.limits.min_span.0);
+        let reaches_back = |span: &Span| {
+            span.first
+                .is_some_and(|first| head.last - first >= self.limits.min_span.0)
+        };
         while self.spans.len() > 1
-            && (self.total_bytes > self.limits.max_bytes || self.spans.get(1).is_some_and(reaches_back))
+            && (self.total_bytes > self.limits.max_bytes
+                || self.spans.get(1).is_some_and(reaches_back))
         {
-            let dropped = self.spans.pop_front().map_or(0, |span| span.bytes.len() as u64);
+            let dropped = self
+                .spans
+                .pop_front()
+                .map_or(0, |span| span.bytes.len() as u64);
             self.total_bytes -= dropped;
         }
         span_bytes
@@ -77,8 +92,9 @@
     /// If that fails; no file is left then.
     fn write(&self, path: &Path) -> io::Result<u64> {
         let partial = path.with_extension("partial");
-        let written =
-            self.write_to(&partial).and_then(|bytes| std::fs::rename(&partial, path).map(|()| bytes));
+        let written = self
+            .write_to(&partial)
+            .and_then(|bytes| std::fs::rename(&partial, path).map(|()| bytes));
         if written.is_err() {
             let _ = std::fs::remove_file(&partial);
         }
@@ -127,12 +143,16 @@
 
     fn push_block(&mut self, mut head: Head, records: &[u8], status: &WriterStatus) {
         let Ok(packed) = compress(&mut head, records) else {
-            status.lost_records.fetch_add(u64::from(head.records), Ordering::Relaxed);
+            status
+                .lost_records
+                .fetch_add(u64::from(head.records), Ordering::Relaxed);
             return;
         };
         let span_bytes = self.ring.push(&head, &packed);
         status.segment_bytes.store(span_bytes, Ordering::Relaxed);
-        status.ring_bytes.store(self.ring.total_bytes, Ordering::Relaxed);
+        status
+            .ring_bytes
+            .store(self.ring.total_bytes, Ordering::Relaxed);
     }
 
     fn write_file(&self, file: &Path, status: &WriterStatus) {
@@ -150,7 +170,9 @@
 
 /// Removes the oldest files written of a capture until all together have at most `max_bytes`; `newest` stays.
 fn remove_oldest_files(capture: &Path, newest: &Path, max_bytes: u64) {
-    let Ok(entries) = std::fs::read_dir(directory_of(capture)) else { return };
+    let Ok(entries) = std::fs::read_dir(directory_of(capture)) else {
+        return;
+    };
     let mut files: Vec<(PathBuf, u64)> = entries
         .filter_map(Result::ok)
         .map(|entry| entry.path())
@@ -172,11 +194,18 @@
 
 /// Whether a file was written of a capture in memory: `x-20...wfcap` for `x.wfcap`.
 fn is_ring_file(path: &Path, capture: &Path) -> bool {
-    let stem = capture.file_stem().map_or_else(String::new, |stem| format!("{}-", stem.to_string_lossy()));
-    let name = path.file_name().map_or_else(String::new, |name| name.to_string_lossy().into_owned());
-    name.strip_prefix(&stem).is_some_and(|rest| rest.starts_with("20") && rest.ends_with(".wfcap"))
+    let stem = capture
+        .file_stem()
+        .map_or_else(String::new, |stem| format!("{}-", stem.to_string_lossy()));
+    let name = path
+        .file_name()
+        .map_or_else(String::new, |name| name.to_string_lossy().into_owned());
+    name.strip_prefix(&stem)
+        .is_some_and(|rest| rest.starts_with("20") && rest.ends_with(".wfcap"))
 }
 
 fn directory_of(path: &Path) -> &Path {
-    path.parent().filter(|parent| !parent.as_os_str().is_empty()).unwrap_or(Path::new("."))
+    path.parent()
+        .filter(|parent| !parent.as_os_str().is_empty())
+        .unwrap_or(Path::new("."))
 }
--- a/crates/capture/src/triggers.rs
+++ b/crates/capture/src/triggers.rs
@@ -110,13 +110,16 @@
     pub fn observe_step(&mut self, at: Micros, input: &RecordedInput, answer: &[Instruction]) {
         self.detect_stall(at);
         let arrivals = u64::from(input.arrival().is_some());
-        let is_rejection = |i: &&Instruction| matches!(i, Instruction::Answer(_, Answer::Rejected { .. }));
+        let is_rejection =
+            |i: &&Instruction| matches!(i, Instruction::Answer(_, Answer::Rejected { .. }));
         let rejections = answer.iter().filter(is_rejection).count() as u64;
         if arrivals > 0 || rejections > 0 {
             self.count(at, arrivals, rejections);
         }
         // The module logs only that it ejected an engine.
-        if self.triggers.on_engine_ejected && answer.iter().any(|i| matches!(i, Instruction::Log(_))) {
+        if self.triggers.on_engine_ejected
+            && answer.iter().any(|i| matches!(i, Instruction::Log(_)))
+        {
             self.fire(Reason::EngineEjected, at);
         }
     }
@@ -128,7 +131,10 @@
 
     /// Fires at once, on an operator's request.
     pub fn request(&mut self, now: Micros) {
-        self.pending = Some(Pending { reason: Reason::Requested, due_at: now });
+        self.pending = Some(Pending {
+            reason: Reason::Requested,
+            due_at: now,
+        });
     }
 
     /// The reason for a file that is due now.
@@ -146,7 +152,10 @@
 
     /// A step is late if it comes long after the driver's timer and after the step before.
     fn detect_stall(&mut self, at: Micros) {
-        let due_at = self.next_timer_at.zip(self.last_step_at).map(|(timer, last)| timer.max(last));
+        let due_at = self
+            .next_timer_at
+            .zip(self.last_step_at)
+            .map(|(timer, last)| timer.max(last));
         if let (Some(due_at), Some(stall)) = (due_at, self.triggers.stall) {
             if at - due_at > stall {
                 self.fire(Reason::Stall, at);
@@ -156,9 +165,15 @@
     }
 
     fn count(&mut self, at: Micros, arrivals: u64, rejections: u64) {
-        let Some(max_fraction) = self.triggers.rejected_fraction else { return };
+        let Some(max_fraction) = self.triggers.rejected_fraction else {
+            return;
+        };
         let window = self.triggers.window;
-        while self.slices.front().is_some_and(|slice| at - slice.begins_at >= window) {
+        while self
+            .slices
+            .front()
+            .is_some_and(|slice| at - slice.begins_at >= window)
+        {
             self.slices.pop_front();
         }
         let slice_length = Micros((window.0 / SLICES_IN_WINDOW).max(1));
@@ -167,7 +182,11 @@
                 slice.arrivals += arrivals;
                 slice.rejections += rejections;
             }
-            _ => self.slices.push_back(Slice { begins_at: at, arrivals, rejections }),
+            _ => self.slices.push_back(Slice {
+                begins_at: at,
+                arrivals,
+                rejections,
+            }),
         }
         let arrivals: u64 = self.slices.iter().map(|slice| slice.arrivals).sum();
         let rejections: u64 = self.slices.iter().map(|slice| slice.rejections).sum();
@@ -178,7 +197,10 @@
 
     fn fire(&mut self, reason: Reason, at: Micros) {
         if self.pending.is_none() && at >= self.cooldown_until {
-            self.pending = Some(Pending { reason, due_at: at + self.triggers.record_after });
+            self.pending = Some(Pending {
+                reason,
+                due_at: at + self.triggers.record_after,
+            });
         }
     }
 }
--- a/crates/capture/src/writer_thread.rs
+++ b/crates/capture/src/writer_thread.rs
@@ -65,7 +65,11 @@
         let thread = std::thread::Builder::new()
             .name("capture".into())
             .spawn(move || write(&receiver, &thread_status))?;
-        Ok(WriterThread { sender: Some(sender), thread: Some(thread), status })
+        Ok(WriterThread {
+            sender: Some(sender),
+            thread: Some(thread),
+            status,
+        })
     }
 
     /// What the thread has reported.
@@ -75,7 +79,9 @@
 
     /// Queues a block; false if it was dropped, as the queue is full or the thread has ended.
     pub fn send_block(&self, head: Head, records: Vec<u8>) -> bool {
-        let Some(sender) = &self.sender else { return false };
+        let Some(sender) = &self.sender else {
+            return false;
+        };
         let sent = sender.try_send(Message::Block(head, records));
         if matches!(sent, Err(TrySendError::Disconnected(_))) {
             self.status.is_failing.store(true, Ordering::Relaxed);
@@ -85,7 +91,9 @@
 
     /// Asks for a new file or span; false if the queue takes nothing now.
     pub fn begin_segment(&self) -> bool {
-        self.sender.as_ref().is_some_and(|sender| sender.try_send(Message::BeginSegment).is_ok())
+        self.sender
+            .as_ref()
+            .is_some_and(|sender| sender.try_send(Message::BeginSegment).is_ok())
     }
 
     /// Asks to write what is held in memory to a file; returns the path if the queue is full.
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -44,7 +44,13 @@
     ) -> ConfigError {
         let (line, column) = locate(text, offset);
         let (problem, suggestion) = (problem.into(), suggestion.into());
-        ConfigError { file: file.to_string(), line, column, problem, suggestion }
+        ConfigError {
+            file: file.to_string(),
+            line,
+            column,
+            problem,
+            suggestion,
+        }
     }
 
     /// An error that the TOML reader found, with a suggestion derived from its message.
@@ -83,8 +89,12 @@
     let Some((unknown, known)) = names.split_first() else {
         return "remove it".to_string();
     };
-    let scored = known.iter().map(|name| (strsim::jaro_winkler(unknown, name), *name));
-    let best = scored.max_by(|a, b| a.0.total_cmp(&b.0)).filter(|(score, _)| *score > MIN_SIMILARITY);
+    let scored = known
+        .iter()
+        .map(|name| (strsim::jaro_winkler(unknown, name), *name));
+    let best = scored
+        .max_by(|a, b| a.0.total_cmp(&b.0))
+        .filter(|(score, _)| *score > MIN_SIMILARITY);
     match best {
         Some((_, name)) => format!("did you mean `{name}`?"),
         None => format!("known here: {}", known.join(", ")),
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -14,7 +14,7 @@
 
 pub use error::{locate, ConfigError};
 pub use model::{
-    engine_id, Capture, Config, EndpointFiles, EngineEndpoint, Gossip, Limits, Names, PeerMessageLimits,
-    Peers, Refresh, Registry, RingCapture, Route, Selector, Timing,
+    engine_id, Capture, Config, EndpointFiles, EngineEndpoint, Gossip, Limits, Names,
+    PeerMessageLimits, Peers, Refresh, Registry, RingCapture, Route, Selector, Timing,
 };
 pub use validate::parse;
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -32,7 +32,10 @@
     const SEPARATOR: char = '\u{1f}';
 
     fn new(problem: impl Into<String>, suggestion: impl Into<String>) -> UnitError {
-        UnitError { problem: problem.into(), suggestion: suggestion.into() }
+        UnitError {
+            problem: problem.into(),
+            suggestion: suggestion.into(),
+        }
     }
 
     /// The message of this error for the TOML reader.
@@ -50,8 +53,13 @@
 /// Splits a text into its number, if it begins with one, and its unit.
 fn split_unit(text: &str) -> (Option<f64>, &str) {
     let text = text.trim();
-    let end = text.find(|c: char| !(c.is_ascii_digit() || c == '.' || c == '_')).unwrap_or(text.len());
-    (text[..end].replace('_', "").parse().ok(), text[end..].trim())
+    let end = text
+        .find(|c: char| !(c.is_ascii_digit() || c == '.' || c == '_'))
+        .unwrap_or(text.len());
+    (
+        text[..end].replace('_', "").parse().ok(),
+        text[end..].trim(),
+    )
 }
 
 /// Reads a time.
@@ -69,12 +77,25 @@
         "s" => 1e6,
         "m" | "min" => 6e7,
         "h" => 3.6e9,
-        "" => return Err(UnitError::new(format!("the time `{text}` has no unit"), TIME_FORMAT)),
-        other => return Err(UnitError::new(format!("`{other}` is no unit of time"), TIME_FORMAT)),
+        "" => {
+            return Err(UnitError::new(
+                format!("the time `{text}` has no unit"),
+                TIME_FORMAT,
+            ))
+        }
+        other => {
+            return Err(UnitError::new(
+                format!("`{other}` is no unit of time"),
+                TIME_FORMAT,
+            ))
+        }
     };
     let micros = number * micros_per_unit;
     if micros > MAX_MICROS {
-        return Err(UnitError::new(format!("the time `{text}` is out of range"), "at most 30 years"));
+        return Err(UnitError::new(
+            format!("the time `{text}` is out of range"),
+            "at most 30 years",
+        ));
     }
     Ok(Time(Micros(micros.round() as i64)))
 }
@@ -94,8 +115,18 @@
         "MB" | "MIB" => 1_048_576.0,
         "GB" | "GIB" => 1_073_741_824.0,
         "TB" | "TIB" => 1_099_511_627_776.0,
-        "" => return Err(UnitError::new(format!("the size `{text}` has no unit"), SIZE_FORMAT)),
-        _ => return Err(UnitError::new(format!("`{unit}` is no unit of size"), SIZE_FORMAT)),
+        "" => {
+            return Err(UnitError::new(
+                format!("the size `{text}` has no unit"),
+                SIZE_FORMAT,
+            ))
+        }
+        _ => {
+            return Err(UnitError::new(
+                format!("`{unit}` is no unit of size"),
+                SIZE_FORMAT,
+            ))
+        }
     };
     Ok(Size((number * bytes_per_unit).round() as u64))
 }
@@ -134,14 +165,20 @@
 
 impl<'de> Deserialize<'de> for Time {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Time, D::Error> {
-        let visitor = UnitVisitor { parse: parse_time, expected: "a time with its unit" };
+        let visitor = UnitVisitor {
+            parse: parse_time,
+            expected: "a time with its unit",
+        };
         deserializer.deserialize_any(visitor)
     }
 }
 
 impl<'de> Deserialize<'de> for Size {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Size, D::Error> {
-        let visitor = UnitVisitor { parse: parse_size, expected: "a size with its unit" };
+        let visitor = UnitVisitor {
+            parse: parse_size,
+            expected: "a size with its unit",
+        };
         deserializer.deserialize_any(visitor)
     }
 }
--- a/crates/config/src/validate/capture.rs
+++ b/crates/config/src/validate/capture.rs
@@ -25,7 +25,11 @@
         file: file_name.into(),
         segment_bytes: size_or(source, section.segment.as_ref(), DEFAULT_SEGMENT_BYTES)?,
         max_total_bytes: size_or(source, section.keep.as_ref(), DEFAULT_KEPT_BYTES)?,
-        checkpoint_interval: source.time_or(section.checkpoint.as_ref(), seconds(60), "checkpoint")?,
+        checkpoint_interval: source.time_or(
+            section.checkpoint.as_ref(),
+            seconds(60),
+            "checkpoint",
+        )?,
         sync_interval: source.time_or(section.sync.as_ref(), seconds(1), "sync")?,
         max_queued_blocks: match &section.queue {
             Some(blocks) => (*blocks.get_ref()).clamp(2, 65_536) as usize,
--- a/crates/config/src/validate/classes.rs
+++ b/crates/config/src/validate/classes.rs
@@ -25,7 +25,11 @@
 
 /// The class of descriptions: it has the shortest objective of all, and the default class's deadline.
 pub(super) fn describe_class(classes: &[Class], default_class: usize) -> Class {
-    let shortest = classes.iter().map(|class| class.latency_objective).min().unwrap_or(seconds(1));
+    let shortest = classes
+        .iter()
+        .map(|class| class.latency_objective)
+        .min()
+        .unwrap_or(seconds(1));
     Class {
         latency_objective: shortest,
         deadline: classes[default_class].deadline.max(shortest),
@@ -35,12 +39,19 @@
     }
 }
 
-fn validate_class(source: &Source<'_>, at: &Spanned<schema::Class>, names: &Names) -> Checked<Class> {
+fn validate_class(
+    source: &Source<'_>,
+    at: &Spanned<schema::Class>,
+    names: &Names,
+) -> Checked<Class> {
     let class = at.get_ref();
     let latency_objective = source.positive_time(&class.aim, "aim")?;
     let deadline = source.positive_time(&class.deadline, "deadline")?;
     if latency_objective > deadline {
-        let problem = format!("class `{}` is wanted after its clients have given up", class.name.get_ref());
+        let problem = format!(
+            "class `{}` is wanted after its clients have given up",
+            class.name.get_ref()
+        );
         return Err(source.error(&class.aim, problem, "make `aim` at most `deadline`"));
     }
     check_deduplication(source, at)?;
@@ -52,7 +63,10 @@
         late_value_fraction: class.late_worth.clamp(0.0, 1.0),
         semantics: semantics(class.effect),
         deduplication_scope: deduplication_scope(class.dedup.as_ref()),
-        deduplication_window: class.window.as_ref().map_or(Micros(0), |window| window.get_ref().0),
+        deduplication_window: class
+            .window
+            .as_ref()
+            .map_or(Micros(0), |window| window.get_ref().0),
         ordered_by_key: class.in_order,
         kinds: indexes_of_names(source, &names.kinds, &class.kinds, "kind")?,
         zones: indexes_of_names(source, &names.zones, &class.zones, "zone")?,
@@ -72,16 +86,25 @@
     let by_key = class.effect == Effect::ByKey;
     if let Some(dedup) = class.dedup.as_ref().filter(|_| !by_key) {
         let suggestion = "remove `dedup`, or write effect = \"by_key\"";
-        return Err(source.error(dedup, "`dedup` goes with effect = \"by_key\" alone", suggestion));
+        return Err(source.error(
+            dedup,
+            "`dedup` goes with effect = \"by_key\" alone",
+            suggestion,
+        ));
     }
     if by_key && class.window.is_none() {
         let name = class.name.get_ref();
-        let problem = format!("class `{name}` is by key, but for how long repeats are dropped is not said");
+        let problem =
+            format!("class `{name}` is by key, but for how long repeats are dropped is not said");
         return Err(source.error(at, problem, "add `window`, such as \"5s\""));
     }
     if let Some(window) = class.window.as_ref().filter(|_| !by_key) {
         let suggestion = "remove `window`, or write effect = \"by_key\"";
-        return Err(source.error(window, "`window` goes with effect = \"by_key\" alone", suggestion));
+        return Err(source.error(
+            window,
+            "`window` goes with effect = \"by_key\" alone",
+            suggestion,
+        ));
     }
     Ok(())
 }
@@ -108,5 +131,8 @@
     wanted: &[Spanned<String>],
     what: &str,
 ) -> Checked<Vec<usize>> {
-    wanted.iter().map(|at| source.index_of_name(names, at, what)).collect()
+    wanted
+        .iter()
+        .map(|at| source.index_of_name(names, at, what))
+        .collect()
 }
--- a/crates/config/src/validate/controller.rs
+++ b/crates/config/src/validate/controller.rs
@@ -19,8 +19,14 @@
     controller: &schema::Controller,
     names: &Names,
 ) -> Checked<Position> {
-    let count = controller.count.as_ref().map_or(1, |count| *count.get_ref());
-    let index = controller.index.as_ref().map_or(0, |index| *index.get_ref());
+    let count = controller
+        .count
+        .as_ref()
+        .map_or(1, |count| *count.get_ref());
+    let index = controller
+        .index
+        .as_ref()
+        .map_or(0, |index| *index.get_ref());
     if let Some(at) = controller.count.as_ref().filter(|_| count == 0) {
         return Err(source.error(at, "no controller at all", "write at least 1"));
     }
@@ -29,6 +35,13 @@
         let suggestion = "count controllers from 0, and tell in `count` how many there are";
         return Err(source.error(at, problem, suggestion));
     }
-    let zone = controller.zone.as_ref().map(|zone| source.index_of_name(&names.zones, zone, "zone"));
-    Ok(Position { index, count, zone: zone.transpose()? })
+    let zone = controller
+        .zone
+        .as_ref()
+        .map(|zone| source.index_of_name(&names.zones, zone, "zone"));
+    Ok(Position {
+        index,
+        count,
+        zone: zone.transpose()?,
+    })
 }
--- a/crates/config/src/validate/endpoints.rs
+++ b/crates/config/src/validate/endpoints.rs
@@ -20,21 +20,45 @@
 /// At least one source is needed, and engines in the file itself exclude the other two.
 pub(super) fn validate(source: &Source<'_>, file: &File, names: &Names) -> Checked<Endpoints> {
     let engines = validate_engines(source, &file.engines, names)?;
-    let registry = file.registry.as_ref().map(|at| validate_registry(source, at.get_ref())).transpose()?;
+    let registry = file
+        .registry
+        .as_ref()
+        .map(|at| validate_registry(source, at.get_ref()))
+        .transpose()?;
     if let Some(at) = file.registry.as_ref().filter(|_| !engines.is_empty()) {
         let suggestion = "keep either [registry] or [[engines]]";
-        return Err(source.error(at, "engines are named here and kept in a registry too", suggestion));
+        return Err(source.error(
+            at,
+            "engines are named here and kept in a registry too",
+            suggestion,
+        ));
     }
-    let files = file.members.as_ref().map(|at| validate_files(source, at.get_ref())).transpose()?;
+    let files = file
+        .members
+        .as_ref()
+        .map(|at| validate_files(source, at.get_ref()))
+        .transpose()?;
     if let Some(at) = file.members.as_ref().filter(|_| !engines.is_empty()) {
         let suggestion = "keep either [members] or [[engines]]";
-        return Err(source.error(at, "engines are named here and kept in files too", suggestion));
+        return Err(source.error(
+            at,
+            "engines are named here and kept in files too",
+            suggestion,
+        ));
     }
     if registry.is_none() && files.is_none() && engines.is_empty() {
         let problem = "no engine, no file of engines and no registry is named";
-        return Err(source.error(&file.fleet, problem, "add [members], [registry] or [[engines]]"));
+        return Err(source.error(
+            &file.fleet,
+            problem,
+            "add [members], [registry] or [[engines]]",
+        ));
     }
-    Ok(Endpoints { engines, registry, files })
+    Ok(Endpoints {
+        engines,
+        registry,
+        files,
+    })
 }
 
 fn validate_engines(
@@ -71,30 +95,52 @@
             schema::Mode::Watch => Refresh::Watch,
             schema::Mode::Poll => Refresh::Poll,
         },
-        poll_interval: registry.every.map_or(seconds(1), |interval| interval.0).max(MIN_POLL_INTERVAL),
+        poll_interval: registry
+            .every
+            .map_or(seconds(1), |interval| interval.0)
+            .max(MIN_POLL_INTERVAL),
     })
 }
 
 fn validate_files(source: &Source<'_>, section: &schema::Members) -> Checked<EndpointFiles> {
     let files = section.files.get_ref();
     if files.is_empty() {
-        return Err(source.error(&section.files, "no file of engines is named", "name one, or a pattern"));
+        return Err(source.error(
+            &section.files,
+            "no file of engines is named",
+            "name one, or a pattern",
+        ));
     }
     for file in files {
         check_file_pattern(source, file)?;
     }
     let max_lost_suggestion = "write one from 0 to 1";
-    let max_lost_fraction =
-        source.fraction_or(section.most_lost.as_ref(), DEFAULT_MAX_LOST, max_lost_suggestion)?;
+    let max_lost_fraction = source.fraction_or(
+        section.most_lost.as_ref(),
+        DEFAULT_MAX_LOST,
+        max_lost_suggestion,
+    )?;
     Ok(EndpointFiles {
         files: files.iter().map(|file| file.get_ref().into()).collect(),
         last_good: section.last_good.as_ref().map(|file| file.get_ref().into()),
         settle_time: source.time_or(section.settle.as_ref(), milliseconds(100), "settle")?,
         poll_interval: source.time_or(section.poll.as_ref(), seconds(5), "poll")?,
         max_lost_fraction,
-        hold: section.hold.as_ref().map(|at| source.positive_time(at, "hold")).transpose()?,
-        id_reuse_delay: source.time_or(section.reuse_after.as_ref(), seconds(600), "reuse_after")?,
-        max_registry_age: source.time_or(section.registry_age.as_ref(), seconds(60), "registry_age")?,
+        hold: section
+            .hold
+            .as_ref()
+            .map(|at| source.positive_time(at, "hold"))
+            .transpose()?,
+        id_reuse_delay: source.time_or(
+            section.reuse_after.as_ref(),
+            seconds(600),
+            "reuse_after",
+        )?,
+        max_registry_age: source.time_or(
+            section.registry_age.as_ref(),
+            seconds(60),
+            "registry_age",
+        )?,
     })
 }
 
@@ -104,7 +150,11 @@
     let (directory, name) = path.rsplit_once('/').unwrap_or(("", path));
     if directory.contains('*') || name.is_empty() {
         let problem = format!("`{path}` is no file, directory or pattern");
-        return Err(source.error(at, problem, "write * in the last part alone, and no / at the end"));
+        return Err(source.error(
+            at,
+            problem,
+            "write * in the last part alone, and no / at the end",
+        ));
     }
     Ok(())
 }
--- a/crates/config/src/validate/fleet.rs
+++ b/crates/config/src/validate/fleet.rs
@@ -16,7 +16,11 @@
 }
 
 /// Adds the names of zones and kinds to `names`, and returns the sizes of the kinds.
-pub(super) fn validate(source: &Source<'_>, fleet: &schema::Fleet, names: &mut Names) -> Checked<Machines> {
+pub(super) fn validate(
+    source: &Source<'_>,
+    fleet: &schema::Fleet,
+    names: &mut Names,
+) -> Checked<Machines> {
     for zone in &fleet.zones {
         source.add_unique_name(&mut names.zones, zone, "zone")?;
     }
@@ -25,7 +29,11 @@
         add_kind(source, kind, names, &mut machines)?;
     }
     if names.kinds.is_empty() {
-        return Err(source.error(&fleet.kinds, "no kind of machine is named", "add [[fleet.kinds]]"));
+        return Err(source.error(
+            &fleet.kinds,
+            "no kind of machine is named",
+            "add [[fleet.kinds]]",
+        ));
     }
     Ok(machines)
 }
@@ -38,10 +46,16 @@
 ) -> Checked<()> {
     let kind = at.get_ref();
     if names.kinds.contains(&kind.name) {
-        return Err(source.error(at, format!("two kinds are named `{}`", kind.name), "rename one"));
+        return Err(source.error(
+            at,
+            format!("two kinds are named `{}`", kind.name),
+            "rename one",
+        ));
     }
     names.kinds.push(kind.name.clone());
-    machines.cores.push(source.number_in_range(&kind.cores, "cores", 1.0, 1024.0)?);
+    machines
+        .cores
+        .push(source.number_in_range(&kind.cores, "cores", 1.0, 1024.0)?);
     let memory_mb = kind.memory.get_ref().0 as f64 / BYTES_PER_MB;
     if memory_mb < MIN_MEMORY_MB {
         let problem = format!("an engine with {memory_mb} MB of memory");
--- a/crates/config/src/validate/gossip.rs
+++ b/crates/config/src/validate/gossip.rs
@@ -44,7 +44,10 @@
             suggestion,
         ));
     }
-    Ok(Messaging { message_limits, peers })
+    Ok(Messaging {
+        message_limits,
+        peers,
+    })
 }
 
 /// Validates `[gossip]`; `message_limits` limits the messages that it carries.
@@ -56,12 +59,23 @@
     let seeds = &section.seeds;
     if seeds.len() > MAX_SEEDS {
         let problem = format!("{} seeds", seeds.len());
-        return Err(source.error(&seeds[MAX_SEEDS], problem, "name at most 64; they tell of the others"));
+        return Err(source.error(
+            &seeds[MAX_SEEDS],
+            problem,
+            "name at most 64; they tell of the others",
+        ));
     }
     let gossip = Gossip {
         listen: source.loopback_address(&section.listen)?,
-        advertise: section.advertise.as_ref().map(|at| source.loopback_address(at)).transpose()?,
-        seeds: seeds.iter().map(|at| source.loopback_address(at)).collect::<Checked<Vec<_>>>()?,
+        advertise: section
+            .advertise
+            .as_ref()
+            .map(|at| source.loopback_address(at))
+            .transpose()?,
+        seeds: seeds
+            .iter()
+            .map(|at| source.loopback_address(at))
+            .collect::<Checked<Vec<_>>>()?,
         keys: section.keys.get_ref().into(),
         probe_interval: source.time_or(section.period.as_ref(), seconds(1), "period")?,
         quorum_evicts: section.forget == schema::Forget::Quorum,
@@ -74,11 +88,17 @@
 }
 
 fn check_gossip(source: &Source<'_>, section: &schema::Gossip, gossip: &Gossip) -> Checked<()> {
-    if let Some(at) = section.period.as_ref().filter(|_| gossip.probe_interval < MIN_PERIOD) {
+    if let Some(at) = section
+        .period
+        .as_ref()
+        .filter(|_| gossip.probe_interval < MIN_PERIOD)
+    {
         return Err(source.error(at, "a period under 10ms", "write one of 100ms to 10s"));
     }
-    if let Some(at) =
-        section.hold.as_ref().filter(|_| gossip.evict_after < gossip.probe_interval + gossip.probe_interval)
+    if let Some(at) = section
+        .hold
+        .as_ref()
+        .filter(|_| gossip.evict_after < gossip.probe_interval + gossip.probe_interval)
     {
         let problem = "a member would be forgotten sooner than it can be missed";
         return Err(source.error(at, problem, "make `hold` many times `period`"));
@@ -119,10 +139,20 @@
         let suggestion = "add `listen`, or find the others by [gossip]";
         return Err(source.error(at, "no address to listen at", suggestion));
     };
-    let addresses = section.addresses.iter().map(|at| source.loopback_address(at));
+    let addresses = section
+        .addresses
+        .iter()
+        .map(|at| source.loopback_address(at));
     let addresses = addresses.collect::<Checked<Vec<_>>>()?;
     if addresses.len() > MAX_PEERS {
-        return Err(source.error(at, format!("{} peers", addresses.len()), "name at most 4095"));
+        return Err(source.error(
+            at,
+            format!("{} peers", addresses.len()),
+            "name at most 4095",
+        ));
     }
-    Ok(Peers { listen: source.loopback_address(listen)?, addresses })
+    Ok(Peers {
+        listen: source.loopback_address(listen)?,
+        addresses,
+    })
 }
--- a/crates/config/src/validate/limits.rs
+++ b/crates/config/src/validate/limits.rs
@@ -10,10 +10,12 @@
 
 pub(super) fn validate(source: &Source<'_>, limits: &schema::Limits) -> Checked<Limits> {
     let number = |at: &Option<Spanned<u32>>, default: u32, max: u32, key: &str| {
-        at.as_ref().map_or(Ok(default), |at| number_up_to(source, at, max, key))
+        at.as_ref()
+            .map_or(Ok(default), |at| number_up_to(source, at, max, key))
     };
     let size = |at: &Option<Spanned<Size>>, default: usize, min: u64, key: &str| {
-        at.as_ref().map_or(Ok(default), |at| size_from(source, at, min, key))
+        at.as_ref()
+            .map_or(Ok(default), |at| size_from(source, at, min, key))
     };
     Ok(Limits {
         clients: number(&limits.clients, 12_000, 1_000_000, "clients")? as usize,
@@ -32,7 +34,11 @@
     if (1..=max).contains(&number) {
         return Ok(number);
     }
-    Err(source.error(at, format!("`{key}` is {number}"), format!("write a number from 1 to {max}")))
+    Err(source.error(
+        at,
+        format!("`{key}` is {number}"),
+        format!("write a number from 1 to {max}"),
+    ))
 }
 
 fn size_from(source: &Source<'_>, at: &Spanned<Size>, min: u64, key: &str) -> Checked<usize> {
--- a/crates/config/src/validate/mod.rs
+++ b/crates/config/src/validate/mod.rs
@@ -32,7 +32,8 @@
 /// # Errors
 /// The first problem found.
 pub fn parse(name: &str, text: &str) -> Result<Config, ConfigError> {
-    let file: File = toml::from_str(text).map_err(|error| ConfigError::from_toml(name, text, &error))?;
+    let file: File =
+        toml::from_str(text).map_err(|error| ConfigError::from_toml(name, text, &error))?;
     let source = Source { file: name, text };
     let mut names = Names::default();
     let machines = fleet::validate(&source, file.fleet.get_ref(), &mut names)?;
@@ -49,9 +50,16 @@
     let listen = optional_address(&source, file.listen.as_ref())?;
     let admin = optional_address(&source, file.admin.as_ref())?;
     let message_limits = messaging.message_limits;
-    let gossip =
-        file.gossip.as_ref().map(|at| gossip::validate(&source, at.get_ref(), message_limits)).transpose()?;
-    let capture = file.capture.as_ref().map(|at| capture::validate(&source, at.get_ref())).transpose()?;
+    let gossip = file
+        .gossip
+        .as_ref()
+        .map(|at| gossip::validate(&source, at.get_ref(), message_limits))
+        .transpose()?;
+    let capture = file
+        .capture
+        .as_ref()
+        .map(|at| capture::validate(&source, at.get_ref()))
+        .transpose()?;
     let login = |name: Option<String>| name.unwrap_or_else(|| DEFAULT_LOGIN.to_string());
     Ok(Config {
         listen: listen.unwrap_or_else(|| SocketAddr::from(DEFAULT_LISTEN)),
@@ -92,6 +100,9 @@
     names.classes.push("describe".to_string());
 }
 
-fn optional_address(source: &Source<'_>, at: Option<&Spanned<String>>) -> Checked<Option<SocketAddr>> {
+fn optional_address(
+    source: &Source<'_>,
+    at: Option<&Spanned<String>>,
+) -> Checked<Option<SocketAddr>> {
     at.map(|at| source.loopback_address(at)).transpose()
 }
--- a/crates/config/src/validate/settings.rs
+++ b/crates/config/src/validate/settings.rs
@@ -18,8 +18,9 @@
     let retry_budget = retry_budget(source, file)?;
     let fleet = file.fleet.get_ref();
     let max_grant_fraction = fleet.most_grant.as_ref();
-    let max_grant_fraction =
-        max_grant_fraction.map_or(Ok(1.0), |at| source.number_in_range(at, "most_grant", 0.01, 1.0))?;
+    let max_grant_fraction = max_grant_fraction.map_or(Ok(1.0), |at| {
+        source.number_in_range(at, "most_grant", 0.01, 1.0)
+    })?;
     let recovery = recovery(source, file)?;
     let (means, signals, prices) = (&file.means, &file.signals, &file.prices);
     let settings = Settings {
@@ -27,7 +28,11 @@
         gateway_index: f64::from(position.index),
         zone: position.zone,
         classes,
-        tenant_rates: file.tenants.iter().map(|tenant| tenant.get_ref().allowance.max(0.0)).collect(),
+        tenant_rates: file
+            .tenants
+            .iter()
+            .map(|tenant| tenant.get_ref().allowance.max(0.0))
+            .collect(),
         cores: machines.cores,
         memory_mb: machines.memory_mb,
         max_grant_fraction,
@@ -43,7 +48,9 @@
         message_price: prices.message.max(0.0),
         probes: means.probes,
         load_reports: signals.reports != Reports::None,
-        reports_utilisation: signals.utilisation.unwrap_or(signals.reports != Reports::None),
+        reports_utilisation: signals
+            .utilisation
+            .unwrap_or(signals.reports != Reports::None),
         reports_by_probe: signals.reports == Reports::Probe,
         subscribe: means.subscribe,
         hedged_requests: means.second_copies,
@@ -64,7 +71,11 @@
 }
 
 fn retry_budget(source: &Source<'_>, file: &File) -> Checked<Option<RetryBudget>> {
-    let Some(budget) = file.rules.as_ref().and_then(|rules| rules.get_ref().budget.as_ref()) else {
+    let Some(budget) = file
+        .rules
+        .as_ref()
+        .and_then(|rules| rules.get_ref().budget.as_ref())
+    else {
         return Ok(None);
     };
     Ok(Some(RetryBudget {
@@ -124,7 +135,11 @@
     Ok(())
 }
 
-fn check_overload_rules(source: &Source<'_>, rules: &Spanned<Rules>, settings: &Settings) -> Checked<()> {
+fn check_overload_rules(
+    source: &Source<'_>,
+    rules: &Spanned<Rules>,
+    settings: &Settings,
+) -> Checked<()> {
     let is_incomplete = settings.slow_start_duration.0 == 0 || settings.overload_window.0 == 0;
     if settings.overload_multiple > 0.0 && is_incomplete {
         let problem = "`fall_multiple` without `cold_for` and `fall_span` guards nothing";
--- a/crates/config/src/validate/source.rs
+++ b/crates/config/src/validate/source.rs
@@ -33,36 +33,68 @@
             self.error(at, format!("`{}` is no address", at.get_ref()), suggestion)
         })?;
         if !address.ip().is_loopback() {
-            let problem =
-                format!("`{address}` is not a loopback address, and nobody is asked for a password");
+            let problem = format!(
+                "`{address}` is not a loopback address, and nobody is asked for a password"
+            );
             return Err(self.error(at, problem, "use an address of 127.0.0.0/8"));
         }
         Ok(address)
     }
 
     /// The position of a name among the defined ones; `what` says what it names.
-    pub fn index_of_name(&self, names: &[String], at: &Spanned<String>, what: &str) -> Checked<usize> {
-        names.iter().position(|name| name == at.get_ref()).ok_or_else(|| {
-            let known = if names.is_empty() { format!("name the {what}s first") } else { names.join(", ") };
-            self.error(at, format!("no {what} is named `{}`", at.get_ref()), format!("known: {known}"))
-        })
+    pub fn index_of_name(
+        &self,
+        names: &[String],
+        at: &Spanned<String>,
+        what: &str,
+    ) -> Checked<usize> {
+        names
+            .iter()
+            .position(|name| name == at.get_ref())
+            .ok_or_else(|| {
+                let known = if names.is_empty() {
+                    format!("name the {what}s first")
+                } else {
+                    names.join(", ")
+                };
+                self.error(
+                    at,
+                    format!("no {what} is named `{}`", at.get_ref()),
+                    format!("known: {known}"),
+                )
+            })
     }
 
     /// Adds a name that must be neither empty nor among `names` already.
-    pub fn add_unique_name(&self, names: &mut Vec<String>, at: &Spanned<String>, what: &str) -> Checked<()> {
+    pub fn add_unique_name(
+        &self,
+        names: &mut Vec<String>,
+        at: &Spanned<String>,
+        what: &str,
+    ) -> Checked<()> {
         let name = at.get_ref();
         if name.is_empty() {
             return Err(self.error(at, format!("a {what} without a name"), "give it one"));
         }
         if names.contains(name) {
-            return Err(self.error(at, format!("the {what} `{name}` is named twice"), "rename one"));
+            return Err(self.error(
+                at,
+                format!("the {what} `{name}` is named twice"),
+                "rename one",
+            ));
         }
         names.push(name.clone());
         Ok(())
     }
 
     /// A finite number from `low` to `high`.
-    pub fn number_in_range(&self, at: &Spanned<f64>, key: &str, low: f64, high: f64) -> Checked<f64> {
+    pub fn number_in_range(
+        &self,
+        at: &Spanned<f64>,
+        key: &str,
+        low: f64,
+        high: f64,
+    ) -> Checked<f64> {
         let number = *at.get_ref();
         if number.is_finite() && (low..=high).contains(&number) {
             return Ok(number);
@@ -72,7 +104,12 @@
     }
 
     /// A fraction from 0 to 1, or `default` where the key is absent.
-    pub fn fraction_or(&self, at: Option<&Spanned<f64>>, default: f64, suggestion: &str) -> Checked<f64> {
+    pub fn fraction_or(
+        &self,
+        at: Option<&Spanned<f64>>,
+        default: f64,
+        suggestion: &str,
+    ) -> Checked<f64> {
         match at {
             None => Ok(default),
             Some(at) if (0.0..=1.0).contains(at.get_ref()) => Ok(*at.get_ref()),
@@ -89,7 +126,12 @@
     }
 
     /// A time above zero, or `default` where the key is absent.
-    pub fn time_or(&self, at: Option<&Spanned<Time>>, default: Micros, key: &str) -> Checked<Micros> {
+    pub fn time_or(
+        &self,
+        at: Option<&Spanned<Time>>,
+        default: Micros,
+        key: &str,
+    ) -> Checked<Micros> {
         at.map_or(Ok(default), |at| self.positive_time(at, key))
     }
 }
--- a/crates/controller/src/bind.rs
+++ b/crates/controller/src/bind.rs
@@ -9,7 +9,10 @@
 ///
 /// # Errors
 /// [`ControllerError::Listen`].
-pub(crate) fn bind_listener(address: SocketAddr, backlog: u32) -> Result<TcpListener, ControllerError> {
+pub(crate) fn bind_listener(
+    address: SocketAddr,
+    backlog: u32,
+) -> Result<TcpListener, ControllerError> {
     listen(address, backlog).map_err(|source| ControllerError::Listen { address, source })
 }
 
@@ -21,9 +24,11 @@
     address: SocketAddr,
     purpose: &'static str,
 ) -> Result<UdpSocket, ControllerError> {
-    wheelfield_net::bind_datagram_socket(address).map_err(|source| ControllerError::DatagramSocket {
-        purpose,
-        address,
-        source,
+    wheelfield_net::bind_datagram_socket(address).map_err(|source| {
+        ControllerError::DatagramSocket {
+            purpose,
+            address,
+            source,
+        }
     })
 }
--- a/crates/controller/src/capture.rs
+++ b/crates/controller/src/capture.rs
@@ -17,7 +17,9 @@
     driver: &Driver,
     now: i64,
 ) -> Result<Option<Recorder>, ControllerError> {
-    let Some(capture) = &config.capture else { return Ok(None) };
+    let Some(capture) = &config.capture else {
+        return Ok(None);
+    };
     let start = Start {
         build: format!("{} {}", env!("CARGO_PKG_NAME"), env!("CARGO_PKG_VERSION")),
         index: config.settings.gateway_index as u32,
@@ -39,7 +41,10 @@
     let recorder = match &capture.ring {
         None => Recorder::begin(file, start, limits, driver, now),
         Some(ring) => {
-            let ring_limits = RingLimits { max_bytes: ring.max_bytes, min_span: ring.span };
+            let ring_limits = RingLimits {
+                max_bytes: ring.max_bytes,
+                min_span: ring.span,
+            };
             let triggers = Triggers {
                 on_engine_ejected: ring.on_engine_ejected,
                 rejected_fraction: Some(ring.rejected_fraction),
@@ -51,5 +56,10 @@
             Recorder::begin_in_memory(file, start, limits, (ring_limits, triggers), driver, now)
         }
     };
-    recorder.map(Some).map_err(|source| ControllerError::Capture { path: file.clone(), source })
+    recorder
+        .map(Some)
+        .map_err(|source| ControllerError::Capture {
+            path: file.clone(),
+            source,
+        })
 }
--- a/crates/controller/src/endpoint_files.rs
+++ b/crates/controller/src/endpoint_files.rs
@@ -18,14 +18,20 @@
     config: &Config,
     clock: Clock,
 ) -> Result<Option<(Watching, UnixStream)>, ControllerError> {
-    let Some(endpoint_files) = &config.endpoint_files else { return Ok(None) };
+    let Some(endpoint_files) = &config.endpoint_files else {
+        return Ok(None);
+    };
     let policy = Policy {
         settle: endpoint_files.settle_time,
         most_lost: endpoint_files.max_lost_fraction,
         hold: endpoint_files.hold,
         reuse_after: endpoint_files.id_reuse_delay,
     };
-    let names = Places { names: config.names.clone(), cores: config.settings.cores.clone(), open: false };
+    let names = Places {
+        names: config.names.clone(),
+        cores: config.settings.cores.clone(),
+        open: false,
+    };
     let watch = Watch {
         places: endpoint_files.files.iter().cloned().map(Place).collect(),
         poll: endpoint_files.poll_interval,
--- a/crates/controller/src/error.rs
+++ b/crates/controller/src/error.rs
@@ -78,7 +78,10 @@
 impl ControllerError {
     /// For a file that cannot be read: turns the system's error into one that names it.
     pub(crate) fn read_file(path: &Path) -> impl FnOnce(io::Error) -> ControllerError + '_ {
-        |source| ControllerError::ReadFile { path: path.to_path_buf(), source }
+        |source| ControllerError::ReadFile {
+            path: path.to_path_buf(),
+            source,
+        }
     }
 }
 
--- a/crates/controller/src/event_loop/acceptor.rs
+++ b/crates/controller/src/event_loop/acceptor.rs
@@ -33,7 +33,12 @@
         registry: &Registry,
     ) -> io::Result<Acceptor> {
         registry.register(&mut socket, token_of(listener), Interest::READABLE)?;
-        Ok(Acceptor { socket, listener, accept_at: None, is_failing: false })
+        Ok(Acceptor {
+            socket,
+            listener,
+            accept_at: None,
+            is_failing: false,
+        })
     }
 
     /// Which listener of the controller this is.
@@ -62,7 +67,11 @@
     }
 
     /// Accepts one batch of the connections that wait.
-    pub fn accept_batch(&mut self, connections: &mut ConnectionSockets, io: &mut IoContext<'_>) -> Remaining {
+    pub fn accept_batch(
+        &mut self,
+        connections: &mut ConnectionSockets,
+        io: &mut IoContext<'_>,
+    ) -> Remaining {
         self.accept_at = None;
         for _ in 0..ACCEPTS_PER_BATCH {
             match self.socket.accept() {
@@ -74,7 +83,11 @@
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Remaining::Nothing,
                 // The peer closed the connection before it was accepted.
-                Err(e) if matches!(e.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        ErrorKind::ConnectionAborted | ErrorKind::Interrupted
+                    ) => {}
                 Err(error) => {
                     self.retry_later(&error, io.now);
                     return Remaining::Nothing;
@@ -88,7 +101,11 @@
 
     /// Accepts all that wait and removes the socket from the poll. Closing a socket resets the connections that the system
     /// has already completed for it, so none of them may be left in the backlog.
-    pub fn accept_all_and_deregister(&mut self, connections: &mut ConnectionSockets, io: &mut IoContext<'_>) {
+    pub fn accept_all_and_deregister(
+        &mut self,
+        connections: &mut ConnectionSockets,
+        io: &mut IoContext<'_>,
+    ) {
         for _ in 0..BATCHES_AT_SHUTDOWN {
             if self.accept_batch(connections, io) == Remaining::Nothing {
                 break;
--- a/crates/controller/src/event_loop/connections.rs
+++ b/crates/controller/src/event_loop/connections.rs
@@ -22,7 +22,10 @@
 impl ConnectionSockets {
     /// An empty table.
     pub fn new() -> ConnectionSockets {
-        ConnectionSockets { by_owner: Default::default(), read_buffer: vec![0; READ_BUFFER_BYTES] }
+        ConnectionSockets {
+            by_owner: Default::default(),
+            read_buffer: vec![0; READ_BUFFER_BYTES],
+        }
     }
 
     /// Adds a connection that was accepted, and reads what it has sent already.
@@ -47,7 +50,9 @@
     /// Handles an event of the poll for a connection; one that is closed meanwhile is ignored.
     pub fn handle_event(&mut self, event: &mio::event::Event, io: &mut IoContext<'_>) {
         let id = ConnId::from_u64(event.token().0 as u64);
-        let Some(socket) = self.get_mut(id) else { return };
+        let Some(socket) = self.get_mut(id) else {
+            return;
+        };
         let was_connecting = matches!(socket.check_connected(), Ok(false));
         socket.handle_event(event);
         if was_connecting {
@@ -75,13 +80,17 @@
                 return;
             }
             let mut buffer = std::mem::take(&mut self.read_buffer);
-            let Some(socket) = self.get_mut(id) else { return };
+            let Some(socket) = self.get_mut(id) else {
+                return;
+            };
             let result = socket.read(&mut buffer[..capacity]);
             let has_ended = socket.has_ended();
             match result {
                 Ok(0) if has_ended => io.protocol.handle_io(io.now, IoEvent::Ended(id)),
                 Ok(0) => {}
-                Ok(length) => io.protocol.handle_io(io.now, IoEvent::Received(id, &buffer[..length])),
+                Ok(length) => io
+                    .protocol
+                    .handle_io(io.now, IoEvent::Received(id, &buffer[..length])),
                 Err(error) => notify_broken(id, Direction::Reading, &error, io),
             }
             self.read_buffer = buffer;
@@ -91,7 +100,9 @@
     /// Writes the output of the controller, as far as the peer takes it.
     pub fn write(&mut self, id: ConnId, io: &mut IoContext<'_>) {
         loop {
-            let Some(socket) = self.get_mut(id).filter(|socket| socket.is_writable()) else { return };
+            let Some(socket) = self.get_mut(id).filter(|socket| socket.is_writable()) else {
+                return;
+            };
             if !matches!(socket.check_connected(), Ok(true)) {
                 return;
             }
@@ -113,8 +124,13 @@
     }
 
     fn get_mut(&mut self, id: ConnId) -> Option<&mut Socket> {
-        let slot = self.by_owner.get_mut(usize::from(id.owner()))?.get_mut(id.slot())?;
-        slot.as_mut().filter(|(held, _)| *held == id).map(|(_, socket)| socket)
+        let slot = self
+            .by_owner
+            .get_mut(usize::from(id.owner()))?
+            .get_mut(id.slot())?;
+        slot.as_mut()
+            .filter(|(held, _)| *held == id)
+            .map(|(_, socket)| socket)
     }
 
     fn insert(&mut self, id: ConnId, socket: Socket) {
--- a/crates/controller/src/event_loop/datagrams.rs
+++ b/crates/controller/src/event_loop/datagrams.rs
@@ -65,7 +65,9 @@
             }
         }
         // More may wait: registering again has the poll report them.
-        let _ = io.registry.reregister(&mut self.socket, token_of(self.name), Interest::READABLE);
+        let _ = io
+            .registry
+            .reregister(&mut self.socket, token_of(self.name), Interest::READABLE);
     }
 }
 
--- a/crates/controller/src/event_loop/mod.rs
+++ b/crates/controller/src/event_loop/mod.rs
@@ -100,7 +100,8 @@
     /// # Errors
     /// If the socket cannot be registered.
     pub fn add_listener(&mut self, listener: Listener, socket: TcpListener) -> io::Result<()> {
-        self.acceptors.push(Acceptor::register(listener, socket, self.poll.registry())?);
+        self.acceptors
+            .push(Acceptor::register(listener, socket, self.poll.registry())?);
         Ok(())
     }
 
@@ -108,8 +109,13 @@
     ///
     /// # Errors
     /// If the socket cannot be registered.
-    pub fn add_datagram_socket(&mut self, name: DatagramSocket, socket: UdpSocket) -> io::Result<()> {
-        self.datagram_ports.push(DatagramPort::register(name, socket, self.poll.registry())?);
+    pub fn add_datagram_socket(
+        &mut self,
+        name: DatagramSocket,
+        socket: UdpSocket,
+    ) -> io::Result<()> {
+        self.datagram_ports
+            .push(DatagramPort::register(name, socket, self.poll.registry())?);
         Ok(())
     }
 
@@ -119,7 +125,12 @@
     /// If the stream cannot be registered.
     pub fn add_wakeup(&mut self, stream: UnixStream, handler: Handler<P>) -> io::Result<()> {
         let token = Token(WAKEUP_TOKENS + self.wakeups.len());
-        self.wakeups.push(Wakeup::register(stream, handler, token, self.poll.registry())?);
+        self.wakeups.push(Wakeup::register(
+            stream,
+            handler,
+            token,
+            self.poll.registry(),
+        )?);
         Ok(())
     }
 
@@ -130,12 +141,18 @@
 
     /// The address of a listener; `None` if it is not or no longer open.
     pub fn listener_address(&self, listener: Listener) -> Option<SocketAddr> {
-        self.acceptors.iter().find(|a| a.listener() == listener)?.local_address()
+        self.acceptors
+            .iter()
+            .find(|a| a.listener() == listener)?
+            .local_address()
     }
 
     /// The address of a datagram socket.
     pub fn datagram_address(&self, name: DatagramSocket) -> Option<SocketAddr> {
-        self.datagram_ports.iter().find(|p| p.name() == name)?.local_address()
+        self.datagram_ports
+            .iter()
+            .find(|p| p.name() == name)?
+            .local_address()
     }
 
     /// Serves until the controller has stopped.
@@ -173,8 +190,11 @@
     /// Accepts from the listeners where connections may wait. It comes after all events of the turn, since a connection
     /// that makes place for a new one may have closed among them.
     fn accept_pending(&mut self) {
-        let mut io =
-            IoContext { registry: self.poll.registry(), protocol: &mut self.protocol, now: self.now };
+        let mut io = IoContext {
+            registry: self.poll.registry(),
+            protocol: &mut self.protocol,
+            now: self.now,
+        };
         for acceptor in &mut self.acceptors {
             if acceptor.accept_at().is_some_and(|at| at <= self.now) {
                 acceptor.accept_batch(&mut self.connections, &mut io);
@@ -200,8 +220,11 @@
     }
 
     fn apply_effect(&mut self, effect: Effect) {
-        let mut io =
-            IoContext { registry: self.poll.registry(), protocol: &mut self.protocol, now: self.now };
+        let mut io = IoContext {
+            registry: self.poll.registry(),
+            protocol: &mut self.protocol,
+            now: self.now,
+        };
         match effect {
             Effect::Connect(id, address) => self.connections.connect(id, address, &mut io),
             Effect::Write(id) => self.connections.write(id, &mut io),
@@ -219,9 +242,16 @@
 
     /// Accepts the clients that wait already, then closes the listeners for clients.
     fn stop_listening(&mut self) {
-        let mut io =
-            IoContext { registry: self.poll.registry(), protocol: &mut self.protocol, now: self.now };
-        for acceptor in self.acceptors.iter_mut().filter(|a| a.listener() == Listener::Clients) {
+        let mut io = IoContext {
+            registry: self.poll.registry(),
+            protocol: &mut self.protocol,
+            now: self.now,
+        };
+        for acceptor in self
+            .acceptors
+            .iter_mut()
+            .filter(|a| a.listener() == Listener::Clients)
+        {
             acceptor.accept_all_and_deregister(&mut self.connections, &mut io);
         }
         self.acceptors.retain(|a| a.listener() != Listener::Clients);
@@ -230,15 +260,21 @@
     /// Hands an event of the poll to the socket that it belongs to.
     fn dispatch_event(&mut self, event: &mio::event::Event) {
         let token = event.token();
-        let mut io =
-            IoContext { registry: self.poll.registry(), protocol: &mut self.protocol, now: self.now };
+        let mut io = IoContext {
+            registry: self.poll.registry(),
+            protocol: &mut self.protocol,
+            now: self.now,
+        };
         if token.0 >= WAKEUP_TOKENS + self.wakeups.len() {
             self.connections.handle_event(event, &mut io);
         } else if let Some(acceptor) = self.acceptors.iter_mut().find(|a| a.token() == token) {
             acceptor.schedule_accept(self.now);
         } else if let Some(port) = self.datagram_ports.iter_mut().find(|p| p.token() == token) {
             port.receive(&mut io);
-        } else if let Some(wakeup) = token.0.checked_sub(WAKEUP_TOKENS).and_then(|n| self.wakeups.get_mut(n))
+        } else if let Some(wakeup) = token
+            .0
+            .checked_sub(WAKEUP_TOKENS)
+            .and_then(|n| self.wakeups.get_mut(n))
         {
             wakeup.handle(&mut self.protocol, self.now);
         }
@@ -249,7 +285,11 @@
     fn poll(&mut self, timeout: Duration) -> io::Result<Remaining> {
         self.poll.poll(&mut self.events, Some(timeout))?;
         let is_full = self.events.iter().count() >= EVENTS_PER_POLL;
-        Ok(if is_full { Remaining::Possibly } else { Remaining::Nothing })
+        Ok(if is_full {
+            Remaining::Possibly
+        } else {
+            Remaining::Nothing
+        })
     }
 
     fn read_clock(&mut self) -> i64 {
--- a/crates/controller/src/event_loop/polling.rs
+++ b/crates/controller/src/event_loop/polling.rs
@@ -23,7 +23,10 @@
 ///
 /// A process that is suspended between its poll and its look at the clock would find timers due without having seen the
 /// events that came before them; so when a timer is due, it polls once more, by the time read before that poll.
-pub(super) fn poll_until_current(source: &mut impl EventSource, mut timeout: Duration) -> io::Result<i64> {
+pub(super) fn poll_until_current(
+    source: &mut impl EventSource,
+    mut timeout: Duration,
+) -> io::Result<i64> {
     let mut clock_before_poll = None;
     for _ in 0..MAX_POLLS_PER_TURN {
         let remaining = match source.poll(std::mem::take(&mut timeout)) {
@@ -37,7 +40,11 @@
         if all_handled && (clock_before_poll.is_some() || !source.is_timer_due(now)) {
             return Ok(now);
         }
-        clock_before_poll = Some(if all_handled { now } else { source.read_clock() });
+        clock_before_poll = Some(if all_handled {
+            now
+        } else {
+            source.read_clock()
+        });
     }
     Ok(clock_before_poll.unwrap_or_else(|| source.read_clock()))
 }
--- a/crates/controller/src/event_loop/tests.rs
+++ b/crates/controller/src/event_loop/tests.rs
@@ -29,9 +29,18 @@
             return Err(ErrorKind::Interrupted.into());
         }
         self.now += timeout.as_micros() as i64;
-        let count = self.pending.iter().filter(|at| **at <= self.now).count().min(self.events_per_poll);
+        let count = self
+            .pending
+            .iter()
+            .filter(|at| **at <= self.now)
+            .count()
+            .min(self.events_per_poll);
         self.polled.extend(self.pending.drain(..count));
-        Ok(if count == self.events_per_poll { Remaining::Possibly } else { Remaining::Nothing })
+        Ok(if count == self.events_per_poll {
+            Remaining::Possibly
+        } else {
+            Remaining::Nothing
+        })
     }
 
     fn read_clock(&mut self) -> i64 {
@@ -51,7 +60,14 @@
 
 #[test]
 fn events_before_a_due_timer_are_polled_first_wherever_the_process_was_suspended() {
-    let cases = (0..4usize).flat_map(|at| [(at, false, 300), (at, true, 300), (at, false, 2), (at, true, 2)]);
+    let cases = (0..4usize).flat_map(|at| {
+        [
+            (at, false, 300),
+            (at, true, 300),
+            (at, false, 2),
+            (at, true, 2),
+        ]
+    });
     for (suspended_at_read, interrupted, events_per_poll) in cases {
         let mut process = SuspendedProcess {
             now: 0,
--- a/crates/controller/src/gossip_keys.rs
+++ b/crates/controller/src/gossip_keys.rs
@@ -34,8 +34,16 @@
         let (stop, stopped) = channel();
         let path: PathBuf = path.to_path_buf();
         let watch = move || watch_file(&path, text, &stopped, &sender);
-        std::thread::Builder::new().name("keys".into()).spawn(watch)?;
-        Ok((keys, KeysWatcher { updates, _stop: stop }))
+        std::thread::Builder::new()
+            .name("keys".into())
+            .spawn(watch)?;
+        Ok((
+            keys,
+            KeysWatcher {
+                updates,
+                _stop: stop,
+            },
+        ))
     }
 }
 
@@ -44,13 +52,20 @@
     let mut text = String::new();
     let file = std::fs::File::open(path).map_err(ControllerError::read_file(path))?;
     file.take(MAX_FILE_BYTES).read_to_string(&mut text)?;
-    let keys =
-        Keys::read(&text).map_err(|fault| ControllerError::GossipKeys { path: path.to_path_buf(), fault })?;
+    let keys = Keys::read(&text).map_err(|fault| ControllerError::GossipKeys {
+        path: path.to_path_buf(),
+        fault,
+    })?;
     Ok((text, keys))
 }
 
 /// Reads the file from time to time and sends what differs from the last read, until stopped.
-fn watch_file(path: &Path, mut last_text: String, stopped: &Receiver<()>, updates: &SyncSender<KeysUpdate>) {
+fn watch_file(
+    path: &Path,
+    mut last_text: String,
+    stopped: &Receiver<()>,
+    updates: &SyncSender<KeysUpdate>,
+) {
     let mut last_error = String::new();
     while let Err(RecvTimeoutError::Timeout) = stopped.recv_timeout(POLL_INTERVAL) {
         let update = match read_keys(path).map_err(|error| error_chain(&error)) {
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -93,7 +93,11 @@
 fn main() -> ExitCode {
     let args = Args::parse();
     match &args.command {
-        Some(Command::Platform { config, check, logs }) => platform_command(config.clone(), *check, logs),
+        Some(Command::Platform {
+            config,
+            check,
+            logs,
+        }) => platform_command(config.clone(), *check, logs),
         None => postgres_command(&args),
     }
 }
@@ -134,7 +138,8 @@
 
 fn load_config(args: &Args) -> Result<Config> {
     let path = args.config.as_ref().context("--config is missing")?;
-    let text = std::fs::read_to_string(path).with_context(|| format!("cannot read {}", path.display()))?;
+    let text =
+        std::fs::read_to_string(path).with_context(|| format!("cannot read {}", path.display()))?;
     let mut config = wheelfield_config::parse(&path.display().to_string(), &text)?;
     if let Some(listen) = args.listen {
         anyhow::ensure!(
@@ -148,11 +153,19 @@
 
 /// Starts to write logs, until the guard is dropped. A full pipe costs log lines, never queries.
 fn start_logging(logs: &LogArgs) -> Result<WorkerGuard> {
-    let filter = EnvFilter::try_new(&logs.log)
-        .map_err(|_| anyhow!("--log {} is no level; known: error, warn, info, debug", logs.log))?;
-    let (writer, guard) =
-        NonBlockingBuilder::default().buffered_lines_limit(MAX_BUFFERED_LOG_LINES).finish(std::io::stderr());
-    let subscriber = tracing_subscriber::fmt().with_env_filter(filter).with_writer(writer).with_ansi(false);
+    let filter = EnvFilter::try_new(&logs.log).map_err(|_| {
+        anyhow!(
+            "--log {} is no level; known: error, warn, info, debug",
+            logs.log
+        )
+    })?;
+    let (writer, guard) = NonBlockingBuilder::default()
+        .buffered_lines_limit(MAX_BUFFERED_LOG_LINES)
+        .finish(std::io::stderr());
+    let subscriber = tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_writer(writer)
+        .with_ansi(false);
     match logs.log_format {
         LogFormat::Json => subscriber.json().flatten_event(true).init(),
         LogFormat::Text => subscriber.init(),
@@ -162,7 +175,10 @@
 
 fn run_postgres(config: Config, args: &Args) -> Result<()> {
     let seed = args.seed.or(config.seed).unwrap_or_else(rand::random);
-    let (shutdown, write_capture) = (signal_stream(&[SIGTERM, SIGINT])?, signal_stream(&[SIGUSR1])?);
+    let (shutdown, write_capture) = (
+        signal_stream(&[SIGTERM, SIGINT])?,
+        signal_stream(&[SIGUSR1])?,
+    );
     let mut controller = PostgresController::open(config, seed, args.fault)?;
     controller.shut_down_on(shutdown)?;
     controller.write_capture_on(write_capture)?;
@@ -175,7 +191,10 @@
 }
 
 fn run_platform(launch: BootstrapConfig, config_file: &Path) -> Result<()> {
-    let (shutdown, reload) = (signal_stream(&[SIGTERM, SIGINT])?, signal_stream(&[SIGHUP])?);
+    let (shutdown, reload) = (
+        signal_stream(&[SIGTERM, SIGINT])?,
+        signal_stream(&[SIGHUP])?,
+    );
     let mut controller = PlatformController::open(launch, config_file)?;
     controller.shut_down_on(shutdown)?;
     controller.reload_on(reload)?;
--- a/crates/controller/src/platform.rs
+++ b/crates/controller/src/platform.rs
@@ -41,10 +41,17 @@
     ///
     /// # Errors
     /// [`ControllerError`], if a socket can't be had.
-    pub fn open(launch: BootstrapConfig, config_file: &Path) -> Result<PlatformController, ControllerError> {
+    pub fn open(
+        launch: BootstrapConfig,
+        config_file: &Path,
+    ) -> Result<PlatformController, ControllerError> {
         let clients = bind_listener(launch.listen, BACKLOG)?;
-        let peers = launch.peer_listen.map(|at| bind_datagram_socket(at, "messages")).transpose()?;
-        let discovery = bind_datagram_socket(SocketAddr::new(launch.listen.ip(), 0), "the name service")?;
+        let peers = launch
+            .peer_listen
+            .map(|at| bind_datagram_socket(at, "messages"))
+            .transpose()?;
+        let discovery =
+            bind_datagram_socket(SocketAddr::new(launch.listen.ip(), 0), "the name service")?;
         let clock = Clock::start();
         let now = clock.now();
         let mut event_loop = EventLoop::new(clock, now, Platform::new(launch, now))?;
@@ -53,7 +60,10 @@
         if let Some(peers) = peers {
             event_loop.add_datagram_socket(DatagramSocket::Peers, peers)?;
         }
-        Ok(PlatformController { event_loop, config_file: config_file.to_path_buf() })
+        Ok(PlatformController {
+            event_loop,
+            config_file: config_file.to_path_buf(),
+        })
     }
 
     /// Where clients connect; `None` once it listens no longer.
@@ -67,7 +77,10 @@
     /// # Errors
     /// If the stream cannot be registered.
     pub fn shut_down_on(&mut self, signal: UnixStream) -> Result<(), ControllerError> {
-        Ok(self.event_loop.add_wakeup(signal, Box::new(|platform, now| platform.begin_shutdown(now)))?)
+        Ok(self.event_loop.add_wakeup(
+            signal,
+            Box::new(|platform, now| platform.begin_shutdown(now)),
+        )?)
     }
 
     /// Each byte on this stream has the configuration read again. One that can't be used changes nothing and is retried
@@ -79,11 +92,12 @@
         let config_file = self.config_file.clone();
         let pending: Rc<Cell<Option<Reload>>> = Rc::default();
         let requested = pending.clone();
-        self.event_loop.add_turn_handler(Box::new(move |platform, now| {
-            if let Some(reload) = pending.get().filter(|reload| reload.next_attempt_at <= now) {
-                pending.set(reload.attempt(&config_file, platform, now));
-            }
-        }));
+        self.event_loop
+            .add_turn_handler(Box::new(move |platform, now| {
+                if let Some(reload) = pending.get().filter(|reload| reload.next_attempt_at <= now) {
+                    pending.set(reload.attempt(&config_file, platform, now));
+                }
+            }));
         let request = move |_: &mut Platform, now| requested.set(Some(Reload::requested_at(now)));
         Ok(self.event_loop.add_wakeup(signal, Box::new(request))?)
     }
@@ -111,7 +125,11 @@
 
 impl Reload {
     fn requested_at(now: i64) -> Reload {
-        Reload { next_attempt_at: now, retry_until: now + RELOAD_TIMEOUT_US, failure_logged: false }
+        Reload {
+            next_attempt_at: now,
+            retry_until: now + RELOAD_TIMEOUT_US,
+            failure_logged: false,
+        }
     }
 
     /// Reads the configuration and uses its name service. Returns the retry, if there is to be one; the first failure is
@@ -124,10 +142,16 @@
             }
             Err(error) => {
                 if !self.failure_logged {
-                    warn!(error = error_chain(&error), "configuration reload failed; keeping previous");
+                    warn!(
+                        error = error_chain(&error),
+                        "configuration reload failed; keeping previous"
+                    );
                 }
-                let retry =
-                    Reload { next_attempt_at: now + RELOAD_RETRY_DELAY_US, failure_logged: true, ..self };
+                let retry = Reload {
+                    next_attempt_at: now + RELOAD_RETRY_DELAY_US,
+                    failure_logged: true,
+                    ..self
+                };
                 (now < self.retry_until).then_some(retry)
             }
         }
@@ -145,5 +169,8 @@
 }
 
 fn configuration_error(path: &Path) -> impl FnOnce(BootstrapError) -> ControllerError + '_ {
-    |source| ControllerError::Configuration { path: path.to_path_buf(), source }
+    |source| ControllerError::Configuration {
+        path: path.to_path_buf(),
+        source,
+    }
 }
--- a/crates/controller/src/postgres.rs
+++ b/crates/controller/src/postgres.rs
@@ -62,16 +62,27 @@
         let sockets = Sockets::bind(&config)?;
         let endpoint_files = watch_endpoint_files(&config, clock)?;
         let now = clock.now();
-        let peers = sockets.peers.as_ref().and_then(|socket| socket.local_addr().ok());
-        let gossip = sockets.gossip.as_ref().map(|g| (g.advertised_address, g.keys.clone()));
+        let peers = sockets
+            .peers
+            .as_ref()
+            .and_then(|socket| socket.local_addr().ok());
+        let gossip = sockets
+            .gossip
+            .as_ref()
+            .map(|g| (g.advertised_address, g.keys.clone()));
         let gateway = start_gateway(config, seed, now, peers, gossip, fault)?;
         let mut event_loop = EventLoop::new(clock, now, gateway)?;
         sockets.add_to(&mut event_loop)?;
         let endpoint_files = match endpoint_files {
-            Some((watcher, wakeup)) => Some(receive_endpoint_files(&mut event_loop, watcher, wakeup)?),
+            Some((watcher, wakeup)) => {
+                Some(receive_endpoint_files(&mut event_loop, watcher, wakeup)?)
+            }
             None => None,
         };
-        Ok(PostgresController { event_loop, endpoint_files })
+        Ok(PostgresController {
+            event_loop,
+            endpoint_files,
+        })
     }
 
     /// Where clients connect.
@@ -79,13 +90,23 @@
     /// # Errors
     /// [`ControllerError::NotListening`], once it listens no longer.
     pub fn address(&self) -> Result<SocketAddr, ControllerError> {
-        self.event_loop.listener_address(Listener::Clients).ok_or(ControllerError::NotListening)
+        self.event_loop
+            .listener_address(Listener::Clients)
+            .ok_or(ControllerError::NotListening)
     }
 
     /// Where everything listens, for whoever started the process.
     pub fn addresses(&self) -> serde_json::Value {
-        let listener = |name| self.event_loop.listener_address(name).map(|address| address.to_string());
-        let datagrams = |name| self.event_loop.datagram_address(name).map(|address| address.to_string());
+        let listener = |name| {
+            self.event_loop
+                .listener_address(name)
+                .map(|address| address.to_string())
+        };
+        let datagrams = |name| {
+            self.event_loop
+                .datagram_address(name)
+                .map(|address| address.to_string())
+        };
         serde_json::json!({
             "listen": listener(Listener::Clients),
             "admin": listener(Listener::Admin),
@@ -100,7 +121,9 @@
     /// # Errors
     /// If the stream cannot be registered.
     pub fn shut_down_on(&mut self, signal: UnixStream) -> Result<(), ControllerError> {
-        Ok(self.event_loop.add_wakeup(signal, Box::new(|gateway, now| gateway.begin_shutdown(now)))?)
+        Ok(self
+            .event_loop
+            .add_wakeup(signal, Box::new(|gateway, now| gateway.begin_shutdown(now)))?)
     }
 
     /// Each byte on this stream has the capture that is held in memory written to disk.
@@ -110,7 +133,9 @@
     pub fn write_capture_on(&mut self, signal: UnixStream) -> Result<(), ControllerError> {
         let write_capture =
             |gateway: &mut PgGateway, now| gateway.handle(now, GatewayEvent::CaptureRequested);
-        Ok(self.event_loop.add_wakeup(signal, Box::new(write_capture))?)
+        Ok(self
+            .event_loop
+            .add_wakeup(signal, Box::new(write_capture))?)
     }
 
     /// Serves until a shutdown was requested and all is answered.
@@ -126,20 +151,29 @@
         self.event_loop.apply_last_effects();
         if let Some(recorder) = recorder {
             let state = recorder.end(Micros(now));
-            info!(recorded = state.recorded, lost = state.lost, bytes = state.bytes, "capture ended");
+            info!(
+                recorded = state.recorded,
+                lost = state.lost,
+                bytes = state.bytes,
+                "capture ended"
+            );
         }
         Ok(())
     }
 
     /// Waits for the first set of the engine files, up to a limit.
     fn await_first_endpoint_set(&mut self) {
-        let Some(watcher) = &self.endpoint_files else { return };
+        let Some(watcher) = &self.endpoint_files else {
+            return;
+        };
         let update = watcher.news.recv_timeout(FIRST_ENDPOINT_SET_TIMEOUT).ok();
         self.event_loop.now = self.event_loop.clock.now();
         match update {
             Some(update) => {
                 let now = self.event_loop.now;
-                self.event_loop.protocol.handle(now, GatewayEvent::EndpointFiles(update));
+                self.event_loop
+                    .protocol
+                    .handle(now, GatewayEvent::EndpointFiles(update));
             }
             None => warn!("no endpoint set available; starting without"),
         }
@@ -152,8 +186,15 @@
         let backlog = config.limits.backlog;
         Ok(Sockets {
             clients: bind_listener(config.listen, backlog)?,
-            admin: config.admin.map(|address| bind_listener(address, backlog)).transpose()?,
-            peers: config.peers.as_ref().map(|p| bind_datagram_socket(p.listen, "messages")).transpose()?,
+            admin: config
+                .admin
+                .map(|address| bind_listener(address, backlog))
+                .transpose()?,
+            peers: config
+                .peers
+                .as_ref()
+                .map(|p| bind_datagram_socket(p.listen, "messages"))
+                .transpose()?,
             gossip: GossipSocket::bind(config)?,
         })
     }
@@ -167,7 +208,12 @@
         if let Some(socket) = self.peers {
             event_loop.add_datagram_socket(DatagramSocket::Peers, socket)?;
         }
-        if let Some(GossipSocket { socket, keys_watcher, .. }) = self.gossip {
+        if let Some(GossipSocket {
+            socket,
+            keys_watcher,
+            ..
+        }) = self.gossip
+        {
             event_loop.add_datagram_socket(DatagramSocket::Gossip, socket)?;
             event_loop.add_turn_handler(Box::new(move |gateway, now| {
                 while let Ok(update) = keys_watcher.updates.try_recv() {
@@ -182,11 +228,18 @@
 impl GossipSocket {
     /// Reads the keys and binds the socket; `None` without gossip in the configuration.
     fn bind(config: &Config) -> Result<Option<GossipSocket>, ControllerError> {
-        let Some(gossip) = &config.gossip else { return Ok(None) };
+        let Some(gossip) = &config.gossip else {
+            return Ok(None);
+        };
         let (keys, keys_watcher) = KeysWatcher::start(&gossip.keys)?;
         let socket = bind_datagram_socket(gossip.listen, "gossip")?;
         let advertised_address = gossip.advertise.map_or_else(|| socket.local_addr(), Ok)?;
-        Ok(Some(GossipSocket { socket, advertised_address, keys, keys_watcher }))
+        Ok(Some(GossipSocket {
+            socket,
+            advertised_address,
+            keys,
+            keys_watcher,
+        }))
     }
 }
 
