--- a/crates/driver/src/attempts.rs
+++ b/crates/driver/src/attempts.rs
@@ -109,7 +109,12 @@
         let is_free = !self.queries.contains_key(&id);
         if is_free {
             let options = AttemptOptions::default();
-            let query = HeldQuery { deadline, answered: false, options, attempts: Vec::new() };
+            let query = HeldQuery {
+                deadline,
+                answered: false,
+                options,
+                attempts: Vec::new(),
+            };
             self.queries.insert(id, query);
         }
         is_free
@@ -117,8 +122,14 @@
 
     /// Starts an attempt, unless the query was answered.
     pub fn start(&mut self, now: Micros, new: &NewAttempt) -> Option<(AttemptId, AttemptOptions)> {
-        let query = self.queries.get_mut(&new.query).filter(|query| !query.answered)?;
-        let attempt = AttemptId { query: new.query, number: query.attempts.len() };
+        let query = self
+            .queries
+            .get_mut(&new.query)
+            .filter(|query| !query.answered)?;
+        let attempt = AttemptId {
+            query: new.query,
+            number: query.attempts.len(),
+        };
         query.attempts.push(Attempt::new(new.engine, now));
         let ends_at = match new.timeout {
             Micros(0) => query.deadline,
@@ -144,7 +155,11 @@
     }
 
     fn in_flight_mut(&mut self, id: AttemptId) -> Option<&mut Attempt> {
-        let attempt = self.queries.get_mut(&id.query)?.attempts.get_mut(id.number)?;
+        let attempt = self
+            .queries
+            .get_mut(&id.query)?
+            .attempts
+            .get_mut(id.number)?;
         Some(attempt).filter(|attempt| attempt.is_in_flight())
     }
 
@@ -153,9 +168,12 @@
     }
 
     pub fn may_answer(&self, id: AttemptId) -> bool {
-        let Some(query) = self.queries.get(&id.query).filter(|query| !query.answered) else { return false };
+        let Some(query) = self.queries.get(&id.query).filter(|query| !query.answered) else {
+            return false;
+        };
         let mut attempts = query.attempts.iter().enumerate();
-        let other_started = attempts.any(|(number, attempt)| attempt.answer_started && number != id.number);
+        let other_started =
+            attempts.any(|(number, attempt)| attempt.answer_started && number != id.number);
         !other_started && self.is_in_flight(id)
     }
 
@@ -166,7 +184,9 @@
     }
 
     pub fn mark_written(&mut self, id: AttemptId) {
-        let Some(attempt) = self.in_flight_mut(id) else { return };
+        let Some(attempt) = self.in_flight_mut(id) else {
+            return;
+        };
         attempt.written = true;
         let engine = attempt.engine;
         self.unwritten.remove(&(engine, id));
@@ -182,7 +202,8 @@
     }
 
     pub fn answer_started(&self, id: AttemptId) -> bool {
-        self.attempt(id).is_some_and(|attempt| attempt.answer_started)
+        self.attempt(id)
+            .is_some_and(|attempt| attempt.answer_started)
     }
 
     pub fn is_written(&self, id: AttemptId) -> bool {
@@ -191,7 +212,9 @@
 
     /// Marks an attempt as cancelled; false if it was already, or is settled.
     pub fn cancel(&mut self, id: AttemptId, confirm_by: Micros) -> bool {
-        let Some(attempt) = self.in_flight_mut(id).filter(|attempt| !attempt.cancelled) else { return false };
+        let Some(attempt) = self.in_flight_mut(id).filter(|attempt| !attempt.cancelled) else {
+            return false;
+        };
         attempt.cancelled = true;
         self.set_timer_of(id, confirm_by, TimerKind::CancelUnconfirmed(id));
         true
@@ -203,7 +226,11 @@
         let attempt = self.in_flight_mut(id)?;
         attempt.outcome = Some(outcome);
         let engine = attempt.engine;
-        let settled = Settled { sent_at: attempt.sent_at, answer_started: attempt.answer_started, owed };
+        let settled = Settled {
+            sent_at: attempt.sent_at,
+            answer_started: attempt.answer_started,
+            owed,
+        };
         let timers = std::mem::take(&mut attempt.timers);
         self.unwritten.remove(&(engine, id));
         for key in timers {
@@ -213,7 +240,9 @@
     }
 
     pub fn awaits_answer(&self, query: QueryId) -> bool {
-        self.queries.get(&query).is_some_and(|query| !query.answered)
+        self.queries
+            .get(&query)
+            .is_some_and(|query| !query.answered)
     }
 
     pub fn deadline_of(&self, query: QueryId) -> Option<Micros> {
@@ -228,7 +257,9 @@
 
     /// Notes the final answer; false if there was one.
     pub fn answer(&mut self, id: QueryId) -> bool {
-        let Some(query) = self.queries.get_mut(&id).filter(|query| !query.answered) else { return false };
+        let Some(query) = self.queries.get_mut(&id).filter(|query| !query.answered) else {
+            return false;
+        };
         query.answered = true;
         self.last_answered = Some(id);
         true
@@ -243,12 +274,15 @@
     pub fn may_have_run(&self, query: QueryId) -> bool {
         let may_have_run =
             |attempt: &Attempt| !attempt.outcome.is_some_and(Outcome::never_ran) && attempt.written;
-        self.queries.get(&query).is_some_and(|query| query.attempts.iter().any(may_have_run))
+        self.queries
+            .get(&query)
+            .is_some_and(|query| query.attempts.iter().any(may_have_run))
     }
 
     /// Removes a query that was answered and has nothing in flight.
     pub fn remove_if_done(&mut self, id: QueryId) {
-        let is_done = |query: &HeldQuery| query.answered && !query.attempts.iter().any(Attempt::is_in_flight);
+        let is_done =
+            |query: &HeldQuery| query.answered && !query.attempts.iter().any(Attempt::is_in_flight);
         if self.queries.get(&id).is_some_and(is_done) {
             self.queries.remove(&id);
         }
@@ -256,15 +290,24 @@
 
     /// Attempts of which nothing is written, at the engines that fit.
     pub fn unwritten_at(&self, fits: impl Fn(&EngineId) -> bool) -> Vec<AttemptId> {
-        self.unwritten.iter().filter(|(engine, _)| fits(engine)).map(|(_, attempt)| *attempt).collect()
+        self.unwritten
+            .iter()
+            .filter(|(engine, _)| fits(engine))
+            .map(|(_, attempt)| *attempt)
+            .collect()
     }
 
     /// The attempts of a query that were written, and are neither cancelled nor settled.
     pub fn written_in_flight(&self, query: QueryId) -> Vec<AttemptId> {
-        let attempts = self.queries.get(&query).map_or(&[][..], |query| &query.attempts);
+        let attempts = self
+            .queries
+            .get(&query)
+            .map_or(&[][..], |query| &query.attempts);
         let numbered = attempts.iter().enumerate();
         let in_flight = numbered.filter(|(_, a)| a.written && a.is_in_flight() && !a.cancelled);
-        in_flight.map(|(number, _)| AttemptId { query, number }).collect()
+        in_flight
+            .map(|(number, _)| AttemptId { query, number })
+            .collect()
     }
 
     /// Sets a timer that is cancelled when its attempt is settled.
--- a/crates/driver/src/driver/actions.rs
+++ b/crates/driver/src/driver/actions.rs
@@ -32,15 +32,26 @@
 
     fn carry_out(&mut self, now: Micros, action: Action, out: &mut Vec<Instruction>) {
         match action {
-            Action::Send { query, engine, timeout } => self.start_attempt(now, query, engine, timeout, out),
-            Action::SetOptions { query, grant_mb, priority } => {
+            Action::Send {
+                query,
+                engine,
+                timeout,
+            } => self.start_attempt(now, query, engine, timeout, out),
+            Action::SetOptions {
+                query,
+                grant_mb,
+                priority,
+            } => {
                 let options = AttemptOptions { grant_mb, priority };
                 self.table.set_options(query, options);
                 for attempt in self.table.written_in_flight(query) {
                     out.push(Instruction::SetOptions(attempt, options));
                 }
             }
-            Action::Cancel { query, attempt: number } => {
+            Action::Cancel {
+                query,
+                attempt: number,
+            } => {
                 if !self.cancel_attempt(now, AttemptId { query, number }, out) {
                     return;
                 }
@@ -80,15 +91,31 @@
         timeout: Micros,
         out: &mut Vec<Instruction>,
     ) {
-        let new = NewAttempt { query, engine, timeout, sets_timer: self.limits.times_attempts() };
-        let Some((attempt, options)) = self.table.start(now, &new) else { return };
+        let new = NewAttempt {
+            query,
+            engine,
+            timeout,
+            sets_timer: self.limits.times_attempts(),
+        };
+        let Some((attempt, options)) = self.table.start(now, &new) else {
+            return;
+        };
         self.counters.attempts += 1;
         self.counters.retries += u64::from(attempt.number > 0);
-        out.push(Instruction::Start { attempt, engine, options });
+        out.push(Instruction::Start {
+            attempt,
+            engine,
+            options,
+        });
     }
 
     /// Cancels an attempt; false if it was cancelled or settled before.
-    fn cancel_attempt(&mut self, now: Micros, attempt: AttemptId, out: &mut Vec<Instruction>) -> bool {
+    fn cancel_attempt(
+        &mut self,
+        now: Micros,
+        attempt: AttemptId,
+        out: &mut Vec<Instruction>,
+    ) -> bool {
         let confirm_by = now + self.limits.cancel_confirmation_timeout;
         if !self.table.cancel(attempt, confirm_by) {
             return false;
--- a/crates/driver/src/driver/mod.rs
+++ b/crates/driver/src/driver/mod.rs
@@ -8,8 +8,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use wheelfield::interface::{
-    Action, AttemptEnd, EngineEntry, EngineId, Event, LoadReport, Micros, Outcome, PeerLoadReport, Query,
-    QueryId, Settings, Status,
+    Action, AttemptEnd, EngineEntry, EngineId, Event, LoadReport, Micros, Outcome, PeerLoadReport,
+    Query, QueryId, Settings, Status,
 };
 use wheelfield::Gateway;
 
@@ -25,7 +25,12 @@
 impl Ending {
     /// An ending of which the protocol reports nothing.
     fn unreported(outcome: Outcome) -> Ending {
-        Ending { outcome, reported_work: None, report: LoadReport::default(), elapsed: None }
+        Ending {
+            outcome,
+            reported_work: None,
+            report: LoadReport::default(),
+            elapsed: None,
+        }
     }
 }
 
@@ -66,7 +71,10 @@
 
     /// The events of the module since the last call, if they are recorded.
     pub fn take_recorded_events(&mut self) -> Vec<Event> {
-        self.recorded_events.as_mut().map(std::mem::take).unwrap_or_default()
+        self.recorded_events
+            .as_mut()
+            .map(std::mem::take)
+            .unwrap_or_default()
     }
 
     /// Takes a query and returns its number; what is to be done for it is appended to `out`.
@@ -100,18 +108,41 @@
             return Err(CapacityExceeded);
         }
         self.counters.accepted += 1;
-        let Arrival { class, tenant, key, deadline, work_hint, memory_hint, tables } = arrival;
-        let query = Query { id, class, tenant, key, deadline, work_hint, memory_hint, tables };
+        let Arrival {
+            class,
+            tenant,
+            key,
+            deadline,
+            work_hint,
+            memory_hint,
+            tables,
+        } = arrival;
+        let query = Query {
+            id,
+            class,
+            tenant,
+            key,
+            deadline,
+            work_hint,
+            memory_hint,
+            tables,
+        };
         self.events.push_back(Event::Arrived(query));
         self.run(now, out);
         Ok(id)
     }
 
     /// Takes one input and appends what is to be done.
+    #[expect(
+        clippy::too_many_lines,
+        reason = "one short arm for each kind of input"
+    )]
     pub fn handle_input(&mut self, now: Micros, input: Input, out: &mut Vec<Instruction>) {
         match input {
             Input::Started => self.events.push_back(Event::Started),
-            Input::Engines { complete, entries } => self.endpoints_changed(now, complete, entries, out),
+            Input::Engines { complete, entries } => {
+                self.endpoints_changed(now, complete, entries, out)
+            }
             Input::ListUnavailable => self.events.push_back(Event::ListUnavailable),
             Input::Dispatched(attempt) => self.table.mark_written(attempt),
             Input::AnswerStarted(attempt) => {
@@ -122,15 +153,40 @@
             Input::AttemptUpdated(attempt, update) => {
                 if self.table.is_in_flight(attempt) {
                     let AttemptId { query, number } = attempt;
-                    self.events.push_back(Event::AttemptUpdated { query, attempt: number, update });
+                    self.events.push_back(Event::AttemptUpdated {
+                        query,
+                        attempt: number,
+                        update,
+                    });
                 }
             }
-            Input::AttemptEnded { attempt, outcome, reported_work, report } => {
-                let ending = Ending { outcome, reported_work, report, elapsed: None };
+            Input::AttemptEnded {
+                attempt,
+                outcome,
+                reported_work,
+                report,
+            } => {
+                let ending = Ending {
+                    outcome,
+                    reported_work,
+                    report,
+                    elapsed: None,
+                };
                 self.attempt_ended(now, attempt, ending, out);
             }
-            Input::AttemptMeasured { attempt, outcome, reported_work, report, elapsed } => {
-                let ending = Ending { outcome, reported_work, report, elapsed: Some(elapsed) };
+            Input::AttemptMeasured {
+                attempt,
+                outcome,
+                reported_work,
+                report,
+                elapsed,
+            } => {
+                let ending = Ending {
+                    outcome,
+                    reported_work,
+                    report,
+                    elapsed: Some(elapsed),
+                };
                 self.attempt_ended(now, attempt, ending, out);
             }
             Input::Abandoned(query) => {
@@ -144,12 +200,21 @@
                     self.events.push_back(Event::ShutdownDeadline(query));
                 }
             }
-            Input::ProbeEnded { engine, outcome, report } => {
-                self.events.push_back(Event::ProbeEnded { engine, outcome, report });
+            Input::ProbeEnded {
+                engine,
+                outcome,
+                report,
+            } => {
+                self.events.push_back(Event::ProbeEnded {
+                    engine,
+                    outcome,
+                    report,
+                });
             }
             Input::GatewayCountChanged { count, index } => {
                 let (count, index) = (f64::from(count), f64::from(index));
-                self.events.push_back(Event::GatewayCountChanged { count, index });
+                self.events
+                    .push_back(Event::GatewayCountChanged { count, index });
             }
             Input::PeerReports(mut reports) => {
                 reports.retain(|shared: &PeerLoadReport| self.engines.contains_key(&shared.engine));
@@ -185,7 +250,11 @@
             return;
         }
         let written = self.table.is_written(attempt);
-        let outcome = if written { Outcome::TimedOut } else { Outcome::ConnectTimedOut };
+        let outcome = if written {
+            Outcome::TimedOut
+        } else {
+            Outcome::ConnectTimedOut
+        };
         out.push(Instruction::Cancel(attempt));
         self.attempt_ended(now, attempt, Ending::unreported(outcome), out);
     }
@@ -223,7 +292,9 @@
     pub fn may_write(&self, now: Micros, attempt: AttemptId) -> bool {
         let is_up = |engine: EngineId| self.engines.get(&engine) == Some(&Status::Up);
         self.table.engine_to_write(attempt).is_some_and(is_up)
-            && self.gateway.may_still_write(now, attempt.query, attempt.number)
+            && self
+                .gateway
+                .may_still_write(now, attempt.query, attempt.number)
     }
 
     /// Whether a query waits for its final answer.
@@ -284,7 +355,13 @@
         }
     }
 
-    fn attempt_ended(&mut self, now: Micros, attempt: AttemptId, ending: Ending, out: &mut Vec<Instruction>) {
+    fn attempt_ended(
+        &mut self,
+        now: Micros,
+        attempt: AttemptId,
+        ending: Ending,
+        out: &mut Vec<Instruction>,
+    ) {
         if self.table.is_in_flight(attempt) {
             self.settle(now, attempt, ending, out);
         } else {
@@ -293,9 +370,25 @@
     }
 
     /// Notes the end of an attempt, answers its query where the end is the answer, and tells the module.
-    fn settle(&mut self, now: Micros, attempt: AttemptId, ending: Ending, out: &mut Vec<Instruction>) {
-        let Ending { outcome, reported_work, report, elapsed } = ending;
-        let Some(Settled { sent_at, answer_started, owed }) = self.table.settle(attempt, outcome) else {
+    fn settle(
+        &mut self,
+        now: Micros,
+        attempt: AttemptId,
+        ending: Ending,
+        out: &mut Vec<Instruction>,
+    ) {
+        let Ending {
+            outcome,
+            reported_work,
+            report,
+            elapsed,
+        } = ending;
+        let Some(Settled {
+            sent_at,
+            answer_started,
+            owed,
+        }) = self.table.settle(attempt, outcome)
+        else {
             return;
         };
         let served = owed && outcome == Outcome::Served;
--- a/crates/driver/src/input.rs
+++ b/crates/driver/src/input.rs
@@ -119,6 +119,9 @@
 
 impl Default for DriverLimits {
     fn default() -> Self {
-        DriverLimits { max_queries: 20_000, cancel_confirmation_timeout: Micros(250_000) }
+        DriverLimits {
+            max_queries: 20_000,
+            cancel_confirmation_timeout: Micros(250_000),
+        }
     }
 }
--- a/crates/driver/src/instruction.rs
+++ b/crates/driver/src/instruction.rs
@@ -15,7 +15,10 @@
 
 impl Default for AttemptOptions {
     fn default() -> Self {
-        AttemptOptions { grant_mb: 0.0, priority: 1 }
+        AttemptOptions {
+            grant_mb: 0.0,
+            priority: 1,
+        }
     }
 }
 
--- a/crates/driver/src/timers.rs
+++ b/crates/driver/src/timers.rs
@@ -44,7 +44,10 @@
 
     /// Removes the earliest timer of the module with this token; false if there is none.
     pub fn take_module_timer(&mut self, token: u64) -> bool {
-        let found = self.waiting.iter().find(|(_, kind)| **kind == TimerKind::Module(token));
+        let found = self
+            .waiting
+            .iter()
+            .find(|(_, kind)| **kind == TimerKind::Module(token));
         let key = found.map(|(key, _)| *key);
         key.is_some_and(|key| self.waiting.remove(&key).is_some())
     }
@@ -56,6 +59,8 @@
     /// Removes and returns what is due, in order. What is set from now on waits for the next call.
     pub fn take_due(&mut self, now: Micros) -> Vec<TimerKind> {
         let later = self.waiting.split_off(&(now + Micros(1), 0));
-        std::mem::replace(&mut self.waiting, later).into_values().collect()
+        std::mem::replace(&mut self.waiting, later)
+            .into_values()
+            .collect()
     }
 }
--- a/crates/driver/tests/order_of_events.rs
+++ b/crates/driver/tests/order_of_events.rs
@@ -41,11 +41,23 @@
 }
 
 fn engine(n: u64, status: Status) -> EngineEntry {
-    EngineEntry { engine: EngineId(n), zone: 0, kind: 0, cell: n as i64, status, started_at: None }
+    EngineEntry {
+        engine: EngineId(n),
+        zone: 0,
+        kind: 0,
+        cell: n as i64,
+        status,
+        started_at: None,
+    }
 }
 
 fn arrival(class: usize, now: Micros) -> Arrival {
-    Arrival { class, deadline: now + Micros::from_secs_f64(4.0), work_hint: Some(0.2), ..Arrival::default() }
+    Arrival {
+        class,
+        deadline: now + Micros::from_secs_f64(4.0),
+        work_hint: Some(0.2),
+        ..Arrival::default()
+    }
 }
 
 /// What a query may look like from outside, kept apart from the driver's own books.
@@ -76,7 +88,10 @@
 
 impl World {
     fn new() -> World {
-        let bounds = DriverLimits { max_queries: 200, ..DriverLimits::default() };
+        let bounds = DriverLimits {
+            max_queries: 200,
+            ..DriverLimits::default()
+        };
         let driver = Driver::new(settings(), 5, bounds);
         let mut world = World {
             driver,
@@ -87,7 +102,10 @@
         };
         world.tell(Input::Started);
         let entries = (1..=4).map(|n| engine(n, Status::Up)).collect();
-        world.tell(Input::Engines { complete: true, entries });
+        world.tell(Input::Engines {
+            complete: true,
+            entries,
+        });
         world
     }
 
@@ -99,9 +117,19 @@
 
     fn arrive(&mut self, class: usize) {
         let mut out = Vec::new();
-        if let Ok(id) = self.driver.submit(self.now, arrival(class, self.now), &mut out) {
+        if let Ok(id) = self
+            .driver
+            .submit(self.now, arrival(class, self.now), &mut out)
+        {
             let due = self.now + Micros::from_secs_f64(4.0);
-            self.seen.insert(id, Seen { class, due, ..Seen::default() });
+            self.seen.insert(
+                id,
+                Seen {
+                    class,
+                    due,
+                    ..Seen::default()
+                },
+            );
         }
         self.check(out);
     }
@@ -114,29 +142,46 @@
         for (id, seen) in &self.seen {
             let late = self.now >= seen.due && seen.answers == 0 && !seen.departed;
             let began = self.driver.deadline_of(*id).is_some() && !self.driver.awaits_answer(*id);
-            assert!(!late || began || self.answering(*id), "query {id:?} has no answer at its time");
+            assert!(
+                !late || began || self.answering(*id),
+                "query {id:?} has no answer at its time"
+            );
         }
     }
 
     /// An answer that has begun is timed by the wire.
     fn answering(&self, id: QueryId) -> bool {
         let attempts = self.seen[&id].attempts.keys();
-        attempts.clone().any(|n| self.driver.is_in_flight(AttemptId { query: id, number: *n }))
+        attempts.clone().any(|n| {
+            self.driver.is_in_flight(AttemptId {
+                query: id,
+                number: *n,
+            })
+        })
     }
 
     fn check(&mut self, out: Vec<Instruction>) {
         for instruction in out {
             match instruction {
-                Instruction::Start { attempt, engine, .. } => {
+                Instruction::Start {
+                    attempt, engine, ..
+                } => {
                     self.started += 1;
-                    assert!(self.up.contains(&engine.0), "sent to an engine that takes no work");
+                    assert!(
+                        self.up.contains(&engine.0),
+                        "sent to an engine that takes no work"
+                    );
                     let seen = self.seen.entry(attempt.query).or_default();
                     assert_eq!(seen.answers, 0, "sent after the answer");
                     assert!(!seen.departed, "sent after the client left");
                     assert_eq!(attempt.number, seen.attempts.len(), "numbers count up");
-                    let ran = |a: &Attempted| !a.taken_back && !a.outcome.is_some_and(Outcome::never_ran);
+                    let ran =
+                        |a: &Attempted| !a.taken_back && !a.outcome.is_some_and(Outcome::never_ran);
                     let may_have_run = seen.attempts.values().any(ran);
-                    assert!(seen.class != 1 || !may_have_run, "a once-only query is sent again");
+                    assert!(
+                        seen.class != 1 || !may_have_run,
+                        "a once-only query is sent again"
+                    );
                     seen.attempts.insert(attempt.number, Attempted::default());
                 }
                 Instruction::Cancel(attempt) => {
@@ -153,7 +198,10 @@
                         a.written && !a.taken_back && !a.outcome.is_some_and(Outcome::never_ran)
                     };
                     if matches!(answer, Answer::Rejected { .. }) && seen.class == 1 {
-                        assert!(!seen.attempts.values().any(ran), "refused though it may have run");
+                        assert!(
+                            !seen.attempts.values().any(ran),
+                            "refused though it may have run"
+                        );
                     }
                 }
                 _ => {}
@@ -165,7 +213,12 @@
         let all: Vec<AttemptId> = self
             .seen
             .iter()
-            .flat_map(|(q, s)| s.attempts.keys().map(|n| AttemptId { query: *q, number: *n }))
+            .flat_map(|(q, s)| {
+                s.attempts.keys().map(|n| AttemptId {
+                    query: *q,
+                    number: *n,
+                })
+            })
             .collect();
         all.get(pick % all.len().max(1)).copied()
     }
@@ -209,7 +262,17 @@
 
 fn outcome() -> impl Strategy<Value = Outcome> {
     use Outcome::*;
-    prop::sample::select(vec![Served, Served, Served, Error, Full, TimedOut, ConnectFailed, Reset, Cancelled])
+    prop::sample::select(vec![
+        Served,
+        Served,
+        Served,
+        Error,
+        Full,
+        TimedOut,
+        ConnectFailed,
+        Reset,
+        Cancelled,
+    ])
 }
 
 fn step() -> impl Strategy<Value = Step> {
--- a/crates/gossip/examples/converge.rs
+++ b/crates/gossip/examples/converge.rs
@@ -21,7 +21,10 @@
 }
 
 fn measure(nodes: usize, loss: f64) -> Point {
-    let config = MembershipConfig { expected_members: nodes, ..MembershipConfig::default() };
+    let config = MembershipConfig {
+        expected_members: nodes,
+        ..MembershipConfig::default()
+    };
     let mut net = Network::new(nodes as u64, config, loss);
     (0..nodes).for_each(|i| net.start(i, i as i64 * SECOND / nodes as i64));
     let all = |net: &Network| net.views().iter().all(|v| v.count == nodes);
@@ -36,7 +39,10 @@
     net.measure = true;
     net.run_until(now + span);
     let after = net.counters();
-    assert!(all(&net), "{nodes} nodes, {loss} lost: not all are acted on");
+    assert!(
+        all(&net),
+        "{nodes} nodes, {loss} lost: not all are acted on"
+    );
     let per_node = |n: u64| n as f64 / nodes as f64;
     Point {
         nodes,
@@ -55,13 +61,24 @@
         std::process::exit(2);
     };
     let sizes: Vec<usize> = args.filter_map(|a| a.parse().ok()).collect();
-    let sizes = if sizes.is_empty() { vec![10, 20, 50, 100, 180, 300, 500, 1_000] } else { sizes };
+    let sizes = if sizes.is_empty() {
+        vec![10, 20, 50, 100, 180, 300, 500, 1_000]
+    } else {
+        sizes
+    };
     println!("nodes,loss,known_s,bytes_s,false_suspicions_h,given_up");
     let mut points = Vec::new();
     for loss in [0.0, 0.3] {
         for n in &sizes {
             let p = measure(*n, loss);
-            let Point { nodes, loss, agreed_s, bytes_s, false_h, declared_dead } = &p;
+            let Point {
+                nodes,
+                loss,
+                agreed_s,
+                bytes_s,
+                false_h,
+                declared_dead,
+            } = &p;
             println!("{nodes},{loss},{agreed_s:.2},{bytes_s:.0},{false_h:.1},{declared_dead}");
             points.push(p);
         }
@@ -90,8 +107,11 @@
             .build_cartesian_2d((8.0..most * 1.1).log_scale(), 0.0..top)?;
         chart.configure_mesh().x_desc("controllers").draw()?;
         for (loss, color) in [(0.0, BLUE), (0.3, RED)] {
-            let line: Vec<(f64, f64)> =
-                points.iter().filter(|p| p.loss == loss).map(|p| (p.nodes as f64, value(p))).collect();
+            let line: Vec<(f64, f64)> = points
+                .iter()
+                .filter(|p| p.loss == loss)
+                .map(|p| (p.nodes as f64, value(p)))
+                .collect();
             chart
                 .draw_series(LineSeries::new(line.clone(), color))?
                 .label(format!("{:.0}% lost", loss * 100.0))
--- a/crates/gossip/src/authentication.rs
+++ b/crates/gossip/src/authentication.rs
@@ -34,7 +34,8 @@
 /// Maximum size of a variable-length 64-bit integer.
 const MAX_VARINT_BYTES: usize = 10;
 /// Maximum size of an application message in bytes: a datagram less magic, key number, incarnation, sequence number and code.
-pub const MAX_MESSAGE_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES - 2 * MAX_VARINT_BYTES - MAC_BYTES;
+pub const MAX_MESSAGE_BYTES: usize =
+    MAX_DATAGRAM_BYTES - HEADER_BYTES - 2 * MAX_VARINT_BYTES - MAC_BYTES;
 /// Marks the fields that the second format adds.
 const SECOND_FORMAT: u8 = 2;
 
@@ -102,7 +103,11 @@
 impl Authenticator {
     /// An authenticator of a process with this address and incarnation.
     pub fn new(own: SocketAddr, incarnation: u64) -> Authenticator {
-        Authenticator { own, incarnation, sequence: 0 }
+        Authenticator {
+            own,
+            incarnation,
+            sequence: 0,
+        }
     }
 
     /// Changes to a later incarnation; an earlier or equal one is ignored.
@@ -117,8 +122,11 @@
     pub fn authenticate(&mut self, packet: &Packet, keys: &Keys) -> Option<Vec<u8>> {
         let (number, key) = keys.primary()?;
         self.sequence += 1;
-        let body =
-            PacketBody { incarnation: self.incarnation, sequence: self.sequence, packet: packet.clone() };
+        let body = PacketBody {
+            incarnation: self.incarnation,
+            sequence: self.sequence,
+            packet: packet.clone(),
+        };
         let mut bytes = postcard::to_extend(&body, header(PACKET_MAGIC, number)).ok()?;
         if let Some(tag) = packet.view_tag {
             bytes.push(SECOND_FORMAT);
@@ -141,7 +149,9 @@
         if bytes.len() + MAC_BYTES > MAX_DATAGRAM_BYTES {
             return None;
         }
-        let mac = keys::mac(key, &[&bytes, &encoded_address(self.own)])?.finalize().into_bytes();
+        let mac = keys::mac(key, &[&bytes, &encoded_address(self.own)])?
+            .finalize()
+            .into_bytes();
         bytes.extend_from_slice(&mac[..MAC_BYTES]);
         Some(bytes)
     }
@@ -174,7 +184,10 @@
             let (tag, _): (ViewTag, &[u8]) = decode(rest)?;
             body.packet.view_tag = Some(tag);
         }
-        let id = MessageId { incarnation: body.incarnation, sequence: body.sequence };
+        let id = MessageId {
+            incarnation: body.incarnation,
+            sequence: body.sequence,
+        };
         self.replay.accept(from, id)?;
         Ok(body.packet)
     }
@@ -191,7 +204,10 @@
     ) -> Result<VerifiedMessage<'a>, VerificationError> {
         let body = verified_body(MESSAGE_MAGIC, from, datagram, keys)?;
         let ((incarnation, sequence), payload): ((u64, u64), &[u8]) = decode(body)?;
-        let id = MessageId { incarnation, sequence };
+        let id = MessageId {
+            incarnation,
+            sequence,
+        };
         self.replay.accept(from, id)?;
         Ok(VerifiedMessage { id, payload })
     }
@@ -214,8 +230,12 @@
         return Err(VerificationError::Malformed);
     }
     let (bytes, received_mac) = datagram.split_at(datagram.len() - MAC_BYTES);
-    let key = keys.get(bytes[MAGIC_BYTES]).ok_or(VerificationError::UnknownKey)?;
-    let mac = keys::mac(key, &[bytes, &encoded_address(from)]).ok_or(VerificationError::InvalidMac)?;
-    mac.verify_truncated_left(received_mac).map_err(|_| VerificationError::InvalidMac)?;
+    let key = keys
+        .get(bytes[MAGIC_BYTES])
+        .ok_or(VerificationError::UnknownKey)?;
+    let mac =
+        keys::mac(key, &[bytes, &encoded_address(from)]).ok_or(VerificationError::InvalidMac)?;
+    mac.verify_truncated_left(received_mac)
+        .map_err(|_| VerificationError::InvalidMac)?;
     Ok(&bytes[HEADER_BYTES..])
 }
--- a/crates/gossip/src/authentication/keys.rs
+++ b/crates/gossip/src/authentication/keys.rs
@@ -32,7 +32,11 @@
 impl std::fmt::Debug for Keys {
     /// Shows the numbers of the keys, not the keys.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "Keys({:?})", self.0.iter().map(|key| key.number).collect::<Vec<_>>())
+        write!(
+            f,
+            "Keys({:?})",
+            self.0.iter().map(|key| key.number).collect::<Vec<_>>()
+        )
     }
 }
 
@@ -50,8 +54,10 @@
             if line.is_empty() || line.starts_with('#') {
                 continue;
             }
-            keys.push_line(line)
-                .map_err(|problem| KeyFileError { line: index + 1, problem: problem.to_string() })?;
+            keys.push_line(line).map_err(|problem| KeyFileError {
+                line: index + 1,
+                problem: problem.to_string(),
+            })?;
         }
         if keys.0.is_empty() {
             let problem = "no key; write a number, a blank and the key".to_string();
@@ -62,8 +68,12 @@
 
     /// Parses and adds a line; the error says what is wrong with it.
     fn push_line(&mut self, line: &str) -> Result<(), &'static str> {
-        let (number, secret) = line.split_once(' ').ok_or("write a number, a blank and the key")?;
-        let number = number.parse::<u8>().map_err(|_| "its number is not one of 0 to 255")?;
+        let (number, secret) = line
+            .split_once(' ')
+            .ok_or("write a number, a blank and the key")?;
+        let number = number
+            .parse::<u8>()
+            .map_err(|_| "its number is not one of 0 to 255")?;
         let secret = secret.trim().as_bytes().to_vec();
         if secret.len() < MIN_KEY_BYTES {
             return Err("a key of less than 16 letters; take 32 at random");
@@ -80,12 +90,17 @@
 
     /// The key that authenticates, with its number.
     pub(super) fn primary(&self) -> Option<(u8, &[u8])> {
-        self.0.first().map(|key| (key.number, key.secret.as_slice()))
+        self.0
+            .first()
+            .map(|key| (key.number, key.secret.as_slice()))
     }
 
     /// The key with a number.
     pub(super) fn get(&self, number: u8) -> Option<&[u8]> {
-        self.0.iter().find(|key| key.number == number).map(|key| key.secret.as_slice())
+        self.0
+            .iter()
+            .find(|key| key.number == number)
+            .map(|key| key.secret.as_slice())
     }
 }
 
--- a/crates/gossip/src/authentication/replay.rs
+++ b/crates/gossip/src/authentication/replay.rs
@@ -23,14 +23,23 @@
 
 impl ReplayWindow {
     fn new(id: MessageId, last_used: u64) -> ReplayWindow {
-        ReplayWindow { incarnation: id.incarnation, highest: id.sequence, accepted: 1, last_used }
+        ReplayWindow {
+            incarnation: id.incarnation,
+            highest: id.sequence,
+            accepted: 1,
+            last_used,
+        }
     }
 
     /// Marks a sequence number as accepted.
     fn accept(&mut self, sequence: u64) -> Result<(), VerificationError> {
         if sequence > self.highest {
             let ahead = sequence - self.highest;
-            let shifted = if ahead >= WINDOW { 0 } else { self.accepted << ahead };
+            let shifted = if ahead >= WINDOW {
+                0
+            } else {
+                self.accepted << ahead
+            };
             self.accepted = shifted | 1;
             self.highest = sequence;
             return Ok(());
@@ -58,7 +67,11 @@
     /// # Errors
     /// [`VerificationError::Replayed`] if it was accepted before or is older than the window, and
     /// [`VerificationError::StaleIncarnation`] if a later incarnation of the sender is known.
-    pub(super) fn accept(&mut self, from: SocketAddr, id: MessageId) -> Result<(), VerificationError> {
+    pub(super) fn accept(
+        &mut self,
+        from: SocketAddr,
+        id: MessageId,
+    ) -> Result<(), VerificationError> {
         self.clock += 1;
         let Some(window) = self.senders.get_mut(&from) else {
             self.make_capacity();
@@ -78,7 +91,10 @@
 
     fn make_capacity(&mut self) {
         if self.senders.len() >= MAX_SENDERS {
-            let oldest = self.senders.iter().min_by_key(|(_, window)| window.last_used);
+            let oldest = self
+                .senders
+                .iter()
+                .min_by_key(|(_, window)| window.last_used);
             if let Some(oldest) = oldest.map(|(address, _)| *address) {
                 self.senders.remove(&oldest);
             }
--- a/crates/gossip/src/messages.rs
+++ b/crates/gossip/src/messages.rs
@@ -48,13 +48,20 @@
 
 impl TokenBucket {
     fn full(rate: u64, now: i64) -> TokenBucket {
-        TokenBucket { rate, tokens: rate.saturating_mul(SECOND), refilled_at: now }
+        TokenBucket {
+            rate,
+            tokens: rate.saturating_mul(SECOND),
+            refilled_at: now,
+        }
     }
 
     fn refill(&mut self, now: i64) {
         let elapsed = u64::try_from(now - self.refilled_at).unwrap_or(0);
         let capacity = self.rate.saturating_mul(SECOND);
-        self.tokens = self.tokens.saturating_add(self.rate.saturating_mul(elapsed)).min(capacity);
+        self.tokens = self
+            .tokens
+            .saturating_add(self.rate.saturating_mul(elapsed))
+            .min(capacity);
         self.refilled_at = now;
     }
 
@@ -108,10 +115,17 @@
 
     /// The recipients of a datagram of this size, out of members in ascending order. Members that the total limit leaves out
     /// come first the next time, so that in a large group each member receives a message now and then.
-    pub fn select_recipients(&mut self, now: i64, bytes: usize, members: &[SocketAddr]) -> Vec<SocketAddr> {
+    pub fn select_recipients(
+        &mut self,
+        now: i64,
+        bytes: usize,
+        members: &[SocketAddr],
+    ) -> Vec<SocketAddr> {
         let bytes = bytes as u64;
         self.total.refill(now);
-        let start = self.next_recipient.map_or(0, |next| members.partition_point(|member| *member < next));
+        let start = self
+            .next_recipient
+            .map_or(0, |next| members.partition_point(|member| *member < next));
         let (mut recipients, mut first_left_out) = (Vec::new(), None);
         for member in members[start..].iter().chain(&members[..start]) {
             let full = TokenBucket::full(self.limits.per_member, now);
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -13,7 +13,9 @@
 
 use crate::event::EventQueue;
 use crate::random::SplitMix64;
-use crate::{Counters, MemberRecord, MemberState, MembershipChange, MembershipConfig, MembershipEvent};
+use crate::{
+    Counters, MemberRecord, MemberState, MembershipChange, MembershipConfig, MembershipEvent,
+};
 use crate::{Message, Packet};
 use detector::FailureDetector;
 use dissemination::Synchronizer;
@@ -64,7 +66,10 @@
             own: MemberRecord::alive(own, incarnation),
             members: BTreeMap::new(),
             detector: FailureDetector::new(first_period_at, now),
-            synchronizer: Synchronizer::new(seeds.into_iter().filter(|seed| *seed != own).collect(), now),
+            synchronizer: Synchronizer::new(
+                seeds.into_iter().filter(|seed| *seed != own).collect(),
+                now,
+            ),
             settling: Settling::new(now),
             agreement: ViewAgreement::new(own),
             random,
@@ -97,13 +102,20 @@
     /// Answer to a member whose datagrams are dropped because a later `incarnation` of its address is known: that incarnation.
     pub fn incarnation_notice(&self, to: SocketAddr, incarnation: u64) -> Packet {
         let records = vec![self.own, MemberRecord::alive(to, incarnation)];
-        Packet { message: Message::Update, records, view_tag: Some(self.agreement.tag) }
+        Packet {
+            message: Message::Update,
+            records,
+            view_tag: Some(self.agreement.tag),
+        }
     }
 
     /// The time at which [`Node::tick`] is next due, in microseconds.
     pub fn next_tick_at(&self) -> i64 {
-        let due =
-            [Some(self.detector.next_period_at), Some(self.synchronizer.next_at), self.detector.retry_at()];
+        let due = [
+            Some(self.detector.next_period_at),
+            Some(self.synchronizer.next_at),
+            self.detector.retry_at(),
+        ];
         due.into_iter().flatten().min().unwrap_or(i64::MAX)
     }
 
@@ -139,7 +151,9 @@
         match packet.message {
             Message::Probe(sequence) => self.send(now, Message::Ack(sequence), from, out),
             Message::Ack(sequence) => self.receive_ack(now, sequence, out),
-            Message::IndirectProbe(sequence, target) => self.relay_probe(now, from, sequence, target, out),
+            Message::IndirectProbe(sequence, target) => {
+                self.relay_probe(now, from, sequence, target, out)
+            }
             Message::SyncRequest => self.send_all_records(now, from, out),
             Message::Update => {}
         }
@@ -150,13 +164,24 @@
         self.own.state = MemberState::Left;
         let alive = self.addresses_where(|member| member.record.state == MemberState::Alive);
         for to in self.random.sample(alive, LEAVE_FANOUT) {
-            out.push((to, Packet { message: Message::Update, records: vec![self.own], view_tag: None }));
+            out.push((
+                to,
+                Packet {
+                    message: Message::Update,
+                    records: vec![self.own],
+                    view_tag: None,
+                },
+            ));
         }
     }
 
     /// The addresses of the members that satisfy a predicate, in ascending order.
     fn addresses_where(&self, predicate: impl Fn(&Member) -> bool) -> Vec<SocketAddr> {
-        self.members.values().filter(|member| predicate(member)).map(|member| member.record.member).collect()
+        self.members
+            .values()
+            .filter(|member| predicate(member))
+            .map(|member| member.record.member)
+            .collect()
     }
 
     /// The binary logarithm of the group size, at least one.
@@ -165,6 +190,10 @@
     }
 
     fn push_event(&mut self, member: SocketAddr, change: MembershipChange, source: SocketAddr) {
-        self.events.push(MembershipEvent { member, change, source });
+        self.events.push(MembershipEvent {
+            member,
+            change,
+            source,
+        });
     }
 }
--- a/crates/gossip/src/node/detector.rs
+++ b/crates/gossip/src/node/detector.rs
@@ -88,7 +88,10 @@
 
 /// Whether a member takes part in the rounds of probes.
 fn is_probed(member: &Member) -> bool {
-    matches!(member.record.state, MemberState::Alive | MemberState::Suspect)
+    matches!(
+        member.record.state,
+        MemberState::Alive | MemberState::Suspect
+    )
 }
 
 impl Node {
@@ -103,16 +106,23 @@
 
     /// Marks a member that missed its probe, and suspects it if it missed two in a row, so that single losses raise no suspicion.
     fn conclude_probe(&mut self, now: i64, is_isolated: bool) {
-        let Some(probe) = self.detector.pending.take() else { return };
+        let Some(probe) = self.detector.pending.take() else {
+            return;
+        };
         if probe.is_acknowledged || is_isolated {
             return;
         }
-        let Some(record) = self.members.get(&probe.target).map(|member| member.record) else { return };
+        let Some(record) = self.members.get(&probe.target).map(|member| member.record) else {
+            return;
+        };
         if record.state != MemberState::Alive {
             return;
         }
         if !probe.is_second_attempt {
-            self.detector.missed = Some(MissedProbe { target: probe.target, sequence: probe.sequence });
+            self.detector.missed = Some(MissedProbe {
+                target: probe.target,
+                sequence: probe.sequence,
+            });
             return;
         }
         self.counters.suspicions += 1;
@@ -123,14 +133,24 @@
     fn conclude_suspicions(&mut self, now: i64, is_isolated: bool) {
         let timeout = self.suspicion_timeout();
         // A member that does not receive our packets cannot refute; it is alive as long as its own packets arrive.
-        for member in self.members.values_mut().filter(|member| member.is_suspect()) {
+        for member in self
+            .members
+            .values_mut()
+            .filter(|member| member.is_suspect())
+        {
             member.state_since = member.state_since.max(member.last_contact_at);
         }
         if is_isolated {
             return;
         }
-        let is_overdue = |member: &&Member| member.is_suspect() && now - member.state_since >= timeout;
-        let overdue: Vec<_> = self.members.values().filter(is_overdue).map(|member| member.record).collect();
+        let is_overdue =
+            |member: &&Member| member.is_suspect() && now - member.state_since >= timeout;
+        let overdue: Vec<_> = self
+            .members
+            .values()
+            .filter(is_overdue)
+            .map(|member| member.record)
+            .collect();
         for record in overdue {
             self.counters.declared_dead += 1;
             self.merge_record(now, record.entering(MemberState::Dead), self.own.member);
@@ -155,7 +175,9 @@
     fn next_probe_target(&mut self) -> Option<SocketAddr> {
         loop {
             match self.detector.round.pop() {
-                Some(target) if self.members.get(&target).is_some_and(is_probed) => return Some(target),
+                Some(target) if self.members.get(&target).is_some_and(is_probed) => {
+                    return Some(target)
+                }
                 Some(_) => {}
                 None => {
                     let mut round = self.addresses_where(is_probed);
@@ -178,14 +200,21 @@
         out: &mut Outbox,
     ) {
         let retry_at = Some(now + self.config.probe_timeout);
-        self.detector.pending =
-            Some(PendingProbe { target, sequence, retry_at, is_acknowledged: false, is_second_attempt });
+        self.detector.pending = Some(PendingProbe {
+            target,
+            sequence,
+            retry_at,
+            is_acknowledged: false,
+            is_second_attempt,
+        });
         self.send(now, Message::Probe(sequence), target, out);
     }
 
     /// Repeats the pending probe, directly and through other members, unless it was acknowledged.
     pub(super) fn retry_probe(&mut self, now: i64, out: &mut Outbox) {
-        let Some(probe) = &mut self.detector.pending else { return };
+        let Some(probe) = &mut self.detector.pending else {
+            return;
+        };
         probe.retry_at = None;
         if !probe.is_acknowledged {
             let (target, sequence) = (probe.target, probe.sequence);
@@ -196,7 +225,9 @@
 
     /// Asks random members to probe the target of the pending probe.
     fn request_indirect_probes(&mut self, now: i64, out: &mut Outbox) {
-        let Some(probe) = &self.detector.pending else { return };
+        let Some(probe) = &self.detector.pending else {
+            return;
+        };
         let (target, sequence) = (probe.target, probe.sequence);
         let relays = self.addresses_where(|member| {
             member.record.state == MemberState::Alive && member.record.member != target
@@ -210,8 +241,9 @@
     /// disseminated to this node.
     pub(super) fn probe_long_suspected(&mut self, now: i64, out: &mut Outbox) {
         let half_timeout = self.suspicion_timeout() / 2;
-        let suspects =
-            self.addresses_where(|member| member.is_suspect() && now - member.state_since >= half_timeout);
+        let suspects = self.addresses_where(|member| {
+            member.is_suspect() && now - member.state_since >= half_timeout
+        });
         for suspect in suspects.into_iter().take(MAX_SUSPECT_PROBES) {
             let sequence = self.detector.next_sequence();
             self.send(now, Message::Probe(sequence), suspect, out);
@@ -232,16 +264,33 @@
         }
         let sequence = self.detector.next_sequence();
         let expires_at = now + self.config.probe_period;
-        self.detector.relayed.insert(sequence, RelayedProbe { requester, requester_sequence, expires_at });
+        self.detector.relayed.insert(
+            sequence,
+            RelayedProbe {
+                requester,
+                requester_sequence,
+                expires_at,
+            },
+        );
         self.send(now, Message::Probe(sequence), target, out);
     }
 
     /// Processes an acknowledgement of the pending probe, or forwards that of a relayed one.
     pub(super) fn receive_ack(&mut self, now: i64, sequence: u32, out: &mut Outbox) {
-        if let Some(probe) = self.detector.pending.as_mut().filter(|probe| probe.sequence == sequence) {
+        if let Some(probe) = self
+            .detector
+            .pending
+            .as_mut()
+            .filter(|probe| probe.sequence == sequence)
+        {
             probe.is_acknowledged = true;
         } else if let Some(probe) = self.detector.relayed.remove(&sequence) {
-            self.send(now, Message::Ack(probe.requester_sequence), probe.requester, out);
+            self.send(
+                now,
+                Message::Ack(probe.requester_sequence),
+                probe.requester,
+                out,
+            );
         }
     }
 
@@ -288,15 +337,24 @@
     /// packets has refuted before, as a packet to it carries first what is known of it.
     fn refute_on_behalf(&mut self, now: i64, from: SocketAddr, packet: &Packet) {
         let sent_record = packet.records.iter().find(|record| record.member == from);
-        let Some((member, sent_record)) = self.members.get(&from).zip(sent_record) else { return };
-        let is_unaware = matches!(member.record.state, MemberState::Suspect | MemberState::Dead)
-            && sent_record.incarnation == member.record.incarnation
+        let Some((member, sent_record)) = self.members.get(&from).zip(sent_record) else {
+            return;
+        };
+        let is_unaware = matches!(
+            member.record.state,
+            MemberState::Suspect | MemberState::Dead
+        ) && sent_record.incarnation == member.record.incarnation
             && sent_record.state == MemberState::Alive
             && sent_record.refutations <= member.record.refutations;
-        if is_unaware && now - member.state_since >= PROXY_REFUTATION_PERIODS * self.config.probe_period {
+        if is_unaware
+            && now - member.state_since >= PROXY_REFUTATION_PERIODS * self.config.probe_period
+        {
             self.counters.proxy_refutations += 1;
             let refutations = member.record.refutations.saturating_add(1);
-            let refuted = crate::MemberRecord { refutations, ..*sent_record };
+            let refuted = crate::MemberRecord {
+                refutations,
+                ..*sent_record
+            };
             self.merge_record(now, refuted, self.own.member);
         }
     }
--- a/crates/gossip/src/node/dissemination.rs
+++ b/crates/gossip/src/node/dissemination.rs
@@ -29,7 +29,8 @@
     pub(super) fn request_sync(&mut self, now: i64, out: &mut Outbox) {
         let mut candidates = self.synchronizer.seeds.clone();
         if self.settling.has_contact {
-            candidates.extend(self.addresses_where(|member| member.record.state != MemberState::Left));
+            candidates
+                .extend(self.addresses_where(|member| member.record.state != MemberState::Left));
         }
         candidates.sort_unstable();
         candidates.dedup();
@@ -56,27 +57,50 @@
 
     /// Answers a synchronization request.
     pub(super) fn send_all_records(&self, now: i64, to: SocketAddr, out: &mut Outbox) {
-        let others = self.members.values().map(|member| member.record_with_age(now));
+        let others = self
+            .members
+            .values()
+            .map(|member| member.record_with_age(now));
         let all: Vec<MemberRecord> = std::iter::once(self.own).chain(others).collect();
         for records in all.chunks(self.config.max_piggybacked_records.max(1)) {
             let view_tag = Some(self.agreement.tag);
-            out.push((to, Packet { message: Message::Update, records: records.to_vec(), view_tag }));
+            out.push((
+                to,
+                Packet {
+                    message: Message::Update,
+                    records: records.to_vec(),
+                    view_tag,
+                },
+            ));
         }
     }
 
     /// Sends a message with piggybacked records.
     pub(super) fn send(&mut self, now: i64, message: Message, to: SocketAddr, out: &mut Outbox) {
         let records = self.piggybacked_records(now, to);
-        out.push((to, Packet { message, records, view_tag: Some(self.agreement.tag) }));
+        out.push((
+            to,
+            Packet {
+                message,
+                records,
+                view_tag: Some(self.agreement.tag),
+            },
+        ));
     }
 
     /// The records for a packet: the node's own, that of the receiver if it has something to refute, and those that were
     /// piggybacked least often.
     fn piggybacked_records(&mut self, now: i64, to: SocketAddr) -> Vec<MemberRecord> {
         let mut records = vec![self.own];
-        let of_receiver = self.members.get(&to).map(|member| member.record_with_age(now));
+        let of_receiver = self
+            .members
+            .get(&to)
+            .map(|member| member.record_with_age(now));
         records.extend(of_receiver.filter(|record| record.state != MemberState::Alive));
-        let capacity = self.config.max_piggybacked_records.saturating_sub(records.len());
+        let capacity = self
+            .config
+            .max_piggybacked_records
+            .saturating_sub(records.len());
         for address in self.least_transmitted(to).into_iter().take(capacity) {
             if let Some(member) = self.members.get_mut(&address) {
                 member.transmissions += 1;
@@ -92,7 +116,9 @@
         let mut candidates: Vec<(u32, SocketAddr)> = self
             .members
             .values()
-            .filter(|member| member.transmissions < max_transmissions && member.record.member != receiver)
+            .filter(|member| {
+                member.transmissions < max_transmissions && member.record.member != receiver
+            })
             .map(|member| (member.transmissions, member.record.member))
             .collect();
         candidates.sort_unstable();
--- a/crates/gossip/src/node/membership.rs
+++ b/crates/gossip/src/node/membership.rs
@@ -34,9 +34,16 @@
 
     /// The record with the time spent in its state, as it is sent to others.
     pub(super) fn record_with_age(&self, now: i64) -> MemberRecord {
-        let age = if self.record.state == MemberState::Alive { 0 } else { (now - self.state_since).max(0) };
+        let age = if self.record.state == MemberState::Alive {
+            0
+        } else {
+            (now - self.state_since).max(0)
+        };
         let age_ms = (age as u64).div_ceil(1_000);
-        MemberRecord { state_age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX), ..self.record }
+        MemberRecord {
+            state_age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
+            ..self.record
+        }
     }
 }
 
@@ -99,8 +106,16 @@
         }
     }
 
-    fn update_member(&mut self, now: i64, record: MemberRecord, state_since: i64, source: SocketAddr) {
-        let Some(member) = self.members.get_mut(&record.member) else { return };
+    fn update_member(
+        &mut self,
+        now: i64,
+        record: MemberRecord,
+        state_since: i64,
+        source: SocketAddr,
+    ) {
+        let Some(member) = self.members.get_mut(&record.member) else {
+            return;
+        };
         let before = member.record;
         let is_restarted = record.incarnation != before.incarnation;
         if before.state == MemberState::Suspect && record.state == MemberState::Alive {
@@ -108,7 +123,11 @@
         }
         // Death counts from when it was first declared, whoever repeats it; a suspicion times out at each node separately.
         if before.state != record.state || is_restarted {
-            member.state_since = if record.state == MemberState::Suspect { now } else { state_since };
+            member.state_since = if record.state == MemberState::Suspect {
+                now
+            } else {
+                state_since
+            };
         }
         if is_restarted {
             member.last_contact_at = now;
@@ -119,7 +138,10 @@
         if let Some(change) = change_between(&before, &record) {
             self.push_event(record.member, change, source);
         }
-        self.set_counted(record.member, is_reinstated && record.state != MemberState::Left);
+        self.set_counted(
+            record.member,
+            is_reinstated && record.state != MemberState::Left,
+        );
     }
 
     fn add_member(&mut self, now: i64, record: MemberRecord, state_since: i64, source: SocketAddr) {
@@ -153,20 +175,24 @@
     /// A node that learned of the suspicion when it was raised has waited long enough. A member that was heard after its
     /// reported leave was evicted by an operator on the other side of a partition.
     fn is_contradicted(&self, now: i64, record: &MemberRecord) -> bool {
-        let Some(member) = self.members.get(&record.member) else { return false };
+        let Some(member) = self.members.get(&record.member) else {
+            return false;
+        };
         if member.record.incarnation != record.incarnation {
             return false;
         }
         match record.state {
             MemberState::Dead => {
-                let was_suspected_long =
-                    member.is_suspect() && 2 * (now - member.state_since) >= self.suspicion_timeout();
+                let was_suspected_long = member.is_suspect()
+                    && 2 * (now - member.state_since) >= self.suspicion_timeout();
                 member.record.state < MemberState::Dead && !was_suspected_long
             }
             MemberState::Left => {
                 let tolerance = LEAVE_TOLERANCE_PERIODS * self.config.probe_period;
                 let left_at = entered_state_at(now, record);
-                member.last_heard_at.is_some_and(|heard_at| heard_at > left_at + tolerance)
+                member
+                    .last_heard_at
+                    .is_some_and(|heard_at| heard_at > left_at + tolerance)
             }
             MemberState::Alive | MemberState::Suspect => false,
         }
@@ -188,7 +214,9 @@
     fn make_capacity(&mut self) -> bool {
         if self.members.len() >= self.config.max_members {
             let uncounted = self.members.values().filter(|member| !member.is_counted);
-            let oldest = uncounted.min_by_key(|member| member.state_since).map(|member| member.record.member);
+            let oldest = uncounted
+                .min_by_key(|member| member.state_since)
+                .map(|member| member.record.member);
             if let Some(oldest) = oldest {
                 self.members.remove(&oldest);
             }
@@ -213,7 +241,10 @@
             }
         }
         // Evicted members are remembered until all nodes know, so that they are not learned anew.
-        let spread = self.config.sync_interval.saturating_mul(EVICTION_SPREAD_INTERVALS);
+        let spread = self
+            .config
+            .sync_interval
+            .saturating_mul(EVICTION_SPREAD_INTERVALS);
         self.members.retain(|_, member| {
             let remembered_for = match member.record.state {
                 MemberState::Left => retention.max(spread),
--- a/crates/gossip/src/node/view.rs
+++ b/crates/gossip/src/node/view.rs
@@ -72,7 +72,13 @@
 impl ViewAgreement {
     /// The view of a node that only counts itself.
     pub(super) fn new(own: SocketAddr) -> ViewAgreement {
-        ViewAgreement { tag: ViewTag { version: 0, digest: member_digest(own) }, diverged_since: None }
+        ViewAgreement {
+            tag: ViewTag {
+                version: 0,
+                digest: member_digest(own),
+            },
+            diverged_since: None,
+        }
     }
 
     /// Updates the tag after a member was added to or removed from the counted members.
@@ -103,7 +109,11 @@
         }
         let is_reliable = self.settling.has_listened && self.settling.is_confirmed;
         View {
-            count: if is_reliable { counted } else { counted.max(self.config.expected_members) },
+            count: if is_reliable {
+                counted
+            } else {
+                counted.max(self.config.expected_members)
+            },
             index,
             alive,
             is_settled: is_reliable && !has_suspects,
@@ -114,7 +124,9 @@
 
     /// Whether a member is part of the view.
     pub fn is_counted(&self, member: &SocketAddr) -> bool {
-        self.members.get(member).is_some_and(|member| member.is_counted)
+        self.members
+            .get(member)
+            .is_some_and(|member| member.is_counted)
     }
 
     /// The state of all known members except this node.
@@ -129,12 +141,16 @@
 
     /// For how long all received view tags have differed from the node's own, in microseconds; zero while one agrees.
     pub fn diverged_for(&self, now: i64) -> i64 {
-        self.agreement.diverged_since.map_or(0, |since| (now - since).max(0))
+        self.agreement
+            .diverged_since
+            .map_or(0, |since| (now - since).max(0))
     }
 
     /// Adds a member to the counted ones or removes it.
     pub(super) fn set_counted(&mut self, address: SocketAddr, is_counted: bool) {
-        let Some(member) = self.members.get_mut(&address) else { return };
+        let Some(member) = self.members.get_mut(&address) else {
+            return;
+        };
         if member.is_counted != is_counted {
             member.is_counted = is_counted;
             self.agreement.toggle_member(address);
@@ -143,7 +159,9 @@
 
     /// Notes the view tag that a member reported.
     pub(super) fn compare_views(&mut self, now: i64, from: SocketAddr, tag: Option<ViewTag>) {
-        let Some((member, tag)) = self.members.get_mut(&from).zip(tag) else { return };
+        let Some((member, tag)) = self.members.get_mut(&from).zip(tag) else {
+            return;
+        };
         member.view_tag = Some(tag);
         self.agreement.compare(now, tag);
     }
@@ -157,7 +175,8 @@
         self.settling.has_listened |= self.settling.has_contact && is_quiet && is_settling_over;
         // A part of the group that restarts during a partition must not take itself for the whole group, nor for what it has
         // learned so far while the partition heals.
-        self.settling.is_confirmed |= self.settling.has_listened && is_quiet && self.has_expected_majority();
+        self.settling.is_confirmed |=
+            self.settling.has_listened && is_quiet && self.has_expected_majority();
     }
 
     fn has_expected_majority(&self) -> bool {
@@ -170,5 +189,7 @@
     const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const FNV_PRIME: u64 = 0x0100_0000_01b3;
     let text = member.to_string();
-    mix(text.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)))
+    mix(text.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
+    }))
 }
--- a/crates/gossip/src/packet.rs
+++ b/crates/gossip/src/packet.rs
@@ -37,12 +37,22 @@
 impl MemberRecord {
     /// The record of an incarnation that was never suspected.
     pub(crate) fn alive(member: SocketAddr, incarnation: u64) -> MemberRecord {
-        MemberRecord { member, incarnation, refutations: 0, state: MemberState::Alive, state_age_ms: 0 }
+        MemberRecord {
+            member,
+            incarnation,
+            refutations: 0,
+            state: MemberState::Alive,
+            state_age_ms: 0,
+        }
     }
 
     /// The record with a state that was entered just now.
     pub(crate) fn entering(self, state: MemberState) -> MemberRecord {
-        MemberRecord { state, state_age_ms: 0, ..self }
+        MemberRecord {
+            state,
+            state_age_ms: 0,
+            ..self
+        }
     }
 
     /// Whether this record takes precedence over another one of the same member.
@@ -95,5 +105,9 @@
 /// An operator's eviction of an unreachable member, to be sent to any member: a leave in the member's name. A member that is
 /// still alive refutes it as soon as it receives it.
 pub fn eviction_packet(record: MemberRecord) -> Packet {
-    Packet { message: Message::Update, records: vec![record.entering(MemberState::Left)], view_tag: None }
+    Packet {
+        message: Message::Update,
+        records: vec![record.entering(MemberState::Left)],
+        view_tag: None,
+    }
 }
--- a/crates/gossip/tests/authentication.rs
+++ b/crates/gossip/tests/authentication.rs
@@ -7,7 +7,9 @@
 use wheelfield_gossip::authentication::{
     Authenticator, Keys, VerificationError, Verifier, MAX_DATAGRAM_BYTES,
 };
-use wheelfield_gossip::{MemberRecord, MemberState, MembershipConfig, Message, Node, Packet, ViewTag};
+use wheelfield_gossip::{
+    MemberRecord, MemberState, MembershipConfig, Message, Node, Packet, ViewTag,
+};
 
 fn at(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
@@ -38,12 +40,22 @@
 fn a_datagram_is_accepted_once_and_only_unchanged() {
     let (keys, from) = (keys(ONE), at(7_001));
     let mut authenticator = Authenticator::new(from, 100);
-    let datagram = authenticator.authenticate(&packet(3), &keys).expect("short");
+    let datagram = authenticator
+        .authenticate(&packet(3), &keys)
+        .expect("short");
     for i in 0..datagram.len() {
         let mut other = datagram.clone();
         other[i] ^= 1;
-        assert!(Verifier::default().verify(from, &other, &keys).is_err(), "byte {i}");
-        assert!(Verifier::default().verify(from, &datagram[..i], &keys).is_err(), "cut at {i}");
+        assert!(
+            Verifier::default().verify(from, &other, &keys).is_err(),
+            "byte {i}"
+        );
+        assert!(
+            Verifier::default()
+                .verify(from, &datagram[..i], &keys)
+                .is_err(),
+            "cut at {i}"
+        );
     }
     let mut verifier = Verifier::default();
     assert_eq!(
@@ -52,29 +64,53 @@
         "of another sender"
     );
     assert_eq!(verifier.verify(from, &datagram, &keys), Ok(packet(3)));
-    assert_eq!(verifier.verify(from, &datagram, &keys), Err(VerificationError::Replayed), "replayed");
+    assert_eq!(
+        verifier.verify(from, &datagram, &keys),
+        Err(VerificationError::Replayed),
+        "replayed"
+    );
 }
 
 #[test]
 fn late_datagrams_are_accepted_and_very_late_ones_and_those_of_an_earlier_incarnation_are_not() {
     let (keys, from) = (keys(ONE), at(7_001));
     let mut authenticator = Authenticator::new(from, 100);
-    let mut all: Vec<Vec<u8>> =
-        (0..70).map(|_| authenticator.authenticate(&packet(0), &keys).expect("short")).collect();
+    let mut all: Vec<Vec<u8>> = (0..70)
+        .map(|_| {
+            authenticator
+                .authenticate(&packet(0), &keys)
+                .expect("short")
+        })
+        .collect();
     let mut verifier = Verifier::default();
     let newest = all.pop().expect("one");
     assert!(verifier.verify(from, &newest, &keys).is_ok());
     for (i, datagram) in all.iter().enumerate() {
         // The last of seventy came first: sixty-three before it are still known apart.
-        let expected = if i >= 6 { Ok(packet(0)) } else { Err(VerificationError::Replayed) };
+        let expected = if i >= 6 {
+            Ok(packet(0))
+        } else {
+            Err(VerificationError::Replayed)
+        };
         assert_eq!(verifier.verify(from, datagram, &keys), expected, "{i}");
-        assert_eq!(verifier.verify(from, datagram, &keys), Err(VerificationError::Replayed), "{i} again");
+        assert_eq!(
+            verifier.verify(from, datagram, &keys),
+            Err(VerificationError::Replayed),
+            "{i} again"
+        );
     }
-    let restarted = Authenticator::new(from, 101).authenticate(&packet(0), &keys).expect("short");
+    let restarted = Authenticator::new(from, 101)
+        .authenticate(&packet(0), &keys)
+        .expect("short");
     assert!(verifier.verify(from, &restarted, &keys).is_ok());
-    let old = authenticator.authenticate(&packet(0), &keys).expect("short");
+    let old = authenticator
+        .authenticate(&packet(0), &keys)
+        .expect("short");
     assert!(
-        matches!(verifier.verify(from, &old, &keys), Err(VerificationError::StaleIncarnation(_))),
+        matches!(
+            verifier.verify(from, &old, &keys),
+            Err(VerificationError::StaleIncarnation(_))
+        ),
         "of the earlier incarnation"
     );
 }
@@ -88,16 +124,27 @@
     );
     let rotated = keys("# the new one authenticates\n2 newnewnewnewnewnew\n1 oldoldoldoldoldold\n");
     let verify = |by: &Keys, with: &Keys| {
-        let datagram = Authenticator::new(at(1), 5).authenticate(&packet(1), by).expect("short");
-        Verifier::default().verify(at(1), &datagram, with).map(|_| ())
+        let datagram = Authenticator::new(at(1), 5)
+            .authenticate(&packet(1), by)
+            .expect("short");
+        Verifier::default()
+            .verify(at(1), &datagram, with)
+            .map(|_| ())
     };
     assert_eq!(verify(&old, &both), Ok(()));
-    assert_eq!(verify(&both, &old), Ok(()), "the new one does not authenticate yet");
+    assert_eq!(
+        verify(&both, &old),
+        Ok(()),
+        "the new one does not authenticate yet"
+    );
     assert_eq!(verify(&rotated, &both), Ok(()));
     assert_eq!(verify(&new, &rotated), Ok(()));
     assert_eq!(verify(&old, &new), Err(VerificationError::UnknownKey));
     // The same number for another key.
-    assert_eq!(verify(&keys("1 otherotherotherother"), &old), Err(VerificationError::InvalidMac));
+    assert_eq!(
+        verify(&keys("1 otherotherotherother"), &old),
+        Err(VerificationError::InvalidMac)
+    );
     for (text, problem) in [
         ("", "no key"),
         ("1 short", "less than 16"),
@@ -106,7 +153,10 @@
         ("1 0123456789abcdef\n1 0123456789abcdeg", "line 2"),
     ] {
         let message = Keys::read(text).expect_err(text).to_string();
-        assert!(message.contains(problem) && !message.contains("0123456789"), "{message}");
+        assert!(
+            message.contains(problem) && !message.contains("0123456789"),
+            "{message}"
+        );
     }
 }
 
@@ -117,7 +167,9 @@
         .authenticate(&packet(max_records), &keys(ONE))
         .expect("it fits");
     assert!(datagram.len() <= MAX_DATAGRAM_BYTES, "{}", datagram.len());
-    assert!(Authenticator::new(at(1), 1).authenticate(&packet(100), &keys(ONE)).is_none());
+    assert!(Authenticator::new(at(1), 1)
+        .authenticate(&packet(100), &keys(ONE))
+        .is_none());
 }
 
 proptest! {
@@ -143,7 +195,10 @@
             own,
             incarnation,
             vec![seed],
-            MembershipConfig { expected_members: 2, ..MembershipConfig::default() },
+            MembershipConfig {
+                expected_members: 2,
+                ..MembershipConfig::default()
+            },
             incarnation,
             0,
         ),
@@ -160,12 +215,16 @@
             let mut out = Vec::new();
             p.node.tick(now, &mut out);
             wire.extend(
-                out.iter().filter_map(|(to, m)| Some((*own, *to, p.authenticator.authenticate(m, keys)?))),
+                out.iter().filter_map(|(to, m)| {
+                    Some((*own, *to, p.authenticator.authenticate(m, keys)?))
+                }),
             );
         }
         for _ in 0..4 {
             for (from, to, datagram) in std::mem::take(&mut wire) {
-                let Some((own, p)) = all.iter_mut().find(|(a, _)| *a == to) else { continue };
+                let Some((own, p)) = all.iter_mut().find(|(a, _)| *a == to) else {
+                    continue;
+                };
                 let mut out = Vec::new();
                 match p.verifier.verify(from, &datagram, keys) {
                     Ok(packet) => {
@@ -177,10 +236,9 @@
                     }
                     Err(_) => {}
                 }
-                wire.extend(
-                    out.iter()
-                        .filter_map(|(to, m)| Some((*own, *to, p.authenticator.authenticate(m, keys)?))),
-                );
+                wire.extend(out.iter().filter_map(|(to, m)| {
+                    Some((*own, *to, p.authenticator.authenticate(m, keys)?))
+                }));
             }
         }
     }
@@ -189,20 +247,29 @@
 #[test]
 fn a_process_whose_clock_was_set_back_is_accepted_again() {
     let keys = Keys::read("1 a-key-of-sixteen-letters\n").expect("keys");
-    let (a, b): (SocketAddr, SocketAddr) =
-        ("127.0.0.1:7001".parse().expect("one"), "127.0.0.1:7002".parse().expect("two"));
+    let (a, b): (SocketAddr, SocketAddr) = (
+        "127.0.0.1:7001".parse().expect("one"),
+        "127.0.0.1:7002".parse().expect("two"),
+    );
     let mut all = [(a, process(a, 1_000, b)), (b, process(b, 1_000_000, a))];
     run(&mut all, &keys, 0, 60);
     assert!(all.iter().all(|(_, p)| p.node.view().alive == 2));
     // The second is killed and restarts with a clock that was set back.
     all[1].1 = process(b, 10, a);
     run(&mut all, &keys, 60, 65);
-    assert!(all[1].1.node.incarnation() > 1_000_000, "it learned the earlier incarnation of its address");
+    assert!(
+        all[1].1.node.incarnation() > 1_000_000,
+        "it learned the earlier incarnation of its address"
+    );
     let view = all[0].1.node.view();
     assert_eq!((view.alive, view.count), (2, 2));
     let before = all[0].1.node.counters().declared_dead;
     run(&mut all, &keys, 65, 200);
-    assert_eq!(all[0].1.node.counters().declared_dead, before, "and it stays alive");
+    assert_eq!(
+        all[0].1.node.counters().declared_dead,
+        before,
+        "and it stays alive"
+    );
     assert!(all.iter().all(|(_, p)| p.node.view().alive == 2));
 }
 
@@ -217,29 +284,53 @@
 
 #[test]
 fn packets_of_both_formats_are_read_by_both() {
-    let tag = ViewTag { version: 3, digest: u64::MAX };
+    let tag = ViewTag {
+        version: 3,
+        digest: u64::MAX,
+    };
     let plain = packet(3);
-    let tagged = Packet { view_tag: Some(tag), ..plain.clone() };
+    let tagged = Packet {
+        view_tag: Some(tag),
+        ..plain.clone()
+    };
     let mut verifier = Verifier::default();
     for (sequence, sent) in [(1, &plain), (2, &tagged)] {
         let mut authenticator = Authenticator::new(at(1), 9);
         (1..sequence).for_each(|_| drop(authenticator.authenticate(&plain, &keys(ONE))));
-        let datagram = authenticator.authenticate(sent, &keys(ONE)).expect("it fits");
-        assert_eq!(verifier.verify(at(1), &datagram, &keys(ONE)).as_ref(), Ok(sent));
-        let first: FirstFormat = postcard::from_bytes(&datagram[5..datagram.len() - 16]).expect("read");
+        let datagram = authenticator
+            .authenticate(sent, &keys(ONE))
+            .expect("it fits");
+        assert_eq!(
+            verifier.verify(at(1), &datagram, &keys(ONE)).as_ref(),
+            Ok(sent)
+        );
+        let first: FirstFormat =
+            postcard::from_bytes(&datagram[5..datagram.len() - 16]).expect("read");
         assert_eq!((first.incarnation, first.sequence), (9, sequence));
-        assert_eq!((first.message, first.records), (plain.message, plain.records.clone()));
+        assert_eq!(
+            (first.message, first.records),
+            (plain.message, plain.records.clone())
+        );
     }
 }
 
 #[test]
 fn a_truncated_view_tag_is_malformed_and_fields_of_a_later_format_are_ignored() {
     let mut authenticator = Authenticator::new(at(1), 9);
-    let tagged = Packet { view_tag: Some(ViewTag { version: 3, digest: 1 << 60 }), ..packet(1) };
-    let whole = authenticator.authenticate(&tagged, &keys(ONE)).expect("it fits");
+    let tagged = Packet {
+        view_tag: Some(ViewTag {
+            version: 3,
+            digest: 1 << 60,
+        }),
+        ..packet(1)
+    };
+    let whole = authenticator
+        .authenticate(&tagged, &keys(ONE))
+        .expect("it fits");
     let (body, _) = whole.split_at(whole.len() - 16);
     let with_new_mac = |body: &[u8]| {
-        let mut mac = <Hmac<Sha256> as KeyInit>::new_from_slice(&ONE.trim().as_bytes()[2..]).expect("a key");
+        let mut mac =
+            <Hmac<Sha256> as KeyInit>::new_from_slice(&ONE.trim().as_bytes()[2..]).expect("a key");
         mac.update(body);
         mac.update(at(1).to_string().as_bytes());
         [body, &mac.finalize().into_bytes()[..16]].concat()
@@ -250,5 +341,8 @@
     );
     let mut longer = body.to_vec();
     longer.extend([3, 1, 4, 1, 5]);
-    assert_eq!(Verifier::default().verify(at(1), &with_new_mac(&longer), &keys(ONE)), Ok(tagged));
+    assert_eq!(
+        Verifier::default().verify(at(1), &with_new_mac(&longer), &keys(ONE)),
+        Ok(tagged)
+    );
 }
--- a/crates/gossip/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -68,8 +68,10 @@
     }
 
     fn next_random(&mut self) -> f64 {
-        self.random_state =
-            self.random_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.random_state = self
+            .random_state
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (self.random_state >> 11) as f64 / (1u64 << 53) as f64
     }
 
@@ -81,7 +83,14 @@
         // The first three nodes are the seeds of all.
         let seeds = (0..3).map(address).collect();
         let seed = (self.next_random() * 1e15) as u64;
-        let node = Node::new(address(i), self.now as u64 + 1, seeds, self.config, seed, self.now);
+        let node = Node::new(
+            address(i),
+            self.now as u64 + 1,
+            seeds,
+            self.config,
+            seed,
+            self.now,
+        );
         self.ticks.insert((node.next_tick_at(), i));
         self.nodes.insert(i, node);
     }
@@ -93,7 +102,9 @@
     }
 
     pub fn leave(&mut self, i: usize) {
-        let Some(mut node) = self.nodes.remove(&i) else { return };
+        let Some(mut node) = self.nodes.remove(&i) else {
+            return;
+        };
         let mut out = Vec::new();
         node.leave(&mut out);
         self.add_counters(node.counters());
@@ -120,7 +131,10 @@
 
     /// An operator evicts a member through one node.
     pub fn evict(&mut self, through: usize, member: usize) {
-        let record = self.nodes[&through].records().find(|r| r.member == address(member)).copied();
+        let record = self.nodes[&through]
+            .records()
+            .find(|r| r.member == address(member))
+            .copied();
         let packet = eviction_packet(record.expect("known"));
         let (now, mut out) = (self.now, Vec::new());
         if let Some(node) = self.nodes.get_mut(&through) {
@@ -136,8 +150,20 @@
 
     /// Drops all packets from some nodes to others, from now on for a duration.
     pub fn cut(&mut self, from: Parties, to: Parties, lasts: i64) {
-        let fault = Fault { cut: true, ..Fault::default() };
-        self.faults.0.push(Entry { fault, from, to, both: false, at: self.now, lasts, every: 0, times: 1 });
+        let fault = Fault {
+            cut: true,
+            ..Fault::default()
+        };
+        self.faults.0.push(Entry {
+            fault,
+            from,
+            to,
+            both: false,
+            at: self.now,
+            lasts,
+            every: 0,
+            times: 1,
+        });
     }
 
     /// Pauses a process for a duration.
@@ -155,7 +181,11 @@
 
     /// The lowest number of members, itself included, that a node knows.
     pub fn fewest_known(&self) -> usize {
-        self.nodes.values().map(|n| n.records().count() + 1).min().unwrap_or(0)
+        self.nodes
+            .values()
+            .map(|n| n.records().count() + 1)
+            .min()
+            .unwrap_or(0)
     }
 
     pub fn views(&self) -> Vec<View> {
@@ -164,7 +194,9 @@
 
     fn index_of(a: SocketAddr) -> usize {
         match a {
-            SocketAddr::V4(a) => usize::from(a.ip().octets()[2]) << 8 | usize::from(a.ip().octets()[3]),
+            SocketAddr::V4(a) => {
+                usize::from(a.ip().octets()[2]) << 8 | usize::from(a.ip().octets()[3])
+            }
             SocketAddr::V6(_) => usize::MAX,
         }
     }
@@ -188,7 +220,8 @@
                 }
                 let delay = MS + (self.next_random() * 20.0 * MS as f64) as i64;
                 self.sent += 1;
-                self.in_flight.insert((self.now + delay, self.sent), (from, to, packet.clone()));
+                self.in_flight
+                    .insert((self.now + delay, self.sent), (from, to, packet.clone()));
             }
         }
     }
@@ -217,12 +250,22 @@
             // Evaluating all views at each event would take too long.
             if self.now >= self.next_sample_at {
                 self.next_sample_at = self.now + 200 * MS;
-                let all = self.views().iter().map(|v| 1.0 / v.count as f64).sum::<f64>();
+                let all = self
+                    .views()
+                    .iter()
+                    .map(|v| 1.0 / v.count as f64)
+                    .sum::<f64>();
                 self.share_sum = self.share_sum.max(all);
             }
         }
         self.now = end;
-        lowest.min(self.views().iter().map(|v| v.count).min().unwrap_or(usize::MAX))
+        lowest.min(
+            self.views()
+                .iter()
+                .map(|v| v.count)
+                .min()
+                .unwrap_or(usize::MAX),
+        )
     }
 
     /// Performs the next event; returns its node.
@@ -235,7 +278,11 @@
         }
         self.paused.retain(|_, until| *until > now);
         let mut out = Vec::new();
-        if self.in_flight.first_key_value().is_some_and(|((t, _), _)| *t <= now) {
+        if self
+            .in_flight
+            .first_key_value()
+            .is_some_and(|((t, _), _)| *t <= now)
+        {
             let ((_, number), (from, to, packet)) = self.in_flight.pop_first()?;
             if let Some(until) = self.paused.get(&to) {
                 self.in_flight.insert((*until, number), (from, to, packet));
--- a/crates/gossip/tests/model/membership.rs
+++ b/crates/gossip/tests/model/membership.rs
@@ -53,7 +53,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// All packets in flight arrive, in this order or the reverse, except a lost one.
-    Round { backwards: bool, lost: Option<usize>, duplicated: Option<usize> },
+    Round {
+        backwards: bool,
+        lost: Option<usize>,
+        duplicated: Option<usize>,
+    },
     /// A node is killed and restarts at its address.
     Restart(usize),
     /// From now on a node cannot receive (true) or cannot send.
@@ -113,7 +117,11 @@
     fn count(&self, state: &State, i: usize) -> usize {
         let node = &state.nodes[i];
         if self.fault == Fault::UncountedSuspect {
-            return node.records().filter(|r| r.state == MemberState::Alive).count() + 1;
+            return node
+                .records()
+                .filter(|r| r.state == MemberState::Alive)
+                .count()
+                + 1;
         }
         node.view().count
     }
@@ -147,8 +155,14 @@
             _ => return packet.clone(),
         };
         let mut packet = packet.clone();
-        for record in packet.records.iter_mut().filter(|r| r.state == MemberState::Alive) {
-            let held = node.records().find(|r| r.member == record.member && r.state == believed);
+        for record in packet
+            .records
+            .iter_mut()
+            .filter(|r| r.state == MemberState::Alive)
+        {
+            let held = node
+                .records()
+                .find(|r| r.member == record.member && r.state == believed);
             if let Some(held) = held.filter(|r| r.incarnation == record.incarnation) {
                 record.refutations = held.refutations + 1;
             }
@@ -170,7 +184,16 @@
 
     /// A state in which all nodes are settled.
     pub fn settled() -> State {
-        let node = |i| Node::new(address(i), 1, (0..NODES).map(address).collect(), limits(), 7 + i as u64, 0);
+        let node = |i| {
+            Node::new(
+                address(i),
+                1,
+                (0..NODES).map(address).collect(),
+                limits(),
+                7 + i as u64,
+                0,
+            )
+        };
         let mut state = State {
             now: 0,
             nodes: (0..NODES).map(node).collect(),
@@ -192,7 +215,13 @@
     }
 
     /// Delivers the packets in flight, then advances the time to the next tick.
-    fn step(&self, state: &mut State, backwards: bool, lost: Option<usize>, duplicated: Option<usize>) {
+    fn step(
+        &self,
+        state: &mut State,
+        backwards: bool,
+        lost: Option<usize>,
+        duplicated: Option<usize>,
+    ) {
         let mut all: Vec<_> = std::mem::take(&mut state.in_flight).into_iter().collect();
         if let Some(duplicate) = duplicated.and_then(|d| all.get(d).cloned()) {
             all.push(duplicate);
@@ -205,21 +234,27 @@
         }
         let now = state.now;
         for (from, to, _, packet) in all {
-            let is_cut =
-                |(node, is_inbound, until)| now < until && node == if is_inbound { to } else { from };
+            let is_cut = |(node, is_inbound, until)| {
+                now < until && node == if is_inbound { to } else { from }
+            };
             if state.partition.is_some_and(is_cut) {
                 continue;
             }
             self.deliver(state, from, to, &packet);
         }
         if let Some((stopped, _, true)) = state.stopped {
-            let heard =
-                |n: &Node| n.records().any(|r| r.member == address(stopped) && r.state == MemberState::Left);
+            let heard = |n: &Node| {
+                n.records()
+                    .any(|r| r.member == address(stopped) && r.state == MemberState::Left)
+            };
             let all = Self::running(state).all(|i| heard(&state.nodes[i]));
             state.is_leave_known |= all;
         }
         if state.in_flight.is_empty() {
-            let next = Self::running(state).map(|i| state.nodes[i].next_tick_at()).min().unwrap_or(state.now);
+            let next = Self::running(state)
+                .map(|i| state.nodes[i].next_tick_at())
+                .min()
+                .unwrap_or(state.now);
             state.now = state.now.max(next);
             let running: Vec<usize> = Self::running(state).collect();
             for i in running {
@@ -257,23 +292,37 @@
             return;
         }
         for backwards in [false, true] {
-            actions.push(Action::Round { backwards, lost: None, duplicated: None });
+            actions.push(Action::Round {
+                backwards,
+                lost: None,
+                duplicated: None,
+            });
         }
         for n in 0..state.in_flight.len() {
             if state.lost < self.losses {
-                actions.push(Action::Round { backwards: false, lost: Some(n), duplicated: None });
+                actions.push(Action::Round {
+                    backwards: false,
+                    lost: Some(n),
+                    duplicated: None,
+                });
             }
             // A partition has late effects: further faults would keep the search from reaching them.
             if state.duplicated < 1 && !self.partitions && !self.stops {
-                actions.push(Action::Round { backwards: false, lost: None, duplicated: Some(n) });
+                actions.push(Action::Round {
+                    backwards: false,
+                    lost: None,
+                    duplicated: Some(n),
+                });
             }
         }
         if self.partitions && state.partition.is_none() {
-            actions
-                .extend((0..NODES).flat_map(|i| [Action::Partition(i, true), Action::Partition(i, false)]));
+            actions.extend(
+                (0..NODES).flat_map(|i| [Action::Partition(i, true), Action::Partition(i, false)]),
+            );
         }
         if self.stops && state.stopped.is_none() {
-            actions.extend((0..NODES).flat_map(|i| [Action::Stop(i, true), Action::Stop(i, false)]));
+            actions
+                .extend((0..NODES).flat_map(|i| [Action::Stop(i, true), Action::Stop(i, false)]));
         }
         if self.delays && !state.was_delayed {
             actions.extend((0..state.in_flight.len()).map(Action::Delay));
@@ -289,7 +338,11 @@
     fn next_state(&self, state: &State, action: Action) -> Option<State> {
         let mut next = state.clone();
         match action {
-            Action::Round { backwards, lost, duplicated } => {
+            Action::Round {
+                backwards,
+                lost,
+                duplicated,
+            } => {
                 next.lost += u8::from(lost.is_some());
                 next.duplicated += u8::from(duplicated.is_some());
                 self.step(&mut next, backwards, lost, duplicated);
@@ -299,9 +352,16 @@
                 if leaves {
                     next.nodes[i].leave(&mut out);
                 }
-                let refutations =
-                    next.nodes.iter().flat_map(Node::records).filter(|r| r.member == address(i));
-                next.stopped = Some((i, refutations.map(|r| r.refutations).max().unwrap_or(0), leaves));
+                let refutations = next
+                    .nodes
+                    .iter()
+                    .flat_map(Node::records)
+                    .filter(|r| r.member == address(i));
+                next.stopped = Some((
+                    i,
+                    refutations.map(|r| r.refutations).max().unwrap_or(0),
+                    leaves,
+                ));
                 Membership::put(&mut next, i, out);
             }
             Action::Delay(n) => {
@@ -330,37 +390,53 @@
         Some(next)
     }
 
+    #[expect(clippy::too_many_lines, reason = "a list of properties")]
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
                 "no node acts on fewer members than exist",
                 |model: &Membership, state: &State| {
-                    let there = NODES - usize::from(state.stopped.is_some_and(|(_, _, has_left)| has_left));
+                    let there =
+                        NODES - usize::from(state.stopped.is_some_and(|(_, _, has_left)| has_left));
                     Membership::running(state).all(|i| model.count(state, i) >= there)
                 },
             ),
             Property::always(
                 "no two settled nodes have the same index",
                 |model: &Membership, state: &State| {
-                    let digest =
-                        state.nodes[Membership::running(state).next().unwrap_or(0)].view().tag.digest;
+                    let digest = state.nodes[Membership::running(state).next().unwrap_or(0)]
+                        .view()
+                        .tag
+                        .digest;
                     let one = |n: &&Node| n.view().is_settled && n.view().tag.digest == digest;
-                    let settled = Membership::running(state).map(|i| &state.nodes[i]).filter(one);
+                    let settled = Membership::running(state)
+                        .map(|i| &state.nodes[i])
+                        .filter(one);
                     let indexes: Vec<usize> = settled.map(|n| model.index(n)).collect();
                     indexes.iter().collect::<BTreeSet<_>>().len() == indexes.len()
                 },
             ),
             Property::always(
                 "no node acts on more members than exist",
-                |model: &Membership, state: &State| (0..NODES).all(|i| model.count(state, i) <= NODES),
+                |model: &Membership, state: &State| {
+                    (0..NODES).all(|i| model.count(state, i) <= NODES)
+                },
+            ),
+            Property::always(
+                "nobody refutes on behalf of a stopped node",
+                |_, state: &State| {
+                    let Some((stopped, refutations, _)) = state.stopped else {
+                        return true;
+                    };
+                    let refutations_of = |n: &Node| {
+                        n.records()
+                            .find(|r| r.member == address(stopped))
+                            .map(|r| r.refutations)
+                    };
+                    Membership::running(state)
+                        .all(|i| refutations_of(&state.nodes[i]).is_none_or(|d| d <= refutations))
+                },
             ),
-            Property::always("nobody refutes on behalf of a stopped node", |_, state: &State| {
-                let Some((stopped, refutations, _)) = state.stopped else { return true };
-                let refutations_of =
-                    |n: &Node| n.records().find(|r| r.member == address(stopped)).map(|r| r.refutations);
-                Membership::running(state)
-                    .all(|i| refutations_of(&state.nodes[i]).is_none_or(|d| d <= refutations))
-            }),
             Property::always(
                 "a member that left is not counted once all know",
                 |model: &Membership, state: &State| {
@@ -370,11 +446,17 @@
             ),
             Property::sometimes("a killed member is declared dead", |_, state: &State| {
                 let knows_dead = |n: &Node| n.records().any(|r| r.state == MemberState::Dead);
-                state.stopped.is_some() && Membership::running(state).all(|i| knows_dead(&state.nodes[i]))
+                state.stopped.is_some()
+                    && Membership::running(state).all(|i| knows_dead(&state.nodes[i]))
+            }),
+            Property::sometimes("a leave reached all nodes", |_, state: &State| {
+                state.is_leave_known
             }),
-            Property::sometimes("a leave reached all nodes", |_, state: &State| state.is_leave_known),
             Property::sometimes("a member is suspected", |_, state: &State| {
-                state.nodes.iter().any(|n| n.records().any(|r| r.state == MemberState::Suspect))
+                state
+                    .nodes
+                    .iter()
+                    .any(|n| n.records().any(|r| r.state == MemberState::Suspect))
             }),
             Property::sometimes("a suspicion is refuted", |_, state: &State| {
                 state.nodes.iter().any(|n| n.counters().refutations > 0)
--- a/crates/gossip/tests/network.rs
+++ b/crates/gossip/tests/network.rs
@@ -8,7 +8,10 @@
 use wheelfield_network_faults::Parties;
 
 fn config(expect: usize) -> MembershipConfig {
-    MembershipConfig { expected_members: expect, ..MembershipConfig::default() }
+    MembershipConfig {
+        expected_members: expect,
+        ..MembershipConfig::default()
+    }
 }
 
 /// Whether all live nodes are settled on this count, and each has an index of its own.
@@ -42,7 +45,10 @@
             counters.suspicions > 0 && counters.refutations > 0,
             "loss leads to suspicions, and they are refuted"
         );
-        assert_eq!(counters.declared_dead, 0, "seed {seed}: no live member is declared dead");
+        assert_eq!(
+            counters.declared_dead, 0,
+            "seed {seed}: no live member is declared dead"
+        );
         // All nodes act on the whole group, whatever they suspect.
         assert!(net.views().iter().all(|v| v.count == 40));
     }
@@ -53,7 +59,11 @@
     let hold = 60 * SECOND;
     let mut net = Network::new(
         2,
-        MembershipConfig { dead_retention: hold, eviction: EvictionPolicy::Quorum, ..config(12) },
+        MembershipConfig {
+            dead_retention: hold,
+            eviction: EvictionPolicy::Quorum,
+            ..config(12)
+        },
         0.0,
     );
     (0..12).for_each(|i| net.start(i, 0));
@@ -62,7 +72,10 @@
     net.kill(3);
     let lowest = net.watch_until(90 * SECOND);
     assert_eq!(lowest, 12, "declared dead, it stays counted");
-    assert!(net.views().iter().all(|v| v.alive == 11), "and all nodes know that it is dead");
+    assert!(
+        net.views().iter().all(|v| v.alive == 11),
+        "and all nodes know that it is dead"
+    );
     net.run_until(200 * SECOND);
     assert!(agreed(&net, 11), "{:?}", net.views());
     net.leave(7);
@@ -81,34 +94,61 @@
     assert!(agreed(&net, 20));
     net.split(|i| i < 10);
     let lowest = net.watch_until(340 * SECOND);
-    assert_eq!(lowest, 20, "within the retention neither half acts on itself alone");
+    assert_eq!(
+        lowest, 20,
+        "within the retention neither half acts on itself alone"
+    );
     assert!(net.views().iter().all(|v| v.alive == 10));
     net.heal();
     let lowest = net.watch_until(460 * SECOND);
     assert_eq!(lowest, 20);
-    assert!(agreed(&net, 20) && net.views().iter().all(|v| v.alive == 20), "{:?}", net.views()[0]);
+    assert!(
+        agreed(&net, 20) && net.views().iter().all(|v| v.alive == 20),
+        "{:?}",
+        net.views()[0]
+    );
 }
 
 /// Regression: each half counted itself alone after the retention, so that their shares of a quota summed to two.
 #[test]
 fn in_a_partition_of_any_length_only_a_quorum_that_may_evict_acts_on_fewer() {
     for eviction in [EvictionPolicy::Operator, EvictionPolicy::Quorum] {
-        let mut net =
-            Network::new(4, MembershipConfig { dead_retention: 30 * SECOND, eviction, ..config(9) }, 0.0);
+        let mut net = Network::new(
+            4,
+            MembershipConfig {
+                dead_retention: 30 * SECOND,
+                eviction,
+                ..config(9)
+            },
+            0.0,
+        );
         (0..9).for_each(|i| net.start(i, 0));
         net.run_until(40 * SECOND);
         net.split(|i| i < 4);
         net.run_until(600 * SECOND);
         for i in 0..9 {
             let (view, larger) = (net.node(i).view(), i >= 4);
-            let expected = if larger && eviction == EvictionPolicy::Quorum { 5 } else { 9 };
-            assert_eq!((view.count, view.has_quorum), (expected, larger), "{eviction:?}, {i}");
+            let expected = if larger && eviction == EvictionPolicy::Quorum {
+                5
+            } else {
+                9
+            };
+            assert_eq!(
+                (view.count, view.has_quorum),
+                (expected, larger),
+                "{eviction:?}, {i}"
+            );
         }
         net.heal();
         // Evicted members are found through their own probes and the seeds.
         net.run_until(720 * SECOND);
         assert!(agreed(&net, 9), "{:?}", net.views());
-        assert!(net.views().iter().all(|v| v.tag.digest == net.views()[0].tag.digest), "one view");
+        assert!(
+            net.views()
+                .iter()
+                .all(|v| v.tag.digest == net.views()[0].tag.digest),
+            "one view"
+        );
     }
 }
 
@@ -116,7 +156,11 @@
 fn neither_of_two_equal_halves_has_a_quorum() {
     let mut net = Network::new(
         4,
-        MembershipConfig { dead_retention: 30 * SECOND, eviction: EvictionPolicy::Quorum, ..config(8) },
+        MembershipConfig {
+            dead_retention: 30 * SECOND,
+            eviction: EvictionPolicy::Quorum,
+            ..config(8)
+        },
         0.0,
     );
     (0..8).for_each(|i| net.start(i, 0));
@@ -156,7 +200,10 @@
     net.run_until(200 * SECOND);
     net.evict(0, 4);
     net.run_until(230 * SECOND);
-    assert_eq!((net.node(0).view().count, net.node(5).view().count), (10, 11));
+    assert_eq!(
+        (net.node(0).view().count, net.node(5).view().count),
+        (10, 11)
+    );
     net.heal();
     net.run_until(231 * SECOND);
     assert_eq!(net.watch_until(330 * SECOND), 10);
@@ -170,8 +217,18 @@
 #[test]
 fn views_have_a_version_and_agreeing_views_one_digest() {
     let mut net = settled(2);
-    let digests = |net: &Network| net.views().iter().map(|v| v.tag.digest).collect::<BTreeSet<_>>();
-    let numbers = |net: &Network| net.views().iter().map(|v| v.tag.version).collect::<Vec<_>>();
+    let digests = |net: &Network| {
+        net.views()
+            .iter()
+            .map(|v| v.tag.digest)
+            .collect::<BTreeSet<_>>()
+    };
+    let numbers = |net: &Network| {
+        net.views()
+            .iter()
+            .map(|v| v.tag.version)
+            .collect::<Vec<_>>()
+    };
     assert_eq!(digests(&net).len(), 1);
     let (digest, before) = (digests(&net), numbers(&net));
     net.kill(3);
@@ -181,7 +238,10 @@
     net.run_until(130 * SECOND);
     assert_eq!(digests(&net).len(), 1);
     assert_ne!(digests(&net), digest);
-    assert_eq!(numbers(&net).iter().max(), before.iter().max().map(|n| n + 1).as_ref());
+    assert_eq!(
+        numbers(&net).iter().max(),
+        before.iter().max().map(|n| n + 1).as_ref()
+    );
 }
 
 #[test]
@@ -218,7 +278,11 @@
     // With half of the members it is not confirmed either: as many may be on the other side of a partition.
     (1..15).for_each(|i| net.start(i, 400 * SECOND));
     net.run_until(470 * SECOND);
-    assert!(net.views().iter().all(|v| v.count == 30 && v.alive == 15), "{:?}", net.views()[0]);
+    assert!(
+        net.views().iter().all(|v| v.count == 30 && v.alive == 15),
+        "{:?}",
+        net.views()[0]
+    );
     // With one more it is, once it has listened.
     net.start(15, 470 * SECOND);
     net.run_until(490 * SECOND);
@@ -266,10 +330,20 @@
         let mut net = settled(seed);
         net.cut(Parties::All, only(5), 60 * SECOND);
         let lowest = net.watch_until(100 * SECOND);
-        assert_eq!((lowest, net.counters().declared_dead), (12, 0), "seed {seed}");
+        assert_eq!(
+            (lowest, net.counters().declared_dead),
+            (12, 0),
+            "seed {seed}"
+        );
         net.run_until(140 * SECOND);
-        assert!(agreed(&net, 12) && net.views().iter().all(|v| v.alive == 12), "seed {seed}");
-        assert!(net.node(5).counters().isolations >= 1, "it noticed its isolation");
+        assert!(
+            agreed(&net, 12) && net.views().iter().all(|v| v.alive == 12),
+            "seed {seed}"
+        );
+        assert!(
+            net.node(5).counters().isolations >= 1,
+            "it noticed its isolation"
+        );
     }
 }
 
@@ -279,7 +353,9 @@
     net.cut(only(5), Parties::All, 60 * SECOND);
     let lowest = net.watch_until(95 * SECOND);
     assert_eq!(lowest, 12);
-    assert!((0..12).filter(|i| *i != 5).all(|i| net.node(i).view().alive == 11));
+    assert!((0..12)
+        .filter(|i| *i != 5)
+        .all(|i| net.node(i).view().alive == 11));
     net.run_until(140 * SECOND);
     assert!(agreed(&net, 12) && net.views().iter().all(|v| v.alive == 12));
 }
@@ -300,14 +376,25 @@
             apart,
             "seed {seed}: no further member is declared dead as the partition heals"
         );
-        assert!(agreed(&net, 12) && net.views().iter().all(|v| v.alive == 12), "seed {seed}");
-        assert!((0..12).any(|i| net.node(i).counters().uncorroborated > 0), "and deaths were reported");
+        assert!(
+            agreed(&net, 12) && net.views().iter().all(|v| v.alive == 12),
+            "seed {seed}"
+        );
+        assert!(
+            (0..12).any(|i| net.node(i).counters().uncorroborated > 0),
+            "and deaths were reported"
+        );
     }
 }
 
 #[test]
 fn pauses_declare_nobody_dead() {
-    for (seed, lasts) in [(0, 100 * MS), (1, SECOND), (2, 4 * SECOND), (3, 10 * SECOND)] {
+    for (seed, lasts) in [
+        (0, 100 * MS),
+        (1, SECOND),
+        (2, 4 * SECOND),
+        (3, 10 * SECOND),
+    ] {
         let mut net = settled(seed);
         let mut at = 40 * SECOND;
         for round in 0..10 {
@@ -318,9 +405,15 @@
             assert_eq!(net.watch_until(at), 12, "{lasts}");
         }
         // Ten seconds are about the suspicion timeout; a shorter pause is never taken for a death.
-        assert!(lasts == 10 * SECOND || net.counters().declared_dead == 0, "{lasts}");
+        assert!(
+            lasts == 10 * SECOND || net.counters().declared_dead == 0,
+            "{lasts}"
+        );
         net.run_until(at + 60 * SECOND);
-        assert!(agreed(&net, 12) && net.views().iter().all(|v| v.alive == 12), "{lasts}");
+        assert!(
+            agreed(&net, 12) && net.views().iter().all(|v| v.alive == 12),
+            "{lasts}"
+        );
     }
 }
 
@@ -346,7 +439,10 @@
         net.run_until(40 * SECOND + 16 * SECOND);
         assert!(net.counters().declared_dead > 0, "seed {seed}");
         net.run_until(40 * SECOND + 30 * SECOND);
-        assert!(net.views().iter().all(|v| v.alive == 11 && v.count == 12), "seed {seed}");
+        assert!(
+            net.views().iter().all(|v| v.alive == 11 && v.count == 12),
+            "seed {seed}"
+        );
     }
 }
 
@@ -354,9 +450,19 @@
 /// partition lasts and whichever nodes are killed; a quorum that may evict takes up to half as much again.
 #[test]
 fn the_quota_shares_sum_to_at_most_one_during_partitions_and_kills() {
-    for (eviction, max_share_sum) in [(EvictionPolicy::Operator, 1.0), (EvictionPolicy::Quorum, 1.5)] {
-        let mut net =
-            Network::new(4, MembershipConfig { dead_retention: 30 * SECOND, eviction, ..config(20) }, 0.1);
+    for (eviction, max_share_sum) in [
+        (EvictionPolicy::Operator, 1.0),
+        (EvictionPolicy::Quorum, 1.5),
+    ] {
+        let mut net = Network::new(
+            4,
+            MembershipConfig {
+                dead_retention: 30 * SECOND,
+                eviction,
+                ..config(20)
+            },
+            0.1,
+        );
         (0..20).for_each(|i| net.start(i, i as i64 * SECOND / 20));
         net.run_until(60 * SECOND);
         net.split(|i| i < 7);
@@ -370,7 +476,11 @@
         net.run_until(700 * SECOND);
         (7..17).for_each(|i| net.kill(i));
         net.run_until(900 * SECOND);
-        assert!(net.share_sum <= max_share_sum + 1e-9, "{eviction:?}: {}", net.share_sum);
+        assert!(
+            net.share_sum <= max_share_sum + 1e-9,
+            "{eviction:?}: {}",
+            net.share_sum
+        );
         assert!(
             eviction == EvictionPolicy::Operator || net.share_sum > 1.2,
             "the cost of a quorum: {}",
@@ -385,7 +495,11 @@
     let mut net = settled(5);
     (12..24).for_each(|i| net.start(i, 40 * SECOND));
     net.run_until(49 * SECOND);
-    assert!(net.share_sum <= 2.0, "before any node knows them: {}", net.share_sum);
+    assert!(
+        net.share_sum <= 2.0,
+        "before any node knows them: {}",
+        net.share_sum
+    );
     net.share_sum = 0.0;
     net.run_until(200 * SECOND);
     assert!(net.share_sum <= 1.0 + 1e-9, "{}", net.share_sum);
@@ -402,8 +516,17 @@
     // Seven in ten nodes are killed, all seeds among them, and all but the seeds restart: no seed answers.
     let killed: Vec<usize> = (0..all).filter(|i| i % 10 < 7).collect();
     killed.iter().for_each(|i| net.kill(*i));
-    killed.iter().filter(|i| **i >= 3).for_each(|i| net.start(*i, 61 * SECOND));
+    killed
+        .iter()
+        .filter(|i| **i >= 3)
+        .for_each(|i| net.start(*i, 61 * SECOND));
     assert_eq!(net.watch_until(120 * SECOND), all);
-    assert!(net.views().iter().all(|v| v.count == all && v.alive == all - 3), "{:?}", net.views()[0]);
+    assert!(
+        net.views()
+            .iter()
+            .all(|v| v.count == all && v.alive == all - 3),
+        "{:?}",
+        net.views()[0]
+    );
     assert!(net.share_sum <= 1.0 + 1e-9, "{}", net.share_sum);
 }
--- a/crates/gossip/tests/recorded.rs
+++ b/crates/gossip/tests/recorded.rs
@@ -32,14 +32,21 @@
         record(2, MemberState::Dead),
         record(3, MemberState::Left),
     ];
-    let tag = ViewTag { version: 42, digest: 0x0123_4567_89ab_cdef };
+    let tag = ViewTag {
+        version: 42,
+        digest: 0x0123_4567_89ab_cdef,
+    };
     [
         Packet {
             message: Message::IndirectProbe(17, address(9_001)),
             records: records.clone(),
             view_tag: None,
         },
-        Packet { message: Message::Probe(18), records, view_tag: Some(tag) },
+        Packet {
+            message: Message::Probe(18),
+            records,
+            view_tag: Some(tag),
+        },
     ]
 }
 
@@ -64,10 +71,15 @@
     let keys = Keys::read(KEY_FILE).expect("a key");
     let mut authenticator = Authenticator::new(address(7_001), SENDER_INCARNATION);
     for (datagram, packet) in [FIRST_FORMAT, SECOND_FORMAT].into_iter().zip(packets()) {
-        assert_eq!(authenticator.authenticate(&packet, &keys).as_deref(), Some(datagram));
+        assert_eq!(
+            authenticator.authenticate(&packet, &keys).as_deref(),
+            Some(datagram)
+        );
     }
     assert_eq!(
-        authenticator.authenticate_message(b"load of three engines", &keys).as_deref(),
+        authenticator
+            .authenticate_message(b"load of three engines", &keys)
+            .as_deref(),
         Some(APPLICATION_MESSAGE)
     );
 }
--- a/crates/net/src/bind.rs
+++ b/crates/net/src/bind.rs
@@ -10,7 +10,11 @@
 /// # Errors
 /// If the address cannot be bound.
 pub fn listen(address: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
-    let socket = socket2::Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+    let socket = socket2::Socket::new(
+        Domain::for_address(address),
+        Type::STREAM,
+        Some(Protocol::TCP),
+    )?;
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -14,9 +14,14 @@
 impl Clock {
     /// A clock that starts now.
     pub fn start() -> Clock {
-        let wall = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+        let wall = SystemTime::now()
+            .duration_since(SystemTime::UNIX_EPOCH)
+            .unwrap_or_default();
         let wall_at_start = i64::try_from(wall.as_micros()).unwrap_or(0);
-        Clock { started_at: Instant::now(), wall_at_start }
+        Clock {
+            started_at: Instant::now(),
+            wall_at_start,
+        }
     }
 
     /// The time in microseconds.
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -16,7 +16,12 @@
 /// # Errors
 /// Those of the system; `InvalidData` for what is no response or exceeds `max_bytes`; `UnexpectedEof` for an incomplete
 /// response.
-pub fn get(address: SocketAddr, path: &str, timeout: Duration, max_bytes: usize) -> io::Result<Response> {
+pub fn get(
+    address: SocketAddr,
+    path: &str,
+    timeout: Duration,
+    max_bytes: usize,
+) -> io::Result<Response> {
     let mut stream = TcpStream::connect_timeout(&address, timeout)?;
     stream.set_read_timeout(Some(timeout))?;
     stream.set_write_timeout(Some(timeout))?;
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -35,7 +35,11 @@
     ///
     /// # Errors
     /// If it cannot be registered.
-    pub fn from_accepted(stream: TcpStream, registry: &Registry, token: Token) -> io::Result<Socket> {
+    pub fn from_accepted(
+        stream: TcpStream,
+        registry: &Registry,
+        token: Token,
+    ) -> io::Result<Socket> {
         Socket::register(stream, true, registry, token)
     }
 
@@ -57,12 +61,17 @@
         registry: &Registry,
         token: Token,
     ) -> io::Result<Socket> {
-        let socket = socket2::Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+        let socket = socket2::Socket::new(
+            Domain::for_address(address),
+            Type::STREAM,
+            Some(Protocol::TCP),
+        )?;
         socket.set_nonblocking(true)?;
         socket.bind(&source.into())?;
         match socket.connect(&address.into()) {
             Err(e)
-                if e.kind() != io::ErrorKind::WouldBlock && e.raw_os_error() != Some(CONNECT_IN_PROGRESS) =>
+                if e.kind() != io::ErrorKind::WouldBlock
+                    && e.raw_os_error() != Some(CONNECT_IN_PROGRESS) =>
             {
                 return Err(e)
             }
@@ -78,8 +87,9 @@
         token: Token,
     ) -> io::Result<Socket> {
         let _ = stream.set_nodelay(true);
-        let keepalive =
-            socket2::TcpKeepalive::new().with_time(KEEPALIVE_IDLE).with_interval(KEEPALIVE_INTERVAL);
+        let keepalive = socket2::TcpKeepalive::new()
+            .with_time(KEEPALIVE_IDLE)
+            .with_interval(KEEPALIVE_INTERVAL);
         let _ = socket2::SockRef::from(&stream).set_tcp_keepalive(&keepalive);
         registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
         Ok(Socket {
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -37,7 +37,11 @@
             Some(source) => Socket::connect_from(source, address, registry, token)?,
             None => Socket::connect(address, registry, token)?,
         };
-        Ok(Stream { socket, input: BytesMut::new(), output: BytesMut::new() })
+        Ok(Stream {
+            socket,
+            input: BytesMut::new(),
+            output: BytesMut::new(),
+        })
     }
 
     /// Takes note of an event of the poll.
--- a/crates/platform/src/abandonment/tests.rs
+++ b/crates/platform/src/abandonment/tests.rs
@@ -8,10 +8,23 @@
     abandonments.record_dispatch(QueryId(1), 101_000);
     abandonments.record_dispatch(QueryId(2), 101_001);
     abandonments.record_dispatch(QueryId(3), 900_000);
-    assert_eq!(abandonments.counts, AbandonmentCounts { waiting: 1, forwarded: 2, forwarded_late: 1 });
+    assert_eq!(
+        abandonments.counts,
+        AbandonmentCounts {
+            waiting: 1,
+            forwarded: 2,
+            forwarded_late: 1
+        }
+    );
     for number in 10..10 + MAX_REMEMBERED as u64 {
         abandonments.record_abandonment(QueryId(number), QueryLocation::Waiting, 2_000);
     }
     abandonments.record_dispatch(QueryId(1), 900_000);
-    assert_eq!((abandonments.counts.forwarded, abandonments.abandoned_at.len()), (2, MAX_REMEMBERED));
+    assert_eq!(
+        (
+            abandonments.counts.forwarded,
+            abandonments.abandoned_at.len()
+        ),
+        (2, MAX_REMEMBERED)
+    );
 }
--- a/crates/platform/src/bootstrap.rs
+++ b/crates/platform/src/bootstrap.rs
@@ -97,7 +97,12 @@
 
 /// A whole number, which may be written with a decimal point.
 fn whole_number(value: &serde_json::Value) -> Option<i64> {
-    value.as_i64().or_else(|| value.as_f64().filter(|x| x.fract() == 0.0).map(|x| x as i64))
+    value.as_i64().or_else(|| {
+        value
+            .as_f64()
+            .filter(|x| x.fract() == 0.0)
+            .map(|x| x as i64)
+    })
 }
 
 /// An executor as the configuration or the name service lists it.
@@ -260,8 +265,8 @@
             return Err(BootstrapError::Classes);
         }
         let protocol_limits = ProtocolLimits::parse(&file.settings)?;
-        let seed =
-            u64::from_str_radix(&file.seed, 16).map_err(|_| BootstrapError::Seed(file.seed.clone()))?;
+        let seed = u64::from_str_radix(&file.seed, 16)
+            .map_err(|_| BootstrapError::Seed(file.seed.clone()))?;
         Ok(BootstrapConfig {
             name: file.name,
             listen: file.listen,
--- a/crates/platform/src/clients/connection.rs
+++ b/crates/platform/src/clients/connection.rs
@@ -108,9 +108,11 @@
 
     /// Whether no request is being processed, arriving or expected, and nothing is left to write.
     pub fn is_idle(&self, now: i64) -> bool {
-        let expects_request = !self.has_sent_request && now - self.active_at < FIRST_REQUEST_GRACE_US;
-        let has_request =
-            self.state == ClientState::Processing || self.has_unread_input || !self.buffer.input.is_empty();
+        let expects_request =
+            !self.has_sent_request && now - self.active_at < FIRST_REQUEST_GRACE_US;
+        let has_request = self.state == ClientState::Processing
+            || self.has_unread_input
+            || !self.buffer.input.is_empty();
         !expects_request && !has_request && self.buffer.output.is_empty()
     }
 
@@ -140,10 +142,13 @@
     /// The timeout that has passed, if any.
     pub fn expired_timeout(&self, now: i64) -> Option<ExpiredTimeout> {
         let has_output = !self.buffer.output.is_empty();
-        let request_due_since =
-            self.request_started_at.or((!self.has_sent_request).then_some(self.active_at));
+        let request_due_since = self
+            .request_started_at
+            .or((!self.has_sent_request).then_some(self.active_at));
         match self.state {
-            ClientState::Draining { until, .. } if now >= until && !has_output => Some(ExpiredTimeout::Close),
+            ClientState::Draining { until, .. } if now >= until && !has_output => {
+                Some(ExpiredTimeout::Close)
+            }
             _ if has_output && now - self.write_progress_at > WRITE_STALL_TIMEOUT_US => {
                 Some(ExpiredTimeout::Close)
             }
@@ -155,7 +160,9 @@
                     None => Some(ExpiredTimeout::Close),
                 }
             }
-            ClientState::AwaitingRequest if !has_output && now - self.active_at > IDLE_TIMEOUT_US => {
+            ClientState::AwaitingRequest
+                if !has_output && now - self.active_at > IDLE_TIMEOUT_US =>
+            {
                 Some(ExpiredTimeout::Close)
             }
             _ => None,
--- a/crates/platform/src/clients/mod.rs
+++ b/crates/platform/src/clients/mod.rs
@@ -51,7 +51,11 @@
 impl Clients {
     /// Creates an empty table of at most so many clients.
     pub fn new(max_clients: usize) -> Clients {
-        Clients { max_clients, connections: ConnectionTable::new(OWNER), counters: ClientCounters::default() }
+        Clients {
+            max_clients,
+            connections: ConnectionTable::new(OWNER),
+            counters: ClientCounters::default(),
+        }
     }
 
     /// Accepts a client, closing another one if needed; `None` if all others are in use.
@@ -67,9 +71,13 @@
     /// Closes the connection with the lowest eviction rank. Returns whether there was one.
     fn evict_one(&mut self, out: &mut EffectQueue<TimerEvent>) -> bool {
         let now = out.now;
-        let candidates =
-            self.connections.iter().filter_map(|(id, client)| Some((client.eviction_rank(now)?, id)));
-        let Some((_, id)) = candidates.min_by_key(|(rank, _)| *rank) else { return false };
+        let candidates = self
+            .connections
+            .iter()
+            .filter_map(|(id, client)| Some((client.eviction_rank(now)?, id)));
+        let Some((_, id)) = candidates.min_by_key(|(rank, _)| *rank) else {
+            return false;
+        };
         self.counters.evicted += 1;
         self.close(id, out);
         true
@@ -82,7 +90,9 @@
 
     /// The buffer of a connection.
     pub fn buffer(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
-        self.connections.get_mut(id).map(|client| &mut client.buffer)
+        self.connections
+            .get_mut(id)
+            .map(|client| &mut client.buffer)
     }
 
     /// Records that input arrived on a connection, which is examined after all other events of this turn.
@@ -94,14 +104,16 @@
 
     /// Bytes that may be read from a connection.
     pub fn read_capacity(&mut self, id: ConnId) -> usize {
-        self.connections
-            .get_mut(id)
-            .map_or(0, |client| client.buffer.read_capacity(client.state.max_input_bytes()))
+        self.connections.get_mut(id).map_or(0, |client| {
+            client.buffer.read_capacity(client.state.max_input_bytes())
+        })
     }
 
     /// Records that so many bytes of a response were written. A client that has closed its side is closed after the last byte.
     pub fn bytes_written(&mut self, id: ConnId, count: usize, out: &mut EffectQueue<TimerEvent>) {
-        let Some(client) = self.connections.get_mut(id) else { return };
+        let Some(client) = self.connections.get_mut(id) else {
+            return;
+        };
         client.write_progress_at = out.now;
         if client.buffer.advance_written(count) && client.buffer.read_closed {
             self.close(id, out);
@@ -109,7 +121,11 @@
     }
 
     /// Takes the next request from the input of a connection, if it is complete and valid. An invalid one is answered here.
-    pub fn next_request(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) -> Option<ClientRequest> {
+    pub fn next_request(
+        &mut self,
+        id: ConnId,
+        out: &mut EffectQueue<TimerEvent>,
+    ) -> Option<ClientRequest> {
         let client = self.connections.get_mut(id)?;
         client.has_unread_input = false;
         match client.state {
@@ -129,7 +145,9 @@
         }
         if client.buffer.input.is_empty() {
             client.request_started_at = None;
-            client.buffer.resume_reading(id, client.state.max_input_bytes(), out);
+            client
+                .buffer
+                .resume_reading(id, client.state.max_input_bytes(), out);
             return None;
         }
         client.request_started_at = client.request_started_at.or(Some(out.now));
@@ -146,15 +164,28 @@
     }
 
     /// Drops the input of a connection that is closed after its last response.
-    fn drain_input(&mut self, id: ConnId, until: i64, bytes_left: usize, out: &mut EffectQueue<TimerEvent>) {
-        let Some(client) = self.connections.get_mut(id) else { return };
+    fn drain_input(
+        &mut self,
+        id: ConnId,
+        until: i64,
+        bytes_left: usize,
+        out: &mut EffectQueue<TimerEvent>,
+    ) {
+        let Some(client) = self.connections.get_mut(id) else {
+            return;
+        };
         let received = client.buffer.input.len();
         client.buffer.input.clear();
-        client.state = ClientState::Draining { until, bytes_left: bytes_left.saturating_sub(received) };
+        client.state = ClientState::Draining {
+            until,
+            bytes_left: bytes_left.saturating_sub(received),
+        };
         if client.buffer.read_closed || received > bytes_left {
             self.close(id, out);
         } else {
-            client.buffer.resume_reading(id, client.state.max_input_bytes(), out);
+            client
+                .buffer
+                .resume_reading(id, client.state.max_input_bytes(), out);
         }
     }
 
@@ -170,14 +201,23 @@
         client.close_after_response = head.close;
         client.state = ClientState::Processing;
         client.active_at = out.now;
-        client.buffer.input.advance(head.total_length - head.body_length);
+        client
+            .buffer
+            .input
+            .advance(head.total_length - head.body_length);
         // A copy, so that the memory of the input is free again.
         let body = Bytes::copy_from_slice(&client.buffer.input.split_to(head.body_length));
-        client.buffer.resume_reading(id, client.state.max_input_bytes(), out);
+        client
+            .buffer
+            .resume_reading(id, client.state.max_input_bytes(), out);
         match head.kind {
             Ok(kind) => {
                 client.has_sent_request = true;
-                Some(ClientRequest { client: id, kind, body })
+                Some(ClientRequest {
+                    client: id,
+                    kind,
+                    body,
+                })
             }
             Err(error) => {
                 self.reject_request(id, error, out);
@@ -187,7 +227,12 @@
     }
 
     /// Answers an invalid request.
-    pub fn reject_request(&mut self, id: ConnId, error: RequestError, out: &mut EffectQueue<TimerEvent>) {
+    pub fn reject_request(
+        &mut self,
+        id: ConnId,
+        error: RequestError,
+        out: &mut EffectQueue<TimerEvent>,
+    ) {
         self.counters.invalid += 1;
         if let Some(client) = self.connections.get_mut(id) {
             client.close_after_response |= error.ends_connection();
@@ -197,27 +242,42 @@
 
     /// Writes the response to the current request.
     pub fn respond(&mut self, id: ConnId, reply: &Reply, out: &mut EffectQueue<TimerEvent>) {
-        let Some(client) = self.connections.get_mut(id) else { return };
-        http_server::write_reply(reply, client.close_after_response, &mut client.buffer.output);
+        let Some(client) = self.connections.get_mut(id) else {
+            return;
+        };
+        http_server::write_reply(
+            reply,
+            client.close_after_response,
+            &mut client.buffer.output,
+        );
         client.active_at = out.now;
         client.write_progress_at = out.now;
         client.state = if client.close_after_response {
-            ClientState::Draining { until: out.now + DRAIN_TIME_US, bytes_left: MAX_DRAIN_BYTES }
+            ClientState::Draining {
+                until: out.now + DRAIN_TIME_US,
+                bytes_left: MAX_DRAIN_BYTES,
+            }
         } else {
             ClientState::AwaitingRequest
         };
         client.buffer.flush(id, out);
-        client.buffer.resume_reading(id, client.state.max_input_bytes(), out);
+        client
+            .buffer
+            .resume_reading(id, client.state.max_input_bytes(), out);
     }
 
     /// Whether a request of this client is being processed.
     pub fn is_processing(&self, id: ConnId) -> bool {
-        self.connections.get(id).is_some_and(|client| client.state == ClientState::Processing)
+        self.connections
+            .get(id)
+            .is_some_and(|client| client.state == ClientState::Processing)
     }
 
     /// Whether a client has closed its side of the connection.
     pub fn has_left(&self, id: ConnId) -> bool {
-        self.connections.get(id).is_some_and(ClientConnection::has_left)
+        self.connections
+            .get(id)
+            .is_some_and(ClientConnection::has_left)
     }
 
     /// Closes a connection.
@@ -235,10 +295,16 @@
             .iter()
             .filter_map(|(id, client)| Some((id, client.expired_timeout(now)?)))
             .collect();
-        for (id, _) in expired.iter().filter(|(_, timeout)| *timeout == ExpiredTimeout::RejectRequest) {
+        for (id, _) in expired
+            .iter()
+            .filter(|(_, timeout)| *timeout == ExpiredTimeout::RejectRequest)
+        {
             self.reject_request(*id, RequestError::TimedOut, out);
         }
-        for (id, _) in expired.iter().filter(|(_, timeout)| *timeout == ExpiredTimeout::Close) {
+        for (id, _) in expired
+            .iter()
+            .filter(|(_, timeout)| *timeout == ExpiredTimeout::Close)
+        {
             self.counters.evicted += 1;
             self.close(*id, out);
         }
@@ -246,13 +312,19 @@
 
     /// Closes all idle connections. The others are closed by a later call, after their response.
     pub fn close_idle(&mut self, out: &mut EffectQueue<TimerEvent>) {
-        let idle: Vec<ConnId> =
-            self.connections.iter().filter(|(_, client)| client.is_idle(out.now)).map(|(id, _)| id).collect();
+        let idle: Vec<ConnId> = self
+            .connections
+            .iter()
+            .filter(|(_, client)| client.is_idle(out.now))
+            .map(|(id, _)| id)
+            .collect();
         idle.into_iter().for_each(|id| self.close(id, out));
     }
 
     /// Whether a request or response of some client is outstanding.
     pub fn has_outstanding(&self, now: i64) -> bool {
-        self.connections.iter().any(|(_, client)| !client.is_idle(now))
+        self.connections
+            .iter()
+            .any(|(_, client)| !client.is_idle(now))
     }
 }
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -119,7 +119,9 @@
     }
 
     fn answers_open_query(&self, message: &Message) -> bool {
-        let [query] = &message.queries[..] else { return false };
+        let [query] = &message.queries[..] else {
+            return false;
+        };
         message.metadata.message_type == MessageType::Response
             && self.open_queries.contains(&message.metadata.id)
             && Some(&query.name) == self.service.as_ref()
@@ -129,10 +131,13 @@
 
 /// The serial number of the list: that of the SOA record.
 fn find_serial(message: &Message) -> Option<u64> {
-    message.authorities.iter().find_map(|record| match &record.data {
-        RData::SOA(soa) => Some(u64::from(soa.serial)),
-        _ => None,
-    })
+    message
+        .authorities
+        .iter()
+        .find_map(|record| match &record.data {
+            RData::SOA(soa) => Some(u64::from(soa.serial)),
+            _ => None,
+        })
 }
 
 /// The records on the hosts of an answer, by lower-case name.
@@ -149,11 +154,18 @@
         for record in message.all_sections() {
             match &record.data {
                 RData::A(address) => {
-                    hosts.addresses.insert(record.name.to_lowercase(), address.0);
+                    hosts
+                        .addresses
+                        .insert(record.name.to_lowercase(), address.0);
                 }
                 RData::TXT(text) => {
-                    let pairs = text.txt_data.iter().map(|t| String::from_utf8_lossy(t).into_owned());
-                    hosts.properties.insert(record.name.to_lowercase(), pairs.collect());
+                    let pairs = text
+                        .txt_data
+                        .iter()
+                        .map(|t| String::from_utf8_lossy(t).into_owned());
+                    hosts
+                        .properties
+                        .insert(record.name.to_lowercase(), pairs.collect());
                 }
                 _ => {}
             }
@@ -175,22 +187,37 @@
 }
 
 fn parse_executor(service: &SRV, hosts: &HostRecords) -> Option<ExecutorEndpoint> {
-    let mut labels = service.target.iter().map(|label| String::from_utf8_lossy(label).into_owned());
+    let mut labels = service
+        .target
+        .iter()
+        .map(|label| String::from_utf8_lossy(label).into_owned());
     let (name, zone) = (labels.next()?, labels.next()?);
     let host = service.target.to_lowercase();
     let address = IpAddr::V4(*hosts.addresses.get(&host)?);
     let properties = hosts.properties.get(&host)?;
     let property = |key: &str| {
-        properties.iter().filter_map(|pair| pair.split_once('=')).find(|(k, _)| *k == key).map(|(_, v)| v)
+        properties
+            .iter()
+            .filter_map(|pair| pair.split_once('='))
+            .find(|(k, _)| *k == key)
+            .map(|(_, v)| v)
+    };
+    let number = |key: &str| {
+        property(key)
+            .and_then(|value| value.parse::<i64>().ok())
+            .unwrap_or(0)
     };
-    let number = |key: &str| property(key).and_then(|value| value.parse::<i64>().ok()).unwrap_or(0);
     Some(ExecutorEndpoint {
         name,
         address: SocketAddr::new(address, service.port),
         zone,
         kind: property("kind")?.to_string(),
         cell: number("cell"),
-        status: if service.priority == 0 { Status::Up } else { Status::Draining },
+        status: if service.priority == 0 {
+            Status::Up
+        } else {
+            Status::Draining
+        },
         started_at: start_time(number("started")),
     })
 }
--- a/crates/platform/src/dispatcher/attempts.rs
+++ b/crates/platform/src/dispatcher/attempts.rs
@@ -14,7 +14,11 @@
     /// Carries out an instruction of the driver.
     pub(super) fn execute_instruction(&mut self, instruction: Instruction) {
         match instruction {
-            Instruction::Start { attempt, engine, options } => self.start_attempt(attempt, engine, options),
+            Instruction::Start {
+                attempt,
+                engine,
+                options,
+            } => self.start_attempt(attempt, engine, options),
             Instruction::SetOptions(attempt, options) => {
                 self.executors.set_options(attempt, options, &mut self.out);
             }
@@ -37,20 +41,24 @@
     }
 
     fn start_attempt(&mut self, attempt: AttemptId, engine: EngineId, options: AttemptOptions) {
-        let Some(in_flight) = self.in_flight.get(attempt.query) else { return };
+        let Some(in_flight) = self.in_flight.get(attempt.query) else {
+            return;
+        };
         let pending = PendingAttempt::new(attempt, in_flight.id, options);
         self.executors.launch(engine, pending, &mut self.out);
     }
 
     /// Answers a query that was not served.
     fn answer_query(&mut self, query: QueryId, answer: &Answer) {
-        let Some(in_flight) = self.in_flight.remove(query) else { return };
+        let Some(in_flight) = self.in_flight.remove(query) else {
+            return;
+        };
         debug!(id = %in_flight.id, ?answer, "query answered");
         let reply = match answer {
             // Rounded up to whole milliseconds.
-            Answer::Rejected { retry_after } => {
-                Reply::Rejected { retry_after_ms: (retry_after.0 + 999) / 1000 }
-            }
+            Answer::Rejected { retry_after } => Reply::Rejected {
+                retry_after_ms: (retry_after.0 + 999) / 1000,
+            },
             Answer::Failed { .. } | Answer::Interrupted => Reply::Failed,
         };
         self.respond(in_flight.client, &reply);
@@ -61,7 +69,12 @@
         self.in_flight.mark_returned(attempt.query);
         if self.driver.decision_engine().is_in_flight(attempt) {
             let report = LoadReport::default();
-            let input = Input::AttemptEnded { attempt, outcome, reported_work: None, report };
+            let input = Input::AttemptEnded {
+                attempt,
+                outcome,
+                reported_work: None,
+                report,
+            };
             self.driver.handle_input(self.out.now, input);
         }
     }
@@ -75,18 +88,30 @@
 
     fn write_request(&mut self, connection: ConnId, attempt: PendingAttempt) {
         let decision_engine = self.driver.decision_engine();
-        let deadline = decision_engine.driver().and_then(|driver| driver.timeout_at(attempt.id));
+        let deadline = decision_engine
+            .driver()
+            .and_then(|driver| driver.timeout_at(attempt.id));
         let may_write = decision_engine.may_write(Micros(self.out.now), attempt.id);
         let Some(in_flight) = self.in_flight.get(attempt.id.query).filter(|_| may_write) else {
             self.end_attempt(attempt.id, Outcome::NeverSent);
             return;
         };
-        let Some(class) = self.names.classes.get(in_flight.class) else { return };
+        let Some(class) = self.names.classes.get(in_flight.class) else {
+            return;
+        };
         // Rounded up to whole milliseconds.
-        let limit_ms = deadline.map_or(1, |at| (at.0 - self.out.now + 999) / 1000).max(1);
+        let limit_ms = deadline
+            .map_or(1, |at| (at.0 - self.out.now + 999) / 1000)
+            .max(1);
         let nonce = in_flight.nonce.as_deref();
-        let request = Request { class, limit_ms, nonce, statement: &in_flight.statement };
-        self.executors.write_request(connection, attempt, &request, &mut self.out);
+        let request = Request {
+            class,
+            limit_ms,
+            nonce,
+            statement: &in_flight.statement,
+        };
+        self.executors
+            .write_request(connection, attempt, &request, &mut self.out);
     }
 
     /// Passes what has become of an attempt to the driver.
@@ -94,11 +119,14 @@
         match event {
             AttemptEvent::Dispatched(attempt, id) => {
                 self.in_flight.mark_dispatched(attempt.query, id);
-                self.abandonments.record_dispatch(attempt.query, self.out.now);
-                self.driver.handle_input(self.out.now, Input::Dispatched(attempt));
+                self.abandonments
+                    .record_dispatch(attempt.query, self.out.now);
+                self.driver
+                    .handle_input(self.out.now, Input::Dispatched(attempt));
             }
             AttemptEvent::Updated(attempt, update) => {
-                self.driver.handle_input(self.out.now, Input::AttemptUpdated(attempt, update));
+                self.driver
+                    .handle_input(self.out.now, Input::AttemptUpdated(attempt, update));
             }
             AttemptEvent::Ended(ended) => self.handle_ended_attempt(*ended),
         }
@@ -106,11 +134,27 @@
 
     /// Passes the end of an attempt to the driver, and its result to the client.
     fn handle_ended_attempt(&mut self, ended: EndedAttempt) {
-        let EndedAttempt { attempt, outcome, billed_work, report, pages } = ended;
+        let EndedAttempt {
+            attempt,
+            outcome,
+            billed_work,
+            report,
+            pages,
+        } = ended;
         self.in_flight.mark_returned(attempt.query);
-        let is_answer = outcome == Outcome::Served && self.driver.decision_engine().may_answer(attempt);
-        let answered = if is_answer { self.in_flight.remove(attempt.query) } else { None };
-        let input = Input::AttemptEnded { attempt, outcome, reported_work: billed_work, report };
+        let is_answer =
+            outcome == Outcome::Served && self.driver.decision_engine().may_answer(attempt);
+        let answered = if is_answer {
+            self.in_flight.remove(attempt.query)
+        } else {
+            None
+        };
+        let input = Input::AttemptEnded {
+            attempt,
+            outcome,
+            reported_work: billed_work,
+            report,
+        };
         self.driver.handle_input(self.out.now, input);
         if let Some(in_flight) = answered {
             debug!(id = %in_flight.id, "query served");
--- a/crates/platform/src/dispatcher/lifecycle.rs
+++ b/crates/platform/src/dispatcher/lifecycle.rs
@@ -20,17 +20,24 @@
         match event {
             TimerEvent::QueryDiscovery => {
                 self.query_discovery();
-                self.out.set_timer_after(discovery::POLL_INTERVAL_US, TimerEvent::QueryDiscovery);
+                self.out
+                    .set_timer_after(discovery::POLL_INTERVAL_US, TimerEvent::QueryDiscovery);
             }
             TimerEvent::CheckConnections => {
                 self.check_connections();
-                self.out.set_timer_after(CHECK_INTERVAL_US, TimerEvent::CheckConnections);
+                self.out
+                    .set_timer_after(CHECK_INTERVAL_US, TimerEvent::CheckConnections);
+            }
+            TimerEvent::ConnectTimeout(id) => {
+                self.executors.handle_connect_timeout(id, &mut self.out)
+            }
+            TimerEvent::ReleaseDelayed(attempt) => {
+                self.executors.release_delayed(attempt, &mut self.out)
             }
-            TimerEvent::ConnectTimeout(id) => self.executors.handle_connect_timeout(id, &mut self.out),
-            TimerEvent::ReleaseDelayed(attempt) => self.executors.release_delayed(attempt, &mut self.out),
             TimerEvent::ShutdownDeadline => {
                 for query in self.in_flight.queries() {
-                    self.driver.handle_input(self.out.now, Input::ShutdownDeadline(query));
+                    self.driver
+                        .handle_input(self.out.now, Input::ShutdownDeadline(query));
                 }
             }
             TimerEvent::CloseIdleClients => self.clients.close_idle(&mut self.out),
@@ -57,16 +64,24 @@
     pub fn begin_shutdown(&mut self) {
         if let Some(schedule) = self.shutdown.begin(self.out.now) {
             info!(in_flight = self.in_flight.len(), "shutdown requested");
-            self.out.set_timer_at(schedule.close_idle_at, TimerEvent::CloseIdleClients);
-            self.out.set_timer_at(schedule.stop_listening_at, TimerEvent::StopListening);
-            self.out.set_timer_at(schedule.respond_by, TimerEvent::ShutdownDeadline);
+            self.out
+                .set_timer_at(schedule.close_idle_at, TimerEvent::CloseIdleClients);
+            self.out
+                .set_timer_at(schedule.stop_listening_at, TimerEvent::StopListening);
+            self.out
+                .set_timer_at(schedule.respond_by, TimerEvent::ShutdownDeadline);
         }
     }
 
     fn log_counters(&mut self) {
         self.counters_logged_at = self.out.now;
         self.policy_log_lines_left = MAX_POLICY_LOG_LINES;
-        let driver = self.driver.decision_engine().driver().map(Driver::counters).unwrap_or_default();
+        let driver = self
+            .driver
+            .decision_engine()
+            .driver()
+            .map(Driver::counters)
+            .unwrap_or_default();
         info!(
             in_flight = self.in_flight.len(),
             client_connections = self.clients.len(),
--- a/crates/platform/src/dispatcher/mod.rs
+++ b/crates/platform/src/dispatcher/mod.rs
@@ -67,16 +67,27 @@
 impl Dispatcher {
     /// Creates a dispatcher that has not started.
     pub fn new(config: BootstrapConfig, now: i64) -> Dispatcher {
-        let descriptors =
-            config.limits.sockets.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_CONNECTION_DESCRIPTORS);
+        let descriptors = config
+            .limits
+            .sockets
+            .saturating_sub(RESERVED_DESCRIPTORS)
+            .max(MIN_CONNECTION_DESCRIPTORS);
         let max_clients = descriptors * CLIENT_TENTHS / 10;
         let limits = config.protocol_limits;
-        let driver_limits =
-            DriverLimits { max_queries: limits.max_queries.max(1), ..DriverLimits::default() };
+        let driver_limits = DriverLimits {
+            max_queries: limits.max_queries.max(1),
+            ..DriverLimits::default()
+        };
         let classes = &config.settings.classes;
-        let longest_deadline_us = classes.iter().map(|class| class.deadline.0).max().unwrap_or(0);
-        let idempotent_classes =
-            classes.iter().map(|class| class.semantics == ExecutionSemantics::Idempotent).collect();
+        let longest_deadline_us = classes
+            .iter()
+            .map(|class| class.deadline.0)
+            .max()
+            .unwrap_or(0);
+        let idempotent_classes = classes
+            .iter()
+            .map(|class| class.semantics == ExecutionSemantics::Idempotent)
+            .collect();
         let own_index = config.settings.gateway_index as usize;
         let driver = Driver::new(config.settings, config.seed, driver_limits);
         Dispatcher {
@@ -112,7 +123,8 @@
         let executors = std::mem::take(&mut self.initial_executors);
         self.replace_executors(&executors);
         self.out.set_timer_after(0, TimerEvent::QueryDiscovery);
-        self.out.set_timer_after(CHECK_INTERVAL_US, TimerEvent::CheckConnections);
+        self.out
+            .set_timer_after(CHECK_INTERVAL_US, TimerEvent::CheckConnections);
     }
 
     /// Passes events between the parts until none is left, and ends the process once the shutdown is complete.
@@ -121,7 +133,8 @@
         if self.has_stopped || !self.out.has_stopped_listening() {
             return;
         }
-        let has_outstanding = !self.in_flight.is_empty() || self.clients.has_outstanding(self.out.now);
+        let has_outstanding =
+            !self.in_flight.is_empty() || self.clients.has_outstanding(self.out.now);
         if self.shutdown.is_complete(self.out.now, has_outstanding) {
             self.has_stopped = true;
             self.out.push(Effect::Stopped);
--- a/crates/platform/src/dispatcher/requests.rs
+++ b/crates/platform/src/dispatcher/requests.rs
@@ -27,16 +27,20 @@
     /// Handles the end of a client's connection: its query is abandoned.
     pub fn handle_client_disconnected(&mut self, client: ConnId) {
         self.clients.close(client, &mut self.out);
-        let Some(query) = self.in_flight.query_of(client) else { return };
+        let Some(query) = self.in_flight.query_of(client) else {
+            return;
+        };
         if let Some(in_flight) = self.in_flight.remove(query) {
             let location = match in_flight.is_at_executor {
                 true => QueryLocation::AtExecutor,
                 false => QueryLocation::Waiting,
             };
             debug!(id = %in_flight.id, ?location, "client disconnected");
-            self.abandonments.record_abandonment(query, location, self.out.now);
+            self.abandonments
+                .record_abandonment(query, location, self.out.now);
         }
-        self.driver.handle_input(self.out.now, Input::Abandoned(query));
+        self.driver
+            .handle_input(self.out.now, Input::Abandoned(query));
     }
 
     /// Examines the input of a client.
@@ -47,7 +51,9 @@
             }
             return;
         }
-        let Some(request) = self.clients.next_request(client, &mut self.out) else { return };
+        let Some(request) = self.clients.next_request(client, &mut self.out) else {
+            return;
+        };
         let ClientRequest { client, kind, body } = request;
         match kind {
             RequestKind::Health => {
@@ -82,7 +88,9 @@
         debug!(%id, class, timeout_us = request.timeout_us, "query received");
         let arrival = Arrival {
             class,
-            tenant: request.tenant.and_then(|name| position(&self.names.tenants, &name)),
+            tenant: request
+                .tenant
+                .and_then(|name| position(&self.names.tenants, &name)),
             key: request.key,
             deadline: self.response_deadline(request.timeout_us),
             work_hint: request.work_hint,
@@ -93,7 +101,10 @@
             self.respond(client, &Reply::Rejected { retry_after_ms: 0 });
             return Ok(());
         };
-        let is_idempotent = self.idempotent_classes.get(class).is_some_and(|is_idempotent| *is_idempotent);
+        let is_idempotent = self
+            .idempotent_classes
+            .get(class)
+            .is_some_and(|is_idempotent| *is_idempotent);
         let in_flight = InFlightQuery {
             client,
             id,
--- a/crates/platform/src/dispatcher/topology.rs
+++ b/crates/platform/src/dispatcher/topology.rs
@@ -12,18 +12,29 @@
     /// Replaces the list of executors.
     pub(super) fn replace_executors(&mut self, executors: &[ExecutorEndpoint]) {
         self.names.engines.clear();
-        let entries: Vec<EngineEntry> =
-            executors.iter().map(|executor| executor.to_entry(&mut self.names)).collect();
-        let addresses =
-            entries.iter().zip(executors).map(|(entry, executor)| (entry.engine, executor.address));
+        let entries: Vec<EngineEntry> = executors
+            .iter()
+            .map(|executor| executor.to_entry(&mut self.names))
+            .collect();
+        let addresses = entries
+            .iter()
+            .zip(executors)
+            .map(|(entry, executor)| (entry.engine, executor.address));
         self.executors.replace_list(addresses, &mut self.out);
-        self.driver.handle_input(self.out.now, Input::Engines { complete: true, entries });
+        self.driver.handle_input(
+            self.out.now,
+            Input::Engines {
+                complete: true,
+                entries,
+            },
+        );
     }
 
     /// Sends a query for the list of executors.
     pub(super) fn query_discovery(&mut self) {
         if let Some((resolver, query)) = self.discovery.query(self.rng.u16(..)) {
-            self.out.push(Effect::Send(DatagramSocket::Discovery, resolver, query));
+            self.out
+                .push(Effect::Send(DatagramSocket::Discovery, resolver, query));
         }
     }
 
@@ -53,7 +64,8 @@
     /// Handles a datagram of another controller.
     pub fn handle_peer_message(&mut self, from: SocketAddr, datagram: &[u8]) {
         if let Some(reports) = self.peers.decode(from, self.names.engines.keys(), datagram) {
-            self.driver.handle_input(self.out.now, Input::PeerReports(reports));
+            self.driver
+                .handle_input(self.out.now, Input::PeerReports(reports));
         }
     }
 
@@ -61,7 +73,11 @@
     pub(super) fn send_peer_message(&mut self, reports: &[PeerLoadReport]) {
         let datagram = self.peers.encode(reports);
         for address in self.peers.recipients() {
-            self.out.push(Effect::Send(DatagramSocket::Peers, address, datagram.clone()));
+            self.out.push(Effect::Send(
+                DatagramSocket::Peers,
+                address,
+                datagram.clone(),
+            ));
         }
     }
 }
--- a/crates/platform/src/executor_protocol.rs
+++ b/crates/platform/src/executor_protocol.rs
@@ -23,7 +23,9 @@
     /// Parses an id; `None` if it is not 16 hex digits.
     pub fn parse(text: &[u8]) -> Option<RequestId> {
         let id: [u8; 16] = text.try_into().ok()?;
-        id.iter().all(u8::is_ascii_hexdigit).then_some(RequestId(id))
+        id.iter()
+            .all(u8::is_ascii_hexdigit)
+            .then_some(RequestId(id))
     }
 
     /// The id as text.
@@ -94,13 +96,19 @@
 impl Response {
     /// The value of a field as text.
     pub fn text(&self, name: &str) -> Option<&str> {
-        let (_, value) = self.fields.iter().find(|(field, _)| field == name.as_bytes())?;
+        let (_, value) = self
+            .fields
+            .iter()
+            .find(|(field, _)| field == name.as_bytes())?;
         std::str::from_utf8(value).ok()
     }
 
     /// The value of a field as a finite number.
     pub fn number(&self, name: &str) -> Option<f64> {
-        self.text(name)?.parse().ok().filter(|x: &f64| x.is_finite())
+        self.text(name)?
+            .parse()
+            .ok()
+            .filter(|x: &f64| x.is_finite())
     }
 }
 
@@ -134,8 +142,15 @@
 /// # Errors
 /// [`ProtocolError`]; the connection can no longer be used.
 pub fn decode_response(buf: &mut BytesMut) -> Result<Option<Response>, ProtocolError> {
-    let Some(line_length) = find_line_end(buf)? else { return Ok(None) };
-    let Line { kind, id_length, fields, body_length } = parse_line(&buf[..line_length])?;
+    let Some(line_length) = find_line_end(buf)? else {
+        return Ok(None);
+    };
+    let Line {
+        kind,
+        id_length,
+        fields,
+        body_length,
+    } = parse_line(&buf[..line_length])?;
     let length = line_length + CR_LF.len() + body_length.map_or(0, |n| n + CR_LF.len());
     if buf.len() < length {
         return Ok(None);
@@ -153,7 +168,12 @@
         Some(range) => parse_fields(&line, range)?,
         None => Vec::new(),
     };
-    Ok(Some(Response { id: line.slice(..id_length), kind, fields, body }))
+    Ok(Some(Response {
+        id: line.slice(..id_length),
+        kind,
+        fields,
+        body,
+    }))
 }
 
 /// The length of the first line without its CR LF; `None` if its end has not arrived.
@@ -177,14 +197,22 @@
     };
     let kind = ResponseKind::parse(kind_word).ok_or(ProtocolError::InvalidLine)?;
     match rest {
-        [] if kind == ResponseKind::Pong => {
-            Ok(Line { kind, id_length: id.len(), fields: None, body_length: None })
-        }
+        [] if kind == ResponseKind::Pong => Ok(Line {
+            kind,
+            id_length: id.len(),
+            fields: None,
+            body_length: None,
+        }),
         [fields, length] => {
             let start = id.len() + 1 + kind_word.len() + 1;
             let fields = Some(start..start + fields.len());
             let body_length = Some(parse_body_length(length)?);
-            Ok(Line { kind, id_length: id.len(), fields, body_length })
+            Ok(Line {
+                kind,
+                id_length: id.len(),
+                fields,
+                body_length,
+            })
         }
         _ => Err(ProtocolError::InvalidLine),
     }
@@ -194,7 +222,9 @@
     if !digits.iter().all(u8::is_ascii_digit) {
         return Err(ProtocolError::InvalidLine);
     }
-    let length = std::str::from_utf8(digits).ok().and_then(|digits| digits.parse::<usize>().ok());
+    let length = std::str::from_utf8(digits)
+        .ok()
+        .and_then(|digits| digits.parse::<usize>().ok());
     match length {
         None => Err(ProtocolError::InvalidLine),
         Some(length) if length > MAX_PAGE_BYTES => Err(ProtocolError::InvalidLength),
@@ -242,7 +272,12 @@
 
 /// Appends a request with a priority (`REQ`).
 pub fn encode_request(id: RequestId, priority: u8, request: &Request<'_>, out: &mut BytesMut) {
-    let Request { class, limit_ms, nonce, statement } = request;
+    let Request {
+        class,
+        limit_ms,
+        nonce,
+        statement,
+    } = request;
     let mut line = format!("REQ {id} cls={class},limit={limit_ms},prio={priority}");
     if let Some(nonce) = nonce {
         line.push_str(",nonce=");
--- a/crates/platform/src/executor_protocol/tests.rs
+++ b/crates/platform/src/executor_protocol/tests.rs
@@ -24,13 +24,21 @@
     let complete = decode_all(&[text.as_bytes()]).expect("sound");
     assert_eq!(
         complete.iter().map(|a| a.kind).collect::<Vec<_>>(),
-        [ResponseKind::Info, ResponseKind::Hit, ResponseKind::Pong, ResponseKind::Fault]
+        [
+            ResponseKind::Info,
+            ResponseKind::Hit,
+            ResponseKind::Pong,
+            ResponseKind::Fault
+        ]
     );
     assert_eq!(
         (complete[1].text("meter"), complete[1].number("cost")),
         (Some("inflight:7;util:0.61"), Some(81.5))
     );
-    assert_eq!((&complete[1].id[..], &complete[1].body[..]), (ID.as_bytes(), &b"a\t1\tx\n"[..]));
+    assert_eq!(
+        (&complete[1].id[..], &complete[1].body[..]),
+        (ID.as_bytes(), &b"a\t1\tx\n"[..])
+    );
     for cut in 0..text.len() {
         let (a, b) = text.as_bytes().split_at(cut);
         assert_eq!(decode_all(&[a, b]).as_ref(), Ok(&complete), "cut at {cut}");
@@ -41,9 +49,22 @@
 fn messages_are_encoded_as_executors_expect() {
     let id = RequestId::parse(ID.as_bytes()).expect("16 digits");
     let mut out = BytesMut::new();
-    let request = Request { class: "report", limit_ms: 1500, nonce: None, statement: b"SELECT 1" };
+    let request = Request {
+        class: "report",
+        limit_ms: 1500,
+        nonce: None,
+        statement: b"SELECT 1",
+    };
     encode_request(id, 2, &request, &mut out);
-    encode_request(id, 1, &Request { nonce: Some("a5=+/"), ..request }, &mut out);
+    encode_request(
+        id,
+        1,
+        &Request {
+            nonce: Some("a5=+/"),
+            ..request
+        },
+        &mut out,
+    );
     encode_fetch(id, 3, &mut out);
     encode_priority(id, 0, &mut out);
     encode_release(id, &mut out);
@@ -54,7 +75,8 @@
     );
     assert_eq!(out, expected.as_bytes());
     assert!(
-        RequestId::parse(b"9b1f03aa5c7e2d4").is_none() && RequestId::parse(b"9b1f03aa5c7e2d4g").is_none()
+        RequestId::parse(b"9b1f03aa5c7e2d4").is_none()
+            && RequestId::parse(b"9b1f03aa5c7e2d4g").is_none()
     );
 }
 
--- a/crates/platform/src/executors/attempts.rs
+++ b/crates/platform/src/executors/attempts.rs
@@ -21,7 +21,12 @@
 impl PendingAttempt {
     /// Creates an attempt that is assigned to no connection yet.
     pub fn new(id: AttemptId, request: RequestId, options: AttemptOptions) -> PendingAttempt {
-        PendingAttempt { id, request, options, connection_losses: 0 }
+        PendingAttempt {
+            id,
+            request,
+            options,
+            connection_losses: 0,
+        }
     }
 }
 
@@ -54,6 +59,12 @@
 impl EndedAttempt {
     /// An end on which the executor reported nothing.
     pub(super) fn without_report(attempt: AttemptId, outcome: Outcome) -> EndedAttempt {
-        EndedAttempt { attempt, outcome, billed_work: None, report: LoadReport::default(), pages: Vec::new() }
+        EndedAttempt {
+            attempt,
+            outcome,
+            billed_work: None,
+            report: LoadReport::default(),
+            pages: Vec::new(),
+        }
     }
 }
--- a/crates/platform/src/executors/failures.rs
+++ b/crates/platform/src/executors/failures.rs
@@ -49,8 +49,15 @@
         self.lose_connection(id, ConnectionLoss::Broken, out);
     }
 
-    fn lose_connection(&mut self, id: ConnId, loss: ConnectionLoss, out: &mut EffectQueue<TimerEvent>) {
-        let Some(connection) = self.connections.get_mut(id) else { return };
+    fn lose_connection(
+        &mut self,
+        id: ConnId,
+        loss: ConnectionLoss,
+        out: &mut EffectQueue<TimerEvent>,
+    ) {
+        let Some(connection) = self.connections.get_mut(id) else {
+            return;
+        };
         let (engine, bytes_written) = (connection.engine, connection.bytes_written);
         debug!(
             executor = engine.0,
@@ -78,11 +85,21 @@
     }
 
     /// Ends an attempt whose connection broke after at least one byte of its request was written.
-    fn end_dispatched(&mut self, engine: EngineId, running: &RunningAttempt, bytes_written: u64, now: i64) {
+    fn end_dispatched(
+        &mut self,
+        engine: EngineId,
+        running: &RunningAttempt,
+        bytes_written: u64,
+        now: i64,
+    ) {
         self.record_cut(running.attempt.request, engine, now);
         // A request that was not written completely has not run.
         let is_complete = bytes_written >= running.request_bytes.end;
-        let outcome = if is_complete { Outcome::Reset } else { Outcome::NeverSent };
+        let outcome = if is_complete {
+            Outcome::Reset
+        } else {
+            Outcome::NeverSent
+        };
         debug!(attempt = %running.attempt.id, executor = engine.0, ?outcome, "attempt lost its connection");
         self.report_end(running.attempt.id, outcome);
     }
--- a/crates/platform/src/executors/mod.rs
+++ b/crates/platform/src/executors/mod.rs
@@ -127,7 +127,9 @@
         list: impl Iterator<Item = (EngineId, SocketAddr)>,
         out: &mut EffectQueue<TimerEvent>,
     ) {
-        self.by_engine.values_mut().for_each(|executor| executor.is_listed = false);
+        self.by_engine
+            .values_mut()
+            .for_each(|executor| executor.is_listed = false);
         for (engine, address) in list {
             self.update_executor(engine, address);
         }
@@ -135,8 +137,12 @@
             connection.load() == 0
                 && (connection.buffer.peer_closing || !self.is_engine_listed(connection.engine))
         };
-        let unused: Vec<ConnId> =
-            self.connections.iter().filter(|(_, c)| unusable(c)).map(|(id, _)| id).collect();
+        let unused: Vec<ConnId> = self
+            .connections
+            .iter()
+            .filter(|(_, c)| unusable(c))
+            .map(|(id, _)| id)
+            .collect();
         unused.into_iter().for_each(|id| self.close(id, out));
         self.forget_unlisted();
     }
@@ -160,12 +166,15 @@
     }
 
     fn is_engine_listed(&self, engine: EngineId) -> bool {
-        self.by_engine.get(&engine).is_some_and(|executor| executor.is_listed)
+        self.by_engine
+            .get(&engine)
+            .is_some_and(|executor| executor.is_listed)
     }
 
     /// Forgets executors that are not listed and have no connection.
     fn forget_unlisted(&mut self) {
-        self.by_engine.retain(|_, executor| executor.is_listed || !executor.connections.is_empty());
+        self.by_engine
+            .retain(|_, executor| executor.is_listed || !executor.connections.is_empty());
     }
 
     /// Number of executors known, including those no longer listed that still have connections.
@@ -180,19 +189,25 @@
 
     /// The buffer of a connection.
     pub fn buffer(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
-        self.connections.get_mut(id).map(|connection| &mut connection.buffer)
+        self.connections
+            .get_mut(id)
+            .map(|connection| &mut connection.buffer)
     }
 
     /// Bytes that may be read from a connection.
     pub fn read_capacity(&mut self, id: ConnId) -> usize {
-        self.buffer(id).map_or(0, |buffer| buffer.read_capacity(MAX_INPUT_BYTES))
+        self.buffer(id)
+            .map_or(0, |buffer| buffer.read_capacity(MAX_INPUT_BYTES))
     }
 
     /// Records that so many bytes were written to a connection.
     pub fn bytes_written(&mut self, id: ConnId, count: usize) {
-        let Some(connection) = self.connections.get_mut(id) else { return };
+        let Some(connection) = self.connections.get_mut(id) else {
+            return;
+        };
         for (attempt, request) in connection.advance_written(count) {
-            self.events.push_back(AttemptEvent::Dispatched(attempt, request));
+            self.events
+                .push_back(AttemptEvent::Dispatched(attempt, request));
         }
     }
 
--- a/crates/platform/src/executors/pool.rs
+++ b/crates/platform/src/executors/pool.rs
@@ -15,7 +15,12 @@
 impl Executors {
     /// Assigns an attempt to a connection to this executor, opening one if needed. Once the connection is up, it is returned
     /// by [`Executors::next_ready`]. If there is no connection to be had, the attempt ends.
-    pub fn launch(&mut self, engine: EngineId, attempt: PendingAttempt, out: &mut EffectQueue<TimerEvent>) {
+    pub fn launch(
+        &mut self,
+        engine: EngineId,
+        attempt: PendingAttempt,
+        out: &mut EffectQueue<TimerEvent>,
+    ) {
         if !self.by_engine.contains_key(&engine) {
             self.report_end(attempt.id, Outcome::ConnectFailed);
             return;
@@ -34,7 +39,9 @@
                     self.report_end(attempt.id, Outcome::Full);
                     return;
                 }
-                let Some(id) = self.connect(engine, out) else { return };
+                let Some(id) = self.connect(engine, out) else {
+                    return;
+                };
                 id
             }
         };
@@ -43,7 +50,11 @@
 
     /// Launches an attempt that was delayed, unless it was cancelled meanwhile.
     pub fn release_delayed(&mut self, attempt: AttemptId, out: &mut EffectQueue<TimerEvent>) {
-        if let Some(position) = self.delayed.iter().position(|delayed| delayed.attempt.id == attempt) {
+        if let Some(position) = self
+            .delayed
+            .iter()
+            .position(|delayed| delayed.attempt.id == attempt)
+        {
             let DelayedAttempt { engine, attempt } = self.delayed.swap_remove(position);
             self.launch(engine, attempt, out);
         }
@@ -59,28 +70,44 @@
         let accepting: Vec<(ConnId, &Connection)> = executor
             .connections
             .iter()
-            .filter_map(|id| self.connections.get(*id).map(|connection| (*id, connection)))
+            .filter_map(|id| {
+                self.connections
+                    .get(*id)
+                    .map(|connection| (*id, connection))
+            })
             .filter(|(_, connection)| connection.accepts(request, self.limits.max_streams))
             .collect();
         // The next attempt must not overtake the cancellation of an earlier one under the same id on another connection: the
         // executor would have two copies, and cancel the wrong one.
-        let with_cancellation = accepting.iter().find(|(_, c)| c.cancelled.contains(&request));
+        let with_cancellation = accepting
+            .iter()
+            .find(|(_, c)| c.cancelled.contains(&request));
         // The connection that became idle last is preferred, so that the others reach their idle timeout. An attempt that is
         // alone on its connection is not affected by an invalid response to another one.
-        let idle =
-            accepting.iter().filter(|(_, c)| c.is_up && c.load() == 0).max_by_key(|(_, c)| c.idle_since);
+        let idle = accepting
+            .iter()
+            .filter(|(_, c)| c.is_up && c.load() == 0)
+            .max_by_key(|(_, c)| c.idle_since);
         if let Some((id, _)) = with_cancellation.or(idle) {
             return Some(*id);
         }
         if self.has_free_connection() {
             return None;
         }
-        accepting.iter().min_by_key(|(_, c)| (!c.is_up, c.load())).map(|(id, _)| *id)
+        accepting
+            .iter()
+            .min_by_key(|(_, c)| (!c.is_up, c.load()))
+            .map(|(id, _)| *id)
     }
 
     fn assign(&mut self, id: ConnId, attempt: PendingAttempt) {
-        let Some(connection) = self.connections.get_mut(id) else { return };
-        let location = AttemptLocation { connection: id, request: attempt.request };
+        let Some(connection) = self.connections.get_mut(id) else {
+            return;
+        };
+        let location = AttemptLocation {
+            connection: id,
+            request: attempt.request,
+        };
         self.locations.insert(attempt.id, location);
         connection.queued.push(attempt);
         if connection.is_up {
@@ -91,7 +118,10 @@
     fn connect(&mut self, engine: EngineId, out: &mut EffectQueue<TimerEvent>) -> Option<ConnId> {
         let executor = self.by_engine.get_mut(&engine)?;
         let id = self.connections.insert(Connection::new(engine, out.now));
-        let timer = out.set_timer_after(self.limits.connect_timeout_us, TimerEvent::ConnectTimeout(id));
+        let timer = out.set_timer_after(
+            self.limits.connect_timeout_us,
+            TimerEvent::ConnectTimeout(id),
+        );
         self.connections.get_mut(id)?.connect_timer = Some(timer);
         executor.connections.push(id);
         self.counters.connects += 1;
@@ -102,9 +132,14 @@
     /// Closes a connection without attempts: one whose connect has not completed, else the one that has been idle the longest.
     /// Returns whether there was one.
     fn evict_idle(&mut self, out: &mut EffectQueue<TimerEvent>) -> bool {
-        let idle = self.connections.iter().filter(|(_, connection)| connection.load() == 0);
+        let idle = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| connection.load() == 0);
         let oldest = idle.min_by_key(|(_, connection)| (connection.is_up, connection.idle_since));
-        let Some(id) = oldest.map(|(id, _)| id) else { return false };
+        let Some(id) = oldest.map(|(id, _)| id) else {
+            return false;
+        };
         self.close(id, out);
         true
     }
@@ -138,7 +173,9 @@
 
     /// Closes a connection.
     pub(super) fn close(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) {
-        let Some(mut connection) = self.connections.remove(id) else { return };
+        let Some(mut connection) = self.connections.remove(id) else {
+            return;
+        };
         out.cancel_timer(&mut connection.connect_timer);
         // Cancellations take effect with the end of the connection at the latest, and a new attempt under the same id must not
         // overtake that.
@@ -153,15 +190,22 @@
 
     /// Remembers that the connection of a request was closed.
     pub(super) fn record_cut(&mut self, request: RequestId, engine: EngineId, now: i64) {
-        self.cut_requests.push(CutRequest { request, engine, closed_at: now });
+        self.cut_requests.push(CutRequest {
+            request,
+            engine,
+            closed_at: now,
+        });
     }
 
     fn is_request_cut(&self, request: RequestId, engine: EngineId) -> bool {
-        self.cut_requests.iter().any(|cut| cut.request == request && cut.engine == engine)
+        self.cut_requests
+            .iter()
+            .any(|cut| cut.request == request && cut.engine == engine)
     }
 
     /// Forgets requests whose executor knows of the end of their connection by now.
     pub(super) fn expire_cut_requests(&mut self, now: i64) {
-        self.cut_requests.retain(|cut| now - cut.closed_at < CUT_DELAY_US);
+        self.cut_requests
+            .retain(|cut| now - cut.closed_at < CUT_DELAY_US);
     }
 }
--- a/crates/platform/src/executors/requests.rs
+++ b/crates/platform/src/executors/requests.rs
@@ -11,7 +11,10 @@
 impl Executors {
     /// Takes the first attempt that is queued on a connection which is up.
     pub fn take_queued(&mut self, id: ConnId) -> Option<PendingAttempt> {
-        let connection = self.connections.get_mut(id).filter(|connection| connection.is_up)?;
+        let connection = self
+            .connections
+            .get_mut(id)
+            .filter(|connection| connection.is_up)?;
         if connection.queued.is_empty() {
             return None;
         }
@@ -28,7 +31,9 @@
         request: &Request<'_>,
         out: &mut EffectQueue<TimerEvent>,
     ) {
-        let Some(connection) = self.connections.get_mut(id) else { return };
+        let Some(connection) = self.connections.get_mut(id) else {
+            return;
+        };
         debug!(
             id = %attempt.request,
             attempt = %attempt.id,
@@ -36,7 +41,10 @@
             limit_ms = request.limit_ms,
             "request written"
         );
-        let location = AttemptLocation { connection: id, request: attempt.request };
+        let location = AttemptLocation {
+            connection: id,
+            request: attempt.request,
+        };
         let start = connection.bytes_queued;
         let priority = attempt.options.priority;
         connection.append(|output| {
@@ -61,12 +69,24 @@
         options: AttemptOptions,
         out: &mut EffectQueue<TimerEvent>,
     ) {
-        let Some(AttemptLocation { connection: id, request }) = self.locations.get(&attempt).copied() else {
+        let Some(AttemptLocation {
+            connection: id,
+            request,
+        }) = self.locations.get(&attempt).copied()
+        else {
+            return;
+        };
+        let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
-        let Some(connection) = self.connections.get_mut(id) else { return };
-        if connection.running.get(&request).is_some_and(|running| running.result.is_none()) {
-            connection.append(|output| executor_protocol::encode_priority(request, options.priority, output));
+        if connection
+            .running
+            .get(&request)
+            .is_some_and(|running| running.result.is_none())
+        {
+            connection.append(|output| {
+                executor_protocol::encode_priority(request, options.priority, output)
+            });
             connection.buffer.flush(id, out);
         }
     }
@@ -74,10 +94,16 @@
     /// Cancels an attempt. A response that crosses the cancellation is dropped.
     pub fn cancel(&mut self, attempt: AttemptId, out: &mut EffectQueue<TimerEvent>) {
         self.delayed.retain(|delayed| delayed.attempt.id != attempt);
-        let Some(AttemptLocation { connection: id, request }) = self.locations.remove(&attempt) else {
+        let Some(AttemptLocation {
+            connection: id,
+            request,
+        }) = self.locations.remove(&attempt)
+        else {
+            return;
+        };
+        let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
-        let Some(connection) = self.connections.get_mut(id) else { return };
         connection.queued.retain(|queued| queued.id != attempt);
         if let Some(running) = connection.running.remove(&request) {
             let has_result = running.result.is_some();
--- a/crates/platform/src/executors/responses.rs
+++ b/crates/platform/src/executors/responses.rs
@@ -29,7 +29,9 @@
     /// Handles the responses in the input of a connection, and the end of the input.
     pub fn read(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) {
         loop {
-            let Some(connection) = self.connections.get_mut(id) else { return };
+            let Some(connection) = self.connections.get_mut(id) else {
+                return;
+            };
             let response = match executor_protocol::decode_response(&mut connection.buffer.input) {
                 Ok(Some(response)) => response,
                 Ok(None) => {
@@ -46,14 +48,23 @@
                 return self.handle_protocol_error(id, error, out);
             }
         }
-        if self.connections.get(id).is_some_and(|connection| connection.buffer.read_closed) {
+        if self
+            .connections
+            .get(id)
+            .is_some_and(|connection| connection.buffer.read_closed)
+        {
             self.handle_broken(id, out);
         } else {
             self.close_if_retired(id, out);
         }
     }
 
-    fn handle_protocol_error(&mut self, id: ConnId, error: ProtocolError, out: &mut EffectQueue<TimerEvent>) {
+    fn handle_protocol_error(
+        &mut self,
+        id: ConnId,
+        error: ProtocolError,
+        out: &mut EffectQueue<TimerEvent>,
+    ) {
         debug!(%error, "invalid response; closing connection");
         self.counters.protocol_errors += 1;
         self.handle_broken(id, out);
@@ -65,9 +76,12 @@
         response: Response,
         out: &mut EffectQueue<TimerEvent>,
     ) -> Result<(), ProtocolError> {
-        let Some(connection) = self.connections.get_mut(id) else { return Ok(()) };
+        let Some(connection) = self.connections.get_mut(id) else {
+            return Ok(());
+        };
         let request = RequestId::parse(&response.id);
-        let Some((request, running)) = request.and_then(|r| Some((r, connection.running.get_mut(&r)?)))
+        let Some((request, running)) =
+            request.and_then(|r| Some((r, connection.running.get_mut(&r)?)))
         else {
             self.counters.unmatched_responses += u64::from(response.kind != ResponseKind::Pong);
             return Ok(());
@@ -76,12 +90,14 @@
         match running.handle_response(response, out.now)? {
             ResponseEffect::Unmatched => self.counters.unmatched_responses += 1,
             ResponseEffect::Updated(update) => {
-                self.events.push_back(AttemptEvent::Updated(running.attempt.id, update));
+                self.events
+                    .push_back(AttemptEvent::Updated(running.attempt.id, update));
             }
             ResponseEffect::FirstPage(pages) => {
                 // All further pages are requested at once, so that their round trips do not add up.
                 for page in 1..pages {
-                    connection.append(|output| executor_protocol::encode_fetch(request, page, output));
+                    connection
+                        .append(|output| executor_protocol::encode_fetch(request, page, output));
                 }
                 connection.buffer.flush(id, out);
             }
@@ -100,8 +116,12 @@
         ended: EndedAttempt,
         out: &mut EffectQueue<TimerEvent>,
     ) {
-        let Some(connection) = self.connections.get_mut(id) else { return };
-        let Some(running) = connection.running.remove(&request) else { return };
+        let Some(connection) = self.connections.get_mut(id) else {
+            return;
+        };
+        let Some(running) = connection.running.remove(&request) else {
+            return;
+        };
         let is_served = ended.outcome == Outcome::Served;
         if is_served && running.result.is_some() {
             connection.append(|output| executor_protocol::encode_release(request, output));
@@ -130,10 +150,17 @@
 }
 
 impl RunningAttempt {
-    fn handle_response(&mut self, response: Response, now: i64) -> Result<ResponseEffect, ProtocolError> {
+    fn handle_response(
+        &mut self,
+        response: Response,
+        now: i64,
+    ) -> Result<ResponseEffect, ProtocolError> {
         let failed = |outcome, response: &Response| {
             let report = load_report(response);
-            let ended = EndedAttempt { report, ..EndedAttempt::without_report(self.attempt.id, outcome) };
+            let ended = EndedAttempt {
+                report,
+                ..EndedAttempt::without_report(self.attempt.id, outcome)
+            };
             Ok(ResponseEffect::Ended(ended))
         };
         match (response.kind, &mut self.result) {
@@ -148,16 +175,26 @@
         }
     }
 
-    fn handle_first_page(&mut self, response: Response, now: i64) -> Result<ResponseEffect, ProtocolError> {
+    fn handle_first_page(
+        &mut self,
+        response: Response,
+        now: i64,
+    ) -> Result<ResponseEffect, ProtocolError> {
         let pages = response.number("pages").unwrap_or(1.0);
-        if !(1.0..=MAX_PAGES as f64).contains(&pages) || !result_pages::is_valid_page(&response.body) {
+        if !(1.0..=MAX_PAGES as f64).contains(&pages)
+            || !result_pages::is_valid_page(&response.body)
+        {
             return Err(ProtocolError::InvalidLine);
         }
         let pages = pages as usize;
         let billed_work = response.number("cost").map(|ms| ms / 1e3);
         let report = load_report(&response);
         if pages == 1 {
-            return Ok(ResponseEffect::Ended(self.served(billed_work, report, vec![response.body])));
+            return Ok(ResponseEffect::Ended(self.served(
+                billed_work,
+                report,
+                vec![response.body],
+            )));
         }
         let mut result = PartialResult {
             billed_work,
@@ -172,10 +209,20 @@
         Ok(ResponseEffect::FirstPage(pages))
     }
 
-    fn handle_further_page(&mut self, response: Response, now: i64) -> Result<ResponseEffect, ProtocolError> {
-        let Some(result) = &mut self.result else { return Ok(ResponseEffect::Unmatched) };
+    fn handle_further_page(
+        &mut self,
+        response: Response,
+        now: i64,
+    ) -> Result<ResponseEffect, ProtocolError> {
+        let Some(result) = &mut self.result else {
+            return Ok(ResponseEffect::Unmatched);
+        };
         let number = response.number("page").ok_or(ProtocolError::InvalidLine)?;
-        let Some(page) = result.pages.get_mut(number as usize).filter(|page| page.is_none()) else {
+        let Some(page) = result
+            .pages
+            .get_mut(number as usize)
+            .filter(|page| page.is_none())
+        else {
             // A duplicate.
             return Ok(ResponseEffect::Unmatched);
         };
@@ -191,11 +238,26 @@
         }
         let pages = result.pages.iter_mut().filter_map(Option::take).collect();
         let (billed_work, report) = (result.billed_work, result.report);
-        Ok(ResponseEffect::Ended(self.served(billed_work, report, pages)))
+        Ok(ResponseEffect::Ended(self.served(
+            billed_work,
+            report,
+            pages,
+        )))
     }
 
-    fn served(&self, billed_work: Option<f64>, report: LoadReport, pages: Vec<Bytes>) -> EndedAttempt {
-        EndedAttempt { attempt: self.attempt.id, outcome: Outcome::Served, billed_work, report, pages }
+    fn served(
+        &self,
+        billed_work: Option<f64>,
+        report: LoadReport,
+        pages: Vec<Bytes>,
+    ) -> EndedAttempt {
+        EndedAttempt {
+            attempt: self.attempt.id,
+            outcome: Outcome::Served,
+            billed_work,
+            report,
+            pages,
+        }
     }
 }
 
@@ -215,8 +277,12 @@
 fn load_report(response: &Response) -> LoadReport {
     let mut report = LoadReport::default();
     for pair in response.text("meter").unwrap_or("").split(';') {
-        let Some((name, value)) = pair.split_once(':') else { continue };
-        let Ok(value) = value.parse::<f64>() else { continue };
+        let Some((name, value)) = pair.split_once(':') else {
+            continue;
+        };
+        let Ok(value) = value.parse::<f64>() else {
+            continue;
+        };
         if value.is_finite() {
             set_load_metric(&mut report, name, value);
         }
--- a/crates/platform/src/executors/timeouts.rs
+++ b/crates/platform/src/executors/timeouts.rs
@@ -17,7 +17,8 @@
     pub fn check_connections(&mut self, out: &mut EffectQueue<TimerEvent>) {
         let now = out.now;
         let stalled = self.select(|connection| connection.is_stalled(now));
-        let idle = self.select(|connection| !connection.is_stalled(now) && self.is_expired(connection, now));
+        let idle = self
+            .select(|connection| !connection.is_stalled(now) && self.is_expired(connection, now));
         idle.into_iter().for_each(|id| self.close(id, out));
         for id in stalled {
             self.counters.protocol_errors += 1;
@@ -28,14 +29,19 @@
     }
 
     fn select(&self, predicate: impl Fn(&Connection) -> bool) -> Vec<ConnId> {
-        self.connections.iter().filter(|(_, connection)| predicate(connection)).map(|(id, _)| id).collect()
+        self.connections
+            .iter()
+            .filter(|(_, connection)| predicate(connection))
+            .map(|(id, _)| id)
+            .collect()
     }
 
     /// Whether a connection is idle, and has been so for too long or belongs to an executor that is no longer listed.
     fn is_expired(&self, connection: &Connection, now: i64) -> bool {
         let timeout = (self.limits.executor_idle_timeout_us as f64 * IDLE_TIMEOUT_FRACTION) as i64;
         let is_idle = connection.is_up && connection.load() == 0;
-        is_idle && (!self.is_engine_listed(connection.engine) || now - connection.idle_since > timeout)
+        is_idle
+            && (!self.is_engine_listed(connection.engine) || now - connection.idle_since > timeout)
     }
 }
 
@@ -44,9 +50,11 @@
     fn is_stalled(&self, now: i64) -> bool {
         let is_overdue = |since: i64| now - since > STALL_TIMEOUT_US;
         self.partial_response_since.is_some_and(is_overdue)
-            || self
-                .running
-                .values()
-                .any(|running| running.result.as_ref().is_some_and(|result| is_overdue(result.last_page_at)))
+            || self.running.values().any(|running| {
+                running
+                    .result
+                    .as_ref()
+                    .is_some_and(|result| is_overdue(result.last_page_at))
+            })
     }
 }
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -5,7 +5,9 @@
 use crate::clients;
 use crate::dispatcher::Dispatcher;
 use std::net::SocketAddr;
-use wheelfield_sans_io::{ConnId, ConnectionBuffer, DatagramSocket, Effect, IoEvent, Listener, Protocol};
+use wheelfield_sans_io::{
+    ConnId, ConnectionBuffer, DatagramSocket, Effect, IoEvent, Listener, Protocol,
+};
 
 /// A controller on the operators' platform.
 pub struct Platform {
@@ -15,7 +17,9 @@
 impl Platform {
     /// Creates a controller that has not started.
     pub fn new(config: BootstrapConfig, now: i64) -> Platform {
-        Platform { dispatcher: Dispatcher::new(config, now) }
+        Platform {
+            dispatcher: Dispatcher::new(config, now),
+        }
     }
 
     /// Uses the name service at this address from now on, after the configuration was reloaded.
@@ -56,19 +60,25 @@
     }
 
     fn handle_received(&mut self, id: ConnId, bytes: &[u8]) {
-        let Some(buffer) = self.buffer(id) else { return };
+        let Some(buffer) = self.buffer(id) else {
+            return;
+        };
         buffer.receive(bytes);
         self.handle_input(id);
     }
 
     fn handle_read_closed(&mut self, id: ConnId) {
-        let Some(buffer) = self.buffer(id) else { return };
+        let Some(buffer) = self.buffer(id) else {
+            return;
+        };
         buffer.read_closed = true;
         self.handle_input(id);
     }
 
     fn handle_client_closing(&mut self, id: ConnId) {
-        let Some(buffer) = self.buffer(id) else { return };
+        let Some(buffer) = self.buffer(id) else {
+            return;
+        };
         buffer.peer_closing = true;
         self.handle_input(id);
     }
@@ -97,7 +107,9 @@
             IoEvent::Broken { id, .. } if id.owner() == clients::OWNER => {
                 self.dispatcher.handle_client_disconnected(id);
             }
-            IoEvent::Broken { id, refused: true, .. } => executors.handle_connect_refused(id, out),
+            IoEvent::Broken {
+                id, refused: true, ..
+            } => executors.handle_connect_refused(id, out),
             IoEvent::Broken { id, .. } => executors.handle_broken(id, out),
             IoEvent::Datagram(DatagramSocket::Peers, from, bytes) => {
                 self.dispatcher.handle_peer_message(from, bytes);
@@ -126,7 +138,12 @@
     }
 
     fn bytes_written(&mut self, now: i64, id: ConnId, count: usize) {
-        let Dispatcher { out, clients, executors, .. } = &mut self.dispatcher;
+        let Dispatcher {
+            out,
+            clients,
+            executors,
+            ..
+        } = &mut self.dispatcher;
         out.now = now;
         match id.owner() {
             clients::OWNER => clients.bytes_written(id, count, out),
@@ -135,7 +152,12 @@
     }
 
     fn next_timer_at(&self) -> Option<i64> {
-        let driver_timer = self.dispatcher.driver.decision_engine().next_timer_at().map(|at| at.0);
+        let driver_timer = self
+            .dispatcher
+            .driver
+            .decision_engine()
+            .next_timer_at()
+            .map(|at| at.0);
         let own_timer = self.dispatcher.out.next_timer_at();
         [driver_timer, own_timer].into_iter().flatten().min()
     }
--- a/crates/platform/src/http_server.rs
+++ b/crates/platform/src/http_server.rs
@@ -156,8 +156,12 @@
 
 /// The value of a header. One that appears twice is invalid, as two parsers could take different values of it.
 fn single_header<'a>(headers: &[Header<'a>], name: &str) -> Result<Option<&'a str>, InvalidHeader> {
-    let mut matching = headers.iter().filter(|header| header.name.eq_ignore_ascii_case(name));
-    let Some(header) = matching.next() else { return Ok(None) };
+    let mut matching = headers
+        .iter()
+        .filter(|header| header.name.eq_ignore_ascii_case(name));
+    let Some(header) = matching.next() else {
+        return Ok(None);
+    };
     let value = std::str::from_utf8(header.value).map_err(|_| InvalidHeader)?;
     match matching.next() {
         Some(_) => Err(InvalidHeader),
@@ -167,12 +171,17 @@
 
 fn parse_body_length(method: &str, headers: &[Header<'_>]) -> Result<usize, RequestError> {
     let stated = single_header(headers, "content-length").map_err(|_| RequestError::Malformed)?;
-    let is_encoded = headers.iter().any(|header| header.name.eq_ignore_ascii_case("transfer-encoding"));
+    let is_encoded = headers
+        .iter()
+        .any(|header| header.name.eq_ignore_ascii_case("transfer-encoding"));
     match stated {
         Some(_) if is_encoded => Err(RequestError::Malformed),
         None if is_encoded => Err(RequestError::LengthRequired),
         Some(digits) if !digits.is_empty() && digits.bytes().all(|byte| byte.is_ascii_digit()) => {
-            let length = digits.parse::<usize>().ok().filter(|length| *length <= MAX_BODY_BYTES);
+            let length = digits
+                .parse::<usize>()
+                .ok()
+                .filter(|length| *length <= MAX_BODY_BYTES);
             length.ok_or(RequestError::BodyTooLong)
         }
         Some(_) => Err(RequestError::Malformed),
@@ -183,12 +192,23 @@
 
 /// Whether the client closes the connection after the response, or expects it to be closed. `version` is the minor version.
 fn closes_connection(version: Option<u8>, headers: &[Header<'_>]) -> bool {
-    let connection = single_header(headers, "connection").ok().flatten().unwrap_or("");
-    let contains = |option: &str| connection.split(',').any(|word| word.trim().eq_ignore_ascii_case(option));
+    let connection = single_header(headers, "connection")
+        .ok()
+        .flatten()
+        .unwrap_or("");
+    let contains = |option: &str| {
+        connection
+            .split(',')
+            .any(|word| word.trim().eq_ignore_ascii_case(option))
+    };
     contains("close") || (version == Some(0) && !contains("keep-alive"))
 }
 
-fn parse_kind(method: &str, path: &str, headers: &[Header<'_>]) -> Result<RequestKind, RequestError> {
+fn parse_kind(
+    method: &str,
+    path: &str,
+    headers: &[Header<'_>],
+) -> Result<RequestKind, RequestError> {
     match (method, path, path.strip_prefix("/rpc/")) {
         ("GET", "/health", _) => Ok(RequestKind::Health),
         (_, "/health", _) => Err(RequestError::MethodNotAllowed),
@@ -228,9 +248,17 @@
 }
 
 /// A number of digits with at most one point: no sign, no exponent, no word such as `NaN`.
-fn number_header(headers: &[Header<'_>], name: &str, max: f64) -> Result<Option<f64>, InvalidHeader> {
-    let Some(text) = single_header(headers, name)? else { return Ok(None) };
-    let is_plain = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
+fn number_header(
+    headers: &[Header<'_>],
+    name: &str,
+    max: f64,
+) -> Result<Option<f64>, InvalidHeader> {
+    let Some(text) = single_header(headers, name)? else {
+        return Ok(None);
+    };
+    let is_plain = text
+        .bytes()
+        .all(|byte| byte.is_ascii_digit() || byte == b'.');
     if !is_plain || text.len() > MAX_NUMBER_BYTES {
         return Err(InvalidHeader);
     }
@@ -244,9 +272,13 @@
 
 /// A name of visible characters. It is forwarded as a field of a line, so that it must not end the field, the list or the line.
 fn name_header(headers: &[Header<'_>], name: &str) -> Result<Option<String>, InvalidHeader> {
-    let Some(text) = single_header(headers, name)? else { return Ok(None) };
+    let Some(text) = single_header(headers, name)? else {
+        return Ok(None);
+    };
     let is_valid = (1..=MAX_NAME_BYTES).contains(&text.len())
-        && text.bytes().all(|byte| byte.is_ascii_graphic() && byte != b',');
+        && text
+            .bytes()
+            .all(|byte| byte.is_ascii_graphic() && byte != b',');
     if is_valid {
         Ok(Some(text.to_string()))
     } else {
@@ -304,7 +336,11 @@
         }
         _ => {}
     }
-    head.push_str(if close { "Connection: close\r\n\r\n" } else { "\r\n" });
+    head.push_str(if close {
+        "Connection: close\r\n\r\n"
+    } else {
+        "\r\n"
+    });
     out.reserve(head.len() + body.len());
     out.extend_from_slice(head.as_bytes());
     out.extend_from_slice(body);
--- a/crates/platform/src/http_server/tests.rs
+++ b/crates/platform/src/http_server/tests.rs
@@ -9,10 +9,20 @@
         assert_eq!(parse_head(&request[..cut]), Ok(None), "cut at {cut}");
     }
     let head = parse_head(request).expect("valid").expect("complete");
-    assert_eq!((head.total_length, head.body_length, head.close), (request.len() + 84, 84, false));
-    let Ok(RequestKind::Query(query)) = head.kind else { panic!("not a query") };
     assert_eq!(
-        (query.class.as_str(), query.timeout_us, query.work_hint, query.memory_hint),
+        (head.total_length, head.body_length, head.close),
+        (request.len() + 84, 84, false)
+    );
+    let Ok(RequestKind::Query(query)) = head.kind else {
+        panic!("not a query")
+    };
+    assert_eq!(
+        (
+            query.class.as_str(),
+            query.timeout_us,
+            query.work_hint,
+            query.memory_hint
+        ),
         ("report", 1_500_000, Some(0.82), Some(96.0))
     );
 }
@@ -21,7 +31,10 @@
 fn a_connection_is_closed_where_its_client_says_so() {
     let closes = |version: &str, header: &str| {
         let request = format!("GET /health HTTP/{version}\r\n{header}\r\n");
-        parse_head(request.as_bytes()).expect("valid").expect("complete").close
+        parse_head(request.as_bytes())
+            .expect("valid")
+            .expect("complete")
+            .close
     };
     assert!(!closes("1.1", "") && closes("1.1", "Connection: Close\r\n") && closes("1.0", ""));
     assert!(!closes("1.0", "Connection: keep-alive\r\n"));
--- a/crates/platform/src/in_flight.rs
+++ b/crates/platform/src/in_flight.rs
@@ -91,7 +91,11 @@
             in_flight.is_at_executor = true;
             is_idempotent = in_flight.is_idempotent;
         }
-        let recent = if is_idempotent { &mut self.recent_idempotent } else { &mut self.recent_others };
+        let recent = if is_idempotent {
+            &mut self.recent_idempotent
+        } else {
+            &mut self.recent_others
+        };
         recent.insert(id);
     }
 
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -28,5 +28,7 @@
 mod timer_event;
 
 pub use abandonment::AbandonmentCounts;
-pub use bootstrap::{BootstrapConfig, BootstrapError, ExecutorEndpoint, ProtocolLimits, ResourceLimits};
+pub use bootstrap::{
+    BootstrapConfig, BootstrapError, ExecutorEndpoint, ProtocolLimits, ResourceLimits,
+};
 pub use gateway::Platform;
--- a/crates/platform/src/peers.rs
+++ b/crates/platform/src/peers.rs
@@ -14,9 +14,19 @@
 impl Peers {
     /// Takes the addresses of all controllers by number, the one at `own_index` being this controller, and an address that
     /// reaches all of them, where there is one.
-    pub fn new(controllers: &[SocketAddr], own_index: usize, broadcast: Option<SocketAddr>) -> Peers {
-        let others = controllers.iter().enumerate().filter(|(index, _)| *index != own_index);
-        Peers { others: others.map(|(_, address)| *address).collect(), broadcast }
+    pub fn new(
+        controllers: &[SocketAddr],
+        own_index: usize,
+        broadcast: Option<SocketAddr>,
+    ) -> Peers {
+        let others = controllers
+            .iter()
+            .enumerate()
+            .filter(|(index, _)| *index != own_index);
+        Peers {
+            others: others.map(|(_, address)| *address).collect(),
+            broadcast,
+        }
     }
 
     /// Encodes a message of load reports.
--- a/crates/platform/src/result_pages.rs
+++ b/crates/platform/src/result_pages.rs
@@ -13,11 +13,15 @@
 
 /// Whether a page consists of complete rows of three columns: text separated by tabs, each row ended by a line feed.
 pub fn is_valid_page(page: &[u8]) -> bool {
-    let Ok(text) = std::str::from_utf8(page) else { return false };
+    let Ok(text) = std::str::from_utf8(page) else {
+        return false;
+    };
     let is_complete = text.is_empty() || text.ends_with('\n');
     is_complete
         && page.len() <= MAX_PAGE_BYTES
-        && text.split_terminator('\n').all(|row| row.split('\t').count() == COLUMNS)
+        && text
+            .split_terminator('\n')
+            .all(|row| row.split('\t').count() == COLUMNS)
 }
 
 /// The JSON of all rows of these pages, in order.
@@ -25,9 +29,13 @@
     let length: usize = pages.iter().map(Bytes::len).sum();
     let mut json = Vec::with_capacity(length + length / 2 + 32);
     json.extend_from_slice(b"{\"batch\":[");
-    let rows = pages.iter().flat_map(|page| page.split_inclusive(|byte| *byte == b'\n'));
+    let rows = pages
+        .iter()
+        .flat_map(|page| page.split_inclusive(|byte| *byte == b'\n'));
     for (index, row) in rows.enumerate() {
-        let row = std::str::from_utf8(row).unwrap_or("").trim_end_matches('\n');
+        let row = std::str::from_utf8(row)
+            .unwrap_or("")
+            .trim_end_matches('\n');
         json.extend_from_slice(if index == 0 { b"[" } else { b",[" });
         for (column_index, column) in row.split('\t').enumerate() {
             if column_index > 0 {
--- a/crates/platform/src/result_pages/tests.rs
+++ b/crates/platform/src/result_pages/tests.rs
@@ -4,7 +4,13 @@
 #[test]
 fn a_valid_page_has_complete_rows_of_three_columns() {
     assert!(is_valid_page(b"a\t1\tx\nb\t2\ty\n") && is_valid_page(b"") && is_valid_page(b"\t\t\n"));
-    for bad in [&b"a\t1\tx"[..], b"a\t1\n", b"a\t1\tx\ty\n", b"a\t1\t\xff\n", b"\n"] {
+    for bad in [
+        &b"a\t1\tx"[..],
+        b"a\t1\n",
+        b"a\t1\tx\ty\n",
+        b"a\t1\t\xff\n",
+        b"\n",
+    ] {
         assert!(!is_valid_page(bad), "{bad:?}");
     }
     assert!(!is_valid_page(&b"a\t1\tx\n".repeat(1001)), "over the limit");
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -38,7 +38,10 @@
 impl Shutdown {
     /// A shutdown that has not been requested. No class has a longer deadline than this, in microseconds.
     pub fn new(longest_deadline_us: i64) -> Shutdown {
-        Shutdown { requested_at: None, longest_deadline_us }
+        Shutdown {
+            requested_at: None,
+            longest_deadline_us,
+        }
     }
 
     /// Requests the shutdown; `None` if it was requested before.
@@ -67,13 +70,15 @@
 
     /// Whether no client is expected to connect any more.
     pub fn is_grace_period_over(&self, now: i64) -> bool {
-        self.requested_at.is_some_and(|requested_at| now - requested_at >= GRACE_PERIOD_US)
+        self.requested_at
+            .is_some_and(|requested_at| now - requested_at >= GRACE_PERIOD_US)
     }
 
     /// Whether the process may end, where responses may be outstanding.
     pub fn is_complete(&self, now: i64, has_outstanding: bool) -> bool {
-        let is_flush_overdue =
-            self.requested_at.is_some_and(|requested_at| now - requested_at >= MAX_FLUSH_TIME_US);
+        let is_flush_overdue = self
+            .requested_at
+            .is_some_and(|requested_at| now - requested_at >= MAX_FLUSH_TIME_US);
         self.is_grace_period_over(now) && (!has_outstanding || is_flush_overdue)
     }
 }
