--- a/crates/platform/src/table_group.rs
+++ b/crates/platform/src/table_group.rs
@@ -6,8 +6,9 @@
 /// Keywords that tables follow.
 const KEYWORDS_BEFORE_TABLES: [&str; 6] = ["from", "join", "into", "update", "table", "using"];
 /// Keywords that end a list of tables.
-const KEYWORDS_AFTER_TABLES: [&str; 10] =
-    ["where", "on", "group", "order", "set", "values", "select", "having", "limit", "union"];
+const KEYWORDS_AFTER_TABLES: [&str; 10] = [
+    "where", "on", "group", "order", "set", "values", "select", "having", "limit", "union",
+];
 /// The schema of data that waits to be loaded, which belongs to no group.
 const STAGING_SCHEMA: &str = "staging";
 
@@ -21,7 +22,9 @@
 }
 
 fn is_keyword(name: &str, keywords: &[&str]) -> bool {
-    keywords.iter().any(|keyword| name.eq_ignore_ascii_case(keyword))
+    keywords
+        .iter()
+        .any(|keyword| name.eq_ignore_ascii_case(keyword))
 }
 
 /// The group of tables that a statement reads or writes: that of the first schema named among tables, else of the first schema
@@ -45,7 +48,9 @@
             }
             Token::Other('.') => {
                 is_after_dot = true;
-                let Some(group) = schema.take().as_deref().and_then(schema_group) else { continue };
+                let Some(group) = schema.take().as_deref().and_then(schema_group) else {
+                    continue;
+                };
                 if is_among_tables {
                     return Some(group);
                 }
--- a/crates/platform/tests/clients.rs
+++ b/crates/platform/tests/clients.rs
@@ -9,26 +9,45 @@
     let mut harness = Harness::new(1);
     let client = harness.connect_client();
     // The request arrives in pieces.
-    for piece in query_request("look", &request_id(1), "X-Need-Mb: 96\r\nX-Retry: 1\r\n").as_bytes().chunks(7)
+    for piece in query_request("look", &request_id(1), "X-Need-Mb: 96\r\nX-Retry: 1\r\n")
+        .as_bytes()
+        .chunks(7)
     {
         harness.receive_bytes(client, piece);
     }
     let executor = harness.complete_connects()[0];
     let request = harness.take_written(executor);
     let (line, rest) = request.split_once("\r\n").expect("a line");
-    assert!(line.starts_with(&format!("REQ {} cls=look,limit=1980,prio=", request_id(1))), "{line}");
+    assert!(
+        line.starts_with(&format!("REQ {} cls=look,limit=1980,prio=", request_id(1))),
+        "{line}"
+    );
     assert!(line.ends_with(" 35"), "{line}");
     assert_eq!(rest, "SELECT a, b, c FROM sales_17.orders\r\n");
-    harness.receive(executor, &format!("{} INFO tell=pct,v=0.5 0\r\n\r\n", request_id(1)));
     harness.receive(
         executor,
-        &format!("{} HIT pages=3,cost=81.5,need=90,meter=util:0.61 6\r\na\t1\tx\n\r\n", request_id(1)),
+        &format!("{} INFO tell=pct,v=0.5 0\r\n\r\n", request_id(1)),
+    );
+    harness.receive(
+        executor,
+        &format!(
+            "{} HIT pages=3,cost=81.5,need=90,meter=util:0.61 6\r\na\t1\tx\n\r\n",
+            request_id(1)
+        ),
+    );
+    assert_eq!(
+        harness.take_written(executor),
+        format!("FETCH {0} 1\r\nFETCH {0} 2\r\n", request_id(1))
     );
-    assert_eq!(harness.take_written(executor), format!("FETCH {0} 1\r\nFETCH {0} 2\r\n", request_id(1)));
     // Pages arrive in any order, and one of them twice.
     for page in [2, 1, 1] {
-        harness
-            .receive(executor, &format!("{} PART page={page} 7\r\n\"{page}\t\t\u{e9}\n\r\n", request_id(1)));
+        harness.receive(
+            executor,
+            &format!(
+                "{} PART page={page} 7\r\n\"{page}\t\t\u{e9}\n\r\n",
+                request_id(1)
+            ),
+        );
     }
     let answer = harness.take_written(client);
     assert!(answer.starts_with("HTTP/1.1 200 OK\r\n"), "{answer}");
@@ -38,7 +57,10 @@
         ),
         "{answer}"
     );
-    assert_eq!(harness.take_written(executor), format!("END {}\r\n", request_id(1)));
+    assert_eq!(
+        harness.take_written(executor),
+        format!("END {}\r\n", request_id(1))
+    );
     // Both connections are reused.
     harness.receive(client, &query_request("look", &request_id(2), ""));
     assert!(harness.take_written(executor).starts_with("REQ ") && harness.connects.is_empty());
@@ -47,7 +69,13 @@
 /// Regression test: the headers `X-Object` and `Idempotency-Key` were not parsed.
 #[test]
 fn an_idempotency_key_is_forwarded_unchanged_and_queries_of_a_key_run_in_order() {
-    let text = config(vec![executor_entry("e1", 1, "ready"), executor_entry("e2", 2, "ready")], 256);
+    let text = config(
+        vec![
+            executor_entry("e1", 1, "ready"),
+            executor_entry("e2", 2, "ready"),
+        ],
+        256,
+    );
     let mut settings: serde_json::Value = serde_json::from_str(&text).expect("JSON");
     settings["settings"]["grades"][1]["in_order"] = true.into();
     settings["settings"]["safety"]["order_pause_us"] = 300_000.into();
@@ -66,23 +94,40 @@
     assert!(request.contains(",nonce=a5/+=9 35\r\n"), "{request}");
     // A second query of the same key waits for its turn; one of another key does not.
     let second = harness.connect_client();
-    harness.receive(second, &query_request("load", &request_id(2), "X-Object: rel-7\r\n"));
+    harness.receive(
+        second,
+        &query_request("load", &request_id(2), "X-Object: rel-7\r\n"),
+    );
     harness.advance(100_000);
     assert!(harness.connects.is_empty() && harness.take_written(executor).is_empty());
     let other = harness.connect_client();
-    harness.receive(other, &query_request("load", &request_id(3), "X-Object: rel-8\r\n"));
+    harness.receive(
+        other,
+        &query_request("load", &request_id(3), "X-Object: rel-8\r\n"),
+    );
     let elsewhere = harness.complete_connects()[0];
-    assert!(harness.take_written(elsewhere).starts_with(&format!("REQ {} ", request_id(3))));
+    assert!(harness
+        .take_written(elsewhere)
+        .starts_with(&format!("REQ {} ", request_id(3))));
     // A query whose client disconnects while it waits for its turn is never sent.
     let third = harness.connect_client();
-    harness.receive(third, &query_request("load", &request_id(4), "X-Object: rel-7\r\n"));
+    harness.receive(
+        third,
+        &query_request("load", &request_id(4), "X-Object: rel-7\r\n"),
+    );
     harness.handle_io(IoEvent::Closing(second));
-    harness.receive(executor, &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)));
+    harness.receive(
+        executor,
+        &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)),
+    );
     harness.advance(600_000);
     assert_eq!(status(&harness.take_written(first)), 200);
     harness.complete_connects();
     let (_, request) = harness.take_request().expect("its turn has come");
-    assert!(request.starts_with(&format!("REQ {} ", request_id(4))), "{request}");
+    assert!(
+        request.starts_with(&format!("REQ {} ", request_id(4))),
+        "{request}"
+    );
     assert!(!request.contains("nonce") && harness.take_request().is_none());
 }
 
@@ -100,7 +145,10 @@
         (with(&request_id(1), "xyz"), 400),
         (with(&request_id(1), &"0".repeat(17)), 400),
         (with("X-Request-Id", "X-Other"), 400),
-        (with("Host: x", &format!("X-Request-Id: {}", request_id(2))), 400),
+        (
+            with("Host: x", &format!("X-Request-Id: {}", request_id(2))),
+            400,
+        ),
         (with("Timeout-Ms: 2000", "Timeout-Ms: -1"), 400),
         (with("Timeout-Ms: 2000", "Timeout-Ms: 0"), 400),
         (with("Timeout-Ms: 2000", "Timeout-Ms: soon"), 400),
@@ -110,11 +158,26 @@
         (with("Cost-Ms: 100.0", "Cost-Ms: NaN"), 400),
         (with("Cost-Ms: 100.0", "Need-Mb: -3"), 400),
         (with("Cost-Ms: 100.0", "Retry: 7"), 400),
-        (with("Cost-Ms: 100.0", "Cost-Ms: 100.0\r\nX-Object: a,prio=3"), 400),
-        (with("Cost-Ms: 100.0", "Cost-Ms: 100.0\r\nIdempotency-Key: a b"), 400),
-        (with("Cost-Ms: 100.0", &format!("Cost-Ms: 100.0\r\nX-Tenant: {}", "t".repeat(129))), 400),
+        (
+            with("Cost-Ms: 100.0", "Cost-Ms: 100.0\r\nX-Object: a,prio=3"),
+            400,
+        ),
+        (
+            with("Cost-Ms: 100.0", "Cost-Ms: 100.0\r\nIdempotency-Key: a b"),
+            400,
+        ),
+        (
+            with(
+                "Cost-Ms: 100.0",
+                &format!("Cost-Ms: 100.0\r\nX-Tenant: {}", "t".repeat(129)),
+            ),
+            400,
+        ),
         (with("Host: x", "X-Object: a\r\nX-Object: b"), 400),
-        (with("SELECT a, b, c FROM sales_17.orders", &" ".repeat(35)), 400),
+        (
+            with("SELECT a, b, c FROM sales_17.orders", &" ".repeat(35)),
+            400,
+        ),
     ]
 }
 
@@ -125,25 +188,53 @@
     let long = "x".repeat(9000);
     vec![
         (with("Content-Length: 35", "Content-Length: -35"), 400),
-        (with("Content-Length: 35", "Content-Length: 35\r\nContent-Length: 35"), 400),
-        (with("Content-Length: 35", "Content-Length: 35\r\nTransfer-Encoding: chunked"), 400),
-        (with("Content-Length: 35", "Transfer-Encoding: chunked"), 411),
+        (
+            with(
+                "Content-Length: 35",
+                "Content-Length: 35\r\nContent-Length: 35",
+            ),
+            400,
+        ),
+        (
+            with(
+                "Content-Length: 35",
+                "Content-Length: 35\r\nTransfer-Encoding: chunked",
+            ),
+            400,
+        ),
+        (
+            with("Content-Length: 35", "Transfer-Encoding: chunked"),
+            411,
+        ),
         (with("Content-Length: 35\r\n", ""), 411),
         (with("Content-Length: 35", "Content-Length: 62914560"), 413),
-        (with("Content-Length: 35", "Content-Length: 99999999999999999999999"), 413),
+        (
+            with(
+                "Content-Length: 35",
+                "Content-Length: 99999999999999999999999",
+            ),
+            413,
+        ),
         (with("Host: x", &format!("Host: {long}")), 431),
         ("\u{1}\u{2} nonsense\r\n\r\n".into(), 400),
     ]
 }
 
 /// Sends an invalid request by a new client, and checks its response.
-fn send_invalid_request(harness: &mut Harness, request: &str, expected_status: u16) -> (ConnId, String) {
+fn send_invalid_request(
+    harness: &mut Harness,
+    request: &str,
+    expected_status: u16,
+) -> (ConnId, String) {
     let client = harness.connect_client();
     harness.receive(client, request);
     let response = harness.take_written(client);
     assert_eq!(status(&response), expected_status, "{request}");
     assert!(!response.contains("TryLater"), "{request}");
-    assert!(harness.connects.is_empty(), "sent to an executor: {request}");
+    assert!(
+        harness.connects.is_empty(),
+        "sent to an executor: {request}"
+    );
     (client, response)
 }
 
@@ -164,7 +255,10 @@
         // Bytes that follow are not parsed as a request, and the connection is closed.
         harness.receive(client, &query_request("look", &request_id(9), ""));
         harness.advance(1_000_000);
-        assert!(harness.connects.is_empty() && harness.closed.contains(&client), "{request}");
+        assert!(
+            harness.connects.is_empty() && harness.closed.contains(&client),
+            "{request}"
+        );
     }
 }
 
@@ -173,13 +267,19 @@
     let mut harness = Harness::new(1);
     let (_, executor, _) = harness.forward_query("load", &request_id(1));
     let other = harness.connect_client();
-    for statement in ["SELECT a, b, c FROM sales_17.orders", "SELECT x, y, z FROM sales_17.orders"] {
+    for statement in [
+        "SELECT a, b, c FROM sales_17.orders",
+        "SELECT x, y, z FROM sales_17.orders",
+    ] {
         let call = query_request("load", &request_id(1), "")
             .replace("SELECT a, b, c FROM sales_17.orders", statement);
         harness.receive(other, &call);
         assert_eq!(status(&harness.take_written(other)), 409);
     }
-    harness.receive(executor, &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)));
+    harness.receive(
+        executor,
+        &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)),
+    );
     harness.receive(other, &query_request("load", &request_id(1), ""));
     assert_eq!(status(&harness.take_written(other)), 409);
     assert_eq!(harness.take_written(executor), "", "sent again");
@@ -190,8 +290,14 @@
     let mut harness = Harness::new(1);
     let (client, executor, _) = harness.forward_query("look", &request_id(1));
     harness.handle_io(IoEvent::Closing(client));
-    assert_eq!(harness.take_written(executor), format!("STOP {}\r\n", request_id(1)));
-    harness.receive(executor, &format!("{} HIT pages=1 6\r\na\t1\tx\n\r\n", request_id(1)));
+    assert_eq!(
+        harness.take_written(executor),
+        format!("STOP {}\r\n", request_id(1))
+    );
+    harness.receive(
+        executor,
+        &format!("{} HIT pages=1 6\r\na\t1\tx\n\r\n", request_id(1)),
+    );
     assert!(harness.closed.contains(&client) && harness.take_written(client).is_empty());
     let half = harness.connect_client();
     harness.receive(half, &query_request("look", &request_id(2), "")[..150]);
@@ -203,7 +309,10 @@
 fn silent_and_slow_clients_are_closed_and_active_ones_are_kept() {
     let mut harness = Harness::new(1);
     let (usual, executor, _) = harness.forward_query("look", &request_id(1));
-    harness.receive(executor, &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)));
+    harness.receive(
+        executor,
+        &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)),
+    );
     assert_eq!(status(&harness.take_written(usual)), 200);
     let (silent, slow) = (harness.connect_client(), harness.connect_client());
     harness.receive(slow, "POST /rpc/look HTTP/1.1\r\n");
@@ -231,7 +340,11 @@
         harness.advance(1_995_000);
         let answer = harness.take_written(client);
         // A query that may have run is rejected only if it is idempotent.
-        assert_eq!(status(&answer), if class == "look" { 503 } else { 500 }, "{answer}");
+        assert_eq!(
+            status(&answer),
+            if class == "look" { 503 } else { 500 },
+            "{answer}"
+        );
         assert_eq!(answer.contains("TryLater"), class == "look");
     }
 }
@@ -240,12 +353,18 @@
 fn many_idempotent_queries_do_not_displace_the_id_of_another_query() {
     let mut harness = Harness::new(1);
     let (client, executor, _) = harness.forward_query("load", &request_id(1));
-    harness.receive(executor, &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)));
+    harness.receive(
+        executor,
+        &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)),
+    );
     assert_eq!(status(&harness.take_written(client)), 200);
     for n in 2..8_400 {
         harness.receive(client, &query_request("look", &request_id(n), ""));
         harness.now += 1_000;
-        harness.receive(executor, &format!("{} HIT pages=1 0\r\n\r\n", request_id(n)));
+        harness.receive(
+            executor,
+            &format!("{} HIT pages=1 0\r\n\r\n", request_id(n)),
+        );
         assert_eq!(status(&harness.take_written(client)), 200, "query {n}");
     }
     harness.take_written(executor);
@@ -267,9 +386,15 @@
     let fresh = harness.complete_connects()[0];
     harness.advance(400_000);
     assert!(harness.take_written(fresh).is_empty());
-    assert_eq!(harness.take_written(executor), format!("STOP {}\r\n", request_id(1)));
+    assert_eq!(
+        harness.take_written(executor),
+        format!("STOP {}\r\n", request_id(1))
+    );
     let left = harness.platform.abandonment_counts();
-    assert_eq!((left.waiting, left.forwarded, left.forwarded_late), (1, 0, 0));
+    assert_eq!(
+        (left.waiting, left.forwarded, left.forwarded_late),
+        (1, 0, 0)
+    );
 }
 
 /// The client that has been idle the longest is closed for a new one just as it sends a request, and repeats it under its id.
@@ -277,7 +402,10 @@
 fn a_request_that_crosses_the_close_of_its_connection_is_served_when_repeated() {
     let mut harness = Harness::with_config(&config(vec![executor_entry("e1", 1, "ready")], 64));
     let (resting, executor, _) = harness.forward_query("load", &request_id(1));
-    harness.receive(executor, &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)));
+    harness.receive(
+        executor,
+        &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)),
+    );
     assert_eq!(status(&harness.take_written(resting)), 200);
     harness.now += 1_000;
     // All other clients have a query in flight.
@@ -290,20 +418,28 @@
     for _ in 2..18 {
         harness.complete_connects();
         while let Some((conn, _)) = harness.take_request() {
-            (2..18).for_each(|n| harness.receive(conn, &format!("{} HIT pages=1 0\r\n\r\n", request_id(n))));
+            (2..18).for_each(|n| {
+                harness.receive(conn, &format!("{} HIT pages=1 0\r\n\r\n", request_id(n)))
+            });
         }
     }
     let again = harness.connect_client();
     harness.receive(again, &query_request("load", &request_id(99), ""));
     harness.complete_connects();
     let (_, request) = harness.take_request().expect("sent to an executor");
-    assert!(request.contains(&format!("REQ {} ", request_id(99))), "{request}");
+    assert!(
+        request.contains(&format!("REQ {} ", request_id(99))),
+        "{request}"
+    );
 }
 
 /// A disconnect, and a timer that would dispatch the query, in the same turn.
 #[test]
 fn a_disconnect_is_handled_before_timers_due_in_the_same_turn() {
-    for (what, due_after) in [("a connect that times out", 250_000), ("the delay after a reset", 20_000)] {
+    for (what, due_after) in [
+        ("a connect that times out", 250_000),
+        ("the delay after a reset", 20_000),
+    ] {
         let mut harness = Harness::new(1);
         let client = harness.connect_client();
         harness.receive(client, &query_request("look", &request_id(1), ""));
@@ -316,15 +452,22 @@
                 refused: false,
                 reason: "reset",
             });
-            assert!(harness.connects.is_empty(), "the executor may not know of the reset yet");
+            assert!(
+                harness.connects.is_empty(),
+                "the executor may not know of the reset yet"
+            );
         } else {
             assert_eq!(harness.connects.len(), 1);
         }
         harness.now += due_after;
-        harness.platform.handle_io(harness.now, IoEvent::Closing(client));
+        harness
+            .platform
+            .handle_io(harness.now, IoEvent::Closing(client));
         harness.platform.handle_timers(harness.now);
         harness.run_effects();
-        harness.connects.retain(|(conn, _)| !harness.closed.contains(conn));
+        harness
+            .connects
+            .retain(|(conn, _)| !harness.closed.contains(conn));
         harness.complete_connects();
         harness.advance(500_000);
         harness.complete_connects();
@@ -358,10 +501,18 @@
     let one_more = harness.connect_client();
     assert_eq!(harness.closed[8..], [first]);
     // A client that has disconnected is evicted first of all.
-    harness.platform.handle_io(harness.now, IoEvent::Ended(keepers[15]));
+    harness
+        .platform
+        .handle_io(harness.now, IoEvent::Ended(keepers[15]));
     let last = harness.connect_client();
     assert_eq!(harness.closed[9..], [keepers[15]]);
-    assert!([&more[..], &[one_more, last]].concat().iter().all(|c| !harness.closed.contains(c)));
-    harness.receive(executor, &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)));
+    assert!([&more[..], &[one_more, last]]
+        .concat()
+        .iter()
+        .all(|c| !harness.closed.contains(c)));
+    harness.receive(
+        executor,
+        &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)),
+    );
     assert_eq!(status(&harness.take_written(second)), 200);
 }
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -74,7 +74,9 @@
 impl Harness {
     /// A controller with so many executors, named e1, e2 and so on.
     pub fn new(executors: u8) -> Harness {
-        let servers = (1..=executors).map(|n| executor_entry(&format!("e{n}"), n, "ready")).collect();
+        let servers = (1..=executors)
+            .map(|n| executor_entry(&format!("e{n}"), n, "ready"))
+            .collect();
         Harness::with_config(&config(servers, 256))
     }
 
@@ -122,8 +124,12 @@
                     Effect::Send(port, to, bytes) => self.datagrams.push((port, to, bytes)),
                     Effect::StopListening => {
                         for call in std::mem::take(&mut self.backlog) {
-                            let id = self.platform.accept(self.now, Listener::Clients).expect("capacity");
-                            self.platform.handle_io(self.now, IoEvent::Received(id, call.as_bytes()));
+                            let id = self
+                                .platform
+                                .accept(self.now, Listener::Clients)
+                                .expect("capacity");
+                            self.platform
+                                .handle_io(self.now, IoEvent::Received(id, call.as_bytes()));
                             self.accepted_late.push(id);
                         }
                         self.listening = false;
@@ -158,7 +164,10 @@
 
     /// Connects a client.
     pub fn connect_client(&mut self) -> ConnId {
-        let id = self.platform.accept(self.now, Listener::Clients).expect("capacity");
+        let id = self
+            .platform
+            .accept(self.now, Listener::Clients)
+            .expect("capacity");
         self.run_effects();
         id
     }
@@ -215,7 +224,11 @@
 
     /// Takes a request or cancellation that was written to an executor.
     pub fn take_request(&mut self) -> Option<(ConnId, String)> {
-        let conn = *self.written.iter().find(|(_, w)| w.starts_with(b"REQ ") || w.starts_with(b"STOP "))?.0;
+        let conn = *self
+            .written
+            .iter()
+            .find(|(_, w)| w.starts_with(b"REQ ") || w.starts_with(b"STOP "))?
+            .0;
         Some((conn, self.take_written(conn)))
     }
 }
@@ -236,7 +249,11 @@
 
 /// The status of an HTTP response.
 pub fn status(answer: &str) -> u16 {
-    answer.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+    answer
+        .split(' ')
+        .nth(1)
+        .and_then(|s| s.parse().ok())
+        .unwrap_or(0)
 }
 
 /// An answer of the name service to a query: executors by name, last byte of the address and priority, with a serial number.
@@ -250,7 +267,11 @@
         let target = Name::from_ascii(format!("{name}.z.hosts.")).expect("a name");
         let srv = SRV::new(*priority, 80, 6565, target.clone());
         answer.add_answer(Record::from_rdata(service.clone(), 1, RData::SRV(srv)));
-        answer.add_additional(Record::from_rdata(target.clone(), 1, RData::A(A::new(127, 1, 0, *last))));
+        answer.add_additional(Record::from_rdata(
+            target.clone(),
+            1,
+            RData::A(A::new(127, 1, 0, *last)),
+        ));
         let texts = TXT::new(vec!["kind=std".into(), "cell=2".into(), "started=0".into()]);
         answer.add_additional(Record::from_rdata(target, 1, RData::TXT(texts)));
     }
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -20,7 +20,11 @@
 }
 
 fn receive(harness: &mut Harness, from: &str, bytes: &[u8]) {
-    harness.handle_io(IoEvent::Datagram(DatagramSocket::Discovery, address(from), bytes));
+    harness.handle_io(IoEvent::Datagram(
+        DatagramSocket::Discovery,
+        address(from),
+        bytes,
+    ));
 }
 
 /// Address that the next query is forwarded to; `None` if it is rejected.
@@ -37,12 +41,30 @@
     let (_, old, _) = harness.forward_query("look", &request_id(1));
     harness.receive(old, &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)));
     let asked = next_query(&mut harness, RESOLVER);
-    receive(&mut harness, RESOLVER, &dns_answer(&asked, 4, &[("e9", 1, 0)]).to_vec().expect("bytes"));
-    assert!(harness.closed.contains(&old), "connection to a removed executor");
-    assert_eq!(forwarded_to(&mut harness, 2), Some(address("127.1.0.1:6565")));
+    receive(
+        &mut harness,
+        RESOLVER,
+        &dns_answer(&asked, 4, &[("e9", 1, 0)])
+            .to_vec()
+            .expect("bytes"),
+    );
+    assert!(
+        harness.closed.contains(&old),
+        "connection to a removed executor"
+    );
+    assert_eq!(
+        forwarded_to(&mut harness, 2),
+        Some(address("127.1.0.1:6565"))
+    );
     // A draining executor gets no new queries.
     let asked = next_query(&mut harness, RESOLVER);
-    receive(&mut harness, RESOLVER, &dns_answer(&asked, 5, &[("e9", 1, 1)]).to_vec().expect("bytes"));
+    receive(
+        &mut harness,
+        RESOLVER,
+        &dns_answer(&asked, 5, &[("e9", 1, 1)])
+            .to_vec()
+            .expect("bytes"),
+    );
     assert_eq!(forwarded_to(&mut harness, 3), None);
 }
 
@@ -81,27 +103,58 @@
         receive(&mut harness, RESOLVER, &whole[..cut]);
     }
     receive(&mut harness, "127.9.0.2:1053", &whole);
-    assert_eq!(forwarded_to(&mut harness, 1), Some(address("127.1.0.1:6565")));
+    assert_eq!(
+        forwarded_to(&mut harness, 1),
+        Some(address("127.1.0.1:6565"))
+    );
     // The unchanged answer is accepted.
     receive(&mut harness, RESOLVER, &whole);
-    assert_eq!(forwarded_to(&mut harness, 2), Some(address("127.1.0.7:6565")));
+    assert_eq!(
+        forwarded_to(&mut harness, 2),
+        Some(address("127.1.0.7:6565"))
+    );
 }
 
 #[test]
 fn after_a_reload_the_new_name_service_is_queried_at_once_and_the_old_one_is_ignored() {
     let mut harness = Harness::new(1);
     let asked = next_query(&mut harness, RESOLVER);
-    let late = dns_answer(&asked, 9, &[("e9", 7, 0)]).to_vec().expect("bytes");
+    let late = dns_answer(&asked, 9, &[("e9", 7, 0)])
+        .to_vec()
+        .expect("bytes");
     harness.datagrams.clear();
-    harness.platform.use_resolver(harness.now, address("127.9.0.3:1053"));
+    harness
+        .platform
+        .use_resolver(harness.now, address("127.9.0.3:1053"));
     harness.run_effects();
     let (_, to, again) = harness.datagrams.last().expect("asked at once").clone();
     assert_eq!(to, address("127.9.0.3:1053"));
     receive(&mut harness, RESOLVER, &late);
-    assert_eq!(forwarded_to(&mut harness, 1), Some(address("127.1.0.1:6565")));
+    assert_eq!(
+        forwarded_to(&mut harness, 1),
+        Some(address("127.1.0.1:6565"))
+    );
     // The serial number stays.
-    receive(&mut harness, "127.9.0.3:1053", &dns_answer(&again, 3, &[("e8", 8, 0)]).to_vec().expect("bytes"));
-    assert_eq!(forwarded_to(&mut harness, 2), Some(address("127.1.0.1:6565")));
-    receive(&mut harness, "127.9.0.3:1053", &dns_answer(&again, 4, &[("e8", 8, 0)]).to_vec().expect("bytes"));
-    assert_eq!(forwarded_to(&mut harness, 3), Some(address("127.1.0.8:6565")));
+    receive(
+        &mut harness,
+        "127.9.0.3:1053",
+        &dns_answer(&again, 3, &[("e8", 8, 0)])
+            .to_vec()
+            .expect("bytes"),
+    );
+    assert_eq!(
+        forwarded_to(&mut harness, 2),
+        Some(address("127.1.0.1:6565"))
+    );
+    receive(
+        &mut harness,
+        "127.9.0.3:1053",
+        &dns_answer(&again, 4, &[("e8", 8, 0)])
+            .to_vec()
+            .expect("bytes"),
+    );
+    assert_eq!(
+        forwarded_to(&mut harness, 3),
+        Some(address("127.1.0.8:6565"))
+    );
 }
--- a/crates/platform/tests/executors.rs
+++ b/crates/platform/tests/executors.rs
@@ -5,7 +5,10 @@
 use wheelfield_sans_io::{ConnId, IoEvent, Protocol};
 
 fn hit(n: u64) -> String {
-    format!("{} HIT pages=1,cost=100.0,meter=util:0.3 6\r\na\t1\tx\n\r\n", request_id(n))
+    format!(
+        "{} HIT pages=1,cost=100.0,meter=util:0.3 6\r\na\t1\tx\n\r\n",
+        request_id(n)
+    )
 }
 
 /// Each invalid response closes its connection, and is never forwarded to the client.
@@ -40,7 +43,9 @@
             assert_eq!(again.len(), usize::from(class == "look"), "{answer:?}");
             match again.first() {
                 Some(other) => {
-                    assert!(harness.take_written(*other).starts_with(&format!("REQ {one} ")));
+                    assert!(harness
+                        .take_written(*other)
+                        .starts_with(&format!("REQ {one} ")));
                     harness.receive(*other, &hit(1));
                     assert_eq!(status(&harness.take_written(client)), 200);
                 }
@@ -70,10 +75,19 @@
     let mut harness = Harness::new(1);
     let (client, executor, _) = harness.forward_query("look", &request_id(1));
     harness.receive(executor, &hit(77));
-    harness.receive(executor, &format!("{} PART page=1 6\r\nz\t1\tx\n\r\n", request_id(1)));
-    harness.receive(executor, &format!("not-an-id FAULT - 0\r\n\r\n{}{}", hit(1), hit(1)));
+    harness.receive(
+        executor,
+        &format!("{} PART page=1 6\r\nz\t1\tx\n\r\n", request_id(1)),
+    );
+    harness.receive(
+        executor,
+        &format!("not-an-id FAULT - 0\r\n\r\n{}{}", hit(1), hit(1)),
+    );
     let answer = harness.take_written(client);
-    assert!(answer.ends_with("{\"batch\":[[\"a\",\"1\",\"x\"]]}"), "{answer}");
+    assert!(
+        answer.ends_with("{\"batch\":[[\"a\",\"1\",\"x\"]]}"),
+        "{answer}"
+    );
     assert!(!harness.closed.contains(&executor));
     harness.receive(client, &query_request("look", &request_id(2), ""));
     assert!(harness.take_written(executor).starts_with("REQ "));
@@ -109,7 +123,12 @@
             assert!(!harness.closed.contains(&conn));
             harness.advance(20_000);
         } else {
-            harness.handle_io(IoEvent::Broken { id: conn, writing: true, refused: true, reason: "refused" });
+            harness.handle_io(IoEvent::Broken {
+                id: conn,
+                writing: true,
+                refused: true,
+                reason: "refused",
+            });
         }
         assert!(harness.closed.contains(&conn));
         let answer = harness.take_written(client);
@@ -129,14 +148,23 @@
     harness.receive(spare, &hit(1));
     harness.advance(600_000);
     // Far behind its estimate, for which the policy retries it.
-    harness.receive(executor, &format!("{} INFO tell=pct,v=0.01 0\r\n\r\n", request_id(2)));
+    harness.receive(
+        executor,
+        &format!("{} INFO tell=pct,v=0.01 0\r\n\r\n", request_id(2)),
+    );
     harness.advance(300_000);
     let said = harness.take_written(executor);
-    assert!(said.starts_with(&format!("STOP {0}\r\nREQ {0} ", request_id(2))), "{said}");
+    assert!(
+        said.starts_with(&format!("STOP {0}\r\nREQ {0} ", request_id(2))),
+        "{said}"
+    );
     assert_eq!(harness.take_written(spare), "");
     // Whichever of the two attempts this belongs to, the other one is cancelled.
     harness.receive(executor, &hit(2));
-    assert_eq!(harness.take_written(executor), format!("STOP {}\r\n", request_id(2)));
+    assert_eq!(
+        harness.take_written(executor),
+        format!("STOP {}\r\n", request_id(2))
+    );
 }
 
 /// Regression test: executors whose connections broke as they came up were taken for dead, and then for restarted.
@@ -147,7 +175,12 @@
     harness.receive(client, &query_request("load", &request_id(1), ""));
     for _ in 0..3 {
         let (conn, _) = harness.connects.remove(0);
-        harness.handle_io(IoEvent::Broken { id: conn, writing: true, refused: false, reason: "reset" });
+        harness.handle_io(IoEvent::Broken {
+            id: conn,
+            writing: true,
+            refused: false,
+            reason: "reset",
+        });
         assert_eq!(harness.connects.len(), 1, "no other connection at once");
     }
     let executor = harness.complete_connects()[0];
@@ -166,10 +199,17 @@
     let (fresh, _) = harness.connects.remove(0);
     harness.receive(resting, &hit(1));
     harness.take_written(resting);
-    harness.handle_io(IoEvent::Broken { id: fresh, writing: true, refused: false, reason: "reset" });
+    harness.handle_io(IoEvent::Broken {
+        id: fresh,
+        writing: true,
+        refused: false,
+        reason: "reset",
+    });
     assert!(
         harness.connects.is_empty()
-            && harness.take_written(resting).starts_with(&format!("REQ {} ", request_id(2)))
+            && harness
+                .take_written(resting)
+                .starts_with(&format!("REQ {} ", request_id(2)))
     );
 }
 
@@ -181,7 +221,12 @@
         let client = harness.connect_client();
         harness.receive(client, &query_request("load", &request_id(1), ""));
         let executor = harness.complete_connects()[0];
-        harness.handle_io(IoEvent::Broken { id: executor, writing: false, refused: false, reason: "reset" });
+        harness.handle_io(IoEvent::Broken {
+            id: executor,
+            writing: false,
+            refused: false,
+            reason: "reset",
+        });
         harness.connects.clear();
         harness.advance(3_000_000);
         assert_eq!(status(&harness.take_written(client)), expected);
@@ -201,7 +246,10 @@
     harness.receive_discovery_answer(&dns_answer(&query, 9, &[("e1", 1, 1), ("e2", 2, 0)]));
     assert!(harness.closed.contains(&executor) && harness.take_written(executor).is_empty());
     let other = harness.complete_connects()[0];
-    assert!(harness.take_written(other).starts_with("REQ "), "not sent to the other executor");
+    assert!(
+        harness.take_written(other).starts_with("REQ "),
+        "not sent to the other executor"
+    );
 }
 
 #[test]
@@ -216,8 +264,11 @@
     }
     let connections: std::collections::BTreeSet<ConnId> = harness.written.keys().copied().collect();
     assert!(connections.len() <= 16, "{} connections", connections.len());
-    let requests: usize =
-        harness.written.values().map(|w| String::from_utf8_lossy(w).matches("REQ ").count()).sum();
+    let requests: usize = harness
+        .written
+        .values()
+        .map(|w| String::from_utf8_lossy(w).matches("REQ ").count())
+        .sum();
     assert_eq!(requests, 16);
     harness.platform.begin_shutdown(harness.now);
 }
@@ -238,7 +289,11 @@
     }
     // The connection to each removed executor is closed too.
     assert_eq!(harness.closed.len(), 299);
-    assert!(harness.platform.connections_in_use() <= 2, "{} held", harness.platform.connections_in_use());
+    assert!(
+        harness.platform.connections_in_use() <= 2,
+        "{} held",
+        harness.platform.connections_in_use()
+    );
 }
 
 /// Until the executor knows of the reset, it still has the query whose cancellation was not sent.
@@ -252,17 +307,27 @@
     harness.advance(600_000);
     // From here on nothing is written: the cancellation and the retry stay in the output.
     harness.write_limit = Some(0);
-    harness.receive(executor, &format!("{} INFO tell=pct,v=0.01 0\r\n\r\n", request_id(2)));
+    harness.receive(
+        executor,
+        &format!("{} INFO tell=pct,v=0.01 0\r\n\r\n", request_id(2)),
+    );
     harness.advance(300_000);
     harness.write_limit = None;
-    harness.handle_io(IoEvent::Broken { id: executor, writing: true, refused: false, reason: "reset" });
+    harness.handle_io(IoEvent::Broken {
+        id: executor,
+        writing: true,
+        refused: false,
+        reason: "reset",
+    });
     harness.advance(19_000);
     assert!(
         harness.take_written(spare).is_empty() && harness.connects.is_empty(),
         "a second copy beside the first one"
     );
     harness.advance(2_000);
-    assert!(harness.take_written(spare).starts_with(&format!("REQ {} ", request_id(2))));
+    assert!(harness
+        .take_written(spare)
+        .starts_with(&format!("REQ {} ", request_id(2))));
 }
 
 #[test]
@@ -273,11 +338,17 @@
     harness.receive(executor, &hit(1));
     let query = harness.next_discovery_query();
     harness.receive_discovery_answer(&dns_answer(&query, 9, &[("e1", 7, 0)]));
-    assert!(harness.closed.contains(&executor), "idle connection to the former address");
+    assert!(
+        harness.closed.contains(&executor),
+        "idle connection to the former address"
+    );
     harness.take_written(client);
     harness.receive(client, &query_request("look", &request_id(3), ""));
     assert_eq!(harness.connects.len(), 1);
-    assert_eq!(harness.connects[0].1, "127.1.0.7:6565".parse().expect("an address"));
+    assert_eq!(
+        harness.connects[0].1,
+        "127.1.0.7:6565".parse().expect("an address")
+    );
     // Attempts at the former address may still end, and no more are sent there.
     harness.receive(busy, &hit(2));
     assert_eq!(status(&harness.take_written(other)), 200);
@@ -289,19 +360,33 @@
 fn a_repeat_whose_window_closed_while_its_connection_came_up_is_not_written() {
     for (waits, written) in [(50_000, true), (150_000, false)] {
         let mut text: serde_json::Value =
-            serde_json::from_str(&config(vec![executor_entry("e1", 1, "ready")], 256)).expect("JSON");
+            serde_json::from_str(&config(vec![executor_entry("e1", 1, "ready")], 256))
+                .expect("JSON");
         text["settings"]["grades"][1]["effect"] = "by_key".into();
         text["settings"]["grades"][1]["window_us"] = 400_000.into();
         let mut harness = Harness::with_config(&text.to_string());
         let (client, executor, _) = harness.forward_query("load", &request_id(1));
         harness.advance(280_000);
-        harness.handle_io(IoEvent::Broken { id: executor, writing: false, refused: false, reason: "reset" });
+        harness.handle_io(IoEvent::Broken {
+            id: executor,
+            writing: false,
+            refused: false,
+            reason: "reset",
+        });
         harness.advance(20_000);
         assert_eq!(harness.connects.len(), 1, "not retried");
         harness.advance(waits);
         let again = harness.complete_connects()[0];
-        assert_eq!(harness.take_written(again).starts_with(&format!("REQ {} ", request_id(1))), written);
+        assert_eq!(
+            harness
+                .take_written(again)
+                .starts_with(&format!("REQ {} ", request_id(1))),
+            written
+        );
         // All executors deduplicate, so that the client may retry.
-        assert_eq!(status(&harness.take_written(client)), if written { 0 } else { 503 });
+        assert_eq!(
+            status(&harness.take_written(client)),
+            if written { 0 } else { 503 }
+        );
     }
 }
--- a/crates/platform/tests/interleavings/main.rs
+++ b/crates/platform/tests/interleavings/main.rs
@@ -31,9 +31,14 @@
     ] {
         let mut runner = TestRunner::deterministic();
         let is_detected = (0..300).any(|_| {
-            let scenario = scenario().new_tree(&mut runner).expect("a scenario").current();
+            let scenario = scenario()
+                .new_tree(&mut runner)
+                .expect("a scenario")
+                .current();
             let violations = Simulation::new(Some(fault)).run(&scenario);
-            violations.iter().any(|violation| violation.starts_with(rule))
+            violations
+                .iter()
+                .any(|violation| violation.starts_with(rule))
         });
         assert!(is_detected, "{fault:?} is not detected");
     }
--- a/crates/platform/tests/interleavings/simulation.rs
+++ b/crates/platform/tests/interleavings/simulation.rs
@@ -50,7 +50,9 @@
 }
 
 fn executor_address(number: u8) -> SocketAddr {
-    format!("127.1.0.{number}:6565").parse().expect("an address")
+    format!("127.1.0.{number}:6565")
+        .parse()
+        .expect("an address")
 }
 
 fn executor_name(number: u8) -> String {
@@ -58,8 +60,16 @@
 }
 
 /// The key at this index among those whose value fulfils a condition, counted round.
-fn choose<K: Copy + Ord, V>(map: &BTreeMap<K, V>, index: usize, condition: impl Fn(&V) -> bool) -> Option<K> {
-    let keys: Vec<K> = map.iter().filter(|(_, value)| condition(value)).map(|(key, _)| *key).collect();
+fn choose<K: Copy + Ord, V>(
+    map: &BTreeMap<K, V>,
+    index: usize,
+    condition: impl Fn(&V) -> bool,
+) -> Option<K> {
+    let keys: Vec<K> = map
+        .iter()
+        .filter(|(_, value)| condition(value))
+        .map(|(key, _)| *key)
+        .collect();
     (!keys.is_empty()).then(|| keys[index % keys.len()])
 }
 
@@ -72,7 +82,9 @@
             clients: BTreeMap::new(),
             executor_connections: BTreeMap::new(),
             log: Vec::new(),
-            statuses: (1..=EXECUTORS).map(|number| (number, ListedStatus::Up)).collect(),
+            statuses: (1..=EXECUTORS)
+                .map(|number| (number, ListedStatus::Up))
+                .collect(),
             serial: 3,
             delayed_disconnects: Vec::new(),
         }
@@ -115,8 +127,18 @@
 
     fn violations(&self, start: i64) -> Vec<String> {
         let config = BootstrapConfig::parse(&config(Vec::new(), 256)).expect("valid");
-        let class = |name: &str| OfClass { name: name.to_string(), usual_work: 0.1, ..OfClass::default() };
-        let lives = [Life { controller: 0, from: 0, killed: None, stalls: Vec::new(), entered: false }];
+        let class = |name: &str| OfClass {
+            name: name.to_string(),
+            usual_work: 0.1,
+            ..OfClass::default()
+        };
+        let lives = [Life {
+            controller: 0,
+            from: 0,
+            killed: None,
+            stalls: Vec::new(),
+            entered: false,
+        }];
         let evidence = Evidence {
             settings: &config.settings,
             grace: 0,
@@ -129,11 +151,15 @@
             tolerance: Tolerance::STEPS,
         };
         let breaches = judge(&evidence);
-        let mut violations: Vec<String> =
-            breaches.iter().map(|breach| format!("{}: {}", breach.rule, breach.what)).collect();
+        let mut violations: Vec<String> = breaches
+            .iter()
+            .map(|breach| format!("{}: {}", breach.rule, breach.what))
+            .collect();
         let forwarded_late = self.harness.platform.abandonment_counts().forwarded_late;
         if forwarded_late > 0 {
-            violations.push(format!("{forwarded_late} sent for clients that had disconnected"));
+            violations.push(format!(
+                "{forwarded_late} sent for clients that had disconnected"
+            ));
         }
         if !self.harness.stopped {
             violations.push("the controller does not end".to_string());
@@ -164,13 +190,27 @@
     /// Logs an event at an executor; `delay` orders what is sent in a turn after all that is received in it.
     fn log_event(&mut self, delay: i64, event: &str, engine: &str, query: &str) {
         let (t, by) = (self.harness.now + delay, "wheelfield/0".to_string());
-        let (event, engine, query) = (event.to_string(), engine.to_string(), Some(query.to_string()));
-        self.log.push(Line { t, event, engine, query, by, ..Line::default() });
+        let (event, engine, query) = (
+            event.to_string(),
+            engine.to_string(),
+            Some(query.to_string()),
+        );
+        self.log.push(Line {
+            t,
+            event,
+            engine,
+            query,
+            by,
+            ..Line::default()
+        });
     }
 
     /// Connects a client that sends a query; `None` if it is not accepted.
     fn send_query(&mut self, class: usize, timeout_ms: i64, number: u64) -> Option<ConnId> {
-        let client = self.harness.platform.accept(self.harness.now, Listener::Clients)?;
+        let client = self
+            .harness
+            .platform
+            .accept(self.harness.now, Listener::Clients)?;
         let request = query_request(CLASSES[class], &request_id(number), "");
         let request = request.replace("2000", &timeout_ms.to_string());
         self.handle_io(IoEvent::Received(client, request.as_bytes()));
@@ -181,8 +221,16 @@
         let index = self.queries.len();
         let number = index as u64 + 1;
         let sent = self.harness.now;
-        let client = if is_accepted { self.send_query(class, timeout_ms, number) } else { None };
-        let (end, ended) = if client.is_some() { (None, i64::MAX) } else { (Some(End::Broke), sent) };
+        let client = if is_accepted {
+            self.send_query(class, timeout_ms, number)
+        } else {
+            None
+        };
+        let (end, ended) = if client.is_some() {
+            (None, i64::MAX)
+        } else {
+            (Some(End::Broke), sent)
+        };
         self.queries.push(Asked {
             id: request_id(number),
             class,
@@ -203,9 +251,13 @@
 
     /// Only a query that has run may not run again under its id.
     fn repeat_served_query(&mut self, index: usize) {
-        let is_served = |query: &Asked| query.class == AT_MOST_ONCE && query.end == Some(End::Served);
-        let served: Vec<u64> =
-            (1..).zip(&self.queries).filter(|(_, query)| is_served(query)).map(|(n, _)| n).collect();
+        let is_served =
+            |query: &Asked| query.class == AT_MOST_ONCE && query.end == Some(End::Served);
+        let served: Vec<u64> = (1..)
+            .zip(&self.queries)
+            .filter(|(_, query)| is_served(query))
+            .map(|(n, _)| n)
+            .collect();
         if served.is_empty() {
             return;
         }
@@ -230,9 +282,12 @@
 
     fn report_disconnect(&mut self, client: ConnId, how: Disconnect) {
         self.handle_io(match how {
-            Disconnect::Reset => {
-                IoEvent::Broken { id: client, writing: false, refused: false, reason: "reset" }
-            }
+            Disconnect::Reset => IoEvent::Broken {
+                id: client,
+                writing: false,
+                refused: false,
+                reason: "reset",
+            },
             Disconnect::Close => IoEvent::Closing(client),
         });
     }
@@ -254,14 +309,26 @@
 
     fn refuse_connect(&mut self, index: usize) {
         if let Some(id) = self.take_connect(index) {
-            self.handle_io(IoEvent::Broken { id, writing: true, refused: true, reason: "refused" });
+            self.handle_io(IoEvent::Broken {
+                id,
+                writing: true,
+                refused: true,
+                reason: "refused",
+            });
         }
     }
 
     fn reset_connection(&mut self, index: usize) {
-        let Some(id) = choose(&self.executor_connections, index, |_| true) else { return };
+        let Some(id) = choose(&self.executor_connections, index, |_| true) else {
+            return;
+        };
         self.drop_executor_connection(id);
-        self.handle_io(IoEvent::Broken { id, writing: false, refused: false, reason: "reset" });
+        self.handle_io(IoEvent::Broken {
+            id,
+            writing: false,
+            refused: false,
+            reason: "reset",
+        });
     }
 
     /// Ends a turn: timers are handled, and effects carried out.
@@ -280,7 +347,11 @@
         for (id, address) in &self.harness.connects {
             let number = (1..=EXECUTORS).find(|number| executor_address(*number) == *address);
             let engine = executor_name(number.expect("an executor"));
-            let connection = ExecutorConnection { engine, running: Vec::new(), input: Vec::new() };
+            let connection = ExecutorConnection {
+                engine,
+                running: Vec::new(),
+                input: Vec::new(),
+            };
             self.executor_connections.entry(*id).or_insert(connection);
         }
         for (id, bytes) in std::mem::take(&mut self.harness.written) {
@@ -292,7 +363,9 @@
         for id in std::mem::take(&mut self.harness.closed) {
             self.harness.connects.retain(|(connect, _)| *connect != id);
             self.drop_executor_connection(id);
-            let Some(query) = self.clients.remove(&id) else { continue };
+            let Some(query) = self.clients.remove(&id) else {
+                continue;
+            };
             let query = &mut self.queries[query];
             if query.end.is_none() {
                 (query.end, query.ended) = (Some(End::Broke), self.harness.now);
@@ -314,7 +387,9 @@
             503 => End::Refused,
             _ => End::Failed,
         });
-        if query.end == Some(End::Served) && !text.contains(&format!("[\"{}\",\"1\",\"x\"]", query.id)) {
+        if query.end == Some(End::Served)
+            && !text.contains(&format!("[\"{}\",\"1\",\"x\"]", query.id))
+        {
             query.wrong = Some(text.to_string());
         }
     }
@@ -322,7 +397,11 @@
     fn advance(&mut self, micros: i64) {
         let until = self.harness.now + micros;
         loop {
-            let due = self.harness.platform.next_timer_at().filter(|at| *at <= until);
+            let due = self
+                .harness
+                .platform
+                .next_timer_at()
+                .filter(|at| *at <= until);
             // Each turn has a time of its own.
             self.harness.now = due.unwrap_or(until).max(self.harness.now + 10);
             self.end_turn();
--- a/crates/platform/tests/interleavings/simulation/executor_side.rs
+++ b/crates/platform/tests/interleavings/simulation/executor_side.rs
@@ -27,12 +27,20 @@
             .iter()
             .filter(|(_, status)| **status != ListedStatus::Removed)
             .map(|(number, status)| {
-                (executor_name(*number), *number, u16::from(*status == ListedStatus::Draining))
+                (
+                    executor_name(*number),
+                    *number,
+                    u16::from(*status == ListedStatus::Draining),
+                )
             })
             .collect();
-        let listed: Vec<(&str, u8, u16)> =
-            listed.iter().map(|(name, n, p)| (name.as_str(), *n, *p)).collect();
-        let answer = dns_answer(query, self.serial, &listed).to_vec().expect("bytes");
+        let listed: Vec<(&str, u8, u16)> = listed
+            .iter()
+            .map(|(name, n, p)| (name.as_str(), *n, *p))
+            .collect();
+        let answer = dns_answer(query, self.serial, &listed)
+            .to_vec()
+            .expect("bytes");
         self.log_list();
         if self.fault != Some(InjectedFault::DiscoveryLost) {
             let from = RESOLVER.parse().expect("an address");
@@ -49,28 +57,44 @@
                 ListedStatus::Draining => "draining".to_string(),
                 ListedStatus::Removed => "removed".to_string(),
             };
-            not_up.push(NotUp { engine: executor_name(*number), status });
+            not_up.push(NotUp {
+                engine: executor_name(*number),
+                status,
+            });
         }
         let (t, event, who) = (self.harness.now, "told".to_string(), "0".to_string());
-        self.log.push(Line { t, event, who, not_up, ..Line::default() });
+        self.log.push(Line {
+            t,
+            event,
+            who,
+            not_up,
+            ..Line::default()
+        });
     }
 
     /// A connection to an executor has ended, and with it the requests on it.
     pub(super) fn drop_executor_connection(&mut self, id: ConnId) {
-        let Some(connection) = self.executor_connections.remove(&id) else { return };
+        let Some(connection) = self.executor_connections.remove(&id) else {
+            return;
+        };
         for query in connection.running {
             self.log_event(0, "dropped", &connection.engine, &query);
         }
     }
 
     pub(super) fn respond(&mut self, index: usize, reply: ExecutorReply) {
-        let busy = choose(&self.executor_connections, index, |connection| !connection.running.is_empty());
+        let busy = choose(&self.executor_connections, index, |connection| {
+            !connection.running.is_empty()
+        });
         let Some(id) = busy else { return };
         let connection = self.executor_connections.get_mut(&id).expect("chosen");
         let query = connection.running[index % connection.running.len()].clone();
         let engine = connection.engine.clone();
         let row = format!("{query}\t1\tx\n");
-        let hit = format!("{query} HIT pages=1,cost=9.0,meter=util:0.3 {}\r\n{row}\r\n", row.len());
+        let hit = format!(
+            "{query} HIT pages=1,cost=9.0,meter=util:0.3 {}\r\n{row}\r\n",
+            row.len()
+        );
         let (event, response) = match reply {
             ExecutorReply::Served | ExecutorReply::ServedThenClosed => (Some("finished"), hit),
             ExecutorReply::Rejected => (Some("refused"), format!("{query} SHED - 0\r\n\r\n")),
@@ -78,7 +102,10 @@
             ExecutorReply::TooLate => (Some("refused"), format!("{query} LATE - 0\r\n\r\n")),
             ExecutorReply::ServedTwice => (Some("finished"), format!("{hit}{hit}")),
             ExecutorReply::Progress => (None, format!("{query} INFO tell=pct,v=0.4 0\r\n\r\n")),
-            ExecutorReply::Invalid => (Some("finished"), format!("{query} HIT pages=1 5000000\r\nnoise")),
+            ExecutorReply::Invalid => (
+                Some("finished"),
+                format!("{query} HIT pages=1 5000000\r\nnoise"),
+            ),
         };
         if let Some(event) = event {
             connection.running.retain(|running| *running != query);
@@ -92,7 +119,9 @@
     }
 
     pub(super) fn receive_at_executor(&mut self, id: ConnId, bytes: &[u8]) {
-        let Some(connection) = self.executor_connections.get_mut(&id) else { return };
+        let Some(connection) = self.executor_connections.get_mut(&id) else {
+            return;
+        };
         connection.input.extend_from_slice(bytes);
         let text = String::from_utf8(std::mem::take(&mut connection.input)).expect("text");
         let engine = connection.engine.clone();
@@ -111,6 +140,8 @@
                 _ => {}
             }
         }
-        events.into_iter().for_each(|(event, query)| self.log_event(1, event, &engine, query));
+        events
+            .into_iter()
+            .for_each(|(event, query)| self.log_event(1, event, &engine, query));
     }
 }
--- a/crates/platform/tests/interleavings/steps.rs
+++ b/crates/platform/tests/interleavings/steps.rs
@@ -45,7 +45,11 @@
 }
 
 /// The statuses to draw from.
-const STATUSES: [ListedStatus; 3] = [ListedStatus::Up, ListedStatus::Draining, ListedStatus::Removed];
+const STATUSES: [ListedStatus; 3] = [
+    ListedStatus::Up,
+    ListedStatus::Draining,
+    ListedStatus::Removed,
+];
 
 /// How a client disconnects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,7 +82,13 @@
 fn step() -> impl Strategy<Value = Step> {
     let index = any::<usize>;
     let timeout_ms = prop::sample::select(vec![150i64, 900, 4_000, 20_000]);
-    let how = any::<bool>().prop_map(|resets| if resets { Disconnect::Reset } else { Disconnect::Close });
+    let how = any::<bool>().prop_map(|resets| {
+        if resets {
+            Disconnect::Reset
+        } else {
+            Disconnect::Close
+        }
+    });
     let reply = (0u8..9).prop_map(|n| REPLIES[usize::from(n)]);
     let status = (0u8..3).prop_map(|n| STATUSES[usize::from(n)]);
     prop_oneof![
--- a/crates/platform/tests/settings.rs
+++ b/crates/platform/tests/settings.rs
@@ -38,7 +38,10 @@
 
 /// A configuration as parsed, for comparison.
 fn parsed(file: &Value) -> String {
-    format!("{:?}", BootstrapConfig::parse(&file.to_string()).unwrap_or_else(|error| panic!("{error}")))
+    format!(
+        "{:?}",
+        BootstrapConfig::parse(&file.to_string()).unwrap_or_else(|error| panic!("{error}"))
+    )
 }
 
 /// Another valid value.
@@ -52,7 +55,12 @@
             Value::String(name) if name == "a" && all.len() == 1 => json!(["b"]),
             Value::String(name) if name == "cpu_share" => json!(["pending"]),
             Value::String(_) => Value::Array(all.iter().cloned().chain([json!("more")]).collect()),
-            first => Value::Array([changed(first)].into_iter().chain(all[1..].iter().cloned()).collect()),
+            first => Value::Array(
+                [changed(first)]
+                    .into_iter()
+                    .chain(all[1..].iter().cloned())
+                    .collect(),
+            ),
         },
         Value::String(word) => json!(match word.as_str() {
             "by_key" => "once",
@@ -68,9 +76,11 @@
 }
 
 fn find_key<'a>(file: &'a mut Value, key: &str) -> &'a mut Value {
-    key.split('.').fold(&mut file["settings"], |at, part| match part.strip_suffix("[]") {
-        Some(list) => &mut at[list][0],
-        None => &mut at[part],
+    key.split('.').fold(&mut file["settings"], |at, part| {
+        match part.strip_suffix("[]") {
+            Some(list) => &mut at[list][0],
+            None => &mut at[part],
+        }
     })
 }
 
@@ -78,10 +88,9 @@
 fn each_settings_key_is_read_or_ignored_as_documented() {
     let before = parsed(&complete_config());
     let mut keys = 0;
-    for row in TABLE
-        .lines()
-        .filter(|l| l.starts_with("| `") && (l.contains("` | read |") || l.contains("` | unused |")))
-    {
+    for row in TABLE.lines().filter(|l| {
+        l.starts_with("| `") && (l.contains("` | read |") || l.contains("` | unused |"))
+    }) {
         let key = row.split('`').nth(1).expect("a key");
         let mut file = complete_config();
         let at = find_key(&mut file, key);
@@ -109,10 +118,21 @@
         settings.as_object_mut().expect("an object").remove(key);
     }
     for key in ["aim_stretch", "in_order", "bound_to", "zones_open"] {
-        settings["grades"][0].as_object_mut().expect("an object").remove(key);
+        settings["grades"][0]
+            .as_object_mut()
+            .expect("an object")
+            .remove(key);
     }
-    for key in ["extra_free", "resend_ratio", "budget_span_us", "order_pause_us"] {
-        settings["safety"].as_object_mut().expect("an object").remove(key);
+    for key in [
+        "extra_free",
+        "resend_ratio",
+        "budget_span_us",
+        "order_pause_us",
+    ] {
+        settings["safety"]
+            .as_object_mut()
+            .expect("an object")
+            .remove(key);
     }
     settings["ceilings"]["max_streams"] = json!(32.0);
     settings["more"] = json!({"of": ["any", 1]});
@@ -134,14 +154,27 @@
         ("grades[].effect", json!("perhaps"), "effect"),
         ("grades[].name", json!(""), "grades"),
         ("grades", json!([]), "grades"),
-        ("ceilings.conn_idle_us", Value::Null, "ceilings.conn_idle_us"),
-        ("ceilings.connect_timeout_us", json!("soon"), "ceilings.connect_timeout_us"),
+        (
+            "ceilings.conn_idle_us",
+            Value::Null,
+            "ceilings.conn_idle_us",
+        ),
+        (
+            "ceilings.connect_timeout_us",
+            json!("soon"),
+            "ceilings.connect_timeout_us",
+        ),
         ("ceilings.max_streams", json!(-1), "ceilings.max_streams"),
         ("ceilings.most_held", json!(0.5), "ceilings.most_held"),
     ] {
         let mut file = complete_config();
         *find_key(&mut file, key) = value;
-        let message = BootstrapConfig::parse(&file.to_string()).expect_err("it can't be used").to_string();
-        assert!(message.contains(named) && message.lines().count() == 1, "{key}: {message}");
+        let message = BootstrapConfig::parse(&file.to_string())
+            .expect_err("it can't be used")
+            .to_string();
+        assert!(
+            message.contains(named) && message.lines().count() == 1,
+            "{key}: {message}"
+        );
     }
 }
--- a/crates/platform/tests/shutdown.rs
+++ b/crates/platform/tests/shutdown.rs
@@ -18,12 +18,18 @@
     let late = harness.connect_client();
     harness.receive(late, &query_request("look", &request_id(2), ""));
     let second = harness.complete_connects()[0];
-    harness.receive(executor, &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)));
+    harness.receive(
+        executor,
+        &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)),
+    );
     assert_eq!(status(&harness.take_written(first)), 200);
     harness.receive(probe, "GET /health HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_eq!(status(&harness.take_written(probe)), 503);
     harness.advance(600_000);
-    assert!(!harness.listening && !harness.stopped, "one response is outstanding");
+    assert!(
+        !harness.listening && !harness.stopped,
+        "one response is outstanding"
+    );
     assert!(harness.closed.contains(&first) && !harness.closed.contains(&late));
     harness.receive(second, &format!("{} HIT pages=1 0\r\n\r\n", request_id(2)));
     assert_eq!(status(&harness.take_written(late)), 200);
@@ -36,8 +42,8 @@
 #[test]
 fn queries_in_flight_are_answered_before_the_process_may_be_killed() {
     let long_query = |class: &str, n: u64| {
-        let request =
-            query_request(class, &request_id(n), "").replace("Timeout-Ms: 2000", "Timeout-Ms: 30000");
+        let request = query_request(class, &request_id(n), "")
+            .replace("Timeout-Ms: 2000", "Timeout-Ms: 30000");
         request.replace("Cost-Ms: 100.0", "Cost-Ms: 9000.0")
     };
     let mut harness = Harness::new(2);
@@ -60,7 +66,10 @@
             let running: Vec<_> = harness.written.keys().copied().collect();
             for conn in running {
                 for n in 1..=3 {
-                    harness.receive(conn, &format!("{} INFO tell=pct,v=0.3 0\r\n\r\n", request_id(n)));
+                    harness.receive(
+                        conn,
+                        &format!("{} INFO tell=pct,v=0.3 0\r\n\r\n", request_id(n)),
+                    );
                 }
             }
         }
@@ -69,14 +78,21 @@
     // A query that arrives during the shutdown has the same deadline.
     send_query(&mut harness, "look", 3);
     report_progress(&mut harness, 12);
-    assert!(waiting.iter().all(|(client, _)| !harness.written.contains_key(client)), "answered early");
+    assert!(
+        waiting
+            .iter()
+            .all(|(client, _)| !harness.written.contains_key(client)),
+        "answered early"
+    );
     harness.advance(190_000);
     for (client, expected) in waiting {
         let response = harness.take_written(client);
         assert_eq!(status(&response), expected, "{response}");
     }
     assert!(
-        executors.iter().all(|conn| harness.take_written(*conn).contains("STOP ")),
+        executors
+            .iter()
+            .all(|conn| harness.take_written(*conn).contains("STOP ")),
         "a cancellation is missing"
     );
     harness.advance(200_000);
@@ -87,17 +103,27 @@
 #[test]
 fn clients_accepted_as_listening_ends_are_answered_before_the_process_ends() {
     let mut harness = Harness::new(1);
-    harness.backlog =
-        vec!["GET /health HTTP/1.1\r\n\r\n".to_string(), query_request("look", &request_id(1), "")];
+    harness.backlog = vec![
+        "GET /health HTTP/1.1\r\n\r\n".to_string(),
+        query_request("look", &request_id(1), ""),
+    ];
     harness.platform.begin_shutdown(harness.now);
     harness.run_effects();
     harness.advance(800_000);
-    assert!(!harness.listening && !harness.stopped, "two responses are outstanding");
-    let [health_client, query_client] = harness.accepted_late[..] else { panic!("two were accepted") };
+    assert!(
+        !harness.listening && !harness.stopped,
+        "two responses are outstanding"
+    );
+    let [health_client, query_client] = harness.accepted_late[..] else {
+        panic!("two were accepted")
+    };
     assert_eq!(status(&harness.take_written(health_client)), 503);
     let executor = harness.complete_connects()[0];
     assert!(harness.take_written(executor).starts_with("REQ "));
-    harness.receive(executor, &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)));
+    harness.receive(
+        executor,
+        &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)),
+    );
     assert_eq!(status(&harness.take_written(query_client)), 200);
     harness.advance(200_000);
     assert!(harness.stopped);
@@ -108,7 +134,10 @@
 fn a_client_closed_at_shutdown_may_reconnect_and_has_time_to_send_its_request() {
     let mut harness = Harness::new(1);
     let (idle, executor, _) = harness.forward_query("look", &request_id(1));
-    harness.receive(executor, &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)));
+    harness.receive(
+        executor,
+        &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)),
+    );
     assert_eq!(status(&harness.take_written(idle)), 200);
     harness.platform.begin_shutdown(harness.now);
     harness.run_effects();
@@ -118,19 +147,31 @@
     let reconnected = harness.connect_client();
     harness.receive(reconnected, &query_request("look", &request_id(2), ""));
     assert!(harness.take_written(executor).starts_with("REQ "));
-    harness.receive(executor, &format!("{} HIT pages=1 0\r\n\r\n", request_id(2)));
+    harness.receive(
+        executor,
+        &format!("{} HIT pages=1 0\r\n\r\n", request_id(2)),
+    );
     assert_eq!(status(&harness.take_written(reconnected)), 200);
     harness.advance(45_000);
     let (late_client, silent) = (harness.connect_client(), harness.connect_client());
     harness.advance(10_000);
     assert!(!harness.listening && !harness.stopped);
     harness.advance(35_000);
-    assert!(!harness.closed.contains(&late_client) && !harness.stopped, "its request may be on its way");
+    assert!(
+        !harness.closed.contains(&late_client) && !harness.stopped,
+        "its request may be on its way"
+    );
     harness.receive(late_client, &query_request("look", &request_id(3), ""));
     assert!(harness.take_written(executor).starts_with("REQ "));
     harness.advance(100_000);
-    assert!(harness.closed.contains(&silent) && !harness.stopped, "one response is outstanding");
-    harness.receive(executor, &format!("{} HIT pages=1 0\r\n\r\n", request_id(3)));
+    assert!(
+        harness.closed.contains(&silent) && !harness.stopped,
+        "one response is outstanding"
+    );
+    harness.receive(
+        executor,
+        &format!("{} HIT pages=1 0\r\n\r\n", request_id(3)),
+    );
     assert_eq!(status(&harness.take_written(late_client)), 200);
     harness.run_effects();
     assert!(harness.stopped);
--- a/crates/recorder/src/recording_driver.rs
+++ b/crates/recorder/src/recording_driver.rs
@@ -19,13 +19,22 @@
 impl RecordingDriver {
     /// Wraps what decides; without a recorder nothing is recorded.
     pub fn new(engine: Box<dyn DecisionEngine>, recorder: Option<Recorder>) -> RecordingDriver {
-        RecordingDriver { engine, recorder, fresh: Vec::new(), pending: VecDeque::new() }
+        RecordingDriver {
+            engine,
+            recorder,
+            fresh: Vec::new(),
+            pending: VecDeque::new(),
+        }
     }
 
     /// Hands in something that happened.
     pub fn handle_input(&mut self, now: i64, input: Input) {
-        let recorded = self.recorder.is_some().then(|| RecordedInput::Input(input.clone()));
-        self.engine.handle_input(Micros(now), input, &mut self.fresh);
+        let recorded = self
+            .recorder
+            .is_some()
+            .then(|| RecordedInput::Input(input.clone()));
+        self.engine
+            .handle_input(Micros(now), input, &mut self.fresh);
         self.finish_step(now, recorded, None);
     }
 
@@ -33,8 +42,16 @@
     ///
     /// # Errors
     /// [`CapacityExceeded`] when as many queries are held as may be.
-    pub fn submit(&mut self, now: i64, arrival: Arrival, label: &str) -> Result<QueryId, CapacityExceeded> {
-        let record = || RecordedInput::Arrive { arrival: arrival.clone(), label: label.to_string() };
+    pub fn submit(
+        &mut self,
+        now: i64,
+        arrival: Arrival,
+        label: &str,
+    ) -> Result<QueryId, CapacityExceeded> {
+        let record = || RecordedInput::Arrive {
+            arrival: arrival.clone(),
+            label: label.to_string(),
+        };
         let recorded = self.recorder.is_some().then(record);
         let submitted = self.engine.submit(Micros(now), arrival, &mut self.fresh);
         self.finish_step(now, recorded, submitted.ok());
@@ -49,7 +66,12 @@
     }
 
     /// Records a step, and keeps its instructions until they are taken.
-    fn finish_step(&mut self, now: i64, recorded: Option<RecordedInput>, submitted: Option<QueryId>) {
+    fn finish_step(
+        &mut self,
+        now: i64,
+        recorded: Option<RecordedInput>,
+        submitted: Option<QueryId>,
+    ) {
         if let (Some(recorder), Some(told)) = (&mut self.recorder, recorded) {
             recorder.step(Micros(now), &told, submitted, &self.fresh);
             self.maintain_capture(now);
@@ -68,7 +90,11 @@
     }
 
     /// Records the names of engines, for readers of the capture.
-    pub fn record_engine_names(&mut self, now: i64, names: impl Iterator<Item = (EngineId, String)>) {
+    pub fn record_engine_names(
+        &mut self,
+        now: i64,
+        names: impl Iterator<Item = (EngineId, String)>,
+    ) {
         if let Some(recorder) = &mut self.recorder {
             recorder.engines(Micros(now), names);
         }
@@ -83,7 +109,9 @@
 
     /// Requests the capture that is held in memory; false if there is none.
     pub fn request_capture(&mut self, now: i64) -> bool {
-        let Some(recorder) = &mut self.recorder else { return false };
+        let Some(recorder) = &mut self.recorder else {
+            return false;
+        };
         recorder.ask(Micros(now));
         self.maintain_capture(now);
         true
@@ -91,7 +119,10 @@
 
     /// The state of the capture.
     pub fn capture_state(&self) -> State {
-        self.recorder.as_ref().map(Recorder::state).unwrap_or_default()
+        self.recorder
+            .as_ref()
+            .map(Recorder::state)
+            .unwrap_or_default()
     }
 
     /// Takes the recorder out, to be ended.
--- a/crates/replay/examples/fuzz_reader.rs
+++ b/crates/replay/examples/fuzz_reader.rs
@@ -13,7 +13,8 @@
 
 fn main() {
     let mut args = std::env::args().skip(1).map(|a| a.parse::<u64>());
-    let (Some(Ok(seconds)), seed) = (args.next(), args.next().and_then(Result::ok).unwrap_or(1)) else {
+    let (Some(Ok(seconds)), seed) = (args.next(), args.next().and_then(Result::ok).unwrap_or(1))
+    else {
         eprintln!("fuzz_reader SECONDS [SEED]");
         std::process::exit(2);
     };
@@ -39,7 +40,10 @@
         files += 1;
         *ends.entry(read(&path, &mut records)).or_default() += 1;
     }
-    println!("{files} files, {records} records read, no panic, {} kB of memory at most", peak_kb());
+    println!(
+        "{files} files, {records} records read, no panic, {} kB of memory at most",
+        peak_kb()
+    );
     for (end, n) in ends {
         println!("{n:>9}  {end}");
     }
@@ -77,8 +81,12 @@
 fn mend_sums(bytes: &mut [u8]) {
     let mut at = 8;
     while bytes.len() >= at + HEAD + 4 && &bytes[at..at + 4] == b"WFBK" {
-        let length =
-            u32::from_be_bytes([bytes[at + 52], bytes[at + 53], bytes[at + 54], bytes[at + 55]]) as usize;
+        let length = u32::from_be_bytes([
+            bytes[at + 52],
+            bytes[at + 53],
+            bytes[at + 54],
+            bytes[at + 55],
+        ]) as usize;
         let (from, to) = (at + HEAD + 4, (at + HEAD + 4).saturating_add(length));
         if to > bytes.len() {
             return;
@@ -126,5 +134,6 @@
 fn peak_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:"));
-    line.and_then(|l| l.trim().split(' ').next()?.parse().ok()).unwrap_or(0)
+    line.and_then(|l| l.trim().split(' ').next()?.parse().ok())
+        .unwrap_or(0)
 }
--- a/crates/replay/examples/hour.rs
+++ b/crates/replay/examples/hour.rs
@@ -7,7 +7,10 @@
 use wheelfield_driver::{Arrival, Driver, DriverLimits, Input, Instruction};
 use wheelfield_replay::{feed, run, Options};
 
-#[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
+#[expect(
+    clippy::too_many_lines,
+    reason = "to be split: docs/ROADMAP.md lists it"
+)]
 fn main() {
     let mut args = std::env::args().skip(1);
     let Some(path) = args.next().map(PathBuf::from) else {
@@ -45,7 +48,10 @@
         tenants: Vec::new(),
     };
     let mut driver = Driver::new(settings, 3, bounds);
-    let limits = Limits { max_queued_blocks: 1 << 16, ..Limits::default() };
+    let limits = Limits {
+        max_queued_blocks: 1 << 16,
+        ..Limits::default()
+    };
     let mut recorder = Recorder::begin(&path, start, limits, &driver, Micros(0)).expect("a file");
     let mut agenda: std::collections::BTreeMap<(i64, u64), RecordedInput> = Default::default();
     let entry = |n| EngineEntry {
@@ -59,7 +65,10 @@
     agenda.insert((1, 0), RecordedInput::Input(Input::Started));
     agenda.insert(
         (2, 0),
-        RecordedInput::Input(Input::Engines { complete: true, entries: (0..20).map(entry).collect() }),
+        RecordedInput::Input(Input::Engines {
+            complete: true,
+            entries: (0..20).map(entry).collect(),
+        }),
     );
     let (mut n, mut steps, hour) = (1u64, 0u64, 3_600_000_000i64);
     let mut next = 1_000i64;
@@ -67,18 +76,42 @@
         if next < hour && agenda.first_key_value().is_none_or(|((t, _), _)| *t > next) {
             n += 1;
             let work_hint = Some(0.05 + (n % 50) as f64 / 100.0);
-            let arrival = Arrival { deadline: Micros(next + 5_000_000), work_hint, ..Arrival::default() };
-            agenda.insert((next, n), RecordedInput::Arrive { arrival, label: format!("q{n}") });
+            let arrival = Arrival {
+                deadline: Micros(next + 5_000_000),
+                work_hint,
+                ..Arrival::default()
+            };
+            agenda.insert(
+                (next, n),
+                RecordedInput::Arrive {
+                    arrival,
+                    label: format!("q{n}"),
+                },
+            );
             next += 1_000_000 / rate.max(1);
         }
-        let Some(((at, _), told)) = agenda.pop_first() else { break };
+        let Some(((at, _), told)) = agenda.pop_first() else {
+            break;
+        };
         let mut todo = vec![(at, told)];
         while let Some(due) = driver.next_timer_at().filter(|d| d.0 < at) {
             todo.insert(todo.len() - 1, (due.0, RecordedInput::Due));
-            step(&mut driver, &mut recorder, &mut agenda, todo.remove(0), &mut n);
+            step(
+                &mut driver,
+                &mut recorder,
+                &mut agenda,
+                todo.remove(0),
+                &mut n,
+            );
             steps += 1;
         }
-        step(&mut driver, &mut recorder, &mut agenda, todo.remove(0), &mut n);
+        step(
+            &mut driver,
+            &mut recorder,
+            &mut agenda,
+            todo.remove(0),
+            &mut n,
+        );
         steps += 1;
     }
     let state = recorder.end(Micros(hour));
@@ -86,9 +119,19 @@
         "{steps} steps of an hour at {rate} queries a second: {} bytes, {} lost",
         state.bytes, state.lost
     );
-    for (what, from) in [("from the start", None), ("from minute 50", Some(Micros(50 * 60_000_000)))] {
+    for (what, from) in [
+        ("from the start", None),
+        ("from minute 50", Some(Micros(50 * 60_000_000))),
+    ] {
         let began = Instant::now();
-        let verdict = run(&path, Options { from, over_gaps: false }).expect("whole");
+        let verdict = run(
+            &path,
+            Options {
+                from,
+                over_gaps: false,
+            },
+        )
+        .expect("whole");
         let took = began.elapsed().as_secs_f64();
         let (first, last) = verdict.times.expect("steps");
         println!(
@@ -115,11 +158,26 @@
     for i in out {
         if let Instruction::Start { attempt, .. } = i {
             *n += 2;
-            agenda.insert((at + 1_000, *n - 1), RecordedInput::Input(Input::Dispatched(attempt)));
-            let report = LoadReport { utilisation: Some((*n % 17) as f64 / 20.0), ..LoadReport::default() };
+            agenda.insert(
+                (at + 1_000, *n - 1),
+                RecordedInput::Input(Input::Dispatched(attempt)),
+            );
+            let report = LoadReport {
+                utilisation: Some((*n % 17) as f64 / 20.0),
+                ..LoadReport::default()
+            };
             let takes = 50_000 + (*n * 7_919 % 900_000) as i64;
-            let outcome = if *n % 101 < 2 { Outcome::Error } else { Outcome::Served };
-            let ended = Input::AttemptEnded { attempt, outcome, reported_work: Some(0.2), report };
+            let outcome = if *n % 101 < 2 {
+                Outcome::Error
+            } else {
+                Outcome::Served
+            };
+            let ended = Input::AttemptEnded {
+                attempt,
+                outcome,
+                reported_work: Some(0.2),
+                report,
+            };
             agenda.insert((at + takes, *n), RecordedInput::Input(ended));
         }
     }
--- a/crates/replay/src/commands/diff.rs
+++ b/crates/replay/src/commands/diff.rs
@@ -14,9 +14,12 @@
 /// Compares the decisions of this build with those under a configuration (`.toml`), or with those of another build's replay
 /// program.
 pub fn diff_against(file: &Path, against: &Path, max_shown: usize) -> Result<Outcome> {
-    if against.extension().is_some_and(|extension| extension == "toml") {
-        let text =
-            std::fs::read_to_string(against).with_context(|| format!("cannot read {}", against.display()))?;
+    if against
+        .extension()
+        .is_some_and(|extension| extension == "toml")
+    {
+        let text = std::fs::read_to_string(against)
+            .with_context(|| format!("cannot read {}", against.display()))?;
         let config = wheelfield_config::parse(&against.display().to_string(), &text)?;
         return what_if::compare_settings(file, &config.settings, max_shown);
     }
@@ -61,12 +64,18 @@
             .spawn()
             .with_context(|| format!("cannot start {}", program.display()))?;
         let stdout = child.stdout.take().context("no standard output")?;
-        Ok(OtherBuild { child, lines: BufReader::new(stdout).lines() })
+        Ok(OtherBuild {
+            child,
+            lines: BufReader::new(stdout).lines(),
+        })
     }
 
     /// Its answer in the next step.
     fn next_answer(&mut self) -> Result<Vec<Instruction>> {
-        let line = self.lines.next().context("the other build stopped early")??;
+        let line = self
+            .lines
+            .next()
+            .context("the other build stopped early")??;
         let line: serde_json::Value = serde_json::from_str(&line)?;
         serde_json::from_value(line["out"].clone())
             .context("the other build answers in another form: it can't be compared")
@@ -79,7 +88,11 @@
 }
 
 fn print_difference(step: &ReplayedStep, other: &[Instruction], names: &Names) {
-    println!("step {}: {}", step.recorded.number, describe_input(&step.recorded, names));
+    println!(
+        "step {}: {}",
+        step.recorded.number,
+        describe_input(&step.recorded, names)
+    );
     for instruction in &step.answer {
         println!("  here  {}", describe_instruction(instruction, names));
     }
@@ -123,42 +136,92 @@
 
     /// Counts the instructions that only one of two answers has.
     fn add(&mut self, here: &[Instruction], there: &[Instruction], names: &Names) {
-        for instruction in here.iter().filter(|instruction| !there.contains(instruction)) {
-            self.counts.entry(self.key(instruction, names)).or_default().here_only += 1;
+        for instruction in here
+            .iter()
+            .filter(|instruction| !there.contains(instruction))
+        {
+            self.counts
+                .entry(self.key(instruction, names))
+                .or_default()
+                .here_only += 1;
         }
-        for instruction in there.iter().filter(|instruction| !here.contains(instruction)) {
-            self.counts.entry(self.key(instruction, names)).or_default().there_only += 1;
+        for instruction in there
+            .iter()
+            .filter(|instruction| !here.contains(instruction))
+        {
+            self.counts
+                .entry(self.key(instruction, names))
+                .or_default()
+                .there_only += 1;
         }
     }
 
     fn key(&self, instruction: &Instruction, names: &Names) -> Key {
         let class_of = |query: &QueryId| {
-            names.class(self.class_of_query.get(query).copied().unwrap_or(usize::MAX)).to_string()
+            names
+                .class(
+                    self.class_of_query
+                        .get(query)
+                        .copied()
+                        .unwrap_or(usize::MAX),
+                )
+                .to_string()
         };
         let none = || "-".to_string();
         match instruction {
-            Instruction::Start { attempt, engine, .. } => {
-                Key { kind: "send".into(), class: class_of(&attempt.query), engine: names.engine(*engine) }
-            }
+            Instruction::Start {
+                attempt, engine, ..
+            } => Key {
+                kind: "send".into(),
+                class: class_of(&attempt.query),
+                engine: names.engine(*engine),
+            },
             Instruction::Answer(query, answer) => {
                 let answer = format!("{answer:?}");
                 let kind = answer.split([' ', '{']).next().unwrap_or("").to_lowercase();
-                Key { kind, class: class_of(query), engine: none() }
-            }
-            Instruction::Cancel(attempt) => {
-                Key { kind: "withdraw".into(), class: class_of(&attempt.query), engine: none() }
+                Key {
+                    kind,
+                    class: class_of(query),
+                    engine: none(),
+                }
             }
-            _ => Key { kind: "other".into(), class: none(), engine: none() },
+            Instruction::Cancel(attempt) => Key {
+                kind: "withdraw".into(),
+                class: class_of(&attempt.query),
+                engine: none(),
+            },
+            _ => Key {
+                kind: "other".into(),
+                class: none(),
+                engine: none(),
+            },
         }
     }
 
     fn print(&self) {
-        println!("{} of {} steps are answered otherwise", self.different_steps, self.steps);
+        println!(
+            "{} of {} steps are answered otherwise",
+            self.different_steps, self.steps
+        );
         if self.different_steps == 0 {
             return;
         }
-        println!("{:<12} {:<16} {:<14} {:>9} {:>10}", "kind", "class", "engine", "here only", "there only");
-        for (Key { kind, class, engine }, Counts { here_only, there_only }) in &self.counts {
+        println!(
+            "{:<12} {:<16} {:<14} {:>9} {:>10}",
+            "kind", "class", "engine", "here only", "there only"
+        );
+        for (
+            Key {
+                kind,
+                class,
+                engine,
+            },
+            Counts {
+                here_only,
+                there_only,
+            },
+        ) in &self.counts
+        {
             println!("{kind:<12} {class:<16} {engine:<14} {here_only:>9} {there_only:>10}");
         }
     }
--- a/crates/replay/src/commands/explain.rs
+++ b/crates/replay/src/commands/explain.rs
@@ -38,7 +38,11 @@
     let mut found = false;
     while let Some(replayed) = player.next_step()? {
         let step = replayed.recorded;
-        if step.input.arrival().is_some_and(|(_, label)| label == wanted) {
+        if step
+            .input
+            .arrival()
+            .is_some_and(|(_, label)| label == wanted)
+        {
             query = step.accepted;
         }
         let decides = query.is_some_and(|query| step.answer.iter().any(|i| decides_on(i, query)));
@@ -73,7 +77,9 @@
 /// Whether the input of a step is about a query.
 fn is_about(step: &Step, query: QueryId) -> bool {
     match &step.input {
-        RecordedInput::Arrive { .. } | RecordedInput::ArriveAs { .. } => step.accepted == Some(query),
+        RecordedInput::Arrive { .. } | RecordedInput::ArriveAs { .. } => {
+            step.accepted == Some(query)
+        }
         RecordedInput::Input(
             Input::AttemptEnded { attempt, .. }
             | Input::AttemptMeasured { attempt, .. }
@@ -107,8 +113,13 @@
         let load = self.report.map_or("no load told".into(), |(at, report)| {
             format!("{} ({})", describe_load_report(&report), age(at))
         });
-        let failed = self.failed_at.map_or(String::new(), |at| format!(", last failed {}", age(at)));
-        format!("{status}; {load}; {} of ours out, {} sent{failed}", self.in_flight, self.sent)
+        let failed = self
+            .failed_at
+            .map_or(String::new(), |at| format!(", last failed {}", age(at)));
+        format!(
+            "{status}; {load}; {} of ours out, {} sent{failed}",
+            self.in_flight, self.sent
+        )
     }
 }
 
@@ -129,7 +140,10 @@
             println!("  {:<12} {}", names.engine(*id), engine.describe(now));
         }
         for (at, text) in &self.log {
-            println!("  the module had said at {:.3} s: {text}", (*at - start).as_secs_f64());
+            println!(
+                "  the module had said at {:.3} s: {text}",
+                (*at - start).as_secs_f64()
+            );
         }
     }
 
@@ -150,9 +164,21 @@
                     self.engine(entry.engine).status = Some((at, entry.status));
                 }
             }
-            Input::AttemptEnded { attempt, outcome, report, .. }
-            | Input::AttemptMeasured { attempt, outcome, report, .. } => {
-                let ended = self.engine_of_attempt.remove(&(attempt.query, attempt.number));
+            Input::AttemptEnded {
+                attempt,
+                outcome,
+                report,
+                ..
+            }
+            | Input::AttemptMeasured {
+                attempt,
+                outcome,
+                report,
+                ..
+            } => {
+                let ended = self
+                    .engine_of_attempt
+                    .remove(&(attempt.query, attempt.number));
                 if let Some(id) = ended {
                     let engine = self.engine(id);
                     engine.in_flight -= 1;
@@ -164,7 +190,9 @@
                     }
                 }
             }
-            Input::ProbeEnded { engine, report, .. } => self.engine(*engine).report = Some((at, *report)),
+            Input::ProbeEnded { engine, report, .. } => {
+                self.engine(*engine).report = Some((at, *report))
+            }
             Input::PeerReports(reports) => {
                 for peer in reports {
                     self.engine(peer.engine).report = Some((at, peer.report));
@@ -176,8 +204,11 @@
 
     fn learn_from_instruction(&mut self, at: Micros, instruction: &Instruction) {
         match instruction {
-            Instruction::Start { attempt, engine, .. } => {
-                self.engine_of_attempt.insert((attempt.query, attempt.number), *engine);
+            Instruction::Start {
+                attempt, engine, ..
+            } => {
+                self.engine_of_attempt
+                    .insert((attempt.query, attempt.number), *engine);
                 let engine = self.engine(*engine);
                 engine.in_flight += 1;
                 engine.sent += 1;
@@ -203,7 +234,9 @@
     if step.input.arrival().is_none() {
         return;
     }
-    let Some(snapshot) = player.snapshot() else { return };
+    let Some(snapshot) = player.snapshot() else {
+        return;
+    };
     let Some(first) = chosen_engine(&step.answer) else {
         println!("  with any single engine gone it is answered the same: it fits nowhere");
         return;
@@ -212,7 +245,10 @@
     let mut last = first;
     let mut driver = snapshot.clone();
     for _ in 0..player.engines.len() {
-        let removal = Input::Engines { complete: false, entries: vec![draining_entry(last)] };
+        let removal = Input::Engines {
+            complete: false,
+            entries: vec![draining_entry(last)],
+        };
         driver.handle_input(step.at, removal, &mut Vec::new());
         let mut trial = driver.clone();
         let mut answer = Vec::new();
@@ -226,7 +262,10 @@
         }
     }
     let shown: Vec<String> = chosen.iter().map(|engine| names.engine(*engine)).collect();
-    println!("  it fitted, by asking the module again without each one drawn: {}", shown.join(", "));
+    println!(
+        "  it fitted, by asking the module again without each one drawn: {}",
+        shown.join(", ")
+    );
 }
 
 /// The engine that an answer sends the first attempt to.
@@ -239,5 +278,12 @@
 
 /// The entry of an engine list by which an engine takes no further work.
 fn draining_entry(engine: EngineId) -> EngineEntry {
-    EngineEntry { engine, zone: 0, kind: 0, cell: 0, status: Status::Draining, started_at: None }
+    EngineEntry {
+        engine,
+        zone: 0,
+        kind: 0,
+        cell: 0,
+        status: Status::Draining,
+        started_at: None,
+    }
 }
--- a/crates/replay/src/commands/export.rs
+++ b/crates/replay/src/commands/export.rs
@@ -11,8 +11,11 @@
     let mut out = BufWriter::new(std::io::stdout().lock());
     while let Some(step) = player.next_step()? {
         let recorded = step.recorded;
-        let (accepted, answer) =
-            if replayed { (step.accepted, step.answer) } else { (recorded.accepted, recorded.answer) };
+        let (accepted, answer) = if replayed {
+            (step.accepted, step.answer)
+        } else {
+            (recorded.accepted, recorded.answer)
+        };
         let line = serde_json::json!({
             "step": recorded.number,
             "at": recorded.at,
--- a/crates/replay/src/commands/mod.rs
+++ b/crates/replay/src/commands/mod.rs
@@ -36,7 +36,13 @@
 
 /// Opens a capture, to be read over all losses.
 fn open_over_gaps(file: &Path) -> Result<Player> {
-    Ok(Player::open(file, Options { over_gaps: true, from: None })?)
+    Ok(Player::open(
+        file,
+        Options {
+            over_gaps: true,
+            from: None,
+        },
+    )?)
 }
 
 /// All names in a capture; those of engines may stand anywhere in it.
@@ -44,19 +50,31 @@
     let mut player = open_over_gaps(file)?;
     while player.next_step()?.is_some() {}
     let classes = player.start.map(|start| start.classes).unwrap_or_default();
-    Ok(Names { engines: player.engines, classes })
+    Ok(Names {
+        engines: player.engines,
+        classes,
+    })
 }
 
 /// Time of the first record of a capture, which shown times count from.
 fn first_time(file: &Path) -> Result<Micros> {
     let headers = Reader::open(file)?.headers()?;
-    Ok(Micros(headers.first().context("an empty capture")?.first_at))
+    Ok(Micros(
+        headers.first().context("an empty capture")?.first_at,
+    ))
 }
 
 /// Prints a step and its answer. Times count from `start`.
 fn print_step(step: &Step, start: Micros, names: &Names, indent: &str) {
-    println!("{indent}{:>9.3} s  {}", (step.at - start).as_secs_f64(), describe_input(step, names));
+    println!(
+        "{indent}{:>9.3} s  {}",
+        (step.at - start).as_secs_f64(),
+        describe_input(step, names)
+    );
     for instruction in &step.answer {
-        println!("{indent}             -> {}", describe_instruction(instruction, names));
+        println!(
+            "{indent}             -> {}",
+            describe_instruction(instruction, names)
+        );
     }
 }
--- a/crates/replay/src/commands/rewrite.rs
+++ b/crates/replay/src/commands/rewrite.rs
@@ -9,7 +9,10 @@
 /// Writes the part of a capture between two times, in seconds from its start.
 pub fn cut_capture(file: &Path, from: f64, to: f64, out: &Path) -> Result<Outcome> {
     let start = first_time(file)?;
-    let (from, to) = (start + Micros::from_secs_f64(from), start + Micros::from_secs_f64(to));
+    let (from, to) = (
+        start + Micros::from_secs_f64(from),
+        start + Micros::from_secs_f64(to),
+    );
     let steps = rewrite::cut(file, from, to, out)?;
     println!("{steps} steps in {}", out.display());
     Ok(Outcome::Done)
@@ -17,7 +20,11 @@
 
 /// Writes a capture without names.
 pub fn scrub_capture(file: &Path, out: &Path) -> Result<Outcome> {
-    println!("{} steps in {}, each decided as before", rewrite::scrub(file, out)?, out.display());
+    println!(
+        "{} steps in {}, each decided as before",
+        rewrite::scrub(file, out)?,
+        out.display()
+    );
     Ok(Outcome::Done)
 }
 
--- a/crates/replay/src/commands/run.rs
+++ b/crates/replay/src/commands/run.rs
@@ -50,7 +50,10 @@
         (recorded.at - start).as_secs_f64()
     );
     println!("before it:");
-    difference.before.iter().for_each(|step| print_step(step, start, names, "  "));
+    difference
+        .before
+        .iter()
+        .for_each(|step| print_step(step, start, names, "  "));
     println!("told: {}", describe_input(recorded, names));
     print_answer("recorded", &recorded.answer, names);
     print_answer("replayed", &difference.replayed, names);
@@ -58,11 +61,15 @@
 
 fn print_answer(title: &str, answer: &[Instruction], names: &Names) {
     println!("{title}:");
-    answer.iter().for_each(|instruction| println!("  {}", describe_instruction(instruction, names)));
+    answer
+        .iter()
+        .for_each(|instruction| println!("  {}", describe_instruction(instruction, names)));
 }
 
 fn print_equal(verdict: &Verdict, times: u32, elapsed: Duration) {
-    let span = verdict.times.map_or(0.0, |(first, last)| (last - first).as_secs_f64());
+    let span = verdict
+        .times
+        .map_or(0.0, |(first, last)| (last - first).as_secs_f64());
     let elapsed = elapsed.as_secs_f64();
     println!(
         "equal: {} steps, {} instructions and {} checkpoints over {span:.1} s, {times} times in {elapsed:.2} s ({:.0} times real time)",
--- a/crates/replay/src/commands/stats.rs
+++ b/crates/replay/src/commands/stats.rs
@@ -26,19 +26,42 @@
         self.last_at = step.at;
         *self.inputs.entry(input_kind(&step.input)).or_default() += 1;
         for instruction in &step.answer {
-            *self.instructions.entry(instruction_kind(instruction)).or_default() += 1;
+            *self
+                .instructions
+                .entry(instruction_kind(instruction))
+                .or_default() += 1;
         }
     }
 
     fn print(&self, headers: &[Header], start: Option<&Start>) {
-        let compressed: u64 = headers.iter().map(|header| u64::from(header.compressed_bytes)).sum();
-        let raw: u64 = headers.iter().map(|header| u64::from(header.raw_bytes)).sum();
-        let span = self.first_at.map_or(0.0, |first| (self.last_at - first).as_secs_f64());
-        if let Some(Start { build, index, settings, seed, .. }) = start {
-            println!("{build} controller {index} of {}, seed {seed}", settings.gateway_count);
+        let compressed: u64 = headers
+            .iter()
+            .map(|header| u64::from(header.compressed_bytes))
+            .sum();
+        let raw: u64 = headers
+            .iter()
+            .map(|header| u64::from(header.raw_bytes))
+            .sum();
+        let span = self
+            .first_at
+            .map_or(0.0, |first| (self.last_at - first).as_secs_f64());
+        if let Some(Start {
+            build,
+            index,
+            settings,
+            seed,
+            ..
+        }) = start
+        {
+            println!(
+                "{build} controller {index} of {}, seed {seed}",
+                settings.gateway_count
+            );
         }
         let (steps, blocks) = (self.steps, headers.len());
-        println!("{steps} steps over {span:.1} s in {blocks} blocks: {compressed} bytes, {raw} unpacked");
+        println!(
+            "{steps} steps over {span:.1} s in {blocks} blocks: {compressed} bytes, {raw} unpacked"
+        );
         let arrivals = self.inputs.get("arrivals").copied().unwrap_or(0).max(1);
         println!("{:.0} bytes a query", compressed as f64 / arrivals as f64);
         println!("told:     {:?}", self.inputs);
--- a/crates/replay/src/commands/what_if.rs
+++ b/crates/replay/src/commands/what_if.rs
@@ -11,9 +11,15 @@
     // A wrong key is reported before the whole capture is replayed.
     let mut player = Player::open(file, Options::default())?;
     player.next_step()?;
-    let mut settings = player.start.clone().context("a capture without its settings")?.settings;
+    let mut settings = player
+        .start
+        .clone()
+        .context("a capture without its settings")?
+        .settings;
     for pair in pairs {
-        let (key, value) = pair.split_once('=').with_context(|| format!("`{pair}`: write KEY=VALUE"))?;
+        let (key, value) = pair
+            .split_once('=')
+            .with_context(|| format!("`{pair}`: write KEY=VALUE"))?;
         settings = shadow::alter(&settings, key, value).map_err(anyhow::Error::msg)?;
     }
     compare_settings(file, &settings, max_shown)?;
@@ -29,7 +35,10 @@
         comparison.altered.len(),
         comparison.arrivals
     );
-    println!("{:<16} {:<20} {:<20} {:>8}", "class", "was", "would be", "times");
+    println!(
+        "{:<16} {:<20} {:<20} {:>8}",
+        "class", "was", "would be", "times"
+    );
     for ((class, was, now), count) in &comparison.table {
         let (was, now) = (format!("{was:?}"), format!("{now:?}"));
         println!("{:<16} {was:<20} {now:<20} {count:>8}", names.class(*class));
@@ -38,7 +47,9 @@
         println!(
             "step {}: query {} `{}` of {}: {:?}, would be {:?}",
             altered.step,
-            altered.query.map_or("-".into(), |query| query.0.to_string()),
+            altered
+                .query
+                .map_or("-".into(), |query| query.0.to_string()),
             altered.label,
             names.class(altered.class),
             altered.was,
--- a/crates/replay/src/describe.rs
+++ b/crates/replay/src/describe.rs
@@ -50,7 +50,8 @@
     match &step.input {
         RecordedInput::Due => "time passed".into(),
         RecordedInput::Woke(token) => format!("timer {token} ran out"),
-        RecordedInput::Arrive { arrival, label } | RecordedInput::ArriveAs { arrival, label, .. } => {
+        RecordedInput::Arrive { arrival, label }
+        | RecordedInput::ArriveAs { arrival, label, .. } => {
             describe_arrival(step, arrival, label, names)
         }
         RecordedInput::Input(input) => describe_driver_input(input, names),
@@ -58,10 +59,18 @@
 }
 
 fn describe_arrival(step: &Step, arrival: &Arrival, label: &str, names: &Names) -> String {
-    let number = step.accepted.map_or("not taken".into(), |query| format!("query {}", query.0));
-    let label = if label.is_empty() { String::new() } else { format!(" `{label}`") };
+    let number = step
+        .accepted
+        .map_or("not taken".into(), |query| format!("query {}", query.0));
+    let label = if label.is_empty() {
+        String::new()
+    } else {
+        format!(" `{label}`")
+    };
     let class = names.class(arrival.class);
-    let work = arrival.work_hint.map_or(String::new(), |work| format!(", about {work:.2} s of work"));
+    let work = arrival
+        .work_hint
+        .map_or(String::new(), |work| format!(", about {work:.2} s of work"));
     let time_left = (arrival.deadline - step.at).as_secs_f64();
     format!("{number}{label} of class {class}{work}, due in {time_left:.1} s")
 }
@@ -77,24 +86,51 @@
         Input::Dispatched(attempt) => format!("attempt {attempt} was written"),
         Input::AnswerStarted(attempt) => format!("the answer of attempt {attempt} began"),
         Input::AttemptUpdated(attempt, update) => describe_update(*attempt, update),
-        Input::AttemptEnded { attempt, outcome, report, .. }
-        | Input::AttemptMeasured { attempt, outcome, report, .. } => {
-            format!("attempt {attempt} {}; {}", describe_outcome(outcome), describe_load_report(report))
+        Input::AttemptEnded {
+            attempt,
+            outcome,
+            report,
+            ..
+        }
+        | Input::AttemptMeasured {
+            attempt,
+            outcome,
+            report,
+            ..
+        } => {
+            format!(
+                "attempt {attempt} {}; {}",
+                describe_outcome(outcome),
+                describe_load_report(report)
+            )
         }
         Input::Abandoned(query) => format!("the client of query {} left", query.0),
         Input::ShutdownDeadline(query) => {
-            format!("query {} must have its answer, as the controller ends", query.0)
+            format!(
+                "query {} must have its answer, as the controller ends",
+                query.0
+            )
         }
-        Input::ProbeEnded { engine, outcome, report } => {
+        Input::ProbeEnded {
+            engine,
+            outcome,
+            report,
+        } => {
             let (engine, report) = (names.engine(*engine), describe_load_report(report));
             format!("a probe of {engine} came back {outcome:?}; {report}")
         }
-        Input::PeerReports(reports) => format!("another controller told of {} engines", reports.len()),
+        Input::PeerReports(reports) => {
+            format!("another controller told of {} engines", reports.len())
+        }
     }
 }
 
 fn describe_engine_list(complete: bool, entries: &[EngineEntry], names: &Names) -> String {
-    let what = if complete { "the engine list" } else { "changes of the engine list" };
+    let what = if complete {
+        "the engine list"
+    } else {
+        "changes of the engine list"
+    };
     let entries: Vec<String> = entries
         .iter()
         .map(|entry| format!("{} {:?}", names.engine(entry.engine), entry.status).to_lowercase())
@@ -129,19 +165,29 @@
 /// Describes an instruction of the driver.
 pub fn describe_instruction(instruction: &Instruction, names: &Names) -> String {
     match instruction {
-        Instruction::Start { attempt, engine, .. } => {
+        Instruction::Start {
+            attempt, engine, ..
+        } => {
             format!("send attempt {attempt} to {}", names.engine(*engine))
         }
         Instruction::SetOptions(a, terms) => format!("priority {} for attempt {a}", terms.priority),
         Instruction::Cancel(a) => format!("withdraw attempt {a}"),
         Instruction::Answer(q, Answer::Rejected { retry_after }) => {
-            format!("refuse query {}, come back in {} ms", q.0, retry_after.0 / 1000)
+            format!(
+                "refuse query {}, come back in {} ms",
+                q.0,
+                retry_after.0 / 1000
+            )
         }
         Instruction::Answer(q, Answer::Failed { may_have_run: true }) => {
             format!("fail query {}: it may have run", q.0)
         }
-        Instruction::Answer(q, Answer::Failed { .. }) => format!("fail query {}: it did not run", q.0),
-        Instruction::Answer(q, Answer::Interrupted) => format!("fail query {}: its answer broke off", q.0),
+        Instruction::Answer(q, Answer::Failed { .. }) => {
+            format!("fail query {}: it did not run", q.0)
+        }
+        Instruction::Answer(q, Answer::Interrupted) => {
+            format!("fail query {}: its answer broke off", q.0)
+        }
         Instruction::Probe(e) => format!("probe {}", names.engine(*e)),
         Instruction::ShareReports(words) => format!("tell the others of {} engines", words.len()),
         Instruction::Subscribe => "ask for the engine list".into(),
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -76,7 +76,9 @@
 ) -> Option<QueryId> {
     match input {
         RecordedInput::Input(input) => driver.handle_input(at, input.clone(), answer),
-        RecordedInput::Arrive { arrival, .. } => return driver.submit(at, arrival.clone(), answer).ok(),
+        RecordedInput::Arrive { arrival, .. } => {
+            return driver.submit(at, arrival.clone(), answer).ok()
+        }
         RecordedInput::ArriveAs { id, arrival, .. } => {
             return driver.submit_with_id(at, *id, arrival.clone(), answer).ok()
         }
@@ -97,10 +99,20 @@
 pub fn run(path: &Path, options: Options) -> Result<Verdict, ReplayError> {
     let mut player = Player::open(path, options)?;
     let mut before: VecDeque<Step> = VecDeque::new();
-    while let Some(ReplayedStep { recorded, accepted, answer }) = player.next_step()? {
+    while let Some(ReplayedStep {
+        recorded,
+        accepted,
+        answer,
+    }) = player.next_step()?
+    {
         if answer != recorded.answer || accepted != recorded.accepted {
             let before = before.into();
-            let difference = Difference { recorded, replayed: answer, accepted, before };
+            let difference = Difference {
+                recorded,
+                replayed: answer,
+                accepted,
+                before,
+            };
             let mut verdict = player.into_verdict();
             verdict.difference = Some(Box::new(difference));
             return Ok(verdict);
--- a/crates/replay/src/main.rs
+++ b/crates/replay/src/main.rs
@@ -122,17 +122,33 @@
 impl Command {
     fn execute(self) -> anyhow::Result<Outcome> {
         match self {
-            Command::Run { file, over_gaps, from, times } => {
-                commands::run::run_capture(&file, over_gaps, from, times)
-            }
+            Command::Run {
+                file,
+                over_gaps,
+                from,
+                times,
+            } => commands::run::run_capture(&file, over_gaps, from, times),
             Command::Explain { files, query } => commands::explain::explain_query(&files, &query),
-            Command::WhatIf { file, set, most } => commands::what_if::alter_settings(&file, &set, most),
+            Command::WhatIf { file, set, most } => {
+                commands::what_if::alter_settings(&file, &set, most)
+            }
             Command::Stats { file } => commands::stats::print_stats(&file),
             Command::Export { file, replayed } => commands::export::export_steps(&file, replayed),
-            Command::Diff { file, against, most } => commands::diff::diff_against(&file, &against, most),
-            Command::Cut { file, from, to, out } => commands::rewrite::cut_capture(&file, from, to, &out),
+            Command::Diff {
+                file,
+                against,
+                most,
+            } => commands::diff::diff_against(&file, &against, most),
+            Command::Cut {
+                file,
+                from,
+                to,
+                out,
+            } => commands::rewrite::cut_capture(&file, from, to, &out),
             Command::Scrub { file, out } => commands::rewrite::scrub_capture(&file, &out),
-            Command::ToTest { file, name, out } => commands::rewrite::write_test(&file, &name, &out),
+            Command::ToTest { file, name, out } => {
+                commands::rewrite::write_test(&file, &name, &out)
+            }
             Command::Repair { file } => commands::rewrite::repair_capture(&file),
         }
     }
--- a/crates/replay/src/player.rs
+++ b/crates/replay/src/player.rs
@@ -105,7 +105,9 @@
             if self.is_lost {
                 continue;
             }
-            let Some(driver) = &mut self.driver else { return Err(ReplayError::NoStart) };
+            let Some(driver) = &mut self.driver else {
+                return Err(ReplayError::NoStart);
+            };
             let takes_snapshot = match self.snapshots {
                 Snapshots::Never => false,
                 Snapshots::BeforeArrivals => recorded.input.arrival().is_some(),
@@ -118,7 +120,11 @@
             let accepted = feed(driver, recorded.at, &recorded.input, &mut answer);
             self.verdict.steps += 1;
             self.verdict.instructions += answer.len() as u64;
-            return Ok(Some(ReplayedStep { recorded, accepted, answer }));
+            return Ok(Some(ReplayedStep {
+                recorded,
+                accepted,
+                answer,
+            }));
         }
         if self.is_lost && self.step_number > 0 {
             self.end_unverified_span();
@@ -146,12 +152,23 @@
                 Record::Engines(names) => self.engines.extend(names),
                 Record::Gap { .. } => self.begin_loss()?,
                 Record::Checkpoint { driver, .. } => self.handle_checkpoint(&driver)?,
-                Record::Step { at, told, taken, out } => {
+                Record::Step {
+                    at,
+                    told,
+                    taken,
+                    out,
+                } => {
                     self.step_number += 1;
                     let (first, _) = self.verdict.times.unwrap_or((at, at));
                     self.verdict.times = Some((first, at));
                     let number = self.step_number;
-                    return Ok(Some(Step { number, at, input: told, accepted: taken, answer: out }));
+                    return Ok(Some(Step {
+                        number,
+                        at,
+                        input: told,
+                        accepted: taken,
+                        answer: out,
+                    }));
                 }
             }
         }
@@ -159,7 +176,9 @@
 
     fn begin_loss(&mut self) -> Result<(), ReplayError> {
         if !self.over_gaps {
-            return Err(ReplayError::Gap { after: self.step_number });
+            return Err(ReplayError::Gap {
+                after: self.step_number,
+            });
         }
         if !self.is_lost {
             self.is_lost = true;
@@ -169,7 +188,10 @@
     }
 
     fn end_unverified_span(&mut self) {
-        let span = UnverifiedSpan { after_step: self.lost_after, to_step: self.step_number };
+        let span = UnverifiedSpan {
+            after_step: self.lost_after,
+            to_step: self.step_number,
+        };
         self.verdict.unverified.push(span);
     }
 
@@ -195,10 +217,14 @@
             self.end_unverified_span();
         }
         let at_beginning = self.step_number == 0 && !self.is_lost;
-        let fresh_driver = |start: &Start| Driver::new(start.settings.clone(), start.seed, start.bounds);
-        let driver = postcard::from_bytes::<Driver>(recorded)
-            .ok()
-            .or_else(|| self.start.as_ref().filter(|_| at_beginning).map(fresh_driver));
+        let fresh_driver =
+            |start: &Start| Driver::new(start.settings.clone(), start.seed, start.bounds);
+        let driver = postcard::from_bytes::<Driver>(recorded).ok().or_else(|| {
+            self.start
+                .as_ref()
+                .filter(|_| at_beginning)
+                .map(fresh_driver)
+        });
         self.driver = Some(driver.ok_or(ReplayError::OtherBuild)?);
         self.is_lost = false;
         Ok(())
@@ -209,7 +235,10 @@
 /// a checkpoint; so blocks are searched from the last one that begins before the time, in ever larger steps back.
 fn seek_to_checkpoint(reader: &mut Reader, path: &Path, until: Micros) -> Result<(), ReplayError> {
     let headers = reader.headers()?;
-    let before = headers.iter().rposition(|header| header.first_at <= until.0).unwrap_or(0);
+    let before = headers
+        .iter()
+        .rposition(|header| header.first_at <= until.0)
+        .unwrap_or(0);
     let mut block = before.saturating_sub(1);
     loop {
         let at = headers[block.min(headers.len().saturating_sub(1))].at;
--- a/crates/replay/src/rewrite.rs
+++ b/crates/replay/src/rewrite.rs
@@ -20,7 +20,9 @@
     #[error("no step in that span")]
     Empty,
     /// It does not begin with the controller's start.
-    #[error("this file begins in the middle; names are in its first state, and can't be taken out")]
+    #[error(
+        "this file begins in the middle; names are in its first state, and can't be taken out"
+    )]
     Middle,
     /// The names decided something, which they must not.
     #[error("step {0} is decided otherwise without its names")]
@@ -32,7 +34,10 @@
 
 /// Nothing of a rewriting may be dropped: it waits for nothing but the disk.
 fn unhurried() -> Limits {
-    Limits { max_queued_blocks: 1 << 20, ..Limits::default() }
+    Limits {
+        max_queued_blocks: 1 << 20,
+        ..Limits::default()
+    }
 }
 
 fn written(state: State) -> Result<(), RewriteError> {
@@ -63,7 +68,13 @@
             let (Some(start), Some(before)) = (&player.start, player.snapshot()) else {
                 return Err(RewriteError::Empty);
             };
-            recorder = Some(Recorder::begin(out, start.clone(), unhurried(), before, step.at)?);
+            recorder = Some(Recorder::begin(
+                out,
+                start.clone(),
+                unhurried(),
+                before,
+                step.at,
+            )?);
         }
         if let Some(recorder) = &mut recorder {
             if kept == 0 {
@@ -101,34 +112,62 @@
 ///
 /// # Errors
 /// [`RewriteError`].
+#[expect(clippy::too_many_lines, reason = "one arm for each kind of record")]
 pub fn scrub(file: &Path, out: &Path) -> Result<u64, RewriteError> {
     let mut player = Player::open(file, Options::default())?;
-    let mut labels = Pseudonyms { prefix: "q", known: BTreeMap::new() };
-    let mut keys = Pseudonyms { prefix: "key", known: BTreeMap::new() };
+    let mut labels = Pseudonyms {
+        prefix: "q",
+        known: BTreeMap::new(),
+    };
+    let mut keys = Pseudonyms {
+        prefix: "key",
+        known: BTreeMap::new(),
+    };
     let mut state: Option<(Driver, Recorder)> = None;
     let (mut steps, mut last) = (0, Micros(0));
     while let Some(ReplayedStep { recorded: step, .. }) = player.next_step()? {
         if state.is_none() {
-            let Some(start) = &player.start else { return Err(RewriteError::Middle) };
-            if !matches!(step.input, RecordedInput::Input(wheelfield_driver::Input::Started)) {
+            let Some(start) = &player.start else {
+                return Err(RewriteError::Middle);
+            };
+            if !matches!(
+                step.input,
+                RecordedInput::Input(wheelfield_driver::Input::Started)
+            ) {
                 return Err(RewriteError::Middle);
             }
             let mut start = start.clone();
-            let mut tenants = Pseudonyms { prefix: "tenant", known: BTreeMap::new() };
+            let mut tenants = Pseudonyms {
+                prefix: "tenant",
+                known: BTreeMap::new(),
+            };
             start.tenants.iter_mut().for_each(|t| *t = tenants.of(t));
             let driver = Driver::new(start.settings.clone(), start.seed, start.bounds);
             let recorder = Recorder::begin(out, start, unhurried(), &driver, step.at)?;
             state = Some((driver, recorder));
         }
-        let Some((driver, recorder)) = &mut state else { return Err(RewriteError::Empty) };
+        let Some((driver, recorder)) = &mut state else {
+            return Err(RewriteError::Empty);
+        };
         let told = match step.input {
             RecordedInput::Arrive { mut arrival, label } => {
                 arrival.key = arrival.key.map(|k| keys.of(&k));
-                RecordedInput::Arrive { arrival, label: labels.of(&label) }
+                RecordedInput::Arrive {
+                    arrival,
+                    label: labels.of(&label),
+                }
             }
-            RecordedInput::ArriveAs { id, mut arrival, label } => {
+            RecordedInput::ArriveAs {
+                id,
+                mut arrival,
+                label,
+            } => {
                 arrival.key = arrival.key.map(|k| keys.of(&k));
-                RecordedInput::ArriveAs { id, arrival, label: labels.of(&label) }
+                RecordedInput::ArriveAs {
+                    id,
+                    arrival,
+                    label: labels.of(&label),
+                }
             }
             other => other,
         };
--- a/crates/replay/src/shadow.rs
+++ b/crates/replay/src/shadow.rs
@@ -94,7 +94,10 @@
     if known.iter().any(|name| name == part) {
         return part;
     }
-    RENAMED.iter().find(|(old, _)| *old == part).map_or(part, |(_, new)| new)
+    RENAMED
+        .iter()
+        .find(|(old, _)| *old == part)
+        .map_or(part, |(_, new)| new)
 }
 
 /// Alters settings by their path in JSON, such as `max_attempts` or `classes.0.latency_objective`.
@@ -113,12 +116,17 @@
             _ => Vec::new(),
         };
         let next = match place {
-            serde_json::Value::Array(list) => part.parse::<usize>().ok().and_then(|i| list.get_mut(i)),
+            serde_json::Value::Array(list) => {
+                part.parse::<usize>().ok().and_then(|i| list.get_mut(i))
+            }
             serde_json::Value::Object(map) => map.get_mut(current_name(part, &known)),
             _ => None,
         };
         place = next.ok_or_else(|| {
-            format!("no setting is named `{part}` in `{path}`; known: {}", known.join(", "))
+            format!(
+                "no setting is named `{part}` in `{path}`; known: {}",
+                known.join(", ")
+            )
         })?;
     }
     *place = serde_json::from_str(value).map_err(|e| format!("`{value}` is no JSON: {e}"))?;
@@ -135,9 +143,9 @@
     }
     for i in out {
         match i {
-            Instruction::Start { attempt, engine, .. } if Some(attempt.query) == taken => {
-                return Decided::Sent(name(*engine))
-            }
+            Instruction::Start {
+                attempt, engine, ..
+            } if Some(attempt.query) == taken => return Decided::Sent(name(*engine)),
             Instruction::Answer(query, Answer::Rejected { .. }) if Some(*query) == taken => {
                 return Decided::Refused
             }
@@ -152,16 +160,32 @@
 ///
 /// # Errors
 /// [`ReplayError`] where the capture can't be read, or is lost.
-pub fn compare(path: &Path, alter: impl Fn(&Settings) -> Settings) -> Result<Comparison, ReplayError> {
+pub fn compare(
+    path: &Path,
+    alter: impl Fn(&Settings) -> Settings,
+) -> Result<Comparison, ReplayError> {
     let mut player = Player::open(path, Options::default())?;
     let mut shadow: Option<Driver> = None;
     let mut comparison = Comparison::default();
-    while let Some(ReplayedStep { recorded: step, accepted, answer }) = player.next_step()? {
+    while let Some(ReplayedStep {
+        recorded: step,
+        accepted,
+        answer,
+    }) = player.next_step()?
+    {
         if shadow.is_none() {
-            let Some(start) = &player.start else { return Err(ReplayError::NoStart) };
-            shadow = Some(Driver::new(alter(&start.settings), start.seed, start.bounds));
+            let Some(start) = &player.start else {
+                return Err(ReplayError::NoStart);
+            };
+            shadow = Some(Driver::new(
+                alter(&start.settings),
+                start.seed,
+                start.bounds,
+            ));
         }
-        let Some(shadow) = &mut shadow else { return Err(ReplayError::NoStart) };
+        let Some(shadow) = &mut shadow else {
+            return Err(ReplayError::NoStart);
+        };
         let mut other = Vec::new();
         let other_taken = feed(shadow, step.at, &step.input, &mut other);
         if let Some((arrival, label)) = step.input.arrival() {
@@ -170,12 +194,24 @@
                 let known = player.engines.iter().find(|(e, _)| *e == id);
                 known.map_or_else(|| format!("{id:?}"), |(_, name)| name.clone())
             };
-            let (was, now) = (decided(accepted, &answer, &name), decided(other_taken, &other, &name));
+            let (was, now) = (
+                decided(accepted, &answer, &name),
+                decided(other_taken, &other, &name),
+            );
             if was != now {
                 let class = arrival.class;
-                *comparison.table.entry((class, was.clone(), now.clone())).or_default() += 1;
-                let altered =
-                    Altered { step: step.number, query: accepted, label: label.to_string(), class, was, now };
+                *comparison
+                    .table
+                    .entry((class, was.clone(), now.clone()))
+                    .or_default() += 1;
+                let altered = Altered {
+                    step: step.number,
+                    query: accepted,
+                    label: label.to_string(),
+                    class,
+                    was,
+                    now,
+                };
                 comparison.altered.push(altered);
             }
         }
--- a/crates/replay/tests/captures.rs
+++ b/crates/replay/tests/captures.rs
@@ -8,7 +8,9 @@
 
 use common::{folder, settings, small, start, Scene};
 use wheelfield::interface::*;
-use wheelfield_capture::{repair, Disk, Entry, Limits, ReadError, Reader, Record, RecordedInput, Recorder};
+use wheelfield_capture::{
+    repair, Disk, Entry, Limits, ReadError, Reader, Record, RecordedInput, Recorder,
+};
 use wheelfield_driver::{Driver, DriverLimits, Input, Instruction};
 use wheelfield_replay::{run, shadow, Options, ReplayError};
 
@@ -36,8 +38,19 @@
     let (_, steps) = scene.end();
     let whole = run(&path, Options::default()).expect("whole");
     assert!(whole.equal() && whole.checkpoints > 10, "{whole:?}");
-    let late = run(&path, Options { from: Some(Micros(8_000_000)), over_gaps: false }).expect("whole");
-    assert!(late.equal() && late.steps > 100 && late.steps < steps / 2, "{} of {steps}", late.steps);
+    let late = run(
+        &path,
+        Options {
+            from: Some(Micros(8_000_000)),
+            over_gaps: false,
+        },
+    )
+    .expect("whole");
+    assert!(
+        late.equal() && late.steps > 100 && late.steps < steps / 2,
+        "{} of {steps}",
+        late.steps
+    );
 }
 
 #[test]
@@ -72,13 +85,18 @@
                     _ => None,
                 })
             };
-            if first.is_none() && matches!(told, RecordedInput::Arrive { .. }) && place(&a) != place(&b) {
+            if first.is_none()
+                && matches!(told, RecordedInput::Arrive { .. })
+                && place(&a) != place(&b)
+            {
                 first = Some(number);
             }
         }
     }
     assert_eq!(other.altered.first().map(|a| a.step), first);
-    assert!(shadow::alter(&settings(), "cores.7", "1").expect_err("none").contains("known: 0"));
+    assert!(shadow::alter(&settings(), "cores.7", "1")
+        .expect_err("none")
+        .contains("known: 0"));
     assert!(shadow::alter(&settings(), "max_attempts", "\"two\"").is_err());
 }
 
@@ -109,8 +127,11 @@
 fn a_cut_and_a_scrubbed_capture_still_replay() {
     use wheelfield_replay::rewrite;
     let dir = folder();
-    let (path, part, clean) =
-        (dir.path().join("a.wfcap"), dir.path().join("part.wfcap"), dir.path().join("clean.wfcap"));
+    let (path, part, clean) = (
+        dir.path().join("a.wfcap"),
+        dir.path().join("part.wfcap"),
+        dir.path().join("clean.wfcap"),
+    );
     let mut scene = Scene::at(&path, Limits::default());
     scene.play(3_000);
     let (_, steps) = scene.end();
@@ -134,7 +155,10 @@
     }
     // What begins in the middle can't be scrubbed, as names are in its first state.
     rewrite::cut(&path, Micros(2_000_000), Micros(3_000_000), &part).expect("cut");
-    assert!(matches!(rewrite::scrub(&part, &clean), Err(rewrite::RewriteError::Middle)));
+    assert!(matches!(
+        rewrite::scrub(&part, &clean),
+        Err(rewrite::RewriteError::Middle)
+    ));
     assert!(rewrite::test_of("bad_hour").contains("fn bad_hour_replays_to_the_same_decisions"));
 }
 
@@ -144,9 +168,15 @@
     let path = dir.path().join("a.wfcap");
     let mut scene = Scene::at(&path, small());
     let word = |engine: u64, load: f64| {
-        let report =
-            LoadReport { utilisation: Some(load), memory_granted: Some(load / 2.0), ..LoadReport::default() };
-        Input::PeerReports(vec![PeerLoadReport { engine: EngineId(engine), report }])
+        let report = LoadReport {
+            utilisation: Some(load),
+            memory_granted: Some(load / 2.0),
+            ..LoadReport::default()
+        };
+        Input::PeerReports(vec![PeerLoadReport {
+            engine: EngineId(engine),
+            report,
+        }])
     };
     for round in 0..20 {
         scene.play(100);
@@ -163,7 +193,11 @@
     let (_, steps) = scene.end();
     for _ in 0..100 {
         let verdict = run(&path, Options::default()).expect("whole");
-        assert!(verdict.equal() && verdict.steps == steps, "{:?}", verdict.difference);
+        assert!(
+            verdict.equal() && verdict.steps == steps,
+            "{:?}",
+            verdict.difference
+        );
     }
 }
 
@@ -182,7 +216,12 @@
     let (one, two) = (make("a.wfcap", 0), make("b.wfcap", 1));
     let explain = |name: &str| {
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_wheelfield-replay"));
-        command.arg("explain").args([&one, &two]).args(["--query", name]).output().expect("it runs")
+        command
+            .arg("explain")
+            .args([&one, &two])
+            .args(["--query", name])
+            .output()
+            .expect("it runs")
     };
     let out = explain("s7");
     let text = String::from_utf8_lossy(&out.stdout).into_owned();
@@ -190,14 +229,26 @@
         out.status.success() && text.contains("a.wfcap (controller 0)") && text.contains("b.wfcap"),
         "{text}"
     );
-    assert!(text.contains("query 8 `s7`") && text.contains("query 11 `s7`"), "{text}");
-    assert!(text.contains("known of the engines at that moment") && text.contains("it fitted"), "{text}");
+    assert!(
+        text.contains("query 8 `s7`") && text.contains("query 11 `s7`"),
+        "{text}"
+    );
+    assert!(
+        text.contains("known of the engines at that moment") && text.contains("it fitted"),
+        "{text}"
+    );
     assert!(!explain("nobody").status.success());
 }
 
 fn short_capture(dir: &Path) -> std::path::PathBuf {
     let path = dir.join("a.wfcap");
-    let mut scene = Scene::at(&path, Limits { checkpoint_interval: Micros::from_secs_f64(9.0), ..small() });
+    let mut scene = Scene::at(
+        &path,
+        Limits {
+            checkpoint_interval: Micros::from_secs_f64(9.0),
+            ..small()
+        },
+    );
     scene.play(120);
     scene.end();
     path
@@ -232,7 +283,10 @@
     for cut in 0..whole.len() {
         std::fs::write(&torn, &whole[..cut]).expect("a file");
         let (records, end) = read(&torn);
-        assert!(records <= all && records >= most, "never less for more bytes");
+        assert!(
+            records <= all && records >= most,
+            "never less for more bytes"
+        );
         most = records;
         if cut >= 8 {
             assert!(end.is_ok(), "cut at {cut}: {end:?}");
@@ -265,7 +319,10 @@
     let mut bytes = std::fs::read(&path).expect("a file");
     bytes[7] = 200;
     std::fs::write(&path, &bytes).expect("a file");
-    assert!(matches!(Reader::open(&path), Err(ReadError::NewerVersion(200))));
+    assert!(matches!(
+        Reader::open(&path),
+        Err(ReadError::NewerVersion(200))
+    ));
 }
 
 /// A disk on command: it waits for a permit before each write, and fails while it is full.
@@ -282,14 +339,20 @@
         }
         if *self.full.lock().expect("unpoisoned") {
             // Half of it is written, as real disks do.
-            self.to.lock().expect("unpoisoned").extend(&bytes[..bytes.len() / 2]);
+            self.to
+                .lock()
+                .expect("unpoisoned")
+                .extend(&bytes[..bytes.len() / 2]);
             return Err(std::io::ErrorKind::StorageFull.into());
         }
         self.to.lock().expect("unpoisoned").extend(bytes);
         Ok(())
     }
     fn cut(&mut self, length: u64) -> std::io::Result<()> {
-        self.to.lock().expect("unpoisoned").truncate(length as usize);
+        self.to
+            .lock()
+            .expect("unpoisoned")
+            .truncate(length as usize);
         Ok(())
     }
     fn sync(&mut self) -> std::io::Result<()> {
@@ -304,7 +367,10 @@
 }
 
 fn odd(limits: Limits, slow: bool) -> (Scene, Bench) {
-    let (bytes, full) = (Arc::new(Mutex::new(Vec::new())), Arc::new(Mutex::new(false)));
+    let (bytes, full) = (
+        Arc::new(Mutex::new(Vec::new())),
+        Arc::new(Mutex::new(false)),
+    );
     let (sender, receiver) = channel();
     let mut receiver = slow.then_some(receiver);
     let (to, is_full) = (bytes.clone(), full.clone());
@@ -314,13 +380,31 @@
         sender.send(()).expect("open");
     }
     let make = move |_: &Path| {
-        Ok(Box::new(Odd { to: to.clone(), full: is_full.clone(), permits: receiver.take() }) as Box<dyn Disk>)
+        Ok(Box::new(Odd {
+            to: to.clone(),
+            full: is_full.clone(),
+            permits: receiver.take(),
+        }) as Box<dyn Disk>)
     };
     let scene = Scene::on(|driver| {
-        Recorder::begin_on(Box::new(make), Path::new("x.wfcap"), start(), limits, driver, Micros(1_000_000))
-            .expect("made")
+        Recorder::begin_on(
+            Box::new(make),
+            Path::new("x.wfcap"),
+            start(),
+            limits,
+            driver,
+            Micros(1_000_000),
+        )
+        .expect("made")
     });
-    (scene, Bench { bytes, full, permit: slow.then_some(sender) })
+    (
+        scene,
+        Bench {
+            bytes,
+            full,
+            permit: slow.then_some(sender),
+        },
+    )
 }
 
 /// What was written, as a file: refused where records are lost, and replayed around the loss when asked to.
@@ -332,9 +416,19 @@
         matches!(run(&path, Options::default()), Err(ReplayError::Gap { .. })),
         "refused unless asked for"
     );
-    let verdict = run(&path, Options { over_gaps: true, from: None }).expect("readable");
+    let verdict = run(
+        &path,
+        Options {
+            over_gaps: true,
+            from: None,
+        },
+    )
+    .expect("readable");
     assert!(verdict.equal(), "{:?}", verdict.difference);
-    assert!(!verdict.unverified.is_empty(), "and it says from where on it can't vouch");
+    assert!(
+        !verdict.unverified.is_empty(),
+        "and it says from where on it can't vouch"
+    );
     verdict
 }
 
@@ -361,7 +455,13 @@
 
 #[test]
 fn a_slow_disk_holds_up_no_decision_and_the_loss_is_marked() {
-    let (mut scene, bench) = odd(Limits { max_queued_blocks: 2, ..small() }, true);
+    let (mut scene, bench) = odd(
+        Limits {
+            max_queued_blocks: 2,
+            ..small()
+        },
+        true,
+    );
     // The disk takes nothing at all, and the driver goes on.
     scene.play(4_000);
     let lost = scene.recorder.state().lost;
@@ -381,15 +481,22 @@
 fn files_follow_each_other_and_the_oldest_go() {
     let dir = folder();
     let path = dir.path().join("a.wfcap");
-    let limits = Limits { segment_bytes: 20_000, max_total_bytes: 60_000, ..small() };
+    let limits = Limits {
+        segment_bytes: 20_000,
+        max_total_bytes: 60_000,
+        ..small()
+    };
     let mut scene = Scene::at(&path, limits);
     for _ in 0..60 {
         scene.play(500);
         std::thread::yield_now();
     }
     scene.end();
-    let mut files: Vec<_> =
-        std::fs::read_dir(dir.path()).expect("a folder").flatten().map(|e| e.path()).collect();
+    let mut files: Vec<_> = std::fs::read_dir(dir.path())
+        .expect("a folder")
+        .flatten()
+        .map(|e| e.path())
+        .collect();
     files.sort();
     assert!(files.len() >= 2, "{files:?}");
     for file in &files {
@@ -428,7 +535,10 @@
         let (state, steps) = scene.end();
         assert_eq!(state.lost, 0);
         let verdict = run(&path, Options::default()).expect("whole");
-        assert!(verdict.equal() && verdict.steps == steps, "{jump}: {verdict:?}");
+        assert!(
+            verdict.equal() && verdict.steps == steps,
+            "{jump}: {verdict:?}"
+        );
     }
 }
 
@@ -438,7 +548,10 @@
         .args(args)
         .output()
         .expect("the program starts");
-    (output.status.code(), String::from_utf8_lossy(&output.stdout).into_owned())
+    (
+        output.status.code(),
+        String::from_utf8_lossy(&output.stdout).into_owned(),
+    )
 }
 
 #[test]
@@ -459,10 +572,23 @@
     };
     std::fs::write(&config, text(64)).expect("a file");
     let os = |s: &'static str| std::ffi::OsStr::new(s);
-    let (code, told) = program(&[os("diff"), path.as_os_str(), os("--against"), config.as_os_str()]);
+    let (code, told) = program(&[
+        os("diff"),
+        path.as_os_str(),
+        os("--against"),
+        config.as_os_str(),
+    ]);
     assert_eq!(code, Some(1), "{told}");
-    assert!(told.contains("are decided otherwise") && told.contains("Refused"), "{told}");
-    let (code, told) = program(&[os("what-if"), path.as_os_str(), os("--set"), os("cores.0=4.0")]);
+    assert!(
+        told.contains("are decided otherwise") && told.contains("Refused"),
+        "{told}"
+    );
+    let (code, told) = program(&[
+        os("what-if"),
+        path.as_os_str(),
+        os("--set"),
+        os("cores.0=4.0"),
+    ]);
     assert_eq!(code, Some(0), "{told}");
     assert!(told.starts_with("0 of 800 "), "{told}");
 }
@@ -472,6 +598,7 @@
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/troubles");
     let bytes = std::fs::read(Path::new(folder).join("crash.wfcap")).expect("a capture");
     assert_eq!(bytes[6..8], [0, 1], "written by the first version");
-    let verdict = run(&Path::new(folder).join("crash.wfcap"), Options::default()).expect("readable");
+    let verdict =
+        run(&Path::new(folder).join("crash.wfcap"), Options::default()).expect("readable");
     assert!(verdict.equal() && verdict.steps == 795, "{verdict:?}");
 }
--- a/crates/replay/tests/common/mod.rs
+++ b/crates/replay/tests/common/mod.rs
@@ -16,7 +16,13 @@
     };
     Settings {
         gateway_count: 2.0,
-        classes: vec![class.clone(), Class { semantics: ExecutionSemantics::AtMostOnce, ..class }],
+        classes: vec![
+            class.clone(),
+            Class {
+                semantics: ExecutionSemantics::AtMostOnce,
+                ..class
+            },
+        ],
         cores: vec![4.0],
         memory_mb: vec![1000.0],
         cancellation: true,
@@ -59,7 +65,14 @@
     pub fn on(recorder: impl FnOnce(&Driver) -> Recorder) -> Scene {
         let driver = Driver::new(settings(), 11, DriverLimits::default());
         let recorder = recorder(&driver);
-        let mut scene = Scene { driver, recorder, now: Micros(1_000_000), out: Vec::new(), n: 0, steps: 0 };
+        let mut scene = Scene {
+            driver,
+            recorder,
+            now: Micros(1_000_000),
+            out: Vec::new(),
+            n: 0,
+            steps: 0,
+        };
         scene.tell(Input::Started);
         let engine = |n: u64| EngineEntry {
             engine: EngineId(n),
@@ -69,12 +82,17 @@
             status: Status::Up,
             started_at: None,
         };
-        scene.tell(Input::Engines { complete: true, entries: (1..=4).map(engine).collect() });
+        scene.tell(Input::Engines {
+            complete: true,
+            entries: (1..=4).map(engine).collect(),
+        });
         scene
     }
 
     pub fn at(path: &Path, limits: Limits) -> Scene {
-        Scene::on(|driver| Recorder::begin(path, start(), limits, driver, Micros(1_000_000)).expect("a file"))
+        Scene::on(|driver| {
+            Recorder::begin(path, start(), limits, driver, Micros(1_000_000)).expect("a file")
+        })
     }
 
     fn note(&mut self, told: RecordedInput, taken: Option<QueryId>, fresh: Vec<Instruction>) {
@@ -92,7 +110,8 @@
 
     pub fn tell(&mut self, input: Input) {
         let mut fresh = Vec::new();
-        self.driver.handle_input(self.now, input.clone(), &mut fresh);
+        self.driver
+            .handle_input(self.now, input.clone(), &mut fresh);
         self.note(RecordedInput::Input(input), None, fresh);
     }
 
@@ -105,17 +124,27 @@
                 self.note(RecordedInput::Due, None, fresh);
             }
             let now = self.now;
-            let (ripe, left): (Vec<_>, Vec<_>) =
-                std::mem::take(&mut self.out).into_iter().partition(|(t, _)| *t <= now);
+            let (ripe, left): (Vec<_>, Vec<_>) = std::mem::take(&mut self.out)
+                .into_iter()
+                .partition(|(t, _)| *t <= now);
             self.out = left;
             for (_, attempt) in ripe {
                 self.tell(Input::Dispatched(attempt));
                 let odd = attempt.query.0 % 13;
-                let outcome = [Outcome::Error, Outcome::Reset, Outcome::Full].get(odd as usize).copied();
-                let report =
-                    LoadReport { utilisation: Some((self.n % 17) as f64 / 11.0), ..LoadReport::default() };
+                let outcome = [Outcome::Error, Outcome::Reset, Outcome::Full]
+                    .get(odd as usize)
+                    .copied();
+                let report = LoadReport {
+                    utilisation: Some((self.n % 17) as f64 / 11.0),
+                    ..LoadReport::default()
+                };
                 let outcome = outcome.unwrap_or(Outcome::Served);
-                self.tell(Input::AttemptEnded { attempt, outcome, reported_work: Some(0.31), report });
+                self.tell(Input::AttemptEnded {
+                    attempt,
+                    outcome,
+                    reported_work: Some(0.31),
+                    report,
+                });
             }
             let arrival = Arrival {
                 class: usize::from(step % 9 == 0),
@@ -124,8 +153,18 @@
                 ..Arrival::default()
             };
             let mut fresh = Vec::new();
-            let taken = self.driver.submit(self.now, arrival.clone(), &mut fresh).ok();
-            self.note(RecordedInput::Arrive { arrival, label: format!("s{step}") }, taken, fresh);
+            let taken = self
+                .driver
+                .submit(self.now, arrival.clone(), &mut fresh)
+                .ok();
+            self.note(
+                RecordedInput::Arrive {
+                    arrival,
+                    label: format!("s{step}"),
+                },
+                taken,
+                fresh,
+            );
         }
     }
 
--- a/crates/replay/tests/troubles.rs
+++ b/crates/replay/tests/troubles.rs
@@ -14,7 +14,12 @@
         let mut steps = 0;
         for _ in 0..100 {
             let verdict = run(&path, Options::default()).expect("readable");
-            assert!(verdict.equal(), "{path:?}: {:?} {:?}", verdict.difference, verdict.state_differs);
+            assert!(
+                verdict.equal(),
+                "{path:?}: {:?} {:?}",
+                verdict.difference,
+                verdict.state_differs
+            );
             assert!(steps == 0 || steps == verdict.steps);
             steps = verdict.steps;
         }
--- a/crates/sans-io/src/connection_buffer.rs
+++ b/crates/sans-io/src/connection_buffer.rs
@@ -40,7 +40,12 @@
     }
 
     /// Requests reading again, if there is capacity again; frees the memory of an empty input.
-    pub fn resume_reading(&mut self, id: ConnId, limit: usize, effects: &mut EffectQueue<impl Sized>) {
+    pub fn resume_reading(
+        &mut self,
+        id: ConnId,
+        limit: usize,
+        effects: &mut EffectQueue<impl Sized>,
+    ) {
         if self.read_blocked && self.input.len() < limit {
             self.read_blocked = false;
             effects.push(Effect::ResumeReading(id));
--- a/crates/sans-io/src/connection_table.rs
+++ b/crates/sans-io/src/connection_table.rs
@@ -12,7 +12,11 @@
 impl ConnId {
     fn new(owner: u8, generation: u32, slot: usize) -> ConnId {
         let generation = u64::from(generation) & ((1 << GENERATION_BITS) - 1);
-        ConnId(u64::from(owner) << (GENERATION_BITS + SLOT_BITS) | generation << SLOT_BITS | slot as u64)
+        ConnId(
+            u64::from(owner) << (GENERATION_BITS + SLOT_BITS)
+                | generation << SLOT_BITS
+                | slot as u64,
+        )
     }
 
     /// The number of the table that owns it, from 1 to 7.
@@ -48,7 +52,11 @@
     /// An empty table; `owner` is 1 to 7.
     pub fn new(owner: u8) -> ConnectionTable<T> {
         debug_assert!((1..8).contains(&owner));
-        ConnectionTable { owner, generation: 0, slots: Slab::new() }
+        ConnectionTable {
+            owner,
+            generation: 0,
+            slots: Slab::new(),
+        }
     }
 
     /// Adds a connection.
@@ -62,12 +70,18 @@
 
     /// The value of a connection.
     pub fn get(&self, id: ConnId) -> Option<&T> {
-        self.slots.get(id.slot()).filter(|(held, _)| *held == id).map(|(_, value)| value)
+        self.slots
+            .get(id.slot())
+            .filter(|(held, _)| *held == id)
+            .map(|(_, value)| value)
     }
 
     /// The value of a connection, to be changed.
     pub fn get_mut(&mut self, id: ConnId) -> Option<&mut T> {
-        self.slots.get_mut(id.slot()).filter(|(held, _)| *held == id).map(|(_, value)| value)
+        self.slots
+            .get_mut(id.slot())
+            .filter(|(held, _)| *held == id)
+            .map(|(_, value)| value)
     }
 
     /// Removes a connection.
--- a/crates/sans-io/src/effect_queue.rs
+++ b/crates/sans-io/src/effect_queue.rs
@@ -65,7 +65,12 @@
 impl<W> EffectQueue<W> {
     /// An empty queue.
     pub fn new(now: i64) -> EffectQueue<W> {
-        EffectQueue { now, effects: Vec::new(), timers: Timers::default(), listening: Listening::Active }
+        EffectQueue {
+            now,
+            effects: Vec::new(),
+            timers: Timers::default(),
+            listening: Listening::Active,
+        }
     }
 
     /// Adds an effect.
--- a/crates/sans-io/src/http.rs
+++ b/crates/sans-io/src/http.rs
@@ -41,7 +41,11 @@
     /// A value of the path's query.
     pub fn value(&self, name: &str) -> Option<&str> {
         let query = self.path.split_once('?')?.1;
-        query.split('&').filter_map(|pair| pair.split_once('=')).find(|(n, _)| *n == name).map(|(_, v)| v)
+        query
+            .split('&')
+            .filter_map(|pair| pair.split_once('='))
+            .find(|(n, _)| *n == name)
+            .map(|(_, v)| v)
     }
 }
 
@@ -60,7 +64,12 @@
     buf: &mut BytesMut,
     limit: usize,
 ) -> Result<Option<Bytes>, HttpError> {
-    let get = |name: &str| headers.iter().find(|h| h.name.eq_ignore_ascii_case(name)).map(|h| h.value);
+    let get = |name: &str| {
+        headers
+            .iter()
+            .find(|h| h.name.eq_ignore_ascii_case(name))
+            .map(|h| h.value)
+    };
     if get("transfer-encoding").is_some() {
         return Err(HttpError::Chunked);
     }
@@ -97,9 +106,16 @@
     let copy = buf.clone();
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
-    let parsed = request.parse(&copy).map_err(|e| HttpError::Malformed(e.to_string()))?;
-    let httparse::Status::Complete(head) = parsed else { return partial(buf).map(|()| None) };
-    let (method, path) = (request.method.unwrap_or("").to_string(), request.path.unwrap_or("").to_string());
+    let parsed = request
+        .parse(&copy)
+        .map_err(|e| HttpError::Malformed(e.to_string()))?;
+    let httparse::Status::Complete(head) = parsed else {
+        return partial(buf).map(|()| None);
+    };
+    let (method, path) = (
+        request.method.unwrap_or("").to_string(),
+        request.path.unwrap_or("").to_string(),
+    );
     Ok(body(head, request.headers, buf, limit)?.map(|body| Request { method, path, body }))
 }
 
@@ -111,8 +127,12 @@
     let copy = buf.clone();
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
-    let parsed = response.parse(&copy).map_err(|e| HttpError::Malformed(e.to_string()))?;
-    let httparse::Status::Complete(head) = parsed else { return partial(buf).map(|()| None) };
+    let parsed = response
+        .parse(&copy)
+        .map_err(|e| HttpError::Malformed(e.to_string()))?;
+    let httparse::Status::Complete(head) = parsed else {
+        return partial(buf).map(|()| None);
+    };
     let status = response.code.unwrap_or(0);
     Ok(body(head, response.headers, buf, limit)?.map(|body| Response { status, body }))
 }
@@ -120,8 +140,11 @@
 /// Appends a request.
 pub fn write_request(method: &str, path: &str, body: &[u8], out: &mut BytesMut) {
     let mut head = String::new();
-    let _ =
-        write!(head, "{method} {path} HTTP/1.1\r\nhost: localhost\r\ncontent-length: {}\r\n\r\n", body.len());
+    let _ = write!(
+        head,
+        "{method} {path} HTTP/1.1\r\nhost: localhost\r\ncontent-length: {}\r\n\r\n",
+        body.len()
+    );
     out.extend_from_slice(head.as_bytes());
     out.extend_from_slice(body);
 }
--- a/crates/sans-io/src/http_tests.rs
+++ b/crates/sans-io/src/http_tests.rs
@@ -20,7 +20,9 @@
         (request.route(), request.value("wait"), &request.body[..]),
         ("/engines", Some("9"), &b"{}"[..])
     );
-    let response = take_response(&mut buf, 100).expect("well-formed").expect("whole");
+    let response = take_response(&mut buf, 100)
+        .expect("well-formed")
+        .expect("whole");
     assert_eq!((response.status, &response.body[..]), (200, &b"hello"[..]));
 }
 
--- a/crates/sans-io/src/timers.rs
+++ b/crates/sans-io/src/timers.rs
@@ -15,7 +15,10 @@
 
 impl<T> Default for Timers<T> {
     fn default() -> Self {
-        Timers { set: 0, waiting: BTreeMap::new() }
+        Timers {
+            set: 0,
+            waiting: BTreeMap::new(),
+        }
     }
 }
 
--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -8,7 +8,10 @@
 }
 
 pub(crate) fn strings(value: &Value) -> Vec<String> {
-    items(value).iter().filter_map(|item| item.as_str().map(str::to_string)).collect()
+    items(value)
+        .iter()
+        .filter_map(|item| item.as_str().map(str::to_string))
+        .collect()
 }
 
 pub(crate) fn numbers(value: &Value) -> Vec<f64> {
@@ -20,7 +23,12 @@
 }
 
 pub(crate) fn micros(value: &Value) -> Micros {
-    Micros(value.as_i64().or_else(|| value.as_f64().map(|us| us as i64)).unwrap_or(0))
+    Micros(
+        value
+            .as_i64()
+            .or_else(|| value.as_f64().map(|us| us as i64))
+            .unwrap_or(0),
+    )
 }
 
 pub(crate) fn flag(value: &Value) -> bool {
--- a/crates/settings/src/names.rs
+++ b/crates/settings/src/names.rs
@@ -48,6 +48,8 @@
 
 /// The number of an engine: a hash of its name (FNV-1a), so that every instance has the same number for it.
 pub fn engine_id(name: &str) -> EngineId {
-    let hash = name.bytes().fold(FNV_OFFSET, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME));
+    let hash = name.bytes().fold(FNV_OFFSET, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
+    });
     EngineId(hash)
 }
--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -4,7 +4,9 @@
 use crate::{position, Names, MAX_MESSAGE_BYTES};
 use serde_json::Value;
 use std::collections::BTreeMap;
-use wheelfield::interface::{Class, DeduplicationScope, ExecutionSemantics, Micros, RetryBudget, Settings};
+use wheelfield::interface::{
+    Class, DeduplicationScope, ExecutionSemantics, Micros, RetryBudget, Settings,
+};
 
 /// Bytes of the unit that the price of a message is given for.
 const BYTES_PER_KILOBYTE: f64 = 1024.0;
@@ -39,9 +41,14 @@
     let mut settings = Settings {
         gateway_count: number(&value["balancers"]),
         gateway_index: number(&value["me"]),
-        zone: value["my_zone"].as_str().and_then(|zone| position(&names.zones, zone)),
+        zone: value["my_zone"]
+            .as_str()
+            .and_then(|zone| position(&names.zones, zone)),
         classes: parse_classes(value, &names)?,
-        tenant_rates: items(&value["tenants"]).iter().map(|t| number(&t["allowance_per_s"])).collect(),
+        tenant_rates: items(&value["tenants"])
+            .iter()
+            .map(|t| number(&t["allowance_per_s"]))
+            .collect(),
         subscribe: value["registry_mode"] == "subscribe",
         ..Settings::default()
     };
@@ -54,7 +61,10 @@
 }
 
 fn names_of(list: &Value) -> Vec<String> {
-    items(list).iter().map(|item| item["name"].as_str().unwrap_or("").to_string()).collect()
+    items(list)
+        .iter()
+        .map(|item| item["name"].as_str().unwrap_or("").to_string())
+        .collect()
 }
 
 /// What the engines are and can do.
@@ -78,15 +88,19 @@
     settings.hedged_requests = flag(&limits["second_copies"]);
     settings.max_attempts = limits["send_cap"].as_u64().unwrap_or(0) as usize;
     let retry_after_allowed = flag(&limits["retry_after"]);
-    settings.max_retry_after =
-        if retry_after_allowed { micros(&limits["max_retry_after_us"]) } else { Micros(0) };
+    settings.max_retry_after = if retry_after_allowed {
+        micros(&limits["max_retry_after_us"])
+    } else {
+        Micros(0)
+    };
     settings.connection_idle_timeout = micros(&limits["conn_idle_us"]);
 }
 
 /// What probes, messages and connections cost. Messages are charged by the longest one.
 fn set_prices(settings: &mut Settings, charges: &Value) {
     settings.probe_price = number(&charges["probe"]);
-    settings.message_price = number(&charges["peer"]) * BYTES_PER_KILOBYTE / MAX_MESSAGE_BYTES as f64;
+    settings.message_price =
+        number(&charges["peer"]) * BYTES_PER_KILOBYTE / MAX_MESSAGE_BYTES as f64;
     settings.cross_zone_price = number(&charges["cross_zone"]);
     settings.handshake_price = number(&charges["handshake"]);
 }
@@ -94,7 +108,9 @@
 /// What the engines report of their load, and when.
 fn set_telemetry(settings: &mut Settings, telemetry: &Value) {
     settings.load_reports = telemetry["how"] != "none";
-    settings.reports_utilisation = strings(&telemetry["columns"]).iter().any(|column| column == "cpu_share");
+    settings.reports_utilisation = strings(&telemetry["columns"])
+        .iter()
+        .any(|column| column == "cpu_share");
     settings.reports_by_probe = telemetry["how"] == "probe";
 }
 
@@ -105,7 +121,10 @@
     settings.overload_multiple = number(&safety["tip_multiple"]);
     settings.overload_window = micros(&safety["fall_us"]);
     settings.key_cooldown = micros(&safety["order_pause_us"]);
-    let has_retry_budget = safety.get("resend_ratio").or(safety.get("extra_free")).is_some();
+    let has_retry_budget = safety
+        .get("resend_ratio")
+        .or(safety.get("extra_free"))
+        .is_some();
     settings.retry_budget = has_retry_budget.then(|| RetryBudget {
         guaranteed: number(&safety["extra_free"]),
         fraction: number(&safety["resend_ratio"]),
@@ -115,11 +134,18 @@
 
 fn parse_classes(value: &Value, names: &Names) -> Result<Vec<Class>, SettingsError> {
     let grades = items(&value["grades"]).iter().enumerate();
-    grades.map(|(index, grade)| parse_class(grade, index, &value["family_info"], names)).collect()
+    grades
+        .map(|(index, grade)| parse_class(grade, index, &value["family_info"], names))
+        .collect()
 }
 
 /// Reads one class. The information on engines has more of it, at the position of the class.
-fn parse_class(grade: &Value, index: usize, info: &Value, names: &Names) -> Result<Class, SettingsError> {
+fn parse_class(
+    grade: &Value,
+    index: usize,
+    info: &Value,
+    names: &Names,
+) -> Result<Class, SettingsError> {
     let zones = Restriction::parse(&grade["zones_open"], &names.zones);
     let kinds = Restriction::parse(&grade["bound_to"], &names.kinds);
     Ok(Class {
@@ -135,7 +161,9 @@
         no_engine_permitted: zones.permits_nothing || kinds.permits_nothing,
         kinds: kinds.permitted,
         zones: zones.permitted,
-        threads: info["parallelism"][index].as_f64().unwrap_or(DEFAULT_THREADS),
+        threads: info["parallelism"][index]
+            .as_f64()
+            .unwrap_or(DEFAULT_THREADS),
         is_load: flag(&info["writes_tables"][index]),
         waits_for_loads: flag(&info["yields_to_loads"][index]),
     })
@@ -146,7 +174,10 @@
         Some("repeatable") => Ok(ExecutionSemantics::Idempotent),
         Some("by_key") => Ok(ExecutionSemantics::IdempotencyKey),
         Some("once") => Ok(ExecutionSemantics::AtMostOnce),
-        other => Err(SettingsError::UnknownEffect { class, effect: other.map(str::to_string) }),
+        other => Err(SettingsError::UnknownEffect {
+            class,
+            effect: other.map(str::to_string),
+        }),
     }
 }
 
@@ -169,8 +200,14 @@
 impl Restriction {
     fn parse(list: &Value, known_names: &[String]) -> Restriction {
         let listed = strings(list);
-        let permitted: Vec<usize> = listed.iter().filter_map(|name| position(known_names, name)).collect();
+        let permitted: Vec<usize> = listed
+            .iter()
+            .filter_map(|name| position(known_names, name))
+            .collect();
         let permits_nothing = !listed.is_empty() && permitted.is_empty();
-        Restriction { permitted, permits_nothing }
+        Restriction {
+            permitted,
+            permits_nothing,
+        }
     }
 }
--- a/crates/settings/src/peer_message.rs
+++ b/crates/settings/src/peer_message.rs
@@ -18,26 +18,47 @@
 
 /// The metrics in the order of [`metrics`].
 const ENCODINGS: [Encoding; 5] = [
-    Encoding { bit: 1, unit: 1.0 / 64.0 },
+    Encoding {
+        bit: 1,
+        unit: 1.0 / 64.0,
+    },
     Encoding { bit: 2, unit: 1.0 },
     Encoding { bit: 4, unit: 1.0 },
-    Encoding { bit: 8, unit: 1.0 / 64.0 },
-    Encoding { bit: 16, unit: 1.0 / 64.0 },
+    Encoding {
+        bit: 8,
+        unit: 1.0 / 64.0,
+    },
+    Encoding {
+        bit: 16,
+        unit: 1.0 / 64.0,
+    },
 ];
 
 fn metrics(report: &LoadReport) -> [Option<f64>; ENCODINGS.len()] {
-    [report.utilisation, report.in_flight, report.queued, report.memory_granted, report.disk_utilisation]
+    [
+        report.utilisation,
+        report.in_flight,
+        report.queued,
+        report.memory_granted,
+        report.disk_utilisation,
+    ]
 }
 
 /// Encodes load reports. All reports of one message carry the metrics of the first; a report with others is left out, as is
 /// what exceeds [`MAX_MESSAGE_BYTES`].
 pub fn encode_load_reports(reports: &[PeerLoadReport]) -> Vec<u8> {
-    let mask = reports.first().map_or(0, |first| metric_mask(&first.report));
+    let mask = reports
+        .first()
+        .map_or(0, |first| metric_mask(&first.report));
     let mut bytes = vec![mask];
-    for PeerLoadReport { engine, report } in reports.iter().filter(|r| metric_mask(&r.report) == mask) {
+    for PeerLoadReport { engine, report } in
+        reports.iter().filter(|r| metric_mask(&r.report) == mask)
+    {
         bytes.extend(&engine.0.to_le_bytes()[..ENGINE_BYTES]);
-        let carried =
-            metrics(report).into_iter().zip(&ENCODINGS).filter_map(|(value, e)| Some(value? / e.unit));
+        let carried = metrics(report)
+            .into_iter()
+            .zip(&ENCODINGS)
+            .filter_map(|(value, e)| Some(value? / e.unit));
         bytes.extend(carried.map(|value| value.round().clamp(0.0, 255.0) as u8));
     }
     bytes.truncate(MAX_MESSAGE_BYTES);
@@ -46,7 +67,10 @@
 
 /// The bits of the metrics that a report has.
 fn metric_mask(report: &LoadReport) -> u8 {
-    let present = metrics(report).into_iter().zip(&ENCODINGS).filter(|(value, _)| value.is_some());
+    let present = metrics(report)
+        .into_iter()
+        .zip(&ENCODINGS)
+        .filter(|(value, _)| value.is_some());
     present.fold(0, |mask, (_, encoding)| mask | encoding.bit)
 }
 
@@ -55,13 +79,20 @@
     known: impl Iterator<Item = &'a EngineId> + Clone,
     bytes: &[u8],
 ) -> Vec<PeerLoadReport> {
-    let Some((&mask, records)) = bytes.split_first() else { return Vec::new() };
-    let metric_count = ENCODINGS.iter().filter(|encoding| mask & encoding.bit != 0).count();
+    let Some((&mask, records)) = bytes.split_first() else {
+        return Vec::new();
+    };
+    let metric_count = ENCODINGS
+        .iter()
+        .filter(|encoding| mask & encoding.bit != 0)
+        .count();
     let mut reports = Vec::new();
     for record in records.chunks_exact(ENGINE_BYTES + metric_count) {
         let (number, values) = record.split_at(ENGINE_BYTES);
         let report = decode_metrics(mask, values);
-        let engine = known.clone().find(|engine| engine.0.to_le_bytes()[..ENGINE_BYTES] == *number);
+        let engine = known
+            .clone()
+            .find(|engine| engine.0.to_le_bytes()[..ENGINE_BYTES] == *number);
         reports.extend(engine.map(|&engine| PeerLoadReport { engine, report }));
     }
     reports
@@ -76,5 +107,11 @@
     };
     let [utilisation, in_flight, queued, memory_granted, disk_utilisation] =
         ENCODINGS.each_ref().map(&mut next_metric);
-    LoadReport { utilisation, in_flight, queued, memory_granted, disk_utilisation }
+    LoadReport {
+        utilisation,
+        in_flight,
+        queued,
+        memory_granted,
+        disk_utilisation,
+    }
 }
--- a/crates/settings/tests/peer_message.rs
+++ b/crates/settings/tests/peer_message.rs
@@ -7,11 +7,17 @@
 fn a_decoded_message_equals_the_reports_and_leaves_out_unknown_engines() {
     let report = |engine: u64, utilisation: f64| PeerLoadReport {
         engine: EngineId(engine),
-        report: LoadReport { utilisation: Some(utilisation), ..LoadReport::default() },
+        report: LoadReport {
+            utilisation: Some(utilisation),
+            ..LoadReport::default()
+        },
     };
     let bytes = encode_load_reports(&[report(7, 0.5), report(9, 1.25)]);
     assert_eq!(bytes.len(), 9);
-    assert_eq!(decode_load_reports([EngineId(7), EngineId(8)].iter(), &bytes), [report(7, 0.5)]);
+    assert_eq!(
+        decode_load_reports([EngineId(7), EngineId(8)].iter(), &bytes),
+        [report(7, 0.5)]
+    );
     assert!(decode_load_reports([EngineId(7)].iter(), &bytes[..3]).is_empty());
     assert!(encode_load_reports(&vec![report(7, 0.5); 300]).len() <= MAX_MESSAGE_BYTES);
 }
@@ -32,5 +38,8 @@
     assert_eq!(bytes, [1 | 2 | 8 | 16, 1, 2, 3, 32, 255, 16, 64]);
     let mut expected = report;
     expected.report.in_flight = Some(255.0);
-    assert_eq!(decode_load_reports([EngineId(0x0403_0201)].iter(), &bytes), [expected]);
+    assert_eq!(
+        decode_load_reports([EngineId(0x0403_0201)].iter(), &bytes),
+        [expected]
+    );
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -106,20 +106,36 @@
         overload_multiple: 3.0,
         overload_window: Micros(4_000_000),
         key_cooldown: Micros(11),
-        retry_budget: Some(RetryBudget { guaranteed: 10.0, fraction: 0.1, window: Micros(1_000_000) }),
+        retry_budget: Some(RetryBudget {
+            guaranteed: 10.0,
+            fraction: 0.1,
+            window: Micros(1_000_000),
+        }),
         handshake_price: 0.03,
         connection_idle_timeout: Micros(60_000_000),
     };
     assert_eq!(settings, expected);
-    assert_eq!((names.classes, names.tenants), (strings(&["read", "write", "load"]), strings(&["t1", "t2"])));
-    assert_eq!((names.zones, names.kinds), (strings(&["a", "b"]), strings(&["small", "large"])));
+    assert_eq!(
+        (names.classes, names.tenants),
+        (strings(&["read", "write", "load"]), strings(&["t1", "t2"]))
+    );
+    assert_eq!(
+        (names.zones, names.kinds),
+        (strings(&["a", "b"]), strings(&["small", "large"]))
+    );
     assert!(names.engines.is_empty());
 }
 
 #[test]
 fn missing_keys_leave_everything_optional_off() {
     let (_, settings) = parse_settings(&json!({})).expect("settings");
-    assert_eq!(settings, Settings { load_reports: true, ..Settings::default() });
+    assert_eq!(
+        settings,
+        Settings {
+            load_reports: true,
+            ..Settings::default()
+        }
+    );
 }
 
 #[test]
@@ -131,10 +147,20 @@
 
 #[test]
 fn an_unknown_effect_is_reported_with_its_class() {
-    let settings = json!({"grades": [{"name": "a", "effect": "once"}, {"name": "b", "effect": "perhaps"}]});
+    let settings =
+        json!({"grades": [{"name": "a", "effect": "once"}, {"name": "b", "effect": "perhaps"}]});
     let error = parse_settings(&settings).expect_err("an unknown effect");
-    assert_eq!(error, SettingsError::UnknownEffect { class: 1, effect: Some("perhaps".into()) });
-    assert_eq!(error.to_string(), "unknown effect Some(\"perhaps\") of class 1");
+    assert_eq!(
+        error,
+        SettingsError::UnknownEffect {
+            class: 1,
+            effect: Some("perhaps".into())
+        }
+    );
+    assert_eq!(
+        error.to_string(),
+        "unknown effect Some(\"perhaps\") of class 1"
+    );
 }
 
 fn strings(names: &[&str]) -> Vec<String> {
--- a/crates/sim-adapter/src/decision.rs
+++ b/crates/sim-adapter/src/decision.rs
@@ -22,7 +22,11 @@
     /// The decision in an instruction of the driver. `None` for an interrupted answer, which the simulator handles itself.
     pub fn from_instruction(instruction: Instruction) -> Option<Decision> {
         Some(match instruction {
-            Instruction::Start { attempt, engine, options } => Decision::Start(attempt, engine, options),
+            Instruction::Start {
+                attempt,
+                engine,
+                options,
+            } => Decision::Start(attempt, engine, options),
             Instruction::SetOptions(attempt, options) => Decision::SetOptions(attempt, options),
             Instruction::Cancel(attempt) => Decision::Cancel(attempt),
             Instruction::Answer(query, Answer::Rejected { retry_after }) => {
@@ -61,12 +65,22 @@
     pub fn add(&mut self, action: &Action) {
         let decision = match action {
             Action::Send { query, engine, .. } => self.start(*query, *engine),
-            Action::SetOptions { query, grant_mb, priority } => {
-                let options = AttemptOptions { grant_mb: *grant_mb, priority: *priority };
+            Action::SetOptions {
+                query,
+                grant_mb,
+                priority,
+            } => {
+                let options = AttemptOptions {
+                    grant_mb: *grant_mb,
+                    priority: *priority,
+                };
                 return self.set_options(*query, options);
             }
             Action::Cancel { query, attempt } => {
-                let attempt = AttemptId { query: *query, number: *attempt };
+                let attempt = AttemptId {
+                    query: *query,
+                    number: *attempt,
+                };
                 self.in_flight.remove(&attempt);
                 Decision::Cancel(attempt)
             }
@@ -83,18 +97,29 @@
 
     fn start(&mut self, query: QueryId, engine: EngineId) -> Decision {
         let started = self.attempts_started.entry(query).or_default();
-        let attempt = AttemptId { query, number: *started };
+        let attempt = AttemptId {
+            query,
+            number: *started,
+        };
         *started += 1;
         self.in_flight.insert(attempt);
-        Decision::Start(attempt, engine, self.options.get(&query).copied().unwrap_or_default())
+        Decision::Start(
+            attempt,
+            engine,
+            self.options.get(&query).copied().unwrap_or_default(),
+        )
     }
 
     /// Sets the options of a query's next attempts, and of those in flight.
     fn set_options(&mut self, query: QueryId, options: AttemptOptions) {
         self.options.insert(query, options);
         let first = AttemptId { query, number: 0 };
-        let last = AttemptId { query, number: usize::MAX };
+        let last = AttemptId {
+            query,
+            number: usize::MAX,
+        };
         let in_flight = self.in_flight.range(first..=last);
-        self.pending.extend(in_flight.map(|attempt| Decision::SetOptions(*attempt, options)));
+        self.pending
+            .extend(in_flight.map(|attempt| Decision::SetOptions(*attempt, options)));
     }
 }
--- a/crates/sim-adapter/src/engine_list.rs
+++ b/crates/sim-adapter/src/engine_list.rs
@@ -26,7 +26,9 @@
     /// [`LineError`], if it is another line, or a field is missing or malformed.
     pub fn parse(line: &Line) -> Result<ListEntry, LineError> {
         if line.word != "entry" {
-            return Err(LineError::NotAnEntry { found: shorten(line.word) });
+            return Err(LineError::NotAnEntry {
+                found: shorten(line.word),
+            });
         }
         Ok(ListEntry {
             engine: line.text("executor")?.to_string(),
@@ -37,7 +39,11 @@
                 "up" => Status::Up,
                 "draining" => Status::Draining,
                 "removed" => Status::Removed,
-                other => return Err(LineError::UnknownReadiness { found: shorten(other) }),
+                other => {
+                    return Err(LineError::UnknownReadiness {
+                        found: shorten(other),
+                    })
+                }
             },
             started_at: line.optional_micros("up_since_us")?.filter(|at| at.0 != 0),
         })
--- a/crates/sim-adapter/src/host.rs
+++ b/crates/sim-adapter/src/host.rs
@@ -58,7 +58,10 @@
 impl Host {
     /// A host without instances; it writes a capture of each incarnation to `capture_dir`, if there is one.
     pub fn new(capture_dir: Option<PathBuf>) -> Host {
-        Host { capture_dir, ..Host::default() }
+        Host {
+            capture_dir,
+            ..Host::default()
+        }
     }
 
     /// Whether a batch has begun and not ended.
@@ -75,8 +78,10 @@
         if let Some(IncompleteList { bank, remaining }) = self.incomplete_list {
             let entry = ListEntry::parse(&line)?;
             self.lists.entry(bank).or_default().push(entry);
-            self.incomplete_list =
-                (remaining > 1).then_some(IncompleteList { bank, remaining: remaining - 1 });
+            self.incomplete_list = (remaining > 1).then_some(IncompleteList {
+                bank,
+                remaining: remaining - 1,
+            });
             return Ok(Batch::Open);
         }
         if line.word == "batch" {
@@ -85,7 +90,9 @@
             return Ok(Batch::Open);
         }
         let Some(now) = self.batch_time else {
-            return Err(HostError::OutsideBatch { found: line.word.to_string() });
+            return Err(HostError::OutsideBatch {
+                found: line.word.to_string(),
+            });
         };
         match line.word {
             "flush" => {
@@ -120,21 +127,29 @@
 
     fn end_batch(&mut self) {
         self.batch_time = None;
-        let shadows = self.instances.values_mut().filter_map(|instance| instance.shadow.as_mut());
+        let shadows = self
+            .instances
+            .values_mut()
+            .filter_map(|instance| instance.shadow.as_mut());
         shadows.for_each(ShadowDriver::compare);
     }
 
     fn begin_list(&mut self, line: &Line) -> Result<(), HostError> {
         let (bank, records) = (line.number("bank")?, line.number("records")?);
         self.lists.insert(bank, Vec::new());
-        self.incomplete_list = (records > 0).then_some(IncompleteList { bank, remaining: records });
+        self.incomplete_list = (records > 0).then_some(IncompleteList {
+            bank,
+            remaining: records,
+        });
         Ok(())
     }
 
     /// Handles a line for the current instance.
     fn handle_instance_line(&mut self, line: &Line, now: Micros) -> Result<(), HostError> {
         let Some(id) = self.current_instance else {
-            return Err(HostError::NoInstance { found: line.word.to_string() });
+            return Err(HostError::NoInstance {
+                found: line.word.to_string(),
+            });
         };
         match line.word {
             "halt" => {
@@ -146,7 +161,10 @@
             _ => {}
         }
         let Some(instance) = self.instances.get_mut(&id) else {
-            return Err(HostError::NotStarted { found: line.word.to_string(), instance: id });
+            return Err(HostError::NotStarted {
+                found: line.word.to_string(),
+                instance: id,
+            });
         };
         if let Some(event) = instance.translator.decode_event(line, &self.lists)? {
             self.deliver(id, event, line.attempt(), now);
@@ -161,7 +179,14 @@
         self.end_instance(id);
         let shadow = self.start_shadow(id, &translator.names, &settings, seed, now)?;
         let gateway = Gateway::new(settings, seed);
-        self.instances.insert(id, Instance { translator, gateway, shadow });
+        self.instances.insert(
+            id,
+            Instance {
+                translator,
+                gateway,
+                shadow,
+            },
+        );
         self.replies.remove(&id);
         self.deliver(id, Event::Started, None, now);
         Ok(())
@@ -176,26 +201,52 @@
         seed: u64,
         now: Micros,
     ) -> Result<Option<ShadowDriver>, HostError> {
-        let Some(dir) = &self.capture_dir else { return Ok(None) };
-        let number = self.incarnations.entry(id).and_modify(|number| *number += 1).or_default();
-        let incarnation = Incarnation { instance: id, number: *number };
-        let capture_error = |error| HostError::Capture { dir: Path::to_path_buf(dir), error };
-        ShadowDriver::start(dir, incarnation, names, settings, seed, now).map(Some).map_err(capture_error)
+        let Some(dir) = &self.capture_dir else {
+            return Ok(None);
+        };
+        let number = self
+            .incarnations
+            .entry(id)
+            .and_modify(|number| *number += 1)
+            .or_default();
+        let incarnation = Incarnation {
+            instance: id,
+            number: *number,
+        };
+        let capture_error = |error| HostError::Capture {
+            dir: Path::to_path_buf(dir),
+            error,
+        };
+        ShadowDriver::start(dir, incarnation, names, settings, seed, now)
+            .map(Some)
+            .map_err(capture_error)
     }
 
     fn end_instance(&mut self, id: u32) {
-        if let Some(shadow) = self.instances.remove(&id).and_then(|instance| instance.shadow) {
+        if let Some(shadow) = self
+            .instances
+            .remove(&id)
+            .and_then(|instance| instance.shadow)
+        {
             shadow.finish(&mut self.summary);
         }
     }
 
     /// Gives an event to an instance and adds its actions to the reply. `attempt` is the attempt that the line names.
     fn deliver(&mut self, id: u32, event: Event, attempt: Option<usize>, now: Micros) {
-        let Some(instance) = self.instances.get_mut(&id) else { return };
+        let Some(instance) = self.instances.get_mut(&id) else {
+            return;
+        };
         let shadow_event = instance.shadow.is_some().then(|| event.clone());
         instance.gateway.handle(now, event, &mut self.actions);
         if let (Some(shadow), Some(event)) = (&mut instance.shadow, shadow_event) {
-            shadow.handle(now, event, attempt, &self.actions, &instance.translator.names);
+            shadow.handle(
+                now,
+                event,
+                attempt,
+                &self.actions,
+                &instance.translator.names,
+            );
         }
         let reply = self.replies.entry(id).or_default();
         for action in self.actions.drain(..) {
--- a/crates/sim-adapter/src/line.rs
+++ b/crates/sim-adapter/src/line.rs
@@ -21,7 +21,11 @@
     MissingField { word: String, field: &'static str },
     /// A field is no number of its type.
     #[error("{word}: '{field}' is not a number: '{found}'")]
-    NotANumber { word: String, field: &'static str, found: String },
+    NotANumber {
+        word: String,
+        field: &'static str,
+        found: String,
+    },
     /// A field is infinite or not a number.
     #[error("{word}: '{field}' is not a finite number")]
     NotFinite { word: String, field: &'static str },
@@ -77,10 +81,17 @@
         let mut fields = Vec::new();
         while !rest.is_empty() {
             let Some((name, after)) = rest.split_once('=') else {
-                return Err(LineError::NotAField { word: word.to_string(), found: shorten(rest) });
+                return Err(LineError::NotAField {
+                    word: word.to_string(),
+                    found: shorten(rest),
+                });
             };
             let name = name.trim_start();
-            let end = if TEXT_FIELDS.contains(&name) { None } else { after.split_once(' ') };
+            let end = if TEXT_FIELDS.contains(&name) {
+                None
+            } else {
+                after.split_once(' ')
+            };
             let (value, tail) = end.unwrap_or((after, ""));
             fields.push((name, value));
             rest = tail;
@@ -90,7 +101,10 @@
 
     /// The text of a field, if it is there.
     pub fn optional_text(&self, field: &str) -> Option<&'a str> {
-        self.fields.iter().find(|(name, _)| *name == field).map(|(_, value)| *value)
+        self.fields
+            .iter()
+            .find(|(name, _)| *name == field)
+            .map(|(_, value)| *value)
     }
 
     /// The text of a field.
@@ -99,7 +113,10 @@
     /// [`LineError::MissingField`].
     pub fn text(&self, field: &'static str) -> Result<&'a str, LineError> {
         self.optional_text(field)
-            .ok_or_else(|| LineError::MissingField { word: self.word.to_string(), field })
+            .ok_or_else(|| LineError::MissingField {
+                word: self.word.to_string(),
+                field,
+            })
     }
 
     /// The number in a field, if it is there.
@@ -107,7 +124,9 @@
     /// # Errors
     /// [`LineError::NotANumber`].
     pub fn optional_number<T: FromStr>(&self, field: &'static str) -> Result<Option<T>, LineError> {
-        let Some(text) = self.optional_text(field) else { return Ok(None) };
+        let Some(text) = self.optional_text(field) else {
+            return Ok(None);
+        };
         let number = text.parse().map_err(|_| LineError::NotANumber {
             word: self.word.to_string(),
             field,
@@ -122,7 +141,10 @@
     /// [`LineError::MissingField`] or [`LineError::NotANumber`].
     pub fn number<T: FromStr>(&self, field: &'static str) -> Result<T, LineError> {
         let number = self.optional_number(field)?;
-        number.ok_or_else(|| LineError::MissingField { word: self.word.to_string(), field })
+        number.ok_or_else(|| LineError::MissingField {
+            word: self.word.to_string(),
+            field,
+        })
     }
 
     /// The finite number in a field, if it is there.
@@ -131,9 +153,10 @@
     /// [`LineError::NotANumber`] or [`LineError::NotFinite`].
     pub fn optional_real(&self, field: &'static str) -> Result<Option<f64>, LineError> {
         match self.optional_number::<f64>(field)? {
-            Some(number) if !number.is_finite() => {
-                Err(LineError::NotFinite { word: self.word.to_string(), field })
-            }
+            Some(number) if !number.is_finite() => Err(LineError::NotFinite {
+                word: self.word.to_string(),
+                field,
+            }),
             number => Ok(number),
         }
     }
@@ -152,15 +175,19 @@
     /// [`LineError::MissingField`] or [`LineError::NotAQueryId`].
     pub fn query_id(&self) -> Result<QueryId, LineError> {
         let text = self.text("job")?;
-        let number = u64::from_str_radix(text, 16).ok().filter(|_| text.len() == QUERY_ID_DIGITS);
-        number
-            .map(QueryId)
-            .ok_or_else(|| LineError::NotAQueryId { word: self.word.to_string(), found: shorten(text) })
+        let number = u64::from_str_radix(text, 16)
+            .ok()
+            .filter(|_| text.len() == QUERY_ID_DIGITS);
+        number.map(QueryId).ok_or_else(|| LineError::NotAQueryId {
+            word: self.word.to_string(),
+            found: shorten(text),
+        })
     }
 
     /// The number of the attempt that the line is about, if it names one.
     pub fn attempt(&self) -> Option<usize> {
-        self.optional_text("leg").and_then(|number| number.parse().ok())
+        self.optional_text("leg")
+            .and_then(|number| number.parse().ok())
     }
 }
 
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -43,7 +43,10 @@
     let mut host = Host::new(capture_dir);
     let (stdin, mut stdout) = (std::io::stdin().lock(), std::io::stdout().lock());
     for (index, text) in stdin.lines().enumerate() {
-        let line_error = |error| AdapterError::Line { number: index + 1, error };
+        let line_error = |error| AdapterError::Line {
+            number: index + 1,
+            error,
+        };
         let text = text.map_err(|error| line_error(HostError::Read(error)))?;
         let text = text.trim_end_matches('\r');
         if text.is_empty() {
@@ -51,28 +54,41 @@
         }
         if host.handle_line(text).map_err(line_error)? == Batch::Complete {
             let reply = host.take_reply();
-            let written = stdout.write_all(reply.as_bytes()).and_then(|()| stdout.flush());
+            let written = stdout
+                .write_all(reply.as_bytes())
+                .and_then(|()| stdout.flush());
             written.map_err(AdapterError::WriteReply)?;
         }
     }
     if host.is_inside_batch() {
         return Err(AdapterError::IncompleteBatch);
     }
-    host.finish().map_or(Ok(()), |(dir, summary)| report_summary(&dir, summary))
+    host.finish()
+        .map_or(Ok(()), |(dir, summary)| report_summary(&dir, summary))
 }
 
 /// Writes the results of a run with captures: to a file, since the simulator keeps standard error to itself, and to standard
 /// error.
 fn report_summary(dir: &Path, summary: Summary) -> Result<(), AdapterError> {
-    let Summary { captures, steps, lost, equal, differences } = summary;
-    let totals =
-        format!("{captures} captures, {steps} steps, {lost} records lost; {equal} instructions equal");
+    let Summary {
+        captures,
+        steps,
+        lost,
+        equal,
+        differences,
+    } = summary;
+    let totals = format!(
+        "{captures} captures, {steps} steps, {lost} records lost; {equal} instructions equal"
+    );
     let path = dir.join(format!("adapter-{}.txt", std::process::id()));
     std::fs::write(&path, format!("{totals}\n{}\n", differences.join("\n")))
         .map_err(|error| AdapterError::WriteSummary { path, error })?;
     eprintln!("{totals}");
     match differences.first() {
         None => Ok(()),
-        Some(first) => Err(AdapterError::Difference { captures: differences.len(), first: first.clone() }),
+        Some(first) => Err(AdapterError::Difference {
+            captures: differences.len(),
+            first: first.clone(),
+        }),
     }
 }
--- a/crates/sim-adapter/src/shadow_driver.rs
+++ b/crates/sim-adapter/src/shadow_driver.rs
@@ -88,8 +88,17 @@
             tenants: names.tenants.clone(),
         };
         let driver = Driver::new(settings.clone(), seed, bounds);
-        let limits = Limits { max_queued_blocks: CAPTURE_QUEUE, ..Limits::default() };
-        let recorder = Recorder::begin(&dir.join(format!("{name}.wfcap")), start, limits, &driver, now)?;
+        let limits = Limits {
+            max_queued_blocks: CAPTURE_QUEUE,
+            ..Limits::default()
+        };
+        let recorder = Recorder::begin(
+            &dir.join(format!("{name}.wfcap")),
+            start,
+            limits,
+            &driver,
+            now,
+        )?;
         Ok(ShadowDriver {
             name,
             driver,
@@ -115,13 +124,19 @@
     ) {
         self.now = now;
         if let Event::AttemptEnded(end) = &event {
-            self.module.end_attempt(AttemptId { query: end.query, number: end.attempt });
+            self.module.end_attempt(AttemptId {
+                query: end.query,
+                number: end.attempt,
+            });
         }
         for action in actions {
             self.module.add(action);
         }
         if matches!(event, Event::EngineList(_) | Event::EngineChanges(_)) {
-            self.recorder.engines(now, names.engines.iter().map(|(id, name)| (*id, name.clone())));
+            self.recorder.engines(
+                now,
+                names.engines.iter().map(|(id, name)| (*id, name.clone())),
+            );
         }
         if let Some(input) = recorded_input(event, attempt) {
             self.step(input);
@@ -132,11 +147,13 @@
     fn step(&mut self, input: RecordedInput) {
         let mut instructions = Vec::new();
         let accepted_as = match &input {
-            RecordedInput::ArriveAs { id, arrival, .. } => {
-                self.driver.submit_with_id(self.now, *id, arrival.clone(), &mut instructions).ok()
-            }
+            RecordedInput::ArriveAs { id, arrival, .. } => self
+                .driver
+                .submit_with_id(self.now, *id, arrival.clone(), &mut instructions)
+                .ok(),
             RecordedInput::Input(input) => {
-                self.driver.handle_input(self.now, input.clone(), &mut instructions);
+                self.driver
+                    .handle_input(self.now, input.clone(), &mut instructions);
                 None
             }
             RecordedInput::Woke(token) => {
@@ -146,7 +163,8 @@
             // `recorded_input` makes none of these.
             RecordedInput::Due | RecordedInput::Arrive { .. } => return,
         };
-        self.recorder.step(self.now, &input, accepted_as, &instructions);
+        self.recorder
+            .step(self.now, &input, accepted_as, &instructions);
         self.recorder.tend(&self.driver, self.now);
         self.steps += 1;
         let mut started = Vec::new();
@@ -154,7 +172,8 @@
             if let Instruction::Start { attempt, .. } = &instruction {
                 started.push(*attempt);
             }
-            self.driver_decisions.extend(Decision::from_instruction(instruction));
+            self.driver_decisions
+                .extend(Decision::from_instruction(instruction));
         }
         // The simulator dispatches an attempt as soon as it is asked to.
         for attempt in started {
@@ -164,7 +183,8 @@
 
     /// Compares the decisions of module and driver, at the end of a batch.
     pub fn compare(&mut self) {
-        while let (Some(module), Some(driver)) = (self.module.pending.front(), self.driver_decisions.front())
+        while let (Some(module), Some(driver)) =
+            (self.module.pending.front(), self.driver_decisions.front())
         {
             if module != driver {
                 break;
@@ -185,7 +205,9 @@
 
     fn describe_difference(&self) -> String {
         let first = |decisions: &VecDeque<Decision>| {
-            decisions.front().map_or("nothing".into(), |decision| format!("{decision:?}"))
+            decisions
+                .front()
+                .map_or("nothing".into(), |decision| format!("{decision:?}"))
         };
         let (name, at) = (&self.name, self.now.as_secs_f64());
         let (module, driver) = (first(&self.module.pending), first(&self.driver_decisions));
@@ -209,16 +231,36 @@
 fn recorded_input(event: Event, attempt: Option<usize>) -> Option<RecordedInput> {
     Some(RecordedInput::Input(match event {
         Event::Started => Input::Started,
-        Event::EngineList(entries) => Input::Engines { complete: true, entries },
-        Event::EngineChanges(entries) => Input::Engines { complete: false, entries },
+        Event::EngineList(entries) => Input::Engines {
+            complete: true,
+            entries,
+        },
+        Event::EngineChanges(entries) => Input::Engines {
+            complete: false,
+            entries,
+        },
         Event::ListUnavailable => Input::ListUnavailable,
         Event::Arrived(query) => return Some(recorded_arrival(query)),
-        Event::AnswerStarted(query) => Input::AnswerStarted(AttemptId { query, number: attempt? }),
-        Event::AttemptUpdated { query, attempt, update } => {
-            Input::AttemptUpdated(AttemptId { query, number: attempt }, update)
-        }
+        Event::AnswerStarted(query) => Input::AnswerStarted(AttemptId {
+            query,
+            number: attempt?,
+        }),
+        Event::AttemptUpdated {
+            query,
+            attempt,
+            update,
+        } => Input::AttemptUpdated(
+            AttemptId {
+                query,
+                number: attempt,
+            },
+            update,
+        ),
         Event::AttemptEnded(end) => Input::AttemptMeasured {
-            attempt: AttemptId { query: end.query, number: end.attempt },
+            attempt: AttemptId {
+                query: end.query,
+                number: end.attempt,
+            },
             outcome: end.outcome,
             reported_work: end.reported_work,
             report: end.report,
@@ -226,17 +268,47 @@
         },
         Event::Abandoned(query) => Input::Abandoned(query),
         Event::ShutdownDeadline(query) => Input::ShutdownDeadline(query),
-        Event::ProbeEnded { engine, outcome, report } => Input::ProbeEnded { engine, outcome, report },
+        Event::ProbeEnded {
+            engine,
+            outcome,
+            report,
+        } => Input::ProbeEnded {
+            engine,
+            outcome,
+            report,
+        },
         Event::PeerReports(reports) => Input::PeerReports(reports),
-        Event::GatewayCountChanged { count, index } => {
-            Input::GatewayCountChanged { count: count as u32, index: index as u32 }
-        }
+        Event::GatewayCountChanged { count, index } => Input::GatewayCountChanged {
+            count: count as u32,
+            index: index as u32,
+        },
         Event::TimerFired(token) => return Some(RecordedInput::Woke(token)),
     }))
 }
 
 fn recorded_arrival(query: Query) -> RecordedInput {
-    let Query { id, class, tenant, key, deadline, work_hint, memory_hint, tables } = query;
-    let arrival = Arrival { class, tenant, key, deadline, work_hint, memory_hint, tables };
-    RecordedInput::ArriveAs { id, arrival, label: format!("{:016x}", id.0) }
+    let Query {
+        id,
+        class,
+        tenant,
+        key,
+        deadline,
+        work_hint,
+        memory_hint,
+        tables,
+    } = query;
+    let arrival = Arrival {
+        class,
+        tenant,
+        key,
+        deadline,
+        work_hint,
+        memory_hint,
+        tables,
+    };
+    RecordedInput::ArriveAs {
+        id,
+        arrival,
+        label: format!("{:016x}", id.0),
+    }
 }
--- a/crates/sim-adapter/src/translator.rs
+++ b/crates/sim-adapter/src/translator.rs
@@ -7,7 +7,8 @@
 use std::fmt::Write;
 use wheelfield::interface::*;
 use wheelfield_settings::{
-    decode_load_reports, encode_load_reports, engine_id, parse_settings, position, set_load_metric, Names,
+    decode_load_reports, encode_load_reports, engine_id, parse_settings, position, set_load_metric,
+    Names,
 };
 
 /// What stands in a line for an engine without a name.
@@ -39,7 +40,11 @@
     ///
     /// # Errors
     /// [`LineError`], if a field is missing, malformed or unknown.
-    pub fn decode_event(&mut self, line: &Line, lists: &EngineLists) -> Result<Option<Event>, LineError> {
+    pub fn decode_event(
+        &mut self,
+        line: &Line,
+        lists: &EngineLists,
+    ) -> Result<Option<Event>, LineError> {
         Ok(Some(match line.word {
             "fleet" => self.decode_engine_list(line, lists)?,
             "query" => Event::Arrived(self.decode_query(line)?),
@@ -67,7 +72,10 @@
 
     fn decode_query(&self, line: &Line) -> Result<Query, LineError> {
         let known = |what, names: &[String], name: &str| {
-            position(names, name).ok_or_else(|| LineError::UnknownName { what, found: shorten(name) })
+            position(names, name).ok_or_else(|| LineError::UnknownName {
+                what,
+                found: shorten(name),
+            })
         };
         Ok(Query {
             id: line.query_id()?,
@@ -76,7 +84,10 @@
                 None | Some("0") | Some("") => None,
                 Some(name) => Some(known("tenant", &self.names.tenants, name)?),
             },
-            key: line.optional_text("relation").filter(|key| !key.is_empty()).map(str::to_string),
+            key: line
+                .optional_text("relation")
+                .filter(|key| !key.is_empty())
+                .map(str::to_string),
             deadline: Micros(line.number("due_us")?),
             work_hint: line
                 .optional_real("estimate_us")?
@@ -94,28 +105,55 @@
         }
         let bank: u32 = line.number("bank")?;
         let list = lists.get(&bank).ok_or(LineError::UnknownList { bank })?;
-        let entries = list.iter().map(|entry| entry.resolve(&mut self.names)).collect();
+        let entries = list
+            .iter()
+            .map(|entry| entry.resolve(&mut self.names))
+            .collect();
         match mode {
             "update" => Ok(Event::EngineChanges(entries)),
             "replace" | "restored" => Ok(Event::EngineList(entries)),
-            other => Err(LineError::UnknownListMode { found: shorten(other) }),
+            other => Err(LineError::UnknownListMode {
+                found: shorten(other),
+            }),
         }
     }
 
     /// Appends the line of an action.
     pub fn encode_action(&self, action: &Action, out: &mut String) {
         let written = match action {
-            Action::Send { query, engine, timeout } => {
+            Action::Send {
+                query,
+                engine,
+                timeout,
+            } => {
                 let (engine, timeout) = (self.engine_name(engine), timeout.0);
-                writeln!(out, "submit_to job={:016x} executor={engine} try_for_us={timeout}", query.0)
+                writeln!(
+                    out,
+                    "submit_to job={:016x} executor={engine} try_for_us={timeout}",
+                    query.0
+                )
             }
-            Action::SetOptions { query, grant_mb, priority } => {
+            Action::SetOptions {
+                query,
+                grant_mb,
+                priority,
+            } => {
                 let grant = grant_mb.round();
-                writeln!(out, "set_terms job={:016x} memory_grant={grant} weight_class={priority}", query.0)
+                writeln!(
+                    out,
+                    "set_terms job={:016x} memory_grant={grant} weight_class={priority}",
+                    query.0
+                )
+            }
+            Action::Cancel { query, attempt } => {
+                writeln!(out, "revoke job={:016x} leg={attempt}", query.0)
             }
-            Action::Cancel { query, attempt } => writeln!(out, "revoke job={:016x} leg={attempt}", query.0),
             Action::Reject { query, retry_after } => {
-                writeln!(out, "reject job={:016x} backoff_us={}", query.0, retry_after.0)
+                writeln!(
+                    out,
+                    "reject job={:016x} backoff_us={}",
+                    query.0, retry_after.0
+                )
             }
             Action::Fail { query } => writeln!(out, "respond_error job={:016x}", query.0),
             Action::SetTimer { token, after } => {
@@ -123,16 +161,27 @@
             }
             Action::Probe(engine) => writeln!(out, "inspect executor={}", self.engine_name(engine)),
             Action::ShareReports(reports) => {
-                writeln!(out, "signal whom=all blob={}", STANDARD.encode(encode_load_reports(reports)))
+                writeln!(
+                    out,
+                    "signal whom=all blob={}",
+                    STANDARD.encode(encode_load_reports(reports))
+                )
             }
             Action::Subscribe => writeln!(out, "track want=1"),
-            Action::Log(text) => writeln!(out, "write_log body_text={}", text.replace(['\n', '\r'], " ")),
+            Action::Log(text) => writeln!(
+                out,
+                "write_log body_text={}",
+                text.replace(['\n', '\r'], " ")
+            ),
         };
         debug_assert!(written.is_ok(), "a string takes everything");
     }
 
     fn engine_name(&self, engine: &EngineId) -> &str {
-        self.names.engines.get(engine).map_or(UNKNOWN_ENGINE, String::as_str)
+        self.names
+            .engines
+            .get(engine)
+            .map_or(UNKNOWN_ENGINE, String::as_str)
     }
 }
 
@@ -174,7 +223,10 @@
         "ecanceled" => Outcome::Cancelled,
         "skipped" => Outcome::NeverSent,
         other => {
-            return Err(LineError::UnknownOutcome { word: line.word.to_string(), found: shorten(other) })
+            return Err(LineError::UnknownOutcome {
+                word: line.word.to_string(),
+                found: shorten(other),
+            })
         }
     })
 }
@@ -184,7 +236,10 @@
     let pairs = line.optional_text("health_info").unwrap_or("").split(',');
     for pair in pairs.filter(|pair| !pair.is_empty()) {
         let Some((metric, value)) = pair.split_once(':') else {
-            return Err(LineError::NotAMetric { word: line.word.to_string(), found: shorten(pair) });
+            return Err(LineError::NotAMetric {
+                word: line.word.to_string(),
+                found: shorten(pair),
+            });
         };
         let Some(value) = value.parse::<f64>().ok().filter(|value| value.is_finite()) else {
             let (word, metric) = (line.word.to_string(), shorten(metric));
