--- a/crates/sim-adapter/tests/one_core.rs
+++ b/crates/sim-adapter/tests/one_core.rs
@@ -15,6 +15,7 @@
 const MS: i64 = 1_000;
 const SEED: u64 = 40_123;
 
+#[expect(clippy::too_many_lines, reason = "one long case")]
 fn settings() -> Settings {
     let class = Class {
         latency_objective: Micros(500 * MS),
@@ -30,8 +31,15 @@
         gateway_index: 1.0,
         zone: Some(1),
         classes: vec![
-            Class { threads: 2.0, ..class.clone() },
-            Class { semantics: ExecutionSemantics::AtMostOnce, is_load: true, ..class.clone() },
+            Class {
+                threads: 2.0,
+                ..class.clone()
+            },
+            Class {
+                semantics: ExecutionSemantics::AtMostOnce,
+                is_load: true,
+                ..class.clone()
+            },
             Class {
                 ordered_by_key: true,
                 semantics: ExecutionSemantics::IdempotencyKey,
@@ -39,7 +47,12 @@
                 deduplication_window: Micros(900 * MS),
                 ..class.clone()
             },
-            Class { zones: vec![1], kinds: vec![0], waits_for_loads: true, ..class },
+            Class {
+                zones: vec![1],
+                kinds: vec![0],
+                waits_for_loads: true,
+                ..class
+            },
         ],
         tenant_rates: vec![5.0, 0.5],
         cores: vec![4.0, 8.0],
@@ -61,14 +74,19 @@
         overload_multiple: 2.0,
         overload_window: Micros(1_000 * MS),
         key_cooldown: Micros(200 * MS),
-        retry_budget: Some(RetryBudget { guaranteed: 2.0, fraction: 0.125, window: Micros(4_000 * MS) }),
+        retry_budget: Some(RetryBudget {
+            guaranteed: 2.0,
+            fraction: 0.125,
+            window: Micros(4_000 * MS),
+        }),
         ..Settings::default()
     }
 }
 
 /// The settings as the wire tells them.
 fn env(s: &Settings) -> String {
-    let names = |all: &[usize], what: &str| all.iter().map(|i| format!("{what}{i}")).collect::<Vec<_>>();
+    let names =
+        |all: &[usize], what: &str| all.iter().map(|i| format!("{what}{i}")).collect::<Vec<_>>();
     let grade = |(i, c): (usize, &Class)| {
         serde_json::json!({
             "name": format!("c{i}"), "on_time_us": c.latency_objective.0, "aim_stretch": c.latency_objective_stretch, "give_up_us": c.deadline.0,
@@ -79,7 +97,8 @@
         })
     };
     let budget = s.retry_budget.expect("there is one");
-    let per_class = |f: fn(&Class) -> serde_json::Value| s.classes.iter().map(f).collect::<Vec<_>>();
+    let per_class =
+        |f: fn(&Class) -> serde_json::Value| s.classes.iter().map(f).collect::<Vec<_>>();
     serde_json::json!({
         "balancers": s.gateway_count, "me": s.gateway_index, "my_zone": s.zone.map(|z| format!("z{z}")),
         "zones": ["z0", "z1"], "skus": ["k0", "k1"],
@@ -117,7 +136,10 @@
 }
 
 fn name_of(id: EngineId) -> String {
-    (0..8).map(engine_name).find(|n| wheelfield_config::engine_id(n) == id).expect("an engine of ours")
+    (0..8)
+        .map(engine_name)
+        .find(|n| wheelfield_config::engine_id(n) == id)
+        .expect("an engine of ours")
 }
 
 fn entry(n: usize, status: Status, started: Option<Micros>) -> EngineEntry {
@@ -150,7 +172,10 @@
     queries: usize,
 }
 
-#[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
+#[expect(
+    clippy::too_many_lines,
+    reason = "to be split: docs/ROADMAP.md lists it"
+)]
 fn play(path: &Path, seed: u64) -> Day {
     let bounds = DriverLimits::default();
     let mut driver = Driver::new(settings(), SEED, bounds);
@@ -163,14 +188,23 @@
         classes: (0..4).map(|i| format!("c{i}")).collect(),
         tenants: vec!["t0".into(), "t1".into()],
     };
-    let limits = Limits { max_queued_blocks: 1 << 16, ..Limits::default() };
+    let limits = Limits {
+        max_queued_blocks: 1 << 16,
+        ..Limits::default()
+    };
     let mut recorder = Recorder::begin(path, start, limits, &driver, Micros(0)).expect("a file");
     driver.record_events();
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut agenda = Agenda::default();
     agenda.plan(MS, RecordedInput::Input(Input::Started));
     let all = (0..6).map(|n| entry(n, Status::Up, None)).collect();
-    agenda.plan(2 * MS, RecordedInput::Input(Input::Engines { complete: true, entries: all }));
+    agenda.plan(
+        2 * MS,
+        RecordedInput::Input(Input::Engines {
+            complete: true,
+            entries: all,
+        }),
+    );
     for n in 0..500i64 {
         let at = 100 * MS + n * 11 * MS;
         let class = rng.random_range(0..4);
@@ -181,21 +215,41 @@
             deadline: Micros(at + rng.random_range(500..3_000) * MS),
             // In halves of a second's powers, as the wire tells microseconds.
             work_hint: Some(rng.random_range(1..16) as f64 / 64.0),
-            memory_hint: rng.random_bool(0.5).then(|| rng.random_range(1..2_000) as f64),
+            memory_hint: rng
+                .random_bool(0.5)
+                .then(|| rng.random_range(1..2_000) as f64),
             tables: rng.random_range(0..6),
         };
         let id = QueryId(rng.random());
-        agenda.plan(at, RecordedInput::ArriveAs { id, arrival, label: format!("q{n}") });
+        agenda.plan(
+            at,
+            RecordedInput::ArriveAs {
+                id,
+                arrival,
+                label: format!("q{n}"),
+            },
+        );
         if rng.random_bool(0.03) {
             agenda.plan(at + 150 * MS, RecordedInput::Input(Input::Abandoned(id)));
         }
     }
-    let change = |e: EngineEntry| RecordedInput::Input(Input::Engines { complete: false, entries: vec![e] });
+    let change = |e: EngineEntry| {
+        RecordedInput::Input(Input::Engines {
+            complete: false,
+            entries: vec![e],
+        })
+    };
     agenda.plan(1_500 * MS, change(entry(1, Status::Draining, None)));
     agenda.plan(2_500 * MS, change(entry(1, Status::Removed, None)));
-    agenda.plan(2_600 * MS, change(entry(6, Status::Up, Some(Micros(2_600 * MS)))));
+    agenda.plan(
+        2_600 * MS,
+        change(entry(6, Status::Up, Some(Micros(2_600 * MS)))),
+    );
     agenda.plan(3_000 * MS, RecordedInput::Input(Input::ListUnavailable));
-    agenda.plan(3_500 * MS, change(entry(2, Status::Up, Some(Micros(3_400 * MS)))));
+    agenda.plan(
+        3_500 * MS,
+        change(entry(2, Status::Up, Some(Micros(3_400 * MS)))),
+    );
     agenda.plan(
         4_000 * MS,
         RecordedInput::Input(Input::Engines {
@@ -203,7 +257,12 @@
             entries: [0, 2, 3, 4, 6].map(|n| entry(n, Status::Up, None)).to_vec(),
         }),
     );
-    let mut day = Day { heard: Vec::new(), done: Vec::new(), withdrawn: Vec::new(), queries: 0 };
+    let mut day = Day {
+        heard: Vec::new(),
+        done: Vec::new(),
+        withdrawn: Vec::new(),
+        queries: 0,
+    };
     loop {
         let next = agenda.0.first_key_value().map(|((at, _), _)| *at);
         let due = driver.next_timer_at().map(|d| d.0);
@@ -211,7 +270,9 @@
             (_, Some(due)) if due > 12_000 * MS => break,
             (None, None) => break,
             (Some(at), due) if due.is_none_or(|d| at < d) => {
-                let Some((_, told)) = agenda.0.pop_first() else { break };
+                let Some((_, told)) = agenda.0.pop_first() else {
+                    break;
+                };
                 (at, told)
             }
             (_, due) => (due.unwrap_or_default(), RecordedInput::Due),
@@ -220,7 +281,9 @@
         let idle = match &told {
             RecordedInput::Input(Input::Dispatched(a)) => !driver.may_write(Micros(at), *a),
             RecordedInput::Input(Input::AnswerStarted(a)) => !driver.may_answer(*a),
-            RecordedInput::Input(Input::AttemptEnded { attempt, .. }) => !driver.is_in_flight(*attempt),
+            RecordedInput::Input(Input::AttemptEnded { attempt, .. }) => {
+                !driver.is_in_flight(*attempt)
+            }
             _ => false,
         };
         if idle {
@@ -235,7 +298,8 @@
         }
         recorder.step(now, &told, taken, &out);
         recorder.tend(&driver, now);
-        day.heard.extend(driver.take_recorded_events().into_iter().map(|e| (now, e)));
+        day.heard
+            .extend(driver.take_recorded_events().into_iter().map(|e| (now, e)));
         for i in out {
             answer(&mut rng, &mut agenda, at, &i);
             match done(&i) {
@@ -252,25 +316,47 @@
 /// How an attempt goes, by chance.
 fn answer(rng: &mut Pcg64Mcg, agenda: &mut Agenda, at: i64, instruction: &Instruction) {
     let ends = |rng: &mut Pcg64Mcg, attempt, outcome| {
-        let report =
-            LoadReport { utilisation: Some(rng.random_range(0..64) as f64 / 32.0), ..LoadReport::default() };
-        let billed_work = (outcome == Outcome::Served).then(|| rng.random_range(1..900) as f64 / 1e3);
-        RecordedInput::Input(Input::AttemptEnded { attempt, outcome, reported_work: billed_work, report })
+        let report = LoadReport {
+            utilisation: Some(rng.random_range(0..64) as f64 / 32.0),
+            ..LoadReport::default()
+        };
+        let billed_work =
+            (outcome == Outcome::Served).then(|| rng.random_range(1..900) as f64 / 1e3);
+        RecordedInput::Input(Input::AttemptEnded {
+            attempt,
+            outcome,
+            reported_work: billed_work,
+            report,
+        })
     };
     match instruction {
         Instruction::Start { attempt, .. } => {
             let a = *attempt;
             agenda.plan(at + MS, RecordedInput::Input(Input::Dispatched(a)));
             let takes = rng.random_range(5..900) * MS;
-            let odd = [Outcome::Error, Outcome::Full, Outcome::Reset, Outcome::ConnectFailed];
-            let outcome = odd.get(rng.random_range(0..20usize)).copied().unwrap_or(Outcome::Served);
+            let odd = [
+                Outcome::Error,
+                Outcome::Full,
+                Outcome::Reset,
+                Outcome::ConnectFailed,
+            ];
+            let outcome = odd
+                .get(rng.random_range(0..20usize))
+                .copied()
+                .unwrap_or(Outcome::Served);
             // One in twelve is never heard of again, and comes to its limit.
             if rng.random_bool(11.0 / 12.0) {
                 if takes > 300 * MS {
                     let share = AttemptUpdate::Progress(rng.random_range(0..8) as f64 / 8.0);
-                    agenda.plan(at + takes / 2, RecordedInput::Input(Input::AttemptUpdated(a, share)));
+                    agenda.plan(
+                        at + takes / 2,
+                        RecordedInput::Input(Input::AttemptUpdated(a, share)),
+                    );
                     if outcome == Outcome::Served {
-                        agenda.plan(at + takes - MS, RecordedInput::Input(Input::AnswerStarted(a)));
+                        agenda.plan(
+                            at + takes - MS,
+                            RecordedInput::Input(Input::AnswerStarted(a)),
+                        );
                     }
                 }
                 let told = ends(rng, a, outcome);
@@ -289,14 +375,27 @@
 /// What was done, as the wire has it; false for what the driver does by itself, too.
 fn done(instruction: &Instruction) -> Option<(bool, String)> {
     Some(match instruction {
-        Instruction::Start { attempt, engine, .. } => {
-            (true, format!("submit_to job={:016x} executor={}", attempt.query.0, name_of(*engine)))
-        }
-        Instruction::Cancel(a) => (false, format!("revoke job={:016x} leg={}", a.query.0, a.number)),
-        Instruction::Answer(q, Answer::Rejected { retry_after }) => {
-            (true, format!("reject job={:016x} backoff_us={}", q.0, retry_after.0))
+        Instruction::Start {
+            attempt, engine, ..
+        } => (
+            true,
+            format!(
+                "submit_to job={:016x} executor={}",
+                attempt.query.0,
+                name_of(*engine)
+            ),
+        ),
+        Instruction::Cancel(a) => (
+            false,
+            format!("revoke job={:016x} leg={}", a.query.0, a.number),
+        ),
+        Instruction::Answer(q, Answer::Rejected { retry_after }) => (
+            true,
+            format!("reject job={:016x} backoff_us={}", q.0, retry_after.0),
+        ),
+        Instruction::Answer(q, Answer::Failed { .. }) => {
+            (true, format!("respond_error job={:016x}", q.0))
         }
-        Instruction::Answer(q, Answer::Failed { .. }) => (true, format!("respond_error job={:016x}", q.0)),
         Instruction::Log(text) => (true, format!("write_log body_text={text}")),
         Instruction::Subscribe => (true, "track want=1".into()),
         _ => return None,
@@ -304,7 +403,10 @@
 }
 
 /// An event as a line of the wire.
-#[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
+#[expect(
+    clippy::too_many_lines,
+    reason = "to be split: docs/ROADMAP.md lists it"
+)]
 fn line(event: &Event, ended: &BTreeMap<QueryId, usize>, out: &mut String) {
     let list = |mode: &str, entries: &[EngineEntry], out: &mut String| {
         let _ = writeln!(out, "list bank=0 records={}", entries.len());
@@ -330,8 +432,11 @@
         Event::ListUnavailable => writeln!(out, "fleet mode=unavailable"),
         Event::Arrived(q) => {
             let (job, due, tables) = (q.id.0, q.deadline.0, q.tables);
-            let _ =
-                write!(out, "query job={job:016x} tier_class=c{} due_us={due} data_group={tables}", q.class);
+            let _ = write!(
+                out,
+                "query job={job:016x} tier_class=c{} due_us={due} data_group={tables}",
+                q.class
+            );
             let _ = write!(out, " estimate_us={}", q.work_hint.unwrap_or(0.0) * 1e6);
             let _ = write!(out, " footprint_mb={}", q.memory_hint.unwrap_or(0.0));
             if let Some(tenant) = q.tenant {
@@ -344,10 +449,23 @@
         }
         // Attempts of a query follow each other here: the one that has begun is the first with no end.
         Event::AnswerStarted(q) => {
-            writeln!(out, "first_byte job={:016x} leg={}", q.0, ended.get(q).copied().unwrap_or(0))
+            writeln!(
+                out,
+                "first_byte job={:016x} leg={}",
+                q.0,
+                ended.get(q).copied().unwrap_or(0)
+            )
         }
-        Event::AttemptUpdated { query, attempt, update: AttemptUpdate::Progress(x) } => {
-            writeln!(out, "change job={:016x} leg={attempt} sort=1 x={x}", query.0)
+        Event::AttemptUpdated {
+            query,
+            attempt,
+            update: AttemptUpdate::Progress(x),
+        } => {
+            writeln!(
+                out,
+                "change job={:016x} leg={attempt} sort=1 x={x}",
+                query.0
+            )
         }
         Event::AttemptEnded(e) => {
             let code = match e.outcome {
@@ -360,9 +478,15 @@
                 Outcome::Cancelled => "ecanceled",
                 Outcome::NeverSent => "skipped",
             };
-            let used = e.reported_work.map_or(0, |w| (w * 1e3).round() as u64 * 4096 + 11);
-            let load = e.report.utilisation.map_or(String::new(), |u| format!(" health_info=cpu_share:{u}"));
-            let (job, leg, last, took) = (e.query.0, e.attempt, u8::from(e.query_over), e.elapsed.0);
+            let used = e
+                .reported_work
+                .map_or(0, |w| (w * 1e3).round() as u64 * 4096 + 11);
+            let load = e
+                .report
+                .utilisation
+                .map_or(String::new(), |u| format!(" health_info=cpu_share:{u}"));
+            let (job, leg, last, took) =
+                (e.query.0, e.attempt, u8::from(e.query_over), e.elapsed.0);
             writeln!(
                 out,
                 "done job={job:016x} leg={leg} code={code} last={last} rtt_us={took} used_up={used}{load}"
@@ -397,12 +521,23 @@
     let writer = std::thread::spawn(move || stdin.write_all(input.as_bytes()));
     let output = child.wait_with_output().expect("it ends with its input");
     writer.join().expect("written").expect("read to the end");
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    String::from_utf8(output.stdout).expect("text").lines().map(str::to_string).collect()
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
+    String::from_utf8(output.stdout)
+        .expect("text")
+        .lines()
+        .map(str::to_string)
+        .collect()
 }
 
 fn without_limits(line: &str) -> String {
-    line.split(" try_for_us=").next().unwrap_or(line).to_string()
+    line.split(" try_for_us=")
+        .next()
+        .unwrap_or(line)
+        .to_string()
 }
 
 #[test]
@@ -413,19 +548,34 @@
         let path = dir.path().join("one.wfcap");
         let day = play(&path, seed);
         // The replay, of the capture.
-        let verdict = wheelfield_replay::run(&path, wheelfield_replay::Options::default()).expect("whole");
+        let verdict =
+            wheelfield_replay::run(&path, wheelfield_replay::Options::default()).expect("whole");
         assert!(verdict.equal(), "seed {seed}: {:?}", verdict.difference);
         // The check: the rules kept, and the same queries.
         let checked = wheelfield_invariant_check::check(&[path], 0).expect("whole");
-        assert!(checked.breaches.is_empty(), "seed {seed}: {:?}", checked.breaches);
+        assert!(
+            checked.breaches.is_empty(),
+            "seed {seed}: {:?}",
+            checked.breaches
+        );
         assert_eq!(checked.queries + checked.open, day.queries, "seed {seed}");
         // The adapter, on its wire.
         let replies = adapter(&day.heard, &[]);
         let of = |words: &[&str]| -> Vec<String> {
             let wanted = |l: &&String| words.iter().any(|w| l.starts_with(w));
-            replies.iter().filter(wanted).map(|l| without_limits(l)).collect()
+            replies
+                .iter()
+                .filter(wanted)
+                .map(|l| without_limits(l))
+                .collect()
         };
-        let done = of(&["submit_to ", "reject ", "respond_error ", "write_log ", "track "]);
+        let done = of(&[
+            "submit_to ",
+            "reject ",
+            "respond_error ",
+            "write_log ",
+            "track ",
+        ]);
         let first = done.iter().zip(&day.done).position(|(a, b)| a != b);
         assert_eq!((first, done.len()), (None, day.done.len()), "seed {seed}");
         for line in of(&["revoke "]) {
@@ -438,11 +588,18 @@
         // Its recording mode changes nothing of it.
         let dir = tempfile::tempdir().expect("a directory");
         let folder = dir.path().to_string_lossy().into_owned();
-        assert_eq!(adapter(&day.heard, &["--capture", &folder]), replies, "seed {seed}");
+        assert_eq!(
+            adapter(&day.heard, &["--capture", &folder]),
+            replies,
+            "seed {seed}"
+        );
     }
     // The days had something to decide.
     for word in ["submit_to", "reject", "respond_error", "write_log", "track"] {
-        assert!(kinds.get(word).is_some_and(|n| *n > 0), "no {word} in {kinds:?}");
+        assert!(
+            kinds.get(word).is_some_and(|n| *n > 0),
+            "no {word} in {kinds:?}"
+        );
     }
     assert!(kinds["submit_to"] > 1_000, "{kinds:?}");
 }
@@ -452,11 +609,21 @@
     let dir = tempfile::tempdir().expect("a directory");
     let mut day = play(&dir.path().join("one.wfcap"), 0);
     // That an engine drains is told to the driver and not to the adapter.
-    let change = day.heard.iter().position(|(_, e)| matches!(e, Event::EngineChanges(_)));
+    let change = day
+        .heard
+        .iter()
+        .position(|(_, e)| matches!(e, Event::EngineChanges(_)));
     day.heard.remove(change.expect("there is one"));
     let replies = adapter(&day.heard, &[]);
-    let sends: Vec<String> =
-        replies.iter().filter(|l| l.starts_with("submit_to ")).map(|l| without_limits(l)).collect();
-    let driven: Vec<&String> = day.done.iter().filter(|l| l.starts_with("submit_to ")).collect();
+    let sends: Vec<String> = replies
+        .iter()
+        .filter(|l| l.starts_with("submit_to "))
+        .map(|l| without_limits(l))
+        .collect();
+    let driven: Vec<&String> = day
+        .done
+        .iter()
+        .filter(|l| l.starts_with("submit_to "))
+        .collect();
     assert!(sends.iter().ne(driven), "the adapter goes on sending there");
 }
--- a/crates/sim-adapter/tests/transcripts.rs
+++ b/crates/sim-adapter/tests/transcripts.rs
@@ -10,13 +10,24 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    child.stdin.take().expect("piped").write_all(input.as_bytes()).expect("the adapter reads");
-    child.wait_with_output().expect("the adapter ends at the end of input")
+    child
+        .stdin
+        .take()
+        .expect("piped")
+        .write_all(input.as_bytes())
+        .expect("the adapter reads");
+    child
+        .wait_with_output()
+        .expect("the adapter ends at the end of input")
 }
 
 fn reply(input: &str) -> String {
     let output = host(input);
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     String::from_utf8(output.stdout).expect("text")
 }
 
@@ -29,11 +40,15 @@
     )
 }
 
-const QUERY: &str = "query job=00000000000000ff tier_class=read due_us=9000000 data_group=1 estimate_us=1000";
+const QUERY: &str =
+    "query job=00000000000000ff tier_class=read due_us=9000000 data_group=1 estimate_us=1000";
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply() {
-    assert_eq!(reply("batch sim_time_us=1\nflush\n\nbatch sim_time_us=2\nflush\n"), "done\ndone\n");
+    assert_eq!(
+        reply("batch sim_time_us=1\nflush\n\nbatch sim_time_us=2\nflush\n"),
+        "done\ndone\n"
+    );
 }
 
 #[test]
@@ -46,14 +61,23 @@
     );
     let text = reply(&input);
     assert!(text.contains("context controller=3\n"), "{text}");
-    assert_eq!(text.matches("submit_to job=00000000000000ff executor=e1 ").count(), 1, "{text}");
+    assert_eq!(
+        text.matches("submit_to job=00000000000000ff executor=e1 ")
+            .count(),
+        1,
+        "{text}"
+    );
     assert!(text.ends_with("done\ndone\n"), "{text}");
 }
 
 #[test]
 fn a_restart_in_one_batch_forgets_everything() {
     let fresh = format!("batch sim_time_us=4000000\n{}flush\n", start(3));
-    let again = format!("batch sim_time_us=4000000\n{}{QUERY}\nhalt\n{}flush\n", start(3), start(3));
+    let again = format!(
+        "batch sim_time_us=4000000\n{}{QUERY}\nhalt\n{}flush\n",
+        start(3),
+        start(3)
+    );
     assert_eq!(reply(&fresh), reply(&again));
 }
 
@@ -69,12 +93,22 @@
 
 #[test]
 fn several_instances_act_as_if_alone() {
-    let alone = reply(&format!("batch sim_time_us=4000000\n{}{QUERY}\nflush\n", start(3)));
-    let both =
-        reply(&format!("batch sim_time_us=4000000\n{}{QUERY}\n{}{QUERY}\nflush\n", start(3), start(7)));
+    let alone = reply(&format!(
+        "batch sim_time_us=4000000\n{}{QUERY}\nflush\n",
+        start(3)
+    ));
+    let both = reply(&format!(
+        "batch sim_time_us=4000000\n{}{QUERY}\n{}{QUERY}\nflush\n",
+        start(3),
+        start(7)
+    ));
     assert_eq!(
         both,
-        format!("{}{}", alone.trim_end_matches("done\n"), alone.replace("controller=3", "controller=7"))
+        format!(
+            "{}{}",
+            alone.trim_end_matches("done\n"),
+            alone.replace("controller=3", "controller=7")
+        )
     );
 }
 
@@ -83,24 +117,45 @@
     let begun = format!("batch sim_time_us=4000000\n{}", start(3));
     let cases = [
         ("flush\n".to_string(), "line 1: expected a 'batch' line"),
-        ("batch sim_time_us=soon\n".to_string(), "'sim_time_us' is not a number"),
-        ("batch sim_time_us=1\nquery job=1\n".to_string(), "expected a 'for' line"),
+        (
+            "batch sim_time_us=soon\n".to_string(),
+            "'sim_time_us' is not a number",
+        ),
+        (
+            "batch sim_time_us=1\nquery job=1\n".to_string(),
+            "expected a 'for' line",
+        ),
         (format!("{begun}query job=12\n"), "16 hex digits"),
         (format!("{begun}{QUERY} oops\n"), "expected name=value"),
         (
             format!("{begun}query job=00000000000000ff tier_class=other due_us=1\n"),
             "a class not in the settings",
         ),
-        (format!("{begun}fleet mode=replace version=1 bank=9\n"), "no list numbered 9"),
-        (format!("{begun}list bank=1 records=1\nflush\n"), "expected an 'entry' line"),
-        ("batch sim_time_us=1\nfor controller=1\nup rng_seed=1 env={\n".to_string(), "not JSON"),
-        ("batch sim_time_us=1\n".to_string(), "input ended inside a batch"),
+        (
+            format!("{begun}fleet mode=replace version=1 bank=9\n"),
+            "no list numbered 9",
+        ),
+        (
+            format!("{begun}list bank=1 records=1\nflush\n"),
+            "expected an 'entry' line",
+        ),
+        (
+            "batch sim_time_us=1\nfor controller=1\nup rng_seed=1 env={\n".to_string(),
+            "not JSON",
+        ),
+        (
+            "batch sim_time_us=1\n".to_string(),
+            "input ended inside a batch",
+        ),
     ];
     for (input, message) in cases {
         let output = host(&input);
         let error = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success(), "{input}");
-        assert!(error.contains(message) && !error.contains("panicked"), "{error} for {message}");
+        assert!(
+            error.contains(message) && !error.contains("panicked"),
+            "{error} for {message}"
+        );
     }
 }
 
@@ -109,27 +164,36 @@
 fn unreadable_messages_are_left_out_and_readable_ones_change_the_draw() {
     use base64::{engine::general_purpose::STANDARD, Engine as _};
     let garbage = ["-", "====", "A", "/w==", "AQ==", "CQIDBAUGBwgJ", "AAAA"];
-    for blob in garbage.iter().map(|b| b.to_string()).chain([STANDARD.encode([255u8; 256])]) {
+    for blob in garbage
+        .iter()
+        .map(|b| b.to_string())
+        .chain([STANDARD.encode([255u8; 256])])
+    {
         let input = format!(
             "batch sim_time_us=1\n{}inbox who=3 blob={blob}\ninbox who=9 blob={blob}\n{QUERY}\nflush\n",
             start(1)
         );
         let text = reply(&input);
-        assert!(text.contains("submit_to job=00000000000000ff executor=e1"), "{blob}: {text}");
+        assert!(
+            text.contains("submit_to job=00000000000000ff executor=e1"),
+            "{blob}: {text}"
+        );
         assert!(!text.contains("executor=-"), "{blob}: {text}");
     }
     // A word on this engine: three bytes of its number, then its load (bit 1, in 64ths), at four times busy.
-    let number = "e1"
-        .bytes()
-        .fold(0xcbf2_9ce4_8422_2325_u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
+    let number = "e1".bytes().fold(0xcbf2_9ce4_8422_2325_u64, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+    });
     let mut word = vec![1u8];
     word.extend(&number.to_le_bytes()[..3]);
     word.push(255);
     let first = QUERY.replace("estimate_us=1000", "estimate_us=200000000");
     let second = first.replace("00ff", "00fe");
     let sends = |blob: &str| {
-        let input =
-            format!("batch sim_time_us=1\n{}inbox who=3 blob={blob}\n{first}\n{second}\nflush\n", start(1));
+        let input = format!(
+            "batch sim_time_us=1\n{}inbox who=3 blob={blob}\n{first}\n{second}\nflush\n",
+            start(1)
+        );
         reply(&input).matches("submit_to").count()
     };
     // Under the pressure told, the bound binds for the second query.
