--- a/crates/replay/tests/captures.rs
+++ b/crates/replay/tests/captures.rs
@@ -477,6 +477,21 @@
     judged(&bench.bytes);
 }
 
+/// Waits until the writer thread has written what was recorded: this scene plays far faster than real time, and a writer that
+/// lags behind makes one file as long as all together may be.
+fn wait_for_writer(scene: &Scene, written_before: u64) {
+    while scene.recorder.state().bytes == written_before {
+        std::thread::yield_now();
+    }
+    loop {
+        let written = scene.recorder.state().bytes;
+        std::thread::sleep(std::time::Duration::from_millis(2));
+        if scene.recorder.state().bytes == written {
+            return;
+        }
+    }
+}
+
 #[test]
 fn files_follow_each_other_and_the_oldest_go() {
     let dir = folder();
@@ -488,8 +503,9 @@
     };
     let mut scene = Scene::at(&path, limits);
     for _ in 0..60 {
+        let written_before = scene.recorder.state().bytes;
         scene.play(500);
-        std::thread::yield_now();
+        wait_for_writer(&scene, written_before);
     }
     scene.end();
     let mut files: Vec<_> = std::fs::read_dir(dir.path())
