--- a/crates/core/src/gateway.rs
+++ b/crates/core/src/gateway.rs
@@ -1,7 +1,7 @@
 //! One gateway: its state, and which part of the policy answers which event. Nothing here decides anything.
 
 use crate::interface::*;
-use crate::policy::{self, NEWEST, PROBE_ROUND_TIME, PROBE_ROUND_TOKEN, TICK_INTERVAL, TICK_TOKEN};
+use crate::policy::{self, EWMA_WEIGHT, PROBE_ROUND_DURATION, PROBE_ROUND_TOKEN, TICK_INTERVAL, TICK_TOKEN};
 use crate::state::*;
 use std::collections::BTreeMap;
 
@@ -15,9 +15,9 @@
     pub(crate) queries: BTreeMap<QueryId, ActiveQuery>,
     pub(crate) classes: Vec<ClassEstimates>,
     pub(crate) keys: BTreeMap<String, KeyQueue>,
-    pub(crate) history: AttemptHistory,
+    pub(crate) retry_window: RetryWindow,
     pub(crate) admission: AdmissionRates,
-    pub(crate) draws: DrawRate,
+    pub(crate) selections: SelectionRate,
     /// Our part of the threads that the engines report, running mean.
     pub(crate) own_share: f64,
     pub(crate) held: HeldQueries,
@@ -25,8 +25,8 @@
     pub(crate) endpoint_list: EndpointListState,
     pub(crate) fleet_load: FleetLoad,
     pub(crate) conditions: FleetConditions,
-    pub(crate) turnover: Turnover,
-    pub(crate) errors: QueryErrors,
+    pub(crate) completions: Completions,
+    pub(crate) query_errors: QueryErrors,
 }
 
 impl Gateway {
@@ -39,17 +39,17 @@
             queries: BTreeMap::new(),
             classes: settings.classes.iter().map(policy::initial_estimates).collect(),
             keys: BTreeMap::new(),
-            history: AttemptHistory::default(),
+            retry_window: RetryWindow::default(),
             admission: AdmissionRates::default(),
-            draws: DrawRate::default(),
+            selections: SelectionRate::default(),
             own_share: 1.0 / settings.gateway_count,
             held: HeldQueries::default(),
             ticks: 0,
             endpoint_list: EndpointListState::default(),
             fleet_load: FleetLoad::default(),
             conditions: FleetConditions::default(),
-            turnover: Turnover::default(),
-            errors: QueryErrors::default(),
+            completions: Completions::default(),
+            query_errors: QueryErrors::default(),
             settings,
         }
     }
@@ -75,13 +75,13 @@
             Event::ProbeEnded { engine, outcome, report } => {
                 self.handle_probe_end(now, engine, outcome, report);
             }
-            Event::PeerReports(reports) => self.take_peer_reports(now, reports),
+            Event::PeerReports(reports) => self.record_peer_reports(now, reports),
             Event::GatewayCountChanged { count, index } => {
                 (self.settings.gateway_count, self.settings.gateway_index) = (count.max(1.0), index);
             }
             Event::TimerFired(TICK_TOKEN) => self.tick(now, out),
             Event::TimerFired(PROBE_ROUND_TOKEN) => self.share_probe_round(now, out),
-            Event::TimerFired(token) => self.resume_held(now, token, out),
+            Event::TimerFired(token) => self.resume_held_query(now, token, out),
         }
     }
 
@@ -127,22 +127,22 @@
         report: LoadReport,
     ) {
         if let Some(engine) = self.engines.get_mut(&id).filter(|_| outcome == Outcome::Served) {
-            self.fleet_load.take_report(now, report, engine, NEWEST);
+            self.fleet_load.record_report(now, report, engine, EWMA_WEIGHT);
         }
     }
 
     /// Shares the reports of a round of probes with the other gateways.
     pub(crate) fn share_probe_round(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let is_fresh = |at: Micros| now - at <= PROBE_ROUND_TIME;
+        let is_fresh = |at: Micros| now - at <= PROBE_ROUND_DURATION;
         let fresh = self.engines.values().filter(|e| e.latest_load.received_at.is_some_and(is_fresh));
         let report = |e: &Engine| PeerLoadReport { engine: e.entry.engine, report: e.latest_load.report };
         out.push(Action::ShareReports(fresh.map(report).collect()));
     }
 
-    pub(crate) fn take_peer_reports(&mut self, now: Micros, reports: Vec<PeerLoadReport>) {
+    pub(crate) fn record_peer_reports(&mut self, now: Micros, reports: Vec<PeerLoadReport>) {
         for shared in reports {
             let Some(engine) = self.engines.get_mut(&shared.engine) else { continue };
-            self.fleet_load.take_report(now, shared.report, engine, NEWEST);
+            self.fleet_load.record_report(now, shared.report, engine, EWMA_WEIGHT);
         }
     }
 }
--- a/crates/core/src/lifecycle.rs
+++ b/crates/core/src/lifecycle.rs
@@ -13,14 +13,14 @@
     pub(crate) work_hint: Option<f64>,
     pub(crate) estimated_work: f64,
     /// Its query has no final answer yet.
-    pub(crate) owed: bool,
+    pub(crate) answer_owed: bool,
     /// The error is the query's own: it would fail at any engine.
-    pub(crate) own_error: bool,
+    pub(crate) query_at_fault: bool,
 }
 
 impl Gateway {
     /// Looks again at a query that was held for its turn by key.
-    pub(crate) fn resume_held(&mut self, now: Micros, token: u64, out: &mut Vec<Action>) {
+    pub(crate) fn resume_held_query(&mut self, now: Micros, token: u64, out: &mut Vec<Action>) {
         let Some(id) = self.held.timers.remove(&token) else { return };
         let is_held = |query: &ActiveQuery| !query.finished && query.attempts.is_empty();
         if self.queries.get(&id).is_some_and(is_held) {
@@ -31,7 +31,7 @@
     pub(crate) fn reservation(&self, now: Micros, query: &ActiveQuery, engine: &Engine) -> Reservation {
         Reservation {
             work: query.work,
-            usual_work: self.mean_work(query.query.class).max(query.work.min(engine.cores)),
+            slow_start_work: self.mean_work(query.query.class).max(query.work.min(engine.cores)),
             threads: self.class_of(query).threads,
             memory: self.memory_share(query, engine),
             connections_expired: engine.is_idle() && self.connections_expired(engine, now),
@@ -39,7 +39,7 @@
     }
 
     /// Notes the outcome of an attempt; none if it had one.
-    pub(crate) fn settle_attempt(&mut self, now: Micros, end: &AttemptEnd) -> Option<EndedAttempt> {
+    pub(crate) fn record_outcome(&mut self, now: Micros, end: &AttemptEnd) -> Option<EndedAttempt> {
         let query = self.queries.get_mut(&end.query)?;
         let attempt = query.attempts.get_mut(end.attempt).filter(|attempt| attempt.outcome.is_none())?;
         attempt.outcome = Some(end.outcome);
@@ -51,11 +51,12 @@
             class: query.query.class,
             work_hint: query.query.work_hint,
             estimated_work: query.work,
-            owed: !query.finished,
-            own_error: false,
+            answer_owed: !query.finished,
+            query_at_fault: false,
         };
-        let cured = end.outcome == Outcome::Served && query.attempts.iter().any(|attempt| attempt.bad_plan);
-        self.classes[ended.class].plans_cured += u32::from(cured);
+        let replan_succeeded =
+            end.outcome == Outcome::Served && query.attempts.iter().any(|attempt| attempt.bad_plan);
+        self.classes[ended.class].replans_succeeded += u32::from(replan_succeeded);
         let may_still_run = matches!(end.outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
         let ordered = self.settings.classes[ended.class].ordered_by_key;
         if let Some(key) = query.query.key.clone().filter(|_| ordered && may_still_run) {
@@ -66,7 +67,7 @@
         // fails while many others do: that one is found out late.
         let errors = query.attempts.iter().filter(|attempt| attempt.failed_with_error()).count();
         self.count_query_errors(end.outcome, errors);
-        ended.own_error = end.outcome == Outcome::Error && self.errors_follow_queries();
+        ended.query_at_fault = end.outcome == Outcome::Error && self.queries_cause_errors();
         Some(ended)
     }
 
@@ -132,8 +133,8 @@
     /// Counts the outcome of an attempt whose query met errors before.
     pub(crate) fn count_query_errors(&mut self, outcome: Outcome, errors: usize) {
         match outcome {
-            Outcome::Served if errors > 0 => self.errors.cured += 1.0,
-            Outcome::Error if errors > 1 => self.errors.uncured += 1.0,
+            Outcome::Served if errors > 0 => self.query_errors.recovered += 1.0,
+            Outcome::Error if errors > 1 => self.query_errors.repeated += 1.0,
             _ => {}
         }
     }
@@ -160,7 +161,7 @@
         if let Some(query) = self.queries.get_mut(&id) {
             query.work = work;
             query.attempts.iter_mut().for_each(|attempt| attempt.bad_plan = false);
-            self.classes[query.query.class].plans_uncured += 1;
+            self.classes[query.query.class].replans_failed += 1;
         }
     }
 }
--- a/crates/core/src/policy/endpoint_list.rs
+++ b/crates/core/src/policy/endpoint_list.rs
@@ -6,18 +6,18 @@
 use crate::state::Engine;
 
 /// The backoff between subscriptions that fail grows until so many have failed in a row.
-const MOST_BACKOFF_DOUBLINGS: u32 = 4;
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
 impl Gateway {
     pub(crate) fn update_endpoint_list(&mut self, now: Micros, entries: Vec<EngineEntry>) {
-        let known_before = std::mem::replace(&mut self.endpoint_list.known, true);
+        let received_before = std::mem::replace(&mut self.endpoint_list.received, true);
         self.endpoint_list.failures = 0;
         for entry in entries {
-            self.update_endpoint(now, entry, known_before);
+            self.update_endpoint(now, entry, received_before);
         }
     }
 
-    fn update_endpoint(&mut self, now: Micros, entry: EngineEntry, known_before: bool) {
+    fn update_endpoint(&mut self, now: Micros, entry: EngineEntry, received_before: bool) {
         let settings = &self.settings;
         let objective =
             settings.classes.iter().map(|class| class.latency_objective).max().unwrap_or_default();
@@ -29,10 +29,10 @@
             .engines
             .entry(entry.engine)
             .or_insert_with(|| Engine::new(entry.clone(), cores, memory_mb, limit));
-        let is_back = !engine.is_up() && entry.status == Status::Up;
+        let is_up_again = !engine.is_up() && entry.status == Status::Up;
         let restarted = entry.started_at.is_some() && entry.started_at != engine.entry.started_at;
         // Guards against a stale list: an engine that comes up without a start time has just started.
-        if restarted || (is_new && known_before) || is_back {
+        if restarted || (is_new && received_before) || is_up_again {
             let started_at = entry.started_at.unwrap_or(now);
             engine.reset_for_new_process(engine.slow_start.started_at.max(Some(started_at)), now);
         } else if is_new {
@@ -50,7 +50,7 @@
     /// The list could not be had: backs off, each time for longer.
     pub(crate) fn schedule_subscription(&mut self) {
         self.endpoint_list.failures += 1;
-        let periods = 1 << self.endpoint_list.failures.min(MOST_BACKOFF_DOUBLINGS);
+        let periods = 1 << self.endpoint_list.failures.min(MAX_BACKOFF_DOUBLINGS);
         self.endpoint_list.subscribe_at_tick = Some(self.ticks + periods * TICKS_PER_PERIOD / 2);
     }
 }
--- a/crates/core/src/policy/health.rs
+++ b/crates/core/src/policy/health.rs
@@ -1,38 +1,38 @@
 //! Health: attempts and engines reviewed at each tick, probes, ejected outliers, backoff from full engines.
 
-use super::{admission::MEMORY_LIMIT, NEWEST, PERIOD, PROBE_ROUND_TOKEN};
+use super::{admission::MAX_MEMORY_LOAD, EWMA_WEIGHT, PERIOD, PROBE_ROUND_TOKEN};
 use super::{TICKS_PER_PERIOD, TICK_INTERVAL, TICK_TOKEN};
 use crate::gateway::Gateway;
 use crate::interface::*;
 use crate::state::*;
 
 /// Rounds of probes a period, by all gateways together, and what they may cost at most, in points of service.
-const PROBE_ROUNDS: f64 = 4.0;
-const PROBE_ROUNDS_COST: f64 = 0.01;
+const PROBE_ROUNDS_PER_PERIOD: f64 = 4.0;
+const MAX_PROBE_COST: f64 = 0.01;
 /// A round of probes is shared with the others after this.
-pub(crate) const PROBE_ROUND_TIME: Micros = Micros(PERIOD.0 / 40);
+pub(crate) const PROBE_ROUND_DURATION: Micros = Micros(PERIOD.0 / 40);
 /// What a report on an engine takes in a message, in kilobytes.
-const REPORT_SIZE: f64 = 5.0 / 1024.0;
+const REPORT_SIZE_KB: f64 = 5.0 / 1024.0;
 /// Of a run time predicted from progress, so much is relied on: early progress is rough.
-const RELIABLE_PROGRESS: f64 = 0.6;
+const PROGRESS_DISCOUNT: f64 = 0.6;
 /// An attempt that by its own pace takes this many times its estimate has a bad plan.
-const BAD_PLAN: f64 = 7.0;
+const BAD_PLAN_FACTOR: f64 = 7.0;
 /// First and longest backoff from a full engine, in sixteenths of a period; then for a share below one query.
 const FULL_BACKOFFS: (i64, i64) = (1, 16);
-const FULL_BACKOFFS_IF_SCARCE: (i64, i64) = (16, 64);
+const FULL_BACKOFFS_AT_LOW_SHARE: (i64, i64) = (16, 64);
 /// A restart breaks all connections within this time.
-const RESTART_BREAKS_WITHIN: Micros = Micros(PERIOD.0 / 20);
+const RESTART_BREAK_WINDOW: Micros = Micros(PERIOD.0 / 20);
 /// Failure rate at which an engine is ejected, less a margin for rounding.
 pub(crate) const EJECTION_RATE: f64 = 0.3;
 const EJECTION_MARGIN: f64 = 0.99;
 /// The longest that an engine is ejected at once, in periods.
-const LONGEST_EJECTION: u32 = 8;
+const MAX_EJECTION_PERIODS: u32 = 8;
 
 impl Gateway {
     pub(crate) fn tick(&mut self, now: Micros, out: &mut Vec<Action>) {
         out.push(Action::SetTimer { token: TICK_TOKEN, after: TICK_INTERVAL });
         self.ticks += 1;
-        self.estimate_turnover();
+        self.estimate_completions();
         let overloaded: Vec<bool> = self.engines.values().map(|e| self.is_overloaded(e, now)).collect();
         for (engine, overloaded) in self.engines.values_mut().zip(overloaded) {
             engine.was_overloaded |= overloaded;
@@ -50,15 +50,15 @@
 
     fn end_period(&mut self, now: Micros) {
         self.update_work_limits();
-        self.fade_failures(now);
-        self.learn_own_share(now);
-        self.draws.mean += NEWEST * (self.draws.this_period - self.draws.mean);
-        self.draws.this_period = 0.0;
+        self.decay_failure_rates(now);
+        self.update_own_share(now);
+        self.selections.mean += EWMA_WEIGHT * (self.selections.this_period - self.selections.mean);
+        self.selections.this_period = 0.0;
         self.admission.end_period();
-        self.errors.cured *= 1.0 - NEWEST;
-        self.errors.uncured *= 1.0 - NEWEST;
+        self.query_errors.recovered *= 1.0 - EWMA_WEIGHT;
+        self.query_errors.repeated *= 1.0 - EWMA_WEIGHT;
         let longest = self.settings.retry_budget.map_or(Micros(0), |budget| budget.window);
-        self.history.prune_before(now - longest);
+        self.retry_window.prune_before(now - longest);
         let from = now - self.settings.overload_window;
         self.engines.values_mut().for_each(|engine| engine.slow_start.sends.retain(|(at, _)| *at >= from));
     }
@@ -67,8 +67,8 @@
     /// the delays of all overloaded engines make one error, and silence with work in flight is not ease.
     fn update_work_limits(&mut self) {
         let (mut delays, mut sampled, mut in_flight) = (0.0, 0.0, 0);
-        let scarce = self.conditions.scarce;
-        for engine in self.engines.values().filter(|engine| scarce && engine.was_overloaded) {
+        let low_share = self.conditions.low_share;
+        for engine in self.engines.values().filter(|engine| low_share && engine.was_overloaded) {
             delays += engine.work_limit.delay_sum;
             sampled += engine.work_limit.sampled_work;
             in_flight += engine.in_flight.attempts.len();
@@ -87,19 +87,19 @@
     /// Guards against late reports and many gateways paying for the same ones. It hurts if messages are lost.
     fn start_probe_round(&mut self, out: &mut Vec<Action>) {
         let s = &self.settings;
-        let (sharers, message_cost) = match s.peer_messages {
-            true => (s.gateway_count, s.gateway_count * REPORT_SIZE * s.message_price),
+        let (probing_gateways, message_cost) = match s.peer_messages {
+            true => (s.gateway_count, s.gateway_count * REPORT_SIZE_KB * s.message_price),
             false => (1.0, 0.0),
         };
         let cost = self.engines_up().count() as f64 * (s.probe_price + message_cost);
-        let affordable = PROBE_ROUNDS_COST * self.draws.mean.max(1.0) * sharers / cost.max(1e-9);
-        let rounds = PROBE_ROUNDS.min(affordable);
+        let affordable = MAX_PROBE_COST * self.selections.mean.max(1.0) * probing_gateways / cost.max(1e-9);
+        let rounds = PROBE_ROUNDS_PER_PERIOD.min(affordable);
         if !s.probes || !s.reports_by_probe {
             return;
         }
-        if self.rng.f64() < rounds / f64::from(TICKS_PER_PERIOD) / sharers {
+        if self.rng.f64() < rounds / f64::from(TICKS_PER_PERIOD) / probing_gateways {
             out.extend(self.engines_up().map(|engine| Action::Probe(engine.entry.engine)));
-            let timer = Action::SetTimer { token: PROBE_ROUND_TOKEN, after: PROBE_ROUND_TIME };
+            let timer = Action::SetTimer { token: PROBE_ROUND_TOKEN, after: PROBE_ROUND_DURATION };
             out.extend(self.settings.peer_messages.then_some(timer));
         }
     }
@@ -120,19 +120,19 @@
             }
         }
         hung.into_iter().for_each(|id| self.eject_hung(now, id, out));
-        verdicts.sort_by_key(|(_, _, _, verdict)| verdict.order());
+        verdicts.sort_by_key(|(_, _, _, verdict)| verdict.processing_order());
         for (id, attempt, engine, verdict) in verdicts {
             match verdict {
                 AttemptVerdict::Silent { lost } => {
                     if lost {
                         let common = self.common_failure_rate(engine);
-                        self.engines.entry(engine).and_modify(|e| e.record_failure(now, NEWEST, common));
+                        self.engines.entry(engine).and_modify(|e| e.record_failure(now, EWMA_WEIGHT, common));
                     }
                     self.cancel_attempt(id, attempt, CancelReason::Silent, out);
                 }
                 AttemptVerdict::BadPlan => self.cancel_attempt(id, attempt, CancelReason::BadPlan, out),
                 AttemptVerdict::Expensive { work } => self.correct_estimate(id, work),
-                AttemptVerdict::Worthless => self.reject_or_fail(now, id, out),
+                AttemptVerdict::TooLate => self.reject_or_fail(now, id, out),
             }
         }
     }
@@ -148,21 +148,22 @@
     }
 
     /// How long an attempt or engine may send nothing.
-    fn update_patience(&self) -> Micros {
+    fn update_timeout(&self) -> Micros {
         let interval = self.settings.progress_interval.0;
         Micros(if interval == 0 { i64::MAX } else { interval * 3 / 2 + PERIOD.0 / 4 })
     }
 
     fn review_engine<'a>(&self, now: Micros, engine: &'a Engine) -> EngineReview<'a> {
-        let patience = self.update_patience();
+        let timeout = self.update_timeout();
         let is_silent = |(id, attempt): &(QueryId, usize)| {
             let attempt = self.queries.get(id).and_then(|query| query.attempts.get(*attempt));
-            attempt.is_some_and(|attempt| now - attempt.last_update_at > patience)
+            attempt.is_some_and(|attempt| now - attempt.last_update_at > timeout)
         };
-        let silent = now - engine.connections.last_heard_at > patience
+        let silent = now - engine.connections.last_heard_at > timeout
             && engine.in_flight.attempts.iter().any(is_silent);
         let overloaded = self.is_overloaded(engine, now);
-        let paging = self.settings.pages_on_memory_shortage && self.memory_load(engine, now) > MEMORY_LIMIT;
+        let paging =
+            self.settings.pages_on_memory_shortage && self.memory_load(engine, now) > MAX_MEMORY_LOAD;
         EngineReview { engine, silent, overloaded, paging }
     }
 
@@ -179,32 +180,32 @@
         let slowdown = review.engine.slowdown.mean.max(1.0);
         let estimated = query.work / class.threads;
         let elapsed = (now - attempt.sent_at).as_secs_f64();
-        let total = if attempt.progress > 0.0 { elapsed / attempt.progress } else { 0.0 };
-        let run = estimated.max(total / slowdown);
-        let bad_plan = run > BAD_PLAN * estimated;
+        let projected_time = if attempt.progress > 0.0 { elapsed / attempt.progress } else { 0.0 };
+        let run_time = estimated.max(projected_time / slowdown);
+        let bad_plan = run_time > BAD_PLAN_FACTOR * estimated;
         let estimates = &self.classes[query.query.class];
         let may_retry = self.may_retry(now, query);
-        let curable = may_retry && estimates.plans_uncured <= estimates.plans_cured + 1;
+        let curable = may_retry && estimates.replans_failed <= estimates.replans_succeeded + 1;
         // Guards against answers that get lost, one by one: their engine sends updates of all else.
-        let lost = review.engine.connections.last_heard_at - attempt.last_update_at > self.update_patience();
+        let lost = review.engine.connections.last_heard_at - attempt.last_update_at > self.update_timeout();
         let deadline = query.query.deadline;
         if (review.silent || lost) && may_retry {
             return Some(AttemptVerdict::Silent { lost: !review.silent });
         }
         if bad_plan && query.attempts.iter().any(|attempt| attempt.bad_plan) {
-            return Some(AttemptVerdict::Expensive { work: run * class.threads });
+            return Some(AttemptVerdict::Expensive { work: run_time * class.threads });
         }
         if bad_plan && curable && now + Micros::from_secs_f64(estimated * slowdown) < deadline {
             return Some(AttemptVerdict::BadPlan);
         }
-        let stretch = Micros::from_secs_f64(class.latency_objective_stretch * run);
-        let in_time = query.attempts[0].sent_at + class.latency_objective + stretch;
+        let objective_stretch = Micros::from_secs_f64(class.latency_objective_stretch * run_time);
+        let objective_ends_at = query.attempts[0].sent_at + class.latency_objective + objective_stretch;
         // What is late on a paging engine keeps all others late.
-        let late_pays = class.late_value_fraction > 0.0 && !review.paging;
-        let worthless_from = if late_pays { deadline } else { in_time.min(deadline) };
-        let ends_at = now.max(attempt.sent_at + Micros::from_secs_f64(total * RELIABLE_PROGRESS));
-        let worthless = self.settings.cancellation && review.overloaded && ends_at > worthless_from;
-        worthless.then_some(AttemptVerdict::Worthless)
+        let late_has_value = class.late_value_fraction > 0.0 && !review.paging;
+        let value_ends_at = if late_has_value { deadline } else { objective_ends_at.min(deadline) };
+        let ends_at = now.max(attempt.sent_at + Micros::from_secs_f64(projected_time * PROGRESS_DISCOUNT));
+        let too_late = self.settings.cancellation && review.overloaded && ends_at > value_ends_at;
+        too_late.then_some(AttemptVerdict::TooLate)
     }
 
     /// The mean failure rate of all other engines that take work.
@@ -216,13 +217,13 @@
     }
 
     /// With few samples old failures fade, and a trial that did not fail in two periods is over.
-    pub(crate) fn fade_failures(&mut self, now: Micros) {
-        if !self.conditions.scarce {
+    pub(crate) fn decay_failure_rates(&mut self, now: Micros) {
+        if !self.conditions.low_share {
             return;
         }
         for engine in self.engines.values_mut() {
-            engine.outlier.failure_rate *= 1.0 - NEWEST;
-            engine.outlier.on_trial &= now - engine.outlier.ejected_until < PERIOD + PERIOD;
+            engine.outlier.failure_rate *= 1.0 - EWMA_WEIGHT;
+            engine.outlier.half_open &= now - engine.outlier.ejected_until < PERIOD + PERIOD;
         }
     }
 }
@@ -230,20 +231,20 @@
 impl Engine {
     pub(crate) fn record_success(&mut self, now: Micros) {
         self.connections.last_heard_at = now;
-        self.outlier.failure_rate *= 1.0 - NEWEST;
-        (self.full.factor, self.breaks.in_a_row) = (1, 0);
-        if self.outlier.on_trial && self.outlier.ejected_until <= now {
-            (self.outlier.on_trial, self.outlier.ejection_periods) = (false, 1);
+        self.outlier.failure_rate *= 1.0 - EWMA_WEIGHT;
+        (self.full_backoff.factor, self.connection_breaks.consecutive) = (1, 0);
+        if self.outlier.half_open && self.outlier.ejected_until <= now {
+            (self.outlier.half_open, self.outlier.ejection_periods) = (false, 1);
         }
     }
 
     /// Guards against the storm on a full engine, which looks free and answers at once: each new rejection
     /// doubles the backoff. Holds against any quick rejection; it may hurt one briefly full.
-    pub(crate) fn record_full(&mut self, now: Micros, scarce: bool) {
-        if self.full.until <= now {
-            let (first, longest) = if scarce { FULL_BACKOFFS_IF_SCARCE } else { FULL_BACKOFFS };
-            self.full.until = now + Micros(PERIOD.0 / 16 * first * self.full.factor);
-            self.full.factor = (self.full.factor * 2).min(longest / first);
+    pub(crate) fn record_full(&mut self, now: Micros, low_share: bool) {
+        if self.full_backoff.until <= now {
+            let (first, longest) = if low_share { FULL_BACKOFFS_AT_LOW_SHARE } else { FULL_BACKOFFS };
+            self.full_backoff.until = now + Micros(PERIOD.0 / 16 * first * self.full_backoff.factor);
+            self.full_backoff.factor = (self.full_backoff.factor * 2).min(longest / first);
         }
     }
 
@@ -251,18 +252,19 @@
     pub(crate) fn record_restart(&mut self, now: Micros) {
         self.record_failure(now, EJECTION_RATE, 0.0);
         self.slow_start.started_at = Some(now);
-        self.connections.most_open = 0;
+        self.connections.peak_open = 0;
         self.recent_tables.clear();
     }
 
     /// Guards against taking broken connections for dead engines: a restart breaks all of ours at once.
     pub(crate) fn record_break(&mut self, now: Micros, common: f64) {
-        let in_a_row = now - self.breaks.last_at <= RESTART_BREAKS_WITHIN;
-        self.breaks.in_a_row = if in_a_row { self.breaks.in_a_row + 1 } else { 1 };
-        self.breaks.last_at = now;
-        self.connections.most_open = self.connections.most_open.saturating_sub(1);
-        self.record_failure(now, NEWEST, common);
-        if self.is_idle() && self.breaks.in_a_row > 1 {
+        let is_consecutive = now - self.connection_breaks.last_at <= RESTART_BREAK_WINDOW;
+        self.connection_breaks.consecutive =
+            if is_consecutive { self.connection_breaks.consecutive + 1 } else { 1 };
+        self.connection_breaks.last_at = now;
+        self.connections.peak_open = self.connections.peak_open.saturating_sub(1);
+        self.record_failure(now, EWMA_WEIGHT, common);
+        if self.is_idle() && self.connection_breaks.consecutive > 1 {
             self.record_restart(now);
         }
     }
@@ -273,12 +275,12 @@
     pub(crate) fn record_failure(&mut self, now: Micros, weight: f64, common: f64) {
         let outlier = &mut self.outlier;
         outlier.failure_rate += weight * (1.0 - outlier.failure_rate);
-        if outlier.failure_rate >= EJECTION_RATE * EJECTION_MARGIN + common || outlier.on_trial {
+        if outlier.failure_rate >= EJECTION_RATE * EJECTION_MARGIN + common || outlier.half_open {
             if outlier.ejected_until <= now {
                 outlier.ejected_until = now + Micros(PERIOD.0 * i64::from(outlier.ejection_periods));
-                outlier.ejection_periods = (outlier.ejection_periods * 2).min(LONGEST_EJECTION);
+                outlier.ejection_periods = (outlier.ejection_periods * 2).min(MAX_EJECTION_PERIODS);
             }
-            outlier.on_trial = true;
+            outlier.half_open = true;
         }
     }
 }
--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -12,8 +12,8 @@
 mod sending;
 mod slow_start;
 
-pub use fuzzy::{fuzzy_output, rule};
-pub(crate) use health::PROBE_ROUND_TIME;
+pub use fuzzy::{fuzzy_output, rule_output};
+pub(crate) use health::PROBE_ROUND_DURATION;
 pub(crate) use load::initial_estimates;
 
 use crate::interface::Micros;
@@ -27,4 +27,4 @@
 pub(crate) const TICK_TOKEN: u64 = 0;
 pub(crate) const PROBE_ROUND_TOKEN: u64 = 1;
 /// Weight of the newest sample in running means of health and slowdown.
-pub(crate) const NEWEST: f64 = 0.15;
+pub(crate) const EWMA_WEIGHT: f64 = 0.15;
--- a/crates/core/src/policy/retries.rs
+++ b/crates/core/src/policy/retries.rs
@@ -1,13 +1,13 @@
 //! Retries and their budget, what is learned from the end of an attempt, and giving up on a query.
 
-use super::{fuzzy::TIMEOUT_SCORE, NEWEST, PERIOD};
+use super::{fuzzy::TIMEOUT_DELAY, EWMA_WEIGHT, PERIOD};
 use crate::gateway::Gateway;
 use crate::interface::*;
 use crate::lifecycle::EndedAttempt;
 use crate::state::*;
 
 /// With so many more errors of late that no other engine cured than were cured, errors are the queries' own.
-const UNCURED_ERRORS: f64 = 2.0;
+const REPEATED_ERRORS_MARGIN: f64 = 2.0;
 
 impl Gateway {
     /// Whether what may have run can be sent again: the class, its attempts and the budget allow it.
@@ -26,18 +26,18 @@
     /// Whether the budget allows one more retry.
     pub(crate) fn retry_budget_left(&self, now: Micros) -> bool {
         self.settings.retry_budget.is_none_or(|budget| {
-            let (arrivals, retries) = self.history.since(now - budget.window);
+            let (arrivals, retries) = self.retry_window.since(now - budget.window);
             retries + 1.0 <= budget.guaranteed + budget.fraction * arrivals
         })
     }
 
     /// Errors of late were met wherever their queries went.
-    pub(crate) fn errors_follow_queries(&self) -> bool {
-        self.errors.uncured > self.errors.cured + UNCURED_ERRORS
+    pub(crate) fn queries_cause_errors(&self) -> bool {
+        self.query_errors.repeated > self.query_errors.recovered + REPEATED_ERRORS_MARGIN
     }
 
     pub(crate) fn handle_attempt_end(&mut self, now: Micros, end: AttemptEnd, out: &mut Vec<Action>) {
-        let Some(ended) = self.settle_attempt(now, &end) else { return };
+        let Some(ended) = self.record_outcome(now, &end) else { return };
         let threads = self.settings.classes[ended.class].threads;
         let work_done = self.work_done(now, &end, ended.engine, threads);
         self.update_engine(now, &end, &ended);
@@ -45,8 +45,8 @@
             self.classes[ended.class].learn(ended.work_hint, work);
         }
         let nothing_in_flight = self.queries.get(&end.query).is_some_and(|query| query.in_flight() == 0);
-        if ended.owed && nothing_in_flight {
-            if ended.own_error {
+        if ended.answer_owed && nothing_in_flight {
+            if ended.query_at_fault {
                 self.reject_or_fail(now, end.query, out);
             } else {
                 self.admit(now, end.query, out);
@@ -62,48 +62,48 @@
         let common = if served { 0.0 } else { self.common_failure_rate(ended.engine) };
         let Some(engine) = self.engines.get_mut(&ended.engine) else { return };
         engine.release_reservation((end.query, end.attempt), ended.reserved_work, class.threads);
-        self.fleet_load.take_report(now, end.report, engine, NEWEST);
+        self.fleet_load.record_report(now, end.report, engine, EWMA_WEIGHT);
         match end.outcome {
             Outcome::Served => {
                 let objective = class.latency_objective.as_secs_f64().max(1e-3);
                 engine.work_limit.record_delay(end.elapsed.as_secs_f64() / objective, ended.reserved_work);
                 let slowdown = end.elapsed.as_secs_f64() * class.threads / ended.estimated_work.max(1e-3);
                 if !self.settings.load_reports {
-                    self.fleet_load.infer(now, slowdown);
+                    self.fleet_load.infer_from_slowdown(now, slowdown);
                 }
                 engine.slowdown.record_run(slowdown);
                 engine.record_success(now);
             }
             Outcome::TimedOut if !ended.cancelled => {
-                engine.work_limit.record_delay(TIMEOUT_SCORE, ended.reserved_work);
-                engine.record_failure(now, NEWEST, common);
+                engine.work_limit.record_delay(TIMEOUT_DELAY, ended.reserved_work);
+                engine.record_failure(now, EWMA_WEIGHT, common);
             }
             Outcome::Cancelled if ended.cancelled => {
-                engine.work_limit.record_delay(TIMEOUT_SCORE, ended.reserved_work)
+                engine.work_limit.record_delay(TIMEOUT_DELAY, ended.reserved_work)
             }
-            Outcome::Error if !ended.own_error => engine.record_failure(now, NEWEST, common),
+            Outcome::Error if !ended.query_at_fault => engine.record_failure(now, EWMA_WEIGHT, common),
             Outcome::ConnectFailed => engine.record_restart(now),
             // Guards against taking engines for restarted where connects are late: what is dead refuses.
-            Outcome::ConnectTimedOut => engine.record_failure(now, NEWEST, common),
+            Outcome::ConnectTimedOut => engine.record_failure(now, EWMA_WEIGHT, common),
             Outcome::Reset => engine.record_break(now, common),
-            Outcome::Full => engine.record_full(now, self.conditions.scarce),
+            Outcome::Full => engine.record_full(now, self.conditions.low_share),
             _ => {}
         }
     }
 
     /// Final answer to a query that is given up, at once: rejected where that is true, else failed.
     pub(crate) fn reject_or_fail(&mut self, now: Micros, id: QueryId, out: &mut Vec<Action>) {
-        let errors_follow_queries = self.errors_follow_queries();
+        let queries_cause_errors = self.queries_cause_errors();
         let Some(query) = self.queries.get_mut(&id).filter(|query| !query.finished) else { return };
         query.finished = true;
         let class = &self.settings.classes[query.query.class];
         let deduplicated = class.semantics == ExecutionSemantics::IdempotencyKey
             && class.deduplication_scope == DeduplicationScope::All;
         let idempotent = class.semantics == ExecutionSemantics::Idempotent;
-        let own_error =
-            query.attempts.last().is_some_and(Attempt::failed_with_error) && errors_follow_queries;
-        let harmless = idempotent || deduplicated || !query.may_have_run();
-        out.push(if harmless && !own_error {
+        let query_at_fault =
+            query.attempts.last().is_some_and(Attempt::failed_with_error) && queries_cause_errors;
+        let safe_to_retry = idempotent || deduplicated || !query.may_have_run();
+        out.push(if safe_to_retry && !query_at_fault {
             self.admission.rejections += 1.0;
             Action::Reject { query: id, retry_after: self.retry_after() }
         } else {
--- a/crates/core/src/policy/sending.rs
+++ b/crates/core/src/policy/sending.rs
@@ -43,15 +43,15 @@
     fn may_run_again(&self, now: Micros, query: &ActiveQuery, earlier: &[Attempt], to: &EngineEntry) -> bool {
         let class = self.class_of(query);
         let Some(ran) = earlier.iter().find(|attempt| attempt.may_have_run()) else { return true };
-        let remembered = now - ran.sent_at < class.deduplication_window;
-        let there = self.engines.get(&ran.engine).map(|engine| &engine.entry).filter(|_| remembered);
+        let within_window = now - ran.sent_at < class.deduplication_window;
+        let ran_on = self.engines.get(&ran.engine).map(|engine| &engine.entry).filter(|_| within_window);
         use {DeduplicationScope::*, ExecutionSemantics::*};
         match (class.semantics, class.deduplication_scope) {
             (Idempotent, _) => true,
             (AtMostOnce, _) => false,
-            (IdempotencyKey, All) => remembered,
-            (IdempotencyKey, Zone) => there.is_some_and(|there| there.zone == to.zone),
-            (IdempotencyKey, Cell) => there.is_some_and(|there| there.cell == to.cell),
+            (IdempotencyKey, All) => within_window,
+            (IdempotencyKey, Zone) => ran_on.is_some_and(|ran_on| ran_on.zone == to.zone),
+            (IdempotencyKey, Cell) => ran_on.is_some_and(|ran_on| ran_on.cell == to.cell),
         }
     }
 
@@ -80,7 +80,7 @@
             return false;
         };
         if !query.attempts.is_empty() {
-            self.history.retries.push_back(now);
+            self.retry_window.retries.push_back(now);
         }
         engine.in_flight.attempts.insert((id, query.attempts.len()));
         query.attempts.push(Attempt::new(to, now, reservation.work));
@@ -94,9 +94,9 @@
     fn attempt_timeout(&self, now: Micros, query: &ActiveQuery) -> Micros {
         let s = &self.settings;
         let retryable = self.class_of(query).semantics == ExecutionSemantics::Idempotent;
-        let blind =
+        let detects_hang_by_timeout =
             s.cancellation && s.progress_interval.0 == 0 && retryable && self.attempts_left(query) > 1;
-        Micros(if blind { (query.query.deadline - now).0 / 2 } else { 0 })
+        Micros(if detects_hang_by_timeout { (query.query.deadline - now).0 / 2 } else { 0 })
     }
 
     /// Priority by value for each thread-second: short work first, it takes little from the long.
--- a/crates/core/src/policy/slow_start.rs
+++ b/crates/core/src/policy/slow_start.rs
@@ -5,19 +5,20 @@
 use crate::state::*;
 
 /// Spreads the time slots of gateways at an engine over their numbers.
-const SLOT_STRIDE: u64 = 0x9e37_79b9_7f4a_7c15;
+const SLOT_HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 /// With more gateways than this an engine in slow start is shared by time slots, not evenly.
-const MOST_EVEN_SHARERS: f64 = 8.0;
+const MAX_GATEWAYS_FOR_EVEN_SHARES: f64 = 8.0;
 /// So much of what an engine bears is used.
-const USABLE: f64 = 0.9;
+const USABLE_FRACTION: f64 = 0.9;
 
 impl Gateway {
     /// The fraction of its capacity that an engine surely has.
     pub(crate) fn warmup_fraction(&self, engine: &Engine, now: Micros) -> f64 {
         let duration = self.settings.slow_start_duration.as_secs_f64().max(1e-3);
         let age = engine.slow_start.started_at.map(|started| (now - started).as_secs_f64() / duration);
-        let from = self.settings.slow_start_initial_fraction.clamp(0.0, 1.0);
-        age.filter(|age| *age < 1.0).map_or(1.0, |age| from + (1.0 - from) * 0.5 * age.max(0.0))
+        let initial_fraction = self.settings.slow_start_initial_fraction.clamp(0.0, 1.0);
+        age.filter(|age| *age < 1.0)
+            .map_or(1.0, |age| initial_fraction + (1.0 - initial_fraction) * 0.5 * age.max(0.0))
     }
 
     /// Our budget at an engine in slow start: equal shares or, below one query, time slots of a window with
@@ -28,16 +29,25 @@
         if warmup >= 1.0 || s.overload_multiple <= 0.0 {
             return None;
         }
-        let all = s.overload_multiple * warmup * engine.cores * s.overload_window.as_secs_f64() * USABLE;
+        let total_budget =
+            s.overload_multiple * warmup * engine.cores * s.overload_window.as_secs_f64() * USABLE_FRACTION;
         let heaviest = self.conditions.heaviest_work;
-        if all / s.gateway_count >= heaviest || s.gateway_count <= MOST_EVEN_SHARERS {
-            return Some(SlowStartBudget { work: all / s.gateway_count, draws_for: 1.0, by_slots: false });
+        if total_budget / s.gateway_count >= heaviest || s.gateway_count <= MAX_GATEWAYS_FOR_EVEN_SHARES {
+            return Some(SlowStartBudget {
+                work: total_budget / s.gateway_count,
+                weight_multiplier: 1.0,
+                by_time_slot: false,
+            });
         }
-        let slots = (all / 2.0 / heaviest).floor().max(1.0);
+        let slots = (total_budget / 2.0 / heaviest).floor().max(1.0);
         Some(if self.owns_slot(engine, now, slots) {
-            SlowStartBudget { work: all / 2.0 / slots, draws_for: s.gateway_count / slots, by_slots: true }
+            SlowStartBudget {
+                work: total_budget / 2.0 / slots,
+                weight_multiplier: s.gateway_count / slots,
+                by_time_slot: true,
+            }
         } else {
-            SlowStartBudget { work: 0.0, draws_for: 1.0, by_slots: true }
+            SlowStartBudget { work: 0.0, weight_multiplier: 1.0, by_time_slot: true }
         })
     }
 
@@ -57,7 +67,7 @@
     pub fn slow_start_share(&self, now: Micros, id: QueryId, attempt: usize) -> Option<SlowStartShare> {
         let query = self.queries.get(&id)?;
         let engine = self.engines.get(&query.attempts.get(attempt)?.engine)?;
-        let budget = self.slow_start_budget(now, engine).filter(|budget| !budget.by_slots)?.work;
+        let budget = self.slow_start_budget(now, engine).filter(|budget| !budget.by_time_slot)?.work;
         let work = self.mean_work(query.query.class).max(query.work.min(budget));
         Some(SlowStartShare { work, budget })
     }
@@ -66,7 +76,7 @@
     pub(crate) fn owns_slot(&self, engine: &Engine, now: Micros, owners: f64) -> bool {
         let window = self.settings.overload_window.0.max(1);
         let slot = ((now.0 / window) as u64).wrapping_add(engine.entry.engine.0);
-        let first = slot.wrapping_mul(SLOT_STRIDE) >> 32;
+        let first = slot.wrapping_mul(SLOT_HASH_MULTIPLIER) >> 32;
         (self.settings.gateway_index + first as f64).rem_euclid(self.settings.gateway_count) < owners
     }
 }
--- a/crates/core/src/state/engine.rs
+++ b/crates/core/src/state/engine.rs
@@ -14,8 +14,8 @@
     pub in_flight: InFlight,
     pub latest_load: LatestLoad,
     pub slowdown: Slowdown,
-    pub full: FullBackoff,
-    pub breaks: ConnectionBreaks,
+    pub full_backoff: FullBackoff,
+    pub connection_breaks: ConnectionBreaks,
     /// It was overloaded at some tick of this period.
     pub was_overloaded: bool,
     pub outlier: OutlierState,
@@ -87,7 +87,7 @@
 /// Attempts in a row whose connection broke.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ConnectionBreaks {
-    pub in_a_row: u32,
+    pub consecutive: u32,
     pub last_at: Micros,
 }
 
@@ -99,7 +99,7 @@
     /// Length of the next ejection, in periods.
     pub ejection_periods: u32,
     /// After an ejection it gets one query at a time until one succeeds.
-    pub on_trial: bool,
+    pub half_open: bool,
 }
 
 /// How our connections to an engine were used.
@@ -107,7 +107,7 @@
 pub struct ConnectionUse {
     pub last_sent_at: Micros,
     /// Most attempts in flight at once since our connections last broke or were idle for too long.
-    pub most_open: usize,
+    pub peak_open: usize,
     pub last_heard_at: Micros,
 }
 
@@ -121,7 +121,7 @@
 
 impl LoadReport {
     /// Threads per core, as reported or estimated from the queries in flight.
-    pub fn load(&self, engine: &Engine) -> Option<f64> {
+    pub fn threads_per_core(&self, engine: &Engine) -> Option<f64> {
         self.utilisation.or(self.in_flight.map(|n| n * engine.mean_threads() / engine.cores))
     }
 }
@@ -143,16 +143,16 @@
             in_flight: InFlight::default(),
             latest_load: LatestLoad::default(),
             slowdown: Slowdown { mean: 1.0, best: 1.0 },
-            full: FullBackoff { until: Micros(i64::MIN), factor: 1 },
-            breaks: ConnectionBreaks { in_a_row: 0, last_at: Micros(0) },
+            full_backoff: FullBackoff { until: Micros(i64::MIN), factor: 1 },
+            connection_breaks: ConnectionBreaks { consecutive: 0, last_at: Micros(0) },
             was_overloaded: false,
             outlier: OutlierState {
                 failure_rate: 0.0,
                 ejected_until: Micros(i64::MIN),
                 ejection_periods: 1,
-                on_trial: false,
+                half_open: false,
             },
-            connections: ConnectionUse { last_sent_at: Micros(0), most_open: 0, last_heard_at: Micros(0) },
+            connections: ConnectionUse { last_sent_at: Micros(0), peak_open: 0, last_heard_at: Micros(0) },
             slow_start: SlowStart { started_at: None, sends: VecDeque::new() },
             recent_tables: VecDeque::new(),
         }
@@ -183,14 +183,14 @@
         if open == 1 {
             self.connections.last_heard_at = now;
         }
-        let most_open = if reservation.connections_expired { 0 } else { self.connections.most_open };
-        self.connections.most_open = most_open.max(open);
+        let peak_open = if reservation.connections_expired { 0 } else { self.connections.peak_open };
+        self.connections.peak_open = peak_open.max(open);
         self.connections.last_sent_at = now;
         self.in_flight.work += reservation.work;
         self.in_flight.threads += reservation.threads;
         self.latest_load.threads_sent_since += reservation.threads;
         self.latest_load.memory_sent_since += reservation.memory;
-        self.slow_start.sends.push_back((now, reservation.usual_work));
+        self.slow_start.sends.push_back((now, reservation.slow_start_work));
     }
 
     /// Releases the reservation of an attempt that ended; nothing if it was released before.
@@ -206,7 +206,7 @@
     pub fn reset_for_new_process(&mut self, started_at: Option<Micros>, now: Micros) {
         self.slow_start.started_at = started_at;
         self.recent_tables.clear();
-        self.connections.most_open = 0;
+        self.connections.peak_open = 0;
         self.outlier.failure_rate = 0.0;
         self.outlier.ejected_until = now;
         self.outlier.ejection_periods = 1;
@@ -214,7 +214,7 @@
     }
 
     /// A report that differs from the last one is new: what was sent before it is included in it.
-    pub(super) fn take_report(&mut self, now: Micros, report: LoadReport) {
+    pub(super) fn record_report(&mut self, now: Micros, report: LoadReport) {
         if report != self.latest_load.report {
             self.latest_load.threads_sent_since = 0.0;
             self.latest_load.memory_sent_since = 0.0;
@@ -230,7 +230,7 @@
     /// Estimated work, in thread-seconds.
     pub work: f64,
     /// The work of a query of its class on average, by which slow start counts.
-    pub usual_work: f64,
+    pub slow_start_work: f64,
     pub threads: f64,
     /// Fraction of the engine's memory.
     pub memory: f64,
--- a/crates/core/src/state/gateway.rs
+++ b/crates/core/src/state/gateway.rs
@@ -7,12 +7,12 @@
 
 /// When queries arrived and when retries were sent, within the window of the retry budget.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct AttemptHistory {
+pub struct RetryWindow {
     pub arrivals: VecDeque<Micros>,
     pub retries: VecDeque<Micros>,
 }
 
-impl AttemptHistory {
+impl RetryWindow {
     /// How many queries arrived after a time, and how many retries were sent from it on.
     pub fn since(&self, from: Micros) -> (f64, f64) {
         let arrivals = self.arrivals.iter().filter(|at| **at > from).count();
@@ -47,7 +47,7 @@
 
 /// How often an engine was drawn for a query: in this period, and the running mean.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct DrawRate {
+pub struct SelectionRate {
     pub this_period: f64,
     pub mean: f64,
 }
@@ -77,7 +77,7 @@
     /// The tick of the next subscription, where one is due.
     pub subscribe_at_tick: Option<u32>,
     /// A list was received.
-    pub known: bool,
+    pub received: bool,
 }
 
 /// Running means of the engines' load reports.
@@ -93,16 +93,16 @@
 
 impl FleetLoad {
     /// Takes a report of an engine, and with the given weight into the means over all engines.
-    pub fn take_report(&mut self, now: Micros, report: LoadReport, engine: &mut Engine, weight: f64) {
+    pub fn record_report(&mut self, now: Micros, report: LoadReport, engine: &mut Engine, weight: f64) {
         if report == LoadReport::default() {
             return;
         }
-        engine.take_report(now, report);
+        engine.record_report(now, report);
         self.last_report_at = Some(now);
         let move_toward = |mean: &mut f64, sample: Option<f64>| {
             *mean += weight * (sample.unwrap_or(*mean) - *mean);
         };
-        move_toward(&mut self.mean_load, report.load(engine));
+        move_toward(&mut self.mean_load, report.threads_per_core(engine));
         move_toward(&mut self.mean_memory, report.memory_granted);
     }
 }
@@ -111,7 +111,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct FleetConditions {
     /// This gateway's share of an engine is below one query of the heaviest class.
-    pub scarce: bool,
+    pub low_share: bool,
     /// The gateways share their load reports.
     pub reports_shared: bool,
     /// Mean work of the heaviest class, in thread-seconds.
@@ -119,14 +119,14 @@
     /// What the work limits of all engines leave, in thread-seconds.
     pub limit_headroom: f64,
     /// The fraction of all draws that the headroom of all engines is for.
-    pub calm_fraction: f64,
+    pub limit_exempt_fraction: f64,
     /// The draw of the current query, from 0 to 1.
-    pub draw: f64,
+    pub random_value: f64,
 }
 
 /// What ends on a busy core before the others can have acted on a report.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Turnover {
+pub struct Completions {
     pub threads: f64,
     pub queries: f64,
 }
@@ -134,6 +134,6 @@
 /// Errors of late that an attempt at another engine cured, and those that it did not.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct QueryErrors {
-    pub cured: f64,
-    pub uncured: f64,
+    pub recovered: f64,
+    pub repeated: f64,
 }
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -9,8 +9,8 @@
 
 pub use engine::{Engine, Reservation, Slowdown, WorkLimit};
 pub use gateway::{
-    AdmissionRates, AttemptHistory, DrawRate, EndpointListState, FleetConditions, FleetLoad, HeldQueries,
-    QueryErrors, Turnover,
+    AdmissionRates, Completions, EndpointListState, FleetConditions, FleetLoad, HeldQueries, QueryErrors,
+    RetryWindow, SelectionRate,
 };
 pub use query::{ActiveQuery, Attempt, ClassEstimates, KeyQueue};
 pub use review::{AttemptVerdict, CancelReason, EngineReview, SlowStartBudget};
--- a/crates/core/src/state/query.rs
+++ b/crates/core/src/state/query.rs
@@ -79,9 +79,9 @@
     pub hints: f64,
     pub count: f64,
     /// Bad plans that a fresh attempt cured.
-    pub plans_cured: u32,
+    pub replans_succeeded: u32,
     /// Bad plans that a fresh attempt did not cure.
-    pub plans_uncured: u32,
+    pub replans_failed: u32,
 }
 
 /// Sums over the queries of all classes.
--- a/crates/core/src/state/review.rs
+++ b/crates/core/src/state/review.rs
@@ -7,9 +7,9 @@
     /// Work that we may send there within a window, in thread-seconds.
     pub work: f64,
     /// For how many gateways we draw, lest it stand idle.
-    pub draws_for: f64,
+    pub weight_multiplier: f64,
     /// It is shared by time slots, not evenly.
-    pub by_slots: bool,
+    pub by_time_slot: bool,
 }
 
 /// Why an attempt is cancelled.
@@ -32,16 +32,16 @@
     /// A fresh attempt was no better: the query itself takes so much work.
     Expensive { work: f64 },
     /// It ends too late to be worth anything, at an overloaded engine.
-    Worthless,
+    TooLate,
 }
 
 impl AttemptVerdict {
     /// Attempts are sent again first, then estimates are corrected, then queries are given up.
-    pub fn order(&self) -> u8 {
+    pub fn processing_order(&self) -> u8 {
         match self {
             AttemptVerdict::Silent { .. } | AttemptVerdict::BadPlan => 0,
             AttemptVerdict::Expensive { .. } => 1,
-            AttemptVerdict::Worthless => 2,
+            AttemptVerdict::TooLate => 2,
         }
     }
 }
--- a/crates/core/tests/fuzzy.rs
+++ b/crates/core/tests/fuzzy.rs
@@ -1,6 +1,6 @@
 //! The rule base and the controller's output against the paper.
 
-use wheelfield::policy::{fuzzy_output, rule};
+use wheelfield::policy::{fuzzy_output, rule_output};
 
 /// Table 2 of the paper: rows are the error, columns its change, both from NVL to PVL.
 const TABLE_2: [&str; 9] = [
@@ -24,7 +24,7 @@
 fn all_81_rules_are_those_of_table_2() {
     for (row, error) in TABLE_2.iter().zip(-4..) {
         for (name, change) in row.split(' ').zip(-4..) {
-            assert_eq!(rule(error, change), level(name), "rule({error}, {change})");
+            assert_eq!(rule_output(error, change), level(name), "rule({error}, {change})");
         }
     }
 }
