--- a/crates/core/src/gateway.rs
+++ b/crates/core/src/gateway.rs
@@ -1,11 +1,12 @@
-//! One gateway: its state, and which part of the policy answers which event. Nothing here decides anything.
+//! The state of one gateway, and the dispatch of each event to the part of the policy that handles it. The
+//! decisions themselves are in [`crate::policy`].
 
 use crate::interface::*;
 use crate::policy::{self, EWMA_WEIGHT, PROBE_ROUND_DURATION, PROBE_ROUND_TOKEN, TICK_INTERVAL, TICK_TOKEN};
 use crate::state::*;
 use std::collections::BTreeMap;
 
-/// The decisions of one gateway.
+/// The policy of one gateway with its state.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub struct Gateway {
     pub(crate) settings: Settings,
@@ -18,7 +19,7 @@
     pub(crate) retry_window: RetryWindow,
     pub(crate) admission: AdmissionRates,
     pub(crate) selections: SelectionRate,
-    /// Our part of the threads that the engines report, running mean.
+    /// Moving average of this gateway's share of the threads that the engines report as running.
     pub(crate) own_share: f64,
     pub(crate) held: HeldQueries,
     pub(crate) ticks: u32,
@@ -30,7 +31,7 @@
 }
 
 impl Gateway {
-    /// A gateway that knows nothing but its settings. `seed` feeds its only source of randomness.
+    /// Creates a gateway without any engines or queries. `seed` initializes its only random number generator.
     pub fn new(mut settings: Settings, seed: u64) -> Self {
         settings.gateway_count = settings.gateway_count.max(1.0);
         Gateway {
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Takes one event and appends the actions that answer it.
+    /// Handles one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Started => self.start(out),
@@ -104,7 +105,7 @@
         self.engines.values().filter(|engine| engine.is_up())
     }
 
-    /// Takes a complete list: an engine that is missing is gone.
+    /// Handles a complete endpoint list: engines that it lacks are marked as removed.
     pub(crate) fn replace_endpoint_list(&mut self, now: Micros, entries: Vec<EngineEntry>) {
         let listed = |engine: &Engine| entries.iter().any(|entry| entry.engine == engine.entry.engine);
         for engine in self.engines.values_mut().filter(|engine| !listed(engine)) {
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Shares the reports of a round of probes with the other gateways.
+    /// Shares the load reports of a probe round with the other gateways.
     pub(crate) fn share_probe_round(&mut self, now: Micros, out: &mut Vec<Action>) {
         let is_fresh = |at: Micros| now - at <= PROBE_ROUND_DURATION;
         let fresh = self.engines.values().filter(|e| e.latest_load.received_at.is_some_and(is_fresh));
--- a/crates/core/src/interface/actions.rs
+++ b/crates/core/src/interface/actions.rs
@@ -1,61 +1,61 @@
-//! What the module wants done.
+//! The actions that the policy returns.
 
 use super::{EngineId, Micros, PeerLoadReport, QueryId};
 use serde::{Deserialize, Serialize};
 
-/// What the module wants done.
+/// An action that the policy returns for the caller to carry out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Action {
-    /// Start an attempt.
+    /// Send an attempt of a query.
     Send {
-        /// Of which query.
+        /// The query.
         query: QueryId,
-        /// Where.
+        /// The engine to send it to.
         engine: EngineId,
-        /// The attempt times out after this; zero for the client's own deadline.
+        /// Timeout of the attempt; zero for the client's own deadline.
         timeout: Micros,
     },
-    /// Memory and priority of a query's next attempt.
+    /// Set the memory grant and the priority of the query's next attempt.
     SetOptions {
-        /// Which query.
+        /// The query.
         query: QueryId,
-        /// In MB; zero leaves it to the engine.
+        /// Memory grant in MB; zero lets the engine decide.
         grant_mb: f64,
-        /// 0 to 3.
+        /// Priority from 0 to 3; 3 is the highest.
         priority: u8,
     },
     /// Cancel an attempt.
     Cancel {
-        /// Of which query.
+        /// The query of the attempt.
         query: QueryId,
-        /// Which.
+        /// Number of the attempt, counted from 0.
         attempt: usize,
     },
-    /// Final answer: rejected; the client may retry.
+    /// Give the final answer that the query is rejected. The client may safely retry it.
     Reject {
-        /// Which query.
+        /// The query.
         query: QueryId,
-        /// When to retry; zero for no advice.
+        /// How long the client should wait before it retries; zero for no advice.
         retry_after: Micros,
     },
-    /// Final answer: failed, nothing promised.
+    /// Give the final answer that the query failed. It may have run.
     Fail {
-        /// Which query.
+        /// The query.
         query: QueryId,
     },
     /// Set a timer.
     SetTimer {
-        /// Its token.
+        /// Token that the timer's event returns.
         token: u64,
-        /// From now.
+        /// Time from now until the timer fires.
         after: Micros,
     },
     /// Probe an engine.
     Probe(EngineId),
     /// Share load reports with all other gateways.
     ShareReports(Vec<PeerLoadReport>),
-    /// Subscribe to the changes of the endpoint list.
+    /// Subscribe to changes of the endpoint list.
     Subscribe,
-    /// A line for the operators.
+    /// Write a log line for the operators.
     Log(String),
 }
--- a/crates/core/src/interface/events.rs
+++ b/crates/core/src/interface/events.rs
@@ -1,4 +1,4 @@
-//! What the module is told.
+//! The events that the policy handles.
 
 use super::{EngineEntry, EngineId, LoadReport, Micros, PeerLoadReport, QueryId};
 use serde::{Deserialize, Serialize};
@@ -6,49 +6,49 @@
 /// A query from a client.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Query {
-    /// Its id.
+    /// Its identifier.
     pub id: QueryId,
-    /// Its class.
+    /// Its class, by position in the settings.
     pub class: usize,
-    /// Its tenant, where there are any.
+    /// Its tenant, if it has one, by position in the settings.
     pub tenant: Option<usize>,
-    /// The key whose order it keeps.
+    /// The key by which queries of a class with `ordered_by_key` run in order.
     pub key: Option<String>,
-    /// When the client gives up.
+    /// The time at which the client gives up.
     pub deadline: Micros,
-    /// Estimated work in seconds of one thread, where known.
+    /// Estimated work in thread-seconds, if known.
     pub work_hint: Option<f64>,
-    /// Estimated memory in MB, where known.
+    /// Estimated memory in MB, if known.
     pub memory_hint: Option<f64>,
-    /// The tables it reads or writes.
+    /// Identifier of the group of tables that it reads or writes.
     pub tables: u64,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Served.
+    /// The engine answered.
     Served,
     /// The engine returned an error.
     Error,
-    /// The engine rejected it before it ran, because it was full.
+    /// The engine was full and rejected the query before running it.
     Full,
-    /// No answer in time.
+    /// The answer did not arrive in time.
     TimedOut,
-    /// No connection.
+    /// The connection was refused.
     ConnectFailed,
     /// The connection broke.
     Reset,
-    /// Cancelled.
+    /// The attempt was cancelled.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NeverSent,
-    /// No connection was established in time. Nobody refused it either.
+    /// The connection was neither established nor refused in time.
     ConnectTimedOut,
 }
 
 impl Outcome {
-    /// The outcome proves that the query never ran.
+    /// Whether the outcome proves that the query never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent | Outcome::ConnectTimedOut)
     }
@@ -57,85 +57,85 @@
 /// An update of an attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AttemptUpdate {
-    /// Fraction done.
+    /// The fraction of the query that is done.
     Progress(f64),
-    /// It spills: it lacks so many MB.
+    /// The query spills to disk because it lacks this much memory, in MB.
     Spills(f64),
-    /// It waits for memory.
+    /// The query waits for memory.
     WaitsForMemory,
-    /// It waits for a load of its tables.
+    /// The query waits for a load of its tables.
     WaitsForLoad,
-    /// Some other update.
+    /// Any other update.
     Other,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AttemptEnd {
-    /// Of which query.
+    /// The query of the attempt.
     pub query: QueryId,
-    /// Which attempt, counted from 0.
+    /// Number of the attempt, counted from 0.
     pub attempt: usize,
-    /// How.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// The query is over, by this end or earlier.
+    /// The query is finished, by this end or earlier.
     pub query_over: bool,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub elapsed: Micros,
-    /// Work in seconds of one thread, where the answer reports it.
+    /// Work in thread-seconds, if the answer reports it.
     pub reported_work: Option<f64>,
-    /// The engine's load.
+    /// The load that the engine reported.
     pub report: LoadReport,
 }
 
-/// What the module is told.
+/// An event that the policy handles.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
     /// The gateway starts.
     Started,
-    /// The complete endpoint list.
+    /// The complete endpoint list was received.
     EngineList(Vec<EngineEntry>),
-    /// Changed entries of the endpoint list.
+    /// Changed entries of the endpoint list were received.
     EngineChanges(Vec<EngineEntry>),
-    /// The endpoint list could not be had.
+    /// The endpoint list could not be fetched.
     ListUnavailable,
-    /// A query comes in.
+    /// A query arrived.
     Arrived(Query),
-    /// The answer of an attempt has started to go to the client.
+    /// The gateway began to send the answer of an attempt to the client.
     AnswerStarted(QueryId),
     /// An engine sent an update of an attempt.
     AttemptUpdated {
-        /// Of which query.
+        /// The query of the attempt.
         query: QueryId,
-        /// Which attempt, counted from 0.
+        /// Number of the attempt, counted from 0.
         attempt: usize,
         /// The update.
         update: AttemptUpdate,
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// The client left; no answer is owed.
+    /// The client left and expects no answer.
     Abandoned(QueryId),
-    /// A probe came back.
+    /// A probe ended.
     ProbeEnded {
         /// The engine that was probed.
         engine: EngineId,
         /// How the probe ended.
         outcome: Outcome,
-        /// The engine's load.
+        /// The load that the engine reported.
         report: LoadReport,
     },
-    /// Another gateway shares load reports, of engines that the endpoint list has named.
+    /// Another gateway shared load reports. All of their engines have been in the endpoint list.
     PeerReports(Vec<PeerLoadReport>),
-    /// A timer is due.
+    /// The timer with this token fired.
     TimerFired(u64),
-    /// So many gateways share the engines from now on, and this one is number `index` of them, from 0.
+    /// The number of gateways that share the engines changed.
     GatewayCountChanged {
-        /// How many, at least 1.
+        /// The number of gateways, at least 1.
         count: f64,
-        /// Which one.
+        /// The index of this gateway, counted from 0.
         index: f64,
     },
-    /// The gateway shuts down: the query must have its answer now.
+    /// The gateway shuts down, and the query must get its final answer now.
     ShutdownDeadline(QueryId),
 }
--- a/crates/core/src/interface/mod.rs
+++ b/crates/core/src/interface/mod.rs
@@ -1,5 +1,5 @@
-//! The interface of the module: the settings it is handed, the events it is told and the actions it takes. Nothing here
-//! decides anything.
+//! The interface of the policy: its settings, the events that it handles and the actions that it returns. It
+//! contains no decisions.
 
 mod actions;
 mod endpoints;
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -1,4 +1,4 @@
-//! What a deployment hands the module at start.
+//! The settings that a deployment passes to the policy at start.
 
 use super::Micros;
 use serde::{Deserialize, Serialize};
@@ -10,111 +10,112 @@
     #[default]
     #[serde(alias = "Repeatable")]
     Idempotent,
-    /// Engines drop repeated runs by key, within a scope and a window of time.
+    /// Engines drop repeated runs by idempotency key, within a scope and a time window.
     #[serde(alias = "ByKey")]
     IdempotencyKey,
-    /// It must never run twice.
+    /// It must not run twice.
     #[serde(alias = "Once")]
     AtMostOnce,
 }
 
-/// The engines among which repeated runs of a keyed query are dropped.
+/// The engines among which repeated runs of a query with a key are dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DeduplicationScope {
-    /// All engines together.
+    /// All engines.
     #[default]
     All,
-    /// Those of one zone.
+    /// The engines of one zone.
     Zone,
-    /// Those of one cell.
+    /// The engines of one cell.
     Cell,
 }
 
-/// One class of query.
+/// One class of queries.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Class {
-    /// The latency objective: an answer is wanted within this time, plus
+    /// The constant part of the latency objective.
     #[serde(alias = "aim")]
     pub latency_objective: Micros,
-    /// this multiple of the query's work over its threads.
+    /// The variable part of the latency objective, as a multiple of the query's work divided by its threads.
     #[serde(alias = "aim_stretch")]
     pub latency_objective_stretch: f64,
     /// How long the client waits, over all attempts.
     pub deadline: Micros,
-    /// Value of an answer within the objective.
+    /// Value of an answer within the latency objective.
     #[serde(alias = "worth")]
     pub value: f64,
-    /// Fraction of the value that is left after the objective.
+    /// Fraction of the value that an answer has after the latency objective.
     #[serde(alias = "late_value")]
     pub late_value_fraction: f64,
-    /// Whether it may run more than once.
+    /// Whether a query may run more than once.
     #[serde(alias = "effect")]
     pub semantics: ExecutionSemantics,
-    /// Where repeated runs are dropped.
+    /// The engines among which repeated runs are dropped.
     #[serde(alias = "scope")]
     pub deduplication_scope: DeduplicationScope,
-    /// For how long repeated runs are dropped.
+    /// How long repeated runs are dropped.
     #[serde(alias = "window")]
     pub deduplication_window: Micros,
-    /// Queries of one key run one at a time, in turn.
+    /// Queries of the same key run one at a time, in order of arrival.
     #[serde(alias = "in_order")]
     pub ordered_by_key: bool,
-    /// The only kinds of machine it may run on; empty for any.
+    /// The kinds of machine that it may run on; empty for all.
     pub kinds: Vec<usize>,
-    /// The only zones it may run in; empty for any.
+    /// The zones that it may run in; empty for all.
     pub zones: Vec<usize>,
-    /// A restriction that names nothing known: no engine is permitted.
+    /// The class is restricted to kinds or zones of which none is known, so no engine is permitted.
     #[serde(alias = "nowhere")]
     pub no_engine_permitted: bool,
-    /// Threads a query runs on.
+    /// Number of threads that a query runs on.
     pub threads: f64,
-    /// It holds its tables on its engine while it runs.
+    /// A query is a load: it locks its tables on its engine while it runs.
     pub is_load: bool,
-    /// It stands still while a load holds its tables.
+    /// A query waits while a load has locked its tables.
     pub waits_for_loads: bool,
 }
 
-/// The budget for attempts beyond each query's first.
+/// The budget for retries.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RetryBudget {
-    /// Retries allowed however few queries arrive.
+    /// Retries allowed regardless of how many queries arrive.
     #[serde(alias = "free")]
     pub guaranteed: f64,
-    /// Retries allowed for each query that arrives.
+    /// Retries allowed per query that arrives.
     #[serde(alias = "share")]
     pub fraction: f64,
-    /// The window over which both are counted.
+    /// The window in which both retries and arrivals are counted.
     #[serde(alias = "span")]
     pub window: Micros,
 }
 
-/// What a deployment hands the module at start. The default is one bare gateway with nothing optional.
+/// The settings that a deployment passes to the policy at start. The default is a single gateway without
+/// optional features.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
-    /// How many gateways share the engines.
+    /// Number of gateways that share the engines.
     #[serde(alias = "gateways")]
     pub gateway_count: f64,
-    /// Which of them this one is, counted from 0.
+    /// Index of this gateway, counted from 0.
     #[serde(alias = "index")]
     pub gateway_index: f64,
     /// The zone of this gateway.
     pub zone: Option<usize>,
-    /// The classes of query.
+    /// The classes of queries.
     pub classes: Vec<Class>,
-    /// For each tenant, its queries a second over all gateways.
+    /// Queries per second of each tenant, over all gateways.
     #[serde(alias = "allowances")]
     pub tenant_rates: Vec<f64>,
-    /// For each machine kind, its cores.
+    /// Number of cores of each kind of machine.
     pub cores: Vec<f64>,
-    /// For each machine kind, its memory in MB.
+    /// Memory of each kind of machine, in MB.
     pub memory_mb: Vec<f64>,
-    /// Share of an engine's memory one query gets at most.
+    /// Largest fraction of an engine's memory that one query gets.
     #[serde(alias = "max_grant_share")]
     pub max_grant_fraction: f64,
-    /// Short of memory, an engine queues queries.
+    /// An engine that is short of memory queues queries.
     #[serde(alias = "waits")]
     pub queues_on_memory_shortage: bool,
-    /// Short of memory, an engine pages: it accepts queries and all run much slower.
+    /// An engine that is short of memory pages: it accepts queries, and all of them run much slower.
     #[serde(alias = "pages")]
     pub pages_on_memory_shortage: bool,
     /// Engines honour memory grants.
@@ -122,64 +123,64 @@
     pub memory_grants: bool,
     /// Engines honour priorities.
     pub priorities: bool,
-    /// Answers report the work they took.
+    /// Answers report the work that the query took.
     #[serde(alias = "bills")]
     pub reports_work: bool,
-    /// Time between progress updates; zero for none.
+    /// Interval of progress updates; zero for none.
     #[serde(alias = "note_every")]
     pub progress_interval: Micros,
     /// Attempts can be cancelled.
     #[serde(alias = "cancel")]
     pub cancellation: bool,
-    /// Messages may be sent to the other gateways.
+    /// Messages can be sent to the other gateways.
     #[serde(alias = "peers")]
     pub peer_messages: bool,
-    /// Price of a probe, in points of service for each query.
+    /// Cost of sending one probe per query, in points of the service score.
     pub probe_price: f64,
-    /// Price of a kilobyte of messages delivered for each query.
+    /// Cost of delivering one kilobyte of messages per query, in points of the service score.
     pub message_price: f64,
-    /// Engines may be probed.
+    /// Engines can be probed.
     pub probes: bool,
     /// Engines report their load.
     #[serde(alias = "reports")]
     pub load_reports: bool,
     /// Load reports include the utilisation of the cores.
     pub reports_utilisation: bool,
-    /// Load reports come with probes alone.
+    /// Load reports come only with answers to probes.
     pub reports_by_probe: bool,
     /// Changes of the endpoint list come only after subscribing.
     pub subscribe: bool,
     /// A query may have two attempts in flight at once.
     #[serde(alias = "second_copies")]
     pub hedged_requests: bool,
-    /// Most attempts for one query; zero for no limit.
+    /// Maximum number of attempts per query; zero for no limit.
     pub max_attempts: usize,
-    /// The longest advice on when to retry that a client honours.
+    /// The longest advice on when to retry that clients honour; zero if they honour none.
     pub max_retry_after: Micros,
-    /// Price of each query crossing zones once.
+    /// Cost of every query crossing zones once, in points of the service score.
     pub cross_zone_price: f64,
-    /// An engine in slow start begins with this fraction of its capacity.
+    /// Fraction of its capacity that an engine has at the beginning of slow start.
     #[serde(alias = "cold_from")]
     pub slow_start_initial_fraction: f64,
-    /// It has full capacity after this time.
+    /// Duration of slow start, after which the engine has its full capacity.
     #[serde(alias = "cold_for")]
     pub slow_start_duration: Micros,
-    /// It fails when it is sent more than this multiple of what it can do
+    /// An engine fails when it is sent more than this multiple of its capacity within the overload window.
     #[serde(alias = "fall_multiple")]
     pub overload_multiple: f64,
-    /// within this time.
+    /// The window for `overload_multiple`.
     #[serde(alias = "fall_span")]
     pub overload_window: Micros,
-    /// How long nothing of a key starts after an attempt of it that may still run.
+    /// How long no query of a key starts after an attempt of that key which may still run.
     #[serde(alias = "order_pause")]
     pub key_cooldown: Micros,
-    /// The retry budget, where there is one.
+    /// The retry budget, if there is one.
     #[serde(alias = "attempt_budget")]
     pub retry_budget: Option<RetryBudget>,
-    /// Price of a new connection to an engine for each query.
+    /// Cost of opening one connection per query, in points of the service score.
     #[serde(default)]
     pub handshake_price: f64,
-    /// Engines close a connection that was idle for so long; zero where that is unknown.
+    /// Time after which engines close an idle connection; zero if unknown.
     #[serde(default)]
     #[serde(alias = "connections_rest")]
     pub connection_idle_timeout: Micros,
--- a/crates/core/src/interface/units.rs
+++ b/crates/core/src/interface/units.rs
@@ -1,17 +1,17 @@
-//! Time, and the numbers of engines and queries.
+//! Time, and the identifiers of engines and queries.
 
 use serde::{Deserialize, Serialize};
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Micros(pub i64);
 
 impl Micros {
-    /// In seconds.
+    /// The value in seconds.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
-    /// From seconds; anything out of range is clamped.
+    /// Converts from seconds. Values out of range are clamped.
     pub fn from_secs_f64(s: f64) -> Self {
         Micros((s * 1e6) as i64)
     }
@@ -31,10 +31,10 @@
     }
 }
 
-/// An engine, the same number at every gateway.
+/// Identifier of an engine, the same at every gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EngineId(pub u64);
 
-/// A query taken from a client.
+/// Identifier of a query received from a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct QueryId(pub u64);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,8 @@
-//! wheelfield decides, for one gateway, which queries enter a pool of engines and where they run.
+//! wheelfield is the admission controller of a gateway to a pool of engines: it decides which queries are
+//! admitted and which engine runs each of them.
 //!
-//! A [`Gateway`] takes [`interface::Event`]s with the time at which they happened and answers with
-//! [`interface::Action`]s. It reads no clock, does no I/O and keeps no global state.
+//! A [`Gateway`] handles [`interface::Event`]s, each with its time, and returns [`interface::Action`]s. It
+//! reads no clock, does no I/O and keeps no global state.
 //!
 //! ```
 //! use wheelfield::Gateway;
--- a/crates/core/src/lifecycle.rs
+++ b/crates/core/src/lifecycle.rs
@@ -1,10 +1,11 @@
-//! The life of queries and attempts: records kept and removed. What is decided about them stands in `policy`.
+//! The lifecycle of queries and attempts: creates, updates and removes their records. Decisions about them
+//! are taken in `policy`.
 
 use crate::gateway::Gateway;
 use crate::interface::*;
 use crate::state::*;
 
-/// An attempt that ended, with what the rest of its handling needs of its query.
+/// An attempt that ended, with the properties of its query that later steps need.
 pub(crate) struct EndedAttempt {
     pub(crate) engine: EngineId,
     pub(crate) reserved_work: f64,
@@ -12,14 +13,14 @@
     pub(crate) class: usize,
     pub(crate) work_hint: Option<f64>,
     pub(crate) estimated_work: f64,
-    /// Its query has no final answer yet.
+    /// The query has no final answer yet.
     pub(crate) answer_owed: bool,
-    /// The error is the query's own: it would fail at any engine.
+    /// The error is attributed to the query, which would fail on any engine.
     pub(crate) query_at_fault: bool,
 }
 
 impl Gateway {
-    /// Looks again at a query that was held for its turn by key.
+    /// Admits a query whose wait for its key is over.
     pub(crate) fn resume_held_query(&mut self, now: Micros, token: u64, out: &mut Vec<Action>) {
         let Some(id) = self.held.timers.remove(&token) else { return };
         let is_held = |query: &ActiveQuery| !query.finished && query.attempts.is_empty();
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Notes the outcome of an attempt; none if it had one.
+    /// Records the outcome of an attempt. Returns None if the attempt is unknown or already has an outcome.
     pub(crate) fn record_outcome(&mut self, now: Micros, end: &AttemptEnd) -> Option<EndedAttempt> {
         let query = self.queries.get_mut(&end.query)?;
         let attempt = query.attempts.get_mut(end.attempt).filter(|attempt| attempt.outcome.is_none())?;
@@ -62,16 +63,16 @@
         if let Some(key) = query.query.key.clone().filter(|_| ordered && may_still_run) {
             self.keys.entry(key).or_default().cooldown_until = now + self.settings.key_cooldown;
         }
-        // Guards against queries that fail wherever they go: they would eject every engine and use up the
-        // retries of the others. It holds against whatever makes all engines fail; it hurts where an engine
-        // fails while many others do: that one is found out late.
+        // Some queries fail on every engine. Without this check they would eject all engines and use up the
+        // retries of other queries. Less effective where one engine fails while many queries fail as well:
+        // that engine is then detected late.
         let errors = query.attempts.iter().filter(|attempt| attempt.failed_with_error()).count();
         self.count_query_errors(end.outcome, errors);
         ended.query_at_fault = end.outcome == Outcome::Error && self.queries_cause_errors();
         Some(ended)
     }
 
-    /// Cancels an attempt in flight, where attempts can be cancelled.
+    /// Cancels an attempt if it is in flight and the engines support cancellation.
     pub(crate) fn cancel_attempt(
         &mut self,
         id: QueryId,
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Cancels all attempts of a query in flight.
+    /// Cancels all attempts of a query that are in flight.
     pub(crate) fn cancel_attempts(&mut self, now: Micros, id: QueryId, out: &mut Vec<Action>) {
         for attempt in 0..self.queries.get(&id).map_or(0, |query| query.attempts.len()) {
             self.cancel_attempt(id, attempt, CancelReason::QueryOver, out);
@@ -96,7 +97,7 @@
         self.remove_if_done(now, id, out);
     }
 
-    /// Forgets a query that is over and has nothing in flight, and lets the next of its key go.
+    /// Removes a query that is finished and has no attempts in flight, and admits the next query of its key.
     pub(crate) fn remove_if_done(&mut self, now: Micros, id: QueryId, out: &mut Vec<Action>) {
         if !self.queries.get(&id).is_some_and(|query| query.finished && query.in_flight() == 0) {
             return;
@@ -117,7 +118,8 @@
         }
     }
 
-    /// When to look again for a query that keeps the order of its key; none once its turn has come.
+    /// The time at which to admit a query again that has to wait for earlier queries of its key. None if it
+    /// need not wait.
     pub(crate) fn waits_for_key_until(&self, now: Micros, query: &ActiveQuery) -> Option<Micros> {
         if !self.class_of(query).ordered_by_key || !query.attempts.is_empty() {
             return None;
@@ -130,7 +132,7 @@
         (queue.cooldown_until > now).then_some(queue.cooldown_until.min(deadline))
     }
 
-    /// Counts the outcome of an attempt whose query met errors before.
+    /// Counts the outcome of an attempt whose query returned errors before.
     pub(crate) fn count_query_errors(&mut self, outcome: Outcome, errors: usize) {
         match outcome {
             Outcome::Served if errors > 0 => self.query_errors.recovered += 1.0,
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Notes an update of an attempt, and when its engine was last heard.
+    /// Records an update of an attempt and the time at which its engine was last heard.
     pub(crate) fn handle_update(&mut self, now: Micros, id: QueryId, n: usize, update: AttemptUpdate) {
         let Some(query) = self.queries.get_mut(&id) else { return };
         let Some(attempt) = query.attempts.get_mut(n) else { return };
@@ -156,7 +158,8 @@
         }
     }
 
-    /// A fresh attempt no better: the query itself is expensive; where that is the rule nothing is sent again.
+    /// Corrects the work estimate of a query whose retry was no faster: the query is expensive, its plan was
+    /// not bad. Where this is frequent for a class, its queries are no longer retried for bad plans.
     pub(crate) fn correct_estimate(&mut self, id: QueryId, work: f64) {
         if let Some(query) = self.queries.get_mut(&id) {
             query.work = work;
--- a/crates/core/src/policy/admission.rs
+++ b/crates/core/src/policy/admission.rs
@@ -1,32 +1,41 @@
-//! Admission and routing: which engine a query is drawn to, by capacity over load, and whether it fits there.
+//! Admission and routing: selects an engine for each query by its free capacity and checks that the
+//! query fits its limits.
 
 use super::{PERIOD, PROBE_ROUND_TOKEN};
 use crate::gateway::Gateway;
 use crate::interface::*;
 use crate::state::*;
 
-/// Where engines page, memory granted and so many times a query's own stay below this: small ones go last.
+/// Limit on an engine's memory load where engines page when short of memory. A query is admitted only if
+/// the load plus `MEMORY_RESERVE_FACTOR` times its own need stays within it, so that small queries are
+/// still admitted when memory is nearly used up.
 pub(crate) const MAX_MEMORY_LOAD: f64 = 1.25;
 const MEMORY_RESERVE_FACTOR: f64 = 2.0;
-/// How old shared reports are, in periods, by the time that others have acted on them.
+/// Age of a shared load report, in periods, by the time other gateways have acted on it.
 const REPORT_LAG_PERIODS: f64 = 0.5;
-/// The preference of the draw for engines that have read a query's tables lately.
+/// Factor on the selection weight of an engine that has recently read the tables of the query.
 const RECENT_TABLES_WEIGHT: f64 = 3.0;
-/// So many groups of tables are remembered of each engine.
+/// Number of recently read table groups remembered for each engine.
 const MAX_RECENT_TABLES: usize = 4;
-/// Of the time after which engines close an idle connection, so much is relied on: we close ours before.
+/// Fraction of the engines' idle timeout during which an idle connection is taken to be open. A
+/// connection that was idle for longer is treated as closed, because the engine may close it at any
+/// moment.
 const RELIABLE_IDLE_FRACTION: f64 = 0.5;
-/// An engine has headroom up to this many threads a core.
+/// Load in threads per core up to which an engine has headroom.
 const HEADROOM_LOAD: f64 = 1.25;
-/// Of many gateways so many at a time try an engine that was ejected.
+/// Number of gateways that may send queries to a half-open engine at the same time, where many gateways
+/// share it.
 const HALF_OPEN_GATEWAYS: f64 = 4.0;
-/// Of the sum of many small limits so much is used, as the fullest engine jams; more if queries can wait.
+/// Fraction of the sum of all work limits that is used at low share (see
+/// [`FleetConditions::low_share`]). The limits are pooled there, and using all of them would overload
+/// the fullest engine; where engines queue queries that are short of memory, a larger fraction is safe.
 const POOLED_LIMIT_FRACTION: f64 = 0.15;
 const POOLED_LIMIT_FRACTION_IF_QUEUED: f64 = 0.3;
-/// Of all draws, engines not overloaded take so many times the square of their part of the capacity: all
-/// while few are overloaded, hardly any when most are.
+/// The fraction of queries that are exempt from the work limits at low share is this factor times the
+/// square of the fraction of the capacity that is not overloaded: all queries while few engines are
+/// overloaded, almost none when most are.
 const LIMIT_EXEMPT_FACTOR: f64 = 1.5;
-/// A price of one stands for so many times the weight.
+/// A price of 1 divides the selection weight of an engine by 1 plus this factor.
 const PRICE_WEIGHT: f64 = 100.0;
 
 impl Gateway {
@@ -48,7 +57,8 @@
         self.admit(now, id, out);
     }
 
-    /// Sends a query to an engine drawn among those it fits, or answers it at once.
+    /// Sends a query to a selected engine that it fits, or else answers it at once. A query that has to
+    /// wait for its key is held instead.
     pub(crate) fn admit(&mut self, now: Micros, id: QueryId, out: &mut Vec<Action>) {
         let in_time = self.queries.get(&id).filter(|query| now < query.query.deadline);
         if let Some(at) = in_time.and_then(|query| self.waits_for_key_until(now, query)) {
@@ -61,7 +71,9 @@
         }
     }
 
-    /// d(t) + n <= d_t(k), asked only under overload, and never of the only query we have there.
+    /// Whether a query fits the work limit of an engine: d(t) + n <= d_t(k) in the notation of the
+    /// paper. The limit applies only while the engine is overloaded, and never to the only query that
+    /// this gateway has there.
     pub(crate) fn fits_work_limit(&self, now: Micros, query: &ActiveQuery, engine: &Engine) -> bool {
         let conditions = &self.conditions;
         let alone = engine.is_idle() && !conditions.low_share;
@@ -70,22 +82,25 @@
         }
         let exempt =
             !self.is_overloaded(engine, now) && conditions.random_value < conditions.limit_exempt_fraction;
-        // Guards against each gateway putting a query on each engine: the limits are one and admit by draw.
+        // Prevents every gateway from placing one query on every engine when there are many gateways: at
+        // low share the limits are pooled, and a random value decides which queries the pool admits.
         let pooled =
             conditions.low_share && conditions.random_value * query.work <= conditions.limit_headroom;
         let below_limit = engine.in_flight.work + query.work <= engine.work_limit.limit;
         exempt || pooled || alone || (!conditions.low_share && below_limit)
     }
 
-    /// Where a short engine pages, one query too many slows all that run there, and the limit on work is
-    /// blind to memory. It may hurt where memory is granted but not used.
+    /// Whether the memory of an engine has room for a query. On an engine that pages, one query too many
+    /// slows down all others, and the work limit does not account for memory. Where memory is granted
+    /// but not used, this check rejects more than necessary.
     fn fits_memory(&self, now: Micros, query: &ActiveQuery, engine: &Engine) -> bool {
         let sent_since = self.herd_correction() * engine.latest_load.memory_sent_since;
         let wanted = sent_since + MEMORY_RESERVE_FACTOR * self.memory_share(query, engine);
         self.memory_load(engine, now) + wanted <= MAX_MEMORY_LOAD
     }
 
-    /// Draws an engine for a query: among those that are trusted and fit; else among the ejected ones.
+    /// Selects an engine for a query by weighted random selection among the engines that are not ejected
+    /// and that it fits. Only if all engines are ejected does it select among those.
     pub(crate) fn select_engine(&mut self, now: Micros, id: QueryId) -> Option<EngineId> {
         self.selections.this_period += 1.0;
         self.assess_fleet(now);
@@ -97,7 +112,8 @@
             }
             let is_ejected = self.is_ejected(now, engine);
             any_trusted |= !is_ejected;
-            // With every engine ejected, each still gets one query at a time: another is no cure.
+            // When every engine is ejected, no other engine is better, so each one gets one query at a
+            // time.
             let fits = if is_ejected { engine.is_idle() } else { self.fits_work_limit(now, query, engine) };
             if fits {
                 let list = if is_ejected { &mut ejected } else { &mut trusted };
@@ -114,15 +130,19 @@
         selected.or(weights.last()).map(|(engine, _)| *engine)
     }
 
-    /// Whether an engine is ejected, or on trial with its one query sent or not our turn to send it.
+    /// Whether an engine is ejected, or is half-open and this gateway may not send it a query now:
+    /// either it sent one within this period, or it is the turn of other gateways.
     fn is_ejected(&self, now: Micros, engine: &Engine) -> bool {
-        // Guards against many gateways all trying an engine that fails: of these each waits its turn.
+        // With many gateways, only a few at a time may try a failing engine, so that they do not all
+        // send to it at once.
         let waits = self.conditions.low_share && !self.owns_slot(engine, now, HALF_OPEN_GATEWAYS);
         let trial_sent = now - engine.connections.last_sent_at < PERIOD;
         engine.outlier.ejected_until > now || (engine.outlier.half_open && (waits || trial_sent))
     }
 
-    /// Assesses what a query is weighed by beyond its engine: the draw, the sum of all limits, all headroom.
+    /// Updates the conditions that apply to all engines: whether this gateway's share is low, the pooled
+    /// headroom of the work limits, the fraction of queries exempt from the limits, and the random value
+    /// of this query.
     fn assess_fleet(&mut self, now: Micros) {
         let heaviest_work = self.classes.iter().map(|class| class.work / class.count).fold(0.0, f64::max);
         let low_share = self.engines_up().any(|engine| engine.work_limit.initial < heaviest_work);
@@ -130,7 +150,8 @@
         let pooled_fraction = if queues { POOLED_LIMIT_FRACTION_IF_QUEUED } else { POOLED_LIMIT_FRACTION };
         let limit_headroom =
             self.engines_up().map(|e| pooled_fraction * e.work_limit.limit - e.in_flight.work).sum();
-        // What comes meanwhile: what the engines can end or, in a storm of retries, our draws everywhere.
+        // Threads expected to arrive during the report lag: as many as the engines can complete or, if
+        // retries multiply the arrivals, the selections of all gateways.
         let completing_threads =
             self.completions.threads * self.engines_up().map(|engine| engine.cores).sum::<f64>();
         let expected_threads = completing_threads
@@ -155,7 +176,8 @@
         };
     }
 
-    /// The fraction of draws that engines take that are neither full nor overloaded.
+    /// The fraction of queries that are exempt from the work limits, from the fraction of the capacity
+    /// whose engines are neither overloaded nor in backoff.
     fn limit_exempt_fraction(&self, now: Micros) -> f64 {
         let capacity = |sum: f64, e: &Engine| sum + e.cores * self.warmup_fraction(e, now);
         let is_available =
@@ -165,15 +187,18 @@
         LIMIT_EXEMPT_FACTOR * available_fraction * available_fraction
     }
 
-    /// Threads a core that an engine has headroom for while reports are acted on: what is free, and what ends
-    /// then. Guards against synchronised choices where many gateways share reports: they draw by headroom,
-    /// and where all of it is less than what comes, the rest of the draws must fit the limit.
+    /// Headroom of an engine in threads per core: its unused capacity plus what completes during the
+    /// report lag. Gateways that share load reports select engines by this headroom, so that they do not
+    /// all choose the same idle engine; if all headroom is less than the expected arrivals, the
+    /// remaining queries have to fit the work limits.
     fn headroom(&self, engine: &Engine, now: Micros) -> f64 {
         let load = self.estimated_load(engine, now);
         (HEADROOM_LOAD - load + load.min(1.0) * self.completions.threads).max(0.0)
     }
 
-    /// The weight in the draw: capacity over load, preferring the own zone and engines that read its tables.
+    /// Weight of an engine in the selection: its capacity, reduced by load, slowdown and failures.
+    /// Engines in the gateway's own zone and engines that recently read the query's tables get a larger
+    /// weight.
     fn selection_weight(&self, now: Micros, query: &ActiveQuery, engine: &Engine) -> f64 {
         let warmup = self.warmup_fraction(engine, now);
         let capacity = engine.cores * warmup;
@@ -187,8 +212,9 @@
         if self.settings.zone.is_some_and(|zone| zone != engine.entry.zone) {
             weight /= 1.0 + PRICE_WEIGHT * self.settings.cross_zone_price;
         }
-        // Guards against a handshake for each query where many gateways see little traffic each: all pay for
-        // it, and engines busy with it are late. In slow start none can be idle yet: these must not starve.
+        // Avoids a handshake for every query where many gateways send little traffic each: handshakes
+        // have a cost, and they delay queries on busy engines. An engine in slow start has no idle
+        // connections yet, so it is not penalized; otherwise it would get no queries.
         if slow_start.is_none() && !self.has_idle_connection(engine, now) {
             weight /= 1.0 + PRICE_WEIGHT * self.settings.handshake_price;
         }
@@ -198,19 +224,20 @@
         weight.max(1e-9)
     }
 
-    /// Whether we have an idle connection to an engine: more attempts were in flight lately than are now.
+    /// Whether this gateway has an idle connection to an engine: fewer attempts are in flight than there
+    /// are open connections.
     fn has_idle_connection(&self, engine: &Engine, now: Micros) -> bool {
         engine.in_flight.attempts.len() < engine.connections.peak_open
             && !self.connections_expired(engine, now)
     }
 
-    /// Whether all our connections to an engine have been closed, as none was used for too long.
+    /// Whether all connections to an engine have been idle for too long and are taken to be closed.
     pub(crate) fn connections_expired(&self, engine: &Engine, now: Micros) -> bool {
         let idle = (now - engine.connections.last_sent_at).as_secs_f64();
         idle > RELIABLE_IDLE_FRACTION * self.settings.connection_idle_timeout.as_secs_f64()
     }
 
-    /// What ends on a busy core before the others have acted on a report, by the classes' estimates.
+    /// Estimates, from the work of the classes, how much completes on a busy core during the report lag.
     pub(crate) fn estimate_completions(&mut self) {
         let all = ClassEstimates::total(&self.settings.classes, &self.classes);
         self.completions.threads =
--- a/crates/core/src/policy/endpoint_list.rs
+++ b/crates/core/src/policy/endpoint_list.rs
@@ -1,11 +1,11 @@
-//! The endpoint list: which engines there are, and which of them started recently.
+//! The endpoint list: which engines exist, and which of them started recently.
 
 use super::{fuzzy, TICKS_PER_PERIOD};
 use crate::gateway::Gateway;
 use crate::interface::*;
 use crate::state::Engine;
 
-/// The backoff between subscriptions that fail grows until so many have failed in a row.
+/// Number of consecutive failed subscriptions after which the backoff stops doubling.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
 impl Gateway {
@@ -31,7 +31,8 @@
             .or_insert_with(|| Engine::new(entry.clone(), cores, memory_mb, limit));
         let is_up_again = !engine.is_up() && entry.status == Status::Up;
         let restarted = entry.started_at.is_some() && entry.started_at != engine.entry.started_at;
-        // Guards against a stale list: an engine that comes up without a start time has just started.
+        // The list may be out of date about start times: an engine that is new in the list or up again
+        // without a start time is treated as having just started.
         if restarted || (is_new && received_before) || is_up_again {
             let started_at = entry.started_at.unwrap_or(now);
             engine.reset_for_new_process(engine.slow_start.started_at.max(Some(started_at)), now);
@@ -39,7 +40,8 @@
             engine.slow_start.started_at = entry.started_at;
         }
         if entry.kind != engine.entry.kind {
-            // Grown or shrunk in place: what was found out of it holds for each core.
+            // The engine was resized in place. Its work limit is scaled, since what was learned applies
+            // to each core.
             engine.work_limit.limit *= cores / engine.cores;
             engine.work_limit.initial = limit;
             (engine.cores, engine.memory_mb) = (cores, memory_mb);
@@ -47,7 +49,7 @@
         engine.entry = entry;
     }
 
-    /// The list could not be had: backs off, each time for longer.
+    /// Schedules the next subscription after a failure, with exponential backoff.
     pub(crate) fn schedule_subscription(&mut self) {
         self.endpoint_list.failures += 1;
         let periods = 1 << self.endpoint_list.failures.min(MAX_BACKOFF_DOUBLINGS);
--- a/crates/core/src/policy/health.rs
+++ b/crates/core/src/policy/health.rs
@@ -1,4 +1,5 @@
-//! Health: attempts and engines reviewed at each tick, probes, ejected outliers, backoff from full engines.
+//! Health: the review of attempts and engines at each tick, probes, ejection of outliers and backoff from
+//! full engines.
 
 use super::{admission::MAX_MEMORY_LOAD, EWMA_WEIGHT, PERIOD, PROBE_ROUND_TOKEN};
 use super::{TICKS_PER_PERIOD, TICK_INTERVAL, TICK_TOKEN};
@@ -6,26 +7,27 @@
 use crate::interface::*;
 use crate::state::*;
 
-/// Rounds of probes a period, by all gateways together, and what they may cost at most, in points of service.
+/// Probe rounds per period by all gateways together, and their maximum cost in points of the service score.
 const PROBE_ROUNDS_PER_PERIOD: f64 = 4.0;
 const MAX_PROBE_COST: f64 = 0.01;
-/// A round of probes is shared with the others after this.
+/// Time after its start at which the reports of a probe round are shared with the other gateways.
 pub(crate) const PROBE_ROUND_DURATION: Micros = Micros(PERIOD.0 / 40);
-/// What a report on an engine takes in a message, in kilobytes.
+/// Size of one engine's report in a message, in kilobytes.
 const REPORT_SIZE_KB: f64 = 5.0 / 1024.0;
-/// Of a run time predicted from progress, so much is relied on: early progress is rough.
+/// Fraction of a run time projected from progress that is relied on. Early progress is inaccurate.
 const PROGRESS_DISCOUNT: f64 = 0.6;
-/// An attempt that by its own pace takes this many times its estimate has a bad plan.
+/// An attempt whose projected run time is this multiple of the estimate has a bad plan.
 const BAD_PLAN_FACTOR: f64 = 7.0;
-/// First and longest backoff from a full engine, in sixteenths of a period; then for a share below one query.
+/// First and longest backoff from a full engine in sixteenths of a period. The second pair applies at low
+/// share (see `FleetConditions::low_share`).
 const FULL_BACKOFFS: (i64, i64) = (1, 16);
 const FULL_BACKOFFS_AT_LOW_SHARE: (i64, i64) = (16, 64);
-/// A restart breaks all connections within this time.
+/// Time within which a restart breaks all connections of an engine.
 const RESTART_BREAK_WINDOW: Micros = Micros(PERIOD.0 / 20);
-/// Failure rate at which an engine is ejected, less a margin for rounding.
+/// Failure rate at which an engine is ejected. The margin allows for rounding.
 pub(crate) const EJECTION_RATE: f64 = 0.3;
 const EJECTION_MARGIN: f64 = 0.99;
-/// The longest that an engine is ejected at once, in periods.
+/// Longest single ejection, in periods.
 const MAX_EJECTION_PERIODS: u32 = 8;
 
 impl Gateway {
@@ -63,8 +65,9 @@
         self.engines.values_mut().for_each(|engine| engine.slow_start.sends.retain(|(at, _)| *at >= from));
     }
 
-    /// Where our share of an engine is below one query, a period brings it too few samples of ours: there
-    /// the delays of all overloaded engines make one error, and silence with work in flight is not ease.
+    /// Updates the work limits at the end of a period. At low share a single engine yields too few samples,
+    /// so the delays of all overloaded engines are pooled, and a period without samples is not taken for
+    /// idle while attempts are in flight.
     fn update_work_limits(&mut self) {
         let (mut delays, mut sampled, mut in_flight) = (0.0, 0.0, 0);
         let low_share = self.conditions.low_share;
@@ -83,8 +86,9 @@
         }
     }
 
-    /// Where reports come by probe alone, gateways drawn at random probe every engine and share the reports.
-    /// Guards against late reports and many gateways paying for the same ones. It hurts if messages are lost.
+    /// Where load reports come only by probe, a random gateway probes all engines and shares the reports.
+    /// Reports stay fresh that way, and their cost is not paid by every gateway. Less effective if messages
+    /// are lost.
     fn start_probe_round(&mut self, out: &mut Vec<Action>) {
         let s = &self.settings;
         let (probing_gateways, message_cost) = match s.peer_messages {
@@ -104,10 +108,10 @@
         }
     }
 
-    /// Reviews all that is in flight. An engine whose attempts send no update hangs: it is ejected, its work
-    /// sent anew, as is an attempt that alone sends none. A bad plan is outrun by a fresh attempt; under
-    /// overload what ends too late is given up. It holds against whatever makes work slow; it hurts where the
-    /// progress reported is far off.
+    /// Reviews all attempts in flight. An engine that sends no updates hangs: it is ejected and its attempts
+    /// are cancelled for retry, as is a single attempt without updates. An attempt with a bad plan is
+    /// retried. On an overloaded engine, attempts that would end too late to have value are given up. This
+    /// works whatever slows the work; it errs if reported progress is far off.
     fn review_attempts(&mut self, now: Micros, out: &mut Vec<Action>) {
         let mut hung = Vec::new();
         let mut verdicts = Vec::new();
@@ -147,7 +151,7 @@
         engine.outlier.ejected_until = engine.outlier.ejected_until.max(now + PERIOD);
     }
 
-    /// How long an attempt or engine may send nothing.
+    /// How long an attempt or engine may go without an update.
     fn update_timeout(&self) -> Micros {
         let interval = self.settings.progress_interval.0;
         Micros(if interval == 0 { i64::MAX } else { interval * 3 / 2 + PERIOD.0 / 4 })
@@ -186,7 +190,8 @@
         let estimates = &self.classes[query.query.class];
         let may_retry = self.may_retry(now, query);
         let curable = may_retry && estimates.replans_failed <= estimates.replans_succeeded + 1;
-        // Guards against answers that get lost, one by one: their engine sends updates of all else.
+        // Detects a lost answer: the engine keeps sending updates of other attempts, but none of this
+        // one.
         let lost = review.engine.connections.last_heard_at - attempt.last_update_at > self.update_timeout();
         let deadline = query.query.deadline;
         if (review.silent || lost) && may_retry {
@@ -200,7 +205,7 @@
         }
         let objective_stretch = Micros::from_secs_f64(class.latency_objective_stretch * run_time);
         let objective_ends_at = query.attempts[0].sent_at + class.latency_objective + objective_stretch;
-        // What is late on a paging engine keeps all others late.
+        // On a paging engine, late work slows down all other work.
         let late_has_value = class.late_value_fraction > 0.0 && !review.paging;
         let value_ends_at = if late_has_value { deadline } else { objective_ends_at.min(deadline) };
         let ends_at = now.max(attempt.sent_at + Micros::from_secs_f64(projected_time * PROGRESS_DISCOUNT));
@@ -208,7 +213,7 @@
         too_late.then_some(AttemptVerdict::TooLate)
     }
 
-    /// The mean failure rate of all other engines that take work.
+    /// The mean failure rate of all other engines that are up.
     pub(crate) fn common_failure_rate(&self, except: EngineId) -> f64 {
         let others = self.engines_up().filter(|engine| engine.entry.engine != except);
         let sum = |(sum, count): (f64, f64), e: &Engine| (sum + e.outlier.failure_rate, count + 1.0);
@@ -216,7 +221,8 @@
         sum / f64::max(count, 1.0)
     }
 
-    /// With few samples old failures fade, and a trial that did not fail in two periods is over.
+    /// At low share there are few samples: failure rates decay over time, and a half-open engine that had no
+    /// failure for two periods is no longer half-open.
     pub(crate) fn decay_failure_rates(&mut self, now: Micros) {
         if !self.conditions.low_share {
             return;
@@ -238,8 +244,8 @@
         }
     }
 
-    /// Guards against the storm on a full engine, which looks free and answers at once: each new rejection
-    /// doubles the backoff. Holds against any quick rejection; it may hurt one briefly full.
+    /// Starts a backoff, which doubles with each new rejection. A full engine answers at once and so looks
+    /// free; without backoff it would attract ever more queries. Too cautious if it was full only briefly.
     pub(crate) fn record_full(&mut self, now: Micros, low_share: bool) {
         if self.full_backoff.until <= now {
             let (first, longest) = if low_share { FULL_BACKOFFS_AT_LOW_SHARE } else { FULL_BACKOFFS };
@@ -248,7 +254,8 @@
         }
     }
 
-    /// A dead process comes back in slow start, and the endpoint list says so late.
+    /// Records that the process of the engine died. The restarted process is in slow start, and the
+    /// endpoint list reports that late.
     pub(crate) fn record_restart(&mut self, now: Micros) {
         self.record_failure(now, EJECTION_RATE, 0.0);
         self.slow_start.started_at = Some(now);
@@ -256,7 +263,8 @@
         self.recent_tables.clear();
     }
 
-    /// Guards against taking broken connections for dead engines: a restart breaks all of ours at once.
+    /// Records a broken connection. A restart breaks all connections of a gateway at once; a single broken
+    /// connection does not mean that the engine died.
     pub(crate) fn record_break(&mut self, now: Micros, common: f64) {
         let is_consecutive = now - self.connection_breaks.last_at <= RESTART_BREAK_WINDOW;
         self.connection_breaks.consecutive =
@@ -269,9 +277,10 @@
         }
     }
 
-    /// Counts a failure; past the limit the engine is ejected, each time longer, then tried with one query.
-    /// Guards against ejecting engines for what all of them share, such as a network that breaks
-    /// connections: the limit is above what is common. It may hurt where most engines fail, but not all.
+    /// Records a failure. Above the threshold the engine is ejected, each time for longer, and then
+    /// half-open. The threshold is raised by the mean rate of the other engines, so that failures common to
+    /// all (such as a network that breaks connections) eject none. It reacts too late where most engines
+    /// fail, but not all.
     pub(crate) fn record_failure(&mut self, now: Micros, weight: f64, common: f64) {
         let outlier = &mut self.outlier;
         outlier.failure_rate += weight * (1.0 - outlier.failure_rate);
--- a/crates/core/src/policy/retries.rs
+++ b/crates/core/src/policy/retries.rs
@@ -1,4 +1,5 @@
-//! Retries and their budget, what is learned from the end of an attempt, and giving up on a query.
+//! Retries and the retry budget, the handling of ended attempts, and the final answer to queries that
+//! are given up.
 
 use super::{fuzzy::TIMEOUT_DELAY, EWMA_WEIGHT, PERIOD};
 use crate::gateway::Gateway;
@@ -6,11 +7,12 @@
 use crate::lifecycle::EndedAttempt;
 use crate::state::*;
 
-/// With so many more errors of late that no other engine cured than were cured, errors are the queries' own.
+/// Errors are attributed to the queries once repeated errors exceed errors that another engine recovered
+/// by this number.
 const REPEATED_ERRORS_MARGIN: f64 = 2.0;
 
 impl Gateway {
-    /// Whether what may have run can be sent again: the class, its attempts and the budget allow it.
+    /// Whether a query may be sent again although an earlier attempt may have run.
     pub(crate) fn may_retry(&self, now: Micros, query: &ActiveQuery) -> bool {
         let idempotent = self.class_of(query).semantics == ExecutionSemantics::Idempotent;
         self.attempts_left(query) > 0 && idempotent && self.retry_budget_left(now)
@@ -23,7 +25,7 @@
         }
     }
 
-    /// Whether the budget allows one more retry.
+    /// Whether the retry budget allows another retry.
     pub(crate) fn retry_budget_left(&self, now: Micros) -> bool {
         self.settings.retry_budget.is_none_or(|budget| {
             let (arrivals, retries) = self.retry_window.since(now - budget.window);
@@ -31,7 +33,7 @@
         })
     }
 
-    /// Errors of late were met wherever their queries went.
+    /// Whether recent errors are caused by queries: their retries on other engines failed as well.
     pub(crate) fn queries_cause_errors(&self) -> bool {
         self.query_errors.repeated > self.query_errors.recovered + REPEATED_ERRORS_MARGIN
     }
@@ -55,7 +57,7 @@
         self.remove_if_done(now, end.query, out);
     }
 
-    /// Releases an attempt's reservation at its engine, and counts its outcome there.
+    /// Releases the reservation of an ended attempt and records its outcome for the engine.
     fn update_engine(&mut self, now: Micros, end: &AttemptEnd, ended: &EndedAttempt) {
         let class = &self.settings.classes[ended.class];
         let served = end.outcome == Outcome::Served;
@@ -83,7 +85,8 @@
             }
             Outcome::Error if !ended.query_at_fault => engine.record_failure(now, EWMA_WEIGHT, common),
             Outcome::ConnectFailed => engine.record_restart(now),
-            // Guards against taking engines for restarted where connects are late: what is dead refuses.
+            // A dead process refuses connections, so a late connection does not mean that the engine
+            // restarted.
             Outcome::ConnectTimedOut => engine.record_failure(now, EWMA_WEIGHT, common),
             Outcome::Reset => engine.record_break(now, common),
             Outcome::Full => engine.record_full(now, self.conditions.low_share),
@@ -91,7 +94,8 @@
         }
     }
 
-    /// Final answer to a query that is given up, at once: rejected where that is true, else failed.
+    /// Sends the final answer to a query that is given up: a rejection if the client may safely retry
+    /// it, else a failure. Cancels its attempts in flight.
     pub(crate) fn reject_or_fail(&mut self, now: Micros, id: QueryId, out: &mut Vec<Action>) {
         let queries_cause_errors = self.queries_cause_errors();
         let Some(query) = self.queries.get_mut(&id).filter(|query| !query.finished) else { return };
@@ -112,7 +116,8 @@
         self.cancel_attempts(now, id, out);
     }
 
-    /// The more queries are rejected, the later their clients should come back; a period at most.
+    /// Advice on when to retry. It grows with the fraction of queries that are rejected, up to one
+    /// period.
     fn retry_after(&self) -> Micros {
         let rejected = self.admission.rejections / self.admission.arrivals.max(1.0);
         let fraction = self.admission.last_rejected_fraction.max(rejected).min(1.0);
--- a/crates/core/src/policy/sending.rs
+++ b/crates/core/src/policy/sending.rs
@@ -1,28 +1,31 @@
-//! Sending: every rule about what may go to which engine is checked here.
+//! Sending: checks every rule about which query may be sent to which engine.
 
 use crate::gateway::Gateway;
 use crate::interface::*;
 use crate::state::*;
 
-/// The highest priority, and the ratio of value densities between neighbouring ones.
+/// The highest priority, and the ratio of value densities (value per thread-second) between two
+/// neighbouring priorities.
 const HIGHEST_PRIORITY: f64 = 3.0;
 const PRIORITY_STEP: f64 = 4.0;
 
 impl Gateway {
-    /// Whether the rules let this query go to this engine now.
+    /// Whether all rules allow sending this query to this engine now.
     pub(crate) fn may_send(&self, now: Micros, query: &ActiveQuery, engine: &Engine) -> bool {
-        // Rule 1: nothing after the end. Rule 3: drained and gone engines get nothing, grace or not.
+        // Rule 1: nothing is sent after the final answer or the deadline.
+        // Rule 3: an engine that drains or is removed gets no new queries, even during its drain grace
+        // period.
         if query.finished || now >= query.query.deadline || !engine.is_up() {
             return false;
         }
-        // Rule 6: placement.
+        // Rule 6: a query stays in the zones and on the kinds of machine that its class permits.
         let class = self.class_of(query);
         let allows = |list: &[usize], place: usize| list.is_empty() || list.contains(&place);
         let placed = allows(&class.zones, engine.entry.zone) && allows(&class.kinds, engine.entry.kind);
         if class.no_engine_permitted || !placed {
             return false;
         }
-        // Rule 2: what may run twice, and hedged requests.
+        // Rule 2: execution semantics, maximum attempts and hedged requests.
         let hedges = self.settings.hedged_requests && class.semantics == ExecutionSemantics::Idempotent;
         if self.attempts_left(query) == 0 || (query.in_flight() > 0 && !hedges) {
             return false;
@@ -35,11 +38,11 @@
         if self.waits_for_key_until(now, query).is_some() || (is_retry && !self.retry_budget_left(now)) {
             return false;
         }
-        // Rule 4: slow start.
+        // Rule 4: the slow-start budget.
         self.fits_slow_start(now, query, engine)
     }
 
-    /// Whether a query may run at an engine although these attempts of it were made.
+    /// Whether a query may run on an engine after these earlier attempts.
     fn may_run_again(&self, now: Micros, query: &ActiveQuery, earlier: &[Attempt], to: &EngineEntry) -> bool {
         let class = self.class_of(query);
         let Some(ran) = earlier.iter().find(|attempt| attempt.may_have_run()) else { return true };
@@ -55,7 +58,8 @@
         }
     }
 
-    /// Whether an attempt that was sent may still be written: it may have waited for a connection.
+    /// Whether an attempt that was sent may still be written to its engine. It may have waited for a
+    /// connection for so long that a repeated run is no longer deduplicated.
     pub fn may_still_write(&self, now: Micros, id: QueryId, attempt: usize) -> bool {
         let Some(query) = self.queries.get(&id) else { return true };
         let Some(this) = query.attempts.get(attempt) else { return true };
@@ -63,7 +67,8 @@
         entry.is_none_or(|entry| self.may_run_again(now, query, &query.attempts[..attempt], entry))
     }
 
-    /// The only way to send. False if the rules forbid it.
+    /// Sends an attempt of a query. All attempts are sent by this function. Returns false if a rule
+    /// forbids it.
     pub(crate) fn send(&mut self, now: Micros, id: QueryId, to: EngineId, out: &mut Vec<Action>) -> bool {
         let (Some(query), Some(engine)) = (self.queries.get(&id), self.engines.get(&to)) else {
             return false;
@@ -89,8 +94,10 @@
         true
     }
 
-    /// Without progress reports a hang shows only in time: half the time left, then another engine. Not
-    /// where nothing can be cancelled: what timed out runs on beside its retry, and engines jam.
+    /// The timeout of an attempt; zero means the client's deadline. Without progress updates only a
+    /// timeout reveals a hang, so the attempt gets half of the remaining time and the rest is left for a
+    /// retry. This does not apply where attempts can't be cancelled: the timed-out attempt would keep
+    /// running beside its retry and overload the engines.
     fn attempt_timeout(&self, now: Micros, query: &ActiveQuery) -> Micros {
         let s = &self.settings;
         let retryable = self.class_of(query).semantics == ExecutionSemantics::Idempotent;
@@ -99,7 +106,8 @@
         Micros(if detects_hang_by_timeout { (query.query.deadline - now).0 / 2 } else { 0 })
     }
 
-    /// Priority by value for each thread-second: short work first, it takes little from the long.
+    /// Priority by value per thread-second. Short queries come first, since they delay long ones very
+    /// little.
     fn priority_of(&self, query: &ActiveQuery) -> u8 {
         let all = ClassEstimates::total(&self.settings.classes, &self.classes);
         let density = self.class_of(query).value / query.work.max(1e-3);
--- a/crates/core/src/policy/slow_start.rs
+++ b/crates/core/src/policy/slow_start.rs
@@ -1,18 +1,19 @@
-//! Slow start: what an engine whose process started recently gets, from all gateways together.
+//! Slow start: limits what an engine whose process started recently gets from all gateways together.
 
 use crate::gateway::Gateway;
 use crate::interface::{Micros, QueryId, SlowStartShare};
 use crate::state::*;
 
-/// Spreads the time slots of gateways at an engine over their numbers.
+/// Multiplier of the hash that selects the first gateway with a time slot at an engine.
 const SLOT_HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
-/// With more gateways than this an engine in slow start is shared by time slots, not evenly.
+/// With more gateways than this, the budget of an engine in slow start is divided into time slots
+/// instead of even shares.
 const MAX_GATEWAYS_FOR_EVEN_SHARES: f64 = 8.0;
-/// So much of what an engine bears is used.
+/// Fraction of an engine's estimated slow-start capacity that is used.
 const USABLE_FRACTION: f64 = 0.9;
 
 impl Gateway {
-    /// The fraction of its capacity that an engine surely has.
+    /// The fraction of its capacity that an engine is certain to have.
     pub(crate) fn warmup_fraction(&self, engine: &Engine, now: Micros) -> f64 {
         let duration = self.settings.slow_start_duration.as_secs_f64().max(1e-3);
         let age = engine.slow_start.started_at.map(|started| (now - started).as_secs_f64() / duration);
@@ -21,8 +22,9 @@
             .map_or(1.0, |age| initial_fraction + (1.0 - initial_fraction) * 0.5 * age.max(0.0))
     }
 
-    /// Our budget at an engine in slow start: equal shares or, below one query, time slots of a window with
-    /// half the budget, as any window may touch two.
+    /// This gateway's budget at an engine in slow start. The budget is divided evenly; if a share would
+    /// be below one query, it is divided into time slots. With time slots half of the budget is used,
+    /// because a window of the engine's overload limit may overlap two slots.
     pub(crate) fn slow_start_budget(&self, now: Micros, engine: &Engine) -> Option<SlowStartBudget> {
         let s = &self.settings;
         let warmup = self.warmup_fraction(engine, now);
@@ -51,7 +53,7 @@
         })
     }
 
-    /// Whether the slow-start budget of an engine allows this query; always, where it is not in slow start.
+    /// Whether a query fits the slow-start budget of an engine. True if the engine is not in slow start.
     pub(crate) fn fits_slow_start(&self, now: Micros, query: &ActiveQuery, engine: &Engine) -> bool {
         let Some(budget) = self.slow_start_budget(now, engine) else { return true };
         let from = now - self.settings.overload_window;
@@ -61,8 +63,10 @@
         sent + work <= budget.work
     }
 
-    /// What an attempt that was sent counts for at its engine, and our budget there now; none if the engine
-    /// is not in slow start, or is shared by time slots: half of the budget leaves room for what comes late.
+    /// What a sent attempt counts for at its engine, and this gateway's current budget there. None if
+    /// the engine is not in slow start or its budget is divided into time slots, where the unused half
+    /// of the budget leaves room for late writes.
+    ///
     /// For adapters that write an attempt some time after it was sent.
     pub fn slow_start_share(&self, now: Micros, id: QueryId, attempt: usize) -> Option<SlowStartShare> {
         let query = self.queries.get(&id)?;
@@ -72,7 +76,8 @@
         Some(SlowStartShare { work, budget })
     }
 
-    /// Whether it is our time slot at an engine: in each window so many gateways have theirs, by their index.
+    /// Whether this gateway has a time slot at an engine now. In each window `owners` gateways have one;
+    /// their indexes are consecutive and start at a hash of the window and the engine.
     pub(crate) fn owns_slot(&self, engine: &Engine, now: Micros, owners: f64) -> bool {
         let window = self.settings.overload_window.0.max(1);
         let slot = ((now.0 / window) as u64).wrapping_add(engine.entry.engine.0);
--- a/crates/core/src/state/engine.rs
+++ b/crates/core/src/state/engine.rs
@@ -1,10 +1,10 @@
-//! What is known of one engine.
+//! The state that a gateway keeps for each engine.
 
 use crate::interface::*;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, VecDeque};
 
-/// One engine, grouped by concern.
+/// One engine, with its state grouped by concern.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Engine {
     pub entry: EngineEntry,
@@ -16,63 +16,63 @@
     pub slowdown: Slowdown,
     pub full_backoff: FullBackoff,
     pub connection_breaks: ConnectionBreaks,
-    /// It was overloaded at some tick of this period.
+    /// The engine was overloaded at some tick of the current period.
     pub was_overloaded: bool,
     pub outlier: OutlierState,
     pub connections: ConnectionUse,
     pub slow_start: SlowStart,
-    /// Groups of tables that it read last, the newest first.
+    /// Identifiers of the table groups that its queries read most recently, newest first.
     pub recent_tables: VecDeque<u64>,
 }
 
-/// The limit on our work in flight at an engine, which the fuzzy controller moves.
+/// The limit on the work that this gateway has in flight at an engine. The fuzzy controller adjusts it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WorkLimit {
-    /// d_t, in thread-seconds.
+    /// The current limit in thread-seconds (d_t in the paper).
     pub limit: f64,
-    /// Where it starts, and returns to while nothing is sampled.
+    /// The initial limit, to which it returns after periods without samples.
     pub initial: f64,
-    /// The delay error of the last period with samples.
+    /// The delay error of the last period that had samples.
     pub last_error: Option<f64>,
-    /// Delays of this period over their objectives, weighted by work.
+    /// Sum of the delays in the current period, as multiples of their objectives, weighted by work.
     pub delay_sum: f64,
-    /// The work that these delays are of.
+    /// Sum of the weights in `delay_sum`, in thread-seconds.
     pub sampled_work: f64,
 }
 
 impl WorkLimit {
-    /// Takes a delay, as a multiple of its latency objective, with the work it is weighted by.
+    /// Adds a delay, as a multiple of its latency objective, weighted by the work of the attempt.
     pub fn record_delay(&mut self, delay_in_objectives: f64, work: f64) {
         self.delay_sum += delay_in_objectives * work;
         self.sampled_work += work;
     }
 }
 
-/// Our attempts in flight at an engine.
+/// This gateway's attempts in flight at an engine.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct InFlight {
-    /// Their estimated work, in thread-seconds.
+    /// Sum of their estimated work, in thread-seconds.
     pub work: f64,
     pub threads: f64,
     pub attempts: BTreeSet<(QueryId, usize)>,
 }
 
-/// The latest load report, and what we sent since.
+/// The latest load report, and what this gateway sent since then.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct LatestLoad {
     pub report: LoadReport,
     pub received_at: Option<Micros>,
     pub threads_sent_since: f64,
-    /// Fraction of its memory that sends since the report want.
+    /// Estimated need of the queries sent since the report, as a fraction of the engine's memory.
     pub memory_sent_since: f64,
 }
 
-/// Measured run time over the estimated one.
+/// Measured run time divided by the estimated run time.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Slowdown {
-    /// Running mean.
+    /// Moving average.
     pub mean: f64,
-    /// The best that the mean has been.
+    /// Lowest value of the mean. It drifts upward while the mean is above it.
     pub best: f64,
 }
 
@@ -84,7 +84,7 @@
     pub factor: i64,
 }
 
-/// Attempts in a row whose connection broke.
+/// Consecutive attempts whose connection broke.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ConnectionBreaks {
     pub consecutive: u32,
@@ -98,15 +98,16 @@
     pub ejected_until: Micros,
     /// Length of the next ejection, in periods.
     pub ejection_periods: u32,
-    /// After an ejection it gets one query at a time until one succeeds.
+    /// The ejection is over, but no query has succeeded since: the engine gets one query at a time.
     pub half_open: bool,
 }
 
-/// How our connections to an engine were used.
+/// How this gateway's connections to an engine were used.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ConnectionUse {
     pub last_sent_at: Micros,
-    /// Most attempts in flight at once since our connections last broke or were idle for too long.
+    /// Maximum number of attempts in flight at once since the connections last broke or were closed as idle:
+    /// an estimate of the number of open connections.
     pub peak_open: usize,
     pub last_heard_at: Micros,
 }
@@ -115,19 +116,19 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SlowStart {
     pub started_at: Option<Micros>,
-    /// What was sent lately: when, and its work.
+    /// Recently sent attempts: the time, and the work of each.
     pub sends: VecDeque<(Micros, f64)>,
 }
 
 impl LoadReport {
-    /// Threads per core, as reported or estimated from the queries in flight.
+    /// Threads per core, as reported or estimated from the number of queries in flight.
     pub fn threads_per_core(&self, engine: &Engine) -> Option<f64> {
         self.utilisation.or(self.in_flight.map(|n| n * engine.mean_threads() / engine.cores))
     }
 }
 
 impl Engine {
-    /// An engine of which nothing has been observed. `limit` is its initial work limit.
+    /// Creates an engine without any observations. `limit` is its initial work limit.
     pub fn new(entry: EngineEntry, cores: f64, memory_mb: f64, limit: f64) -> Self {
         Engine {
             entry,
@@ -158,17 +159,17 @@
         }
     }
 
-    /// Whether it takes work, by the endpoint list.
+    /// Whether the endpoint list says that it accepts queries.
     pub fn is_up(&self) -> bool {
         self.entry.status == Status::Up
     }
 
-    /// Whether nothing of ours is in flight there.
+    /// Whether this gateway has no attempts in flight there.
     pub fn is_idle(&self) -> bool {
         self.in_flight.attempts.is_empty()
     }
 
-    /// Threads of an attempt in flight, on average and at least one.
+    /// Mean number of threads of the attempts in flight, at least 1.
     pub fn mean_threads(&self) -> f64 {
         if self.is_idle() {
             1.0
@@ -193,7 +194,7 @@
         self.slow_start.sends.push_back((now, reservation.slow_start_work));
     }
 
-    /// Releases the reservation of an attempt that ended; nothing if it was released before.
+    /// Releases the reservation of an attempt that ended. Does nothing if it was released before.
     pub fn release_reservation(&mut self, attempt: (QueryId, usize), work: f64, threads: f64) {
         if self.in_flight.attempts.remove(&attempt) {
             self.in_flight.work = (self.in_flight.work - work).max(0.0);
@@ -202,7 +203,7 @@
         }
     }
 
-    /// The process was replaced: what was learned of the earlier one is dropped.
+    /// Drops what was learned about an earlier process of the engine.
     pub fn reset_for_new_process(&mut self, started_at: Option<Micros>, now: Micros) {
         self.slow_start.started_at = started_at;
         self.recent_tables.clear();
@@ -213,7 +214,8 @@
         self.slowdown = Slowdown { mean: 1.0, best: 1.0 };
     }
 
-    /// A report that differs from the last one is new: what was sent before it is included in it.
+    /// Records a load report. A report that differs from the last one is new and includes everything sent
+    /// before it.
     pub(super) fn record_report(&mut self, now: Micros, report: LoadReport) {
         if report != self.latest_load.report {
             self.latest_load.threads_sent_since = 0.0;
@@ -224,16 +226,16 @@
     }
 }
 
-/// What an attempt takes at its engine.
+/// The capacity that an attempt reserves at its engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Reservation {
     /// Estimated work, in thread-seconds.
     pub work: f64,
-    /// The work of a query of its class on average, by which slow start counts.
+    /// The work that counts against a slow-start budget: the estimate, raised to the mean of the class.
     pub slow_start_work: f64,
     pub threads: f64,
     /// Fraction of the engine's memory.
     pub memory: f64,
-    /// All connections to the engine have been idle for too long: it is sent on a new one.
+    /// All connections to the engine were idle for too long, so the attempt needs a new one.
     pub connections_expired: bool,
 }
--- a/crates/core/src/state/gateway.rs
+++ b/crates/core/src/state/gateway.rs
@@ -1,11 +1,11 @@
-//! What a gateway counts and awaits, beyond single engines and queries.
+//! The state of a gateway that does not belong to a single engine or query.
 
 use super::Engine;
 use crate::interface::*;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// When queries arrived and when retries were sent, within the window of the retry budget.
+/// Times of arrivals and retries within the window of the retry budget.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct RetryWindow {
     pub arrivals: VecDeque<Micros>,
@@ -13,14 +13,14 @@
 }
 
 impl RetryWindow {
-    /// How many queries arrived after a time, and how many retries were sent from it on.
+    /// Number of arrivals after a time, and of retries at or after it.
     pub fn since(&self, from: Micros) -> (f64, f64) {
         let arrivals = self.arrivals.iter().filter(|at| **at > from).count();
         let retries = self.retries.iter().filter(|at| **at >= from).count();
         (arrivals as f64, retries as f64)
     }
 
-    /// Drops what happened before a time.
+    /// Drops all entries before a time.
     pub fn prune_before(&mut self, from: Micros) {
         for times in [&mut self.arrivals, &mut self.retries] {
             while times.front().is_some_and(|at| *at < from) {
@@ -30,7 +30,7 @@
     }
 }
 
-/// Queries that arrived and were rejected in this period, and the fraction rejected in the last one.
+/// Queries that arrived and were rejected in the current period, and the fraction rejected in the last one.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct AdmissionRates {
     pub arrivals: f64,
@@ -45,14 +45,14 @@
     }
 }
 
-/// How often an engine was drawn for a query: in this period, and the running mean.
+/// Number of engine selections: in the current period, and as a moving average over periods.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct SelectionRate {
     pub this_period: f64,
     pub mean: f64,
 }
 
-/// Queries that wait for their turn by key, by the token of the timer that looks at them again.
+/// Queries that wait for earlier queries of their key, by the token of the timer that admits them again.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct HeldQueries {
     pub timers: BTreeMap<u64, QueryId>,
@@ -60,7 +60,7 @@
 }
 
 impl HeldQueries {
-    /// Registers a query and returns the token of its timer; tokens follow on `last_reserved`.
+    /// Holds a query and returns the token for its timer. Tokens start after `last_reserved`.
     pub fn hold(&mut self, query: QueryId, last_reserved: u64) -> u64 {
         self.timers_set += 1;
         let token = last_reserved + self.timers_set;
@@ -72,27 +72,27 @@
 /// The state of the subscription to the endpoint list.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct EndpointListState {
-    /// Failed subscriptions in a row.
+    /// Number of consecutive failed subscriptions.
     pub failures: u32,
-    /// The tick of the next subscription, where one is due.
+    /// The tick at which to subscribe again, if a subscription is due.
     pub subscribe_at_tick: Option<u32>,
-    /// A list was received.
+    /// Whether any endpoint list has been received.
     pub received: bool,
 }
 
-/// Running means of the engines' load reports.
+/// Moving averages over the load reports of all engines.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct FleetLoad {
-    /// Threads per core.
+    /// Load in threads per core.
     pub mean_load: f64,
-    /// When a report was last received, or work of ours was last in flight.
+    /// When a load report was last received or an attempt was last in flight at a tick.
     pub last_report_at: Option<Micros>,
     /// Fraction of the memory granted.
     pub mean_memory: f64,
 }
 
 impl FleetLoad {
-    /// Takes a report of an engine, and with the given weight into the means over all engines.
+    /// Records a report of an engine, also in the averages over all engines, with the given weight.
     pub fn record_report(&mut self, now: Micros, report: LoadReport, engine: &mut Engine, weight: f64) {
         if report == LoadReport::default() {
             return;
@@ -107,7 +107,7 @@
     }
 }
 
-/// What a query is weighed by beyond its engine; assessed anew for each draw.
+/// Conditions over all engines that decide whether a query fits. Updated for each selection.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct FleetConditions {
     /// This gateway's share of an engine is below one query of the heaviest class.
@@ -116,22 +116,24 @@
     pub reports_shared: bool,
     /// Mean work of the heaviest class, in thread-seconds.
     pub heaviest_work: f64,
-    /// What the work limits of all engines leave, in thread-seconds.
+    /// The usable part of all work limits that is not in flight, in thread-seconds.
     pub limit_headroom: f64,
-    /// The fraction of all draws that the headroom of all engines is for.
+    /// The fraction of queries that engines which are not overloaded may take without regard to the work
+    /// limits.
     pub limit_exempt_fraction: f64,
-    /// The draw of the current query, from 0 to 1.
+    /// A random value from 0 to 1 for the current query.
     pub random_value: f64,
 }
 
-/// What ends on a busy core before the others can have acted on a report.
+/// What completes on a busy core during the report lag, which is the time until the other gateways have acted
+/// on a report.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Completions {
     pub threads: f64,
     pub queries: f64,
 }
 
-/// Errors of late that an attempt at another engine cured, and those that it did not.
+/// Recent errors that a retry on another engine recovered, and those that repeated there.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct QueryErrors {
     pub recovered: f64,
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -1,6 +1,6 @@
-//! What a gateway remembers: plain records, without decisions or tuned values.
+//! The state of a gateway: plain records without decisions or tuning parameters.
 //!
-//! Captures hold these records in a positional format: fields may be renamed and grouped, but never reordered.
+//! Captures store these records in a positional format, so fields may be renamed but never reordered.
 
 mod engine;
 mod gateway;
@@ -15,7 +15,7 @@
 pub use query::{ActiveQuery, Attempt, ClassEstimates, KeyQueue};
 pub use review::{AttemptVerdict, CancelReason, EngineReview, SlowStartBudget};
 
-/// The random number generator, serialized by its seed: it goes on from there as it would have.
+/// Serializes a random number generator by its current seed, so that it continues with the same sequence.
 pub mod rng {
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
--- a/crates/core/src/state/query.rs
+++ b/crates/core/src/state/query.rs
@@ -1,4 +1,4 @@
-//! Queries, their attempts, and what is known of their classes and keys.
+//! Queries and their attempts, and the state kept for classes and keys.
 
 use crate::interface::*;
 use serde::{Deserialize, Serialize};
@@ -11,18 +11,18 @@
     pub sent_at: Micros,
     /// Estimated work in thread-seconds, as reserved at the engine.
     pub reserved_work: f64,
-    /// When the engine last sent anything about it.
+    /// When the engine last sent an update of the attempt.
     pub last_update_at: Micros,
-    /// Fraction done, as last reported.
+    /// Last reported progress, as a fraction.
     pub progress: f64,
     pub outcome: Option<Outcome>,
     pub cancelled: bool,
-    /// Cancelled because its plan was bad.
+    /// It was cancelled because its plan was bad.
     pub bad_plan: bool,
 }
 
 impl Attempt {
-    /// An attempt that was just sent.
+    /// Creates an attempt that is being sent.
     pub fn new(engine: EngineId, sent_at: Micros, reserved_work: f64) -> Self {
         Attempt {
             engine,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// False only where the outcome proves that the query never ran.
+    /// Whether the query may have run. False only if the outcome proves that it did not.
     pub fn may_have_run(&self) -> bool {
         !self.outcome.is_some_and(Outcome::never_ran)
     }
@@ -47,19 +47,19 @@
     }
 }
 
-/// A query that has no final answer yet, or still has attempts in flight.
+/// A query that has no final answer yet or still has attempts in flight.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ActiveQuery {
     pub query: Query,
     /// Estimated work in thread-seconds.
     pub work: f64,
     pub attempts: Vec<Attempt>,
-    /// It was answered, its answer has begun, or its client has left: nothing is started for it any more.
+    /// The query was answered, its answer has begun, or its client has left. No attempts are sent any more.
     pub finished: bool,
 }
 
 impl ActiveQuery {
-    /// How many of its attempts have no outcome yet.
+    /// Number of attempts without an outcome.
     pub fn in_flight(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.outcome.is_none()).count()
     }
@@ -70,17 +70,17 @@
     }
 }
 
-/// What is known of a class: decayed sums over its served queries.
+/// Estimates for a class: exponentially decayed sums over its served queries.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ClassEstimates {
     /// Work done, in thread-seconds.
     pub work: f64,
-    /// Work that the clients had estimated.
+    /// Work that the clients had estimated, in thread-seconds.
     pub hints: f64,
     pub count: f64,
-    /// Bad plans that a fresh attempt cured.
+    /// Bad plans that a retry avoided.
     pub replans_succeeded: u32,
-    /// Bad plans that a fresh attempt did not cure.
+    /// Bad plans that a retry did not avoid.
     pub replans_failed: u32,
 }
 
@@ -94,7 +94,7 @@
 }
 
 impl ClassEstimates {
-    /// The sums over all classes, each weighted by its count.
+    /// Computes the sums over all classes, each weighted by its count.
     pub fn total(classes: &[Class], estimates: &[ClassEstimates]) -> ClassTotals {
         classes.iter().zip(estimates).fold(ClassTotals::default(), |all, (class, estimate)| ClassTotals {
             value: all.value + class.value * estimate.count,
@@ -109,6 +109,6 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct KeyQueue {
     pub waiting: VecDeque<QueryId>,
-    /// Nothing of this key starts before: an earlier attempt may still run.
+    /// Until this time no query of the key starts, because an earlier attempt may still run.
     pub cooldown_until: Micros,
 }
--- a/crates/core/src/state/review.rs
+++ b/crates/core/src/state/review.rs
@@ -1,42 +1,44 @@
-//! What the policy finds out about engines and attempts, and hands on within one event.
+//! Intermediate results that the policy computes while it handles one event.
 
 use super::Engine;
 
-/// What we may send to an engine in slow start.
+/// What this gateway may send to an engine in slow start.
 pub struct SlowStartBudget {
-    /// Work that we may send there within a window, in thread-seconds.
+    /// Work that may be sent there within a window, in thread-seconds.
     pub work: f64,
-    /// For how many gateways we draw, lest it stand idle.
+    /// Factor on the selection weight. A gateway with a time slot also selects the engine on behalf of the
+    /// gateways without one; otherwise the engine would be underused.
     pub weight_multiplier: f64,
-    /// It is shared by time slots, not evenly.
+    /// The budget is divided into time slots, not evenly.
     pub by_time_slot: bool,
 }
 
 /// Why an attempt is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelReason {
-    /// Its query is over.
+    /// Its query is finished.
     QueryOver,
-    /// It or its engine sends no updates.
+    /// The attempt or its engine sends no updates.
     Silent,
     /// Its plan is bad.
     BadPlan,
 }
 
-/// What is to be done about an attempt in flight.
+/// The result of the review of an attempt in flight.
 pub enum AttemptVerdict {
-    /// It or its engine is silent: send it again. `lost`: its engine sends updates of all else.
+    /// The attempt or its engine sends no updates: retry it. With `lost` set, the engine keeps sending
+    /// updates of other attempts.
     Silent { lost: bool },
-    /// Its plan is bad: a fresh attempt may be better.
+    /// Its plan is bad: a retry may get a better one.
     BadPlan,
-    /// A fresh attempt was no better: the query itself takes so much work.
+    /// A retry was no faster: the query itself takes this much work, in thread-seconds.
     Expensive { work: f64 },
-    /// It ends too late to be worth anything, at an overloaded engine.
+    /// The attempt runs on an overloaded engine and would end too late to have value.
     TooLate,
 }
 
 impl AttemptVerdict {
-    /// Attempts are sent again first, then estimates are corrected, then queries are given up.
+    /// Order in which verdicts are handled: retries first, then corrected estimates, then queries to give up.
     pub fn processing_order(&self) -> u8 {
         match self {
             AttemptVerdict::Silent { .. } | AttemptVerdict::BadPlan => 0,
@@ -46,10 +48,10 @@
     }
 }
 
-/// What holds for all attempts at one engine.
+/// The result of the review of an engine, which applies to all attempts there.
 pub struct EngineReview<'a> {
     pub engine: &'a Engine,
-    /// No attempt there has been heard of for too long.
+    /// Neither the engine nor at least one of its attempts has sent an update for too long.
     pub silent: bool,
     pub overloaded: bool,
     pub paging: bool,
