--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,31 +1,32 @@
-//! A gateway with a few engines, driven by hand.
+//! A gateway with a few engines, driven event by event.
 #![allow(dead_code)]
 
 use wheelfield::interface::*;
 use wheelfield::Gateway;
 
-/// A gateway under test and the time.
-pub struct Rig {
+/// A gateway under test, and the current time.
+pub struct Harness {
     pub gateway: Gateway,
     pub now: Micros,
-    next: u64,
+    next_id: u64,
 }
 
-/// A class with a 1 s aim and a 10 s deadline.
-pub fn class(effect: ExecutionSemantics) -> Class {
+/// A class with a latency objective of 1 s and a deadline of 10 s.
+pub fn class(execution_semantics: ExecutionSemantics) -> Class {
     Class {
         latency_objective: Micros::from_secs_f64(1.0),
         deadline: Micros::from_secs_f64(10.0),
         value: 1.0,
         late_value_fraction: 0.5,
-        semantics: effect,
+        semantics: execution_semantics,
         threads: 1.0,
         deduplication_window: Micros::from_secs_f64(5.0),
         ..Class::default()
     }
 }
 
-/// Settings with the given classes: one gateway, two kinds of engine with 8 cores, cancels, four attempts.
+/// Settings with the given classes: one gateway, two kinds of engine with 8 cores each, cancellation and up
+/// to four attempts.
 pub fn settings(classes: Vec<Class>) -> Settings {
     Settings {
         gateway_count: 1.0,
@@ -46,30 +47,31 @@
     }
 }
 
-/// An engine that has long been up, in zone 0, kind 0 and a cell of its own.
+/// An engine that has been up for a long time, in zone 0, of kind 0 and in a cell of its own.
 pub fn engine(n: u64) -> EngineEntry {
     let (engine, status) = (EngineId(n), Status::Up);
     EngineEntry { engine, zone: 0, kind: 0, cell: n as i64, status, started_at: None }
 }
 
-impl Rig {
-    pub fn new(settings: Settings, engines: Vec<EngineEntry>) -> Rig {
-        let mut rig = Rig { gateway: Gateway::new(settings, 7), now: Micros::from_secs_f64(100.0), next: 0 };
-        rig.tell(Event::Started);
-        rig.tell(Event::EngineList(engines));
-        rig
+impl Harness {
+    pub fn new(settings: Settings, engines: Vec<EngineEntry>) -> Harness {
+        let mut harness =
+            Harness { gateway: Gateway::new(settings, 7), now: Micros::from_secs_f64(100.0), next_id: 0 };
+        harness.deliver(Event::Started);
+        harness.deliver(Event::EngineList(engines));
+        harness
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    pub fn deliver(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.gateway.handle(self.now, event, &mut out);
         out
     }
 
-    pub fn query(&mut self, class: usize) -> Query {
-        self.next += 1;
+    pub fn new_query(&mut self, class: usize) -> Query {
+        self.next_id += 1;
         Query {
-            id: QueryId(self.next),
+            id: QueryId(self.next_id),
             class,
             tenant: None,
             key: None,
@@ -80,82 +82,82 @@
         }
     }
 
-    /// A query of a class comes in.
+    /// Delivers the arrival of a query of a class.
     pub fn arrive(&mut self, class: usize) -> (QueryId, Vec<Action>) {
-        let query = self.query(class);
-        (query.id, self.tell(Event::Arrived(query)))
+        let query = self.new_query(class);
+        (query.id, self.deliver(Event::Arrived(query)))
     }
 
-    pub fn end(&mut self, query: QueryId, attempt: usize, outcome: Outcome) -> Vec<Action> {
-        self.end_with(query, attempt, outcome, Micros(500_000), LoadReport::default())
+    pub fn end_attempt(&mut self, query: QueryId, attempt: usize, outcome: Outcome) -> Vec<Action> {
+        self.end_attempt_with(query, attempt, outcome, Micros(500_000), LoadReport::default())
     }
 
-    pub fn end_with(
+    pub fn end_attempt_with(
         &mut self,
         query: QueryId,
         attempt: usize,
         outcome: Outcome,
-        took: Micros,
+        run_time: Micros,
         report: LoadReport,
     ) -> Vec<Action> {
         let last = outcome == Outcome::Served;
-        self.tell(Event::AttemptEnded(AttemptEnd {
+        self.deliver(Event::AttemptEnded(AttemptEnd {
             query,
             attempt,
             outcome,
             query_over: last,
-            elapsed: took,
+            elapsed: run_time,
             reported_work: None,
             report,
         }))
     }
 
-    /// Lets so many quarter seconds pass, with the sweep at each.
-    pub fn sweeps(&mut self, n: usize) -> Vec<Action> {
+    /// Advances the time by `n` ticks of 250 ms and delivers each tick.
+    pub fn ticks(&mut self, n: usize) -> Vec<Action> {
         let mut out = Vec::new();
         for _ in 0..n {
             self.now = self.now + Micros(250_000);
-            out.extend(self.tell(Event::TimerFired(0)));
+            out.extend(self.deliver(Event::TimerFired(0)));
         }
         out
     }
 }
 
-/// Where the sends among some actions went.
-pub fn sent(actions: &[Action]) -> Vec<EngineId> {
+/// The engines to which the actions send attempts.
+pub fn sent_engines(actions: &[Action]) -> Vec<EngineId> {
     let to = |a: &Action| if let Action::Send { engine, .. } = a { Some(*engine) } else { None };
     actions.iter().filter_map(to).collect()
 }
 
-pub fn refused(actions: &[Action]) -> usize {
+pub fn rejections(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Reject { .. })).count()
 }
 
-pub fn failed(actions: &[Action]) -> usize {
+pub fn failures(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Fail { .. })).count()
 }
 
-/// One repeatable class and so many gateways.
-pub fn many(gateways: f64) -> Settings {
-    Settings { gateway_count: gateways, ..settings(vec![class(ExecutionSemantics::Idempotent)]) }
+/// Settings with one idempotent class and this many gateways.
+pub fn settings_with_gateways(count: f64) -> Settings {
+    Settings { gateway_count: count, ..settings(vec![class(ExecutionSemantics::Idempotent)]) }
 }
 
-/// So many engines that have long been up.
+/// Engines 1 to `n`, all of which have been up for a long time.
 pub fn engines(n: u64) -> Vec<EngineEntry> {
     (1..=n).map(engine).collect()
 }
 
-/// Another gateway tells the same of the first `n` engines.
-pub fn told(n: u64, report: LoadReport) -> Event {
+/// The event that another gateway shares the same report for each of the first `n` engines.
+pub fn peer_reports(n: u64, report: LoadReport) -> Event {
     Event::PeerReports((1..=n).map(|e| PeerLoadReport { engine: EngineId(e), report }).collect())
 }
 
-/// How many of `n` queries, each served at once, go to the first engine.
-pub fn draws_to_first(rig: &mut Rig, n: usize) -> usize {
+/// How many of `n` queries, each served at once, are sent to the first engine.
+pub fn selections_of_first(harness: &mut Harness, n: usize) -> usize {
     let mut draw = || {
-        let (id, actions) = rig.arrive(0);
-        let to = sent(&actions);
-        rig.end(id, 0, Outcome::Served);
+        let (id, actions) = harness.arrive(0);
+        let to = sent_engines(&actions);
+        harness.end_attempt(id, 0, Outcome::Served);
         to == [EngineId(1)]
     };
     (0..n).filter(|_| draw()).count()
--- a/crates/core/tests/failures.rs
+++ b/crates/core/tests/failures.rs
@@ -1,4 +1,4 @@
-//! One small test for each failure found.
+//! Regression tests, one for each fault found in simulation or in operation.
 
 mod common;
 use common::*;
@@ -12,78 +12,85 @@
     disk_utilisation: None,
 };
 
-/// Incident i055f9d: a full engine looks free and turns hundreds away.
+/// A full engine looks free because it answers at once. Without a backoff it received and rejected hundreds
+/// of queries.
 #[test]
-fn a_full_engine_rests_before_it_is_tried_again() {
-    let mut rig = Rig::new(settings(vec![class(ExecutionSemantics::Idempotent)]), vec![engine(1)]);
+fn a_full_engine_gets_no_queries_during_its_backoff() {
+    let mut harness = Harness::new(settings(vec![class(ExecutionSemantics::Idempotent)]), vec![engine(1)]);
     let mut sends = 0;
     for _ in 0..20 {
-        let (id, actions) = rig.arrive(0);
-        sends += sent(&actions).len();
-        if !sent(&actions).is_empty() {
-            sends += sent(&rig.end(id, 0, Outcome::Full)).len();
+        let (id, actions) = harness.arrive(0);
+        sends += sent_engines(&actions).len();
+        if !sent_engines(&actions).is_empty() {
+            sends += sent_engines(&harness.end_attempt(id, 0, Outcome::Full)).len();
         }
     }
     assert_eq!(sends, 1);
-    rig.now = rig.now + Micros::from_secs_f64(1.0);
-    assert_eq!(sent(&rig.arrive(0).1).len(), 1);
+    harness.now = harness.now + Micros::from_secs_f64(1.0);
+    assert_eq!(sent_engines(&harness.arrive(0).1).len(), 1);
 }
 
-/// Incident i055f9d: connections break everywhere, and every engine was thought cold.
+/// When a network broke connections everywhere, every engine was taken for restarted and put into slow start.
 #[test]
-fn one_broken_connection_does_not_make_an_engine_cold() {
-    let mut rig = Rig::new(settings(vec![class(ExecutionSemantics::Idempotent)]), vec![engine(1)]);
-    let (broken, _) = rig.arrive(0);
-    let (other, _) = rig.arrive(0);
-    rig.tell(Event::Abandoned(broken));
-    rig.end(broken, 0, Outcome::Reset);
-    rig.end(other, 0, Outcome::Served);
-    let admitted = (0..60).filter(|_| !sent(&rig.arrive(0).1).is_empty()).count();
-    // The cold budget would hold 12.8 thread-seconds of 0.5 each, and less.
+fn one_broken_connection_does_not_put_an_engine_into_slow_start() {
+    let mut harness = Harness::new(settings(vec![class(ExecutionSemantics::Idempotent)]), vec![engine(1)]);
+    let (broken, _) = harness.arrive(0);
+    let (other, _) = harness.arrive(0);
+    harness.deliver(Event::Abandoned(broken));
+    harness.end_attempt(broken, 0, Outcome::Reset);
+    harness.end_attempt(other, 0, Outcome::Served);
+    let admitted = (0..60).filter(|_| !sent_engines(&harness.arrive(0).1).is_empty()).count();
+    // The slow-start budget is 12.8 thread-seconds or less, which admits at most 25 queries of 0.5 each.
     assert!(admitted > 14, "{admitted} admitted");
 }
 
-/// A process that died comes back cold, long before the list says so.
+/// A process that died restarts in slow start, long before the endpoint list says so.
 #[test]
-fn a_refused_connection_makes_an_engine_cold() {
-    let mut rig = Rig::new(settings(vec![class(ExecutionSemantics::Idempotent)]), vec![engine(1)]);
-    let (id, _) = rig.arrive(0);
-    rig.end(id, 0, Outcome::ConnectFailed);
-    rig.now = rig.now + Micros::from_secs_f64(1.1);
-    let (id, _) = rig.arrive(0);
-    rig.end(id, 0, Outcome::Served);
-    let admitted = (0..60).filter(|_| !sent(&rig.arrive(0).1).is_empty()).count();
+fn a_refused_connection_puts_an_engine_into_slow_start() {
+    let mut harness = Harness::new(settings(vec![class(ExecutionSemantics::Idempotent)]), vec![engine(1)]);
+    let (id, _) = harness.arrive(0);
+    harness.end_attempt(id, 0, Outcome::ConnectFailed);
+    harness.now = harness.now + Micros::from_secs_f64(1.1);
+    let (id, _) = harness.arrive(0);
+    harness.end_attempt(id, 0, Outcome::Served);
+    let admitted = (0..60).filter(|_| !sent_engines(&harness.arrive(0).1).is_empty()).count();
     assert!(admitted < 26, "{admitted} admitted");
 }
 
-/// Days at close range: connects that were late made every engine count as cold, and most of what came was refused.
+/// When connections were established late, every engine was put into slow start and most queries were
+/// rejected.
 #[test]
-fn a_connect_that_is_late_does_not_make_an_engine_cold() {
-    let mut rig = Rig::new(settings(vec![class(ExecutionSemantics::Idempotent)]), vec![engine(1)]);
-    let (id, _) = rig.arrive(0);
-    rig.end(id, 0, Outcome::ConnectTimedOut);
-    rig.now = rig.now + Micros::from_secs_f64(1.1);
-    let (id, _) = rig.arrive(0);
-    rig.end(id, 0, Outcome::Served);
-    let admitted = (0..60).filter(|_| !sent(&rig.arrive(0).1).is_empty()).count();
+fn a_connection_timeout_does_not_put_an_engine_into_slow_start() {
+    let mut harness = Harness::new(settings(vec![class(ExecutionSemantics::Idempotent)]), vec![engine(1)]);
+    let (id, _) = harness.arrive(0);
+    harness.end_attempt(id, 0, Outcome::ConnectTimedOut);
+    harness.now = harness.now + Micros::from_secs_f64(1.1);
+    let (id, _) = harness.arrive(0);
+    harness.end_attempt(id, 0, Outcome::Served);
+    let admitted = (0..60).filter(|_| !sent_engines(&harness.arrive(0).1).is_empty()).count();
     assert!(admitted >= 26, "{admitted} admitted");
-    // One that never answers is set aside all the same.
-    let mut rig = Rig::new(settings(vec![class(ExecutionSemantics::Idempotent)]), vec![engine(1), engine(2)]);
-    let mut sent_there = 0;
+    // An engine that never accepts a connection is ejected nevertheless.
+    let mut harness =
+        Harness::new(settings(vec![class(ExecutionSemantics::Idempotent)]), vec![engine(1), engine(2)]);
+    let mut sends_to_first = 0;
     for _ in 0..60 {
-        let (id, actions) = rig.arrive(0);
-        let Some(at) = sent(&actions).first().copied() else { continue };
-        sent_there += usize::from(at == EngineId(1));
-        rig.end(id, 0, if at == EngineId(1) { Outcome::ConnectTimedOut } else { Outcome::Served });
+        let (id, actions) = harness.arrive(0);
+        let Some(selected) = sent_engines(&actions).first().copied() else { continue };
+        sends_to_first += usize::from(selected == EngineId(1));
+        harness.end_attempt(
+            id,
+            0,
+            if selected == EngineId(1) { Outcome::ConnectTimedOut } else { Outcome::Served },
+        );
     }
-    assert!(sent_there <= 6, "{sent_there} of 60 sent where none answers");
+    assert!(sends_to_first <= 6, "{sends_to_first} of 60 sent to the engine that never answers");
 }
 
-/// Incidents i9505d2, ie0d6d2: an engine short of memory pages and all that runs there slows.
+/// An engine short of memory pages, and all queries that run there slow down.
 #[test]
-fn a_paging_engine_gets_no_more_than_its_memory() {
+fn a_paging_engine_gets_no_query_beyond_its_memory() {
     for (pages, admitted) in [(true, false), (false, true)] {
-        let mut rig = Rig::new(
+        let mut harness = Harness::new(
             Settings {
                 pages_on_memory_shortage: pages,
                 ..settings(vec![class(ExecutionSemantics::Idempotent)])
@@ -92,320 +99,362 @@
         );
         let report =
             LoadReport { utilisation: Some(0.3), memory_granted: Some(0.9), ..LoadReport::default() };
-        let (first, _) = rig.arrive(0);
-        rig.arrive(0);
-        rig.end_with(first, 0, Outcome::Served, Micros(500_000), report);
-        let query = Query { memory_hint: Some(400.0), ..rig.query(0) };
-        assert_eq!(!sent(&rig.tell(Event::Arrived(query))).is_empty(), admitted);
+        let (first, _) = harness.arrive(0);
+        harness.arrive(0);
+        harness.end_attempt_with(first, 0, Outcome::Served, Micros(500_000), report);
+        let query = Query { memory_hint: Some(400.0), ..harness.new_query(0) };
+        assert_eq!(!sent_engines(&harness.deliver(Event::Arrived(query))).is_empty(), admitted);
     }
 }
 
-/// Standard days: attempts with a bad plan hold cores for 13 to 24 times their work.
+/// Attempts with a bad plan use cores for 13 to 24 times their estimated work.
 #[test]
-fn a_bad_plan_is_withdrawn_and_sent_anew_where_repeats_are_safe() {
-    for (effect, again) in [(ExecutionSemantics::Idempotent, true), (ExecutionSemantics::AtMostOnce, false)] {
-        let mut rig = Rig::new(settings(vec![class(effect)]), vec![engine(1), engine(2)]);
-        let (id, _) = rig.arrive(0);
-        rig.now = rig.now + Micros::from_secs_f64(1.0);
-        rig.tell(Event::AttemptUpdated { query: id, attempt: 0, update: AttemptUpdate::Progress(0.05) });
-        let cancelled = rig.sweeps(1).contains(&Action::Cancel { query: id, attempt: 0 });
-        assert_eq!(cancelled, again);
-        if again {
-            assert_eq!(sent(&rig.end(id, 0, Outcome::Cancelled)).len(), 1);
+fn a_bad_plan_is_cancelled_and_retried_if_the_class_is_idempotent() {
+    for (semantics, retried) in
+        [(ExecutionSemantics::Idempotent, true), (ExecutionSemantics::AtMostOnce, false)]
+    {
+        let mut harness = Harness::new(settings(vec![class(semantics)]), vec![engine(1), engine(2)]);
+        let (id, _) = harness.arrive(0);
+        harness.now = harness.now + Micros::from_secs_f64(1.0);
+        harness.deliver(Event::AttemptUpdated {
+            query: id,
+            attempt: 0,
+            update: AttemptUpdate::Progress(0.05),
+        });
+        let cancelled = harness.ticks(1).contains(&Action::Cancel { query: id, attempt: 0 });
+        assert_eq!(cancelled, retried);
+        if retried {
+            assert_eq!(sent_engines(&harness.end_attempt(id, 0, Outcome::Cancelled)).len(), 1);
         }
     }
 }
 
-/// Where fresh attempts are no better, dear queries are left alone.
+/// If retries are no faster, expensive queries are left to run instead of being taken for bad plans.
 #[test]
-fn dear_queries_are_not_taken_for_bad_plans_for_ever() {
-    let mut rig = Rig::new(settings(vec![class(ExecutionSemantics::Idempotent)]), vec![engine(1), engine(2)]);
-    let mut resent = 0;
+fn expensive_queries_are_not_treated_as_bad_plans_indefinitely() {
+    let mut harness =
+        Harness::new(settings(vec![class(ExecutionSemantics::Idempotent)]), vec![engine(1), engine(2)]);
+    let mut retries = 0;
     for _ in 0..6 {
-        let (id, _) = rig.arrive(0);
+        let (id, _) = harness.arrive(0);
         for attempt in 0..2 {
-            rig.now = rig.now + Micros::from_secs_f64(0.8);
-            rig.tell(Event::AttemptUpdated { query: id, attempt, update: AttemptUpdate::Progress(0.05) });
-            if rig.sweeps(1).contains(&Action::Cancel { query: id, attempt }) {
-                resent += 1;
-                rig.end(id, attempt, Outcome::Cancelled);
+            harness.now = harness.now + Micros::from_secs_f64(0.8);
+            harness.deliver(Event::AttemptUpdated {
+                query: id,
+                attempt,
+                update: AttemptUpdate::Progress(0.05),
+            });
+            if harness.ticks(1).contains(&Action::Cancel { query: id, attempt }) {
+                retries += 1;
+                harness.end_attempt(id, attempt, Outcome::Cancelled);
             }
         }
-        rig.tell(Event::Abandoned(id));
-        rig.end(id, 0, Outcome::Cancelled);
-        rig.end(id, 1, Outcome::Cancelled);
+        harness.deliver(Event::Abandoned(id));
+        harness.end_attempt(id, 0, Outcome::Cancelled);
+        harness.end_attempt(id, 1, Outcome::Cancelled);
     }
-    assert!((1..=3).contains(&resent), "{resent} resent");
+    assert!((1..=3).contains(&retries), "{retries} retries");
 }
 
-/// A hang: an engine that gives no word is set aside, and what may run again goes elsewhere.
+/// An engine that hangs sends no updates. It is ejected, and queries that may run again are retried on
+/// another engine.
 #[test]
-fn a_silent_engine_is_left() {
-    let mut rig = Rig::new(settings(vec![class(ExecutionSemantics::Idempotent)]), vec![engine(1), engine(2)]);
-    let (id, first) = rig.arrive(0);
-    assert!(rig.sweeps(16).contains(&Action::Cancel { query: id, attempt: 0 }));
-    let again = rig.end(id, 0, Outcome::Cancelled);
-    assert_eq!(sent(&again).len(), 1);
-    assert_ne!(sent(&again), sent(&first));
+fn a_silent_engine_is_ejected_and_its_query_retried_elsewhere() {
+    let mut harness =
+        Harness::new(settings(vec![class(ExecutionSemantics::Idempotent)]), vec![engine(1), engine(2)]);
+    let (id, first) = harness.arrive(0);
+    assert!(harness.ticks(16).contains(&Action::Cancel { query: id, attempt: 0 }));
+    let again = harness.end_attempt(id, 0, Outcome::Cancelled);
+    assert_eq!(sent_engines(&again).len(), 1);
+    assert_ne!(sent_engines(&again), sent_engines(&first));
 }
 
-/// Refusal is immediate under pressure once the bound is used up, and says when to come back.
+/// Once the work limit of an overloaded engine is used up, a query is rejected at once, with advice on when
+/// to retry.
 #[test]
-fn a_misfit_is_refused_at_once() {
-    let mut rig = Rig::new(settings(vec![class(ExecutionSemantics::Idempotent)]), vec![engine(1)]);
-    let (first, _) = rig.arrive(0);
-    rig.arrive(0);
-    rig.end_with(first, 0, Outcome::Served, Micros(500_000), BUSY);
-    // 2 threads a core, 8 cores, an aim of 1 s: 16 thread-seconds.
-    let query = Query { work_hint: Some(17.0), ..rig.query(0) };
-    let actions = rig.tell(Event::Arrived(query));
-    assert_eq!((refused(&actions), sent(&actions).len()), (1, 0));
+fn a_query_beyond_the_work_limit_is_rejected_at_once() {
+    let mut harness = Harness::new(settings(vec![class(ExecutionSemantics::Idempotent)]), vec![engine(1)]);
+    let (first, _) = harness.arrive(0);
+    harness.arrive(0);
+    harness.end_attempt_with(first, 0, Outcome::Served, Micros(500_000), BUSY);
+    // The work limit is 2 threads per core times 8 cores times an objective of 1 s: 16 thread-seconds.
+    let query = Query { work_hint: Some(17.0), ..harness.new_query(0) };
+    let actions = harness.deliver(Event::Arrived(query));
+    assert_eq!((rejections(&actions), sent_engines(&actions).len()), (1, 0));
     assert!(actions.iter().any(|a| matches!(a, Action::Reject { retry_after, .. } if retry_after.0 > 0)));
-    // Without pressure the same query enters.
-    let mut calm = Rig::new(settings(vec![class(ExecutionSemantics::Idempotent)]), vec![engine(1)]);
-    calm.arrive(0);
-    let query = Query { work_hint: Some(17.0), ..calm.query(0) };
-    assert_eq!(sent(&calm.tell(Event::Arrived(query))).len(), 1);
+    // The same query is admitted if the engine is not overloaded.
+    let mut idle_harness =
+        Harness::new(settings(vec![class(ExecutionSemantics::Idempotent)]), vec![engine(1)]);
+    idle_harness.arrive(0);
+    let query = Query { work_hint: Some(17.0), ..idle_harness.new_query(0) };
+    assert_eq!(sent_engines(&idle_harness.deliver(Event::Arrived(query))).len(), 1);
 }
 
-/// Settings that no site has: nothing optional, no classes, one attempt. Degrades plainly, never panics.
+/// Settings that no deployment has: no optional features, no classes, one attempt. Queries are still
+/// answered, without a panic.
 #[test]
-fn bare_settings_do_no_harm() {
-    let mut rig = Rig::new(Settings::default(), vec![engine(1)]);
-    let (_, actions) = rig.arrive(3);
-    assert_eq!(failed(&actions), 1);
-    let mut bare = class(ExecutionSemantics::Idempotent);
-    bare.latency_objective = Micros(0);
-    bare.threads = 0.0;
-    let mut rig =
-        Rig::new(Settings { classes: vec![bare], max_attempts: 1, ..Settings::default() }, vec![engine(1)]);
+fn minimal_settings_are_handled_without_a_panic() {
+    let mut harness = Harness::new(Settings::default(), vec![engine(1)]);
+    let (_, actions) = harness.arrive(3);
+    assert_eq!(failures(&actions), 1);
+    let mut minimal_class = class(ExecutionSemantics::Idempotent);
+    minimal_class.latency_objective = Micros(0);
+    minimal_class.threads = 0.0;
+    let mut harness = Harness::new(
+        Settings { classes: vec![minimal_class], max_attempts: 1, ..Settings::default() },
+        vec![engine(1)],
+    );
     for _ in 0..50 {
-        let (id, actions) = rig.arrive(0);
-        rig.sweeps(3);
-        if !sent(&actions).is_empty() {
-            rig.end(id, 0, Outcome::Error);
+        let (id, actions) = harness.arrive(0);
+        harness.ticks(3);
+        if !sent_engines(&actions).is_empty() {
+            harness.end_attempt(id, 0, Outcome::Error);
         }
     }
-    rig.tell(Event::AttemptUpdated {
+    harness.deliver(Event::AttemptUpdated {
         query: QueryId(9999),
         attempt: 7,
         update: AttemptUpdate::Progress(-1.0),
     });
-    rig.end(QueryId(9999), 3, Outcome::Served);
+    harness.end_attempt(QueryId(9999), 3, Outcome::Served);
 }
 
-/// Incidents i642d1c and ie0d6d2: every gateway pours onto the engine that one late report shows idle.
+/// All gateways sent their queries to the one engine that a late report showed as idle.
 #[test]
-fn sends_since_a_report_stand_for_those_of_the_other_gateways() {
+fn sends_since_a_report_are_scaled_by_the_number_of_gateways() {
     let admitted = |gateways: f64| {
-        let mut rig = Rig::new(
+        let mut harness = Harness::new(
             Settings { gateway_count: gateways, ..settings(vec![class(ExecutionSemantics::Idempotent)]) },
             vec![engine(1)],
         );
         let idle = LoadReport { utilisation: Some(0.1), ..LoadReport::default() };
-        let (first, _) = rig.arrive(0);
-        rig.end_with(first, 0, Outcome::Served, Micros(500_000), idle);
-        let fits = |rig: &mut Rig| {
-            let query = Query { work_hint: Some(3.0), ..rig.query(0) };
-            !sent(&rig.tell(Event::Arrived(query))).is_empty()
+        let (first, _) = harness.arrive(0);
+        harness.end_attempt_with(first, 0, Outcome::Served, Micros(500_000), idle);
+        let fits = |harness: &mut Harness| {
+            let query = Query { work_hint: Some(3.0), ..harness.new_query(0) };
+            !sent_engines(&harness.deliver(Event::Arrived(query))).is_empty()
         };
-        (0..100).take_while(|_| fits(&mut rig)).count()
+        (0..100).take_while(|_| fits(&mut harness)).count()
     };
     assert!(admitted(9.0) < admitted(1.0), "{} and {}", admitted(9.0), admitted(1.0));
 }
 
-/// Incidents i9d57c6 and i055f9d: a stuck load kept an engine on trial, and unused, until its time-out.
+/// A stuck attempt kept a half-open engine from getting any other query until the attempt timed out.
 #[test]
-fn an_engine_on_trial_gets_a_query_though_something_is_stuck_there() {
+fn a_half_open_engine_gets_a_query_although_an_attempt_is_stuck_there() {
     let s = settings(vec![class(ExecutionSemantics::AtMostOnce), class(ExecutionSemantics::Idempotent)]);
-    let mut rig = Rig::new(s, vec![engine(1), engine(2)]);
-    let (_, stuck) = rig.arrive(0);
-    rig.sweeps(9);
-    // Silence set the engine aside; two seconds after it is tried again, the stuck attempt still out.
-    rig.now = rig.now + Micros::from_secs_f64(3.0);
-    let tried = (0..40).any(|_| sent(&rig.arrive(1).1) == sent(&stuck));
-    assert!(tried);
-    let again = (0..40).any(|_| sent(&rig.arrive(1).1) == sent(&stuck));
-    assert!(!again, "one query a period while on trial");
+    let mut harness = Harness::new(s, vec![engine(1), engine(2)]);
+    let (_, stuck) = harness.arrive(0);
+    harness.ticks(9);
+    // The engine is ejected for its silence. It is half-open after the ejection, while the stuck attempt is
+    // still in flight.
+    harness.now = harness.now + Micros::from_secs_f64(3.0);
+    let selected = (0..40).any(|_| sent_engines(&harness.arrive(1).1) == sent_engines(&stuck));
+    assert!(selected);
+    let selected_again = (0..40).any(|_| sent_engines(&harness.arrive(1).1) == sent_engines(&stuck));
+    assert!(!selected_again, "a half-open engine gets one query per period");
 }
 
-/// Incident i742f49: with other gateways gone, this one carries all, and must not take itself for many.
+/// When the other gateways are down, this one carries all the traffic. It must not correct its load estimates
+/// for sends that the others no longer make.
 #[test]
 fn a_gateway_that_carries_all_the_traffic_admits_more() {
     let admitted = |busy: f64| {
         let s = Settings { gateway_count: 9.0, ..settings(vec![class(ExecutionSemantics::Idempotent)]) };
-        let mut rig = Rig::new(s, vec![engine(1)]);
+        let mut harness = Harness::new(s, vec![engine(1)]);
         let report = LoadReport { utilisation: Some(busy), ..LoadReport::default() };
-        // One query of ours is always out; the report tells how much runs there beside it.
-        let (mut out, _) = rig.arrive(0);
+        // One query of this gateway is always in flight. The report shows how much else runs on the engine.
+        let (mut in_flight_id, _) = harness.arrive(0);
         for i in 0..12 {
-            let (next, _) = rig.arrive(0);
-            let told = LoadReport { utilisation: Some(busy + f64::from(i) * 1e-6), ..report };
-            rig.end_with(out, 0, Outcome::Served, Micros(500_000), told);
-            out = next;
-            rig.sweeps(4);
+            let (next, _) = harness.arrive(0);
+            let new_report = LoadReport { utilisation: Some(busy + f64::from(i) * 1e-6), ..report };
+            harness.end_attempt_with(in_flight_id, 0, Outcome::Served, Micros(500_000), new_report);
+            in_flight_id = next;
+            harness.ticks(4);
         }
-        let query = |rig: &mut Rig| Query { work_hint: Some(3.0), ..rig.query(0) };
-        let fits = |rig: &mut Rig| {
-            let query = query(rig);
-            !sent(&rig.tell(Event::Arrived(query))).is_empty()
+        let query = |harness: &mut Harness| Query { work_hint: Some(3.0), ..harness.new_query(0) };
+        let fits = |harness: &mut Harness| {
+            let query = query(harness);
+            !sent_engines(&harness.deliver(Event::Arrived(query))).is_empty()
         };
-        (0..100).take_while(|_| fits(&mut rig)).count()
+        (0..100).take_while(|_| fits(&mut harness)).count()
     };
-    // One thread of eight is ours alone, or one of four times as many.
+    // One thread runs there in the first case and four in the second; one of them belongs to this gateway.
     assert!(admitted(0.125) > admitted(0.5) + 1, "{} and {}", admitted(0.125), admitted(0.5));
 }
 
-/// h28bb38: engines that age, slower and slower, are drawn less; when all slow alike none is.
+/// An engine whose runs get slower and slower is selected less often. If all engines slow down alike, no
+/// engine is preferred.
 #[test]
-fn an_ageing_engine_is_drawn_less_and_a_common_slowdown_is_not_taken_for_ageing() {
-    let late_sends_to_first = |both: bool| {
-        let mut rig =
-            Rig::new(settings(vec![class(ExecutionSemantics::Idempotent)]), vec![engine(1), engine(2)]);
-        let mut late = 0;
+fn a_slowing_engine_is_selected_less_often_unless_all_engines_slow_down() {
+    let late_sends_to_first = |both_slow: bool| {
+        let mut harness =
+            Harness::new(settings(vec![class(ExecutionSemantics::Idempotent)]), vec![engine(1), engine(2)]);
+        let mut late_sends = 0;
         for i in 0..200i64 {
-            let (id, actions) = rig.arrive(0);
-            let first = sent(&actions) == [EngineId(1)];
-            late += usize::from(first && i >= 150);
-            let slow = if first || both { 20_000 * i } else { 0 };
-            rig.end_with(id, 0, Outcome::Served, Micros(500_000 + slow), LoadReport::default());
+            let (id, actions) = harness.arrive(0);
+            let first = sent_engines(&actions) == [EngineId(1)];
+            late_sends += usize::from(first && i >= 150);
+            let extra_time = if first || both_slow { 20_000 * i } else { 0 };
+            harness.end_attempt_with(
+                id,
+                0,
+                Outcome::Served,
+                Micros(500_000 + extra_time),
+                LoadReport::default(),
+            );
         }
-        late
+        late_sends
     };
-    let (ageing, common) = (late_sends_to_first(false), late_sends_to_first(true));
-    assert!(3 * ageing < 2 * common, "{ageing} to the ageing one, {common} when both slow");
+    let (one_slow, both_slow_sends) = (late_sends_to_first(false), late_sends_to_first(true));
+    assert!(
+        3 * one_slow < 2 * both_slow_sends,
+        "{one_slow} if it alone slows down, {both_slow_sends} if both do"
+    );
 }
 
-/// A lasting shift to the heaviest class: what a query without an estimate is taken for follows what is seen.
+/// When the queries become permanently heavier, the estimate for a query without a hint has to follow.
 #[test]
 fn estimates_follow_a_lasting_shift_to_heavier_queries() {
-    let mut rig = Rig::new(settings(vec![class(ExecutionSemantics::Idempotent)]), vec![engine(1)]);
+    let mut harness = Harness::new(settings(vec![class(ExecutionSemantics::Idempotent)]), vec![engine(1)]);
     let mut admitted = |seconds: f64| {
         for _ in 0..300 {
-            let query = Query { work_hint: None, ..rig.query(0) };
+            let query = Query { work_hint: None, ..harness.new_query(0) };
             let id = query.id;
-            rig.tell(Event::Arrived(query));
-            rig.end_with(id, 0, Outcome::Served, Micros::from_secs_f64(seconds), LoadReport::default());
+            harness.deliver(Event::Arrived(query));
+            harness.end_attempt_with(
+                id,
+                0,
+                Outcome::Served,
+                Micros::from_secs_f64(seconds),
+                LoadReport::default(),
+            );
         }
         let busy = LoadReport { utilisation: Some(1.5), ..LoadReport::default() };
-        let (id, _) = rig.arrive(0);
-        rig.end_with(id, 0, Outcome::Served, Micros(500_000), busy);
-        let fits = |rig: &mut Rig| {
-            let query = Query { work_hint: None, ..rig.query(0) };
+        let (id, _) = harness.arrive(0);
+        harness.end_attempt_with(id, 0, Outcome::Served, Micros(500_000), busy);
+        let fits = |harness: &mut Harness| {
+            let query = Query { work_hint: None, ..harness.new_query(0) };
             let id = query.id;
-            (!sent(&rig.tell(Event::Arrived(query))).is_empty()).then_some(id)
+            (!sent_engines(&harness.deliver(Event::Arrived(query))).is_empty()).then_some(id)
         };
-        let ids: Vec<QueryId> = (0..200).map_while(|_| fits(&mut rig)).collect();
+        let ids: Vec<QueryId> = (0..200).map_while(|_| fits(&mut harness)).collect();
         for id in &ids {
-            rig.tell(Event::Abandoned(*id));
-            rig.end(*id, 0, Outcome::Cancelled);
+            harness.deliver(Event::Abandoned(*id));
+            harness.end_attempt(*id, 0, Outcome::Cancelled);
         }
-        rig.now = rig.now + Micros::from_secs_f64(30.0);
+        harness.now = harness.now + Micros::from_secs_f64(30.0);
         ids.len()
     };
     let (light, heavy) = (admitted(0.25), admitted(2.0));
     assert!(light > 2 * heavy && heavy > 0, "{light} light, {heavy} heavy");
 }
 
-/// Bad clients, in service: queries that every engine answers with an error set all engines aside, and used up the budget.
+/// Queries that failed on every engine ejected all engines and used up the retry budget.
 #[test]
-fn queries_that_fail_everywhere_set_no_engine_aside_and_are_not_tried_again() {
-    let mut rig = Rig::new(settings(vec![class(ExecutionSemantics::Idempotent)]), engines(4));
+fn queries_that_fail_on_every_engine_eject_none_and_are_not_retried() {
+    let mut harness = Harness::new(settings(vec![class(ExecutionSemantics::Idempotent)]), engines(4));
     let mut sends = 0;
     for _ in 0..60 {
-        let (id, actions) = rig.arrive(0);
-        let mut out = sent(&actions).len();
+        let (id, actions) = harness.arrive(0);
+        let mut sent_now = sent_engines(&actions).len();
         for attempt in 0.. {
-            sends += out;
-            if out == 0 {
+            sends += sent_now;
+            if sent_now == 0 {
                 break;
             }
-            out = sent(&rig.end(id, attempt, Outcome::Error)).len();
+            sent_now = sent_engines(&harness.end_attempt(id, attempt, Outcome::Error)).len();
         }
     }
-    assert!(sends < 60 + 10, "{sends} sends of 60 queries");
-    let admitted = (0..20).filter(|_| !sent(&rig.arrive(0).1).is_empty()).count();
+    assert!(sends < 60 + 10, "{sends} sends for 60 queries");
+    let admitted = (0..20).filter(|_| !sent_engines(&harness.arrive(0).1).is_empty()).count();
     assert_eq!(admitted, 20);
 }
 
-/// The other side of it: an engine that errs while others do not is set aside, and its queries are tried elsewhere.
+/// The counterpart: an engine that returns errors while others do not is ejected, and its queries are retried
+/// elsewhere.
 #[test]
-fn an_engine_that_errs_alone_is_set_aside() {
-    let mut rig = Rig::new(settings(vec![class(ExecutionSemantics::Idempotent)]), engines(4));
+fn a_single_engine_with_errors_is_ejected() {
+    let mut harness = Harness::new(settings(vec![class(ExecutionSemantics::Idempotent)]), engines(4));
     let mut last = 0;
     for n in 0..200 {
-        let (id, actions) = rig.arrive(0);
-        let mut to = sent(&actions);
+        let (id, actions) = harness.arrive(0);
+        let mut to = sent_engines(&actions);
         for attempt in 0..4 {
             let Some(&engine) = to.first() else { break };
             last = if engine == EngineId(1) { n } else { last };
             let outcome = if engine == EngineId(1) { Outcome::Error } else { Outcome::Served };
-            to = sent(&rig.end(id, attempt, outcome));
-            assert!(outcome == Outcome::Served || !to.is_empty(), "tried elsewhere");
+            to = sent_engines(&harness.end_attempt(id, attempt, outcome));
+            assert!(outcome == Outcome::Served || !to.is_empty(), "not retried on another engine");
         }
     }
-    assert!(last < 50, "an engine that always errs was still drawn by query {last}");
+    assert!(last < 50, "the engine that always fails was still selected for query {last}");
 }
 
-/// How many of `n` queries are admitted where one connection in `of` breaks by chance, at any engine or at the first alone;
-/// and how many of the later half went to the first engine.
-fn admitted_while_connections_break(n: usize, of: u64, everywhere: bool) -> (usize, usize) {
-    let mut rig = Rig::new(settings(vec![class(ExecutionSemantics::Idempotent)]), engines(4));
-    let (mut admitted, mut to_first, mut chance) = (0, 0, 1u64);
+/// Runs `n` queries where one connection in `one_in` breaks at random, on any engine or on the first one
+/// only. Returns how many were admitted, and how many of the second half were sent to the first engine.
+fn admitted_while_connections_break(n: usize, one_in: u64, everywhere: bool) -> (usize, usize) {
+    let mut harness = Harness::new(settings(vec![class(ExecutionSemantics::Idempotent)]), engines(4));
+    let (mut admitted, mut to_first, mut random_state) = (0, 0, 1u64);
     for i in 0..n {
-        rig.now = rig.now + Micros(20_000);
+        harness.now = harness.now + Micros(20_000);
         if i % 12 == 0 {
-            rig.tell(Event::TimerFired(0));
+            harness.deliver(Event::TimerFired(0));
         }
-        let (id, actions) = rig.arrive(0);
-        let mut to = sent(&actions);
+        let (id, actions) = harness.arrive(0);
+        let mut to = sent_engines(&actions);
         admitted += to.len();
         to_first += usize::from(to == [EngineId(1)] && i > n / 2);
         for attempt in 0..4 {
             let Some(&engine) = to.first() else { break };
             let breaks = everywhere || engine == EngineId(1);
-            chance = chance.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-            let reset = breaks && (chance >> 33).is_multiple_of(of);
+            random_state =
+                random_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+            let reset = breaks && (random_state >> 33).is_multiple_of(one_in);
             let outcome = if reset { Outcome::Reset } else { Outcome::Served };
-            to = sent(&rig.end(id, attempt, outcome));
+            to = sent_engines(&harness.end_attempt(id, attempt, outcome));
         }
     }
     (admitted, to_first)
 }
 
-/// Resets, in service: one connection in fifteen broke at whichever engine, and all were set aside and thought cold.
+/// One connection in fifteen broke, on all engines alike, and all engines were ejected and put into slow
+/// start.
 #[test]
-fn connections_that_break_everywhere_set_no_engine_aside() {
+fn connections_that_break_on_all_engines_eject_none() {
     let (admitted, to_first) = admitted_while_connections_break(2_000, 10, true);
     assert_eq!(admitted, 2_000);
-    assert!(to_first > 125, "{to_first} of about 250");
+    assert!(to_first > 125, "{to_first} of about 250 sent to the first engine");
 }
 
-/// The other side of it: where one engine alone breaks most of them, it is kept away from.
+/// The counterpart: an engine that is the only one to break most of its connections is avoided.
 #[test]
-fn an_engine_that_breaks_connections_alone_is_set_aside() {
+fn a_single_engine_that_breaks_connections_is_ejected() {
     let (admitted, to_first) = admitted_while_connections_break(1_000, 1, false);
     assert_eq!(admitted, 1_000);
-    assert!(to_first < 40, "{to_first} after half of the queries");
+    assert!(to_first < 40, "{to_first} sent to the failing engine in the second half");
 }
 
-/// A day of releases, in service: answers of two engines got lost, one by one; notes of all else came.
+/// Answers of two engines were lost one by one during a rollout, while updates of their other attempts
+/// arrived.
 #[test]
-fn an_attempt_that_alone_gives_no_word_is_sent_anew_where_repeats_are_safe() {
-    for (effect, again) in [(ExecutionSemantics::Idempotent, true), (ExecutionSemantics::AtMostOnce, false)] {
-        let mut rig = Rig::new(settings(vec![class(effect)]), engines(1));
-        let (lost, _) = rig.arrive(0);
-        let (noted, _) = rig.arrive(0);
-        let mut done = Vec::new();
+fn a_single_attempt_without_updates_is_retried_if_the_class_is_idempotent() {
+    for (semantics, retried) in
+        [(ExecutionSemantics::Idempotent, true), (ExecutionSemantics::AtMostOnce, false)]
+    {
+        let mut harness = Harness::new(settings(vec![class(semantics)]), engines(1));
+        let (lost, _) = harness.arrive(0);
+        let (updated, _) = harness.arrive(0);
+        let mut actions = Vec::new();
         for _ in 0..10 {
-            rig.tell(Event::AttemptUpdated {
-                query: noted,
+            harness.deliver(Event::AttemptUpdated {
+                query: updated,
                 attempt: 0,
                 update: AttemptUpdate::Progress(0.9),
             });
-            done.extend(rig.sweeps(1));
+            actions.extend(harness.ticks(1));
         }
-        assert_eq!(done.contains(&Action::Cancel { query: lost, attempt: 0 }), again);
-        assert!(!done.contains(&Action::Cancel { query: noted, attempt: 0 }));
+        assert_eq!(actions.contains(&Action::Cancel { query: lost, attempt: 0 }), retried);
+        assert!(!actions.contains(&Action::Cancel { query: updated, attempt: 0 }));
     }
 }
--- a/crates/core/tests/fuzzy.rs
+++ b/crates/core/tests/fuzzy.rs
@@ -1,8 +1,8 @@
-//! The rule base and the controller's output against the paper.
+//! The rule table and the output of the fuzzy controller, compared with the paper.
 
 use wheelfield::policy::{fuzzy_output, rule_output};
 
-/// Table 2 of the paper: rows are the error, columns its change, both from NVL to PVL.
+/// Table 2 of the paper. Rows are the error and columns its change, both from NVL to PVL.
 const TABLE_2: [&str; 9] = [
     "NVL NVL NVL NL NL NL NM NS ZE",
     "NVL NVL NL NL NL NM NS ZE PS",
@@ -29,17 +29,17 @@
     }
 }
 
-/// The paper's example: error -0.2 s and change -0.4 s on a range of 1 s give
-/// (-75*0.6 - 50*0.4 - 50*0.2 - 25*0.2) / 1.4 with centres 25 apart.
+/// The example of the paper: with an error of -0.2 s, a change of -0.4 s and a range of 1 s the output is
+/// (-75*0.6 - 50*0.4 - 50*0.2 - 25*0.2) / 1.4, where the output centres are 25 apart.
 #[test]
-fn the_papers_example_comes_out() {
+fn the_output_matches_the_example_of_the_paper() {
     let output = fuzzy_output(-0.2 * 0.5, -0.4 * 0.5);
     let expected = (-3.0 * 0.6 - 2.0 * 0.4 - 2.0 * 0.2 - 0.2) / 1.4;
     assert!((output - expected).abs() < 1e-9, "{output} for {expected}");
 }
 
 #[test]
-fn the_output_has_the_sign_of_the_error_and_keeps_its_limits() {
+fn the_output_has_the_sign_of_the_error_and_stays_within_its_range() {
     for e in [0.1, 0.3, 0.5, 2.0, 100.0] {
         assert!(fuzzy_output(e, 0.0) > 0.0 && fuzzy_output(-e, 0.0) < 0.0);
         assert!(fuzzy_output(e, e) <= 4.0 && fuzzy_output(-e, -e) >= -4.0);
--- a/crates/core/tests/many.rs
+++ b/crates/core/tests/many.rs
@@ -1,10 +1,11 @@
-//! What fails only with many gateways to few engines, each seeing little.
+//! Faults that occur only where many gateways share few engines, so that each gateway sends and observes
+//! little.
 
 mod common;
 use common::*;
 use wheelfield::interface::*;
 
-const PRESSED: LoadReport = LoadReport {
+const OVERLOADED: LoadReport = LoadReport {
     utilisation: Some(1.5),
     in_flight: None,
     queued: None,
@@ -12,268 +13,289 @@
     disk_utilisation: None,
 };
 
-/// big-2: every gateway put one query on every engine, and the bound bound nowhere.
+/// Every gateway placed one query on every engine, so the work limits had no effect.
 #[test]
-fn under_pressure_the_bounds_hold_where_a_share_is_below_one_query() {
+fn work_limits_hold_if_a_share_is_below_one_query() {
     let admitted = |gateways: f64| {
-        let mut rig = Rig::new(many(gateways), engines(30));
-        rig.tell(told(30, PRESSED));
-        (0..60).filter(|_| !sent(&rig.arrive(0).1).is_empty()).count()
+        let mut harness = Harness::new(settings_with_gateways(gateways), engines(30));
+        harness.deliver(peer_reports(30, OVERLOADED));
+        (0..60).filter(|_| !sent_engines(&harness.arrive(0).1).is_empty()).count()
     };
-    // 200 gateways: the bounds come to 30 x 0.08 thread-seconds, of which a part is used; one goes to each engine
-    // where the share is above one query.
+    // With 200 gateways the limits add up to 30 x 0.08 thread-seconds, of which a fraction is used. With 16
+    // gateways the share is above one query, so each engine gets one.
     assert!((1..=12).contains(&admitted(200.0)), "{}", admitted(200.0));
     assert!(admitted(16.0) >= 30, "{}", admitted(16.0));
 }
 
-/// A gateway that hears of an engine seldom took it for full by its own one query.
+/// A gateway that rarely hears of an engine took it for full because of its own single query there.
 #[test]
-fn an_old_report_fades_into_the_mean_of_all_engines() {
-    let mut rig = Rig::new(many(200.0), engines(2));
-    rig.tell(Event::PeerReports(vec![PeerLoadReport { engine: EngineId(1), report: PRESSED }]));
-    let calm = LoadReport { utilisation: Some(0.2), ..PRESSED };
-    let fresh = |rig: &mut Rig| {
+fn an_old_report_converges_to_the_mean_of_all_engines() {
+    let mut harness = Harness::new(settings_with_gateways(200.0), engines(2));
+    harness.deliver(Event::PeerReports(vec![PeerLoadReport { engine: EngineId(1), report: OVERLOADED }]));
+    let low = LoadReport { utilisation: Some(0.2), ..OVERLOADED };
+    let send_new_reports = |harness: &mut Harness| {
         for i in 0..40 {
-            let report = LoadReport { utilisation: Some(0.2 + f64::from(i) * 1e-6), ..calm };
-            rig.tell(Event::PeerReports(vec![PeerLoadReport { engine: EngineId(2), report }]));
+            let report = LoadReport { utilisation: Some(0.2 + f64::from(i) * 1e-6), ..low };
+            harness.deliver(Event::PeerReports(vec![PeerLoadReport { engine: EngineId(2), report }]));
         }
     };
-    fresh(&mut rig);
-    let at_once = draws_to_first(&mut rig, 200);
-    rig.now = rig.now + Micros::from_secs_f64(30.0);
-    fresh(&mut rig);
-    let later = draws_to_first(&mut rig, 200);
-    assert!(at_once < 5 && later > 15, "{at_once} at once, {later} later");
+    send_new_reports(&mut harness);
+    let immediately = selections_of_first(&mut harness, 200);
+    harness.now = harness.now + Micros::from_secs_f64(30.0);
+    send_new_reports(&mut harness);
+    let later = selections_of_first(&mut harness, 200);
+    assert!(immediately < 5 && later > 15, "{immediately} immediately, {later} later");
 }
 
-/// each gateway probed every engine, four probes a query.
+/// When each gateway probed every engine, there were four probes per query.
 #[test]
-fn many_gateways_probe_as_much_as_one_and_tell_the_others() {
-    let probes = |gateways: f64, peers: bool| {
+fn many_gateways_together_probe_as_often_as_one_and_share_reports() {
+    let probes = |gateways: f64, with_messages: bool| {
         let s = Settings {
             probes: true,
             reports_by_probe: true,
-            peer_messages: peers,
+            peer_messages: with_messages,
             probe_price: 0.01,
-            ..many(gateways)
+            ..settings_with_gateways(gateways)
         };
-        let mut rig = Rig::new(s, engines(1));
-        rig.sweeps(4000).iter().filter(|a| **a == Action::Probe(EngineId(1))).count()
+        let mut harness = Harness::new(s, engines(1));
+        harness.ticks(4000).iter().filter(|a| **a == Action::Probe(EngineId(1))).count()
     };
-    let (one, each) = (probes(1.0, true), probes(100.0, true));
-    assert!(one >= 900 && (10..=80).contains(&each), "{one} and {each}");
-    // Without messages each pays for its own, as much as its own traffic is worth.
+    let (one, hundred) = (probes(1.0, true), probes(100.0, true));
+    assert!(one >= 900 && (10..=80).contains(&hundred), "{one} and {hundred}");
+    // Without messages between gateways each one sends its own probes, as many as its own traffic justifies.
     assert!(probes(100.0, false) > 500);
 
-    let s = Settings { probes: true, reports_by_probe: true, peer_messages: true, ..many(2.0) };
-    let mut rig = Rig::new(s, engines(2));
-    rig.tell(Event::ProbeEnded { engine: EngineId(2), outcome: Outcome::Served, report: PRESSED });
-    let word = PeerLoadReport { engine: EngineId(2), report: PRESSED };
-    assert_eq!(rig.tell(Event::TimerFired(1)), [Action::ShareReports(vec![word])]);
+    let s =
+        Settings { probes: true, reports_by_probe: true, peer_messages: true, ..settings_with_gateways(2.0) };
+    let mut harness = Harness::new(s, engines(2));
+    harness.deliver(Event::ProbeEnded { engine: EngineId(2), outcome: Outcome::Served, report: OVERLOADED });
+    let peer_report = PeerLoadReport { engine: EngineId(2), report: OVERLOADED };
+    assert_eq!(harness.deliver(Event::TimerFired(1)), [Action::ShareReports(vec![peer_report])]);
 }
 
-/// big-2: all gateways leapt on the few engines that the shared news showed idle.
+/// All gateways sent their queries to the few engines that the shared reports showed as idle.
 #[test]
-fn where_news_are_shared_idle_engines_are_not_rushed() {
-    let refused_of = |peers: bool| {
-        let mut rig = Rig::new(
+fn gateways_that_share_reports_do_not_overload_an_idle_engine() {
+    let rejected_with = |with_messages: bool| {
+        let mut harness = Harness::new(
             Settings {
-                peer_messages: peers,
-                queues_on_memory_shortage: !peers,
+                peer_messages: with_messages,
+                queues_on_memory_shortage: !with_messages,
                 reports_by_probe: true,
-                ..many(200.0)
+                ..settings_with_gateways(200.0)
             },
             engines(20),
         );
-        rig.sweeps(1);
+        harness.ticks(1);
         for i in 0..40 {
-            let report = LoadReport { utilisation: Some(4.0 + f64::from(i) * 1e-6), ..PRESSED };
-            rig.tell(told(19, report));
+            let report = LoadReport { utilisation: Some(4.0 + f64::from(i) * 1e-6), ..OVERLOADED };
+            harness.deliver(peer_reports(19, report));
         }
-        let idle = LoadReport { utilisation: Some(0.0), ..PRESSED };
-        rig.tell(Event::PeerReports(vec![PeerLoadReport { engine: EngineId(20), report: idle }]));
-        let query = |rig: &mut Rig| Query { work_hint: Some(20.0), ..rig.query(0) };
-        let lost = |rig: &mut Rig| {
-            let query = query(rig);
+        let idle = LoadReport { utilisation: Some(0.0), ..OVERLOADED };
+        harness.deliver(Event::PeerReports(vec![PeerLoadReport { engine: EngineId(20), report: idle }]));
+        let query = |harness: &mut Harness| Query { work_hint: Some(20.0), ..harness.new_query(0) };
+        let count_rejections = |harness: &mut Harness| {
+            let query = query(harness);
             let id = query.id;
-            let refused = refused(&rig.tell(Event::Arrived(query)));
-            rig.tell(Event::Abandoned(id));
-            rig.end(id, 0, Outcome::Cancelled);
-            refused
+            let rejected = rejections(&harness.deliver(Event::Arrived(query)));
+            harness.deliver(Event::Abandoned(id));
+            harness.end_attempt(id, 0, Outcome::Cancelled);
+            rejected
         };
-        (0..200).map(|_| lost(&mut rig)).sum::<usize>()
+        (0..200).map(|_| count_rejections(&mut harness)).sum::<usize>()
     };
-    let (shared, alone) = (refused_of(true), refused_of(false));
-    assert!(shared > 100 && alone < 20, "{shared} refused with shared news, {alone} without");
+    let (shared, unshared) = (rejected_with(true), rejected_with(false));
+    assert!(shared > 100 && unshared < 20, "{shared} rejected with shared reports, {unshared} without");
 }
 
-/// A cold budget split evenly was below one query for each gateway: nothing was sent, or all at once.
+/// When the slow-start budget was split evenly, each share was below one query: nothing was sent, or
+/// everything at once.
 #[test]
-fn many_gateways_take_turns_at_a_cold_engine_and_keep_to_the_budget() {
+fn many_gateways_take_turns_at_an_engine_in_slow_start_within_its_budget() {
     for count in [20usize, 100, 250] {
-        let mut rigs: Vec<Rig> = (0..count)
+        let mut harnesses: Vec<Harness> = (0..count)
             .map(|i| {
-                let s = Settings { gateway_index: i as f64, ..many(count as f64) };
-                let cold = EngineEntry { started_at: Some(Micros::from_secs_f64(100.0)), ..engine(1) };
-                Rig::new(s, vec![cold])
+                let s = Settings { gateway_index: i as f64, ..settings_with_gateways(count as f64) };
+                let starting = EngineEntry { started_at: Some(Micros::from_secs_f64(100.0)), ..engine(1) };
+                Harness::new(s, vec![starting])
             })
             .collect();
         let mut sends: Vec<f64> = Vec::new();
         for step in 0..80 {
-            for rig in &mut rigs {
-                rig.now = Micros::from_secs_f64(100.0 + f64::from(step) * 0.1);
-                let (id, actions) = rig.arrive(0);
-                sends.extend(sent(&actions).iter().map(|_| f64::from(step) * 0.1));
-                rig.end(id, 0, Outcome::Served);
+            for harness in &mut harnesses {
+                harness.now = Micros::from_secs_f64(100.0 + f64::from(step) * 0.1);
+                let (id, actions) = harness.arrive(0);
+                sends.extend(sent_engines(&actions).iter().map(|_| f64::from(step) * 0.1));
+                harness.end_attempt(id, 0, Outcome::Served);
             }
         }
-        // Twice what the engine surely can do within the span, in queries of half a second.
+        // Twice the capacity that the engine certainly has within the window, in queries of 0.5 s.
         let budget = |end: f64| 2.0 * (0.4 + 0.6 * 0.5 * end / 10.0) * 8.0 * 2.0 / 0.5;
         for from in (0..80).map(|i| f64::from(i) * 0.1) {
-            let span = sends.iter().filter(|t| (from..from + 2.0).contains(*t)).count() as f64;
-            assert!(span <= budget(from + 2.0), "{span} of {count} gateways from {from} s on");
+            let sent_in_window = sends.iter().filter(|t| (from..from + 2.0).contains(*t)).count() as f64;
+            assert!(
+                sent_in_window <= budget(from + 2.0),
+                "{sent_in_window} sends by {count} gateways in the window from {from} s"
+            );
         }
-        assert!(sends.len() > 20, "{} in 8 s of {count} gateways", sends.len());
+        assert!(sends.len() > 20, "{} sends in 8 s by {count} gateways", sends.len());
     }
 }
 
-/// i22fa3d: a zone came back cold and got a hundredth of the sends, as a gateway with its turn
-/// hardly ever drew it among the warm engines. Who has its turn draws for the others, within the same budget.
+/// A zone that restarted got a hundredth of the queries, because a gateway with a time slot rarely selected
+/// its engines among all others. That gateway now selects them on behalf of the other gateways, within the
+/// same budget.
 #[test]
-fn a_cold_engine_is_used_beside_warm_ones() {
+fn an_engine_in_slow_start_is_used_beside_others() {
     let (gateways, steps) = (100usize, 60);
-    let (mut to_cold, mut all) = (0, 0);
+    let (mut to_starting, mut all) = (0, 0);
     for i in 0..gateways {
-        let s = Settings { gateway_index: i as f64, ..many(gateways as f64) };
-        let cold = EngineEntry { started_at: Some(Micros::from_secs_f64(100.0)), ..engine(1) };
-        let mut rig = Rig::new(s, std::iter::once(cold).chain((2..=20).map(engine)).collect());
+        let s = Settings { gateway_index: i as f64, ..settings_with_gateways(gateways as f64) };
+        let starting = EngineEntry { started_at: Some(Micros::from_secs_f64(100.0)), ..engine(1) };
+        let mut harness = Harness::new(s, std::iter::once(starting).chain((2..=20).map(engine)).collect());
         for step in 0..steps {
-            rig.now = Micros::from_secs_f64(100.0 + f64::from(step) * 0.1);
-            let (id, actions) = rig.arrive(0);
-            let to = sent(&actions);
-            (to_cold, all) = (to_cold + usize::from(to == [EngineId(1)]), all + to.len());
-            rig.end(id, 0, Outcome::Served);
+            harness.now = Micros::from_secs_f64(100.0 + f64::from(step) * 0.1);
+            let (id, actions) = harness.arrive(0);
+            let to = sent_engines(&actions);
+            (to_starting, all) = (to_starting + usize::from(to == [EngineId(1)]), all + to.len());
+            harness.end_attempt(id, 0, Outcome::Served);
         }
     }
-    // Eleven turns of one query in each of three spans; without drawing for others hardly any is used.
-    assert!((25..60).contains(&to_cold) && all == gateways * 60, "{to_cold} of {all}");
+    // Eleven time slots of one query in each of three windows. Without the factor on the selection weight
+    // hardly any of them is used.
+    assert!((25..60).contains(&to_starting) && all == gateways * 60, "{to_starting} of {all}");
 }
 
-/// Incident i89d783: look-ups were refused for memory that only reports could have overrun.
+/// Very small queries were rejected for a shortage of memory that only large queries could have made worse.
 #[test]
-fn when_memory_is_nearly_gone_small_queries_still_get_in() {
+fn small_queries_are_admitted_when_memory_is_nearly_used_up() {
     let admitted = |memory_mb: f64| {
-        let mut rig = Rig::new(Settings { pages_on_memory_shortage: true, ..many(50.0) }, engines(4));
+        let mut harness = Harness::new(
+            Settings { pages_on_memory_shortage: true, ..settings_with_gateways(50.0) },
+            engines(4),
+        );
         for i in 0..40 {
             let report = LoadReport {
                 utilisation: Some(0.4),
                 memory_granted: Some(1.1 + f64::from(i) * 1e-6),
-                ..PRESSED
+                ..OVERLOADED
             };
-            rig.tell(told(4, report));
+            harness.deliver(peer_reports(4, report));
         }
-        let query = Query { memory_hint: Some(memory_mb), work_hint: Some(0.05), ..rig.query(0) };
-        !sent(&rig.tell(Event::Arrived(query))).is_empty()
+        let query = Query { memory_hint: Some(memory_mb), work_hint: Some(0.05), ..harness.new_query(0) };
+        !sent_engines(&harness.deliver(Event::Arrived(query))).is_empty()
     };
     assert_eq!((admitted(10.0), admitted(150.0)), (true, false));
 }
 
-/// Incident i62c6f9: what is late on a paging engine keeps all others late there, and was left to run on.
+/// Late work on a paging engine delays all other work there, but was left to run.
 #[test]
-fn late_work_is_given_up_on_an_engine_that_pages() {
+fn late_work_is_given_up_on_a_paging_engine() {
     let given_up = |memory: f64| {
-        let mut rig = Rig::new(
+        let mut harness = Harness::new(
             Settings {
                 pages_on_memory_shortage: true,
                 ..settings(vec![class(ExecutionSemantics::AtMostOnce)])
             },
             engines(1),
         );
-        let (id, _) = rig.arrive(0);
-        rig.now = rig.now + Micros::from_secs_f64(1.5);
-        rig.tell(Event::AttemptUpdated { query: id, attempt: 0, update: AttemptUpdate::Progress(0.25) });
-        let report = LoadReport { utilisation: Some(2.0), memory_granted: Some(memory), ..PRESSED };
-        rig.tell(told(1, report));
-        failed(&rig.sweeps(1))
+        let (id, _) = harness.arrive(0);
+        harness.now = harness.now + Micros::from_secs_f64(1.5);
+        harness.deliver(Event::AttemptUpdated {
+            query: id,
+            attempt: 0,
+            update: AttemptUpdate::Progress(0.25),
+        });
+        let report = LoadReport { utilisation: Some(2.0), memory_granted: Some(memory), ..OVERLOADED };
+        harness.deliver(peer_reports(1, report));
+        failures(&harness.ticks(1))
     };
     assert_eq!((given_up(3.0), given_up(0.5)), (1, 0));
 }
 
-/// After an engine failed, each of many gateways tried it once a period: more failures than answers.
+/// After an engine failed, each of many gateways tried it once per period, which caused more failures than
+/// answers.
 #[test]
-fn many_gateways_try_a_failing_engine_in_turn_and_trust_it_again_in_time() {
-    let tried = |gateways: f64, wait: f64| {
+fn many_gateways_take_turns_at_a_half_open_engine_and_use_it_again_later() {
+    let gateways_that_send = |gateways: f64, wait: f64| {
         (0..40u32)
             .filter(|i| {
-                let s = Settings { gateway_index: f64::from(*i), ..many(gateways) };
-                let mut rig = Rig::new(s, engines(2));
-                rig.sweeps(1);
+                let s = Settings { gateway_index: f64::from(*i), ..settings_with_gateways(gateways) };
+                let mut harness = Harness::new(s, engines(2));
+                harness.ticks(1);
                 for _ in 0..10 {
-                    let (id, actions) = rig.arrive(0);
-                    let failed = sent(&actions) == [EngineId(1)];
-                    if failed {
-                        rig.tell(Event::Abandoned(id));
+                    let (id, actions) = harness.arrive(0);
+                    let is_first = sent_engines(&actions) == [EngineId(1)];
+                    if is_first {
+                        harness.deliver(Event::Abandoned(id));
                     }
-                    rig.end(id, 0, if failed { Outcome::Error } else { Outcome::Served });
+                    harness.end_attempt(id, 0, if is_first { Outcome::Error } else { Outcome::Served });
                 }
-                rig.now = rig.now + Micros::from_secs_f64(wait);
-                rig.sweeps(4);
+                harness.now = harness.now + Micros::from_secs_f64(wait);
+                harness.ticks(4);
                 (0..12).any(|_| {
-                    let (id, actions) = rig.arrive(0);
-                    rig.end(id, 0, Outcome::Served);
-                    sent(&actions) == [EngineId(1)]
+                    let (id, actions) = harness.arrive(0);
+                    harness.end_attempt(id, 0, Outcome::Served);
+                    sent_engines(&actions) == [EngineId(1)]
                 })
             })
             .count()
     };
-    let (soon, later) = (tried(200.0, 0.2), tried(200.0, 20.0));
-    assert!(soon < 20 && later > 30, "{soon} of forty soon, {later} later");
+    let (soon, later) = (gateways_that_send(200.0, 0.2), gateways_that_send(200.0, 20.0));
+    assert!(soon < 20 && later > 30, "{soon} of 40 gateways soon, {later} later");
 }
 
-/// hunt h351a52: each of many gateways came back to a full engine several times a second.
+/// Each of many gateways sent queries to a full engine several times a second.
 #[test]
-fn a_full_engine_rests_longer_where_many_gateways_share_it() {
-    let sent_again = |gateways: f64| {
-        let mut rig = Rig::new(many(gateways), engines(1));
+fn the_backoff_from_a_full_engine_is_longer_with_many_gateways() {
+    let sends_with = |gateways: f64| {
+        let mut harness = Harness::new(settings_with_gateways(gateways), engines(1));
         let mut sends = 0;
         for _ in 0..16 {
-            let (id, actions) = rig.arrive(0);
-            sends += sent(&actions).len();
-            rig.end(id, 0, Outcome::Full);
-            rig.sweeps(1);
+            let (id, actions) = harness.arrive(0);
+            sends += sent_engines(&actions).len();
+            harness.end_attempt(id, 0, Outcome::Full);
+            harness.ticks(1);
         }
         sends
     };
-    let (few, many) = (sent_again(1.0), sent_again(200.0));
+    let (few, many) = (sends_with(1.0), sends_with(200.0));
     assert!(few >= 5 && many <= 3, "{few} with one, {many} with many");
 }
 
-/// The number of gateways may change while the module runs: the budget for a cold engine follows at once, the bounds found
-/// so far stay and go on by the reports; one that is told its own number again acts as before.
+/// The number of gateways may change at run time. The slow-start budget changes at once; the work limits
+/// learned so far are kept and adjusted by later reports. A gateway that is given the same number again
+/// behaves as before.
 #[test]
-fn a_changed_number_of_gateways_is_acted_on() {
-    let cold = |rig: &mut Rig| {
-        let fresh = EngineEntry { started_at: Some(rig.now), ..engines(1).remove(0) };
-        rig.tell(Event::EngineChanges(vec![fresh]));
-        (0..40).filter(|_| !sent(&rig.arrive(0).1).is_empty()).count()
+fn a_changed_number_of_gateways_takes_effect() {
+    let admitted_in_slow_start = |harness: &mut Harness| {
+        let restarted = EngineEntry { started_at: Some(harness.now), ..engines(1).remove(0) };
+        harness.deliver(Event::EngineChanges(vec![restarted]));
+        (0..40).filter(|_| !sent_engines(&harness.arrive(0).1).is_empty()).count()
     };
     let s = |gateways| Settings {
         slow_start_initial_fraction: 0.5,
         slow_start_duration: Micros::from_secs_f64(30.0),
         overload_multiple: 2.0,
         overload_window: Micros::from_secs_f64(5.0),
-        ..many(gateways)
+        ..settings_with_gateways(gateways)
     };
-    let began = |gateways: f64| cold(&mut Rig::new(s(gateways), engines(1)));
+    let unchanged = |gateways: f64| admitted_in_slow_start(&mut Harness::new(s(gateways), engines(1)));
     let changed = |from: f64, to: f64| {
-        let mut rig = Rig::new(s(from), engines(1));
-        rig.tell(Event::GatewayCountChanged { count: to, index: 0.0 });
-        cold(&mut rig)
+        let mut harness = Harness::new(s(from), engines(1));
+        harness.deliver(Event::GatewayCountChanged { count: to, index: 0.0 });
+        admitted_in_slow_start(&mut harness)
     };
-    assert!(began(1.0) > began(4.0), "{} and {}", began(1.0), began(4.0));
+    assert!(unchanged(1.0) > unchanged(4.0), "{} and {}", unchanged(1.0), unchanged(4.0));
     let (few, many) = (changed(4.0, 1.0), changed(1.0, 4.0));
-    assert!(began(4.0) <= many && many < began(1.0), "{many} of {} and {}", began(4.0), began(1.0));
-    assert!(began(4.0) <= few && few <= began(1.0), "{few}");
-    assert_eq!(changed(4.0, 4.0), began(4.0));
-    assert_eq!(changed(1.0, 0.0), began(1.0), "none at all is one");
+    assert!(
+        unchanged(4.0) <= many && many < unchanged(1.0),
+        "{many} of {} and {}",
+        unchanged(4.0),
+        unchanged(1.0)
+    );
+    assert!(unchanged(4.0) <= few && few <= unchanged(1.0), "{few}");
+    assert_eq!(changed(4.0, 4.0), unchanged(4.0));
+    assert_eq!(changed(1.0, 0.0), unchanged(1.0), "a count of zero is treated as one");
 }
--- a/crates/core/tests/signals.rs
+++ b/crates/core/tests/signals.rs
@@ -1,198 +1,236 @@
-//! What fails where a deployment lacks a signal or a means that others have.
+//! Faults that occur where a deployment lacks a signal or a feature that others have.
 
 mod common;
 use common::*;
 use wheelfield::interface::*;
 
-/// quiet day and rough-2: without notes attempts timed out at half the time left, though the
-/// engines run on what nobody waits for; the repeats jammed them. Holds against any repeat of work still running.
+/// Without progress updates attempts timed out after half of the remaining time. Where they can't be
+/// cancelled, engines keep running them, and the retries overloaded the engines.
 #[test]
-fn where_nothing_can_be_withdrawn_an_attempt_has_the_clients_whole_time() {
-    for (cancel, note_every, whole) in [(false, 0, true), (true, 0, false), (true, 1_000_000, true)] {
-        let s = Settings { cancellation: cancel, progress_interval: Micros(note_every), ..many(1.0) };
-        let (_, actions) = Rig::new(s, engines(3)).arrive(0);
-        let times = actions.iter().filter_map(|a| match a {
-            Action::Send { timeout: time_out, .. } => Some(time_out.0 == 0),
+fn timeouts_are_shortened_only_with_cancellation_and_without_progress_updates() {
+    for (can_cancel, interval, whole_deadline) in
+        [(false, 0, true), (true, 0, false), (true, 1_000_000, true)]
+    {
+        let s = Settings {
+            cancellation: can_cancel,
+            progress_interval: Micros(interval),
+            ..settings_with_gateways(1.0)
+        };
+        let (_, actions) = Harness::new(s, engines(3)).arrive(0);
+        let has_whole_deadline = actions.iter().filter_map(|a| match a {
+            Action::Send { timeout: attempt_timeout, .. } => Some(attempt_timeout.0 == 0),
             _ => None,
         });
-        assert_eq!(times.collect::<Vec<_>>(), [whole], "cancel {cancel}, notes {note_every}");
+        assert_eq!(
+            has_whole_deadline.collect::<Vec<_>>(),
+            [whole_deadline],
+            "cancellation {can_cancel}, progress interval {interval}"
+        );
     }
 }
 
-/// rough-2 before its troubles: one query in hand a core was taken for pressure, though a
-/// part of each waits for the disks, and a twentieth of a calm stretch was refused.
+/// One query per core was taken for overload, although queries wait for the disks part of the time, and a
+/// twentieth of a light load was rejected.
 #[test]
-fn a_query_in_hand_a_core_is_no_pressure_where_utilisation_is_not_told() {
+fn one_query_per_core_is_no_overload_if_utilisation_is_not_reported() {
     let admitted = |in_flight: f64, reports_utilisation: bool| {
-        let s = Settings { reports_utilisation, ..many(200.0) };
-        let mut rig = Rig::new(s, engines(30));
+        let s = Settings { reports_utilisation, ..settings_with_gateways(200.0) };
+        let mut harness = Harness::new(s, engines(30));
         let report = LoadReport { in_flight: Some(in_flight), ..LoadReport::default() };
         (0..30).for_each(|_| {
-            rig.tell(told(30, report));
+            harness.deliver(peer_reports(30, report));
         });
-        (0..30).filter(|_| !sent(&rig.arrive(0).1).is_empty()).count()
+        (0..30).filter(|_| !sent_engines(&harness.arrive(0).1).is_empty()).count()
     };
-    // Eight cores: 10 in hand are 1.25 threads a core, 24 are three.
+    // With eight cores, 10 queries in flight are 1.25 threads per core and 24 are three.
     assert_eq!(admitted(10.0, false), 30);
     assert!(admitted(24.0, false) < 15, "{}", admitted(24.0, false));
     assert!(admitted(10.0, true) < 15, "{}", admitted(10.0, true));
 }
 
-/// big-2: engines full at twice their memory showed their cores idle and drew the most.
-/// Holds against whatever keeps cores idle while queries pile up.
+/// Engines with twice their memory granted showed idle cores and were selected most. The memory load counts
+/// whatever keeps the cores idle.
 #[test]
-fn an_engine_with_idle_cores_and_no_memory_left_is_not_idle() {
+fn an_engine_with_idle_cores_but_no_free_memory_is_rarely_selected() {
     let report = |utilisation, memory| LoadReport {
         utilisation: Some(utilisation),
         memory_granted: Some(memory),
         ..LoadReport::default()
     };
-    let mut rig = Rig::new(many(200.0), engines(2));
-    let word = |n, report| PeerLoadReport { engine: EngineId(n), report };
-    rig.tell(Event::PeerReports(vec![word(1, report(0.3, 2.2)), word(2, report(0.8, 0.6))]));
-    let to_jammed = draws_to_first(&mut rig, 200);
-    assert!(to_jammed < 20, "{to_jammed} of 200 to the jammed engine");
+    let mut harness = Harness::new(settings_with_gateways(200.0), engines(2));
+    let peer_report = |n, report| PeerLoadReport { engine: EngineId(n), report };
+    harness.deliver(Event::PeerReports(vec![
+        peer_report(1, report(0.3, 2.2)),
+        peer_report(2, report(0.8, 0.6)),
+    ]));
+    let to_first = selections_of_first(&mut harness, 200);
+    assert!(to_first < 20, "{to_first} of 200 sent to the engine without free memory");
 }
 
-/// big-2: of what 300 gateways heard of an engine seconds ago, 'idle' was no longer true, but
-/// 'jammed' was. Where a share is below one query, bad news counts longer than good.
+/// When 300 gateways used reports that were seconds old, low loads were no longer true but overloads still
+/// were. Where a share is below one query, reports of high load are trusted for longer.
 #[test]
-fn of_old_reports_the_bad_ones_count_longer() {
+fn old_reports_of_high_load_count_longer_than_those_of_low_load() {
     let load = |u: f64| LoadReport { utilisation: Some(u), ..LoadReport::default() };
-    let draws = |first: f64, rest: f64| {
-        let mut rig = Rig::new(many(200.0), engines(4));
-        let word = |n: u64, u| PeerLoadReport { engine: EngineId(n), report: load(u) };
-        rig.tell(Event::PeerReports(vec![word(1, first)]));
-        rig.now = rig.now + Micros::from_secs_f64(4.0);
+    let selections = |first: f64, rest: f64| {
+        let mut harness = Harness::new(settings_with_gateways(200.0), engines(4));
+        let peer_report = |n: u64, u| PeerLoadReport { engine: EngineId(n), report: load(u) };
+        harness.deliver(Event::PeerReports(vec![peer_report(1, first)]));
+        harness.now = harness.now + Micros::from_secs_f64(4.0);
         for i in 0..60 {
             let u = rest + f64::from(i) * 1e-6;
-            rig.tell(Event::PeerReports((2..=4).map(|n| word(n, u)).collect()));
+            harness.deliver(Event::PeerReports((2..=4).map(|n| peer_report(n, u)).collect()));
         }
-        draws_to_first(&mut rig, 400)
+        selections_of_first(&mut harness, 400)
     };
-    // An even draw of four sends 100 to each; at its word an idle engine would get 300 and a busy one 10.
-    let (idle, busy) = (draws(0.1, 0.5), draws(0.9, 0.3));
+    // An even selection among four engines sends 100 to each. By the reports alone the idle engine would get
+    // 300 and the busy one 10.
+    let (idle, busy) = (selections(0.1, 0.5), selections(0.9, 0.3));
     assert!(
         (100..200).contains(&idle) && busy < 25,
-        "{idle} to the one once idle, {busy} to the one once busy"
+        "{idle} sent to the engine once idle, {busy} to the one once busy"
     );
 }
 
-/// i5dcb0d: with most engines jammed all gateways leapt on the three that had just warmed up,
-/// and jammed them too. Where engines let in what they have no memory for, the few engines not under pressure
-/// take their part of the draws. Where queries wait in line for memory, an engine is not slowed and takes all.
+/// With most engines overloaded, all gateways sent their queries to the three that had just completed slow
+/// start, and overloaded them as well. Where engines accept queries beyond their memory, the few engines that
+/// are not overloaded get a limited part of the queries. Where engines queue queries, they are not slowed
+/// down and take all.
 #[test]
-fn the_last_engines_not_under_pressure_are_not_sent_everything() {
-    let admitted = |waits: bool, pressed: u64| {
-        let mut rig = Rig::new(Settings { queues_on_memory_shortage: waits, ..many(4000.0) }, engines(30));
-        let calm = LoadReport { utilisation: Some(0.5), memory_granted: Some(0.5), ..LoadReport::default() };
-        let jammed = LoadReport { memory_granted: Some(2.0), ..calm };
-        let report = |n| if n <= pressed { jammed } else { calm };
-        rig.tell(Event::PeerReports(
+fn the_last_engines_that_are_not_overloaded_do_not_get_all_queries() {
+    let admitted = |queues: bool, overloaded_engines: u64| {
+        let mut harness = Harness::new(
+            Settings { queues_on_memory_shortage: queues, ..settings_with_gateways(4000.0) },
+            engines(30),
+        );
+        let low = LoadReport { utilisation: Some(0.5), memory_granted: Some(0.5), ..LoadReport::default() };
+        let high = LoadReport { memory_granted: Some(2.0), ..low };
+        let report = |n| if n <= overloaded_engines { high } else { low };
+        harness.deliver(Event::PeerReports(
             (1..=30).map(|n| PeerLoadReport { engine: EngineId(n), report: report(n) }).collect(),
         ));
         let mut admit = || {
-            let (id, actions) = rig.arrive(0);
-            rig.end(id, 0, Outcome::Served);
-            !sent(&actions).is_empty()
+            let (id, actions) = harness.arrive(0);
+            harness.end_attempt(id, 0, Outcome::Served);
+            !sent_engines(&actions).is_empty()
         };
         (0..100).filter(|_| admit()).count()
     };
     let few = admitted(false, 27);
-    assert!((1..20).contains(&few), "{few} of 100 to the last three");
+    assert!((1..20).contains(&few), "{few} of 100 sent to the last three engines");
     assert!(admitted(false, 5) > 70 && admitted(false, 0) == 100 && admitted(true, 27) == 100);
 }
 
-/// of a handful of own run times the mean was three times the best by
-/// chance, and up to half of the engines were kept from though their reports were calm.
+/// With few runs per gateway the mean run time was by chance three times the best one, and up to half of the
+/// engines were avoided although their reports showed low load.
 #[test]
-fn a_few_slow_runs_are_no_pressure_where_engines_report_calm() {
+fn a_few_slow_runs_are_no_overload_if_reports_show_low_load() {
     let admitted = |reports: bool| {
-        let mut rig = Rig::new(
-            Settings { load_reports: reports, queues_on_memory_shortage: true, ..many(400.0) },
+        let mut harness = Harness::new(
+            Settings {
+                load_reports: reports,
+                queues_on_memory_shortage: true,
+                ..settings_with_gateways(400.0)
+            },
             engines(1),
         );
-        let calm = LoadReport { utilisation: Some(0.3), ..LoadReport::default() };
-        let report = |rig: &mut Rig| {
-            rig.tell(Event::PeerReports(vec![PeerLoadReport { engine: EngineId(1), report: calm }]))
+        let low = LoadReport { utilisation: Some(0.3), ..LoadReport::default() };
+        let report = |harness: &mut Harness| {
+            harness.deliver(Event::PeerReports(vec![PeerLoadReport { engine: EngineId(1), report: low }]))
         };
-        for took in [100_000, 100_000, 9_000_000, 9_000_000, 9_000_000] {
-            report(&mut rig);
-            let (id, _) = rig.arrive(0);
-            rig.end_with(id, 0, Outcome::Served, Micros(took), LoadReport::default());
+        for elapsed in [100_000, 100_000, 9_000_000, 9_000_000, 9_000_000] {
+            report(&mut harness);
+            let (id, _) = harness.arrive(0);
+            harness.end_attempt_with(id, 0, Outcome::Served, Micros(elapsed), LoadReport::default());
         }
-        (0..20).filter(|_| !sent(&rig.arrive(0).1).is_empty()).count()
+        (0..20).filter(|_| !sent_engines(&harness.arrive(0).1).is_empty()).count()
     };
     assert!(admitted(true) > 2 * admitted(false), "{} and {}", admitted(true), admitted(false));
 }
 
-/// engines that report nothing were taken for idle, and run times from jammed engines for the
-/// work of queries. How our own runs fare stands in for the mean of all engines. Holds against whatever slows all.
+/// Engines without load reports were taken for idle, and long run times on overloaded engines for the work of
+/// the queries. The slowdown of the gateway's own runs is used as the mean load instead, whatever the cause
+/// of the slowdown.
 #[test]
-fn where_engines_report_nothing_our_own_runs_tell_the_load() {
-    let refused_after = |reports: bool, note: AttemptUpdate| {
-        let mut rig = Rig::new(
-            Settings { load_reports: reports, queues_on_memory_shortage: true, ..many(4000.0) },
+fn without_reports_the_load_is_estimated_from_own_runs() {
+    let rejected_after = |reports: bool, reported: AttemptUpdate| {
+        let mut harness = Harness::new(
+            Settings {
+                load_reports: reports,
+                queues_on_memory_shortage: true,
+                ..settings_with_gateways(4000.0)
+            },
             engines(30),
         );
         for _ in 0..25 {
-            let (query, actions) = rig.arrive(0);
-            rig.now = rig.now + Micros(500_000);
-            if !sent(&actions).is_empty() {
-                rig.tell(Event::AttemptUpdated { query, attempt: 0, update: note });
-                rig.tell(Event::Abandoned(query));
-                rig.end(query, 0, Outcome::Cancelled);
+            let (query, actions) = harness.arrive(0);
+            harness.now = harness.now + Micros(500_000);
+            if !sent_engines(&actions).is_empty() {
+                harness.deliver(Event::AttemptUpdated { query, attempt: 0, update: reported });
+                harness.deliver(Event::Abandoned(query));
+                harness.end_attempt(query, 0, Outcome::Cancelled);
             }
         }
-        (0..20).map(|_| refused(&rig.arrive(0).1)).sum::<usize>()
+        (0..20).map(|_| rejections(&harness.arrive(0).1)).sum::<usize>()
     };
-    // 0.5 s of work: half done after 0.5 s is a pace of 2, a twentieth one of 20.
-    for (note, jam) in [
+    // A query takes 0.5 s of work: half done after 0.5 s is a slowdown of 2, a twentieth done is one of 20.
+    for (reported, overloaded) in [
         (AttemptUpdate::Progress(0.5), false),
         (AttemptUpdate::WaitsForLoad, false),
         (AttemptUpdate::Progress(0.05), true),
         (AttemptUpdate::WaitsForMemory, true),
         (AttemptUpdate::Spills(10.0), false),
     ] {
-        let (bare, reported) = (refused_after(false, note), refused_after(true, note));
-        assert_eq!((bare > 10, reported), (jam, 0), "{note:?}: {bare} refused");
+        let (without_reports, with_reports) =
+            (rejected_after(false, reported), rejected_after(true, reported));
+        assert_eq!(
+            (without_reports > 10, with_reports),
+            (overloaded, 0),
+            "{reported:?}: {without_reports} rejected"
+        );
     }
 }
 
-/// overload: with three tenths of the pooled bound in use the fullest engines jammed, and nothing
-/// could be withdrawn from them. Where queries wait in line for memory twice as much of it does no harm.
+/// With three tenths of the pooled limit in use the fullest engines were overloaded, and attempts there could
+/// not be cancelled. Where engines queue queries for memory, twice as much of the limit is safe.
 #[test]
-fn less_of_the_pooled_bound_is_used_where_an_overfull_engine_jams() {
-    let admitted = |waits: bool| {
-        let mut rig = Rig::new(Settings { queues_on_memory_shortage: waits, ..many(200.0) }, engines(30));
-        rig.tell(told(30, LoadReport { utilisation: Some(1.5), ..LoadReport::default() }));
+fn less_of_the_pooled_limit_is_used_if_engines_do_not_queue() {
+    let admitted = |queues: bool| {
+        let mut harness = Harness::new(
+            Settings { queues_on_memory_shortage: queues, ..settings_with_gateways(200.0) },
+            engines(30),
+        );
+        harness.deliver(peer_reports(30, LoadReport { utilisation: Some(1.5), ..LoadReport::default() }));
         let mut admit = || {
-            let (id, actions) = rig.arrive(0);
-            rig.end(id, 0, Outcome::Full);
-            !sent(&actions).is_empty()
+            let (id, actions) = harness.arrive(0);
+            harness.end_attempt(id, 0, Outcome::Full);
+            !sent_engines(&actions).is_empty()
         };
         (0..40).filter(|_| admit()).count()
     };
-    let (jams, waits) = (admitted(false), admitted(true));
-    assert!(jams > 0 && waits * 2 > jams * 3, "{jams} and {waits} of 40");
+    let (without_queues, with_queues) = (admitted(false), admitted(true));
+    assert!(
+        without_queues > 0 && with_queues * 2 > without_queues * 3,
+        "{without_queues} and {with_queues} of 40"
+    );
 }
 
 #[test]
-fn an_engine_that_is_resized_in_place_is_bounded_by_its_new_cores() {
-    // Queries that are let in, of many that come at one moment.
+fn an_engine_resized_in_place_is_limited_by_its_new_cores() {
+    // Number of queries admitted out of 400 that arrive at the same time.
     let admitted = |kinds: &[usize]| {
         let mut s = settings(vec![class(ExecutionSemantics::Idempotent)]);
         (s.cores, s.memory_mb) = (vec![16.0, 4.0], vec![0.0, 0.0]);
         let of = |kind: usize| EngineEntry { kind, ..engine(1) };
-        let mut rig = Rig::new(s, vec![of(kinds[0])]);
+        let mut harness = Harness::new(s, vec![of(kinds[0])]);
         for kind in &kinds[1..] {
-            rig.tell(Event::EngineChanges(vec![of(*kind)]));
+            harness.deliver(Event::EngineChanges(vec![of(*kind)]));
         }
-        (0..400).map(|_| sent(&rig.arrive(0).1).len()).sum::<usize>()
+        (0..400).map(|_| sent_engines(&harness.arrive(0).1).len()).sum::<usize>()
     };
     let (large, small) = (admitted(&[0]), admitted(&[1]));
     assert!(large >= 3 * small && small > 0, "{large} {small}");
     assert_eq!(admitted(&[0, 1]), small, "shrunk");
     assert_eq!(admitted(&[1, 0]), large, "grown");
-    assert_eq!(admitted(&[0, 1, 0]), large, "and back");
+    assert_eq!(admitted(&[0, 1, 0]), large, "shrunk and grown again");
 }
