--- a/crates/settings/src/json.rs
+++ b/crates/settings/src/json.rs
@@ -1,4 +1,5 @@
-//! Lenient reads of JSON values: what is missing or of another type counts as zero, false or empty.
+//! Lenient access to JSON values: a value that is missing or of another type reads as zero, false
+//! or empty.
 
 use serde_json::Value;
 use wheelfield::interface::Micros;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,6 @@
-//! Reads the operators' settings (JSON) into the policy's, and translates between the operators' names and the policy's
-//! numbers. Shared by the adapter of the simulator and by the platform's protocol; nothing here decides anything.
+//! Parses the operators' settings (JSON) into the settings of the policy, and translates between
+//! the names that operators use and the identifiers that the policy uses. Shared by the adapter of
+//! the simulator and by the platform's protocol. It contains no decisions.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/settings/src/load_metrics.rs
+++ b/crates/settings/src/load_metrics.rs
@@ -1,8 +1,9 @@
-//! The operators' names of the metrics in a load report.
+//! The names of load metrics in the operators' settings and in reports.
 
 use wheelfield::interface::LoadReport;
 
-/// Sets a metric of a load report by a name that the operators' settings or pages use. An unknown name is ignored.
+/// Sets the metric of a load report that has this name in the operators' settings or pages. Unknown
+/// names are ignored.
 pub fn set_load_metric(report: &mut LoadReport, name: &str, value: f64) {
     match name {
         "cpu_share" | "util" => report.utilisation = Some(value),
--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -1,4 +1,4 @@
-//! Reads the operators' settings, one function for each section of the JSON.
+//! Parses the operators' settings, with one function for each section of the JSON.
 
 use crate::json::{flag, items, micros, number, numbers, strings};
 use crate::{position, Names, MAX_MESSAGE_BYTES};
@@ -8,28 +8,28 @@
     Class, DeduplicationScope, ExecutionSemantics, Micros, RetryBudget, Settings,
 };
 
-/// Bytes of the unit that the price of a message is given for.
+/// Bytes in the unit of [`Settings::message_price`].
 const BYTES_PER_KILOBYTE: f64 = 1024.0;
-/// Threads of a query where the settings do not say.
+/// Number of threads of a query if the settings do not give one.
 const DEFAULT_THREADS: f64 = 1.0;
 
-/// What is wrong with settings.
+/// Why settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// The effect of a class is none of the known words.
+    /// The effect of a class is unknown.
     #[error("unknown effect {effect:?} of class {class}")]
     UnknownEffect {
         /// The position of the class.
         class: usize,
-        /// The effect, if it is a text.
+        /// The effect, if it is a string.
         effect: Option<String>,
     },
 }
 
-/// Reads settings, with the names in them. What is missing counts as zero, false or empty.
+/// Parses settings and the names in them. Missing values read as zero, false or empty.
 ///
 /// # Errors
-/// [`SettingsError`], for a class whose effect is unknown.
+/// [`SettingsError`] for a class whose effect is unknown.
 pub fn parse_settings(value: &Value) -> Result<(Names, Settings), SettingsError> {
     let names = Names {
         classes: names_of(&value["grades"]),
@@ -47,7 +47,7 @@
         classes: parse_classes(value, &names)?,
         tenant_rates: items(&value["tenants"])
             .iter()
-            .map(|t| number(&t["allowance_per_s"]))
+            .map(|tenant| number(&tenant["allowance_per_s"]))
             .collect(),
         subscribe: value["registry_mode"] == "subscribe",
         ..Settings::default()
@@ -67,7 +67,7 @@
         .collect()
 }
 
-/// What the engines are and can do.
+/// Sets the properties and features of the engines.
 fn set_engine_properties(settings: &mut Settings, info: &Value) {
     settings.cores = numbers(&info["cpu_of_kind"]);
     settings.memory_mb = numbers(&info["memory_by_kind_mb"]);
@@ -80,7 +80,7 @@
     settings.progress_interval = micros(&info["tells_every_us"]);
 }
 
-/// What a gateway may do, and how often.
+/// Sets what a gateway may do, and how often.
 fn set_limits(settings: &mut Settings, limits: &Value) {
     settings.cancellation = flag(&limits["cancel"]);
     settings.probes = flag(&limits["probes"]);
@@ -96,7 +96,8 @@
     settings.connection_idle_timeout = micros(&limits["conn_idle_us"]);
 }
 
-/// What probes, messages and connections cost. Messages are charged by the longest one.
+/// Sets the prices of probes, messages and connections. The operators give the price of a message
+/// of maximum length.
 fn set_prices(settings: &mut Settings, charges: &Value) {
     settings.probe_price = number(&charges["probe"]);
     settings.message_price =
@@ -105,7 +106,7 @@
     settings.handshake_price = number(&charges["handshake"]);
 }
 
-/// What the engines report of their load, and when.
+/// Sets what the engines report about their load, and when.
 fn set_telemetry(settings: &mut Settings, telemetry: &Value) {
     settings.load_reports = telemetry["how"] != "none";
     settings.reports_utilisation = strings(&telemetry["columns"])
@@ -114,7 +115,7 @@
     settings.reports_by_probe = telemetry["how"] == "probe";
 }
 
-/// Slow start, overload, cool-down and the retry budget.
+/// Sets slow start, the overload limit, the cooldown of keys and the retry budget.
 fn set_safety(settings: &mut Settings, safety: &Value) {
     settings.slow_start_initial_fraction = number(&safety["cold_from"]);
     settings.slow_start_duration = micros(&safety["ramp_time_us"]);
@@ -133,31 +134,32 @@
 }
 
 fn parse_classes(value: &Value, names: &Names) -> Result<Vec<Class>, SettingsError> {
-    let grades = items(&value["grades"]).iter().enumerate();
-    grades
-        .map(|(index, grade)| parse_class(grade, index, &value["family_info"], names))
+    let class_values = items(&value["grades"]).iter().enumerate();
+    class_values
+        .map(|(index, class_value)| parse_class(class_value, index, &value["family_info"], names))
         .collect()
 }
 
-/// Reads one class. The information on engines has more of it, at the position of the class.
+/// Parses one class. Some of its properties are in the section on engines, in lists by the position
+/// of the class.
 fn parse_class(
-    grade: &Value,
+    class_value: &Value,
     index: usize,
     info: &Value,
     names: &Names,
 ) -> Result<Class, SettingsError> {
-    let zones = Restriction::parse(&grade["zones_open"], &names.zones);
-    let kinds = Restriction::parse(&grade["bound_to"], &names.kinds);
+    let zones = Restriction::parse(&class_value["zones_open"], &names.zones);
+    let kinds = Restriction::parse(&class_value["bound_to"], &names.kinds);
     Ok(Class {
-        latency_objective: micros(&grade["on_time_us"]),
-        latency_objective_stretch: number(&grade["aim_stretch"]),
-        deadline: micros(&grade["give_up_us"]),
-        value: number(&grade["gain"]),
-        late_value_fraction: number(&grade["late_value"]),
-        semantics: parse_semantics(&grade["effect"], index)?,
-        deduplication_scope: parse_deduplication_scope(&grade["dedup_scope"]),
-        deduplication_window: micros(&grade["window_us"]),
-        ordered_by_key: flag(&grade["in_order"]),
+        latency_objective: micros(&class_value["on_time_us"]),
+        latency_objective_stretch: number(&class_value["aim_stretch"]),
+        deadline: micros(&class_value["give_up_us"]),
+        value: number(&class_value["gain"]),
+        late_value_fraction: number(&class_value["late_value"]),
+        semantics: parse_semantics(&class_value["effect"], index)?,
+        deduplication_scope: parse_deduplication_scope(&class_value["dedup_scope"]),
+        deduplication_window: micros(&class_value["window_us"]),
+        ordered_by_key: flag(&class_value["in_order"]),
         no_engine_permitted: zones.permits_nothing || kinds.permits_nothing,
         kinds: kinds.permitted,
         zones: zones.permitted,
@@ -189,11 +191,11 @@
     }
 }
 
-/// The zones or kinds that a class is restricted to.
+/// The zones or kinds of machine that a class is restricted to.
 struct Restriction {
-    /// Positions of the known ones; empty where there is no restriction.
+    /// Positions of the known names; empty without a restriction.
     permitted: Vec<usize>,
-    /// There is a restriction, and it names only unknown ones.
+    /// There is a restriction, and all of its names are unknown.
     permits_nothing: bool,
 }
 
--- a/crates/settings/src/peer_message.rs
+++ b/crates/settings/src/peer_message.rs
@@ -1,22 +1,23 @@
-//! Load reports as messages between controllers.
+//! The encoding of load reports in messages between controllers.
 //!
-//! A message begins with a byte whose bits say which metrics it carries. For each engine follow the lowest three bytes of
-//! its number, then one byte for each metric carried.
+//! The first byte is a bit mask of the metrics in the message. Then follows a record for each
+//! engine: the lowest three bytes of its identifier, then one byte for each metric in the mask.
 
 use wheelfield::interface::{EngineId, LoadReport, PeerLoadReport};
 
-/// The longest message in bytes, which is also what the price of a message is for.
+/// Maximum length of a message in bytes. The operators' price of a message refers to this length.
 pub const MAX_MESSAGE_BYTES: usize = 256;
-/// Bytes of an engine's number in a message.
+/// Bytes of an engine's identifier in a message.
 const ENGINE_BYTES: usize = 3;
 
-/// How a metric is encoded: its bit in the first byte, and the unit of its value.
+/// How a metric is encoded: its bit in the mask, and the value that one unit of its byte stands
+/// for.
 struct Encoding {
     bit: u8,
     unit: f64,
 }
 
-/// The metrics in the order of [`metrics`].
+/// The encodings, in the order of [`metrics`].
 const ENCODINGS: [Encoding; 5] = [
     Encoding {
         bit: 1,
@@ -44,8 +45,8 @@
     ]
 }
 
-/// Encodes load reports. All reports of one message carry the metrics of the first; a report with others is left out, as is
-/// what exceeds [`MAX_MESSAGE_BYTES`].
+/// Encodes load reports. All reports of a message have the same metrics as the first one; reports
+/// with other metrics are left out. The message is truncated to [`MAX_MESSAGE_BYTES`].
 pub fn encode_load_reports(reports: &[PeerLoadReport]) -> Vec<u8> {
     let mask = reports
         .first()
@@ -65,7 +66,7 @@
     bytes
 }
 
-/// The bits of the metrics that a report has.
+/// The bit mask of the metrics that a report contains.
 fn metric_mask(report: &LoadReport) -> u8 {
     let present = metrics(report)
         .into_iter()
@@ -74,7 +75,8 @@
     present.fold(0, |mask, (_, encoding)| mask | encoding.bit)
 }
 
-/// Decodes a message. What is unreadable, or of an engine that is not among those `known`, is left out.
+/// Decodes a message. Incomplete records and records of engines that are not in `known` are left
+/// out.
 pub fn decode_load_reports<'a>(
     known: impl Iterator<Item = &'a EngineId> + Clone,
     bytes: &[u8],
@@ -98,7 +100,7 @@
     reports
 }
 
-/// Decodes the metrics of one engine, one byte for each bit of the mask.
+/// Decodes the metrics of one engine, with one byte for each bit of the mask.
 fn decode_metrics(mask: u8, values: &[u8]) -> LoadReport {
     let mut values = values.iter();
     let mut next_metric = |Encoding { bit, unit }: &Encoding| {
--- a/crates/settings/tests/peer_message.rs
+++ b/crates/settings/tests/peer_message.rs
@@ -1,10 +1,10 @@
-//! Messages between controllers, encoded and decoded.
+//! Encoding and decoding of messages between controllers.
 
 use wheelfield::interface::{EngineId, LoadReport, PeerLoadReport};
 use wheelfield_settings::{decode_load_reports, encode_load_reports, MAX_MESSAGE_BYTES};
 
 #[test]
-fn a_decoded_message_equals_the_reports_and_leaves_out_unknown_engines() {
+fn decoding_returns_the_encoded_reports_without_unknown_engines() {
     let report = |engine: u64, utilisation: f64| PeerLoadReport {
         engine: EngineId(engine),
         report: LoadReport {
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn each_metric_has_its_byte() {
+fn each_metric_is_encoded_in_one_byte() {
     let report = PeerLoadReport {
         engine: EngineId(0x0403_0201),
         report: LoadReport {
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The operators' settings, each key read into its field.
+//! Parsing of the operators' settings: each key sets its field.
 
 use serde_json::json;
 use wheelfield::interface::*;
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn missing_keys_leave_everything_optional_off() {
+fn missing_keys_leave_optional_features_off() {
     let (_, settings) = parse_settings(&json!({})).expect("settings");
     assert_eq!(
         settings,
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn advice_to_retry_is_only_used_where_it_is_allowed() {
+fn retry_after_advice_is_only_used_if_it_is_allowed() {
     let ceilings = json!({"ceilings": {"retry_after": false, "max_retry_after_us": 9}});
     let (_, settings) = parse_settings(&ceilings).expect("settings");
     assert_eq!(settings.max_retry_after, Micros(0));
