--- a/crates/core/src/interface/actions.rs
+++ b/crates/core/src/interface/actions.rs
@@ -38,7 +38,7 @@
         /// How long the client should wait before it retries; zero for no advice.
         retry_after: Micros,
     },
-    /// Give the final answer that the query failed. It may have run.
+    /// Give the final answer that the query failed. It may or may not have run.
     Fail {
         /// The query.
         query: QueryId,
--- a/crates/core/src/policy/admission.rs
+++ b/crates/core/src/policy/admission.rs
@@ -76,8 +76,8 @@
     /// this gateway has there.
     pub(crate) fn fits_work_limit(&self, now: Micros, query: &ActiveQuery, engine: &Engine) -> bool {
         let conditions = &self.conditions;
-        let alone = engine.is_idle() && !conditions.low_share;
-        if self.settings.pages_on_memory_shortage && !alone && !self.fits_memory(now, query, engine) {
+        let is_only_query = engine.is_idle() && !conditions.low_share;
+        if self.settings.pages_on_memory_shortage && !is_only_query && !self.fits_memory(now, query, engine) {
             return false;
         }
         let exempt =
@@ -87,7 +87,7 @@
         let pooled =
             conditions.low_share && conditions.random_value * query.work <= conditions.limit_headroom;
         let below_limit = engine.in_flight.work + query.work <= engine.work_limit.limit;
-        exempt || pooled || alone || (!conditions.low_share && below_limit)
+        exempt || pooled || is_only_query || (!conditions.low_share && below_limit)
     }
 
     /// Whether the memory of an engine has room for a query. On an engine that pages, one query too many
@@ -105,22 +105,22 @@
         self.selections.this_period += 1.0;
         self.assess_fleet(now);
         let query = self.queries.get(&id)?;
-        let (mut trusted, mut ejected, mut any_trusted) = (Vec::new(), Vec::new(), false);
+        let (mut available, mut ejected, mut any_available) = (Vec::new(), Vec::new(), false);
         for engine in self.engines.values() {
             if engine.full_backoff.until > now || !self.may_send(now, query, engine) {
                 continue;
             }
             let is_ejected = self.is_ejected(now, engine);
-            any_trusted |= !is_ejected;
+            any_available |= !is_ejected;
             // When every engine is ejected, no other engine is better, so each one gets one query at a
             // time.
             let fits = if is_ejected { engine.is_idle() } else { self.fits_work_limit(now, query, engine) };
             if fits {
-                let list = if is_ejected { &mut ejected } else { &mut trusted };
+                let list = if is_ejected { &mut ejected } else { &mut available };
                 list.push((engine.entry.engine, self.selection_weight(now, query, engine)));
             }
         }
-        let weights = if any_trusted { trusted } else { ejected };
+        let weights = if any_available { available } else { ejected };
         let total: f64 = weights.iter().map(|(_, weight)| weight).sum();
         let mut remaining = self.rng.f64() * total;
         let selected = weights.iter().find(|(_, weight)| {
@@ -135,9 +135,11 @@
     fn is_ejected(&self, now: Micros, engine: &Engine) -> bool {
         // With many gateways, only a few at a time may try a failing engine, so that they do not all
         // send to it at once.
-        let waits = self.conditions.low_share && !self.owns_slot(engine, now, HALF_OPEN_GATEWAYS);
-        let trial_sent = now - engine.connections.last_sent_at < PERIOD;
-        engine.outlier.ejected_until > now || (engine.outlier.half_open && (waits || trial_sent))
+        let other_gateways_turn =
+            self.conditions.low_share && !self.owns_slot(engine, now, HALF_OPEN_GATEWAYS);
+        let sent_recently = now - engine.connections.last_sent_at < PERIOD;
+        engine.outlier.ejected_until > now
+            || (engine.outlier.half_open && (other_gateways_turn || sent_recently))
     }
 
     /// Updates the conditions that apply to all engines: whether this gateway's share is low, the pooled
--- a/crates/core/src/policy/health.rs
+++ b/crates/core/src/policy/health.rs
@@ -189,7 +189,7 @@
         let bad_plan = run_time > BAD_PLAN_FACTOR * estimated;
         let estimates = &self.classes[query.query.class];
         let may_retry = self.may_retry(now, query);
-        let curable = may_retry && estimates.replans_failed <= estimates.replans_succeeded + 1;
+        let may_replan = may_retry && estimates.replans_failed <= estimates.replans_succeeded + 1;
         // Detects a lost answer: the engine keeps sending updates of other attempts, but none of this
         // one.
         let lost = review.engine.connections.last_heard_at - attempt.last_update_at > self.update_timeout();
@@ -200,7 +200,7 @@
         if bad_plan && query.attempts.iter().any(|attempt| attempt.bad_plan) {
             return Some(AttemptVerdict::Expensive { work: run_time * class.threads });
         }
-        if bad_plan && curable && now + Micros::from_secs_f64(estimated * slowdown) < deadline {
+        if bad_plan && may_replan && now + Micros::from_secs_f64(estimated * slowdown) < deadline {
             return Some(AttemptVerdict::BadPlan);
         }
         let objective_stretch = Micros::from_secs_f64(class.latency_objective_stretch * run_time);
--- a/crates/core/src/policy/load.rs
+++ b/crates/core/src/policy/load.rs
@@ -124,7 +124,7 @@
     /// gateway has too few runs of its own to judge slowdown, so reports decide where there are any.
     pub(crate) fn is_overloaded(&self, engine: &Engine, now: Micros) -> bool {
         let report = engine.fresh_report(now);
-        let is_over = |figure: Option<f64>, limit: f64| figure.is_some_and(|figure| figure >= limit);
+        let is_over = |value: Option<f64>, limit: f64| value.is_some_and(|value| value >= limit);
         let low_share = self.conditions.low_share;
         let memory_limit = if low_share { OVERLOAD_MEMORY_AT_LOW_SHARE } else { OVERLOAD_UTILISATION };
         let slow = engine.slowdown.mean > OVERLOAD_SLOWDOWN * engine.slowdown.best;
--- a/crates/core/src/policy/retries.rs
+++ b/crates/core/src/policy/retries.rs
@@ -7,8 +7,8 @@
 use crate::lifecycle::EndedAttempt;
 use crate::state::*;
 
-/// Errors are attributed to the queries once repeated errors exceed errors that another engine recovered
-/// by this number.
+/// Errors are attributed to the queries themselves once recent errors that repeated on another engine
+/// outnumber those that another engine recovered by more than this.
 const REPEATED_ERRORS_MARGIN: f64 = 2.0;
 
 impl Gateway {
@@ -21,7 +21,7 @@
     pub(crate) fn attempts_left(&self, query: &ActiveQuery) -> usize {
         match self.settings.max_attempts {
             0 => usize::MAX,
-            most => most.saturating_sub(query.attempts.len()),
+            max => max.saturating_sub(query.attempts.len()),
         }
     }
 
--- a/crates/core/src/policy/slow_start.rs
+++ b/crates/core/src/policy/slow_start.rs
@@ -6,8 +6,7 @@
 
 /// Multiplier of the hash that selects the first gateway with a time slot at an engine.
 const SLOT_HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
-/// With more gateways than this, the budget of an engine in slow start is divided into time slots
-/// instead of even shares.
+/// Up to this number of gateways, the budget of an engine in slow start is always divided evenly.
 const MAX_GATEWAYS_FOR_EVEN_SHARES: f64 = 8.0;
 /// Fraction of an engine's estimated slow-start capacity that is used.
 const USABLE_FRACTION: f64 = 0.9;
@@ -22,9 +21,9 @@
             .map_or(1.0, |age| initial_fraction + (1.0 - initial_fraction) * 0.5 * age.max(0.0))
     }
 
-    /// This gateway's budget at an engine in slow start. The budget is divided evenly; if a share would
-    /// be below one query, it is divided into time slots. With time slots half of the budget is used,
-    /// because a window of the engine's overload limit may overlap two slots.
+    /// This gateway's budget at an engine in slow start. The budget is divided evenly, or into time slots
+    /// where there are many gateways and a share would be below one query. With time slots half of the
+    /// budget is used, because a window of the engine's overload limit may overlap two slots.
     pub(crate) fn slow_start_budget(&self, now: Micros, engine: &Engine) -> Option<SlowStartBudget> {
         let s = &self.settings;
         let warmup = self.warmup_fraction(engine, now);
--- a/crates/core/tests/rules.rs
+++ b/crates/core/tests/rules.rs
@@ -31,7 +31,8 @@
 #[test]
 fn rule_2_execution_semantics() {
     use Outcome::*;
-    // Class, outcome of the first attempt, whether it is retried, and whether it is safe to retry again.
+    // Class, outcome of the first attempt, whether it is retried, and whether a final answer would be a
+    // rejection (true) or a failure (false).
     let keyed = |scope| Class { deduplication_scope: scope, ..class(ExecutionSemantics::IdempotencyKey) };
     let cases = [
         (class(ExecutionSemantics::Idempotent), Error, true, true),
--- a/crates/core/tests/signals.rs
+++ b/crates/core/tests/signals.rs
@@ -4,8 +4,8 @@
 use common::*;
 use wheelfield::interface::*;
 
-/// Without progress updates attempts timed out after half of the remaining time. Where they can't be
-/// cancelled, engines keep running them, and the retries overloaded the engines.
+/// Without progress updates attempts timed out after half of the remaining time. Where they could not be
+/// cancelled, the engines kept running them, and the retries overloaded the engines.
 #[test]
 fn timeouts_are_shortened_only_with_cancellation_and_without_progress_updates() {
     for (can_cancel, interval, whole_deadline) in
