--- a/crates/core/tests/fuzzy.rs
+++ b/crates/core/tests/fuzzy.rs
@@ -24,7 +24,7 @@
 fn all_81_rules_are_those_of_table_2() {
     for (row, error) in TABLE_2.iter().zip(-4..) {
         for (name, change) in row.split(' ').zip(-4..) {
-            assert_eq!(rule_output(error, change), level(name), "rule({error}, {change})");
+            assert_eq!(rule_output(error, change), level(name), "rule_output({error}, {change})");
         }
     }
 }
