--- a/crates/core/src/gateway.rs
+++ b/crates/core/src/gateway.rs
@@ -1,11 +1,12 @@
-//! One gateway: its state, and which part of the policy answers which event. Nothing here decides anything.
+//! The state of one gateway, and the dispatch of each event to the part of the policy that handles it. The
+//! decisions themselves are in [`crate::policy`].
 
 use crate::interface::*;
-use crate::policy::{self, NEWEST, PROBE_ROUND_TIME, PROBE_ROUND_TOKEN, TICK_INTERVAL, TICK_TOKEN};
+use crate::policy::{self, EWMA_WEIGHT, PROBE_ROUND_DURATION, PROBE_ROUND_TOKEN, TICK_INTERVAL, TICK_TOKEN};
 use crate::state::*;
 use std::collections::BTreeMap;
 
-/// The decisions of one gateway.
+/// The policy of one gateway with its state.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub struct Gateway {
     pub(crate) settings: Settings,
@@ -15,22 +16,22 @@
     pub(crate) queries: BTreeMap<QueryId, ActiveQuery>,
     pub(crate) classes: Vec<ClassEstimates>,
     pub(crate) keys: BTreeMap<String, KeyQueue>,
-    pub(crate) history: AttemptHistory,
+    pub(crate) retry_window: RetryWindow,
     pub(crate) admission: AdmissionRates,
-    pub(crate) draws: DrawRate,
-    /// Our part of the threads that the engines report, running mean.
+    pub(crate) selections: SelectionRate,
+    /// Moving average of this gateway's share of the threads that the engines report as running.
     pub(crate) own_share: f64,
     pub(crate) held: HeldQueries,
     pub(crate) ticks: u32,
     pub(crate) endpoint_list: EndpointListState,
     pub(crate) fleet_load: FleetLoad,
     pub(crate) conditions: FleetConditions,
-    pub(crate) turnover: Turnover,
-    pub(crate) errors: QueryErrors,
+    pub(crate) completions: Completions,
+    pub(crate) query_errors: QueryErrors,
 }
 
 impl Gateway {
-    /// A gateway that knows nothing but its settings. `seed` feeds its only source of randomness.
+    /// Creates a gateway without any engines or queries. `seed` initializes its only random number generator.
     pub fn new(mut settings: Settings, seed: u64) -> Self {
         settings.gateway_count = settings.gateway_count.max(1.0);
         Gateway {
@@ -39,22 +40,22 @@
             queries: BTreeMap::new(),
             classes: settings.classes.iter().map(policy::initial_estimates).collect(),
             keys: BTreeMap::new(),
-            history: AttemptHistory::default(),
+            retry_window: RetryWindow::default(),
             admission: AdmissionRates::default(),
-            draws: DrawRate::default(),
+            selections: SelectionRate::default(),
             own_share: 1.0 / settings.gateway_count,
             held: HeldQueries::default(),
             ticks: 0,
             endpoint_list: EndpointListState::default(),
             fleet_load: FleetLoad::default(),
             conditions: FleetConditions::default(),
-            turnover: Turnover::default(),
-            errors: QueryErrors::default(),
+            completions: Completions::default(),
+            query_errors: QueryErrors::default(),
             settings,
         }
     }
 
-    /// Takes one event and appends the actions that answer it.
+    /// Handles one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Started => self.start(out),
@@ -75,13 +76,13 @@
             Event::ProbeEnded { engine, outcome, report } => {
                 self.handle_probe_end(now, engine, outcome, report);
             }
-            Event::PeerReports(reports) => self.take_peer_reports(now, reports),
+            Event::PeerReports(reports) => self.record_peer_reports(now, reports),
             Event::GatewayCountChanged { count, index } => {
                 (self.settings.gateway_count, self.settings.gateway_index) = (count.max(1.0), index);
             }
             Event::TimerFired(TICK_TOKEN) => self.tick(now, out),
             Event::TimerFired(PROBE_ROUND_TOKEN) => self.share_probe_round(now, out),
-            Event::TimerFired(token) => self.resume_held(now, token, out),
+            Event::TimerFired(token) => self.resume_held_query(now, token, out),
         }
     }
 
@@ -104,7 +105,7 @@
         self.engines.values().filter(|engine| engine.is_up())
     }
 
-    /// Takes a complete list: an engine that is missing is gone.
+    /// Handles a complete endpoint list: engines that it lacks are marked as removed.
     pub(crate) fn replace_endpoint_list(&mut self, now: Micros, entries: Vec<EngineEntry>) {
         let listed = |engine: &Engine| entries.iter().any(|entry| entry.engine == engine.entry.engine);
         for engine in self.engines.values_mut().filter(|engine| !listed(engine)) {
@@ -127,22 +128,22 @@
         report: LoadReport,
     ) {
         if let Some(engine) = self.engines.get_mut(&id).filter(|_| outcome == Outcome::Served) {
-            self.fleet_load.take_report(now, report, engine, NEWEST);
+            self.fleet_load.record_report(now, report, engine, EWMA_WEIGHT);
         }
     }
 
-    /// Shares the reports of a round of probes with the other gateways.
+    /// Shares the load reports of a probe round with the other gateways.
     pub(crate) fn share_probe_round(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let is_fresh = |at: Micros| now - at <= PROBE_ROUND_TIME;
+        let is_fresh = |at: Micros| now - at <= PROBE_ROUND_DURATION;
         let fresh = self.engines.values().filter(|e| e.latest_load.received_at.is_some_and(is_fresh));
         let report = |e: &Engine| PeerLoadReport { engine: e.entry.engine, report: e.latest_load.report };
         out.push(Action::ShareReports(fresh.map(report).collect()));
     }
 
-    pub(crate) fn take_peer_reports(&mut self, now: Micros, reports: Vec<PeerLoadReport>) {
+    pub(crate) fn record_peer_reports(&mut self, now: Micros, reports: Vec<PeerLoadReport>) {
         for shared in reports {
             let Some(engine) = self.engines.get_mut(&shared.engine) else { continue };
-            self.fleet_load.take_report(now, shared.report, engine, NEWEST);
+            self.fleet_load.record_report(now, shared.report, engine, EWMA_WEIGHT);
         }
     }
 }
