--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -16,7 +16,7 @@
 use wheelfield_controller::postgres::PostgresController;
 use wheelfield_controller::startup::Startup;
 use wheelfield_pg_gateway::fault_injection::FaultInjection;
-use wheelfield_platform::PlantedFault;
+use wheelfield_platform::InjectedFault;
 
 /// Log lines that wait to be written, at most; more are lost.
 const MAX_BUFFERED_LOG_LINES: usize = 4_096;
@@ -73,8 +73,8 @@
         #[command(flatten)]
         logs: LogArgs,
         /// A fault for the soak to find, in builds that have them.
-        #[arg(long, value_name = "FAULT", hide = true, value_parser = PlantedFault::parse)]
-        plant: Option<PlantedFault>,
+        #[arg(long, value_name = "FAULT", hide = true, value_parser = InjectedFault::parse)]
+        plant: Option<InjectedFault>,
     },
 }
 
@@ -127,7 +127,7 @@
     config: Option<PathBuf>,
     check: bool,
     logs: &LogArgs,
-    plant: Option<PlantedFault>,
+    plant: Option<InjectedFault>,
 ) -> ExitCode {
     let path = config.or_else(|| std::env::var_os("LB_CONFIG").map(PathBuf::from));
     let Some(path) = path else {
@@ -249,7 +249,10 @@
 
 /// Runs a controller, if there is one. A fault can be planted in builds that have them alone; others refuse its name.
 #[cfg_attr(not(feature = "planted"), expect(unused_variables))]
-fn run_platform(controller: Option<PlatformController>, plant: Option<PlantedFault>) -> Result<()> {
+fn run_platform(
+    controller: Option<PlatformController>,
+    plant: Option<InjectedFault>,
+) -> Result<()> {
     let Some(mut controller) = controller else {
         return Ok(());
     };
--- a/crates/controller/src/platform.rs
+++ b/crates/controller/src/platform.rs
@@ -82,8 +82,8 @@
 
     /// Plants a fault for the soak to find.
     #[cfg(feature = "planted")]
-    pub fn plant(&mut self, fault: wheelfield_platform::PlantedFault) {
-        self.event_loop.protocol.plant(fault);
+    pub fn plant(&mut self, fault: wheelfield_platform::InjectedFault) {
+        self.event_loop.protocol.inject_fault(fault);
     }
 
     /// Where clients connect; `None` once it listens no longer.
--- a/crates/platform/src/dispatcher/attempts.rs
+++ b/crates/platform/src/dispatcher/attempts.rs
@@ -8,7 +8,7 @@
 use crate::invariants::{
     check_dispatch, check_repeating, check_sending, RepeatFacts, SendFacts, Violation,
 };
-use crate::planted::PlantedFault;
+use crate::planted::InjectedFault;
 use crate::result_pages;
 use tracing::{debug, info};
 use wheelfield::interface::{EngineId, LoadReport, Micros, Outcome, QueryId, SlowStartShare};
@@ -126,7 +126,10 @@
             .max(1);
         if let Err(violation) = self.check_guards(connection, in_flight, limit_ms) {
             self.violations.record(attempt.request, violation);
-            if !self.planted.is_some_and(PlantedFault::passes_guards) {
+            if !self
+                .injected_fault
+                .is_some_and(InjectedFault::passes_guards)
+            {
                 self.end_attempt(attempt.id, Outcome::NeverSent);
                 return;
             }
@@ -241,7 +244,7 @@
             None
         };
         let is_repeated =
-            outcome == Outcome::Reset && self.has_planted(PlantedFault::RepeatAfterReset);
+            outcome == Outcome::Reset && self.has_injected(InjectedFault::RepeatAfterReset);
         let outcome = if is_repeated {
             Outcome::NeverSent
         } else {
--- a/crates/platform/src/dispatcher/held_requests.rs
+++ b/crates/platform/src/dispatcher/held_requests.rs
@@ -3,7 +3,7 @@
 use super::Dispatcher;
 use crate::http_server::QueryRequest;
 use crate::list_freshness::{Gap, GapEnd, Inactivity};
-use crate::planted::PlantedFault;
+use crate::planted::InjectedFault;
 use crate::timer_event::TimerEvent;
 use bytes::Bytes;
 use std::collections::VecDeque;
@@ -61,7 +61,7 @@
     /// Sets the time of the current call. If the process was inactive before it, nobody was asked for the list meanwhile.
     pub fn set_time(&mut self, now: i64) {
         self.out.now = now;
-        if self.has_planted(PlantedFault::IgnoreInactivity) {
+        if self.has_injected(InjectedFault::IgnoreInactivity) {
             return;
         }
         let inactivity = self.list_freshness.note_activity(now);
--- a/crates/platform/src/dispatcher/lifecycle.rs
+++ b/crates/platform/src/dispatcher/lifecycle.rs
@@ -1,7 +1,7 @@
 //! Timers, the shutdown, and the log of counters.
 
 use super::Dispatcher;
-use crate::planted::PlantedFault;
+use crate::planted::InjectedFault;
 use crate::shutdown;
 use crate::timer_event::TimerEvent;
 use tracing::info;
@@ -41,7 +41,7 @@
                 }
             }
             TimerEvent::CloseIdleClients => {
-                if self.has_planted(PlantedFault::CloseBusyClients) {
+                if self.has_injected(InjectedFault::CloseBusyClients) {
                     self.clients.close_all(&mut self.out);
                 }
                 self.clients.close_idle(&mut self.out);
--- a/crates/platform/src/dispatcher/mod.rs
+++ b/crates/platform/src/dispatcher/mod.rs
@@ -19,7 +19,7 @@
 use crate::invariants::{SlowStartSettings, StartGuard, ViolationCounts};
 use crate::list_freshness::ListFreshness;
 use crate::peers::Peers;
-use crate::planted::PlantedFault;
+use crate::planted::InjectedFault;
 use crate::shutdown::Shutdown;
 use crate::start_times::StartTimes;
 use crate::timer_event::TimerEvent;
@@ -79,7 +79,7 @@
     start_guard: StartGuard,
     violations: ViolationCounts,
     /// A fault for the soak to find; none in a build that serves.
-    pub planted: Option<PlantedFault>,
+    pub injected_fault: Option<InjectedFault>,
     in_flight: InFlightQueries,
     abandonments: Abandonments,
     discovery: DiscoveryClient,
@@ -146,7 +146,7 @@
             written_work,
             start_guard,
             violations: ViolationCounts::default(),
-            planted: None,
+            injected_fault: None,
             in_flight: InFlightQueries::default(),
             abandonments: Abandonments::default(),
             discovery: DiscoveryClient::new(config.resolver, config.serial, now),
@@ -175,14 +175,14 @@
     }
 
     /// Whether a fault is planted.
-    pub fn has_planted(&self, fault: PlantedFault) -> bool {
-        cfg!(feature = "planted") && self.planted == Some(fault)
+    pub fn has_injected(&self, fault: InjectedFault) -> bool {
+        cfg!(feature = "planted") && self.injected_fault == Some(fault)
     }
 
     /// The earliest time at which what is reported now can have arrived, in microseconds.
     pub fn arrived_at(&self) -> i64 {
         let now = self.out.now;
-        if self.has_planted(PlantedFault::IgnoreWaiting) {
+        if self.has_injected(InjectedFault::IgnoreWaiting) {
             return now;
         }
         self.arrivals_since.map_or(now, |since| since.min(now))
--- a/crates/platform/src/dispatcher/requests.rs
+++ b/crates/platform/src/dispatcher/requests.rs
@@ -7,7 +7,7 @@
 use crate::http_server::{Reply, RequestError, RequestKind};
 use crate::in_flight::{AttemptHistory, InFlightQuery};
 use crate::invariants::CloseReason;
-use crate::planted::PlantedFault;
+use crate::planted::InjectedFault;
 use crate::table_group::table_group;
 use tracing::debug;
 use wheelfield::interface::{ExecutionSemantics, Micros};
@@ -30,7 +30,7 @@
     pub fn handle_client_disconnected(&mut self, client: ConnId) {
         self.clients
             .close(client, CloseReason::ClientLeft, &mut self.out);
-        if self.has_planted(PlantedFault::IgnoreDisconnects) {
+        if self.has_injected(InjectedFault::IgnoreDisconnects) {
             return;
         }
         if self.held_requests.remove(client) {
--- a/crates/platform/src/dispatcher/topology.rs
+++ b/crates/platform/src/dispatcher/topology.rs
@@ -6,7 +6,7 @@
 use crate::executors::{ListChange, ListedExecutor};
 use crate::invariants::ListedState;
 use crate::list_freshness;
-use crate::planted::PlantedFault;
+use crate::planted::InjectedFault;
 use crate::timer_event::TimerEvent;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
         let started_at = self
             .start_times
             .take_list(executors, confirmed_at, self.out.now);
-        let ignores_starts = self.has_planted(PlantedFault::IgnoreStarts);
+        let ignores_starts = self.has_injected(InjectedFault::IgnoreStarts);
         let entries: Vec<EngineEntry> = executors
             .iter()
             .zip(started_at)
@@ -128,7 +128,7 @@
     }
 
     fn schedule_discovery(&mut self) {
-        let at = match self.has_planted(PlantedFault::PollAtFixedRate) {
+        let at = match self.has_injected(InjectedFault::PollAtFixedRate) {
             true => self.out.now + list_freshness::POLL_INTERVAL_US,
             false => self.list_freshness.next_query_at(),
         };
@@ -139,8 +139,8 @@
     /// Handles a datagram of the name service.
     pub fn handle_discovery_answer(&mut self, from: SocketAddr, datagram: &[u8]) {
         let is_former = from != self.discovery.resolver();
-        if self.has_planted(PlantedFault::IgnoreLists)
-            || (is_former && self.has_planted(PlantedFault::IgnoreFormerService))
+        if self.has_injected(InjectedFault::IgnoreLists)
+            || (is_former && self.has_injected(InjectedFault::IgnoreFormerService))
         {
             return;
         }
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -5,7 +5,7 @@
 use crate::clients;
 use crate::dispatcher::Dispatcher;
 use crate::invariants::ViolationCounts;
-use crate::planted::PlantedFault;
+use crate::planted::InjectedFault;
 use std::net::SocketAddr;
 use wheelfield_sans_io::{
     BreakCause, ConnId, ConnectionBuffer, DatagramSocket, Effect, IoEvent, Listener, Protocol,
@@ -26,20 +26,20 @@
 
     /// Uses the name service at this address from now on, after the configuration was reloaded.
     pub fn use_resolver(&mut self, now: i64, resolver: SocketAddr) {
-        assert!(!self.dispatcher.has_planted(PlantedFault::PanicOnReload));
+        assert!(!self.dispatcher.has_injected(InjectedFault::PanicOnReload));
         self.dispatcher.set_time(now);
         self.dispatcher.use_resolver(resolver);
     }
 
     /// Number of connections, executors and queries held, as a measure of growth.
-    pub fn connections_in_use(&self) -> usize {
+    pub fn resources_in_use(&self) -> usize {
         self.dispatcher.resources_in_use()
     }
 
     /// Plants a fault for the soak to find.
     #[cfg(feature = "planted")]
-    pub fn plant(&mut self, fault: PlantedFault) {
-        self.dispatcher.planted = Some(fault);
+    pub fn inject_fault(&mut self, fault: InjectedFault) {
+        self.dispatcher.injected_fault = Some(fault);
     }
 
     /// Injects a fault for tests: forgets the request ids used lately.
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -39,4 +39,4 @@
 };
 pub use gateway::Platform;
 pub use invariants::ViolationCounts;
-pub use planted::PlantedFault;
+pub use planted::InjectedFault;
--- a/crates/platform/src/planted.rs
+++ b/crates/platform/src/planted.rs
@@ -2,7 +2,7 @@
 
 /// A planted fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PlantedFault {
+pub enum InjectedFault {
     /// Clients that leave are not noticed, and the guards hold nothing back.
     IgnoreDisconnects,
     /// An attempt whose connection was reset counts as never sent, and the guards hold nothing back.
@@ -25,29 +25,31 @@
     PanicOnReload,
 }
 
-impl PlantedFault {
-    const NAMES: [(&'static str, PlantedFault); 10] = [
-        ("ignore-disconnects", PlantedFault::IgnoreDisconnects),
-        ("repeat-after-reset", PlantedFault::RepeatAfterReset),
-        ("close-busy-clients", PlantedFault::CloseBusyClients),
-        ("ignore-lists", PlantedFault::IgnoreLists),
-        ("ignore-waiting", PlantedFault::IgnoreWaiting),
-        ("ignore-starts", PlantedFault::IgnoreStarts),
-        ("ignore-former-service", PlantedFault::IgnoreFormerService),
-        ("ignore-inactivity", PlantedFault::IgnoreInactivity),
-        ("poll-at-fixed-rate", PlantedFault::PollAtFixedRate),
-        ("panic-on-reload", PlantedFault::PanicOnReload),
+impl InjectedFault {
+    const NAMES: [(&'static str, InjectedFault); 10] = [
+        ("ignore-disconnects", InjectedFault::IgnoreDisconnects),
+        ("repeat-after-reset", InjectedFault::RepeatAfterReset),
+        ("close-busy-clients", InjectedFault::CloseBusyClients),
+        ("ignore-lists", InjectedFault::IgnoreLists),
+        ("ignore-waiting", InjectedFault::IgnoreWaiting),
+        ("ignore-starts", InjectedFault::IgnoreStarts),
+        ("ignore-former-service", InjectedFault::IgnoreFormerService),
+        ("ignore-inactivity", InjectedFault::IgnoreInactivity),
+        ("poll-at-fixed-rate", InjectedFault::PollAtFixedRate),
+        ("panic-on-reload", InjectedFault::PanicOnReload),
     ];
 
     /// Parses the name of a fault.
     ///
     /// # Errors
     /// If this build has no planted faults, or none of this name.
-    pub fn parse(name: &str) -> Result<PlantedFault, String> {
+    pub fn parse(name: &str) -> Result<InjectedFault, String> {
         if !cfg!(feature = "planted") {
             return Err("this build has no planted faults".to_string());
         }
-        let known = PlantedFault::NAMES.iter().find(|(known, _)| *known == name);
+        let known = InjectedFault::NAMES
+            .iter()
+            .find(|(known, _)| *known == name);
         known
             .map(|(_, fault)| *fault)
             .ok_or_else(|| format!("no planted fault {name}"))
@@ -57,7 +59,7 @@
     pub fn passes_guards(self) -> bool {
         matches!(
             self,
-            PlantedFault::IgnoreDisconnects | PlantedFault::RepeatAfterReset
+            InjectedFault::IgnoreDisconnects | InjectedFault::RepeatAfterReset
         )
     }
 }
--- a/crates/platform/tests/executors.rs
+++ b/crates/platform/tests/executors.rs
@@ -290,9 +290,9 @@
     // The connection to each removed executor is closed too.
     assert_eq!(harness.closed.len(), 299);
     assert!(
-        harness.platform.connections_in_use() <= 2,
+        harness.platform.resources_in_use() <= 2,
         "{} held",
-        harness.platform.connections_in_use()
+        harness.platform.resources_in_use()
     );
 }
 
