--- a/crates/platform/src/abandonment.rs
+++ b/crates/platform/src/abandonment.rs
@@ -7,7 +7,7 @@
 /// An attempt that begins more than this after its client left counts as late, in microseconds.
 const LATE_AFTER_US: i64 = 100_000;
 /// Maximum number of queries that are remembered; the oldest is forgotten first.
-const MAX_REMEMBERED: usize = 1_024;
+const MAX_TRACKED_QUERIES: usize = 1_024;
 
 /// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -43,7 +43,7 @@
     pub fn record_abandonment(&mut self, query: QueryId, location: QueryLocation, now: i64) {
         self.counts.waiting += u64::from(location == QueryLocation::Waiting);
         self.abandoned_at.insert(query, now);
-        if self.abandoned_at.len() > MAX_REMEMBERED {
+        if self.abandoned_at.len() > MAX_TRACKED_QUERIES {
             self.abandoned_at.pop_first();
         }
     }
--- a/crates/platform/src/abandonment/tests.rs
+++ b/crates/platform/src/abandonment/tests.rs
@@ -16,7 +16,7 @@
             forwarded_late: 1
         }
     );
-    for number in 10..10 + MAX_REMEMBERED as u64 {
+    for number in 10..10 + MAX_TRACKED_QUERIES as u64 {
         abandonments.record_abandonment(QueryId(number), QueryLocation::Waiting, 2_000);
     }
     abandonments.record_dispatch(QueryId(1), 900_000);
@@ -25,6 +25,6 @@
             abandonments.counts.forwarded,
             abandonments.abandoned_at.len()
         ),
-        (2, MAX_REMEMBERED)
+        (2, MAX_TRACKED_QUERIES)
     );
 }
--- a/crates/platform/src/clients/arrival_times.rs
+++ b/crates/platform/src/clients/arrival_times.rs
@@ -4,11 +4,11 @@
 use std::collections::VecDeque;
 
 /// Stretches that are told apart; beyond this, the latest are taken for as old as the one before.
-const MAX_STRETCHES: usize = 64;
+const MAX_SEGMENTS: usize = 64;
 
 /// Bytes up to a position of the stream that may have arrived at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Stretch {
+struct Segment {
     end: u64,
     /// The earliest time at which they can have arrived, in microseconds.
     arrived_at: i64,
@@ -19,7 +19,7 @@
 pub struct ArrivalTimes {
     received: u64,
     consumed: u64,
-    stretches: VecDeque<Stretch>,
+    segments: VecDeque<Segment>,
 }
 
 impl ArrivalTimes {
@@ -27,10 +27,10 @@
     pub fn record_received(&mut self, count: usize, arrived_at: i64) {
         self.received += count as u64;
         let end = self.received;
-        let is_full = self.stretches.len() >= MAX_STRETCHES;
-        match self.stretches.back_mut() {
+        let is_full = self.segments.len() >= MAX_SEGMENTS;
+        match self.segments.back_mut() {
             Some(last) if is_full || last.arrived_at == arrived_at => last.end = end,
-            _ => self.stretches.push_back(Stretch { end, arrived_at }),
+            _ => self.segments.push_back(Segment { end, arrived_at }),
         }
     }
 
@@ -39,10 +39,10 @@
     pub fn record_consumed(&mut self, count: usize) -> Option<i64> {
         self.consumed += count as u64;
         let consumed = self.consumed;
-        let position = self.stretches.iter().position(|s| s.end >= consumed)?;
-        let arrived_at = self.stretches[position].arrived_at;
-        let is_used_up = self.stretches[position].end == consumed;
-        self.stretches.drain(..position + usize::from(is_used_up));
+        let position = self.segments.iter().position(|s| s.end >= consumed)?;
+        let arrived_at = self.segments[position].arrived_at;
+        let is_used_up = self.segments[position].end == consumed;
+        self.segments.drain(..position + usize::from(is_used_up));
         Some(arrived_at)
     }
 }
--- a/crates/platform/src/clients/connection.rs
+++ b/crates/platform/src/clients/connection.rs
@@ -2,7 +2,7 @@
 
 use super::arrival_times::ArrivalTimes;
 use crate::http_server::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
-use crate::invariants::{CloseFacts, CloseReason};
+use crate::invariants::{CloseContext, CloseReason};
 use wheelfield_sans_io::ConnectionBuffer;
 
 /// Time in which the first request of a connection must be complete after the connect, and each other one after its first byte,
@@ -16,7 +16,7 @@
 /// another connection.
 const FIRST_REQUEST_GRACE_US: i64 = 50_000;
 /// Time after which clients as the protocol describes them close an idle connection themselves, in microseconds.
-const USUAL_IDLE_TIME_US: i64 = 4_000_000;
+const CLIENT_IDLE_TIMEOUT_US: i64 = 4_000_000;
 /// Bytes that are read while a request is processed: its client may send the next one ahead.
 const READ_AHEAD_BYTES: usize = 4 << 10;
 /// Bytes that are read at a time while input is dropped.
@@ -54,38 +54,38 @@
     /// Whether it has sent a valid request.
     pub has_sent_request: bool,
     /// Time of the connect, or of the last request or response, in microseconds.
-    pub active_at: i64,
+    pub last_active_at: i64,
     /// Time at which an incomplete request began to arrive, in microseconds.
     pub request_started_at: Option<i64>,
     /// Whether the connection is closed after the response to the current request.
     pub close_after_response: bool,
     /// Time at which output was last written or added, in microseconds.
-    pub write_progress_at: i64,
+    pub last_write_progress_at: i64,
     /// Whether input has arrived that was not examined yet, and may be a request.
     pub has_unread_input: bool,
     /// When the bytes of the input arrived.
     pub arrival_times: ArrivalTimes,
     /// Since when nothing is read from it for want of capacity, in microseconds.
-    pub unread_since: Option<i64>,
+    pub read_paused_since: Option<i64>,
 }
 
 /// How readily a connection is closed for a new client; the lowest goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionRank {
-    class: EvictionClass,
+    category: EvictionCategory,
     is_sending_request: bool,
-    active_at: i64,
+    last_active_at: i64,
 }
 
 /// The first part of an [`EvictionRank`], in order of eviction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum EvictionClass {
+enum EvictionCategory {
     /// Its client has left.
     Disconnected,
     /// It has sent no request for longer than a first request may take to arrive.
-    SilentSinceConnect,
+    NoRequestSinceConnect,
     /// It has been idle for longer than usual clients keep a connection.
-    IdleForLong,
+    LongIdle,
     /// It was accepted just now, and has sent no request.
     New,
     /// It has sent a request, and is idle.
@@ -99,21 +99,21 @@
             buffer: ConnectionBuffer::default(),
             state: ClientState::AwaitingRequest,
             has_sent_request: false,
-            active_at: now,
+            last_active_at: now,
             request_started_at: None,
             close_after_response: false,
-            write_progress_at: now,
+            last_write_progress_at: now,
             has_unread_input: false,
             arrival_times: ArrivalTimes::default(),
-            unread_since: None,
+            read_paused_since: None,
         }
     }
 
     /// What the guard of closing looks at.
-    pub fn close_facts(&self, reason: CloseReason) -> CloseFacts {
-        CloseFacts {
+    pub fn close_context(&self, reason: CloseReason) -> CloseContext {
+        CloseContext {
             reason,
-            has_left: self.has_left(),
+            has_disconnected: self.has_disconnected(),
             awaits_response: self.state == ClientState::Processing,
             has_unread_input: self.has_unread_input && self.state == ClientState::AwaitingRequest,
             unwritten_bytes: self.buffer.output.len(),
@@ -121,14 +121,14 @@
     }
 
     /// Whether the client has closed its side.
-    pub fn has_left(&self) -> bool {
+    pub fn has_disconnected(&self) -> bool {
         self.buffer.read_closed || self.buffer.peer_closing
     }
 
     /// Whether no request is being processed, arriving or expected, and nothing is left to write.
     pub fn is_idle(&self, now: i64) -> bool {
         let expects_request =
-            !self.has_sent_request && now - self.active_at < FIRST_REQUEST_GRACE_US;
+            !self.has_sent_request && now - self.last_active_at < FIRST_REQUEST_GRACE_US;
         let has_request = self.state == ClientState::Processing
             || self.has_unread_input
             || !self.buffer.input.is_empty();
@@ -138,23 +138,23 @@
     /// Its rank among the connections that may be closed for a new one; `None` if it must not be closed, as a response is owed
     /// or a request may have arrived that was not examined yet.
     pub fn eviction_rank(&self, now: i64) -> Option<EvictionRank> {
-        let has_left = self.has_left();
+        let has_disconnected = self.has_disconnected();
         let is_in_use = self.has_unread_input || !self.buffer.output.is_empty();
-        if self.state == ClientState::Processing || (is_in_use && !has_left) {
+        if self.state == ClientState::Processing || (is_in_use && !has_disconnected) {
             return None;
         }
-        let idle_time = now - self.active_at;
-        let class = match self.has_sent_request {
-            _ if has_left => EvictionClass::Disconnected,
-            false if idle_time >= FIRST_REQUEST_GRACE_US => EvictionClass::SilentSinceConnect,
-            true if idle_time > USUAL_IDLE_TIME_US => EvictionClass::IdleForLong,
-            false => EvictionClass::New,
-            true => EvictionClass::Idle,
+        let idle_time = now - self.last_active_at;
+        let category = match self.has_sent_request {
+            _ if has_disconnected => EvictionCategory::Disconnected,
+            false if idle_time >= FIRST_REQUEST_GRACE_US => EvictionCategory::NoRequestSinceConnect,
+            true if idle_time > CLIENT_IDLE_TIMEOUT_US => EvictionCategory::LongIdle,
+            false => EvictionCategory::New,
+            true => EvictionCategory::Idle,
         };
         Some(EvictionRank {
-            class,
+            category,
             is_sending_request: self.request_started_at.is_some(),
-            active_at: self.active_at,
+            last_active_at: self.last_active_at,
         })
     }
 
@@ -163,12 +163,12 @@
         let has_output = !self.buffer.output.is_empty();
         let request_due_since = self
             .request_started_at
-            .or((!self.has_sent_request).then_some(self.active_at));
+            .or((!self.has_sent_request).then_some(self.last_active_at));
         match self.state {
             ClientState::Draining { until, .. } if now >= until && !has_output => {
                 Some(ExpiredTimeout::Close(CloseReason::ResponseWritten))
             }
-            _ if has_output && now - self.write_progress_at > WRITE_STALL_TIMEOUT_US => {
+            _ if has_output && now - self.last_write_progress_at > WRITE_STALL_TIMEOUT_US => {
                 Some(ExpiredTimeout::Close(CloseReason::WriteStalled))
             }
             ClientState::AwaitingRequest
@@ -180,7 +180,7 @@
                 }
             }
             ClientState::AwaitingRequest
-                if !has_output && now - self.active_at > IDLE_TIMEOUT_US =>
+                if !has_output && now - self.last_active_at > IDLE_TIMEOUT_US =>
             {
                 Some(ExpiredTimeout::Close(CloseReason::Idle))
             }
--- a/crates/platform/src/clients/mod.rs
+++ b/crates/platform/src/clients/mod.rs
@@ -119,7 +119,7 @@
         };
         let capacity = client.buffer.read_capacity(client.state.max_input_bytes());
         if capacity == 0 {
-            client.unread_since.get_or_insert(now);
+            client.read_paused_since.get_or_insert(now);
         }
         capacity
     }
@@ -128,8 +128,8 @@
     /// capacity to read them.
     pub fn record_received(&mut self, id: ConnId, count: usize, arrived_at: i64) {
         if let Some(client) = self.connections.get_mut(id) {
-            let unread_since = client.unread_since.take().unwrap_or(arrived_at);
-            let arrived_at = arrived_at.min(unread_since);
+            let read_paused_since = client.read_paused_since.take().unwrap_or(arrived_at);
+            let arrived_at = arrived_at.min(read_paused_since);
             client.arrival_times.record_received(count, arrived_at);
         }
     }
@@ -139,7 +139,7 @@
         let Some(client) = self.connections.get_mut(id) else {
             return;
         };
-        client.write_progress_at = out.now;
+        client.last_write_progress_at = out.now;
         if client.buffer.advance_written(count) && client.buffer.read_closed {
             self.close(id, CloseReason::ClientLeft, out);
         }
@@ -161,7 +161,7 @@
             }
             ClientState::AwaitingRequest => {}
         }
-        if client.has_left() {
+        if client.has_disconnected() {
             // A client that has closed both sides takes no response.
             if client.buffer.output.is_empty() || client.buffer.peer_closing {
                 self.close(id, CloseReason::ClientLeft, out);
@@ -226,7 +226,7 @@
         client.request_started_at = None;
         client.close_after_response = head.close;
         client.state = ClientState::Processing;
-        client.active_at = out.now;
+        client.last_active_at = out.now;
         let arrived_at = client.arrival_times.record_consumed(head.total_length);
         client
             .buffer
@@ -278,8 +278,8 @@
             client.close_after_response,
             &mut client.buffer.output,
         );
-        client.active_at = out.now;
-        client.write_progress_at = out.now;
+        client.last_active_at = out.now;
+        client.last_write_progress_at = out.now;
         client.state = if client.close_after_response {
             ClientState::Draining {
                 until: out.now + DRAIN_TIME_US,
@@ -303,14 +303,14 @@
 
     /// Whether a client is connected and waits for the response to a request.
     pub fn awaits_response(&self, id: ConnId) -> bool {
-        self.is_processing(id) && !self.has_left(id)
+        self.is_processing(id) && !self.has_disconnected(id)
     }
 
     /// Whether a client has closed its side of the connection.
-    pub fn has_left(&self, id: ConnId) -> bool {
+    pub fn has_disconnected(&self, id: ConnId) -> bool {
         self.connections
             .get(id)
-            .is_some_and(ClientConnection::has_left)
+            .is_some_and(ClientConnection::has_disconnected)
     }
 
     /// Closes a connection. The only way to do so.
@@ -318,7 +318,7 @@
         let Some(client) = self.connections.remove(id) else {
             return;
         };
-        if let Err(violation) = check_closing(&client.close_facts(reason)) {
+        if let Err(violation) = check_closing(&client.close_context(reason)) {
             self.closing_violations.push((id, violation));
         }
         self.counters.closed[reason as usize] += 1;
--- a/crates/platform/src/dispatcher/attempts.rs
+++ b/crates/platform/src/dispatcher/attempts.rs
@@ -6,7 +6,7 @@
 use crate::http_server::Reply;
 use crate::in_flight::{AttemptHistory, InFlightQuery};
 use crate::invariants::{
-    check_dispatch, check_repeating, check_sending, RepeatFacts, SendFacts, Violation,
+    check_dispatch, check_repeating, check_sending, RepeatContext, SendContext, Violation,
 };
 use crate::planted::InjectedFault;
 use crate::result_pages;
@@ -81,7 +81,7 @@
 
     /// Reports the end of an attempt that has no response, unless the driver knows of it.
     fn end_attempt(&mut self, attempt: AttemptId, outcome: Outcome) {
-        self.in_flight.mark_returned(attempt.query, outcome);
+        self.in_flight.mark_attempt_ended(attempt.query, outcome);
         if self.driver.decision_engine().is_in_flight(attempt) {
             let report = LoadReport::default();
             let input = Input::AttemptEnded {
@@ -107,7 +107,7 @@
             .driver()
             .and_then(|driver| driver.timeout_at(attempt.id));
         let may_write = decision_engine.may_write(Micros(self.out.now), attempt.id);
-        let may_write = may_write && self.take_slow_start_share(connection, attempt.id);
+        let may_write = may_write && self.reserve_slow_start_share(connection, attempt.id);
         let now = self.out.now;
         // Its client's time may be up before the driver has noticed.
         let is_due = |query: &&InFlightQuery| may_write && now < query.client_deadline_at;
@@ -124,17 +124,17 @@
         let limit_ms = deadline
             .map_or(1, |at| (at.0 - self.out.now + 999) / 1000)
             .max(1);
-        if let Err(violation) = self.check_guards(connection, in_flight, limit_ms) {
+        if let Err(violation) = self.check_invariants(connection, in_flight, limit_ms) {
             self.violations.record(attempt.request, violation);
             if !self
                 .injected_fault
-                .is_some_and(InjectedFault::passes_guards)
+                .is_some_and(InjectedFault::disables_invariant_checks)
             {
                 self.end_attempt(attempt.id, Outcome::NeverSent);
                 return;
             }
         }
-        let nonce = in_flight.nonce.as_deref();
+        let nonce = in_flight.idempotency_key.as_deref();
         let request = Request {
             class,
             limit_ms,
@@ -146,22 +146,22 @@
     }
 
     /// The guards of sending and repeating, with what is known as the request is about to be written.
-    fn check_guards(
+    fn check_invariants(
         &self,
         connection: ConnId,
         query: &InFlightQuery,
         limit_ms: i64,
     ) -> Result<(), Violation> {
         let now = self.out.now;
-        check_sending(&SendFacts {
-            client_waits: self.clients.awaits_response(query.client),
+        check_sending(&SendContext {
+            client_is_waiting: self.clients.awaits_response(query.client),
             executor: self.executors.listed_state_at(connection),
-            limit_us: limit_ms * 1_000,
+            time_limit_us: limit_ms * 1_000,
             client_time_left_us: query.client_deadline_at - now,
         })?;
-        if let Some(rules) = self.classes.get(query.class) {
+        if let Some(rules) = self.class_rules.get(query.class) {
             let since = query.history.may_have_run_since;
-            check_repeating(&RepeatFacts {
+            check_repeating(&RepeatContext {
                 semantics: rules.semantics,
                 deduplication_window_us: rules.deduplication_window_us,
                 may_have_run_for_us: since.map(|since| now - since),
@@ -177,7 +177,7 @@
 
     /// Whether an attempt that may have waited for its connect still fits the slow-start budget of its executor; it counts there
     /// from now on.
-    fn take_slow_start_share(&mut self, connection: ConnId, attempt: AttemptId) -> bool {
+    fn reserve_slow_start_share(&mut self, connection: ConnId, attempt: AttemptId) -> bool {
         let share = self.slow_start_share(attempt);
         let Some((engine, share)) = self.executors.engine_at(connection).zip(share) else {
             return true;
@@ -190,11 +190,11 @@
     }
 
     /// Asks the guard of starting about an attempt whose first byte was written.
-    fn guard_start(&mut self, attempt: AttemptId, id: RequestId) {
+    fn check_slow_start(&mut self, attempt: AttemptId, id: RequestId) {
         let Some(engine) = self.executors.engine_of(attempt) else {
             return;
         };
-        if let Err(violation) = self.start_guard.record_send(engine, self.out.now) {
+        if let Err(violation) = self.slow_start_guard.record_send(engine, self.out.now) {
             self.violations.record(id, violation.into());
         }
     }
@@ -212,7 +212,7 @@
                 if let Err(violation) = check_dispatch(executor) {
                     self.violations.record(request, violation.into());
                 }
-                self.guard_start(attempt, request);
+                self.check_slow_start(attempt, request);
                 self.abandonments
                     .record_dispatch(attempt.query, self.out.now);
                 self.driver
@@ -235,7 +235,7 @@
             report,
             pages,
         } = ended;
-        self.in_flight.mark_returned(attempt.query, outcome);
+        self.in_flight.mark_attempt_ended(attempt.query, outcome);
         let is_answer =
             outcome == Outcome::Served && self.driver.decision_engine().may_answer(attempt);
         let answered = if is_answer {
--- a/crates/platform/src/dispatcher/held_requests.rs
+++ b/crates/platform/src/dispatcher/held_requests.rs
@@ -2,7 +2,7 @@
 
 use super::Dispatcher;
 use crate::http_server::QueryRequest;
-use crate::list_freshness::{Gap, GapEnd, Inactivity};
+use crate::list_freshness::{GapOutcome, Inactivity, PollingGap};
 use crate::planted::InjectedFault;
 use crate::timer_event::TimerEvent;
 use bytes::Bytes;
@@ -64,18 +64,18 @@
         if self.has_injected(InjectedFault::IgnoreInactivity) {
             return;
         }
-        let inactivity = self.list_freshness.note_activity(now);
+        let inactivity = self.list_freshness.record_activity(now);
         if inactivity.is_none() {
             return;
         }
-        if let Some(Inactivity::Gap(gap)) = inactivity {
+        if let Some(Inactivity::ListTooOld(gap)) = inactivity {
             self.begin_hold(gap);
         }
         self.query_discovery();
     }
 
     /// Requests that were decided by the list of before are decided anew, and new ones wait.
-    fn begin_hold(&mut self, gap: Gap) {
+    fn begin_hold(&mut self, gap: PollingGap) {
         self.held_requests.counters.gaps += 1;
         warn!(
             list_age_ms = gap.list_age_us / 1_000,
@@ -87,16 +87,16 @@
     }
 
     /// Whether new requests wait.
-    pub(super) fn is_holding(&self) -> bool {
+    pub(super) fn is_holding_requests(&self) -> bool {
         self.list_freshness.hold_until().is_some()
     }
 
     /// Has a request wait if new ones do, and its time is not up yet; else returns it.
-    pub(super) fn hold_request(&mut self, request: HeldRequest) -> Option<HeldRequest> {
+    pub(super) fn hold_if_list_too_old(&mut self, request: HeldRequest) -> Option<HeldRequest> {
         let Some(until) = self.list_freshness.hold_until() else {
             return Some(request);
         };
-        let deadline = self.deadline_of_held(&request);
+        let deadline = self.held_request_deadline(&request);
         if deadline <= self.out.now {
             return Some(request);
         }
@@ -107,7 +107,7 @@
         None
     }
 
-    fn deadline_of_held(&self, request: &HeldRequest) -> i64 {
+    fn held_request_deadline(&self, request: &HeldRequest) -> i64 {
         self.response_deadline(request.arrived_at, request.query.timeout_us)
             .0
     }
@@ -117,22 +117,22 @@
         let waiting = std::mem::take(&mut self.held_requests.waiting);
         let (expired, waiting) = waiting
             .into_iter()
-            .partition(|held| self.deadline_of_held(held) <= self.out.now);
+            .partition(|held| self.held_request_deadline(held) <= self.out.now);
         self.held_requests.waiting = waiting;
-        self.submit_all(expired);
+        self.submit_requests(expired);
     }
 
     /// A query for the list could not be sent.
     pub fn handle_query_unsent(&mut self) {
         self.held_requests.counters.unsent_queries += 1;
-        if let Some(gap) = self.list_freshness.note_unsent(self.out.now) {
+        if let Some(gap) = self.list_freshness.record_unsent_query(self.out.now) {
             self.begin_hold(gap);
         }
     }
 
     /// Ends the hold if its time is up; it may have become longer.
-    pub(super) fn end_overdue_hold(&mut self) {
-        let end = self.list_freshness.end_overdue_gap(self.out.now);
+    pub(super) fn end_expired_hold(&mut self) {
+        let end = self.list_freshness.end_expired_gap(self.out.now);
         self.end_hold(end);
         if let Some(until) = self.list_freshness.hold_until() {
             self.out.set_timer_at(until, TimerEvent::EndHold);
@@ -140,12 +140,12 @@
     }
 
     /// Submits the requests that wait, if they need not any more.
-    pub(super) fn end_hold(&mut self, end: Option<GapEnd>) {
+    pub(super) fn end_hold(&mut self, end: Option<GapOutcome>) {
         let Some(end) = end else {
             return;
         };
         let held = std::mem::take(&mut self.held_requests.waiting);
-        if end == GapEnd::Unanswered {
+        if end == GapOutcome::Unanswered {
             self.held_requests.counters.gaps_unanswered += 1;
         }
         info!(
@@ -154,16 +154,16 @@
             serial = self.discovery.serial(),
             "requests go by the executor list again"
         );
-        self.submit_all(held);
+        self.submit_requests(held);
     }
 
     /// Submits all requests that wait, whether the list is confirmed or not.
     pub(super) fn submit_held_requests(&mut self) {
         let held = std::mem::take(&mut self.held_requests.waiting);
-        self.submit_all(held);
+        self.submit_requests(held);
     }
 
-    fn submit_all(&mut self, requests: VecDeque<HeldRequest>) {
+    fn submit_requests(&mut self, requests: VecDeque<HeldRequest>) {
         for request in requests {
             self.submit_request(request);
         }
--- a/crates/platform/src/dispatcher/lifecycle.rs
+++ b/crates/platform/src/dispatcher/lifecycle.rs
@@ -20,7 +20,7 @@
     pub fn handle_timer(&mut self, event: TimerEvent) {
         match event {
             TimerEvent::QueryDiscovery => self.query_discovery(),
-            TimerEvent::EndHold => self.end_overdue_hold(),
+            TimerEvent::EndHold => self.end_expired_hold(),
             TimerEvent::ExpireHeld => self.expire_held_requests(),
             TimerEvent::CheckConnections => {
                 self.check_connections();
@@ -60,7 +60,7 @@
     fn check_connections(&mut self) {
         self.clients.check_timeouts(&mut self.out);
         self.executors.check_connections(&mut self.out);
-        self.start_guard.forget_warm(self.out.now);
+        self.slow_start_guard.remove_warmed_up(self.out.now);
         if self.shutdown.is_grace_period_over(self.out.now) {
             self.clients.close_idle(&mut self.out);
         }
@@ -71,7 +71,7 @@
 
     /// Begins the shutdown, unless it has begun.
     pub fn begin_shutdown(&mut self) {
-        if let Some(schedule) = self.shutdown.begin(self.out.now, self.arrived_at()) {
+        if let Some(schedule) = self.shutdown.begin(self.out.now, self.arrival_time()) {
             info!(in_flight = self.in_flight.len(), "shutdown requested");
             self.out
                 .set_timer_at(schedule.close_idle_at, TimerEvent::CloseIdleClients);
--- a/crates/platform/src/dispatcher/mod.rs
+++ b/crates/platform/src/dispatcher/mod.rs
@@ -16,7 +16,7 @@
 use crate::discovery::{DiscoveryClient, IgnoredAnswer};
 use crate::executors::{ConnectionLimits, Executors};
 use crate::in_flight::InFlightQueries;
-use crate::invariants::{SlowStartSettings, StartGuard, ViolationCounts};
+use crate::invariants::{SlowStartGuard, SlowStartSettings, ViolationCounts};
 use crate::list_freshness::ListFreshness;
 use crate::peers::Peers;
 use crate::planted::InjectedFault;
@@ -38,7 +38,7 @@
 /// Minimum number of descriptors for connections, however few there are.
 const MIN_CONNECTION_DESCRIPTORS: usize = 16;
 /// Tenths of the descriptors for connections that clients may use; executors have the others.
-const CLIENT_TENTHS: usize = 5;
+const CLIENT_SHARE_TENTHS: usize = 5;
 
 /// How often queries of a class may run.
 #[derive(Clone, Copy, Debug)]
@@ -61,7 +61,7 @@
     /// Effects and timers.
     pub out: EffectQueue<TimerEvent>,
     /// The earliest time at which what is reported now can have arrived, in microseconds; `None` if nothing is known of that.
-    pub arrivals_since: Option<i64>,
+    pub earliest_arrival_at: Option<i64>,
     /// Connections of clients.
     pub clients: Clients,
     /// Connections to executors.
@@ -71,12 +71,12 @@
     /// Clients whose input is to be examined.
     ready_clients: VecDeque<ConnId>,
     names: Names,
-    classes: Vec<ClassRules>,
+    class_rules: Vec<ClassRules>,
     /// Cores of an executor, by kind.
-    cores: Vec<f64>,
+    cores_by_kind: Vec<f64>,
     start_times: StartTimes,
     written_work: WrittenWork,
-    start_guard: StartGuard,
+    slow_start_guard: SlowStartGuard,
     violations: ViolationCounts,
     /// A fault for the soak to find; none in a build that serves.
     pub injected_fault: Option<InjectedFault>,
@@ -108,7 +108,7 @@
             .sockets
             .saturating_sub(RESERVED_DESCRIPTORS)
             .max(MIN_CONNECTION_DESCRIPTORS);
-        let max_clients = descriptors * CLIENT_TENTHS / 10;
+        let max_clients = descriptors * CLIENT_SHARE_TENTHS / 10;
         let limits = config.protocol_limits;
         let driver_limits = DriverLimits {
             max_queries: limits.max_queries.max(1),
@@ -121,15 +121,15 @@
             .max()
             .unwrap_or(0);
         let class_rules = classes.iter().map(ClassRules::of).collect();
-        let cores = config.settings.cores.clone();
+        let cores_by_kind = config.settings.cores.clone();
         let slow_start = SlowStartSettings::of(&config.settings);
         let written_work = WrittenWork::new(slow_start.window_us);
-        let start_guard = StartGuard::new(slow_start);
+        let slow_start_guard = SlowStartGuard::new(slow_start);
         let own_index = config.settings.gateway_index as usize;
         let driver = Driver::new(config.settings, config.seed, driver_limits);
         Dispatcher {
             out: EffectQueue::new(now),
-            arrivals_since: None,
+            earliest_arrival_at: None,
             clients: Clients::new(max_clients),
             executors: Executors::new(ConnectionLimits {
                 max_connections: descriptors - max_clients,
@@ -140,11 +140,11 @@
             driver: RecordingDriver::new(Box::new(driver), None),
             ready_clients: VecDeque::new(),
             names: config.names,
-            classes: class_rules,
-            cores,
+            class_rules,
+            cores_by_kind,
             start_times: StartTimes::default(),
             written_work,
-            start_guard,
+            slow_start_guard,
             violations: ViolationCounts::default(),
             injected_fault: None,
             in_flight: InFlightQueries::default(),
@@ -180,12 +180,12 @@
     }
 
     /// The earliest time at which what is reported now can have arrived, in microseconds.
-    pub fn arrived_at(&self) -> i64 {
+    pub fn arrival_time(&self) -> i64 {
         let now = self.out.now;
         if self.has_injected(InjectedFault::IgnoreWaiting) {
             return now;
         }
-        self.arrivals_since.map_or(now, |since| since.min(now))
+        self.earliest_arrival_at.map_or(now, |since| since.min(now))
     }
 
     /// Passes events between the parts until none is left, and ends the process once the shutdown is complete.
@@ -213,7 +213,7 @@
             self.read_client(client);
         } else if let Some(instruction) = self.driver.next_instruction() {
             self.execute_instruction(instruction);
-        } else if let Some(connection) = self.next_to_write() {
+        } else if let Some(connection) = self.next_writable_connection() {
             self.write_requests(connection);
         } else if let Some(event) = self.executors.next_event() {
             self.handle_attempt_event(event);
@@ -224,8 +224,8 @@
     }
 
     /// A connection on which attempts wait to be written.
-    fn next_to_write(&mut self) -> Option<ConnId> {
-        if self.is_holding() {
+    fn next_writable_connection(&mut self) -> Option<ConnId> {
+        if self.is_holding_requests() {
             return None;
         }
         self.executors.next_ready()
--- a/crates/platform/src/dispatcher/requests.rs
+++ b/crates/platform/src/dispatcher/requests.rs
@@ -55,7 +55,7 @@
     /// Examines the input of a client.
     pub(super) fn read_client(&mut self, client: ConnId) {
         if self.clients.is_processing(client) {
-            if self.clients.has_left(client) {
+            if self.clients.has_disconnected(client) {
                 self.handle_client_disconnected(client);
             }
             return;
@@ -85,7 +85,7 @@
                     statement: body,
                     arrived_at,
                 };
-                if let Some(request) = self.hold_request(request) {
+                if let Some(request) = self.hold_if_list_too_old(request) {
                     self.submit_request(request);
                 }
             }
@@ -125,7 +125,7 @@
             tenant: request
                 .tenant
                 .and_then(|name| position(&self.names.tenants, &name)),
-            key: request.key,
+            key: request.ordering_key,
             deadline: self.response_deadline(arrived_at, request.timeout_us),
             work_hint: request.work_hint,
             memory_hint: request.memory_hint,
@@ -136,18 +136,18 @@
             return Ok(());
         };
         let is_idempotent = self
-            .classes
+            .class_rules
             .get(class)
             .is_some_and(|rules| rules.semantics == ExecutionSemantics::Idempotent);
         if let Some(work) = request.work_hint {
-            self.start_guard.record_work(work);
+            self.slow_start_guard.record_work(work);
         }
         let in_flight = InFlightQuery {
             client,
             id,
             class,
             statement,
-            nonce: request.nonce,
+            idempotency_key: request.idempotency_key,
             is_idempotent,
             is_at_executor: false,
             client_deadline_at: arrived_at + request.timeout_us,
--- a/crates/platform/src/dispatcher/topology.rs
+++ b/crates/platform/src/dispatcher/topology.rs
@@ -21,24 +21,24 @@
 
 /// When the list before the current one was last confirmed, and how many queries were sent since.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct FormerConfirmation {
+pub(super) struct PreviousConfirmation {
     /// In microseconds.
     confirmed_at: i64,
     queries: u64,
 }
 
 impl Dispatcher {
-    /// Replaces the list of executors; `former` tells of the one before it, if there was one.
+    /// Replaces the list of executors; `previous` tells of the one before it, if there was one.
     pub(super) fn replace_executors(
         &mut self,
         executors: &[ExecutorEndpoint],
-        former: Option<FormerConfirmation>,
+        previous: Option<PreviousConfirmation>,
     ) {
-        let confirmed_at = former.map(|former| former.confirmed_at);
-        let former_names = std::mem::take(&mut self.names.engines);
+        let confirmed_at = previous.map(|previous| previous.confirmed_at);
+        let previous_names = std::mem::take(&mut self.names.engines);
         let started_at = self
             .start_times
-            .take_list(executors, confirmed_at, self.out.now);
+            .update(executors, confirmed_at, self.out.now);
         let ignores_starts = self.has_injected(InjectedFault::IgnoreStarts);
         let entries: Vec<EngineEntry> = executors
             .iter()
@@ -62,7 +62,7 @@
             })
             .collect();
         let change = self.executors.replace_list(listed, &mut self.out);
-        self.log_list_change(entries.len(), &change, &former_names, former);
+        self.log_list_change(entries.len(), &change, &previous_names, previous);
         self.driver.handle_input(
             self.out.now,
             Input::Engines {
@@ -77,13 +77,13 @@
         &self,
         listed: usize,
         change: &ListChange,
-        former_names: &BTreeMap<EngineId, String>,
-        former: Option<FormerConfirmation>,
+        previous_names: &BTreeMap<EngineId, String>,
+        previous: Option<PreviousConfirmation>,
     ) {
         let names = |engines: &[EngineId]| -> Vec<&String> {
             let name = |engine: &EngineId| {
                 let current = self.names.engines.get(engine);
-                current.or(former_names.get(engine))
+                current.or(previous_names.get(engine))
             };
             engines.iter().filter_map(name).collect()
         };
@@ -96,8 +96,8 @@
             moved = change.moved,
             draining = ?names(&change.draining),
             gone = ?names(&change.removed),
-            unconfirmed_ms = former.map(|former| (self.out.now - former.confirmed_at) / 1_000),
-            queries = former.map(|former| former.queries),
+            unconfirmed_ms = previous.map(|previous| (self.out.now - previous.confirmed_at) / 1_000),
+            queries = previous.map(|previous| previous.queries),
             "executor list replaced"
         );
     }
@@ -107,11 +107,11 @@
         let now = self.out.now;
         let is_first_list = self.executors.executor_count() == 0;
         let was_up = self.executors.listed_state(entry.engine) == ListedState::Up;
-        let cores = self.cores.get(entry.kind).copied().unwrap_or(1.0);
+        let cores = self.cores_by_kind.get(entry.kind).copied().unwrap_or(1.0);
         let stated = entry.started_at.map(|at| at.0.min(now));
         let observed = (!is_first_list && !was_up && entry.status == Status::Up).then_some(now);
         if let Some(started_at) = stated.or(observed) {
-            self.start_guard
+            self.slow_start_guard
                 .record_start(entry.engine, started_at, cores, now);
         }
     }
@@ -123,7 +123,7 @@
             self.out
                 .push(Effect::Send(DatagramSocket::Discovery, resolver, query));
         }
-        self.list_freshness.note_query(self.out.now);
+        self.list_freshness.record_query(self.out.now);
         self.schedule_discovery();
     }
 
@@ -138,13 +138,13 @@
 
     /// Handles a datagram of the name service.
     pub fn handle_discovery_answer(&mut self, from: SocketAddr, datagram: &[u8]) {
-        let is_former = from != self.discovery.resolver();
+        let is_previous_service = from != self.discovery.resolver();
         if self.has_injected(InjectedFault::IgnoreLists)
-            || (is_former && self.has_injected(InjectedFault::IgnoreFormerService))
+            || (is_previous_service && self.has_injected(InjectedFault::IgnoreFormerService))
         {
             return;
         }
-        let former = FormerConfirmation {
+        let previous = PreviousConfirmation {
             confirmed_at: self.discovery.confirmed_at(),
             queries: self.discovery.queries_since_confirmed(),
         };
@@ -152,13 +152,13 @@
             Ok(answer) => {
                 match answer.update {
                     DiscoveryUpdate::Replaced(executors) => {
-                        self.replace_executors(&executors, Some(former));
+                        self.replace_executors(&executors, Some(previous));
                     }
-                    DiscoveryUpdate::Confirmed => self.log_late_confirmation(former),
+                    DiscoveryUpdate::Confirmed => self.log_late_confirmation(previous),
                 }
                 let end = self
                     .list_freshness
-                    .note_answer(self.out.now, answer.asked_at);
+                    .record_answer(self.out.now, answer.asked_at);
                 self.end_hold(end);
                 self.schedule_discovery();
             }
@@ -172,14 +172,14 @@
     }
 
     /// Logs that the list is confirmed, where nothing did so for long.
-    fn log_late_confirmation(&self, former: FormerConfirmation) {
-        let unconfirmed_us = self.out.now - former.confirmed_at;
+    fn log_late_confirmation(&self, previous: PreviousConfirmation) {
+        let unconfirmed_us = self.out.now - previous.confirmed_at;
         if unconfirmed_us >= LATE_CONFIRMATION_US {
             info!(
                 serial = self.discovery.serial(),
                 service = %self.discovery.confirmed_by(),
                 unconfirmed_ms = unconfirmed_us / 1_000,
-                queries = former.queries,
+                queries = previous.queries,
                 "executor list confirmed again"
             );
         }
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -79,7 +79,7 @@
         };
         buffer.receive(bytes);
         if id.owner() == clients::OWNER {
-            let arrived_at = self.dispatcher.arrived_at();
+            let arrived_at = self.dispatcher.arrival_time();
             self.dispatcher
                 .clients
                 .record_received(id, bytes.len(), arrived_at);
@@ -115,7 +115,7 @@
     }
 
     fn note_arrivals_since(&mut self, since: i64) {
-        self.dispatcher.arrivals_since = Some(since);
+        self.dispatcher.earliest_arrival_at = Some(since);
     }
 
     fn accept(&mut self, now: i64, _: Listener) -> Option<ConnId> {
--- a/crates/platform/src/http_server.rs
+++ b/crates/platform/src/http_server.rs
@@ -49,9 +49,9 @@
     /// Name of its tenant, where the deployment has tenants.
     pub tenant: Option<String>,
     /// Key among whose queries it keeps its order, where its class keeps one.
-    pub key: Option<String>,
+    pub ordering_key: Option<String>,
     /// Idempotency key, where the executors deduplicate its class. It is forwarded unchanged.
-    pub nonce: Option<String>,
+    pub idempotency_key: Option<String>,
 }
 
 /// A head that was parsed.
@@ -172,11 +172,12 @@
 }
 
 fn parse_body_length(method: &str, headers: &[Header<'_>]) -> Result<usize, RequestError> {
-    let stated = single_header(headers, "content-length").map_err(|_| RequestError::Malformed)?;
+    let content_length =
+        single_header(headers, "content-length").map_err(|_| RequestError::Malformed)?;
     let is_encoded = headers
         .iter()
         .any(|header| header.name.eq_ignore_ascii_case("transfer-encoding"));
-    match stated {
+    match content_length {
         Some(_) if is_encoded => Err(RequestError::Malformed),
         None if is_encoded => Err(RequestError::LengthRequired),
         Some(digits) if !digits.is_empty() && digits.bytes().all(|byte| byte.is_ascii_digit()) => {
@@ -245,8 +246,8 @@
         work_hint: work_ms.map(|ms| ms / 1e3),
         memory_hint,
         tenant: name_header(headers, "x-tenant")?,
-        key: name_header(headers, "x-object")?,
-        nonce: name_header(headers, "idempotency-key")?,
+        ordering_key: name_header(headers, "x-object")?,
+        idempotency_key: name_header(headers, "idempotency-key")?,
     })
 }
 
--- a/crates/platform/src/in_flight.rs
+++ b/crates/platform/src/in_flight.rs
@@ -22,7 +22,7 @@
     /// Its statement.
     pub statement: Bytes,
     /// Key by which executors recognise a repetition.
-    pub nonce: Option<String>,
+    pub idempotency_key: Option<String>,
     /// Whether it may run twice.
     pub is_idempotent: bool,
     /// Whether an executor has an attempt of it.
@@ -136,7 +136,7 @@
     }
 
     /// Records that no executor has an attempt of a query any more, as the last one ended so.
-    pub fn mark_returned(&mut self, query: QueryId, outcome: Outcome) {
+    pub fn mark_attempt_ended(&mut self, query: QueryId, outcome: Outcome) {
         if let Some(in_flight) = self.by_query.get_mut(&query) {
             let was_dispatched = std::mem::take(&mut in_flight.is_at_executor);
             in_flight.history.record_end(outcome, was_dispatched);
--- a/crates/platform/src/invariants/closing.rs
+++ b/crates/platform/src/invariants/closing.rs
@@ -43,11 +43,11 @@
 
 /// What is known of a connection that is about to be closed.
 #[derive(Clone, Copy, Debug)]
-pub struct CloseFacts {
+pub struct CloseContext {
     /// Why it is closed.
     pub reason: CloseReason,
     /// Whether the client has closed its side.
-    pub has_left: bool,
+    pub has_disconnected: bool,
     /// Whether a request was taken from it and has no response yet.
     pub awaits_response: bool,
     /// Whether input has arrived that was not examined yet.
@@ -61,7 +61,7 @@
 pub enum ClosingViolation {
     /// A request has no response.
     #[error("connection closed ({0:?}) with a request that has no response")]
-    ResponseOwed(CloseReason),
+    ResponsePending(CloseReason),
     /// A request may have arrived.
     #[error("connection closed ({0:?}) with input that was not examined")]
     InputUnread(CloseReason),
@@ -74,21 +74,21 @@
 ///
 /// # Errors
 /// The violation that closing it is.
-pub fn check_closing(facts: &CloseFacts) -> Result<(), ClosingViolation> {
-    let reason = facts.reason;
-    if facts.has_left || reason == CloseReason::ClientLeft {
+pub fn check_closing(context: &CloseContext) -> Result<(), ClosingViolation> {
+    let reason = context.reason;
+    if context.has_disconnected || reason == CloseReason::ClientLeft {
         return Ok(());
     }
-    if facts.awaits_response {
-        return Err(ClosingViolation::ResponseOwed(reason));
+    if context.awaits_response {
+        return Err(ClosingViolation::ResponsePending(reason));
     }
-    if facts.has_unread_input {
+    if context.has_unread_input {
         return Err(ClosingViolation::InputUnread(reason));
     }
-    if facts.unwritten_bytes > 0 && reason != CloseReason::WriteStalled {
+    if context.unwritten_bytes > 0 && reason != CloseReason::WriteStalled {
         return Err(ClosingViolation::ResponseUnwritten(
             reason,
-            facts.unwritten_bytes,
+            context.unwritten_bytes,
         ));
     }
     Ok(())
--- a/crates/platform/src/invariants/mod.rs
+++ b/crates/platform/src/invariants/mod.rs
@@ -1,5 +1,5 @@
 //! Run-time checks of the rules at the four places where one can be broken: an attempt is sent, a query is repeated, a client's
-//! connection is closed, an executor in slow start gets work. Each guard looks at facts of this crate, not at what the policy
+//! connection is closed, an executor in slow start gets work. Each guard looks at context of this crate, not at what the policy
 //! believes. Violations are counted, logged with the request they concern, and published.
 
 mod closing;
@@ -9,10 +9,10 @@
 #[cfg(test)]
 mod tests;
 
-pub use closing::{check_closing, CloseFacts, CloseReason, ClosingViolation};
-pub use repeating::{check_repeating, RepeatFacts, RepeatingViolation};
-pub use sending::{check_dispatch, check_sending, ListedState, SendFacts, SendingViolation};
-pub use starting::{SlowStartSettings, StartGuard, StartingViolation};
+pub use closing::{check_closing, CloseContext, CloseReason, ClosingViolation};
+pub use repeating::{check_repeating, RepeatContext, RepeatingViolation};
+pub use sending::{check_dispatch, check_sending, ListedState, SendContext, SendingViolation};
+pub use starting::{SlowStartGuard, SlowStartSettings, StartingViolation};
 
 use std::fmt;
 use tracing::error;
--- a/crates/platform/src/invariants/repeating.rs
+++ b/crates/platform/src/invariants/repeating.rs
@@ -4,7 +4,7 @@
 
 /// What is known of a query whose attempt is about to be written.
 #[derive(Clone, Copy, Debug)]
-pub struct RepeatFacts {
+pub struct RepeatContext {
     /// How often queries of its class may run.
     pub semantics: ExecutionSemantics,
     /// For how long executors recognise a repetition by its key, in microseconds.
@@ -20,10 +20,10 @@
     #[error("second attempt of a query that may have run and must run at most once")]
     AtMostOnce,
     /// Executors may have forgotten its key.
-    #[error("attempt of a keyed query that was sent {sent_us} us ago, beyond its window")]
-    WindowClosed {
+    #[error("attempt of a keyed query that was sent {elapsed_us} us ago, beyond its window")]
+    DeduplicationWindowExpired {
         /// Time since its first attempt, in microseconds.
-        sent_us: i64,
+        elapsed_us: i64,
     },
 }
 
@@ -31,14 +31,18 @@
 ///
 /// # Errors
 /// The violation that sending it would be.
-pub fn check_repeating(facts: &RepeatFacts) -> Result<(), RepeatingViolation> {
-    let Some(sent_us) = facts.may_have_run_for_us else {
+pub fn check_repeating(context: &RepeatContext) -> Result<(), RepeatingViolation> {
+    let Some(elapsed_us) = context.may_have_run_for_us else {
         return Ok(());
     };
-    match facts.semantics {
+    match context.semantics {
         ExecutionSemantics::Idempotent => Ok(()),
         ExecutionSemantics::AtMostOnce => Err(RepeatingViolation::AtMostOnce),
-        ExecutionSemantics::IdempotencyKey if sent_us < facts.deduplication_window_us => Ok(()),
-        ExecutionSemantics::IdempotencyKey => Err(RepeatingViolation::WindowClosed { sent_us }),
+        ExecutionSemantics::IdempotencyKey if elapsed_us < context.deduplication_window_us => {
+            Ok(())
+        }
+        ExecutionSemantics::IdempotencyKey => {
+            Err(RepeatingViolation::DeduplicationWindowExpired { elapsed_us })
+        }
     }
 }
--- a/crates/platform/src/invariants/sending.rs
+++ b/crates/platform/src/invariants/sending.rs
@@ -18,13 +18,13 @@
 
 /// What is known of an attempt whose request is about to be written.
 #[derive(Clone, Copy, Debug)]
-pub struct SendFacts {
+pub struct SendContext {
     /// Whether the client of its query waits for a response.
-    pub client_waits: bool,
+    pub client_is_waiting: bool,
     /// The state of its executor.
     pub executor: ListedState,
     /// Time that the executor is given, in microseconds.
-    pub limit_us: i64,
+    pub time_limit_us: i64,
     /// Time that the client has left, in microseconds.
     pub client_time_left_us: i64,
 }
@@ -34,20 +34,20 @@
 pub enum SendingViolation {
     /// Its client has left, or has its response.
     #[error("attempt for a client that does not wait")]
-    NobodyWaits,
+    ClientNotWaiting,
     /// Its executor is draining or gone.
     #[error("attempt for an executor that is {0:?} in the list")]
     ExecutorUnavailable(ListedState),
     /// Its first byte was written although its executor was draining or gone by then.
     #[error("request written to an executor that is {0:?} in the list")]
-    WrittenAfterListing(ListedState),
+    WrittenToUnavailable(ListedState),
     /// It has more time than its client.
-    #[error("attempt may take {limit_us} us, its client waits {left_us} us more")]
-    LimitTooLong {
+    #[error("attempt may take {time_limit_us} us, its client waits {client_time_left_us} us more")]
+    TimeLimitTooLong {
         /// Time that the executor is given, in microseconds.
-        limit_us: i64,
+        time_limit_us: i64,
         /// Time that the client has left, in microseconds.
-        left_us: i64,
+        client_time_left_us: i64,
     },
 }
 
@@ -55,17 +55,17 @@
 ///
 /// # Errors
 /// The violation that sending it would be.
-pub fn check_sending(facts: &SendFacts) -> Result<(), SendingViolation> {
-    if !facts.client_waits {
-        return Err(SendingViolation::NobodyWaits);
+pub fn check_sending(context: &SendContext) -> Result<(), SendingViolation> {
+    if !context.client_is_waiting {
+        return Err(SendingViolation::ClientNotWaiting);
     }
-    if facts.executor != ListedState::Up {
-        return Err(SendingViolation::ExecutorUnavailable(facts.executor));
+    if context.executor != ListedState::Up {
+        return Err(SendingViolation::ExecutorUnavailable(context.executor));
     }
-    if facts.limit_us > facts.client_time_left_us + DEADLINE_TOLERANCE_US {
-        return Err(SendingViolation::LimitTooLong {
-            limit_us: facts.limit_us,
-            left_us: facts.client_time_left_us,
+    if context.time_limit_us > context.client_time_left_us + DEADLINE_TOLERANCE_US {
+        return Err(SendingViolation::TimeLimitTooLong {
+            time_limit_us: context.time_limit_us,
+            client_time_left_us: context.client_time_left_us,
         });
     }
     Ok(())
@@ -79,6 +79,6 @@
 pub fn check_dispatch(executor: ListedState) -> Result<(), SendingViolation> {
     match executor {
         ListedState::Up => Ok(()),
-        state => Err(SendingViolation::WrittenAfterListing(state)),
+        state => Err(SendingViolation::WrittenToUnavailable(state)),
     }
 }
--- a/crates/platform/src/invariants/starting.rs
+++ b/crates/platform/src/invariants/starting.rs
@@ -7,11 +7,11 @@
 use wheelfield::interface::{EngineId, Settings};
 
 /// Below so many requests the margin is wider.
-const FEW_REQUESTS: f64 = 30.0;
+const WIDE_MARGIN_MAX_REQUESTS: f64 = 30.0;
 /// Weight of the newest query in the mean work.
-const NEWEST_WEIGHT: f64 = 0.02;
+const MEAN_WORK_SMOOTHING: f64 = 0.02;
 /// Sends to one executor that are remembered at most.
-const MAX_SENDS: usize = 8_192;
+const MAX_TRACKED_SENDS: usize = 8_192;
 
 /// What the settings say of slow start.
 #[derive(Clone, Copy, Debug)]
@@ -43,7 +43,7 @@
         let fraction = self.initial_fraction + (1.0 - self.initial_fraction) * age.clamp(0.0, 1.0);
         let window = self.window_us as f64 / 1e6;
         let requests = self.overload_multiple * fraction * cores * window / mean_work.max(1e-6);
-        if requests < FEW_REQUESTS {
+        if requests < WIDE_MARGIN_MAX_REQUESTS {
             requests + 3.0 * requests.sqrt() + 3.0
         } else {
             requests + 2.0 * requests.sqrt() + 2.0
@@ -62,26 +62,26 @@
 
 /// More went to an executor in slow start than all controllers together may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{sent} attempts within the window for an executor {age_us} us after its start, at most {most} by all controllers")]
+#[error("{sent} attempts within the window for an executor {age_us} us after its start, at most {limit} by all controllers")]
 pub struct StartingViolation {
     sent: usize,
-    most: u64,
+    limit: u64,
     age_us: i64,
 }
 
 /// Counts what goes to executors in slow start.
 #[derive(Debug)]
-pub struct StartGuard {
+pub struct SlowStartGuard {
     settings: SlowStartSettings,
     executors: BTreeMap<EngineId, StartingExecutor>,
     /// Mean work of a query in thread-seconds, by the estimates of the clients.
     mean_work: Option<f64>,
 }
 
-impl StartGuard {
+impl SlowStartGuard {
     /// A guard that knows of no start.
-    pub fn new(settings: SlowStartSettings) -> StartGuard {
-        StartGuard {
+    pub fn new(settings: SlowStartSettings) -> SlowStartGuard {
+        SlowStartGuard {
             settings,
             executors: BTreeMap::new(),
             mean_work: None,
@@ -104,11 +104,11 @@
     /// Notes the estimated work of a query, in thread-seconds.
     pub fn record_work(&mut self, work: f64) {
         let mean = self.mean_work.unwrap_or(work);
-        self.mean_work = Some(mean + NEWEST_WEIGHT * (work - mean));
+        self.mean_work = Some(mean + MEAN_WORK_SMOOTHING * (work - mean));
     }
 
     /// Forgets executors whose slow start is over.
-    pub fn forget_warm(&mut self, now: i64) {
+    pub fn remove_warmed_up(&mut self, now: i64) {
         let duration = self.settings.duration_us;
         self.executors
             .retain(|_, executor| now - executor.started_at < duration);
@@ -123,11 +123,11 @@
             return Ok(());
         };
         let age_us = now - executor.started_at;
-        let from = now - self.settings.window_us;
-        while executor.sends.front().is_some_and(|at| *at < from) {
+        let window_start = now - self.settings.window_us;
+        while executor.sends.front().is_some_and(|at| *at < window_start) {
             executor.sends.pop_front();
         }
-        if executor.sends.len() < MAX_SENDS {
+        if executor.sends.len() < MAX_TRACKED_SENDS {
             executor.sends.push_back(now);
         }
         let Some(mean_work) = self
@@ -136,14 +136,14 @@
         else {
             return Ok(());
         };
-        let most = self
+        let limit = self
             .settings
             .max_requests(executor.cores, age_us, mean_work);
         let sent = executor.sends.len();
-        if age_us < self.settings.duration_us && sent as f64 > most {
+        if age_us < self.settings.duration_us && sent as f64 > limit {
             return Err(StartingViolation {
                 sent,
-                most: most as u64,
+                limit: limit as u64,
                 age_us,
             });
         }
--- a/crates/platform/src/invariants/tests.rs
+++ b/crates/platform/src/invariants/tests.rs
@@ -7,30 +7,33 @@
 
 #[test]
 fn an_attempt_is_for_a_waiting_client_an_executor_that_is_up_and_the_time_left() {
-    let good = SendFacts {
-        client_waits: true,
+    let good = SendContext {
+        client_is_waiting: true,
         executor: ListedState::Up,
-        limit_us: SECOND,
+        time_limit_us: SECOND,
         client_time_left_us: SECOND,
     };
     assert_eq!(check_sending(&good), Ok(()));
-    let late = SendFacts {
-        client_waits: false,
+    let late = SendContext {
+        client_is_waiting: false,
         ..good
     };
-    assert_eq!(check_sending(&late), Err(SendingViolation::NobodyWaits));
+    assert_eq!(
+        check_sending(&late),
+        Err(SendingViolation::ClientNotWaiting)
+    );
     for executor in [ListedState::Draining, ListedState::Missing] {
-        let unavailable = SendFacts { executor, ..good };
+        let unavailable = SendContext { executor, ..good };
         let violation = SendingViolation::ExecutorUnavailable(executor);
         assert_eq!(check_sending(&unavailable), Err(violation));
     }
-    let long = SendFacts {
-        limit_us: SECOND + 10_000,
+    let long = SendContext {
+        time_limit_us: SECOND + 10_000,
         ..good
     };
     assert!(matches!(
         check_sending(&long),
-        Err(SendingViolation::LimitTooLong { .. })
+        Err(SendingViolation::TimeLimitTooLong { .. })
     ));
 }
 
@@ -38,7 +41,7 @@
 fn what_may_have_run_is_repeated_where_its_class_allows() {
     use ExecutionSemantics::{AtMostOnce, IdempotencyKey, Idempotent};
     let check = |semantics, may_have_run_for_us| {
-        check_repeating(&RepeatFacts {
+        check_repeating(&RepeatContext {
             semantics,
             deduplication_window_us: SECOND,
             may_have_run_for_us,
@@ -58,37 +61,37 @@
 
 #[test]
 fn a_client_that_is_owed_something_is_not_closed_unless_it_left() {
-    let idle = CloseFacts {
+    let idle = CloseContext {
         reason: CloseReason::Shutdown,
-        has_left: false,
+        has_disconnected: false,
         awaits_response: false,
         has_unread_input: false,
         unwritten_bytes: 0,
     };
     let owing = [
-        CloseFacts {
+        CloseContext {
             awaits_response: true,
             ..idle
         },
-        CloseFacts {
+        CloseContext {
             has_unread_input: true,
             ..idle
         },
-        CloseFacts {
+        CloseContext {
             unwritten_bytes: 7,
             ..idle
         },
     ];
     for reason in CloseReason::ALL {
-        assert_eq!(check_closing(&CloseFacts { reason, ..idle }), Ok(()));
-        for facts in owing {
-            let facts = CloseFacts { reason, ..facts };
-            let is_stall = reason == CloseReason::WriteStalled && facts.unwritten_bytes > 0;
+        assert_eq!(check_closing(&CloseContext { reason, ..idle }), Ok(()));
+        for context in owing {
+            let context = CloseContext { reason, ..context };
+            let is_stall = reason == CloseReason::WriteStalled && context.unwritten_bytes > 0;
             let is_allowed = reason == CloseReason::ClientLeft || is_stall;
-            assert_eq!(check_closing(&facts).is_ok(), is_allowed, "{facts:?}");
-            let left = CloseFacts {
-                has_left: true,
-                ..facts
+            assert_eq!(check_closing(&context).is_ok(), is_allowed, "{context:?}");
+            let left = CloseContext {
+                has_disconnected: true,
+                ..context
             };
             assert_eq!(check_closing(&left), Ok(()));
         }
@@ -104,7 +107,7 @@
         window_us: SECOND,
     };
     let engine = EngineId(7);
-    let mut guard = StartGuard::new(settings);
+    let mut guard = SlowStartGuard::new(settings);
     guard.record_work(0.1);
     // 2 x 0.5 x 4 cores x 1 s / 0.1 s = 40 requests, and a margin of 2 x root of 40 + 2.
     guard.record_start(engine, 0, 4.0, 0);
@@ -115,6 +118,6 @@
     // A window later all of it is allowed again; once warm, or for others, everything is.
     assert_eq!(guard.record_send(engine, SECOND + 1), Ok(()));
     assert_eq!(guard.record_send(EngineId(8), 0), Ok(()));
-    guard.forget_warm(10 * SECOND);
+    guard.remove_warmed_up(10 * SECOND);
     assert!((0..200).all(|_| guard.record_send(engine, 10 * SECOND).is_ok()));
 }
--- a/crates/platform/src/list_freshness.rs
+++ b/crates/platform/src/list_freshness.rs
@@ -13,11 +13,11 @@
 /// The longest such time: it doubles with each query that has no answer.
 const MAX_RETRY_US: i64 = 125_000;
 /// Time until a query is repeated while requests wait for its answer, in microseconds: some answers may be lost, and others slow.
-const RETRY_WHILE_WAITING_US: i64 = 25_000;
+const RETRY_WHILE_HOLDING_US: i64 = 25_000;
 /// The process is active at least ten times a second; one that was not for so long was suspended or starved, in microseconds.
 const MAX_INACTIVITY_US: i64 = 300_000;
 /// For how long queries that can't be sent have new requests wait, in microseconds; after it they go by the last list.
-const MAX_UNSENT_US: i64 = 2_000_000;
+const MAX_UNSENT_HOLD_US: i64 = 2_000_000;
 /// Queries that can't be sent this long after the last such one are another failure, in microseconds. It is far longer than requests
 /// wait, so that failures now and then do not have them wait again and again.
 const UNSENT_RECOVERY_US: i64 = 10_000_000;
@@ -27,14 +27,14 @@
 
 /// A span in which nobody could be asked, and which made the list too old.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Gap {
+pub struct PollingGap {
     /// Age of the list at its end, in microseconds.
     pub list_age_us: i64,
     /// From when on the name service can be asked again, in microseconds.
     ended_at: i64,
 }
 
-impl Gap {
+impl PollingGap {
     /// Until when new requests wait at most, in microseconds.
     pub fn hold_until(self) -> i64 {
         self.ended_at + MAX_HOLD_US
@@ -43,7 +43,7 @@
 
 /// What became of a gap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GapEnd {
+pub enum GapOutcome {
     /// The list was confirmed or replaced.
     Confirmed,
     /// No answer came in time.
@@ -54,9 +54,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Inactivity {
     /// The list is to be asked for at once, and is good meanwhile.
-    Short,
+    ListUsable,
     /// The list is to be asked for at once, and new requests wait.
-    Gap(Gap),
+    ListTooOld(PollingGap),
 }
 
 /// Queries that could not be sent, one soon after the other; times in microseconds.
@@ -68,8 +68,8 @@
 
 impl UnsentQueries {
     /// Adds a query to those before it, unless they are of long ago.
-    fn add(before: Option<UnsentQueries>, now: i64) -> UnsentQueries {
-        let recent = before.filter(|unsent| now - unsent.last_at < UNSENT_RECOVERY_US);
+    fn add(previous: Option<UnsentQueries>, now: i64) -> UnsentQueries {
+        let recent = previous.filter(|unsent| now - unsent.last_at < UNSENT_RECOVERY_US);
         UnsentQueries {
             first_at: recent.map_or(now, |unsent| unsent.first_at),
             last_at: now,
@@ -90,9 +90,9 @@
     round_trip_us: i64,
     /// Queries that could not be sent, since the last answer.
     unsent: Option<UnsentQueries>,
-    gap: Option<Gap>,
+    gap: Option<PollingGap>,
     /// Age up to which a list is good without being confirmed.
-    trusted_age_us: i64,
+    max_list_age_us: i64,
 }
 
 impl ListFreshness {
@@ -107,40 +107,40 @@
             round_trip_us: 0,
             unsent: None,
             gap: None,
-            trusted_age_us: drain_grace_us,
+            max_list_age_us: drain_grace_us,
         }
     }
 
     /// Notes that the process is active; what follows, if it was not for long.
-    pub fn note_activity(&mut self, now: i64) -> Option<Inactivity> {
+    pub fn record_activity(&mut self, now: i64) -> Option<Inactivity> {
         let inactive_since = self.last_active_at;
         self.last_active_at = inactive_since.max(now);
         if now - inactive_since <= MAX_INACTIVITY_US {
             return None;
         }
-        if !self.is_cause_of_age(inactive_since, now) {
-            return Some(Inactivity::Short);
+        if !self.explains_list_age(inactive_since, now) {
+            return Some(Inactivity::ListUsable);
         }
-        Some(match self.end_gap_at(now) {
-            Some(gap) => Inactivity::Gap(gap),
-            None => Inactivity::Short,
+        Some(match self.record_gap_if_list_too_old(now) {
+            Some(gap) => Inactivity::ListTooOld(gap),
+            None => Inactivity::ListUsable,
         })
     }
 
     /// Whether inactivity can be why the list is too old. Where it was too old before, and the inactivity is shorter than a list is
     /// good, the name service is silent: a process that is short of processor time must not wait for it again and again.
-    fn is_cause_of_age(&self, inactive_since: i64, now: i64) -> bool {
-        let was_good = inactive_since - self.confirmed_at <= self.trusted_age_us;
-        was_good || now - inactive_since > self.trusted_age_us
+    fn explains_list_age(&self, inactive_since: i64, now: i64) -> bool {
+        let was_good = inactive_since - self.confirmed_at <= self.max_list_age_us;
+        was_good || now - inactive_since > self.max_list_age_us
     }
 
     /// A gap that ends now, if the list is too old.
-    fn end_gap_at(&mut self, now: i64) -> Option<Gap> {
+    fn record_gap_if_list_too_old(&mut self, now: i64) -> Option<PollingGap> {
         let list_age_us = now - self.confirmed_at;
-        if list_age_us <= self.trusted_age_us {
+        if list_age_us <= self.max_list_age_us {
             return None;
         }
-        let gap = Gap {
+        let gap = PollingGap {
             list_age_us,
             ended_at: now,
         };
@@ -149,47 +149,47 @@
     }
 
     /// Notes that a query could not be sent. Returns the gap that has begun by it; one that is there lasts longer by it.
-    pub fn note_unsent(&mut self, now: i64) -> Option<Gap> {
+    pub fn record_unsent_query(&mut self, now: i64) -> Option<PollingGap> {
         let unsent = UnsentQueries::add(self.unsent, now);
         self.unsent = Some(unsent);
-        if now - unsent.first_at > MAX_UNSENT_US {
+        if now - unsent.first_at > MAX_UNSENT_HOLD_US {
             return None;
         }
         let has_gap = self.gap.is_some();
-        self.end_gap_at(now).filter(|_| !has_gap)
+        self.record_gap_if_list_too_old(now).filter(|_| !has_gap)
     }
 
     /// Notes that a query is sent.
-    pub fn note_query(&mut self, now: i64) {
+    pub fn record_query(&mut self, now: i64) {
         self.last_query_at = now;
         self.unanswered = self.unanswered.saturating_add(1);
     }
 
     /// Notes an answer that confirms or replaces the list, to a query sent at a time; what became of the gap, if it ends one.
-    pub fn note_answer(&mut self, now: i64, asked_at: i64) -> Option<GapEnd> {
+    pub fn record_answer(&mut self, now: i64, query_sent_at: i64) -> Option<GapOutcome> {
         self.unanswered = 0;
         self.unsent = None;
-        self.round_trip_us = now - asked_at;
-        self.confirmed_at = self.confirmed_at.max(asked_at);
-        self.gap.take_if(|gap| asked_at >= gap.ended_at)?;
-        Some(GapEnd::Confirmed)
+        self.round_trip_us = now - query_sent_at;
+        self.confirmed_at = self.confirmed_at.max(query_sent_at);
+        self.gap.take_if(|gap| query_sent_at >= gap.ended_at)?;
+        Some(GapOutcome::Confirmed)
     }
 
     /// Ends the gap if its time is up.
-    pub fn end_overdue_gap(&mut self, now: i64) -> Option<GapEnd> {
+    pub fn end_expired_gap(&mut self, now: i64) -> Option<GapOutcome> {
         self.gap.take_if(|gap| now >= gap.hold_until())?;
-        Some(GapEnd::Unanswered)
+        Some(GapOutcome::Unanswered)
     }
 
     /// Until when new requests wait at most; `None` if they may go by the list.
     pub fn hold_until(&self) -> Option<i64> {
-        self.gap.map(Gap::hold_until)
+        self.gap.map(PollingGap::hold_until)
     }
 
     /// When the next query is due.
     pub fn next_query_at(&self) -> i64 {
         let delay_us = match self.unanswered.checked_sub(1) {
-            _ if self.gap.is_some() => RETRY_WHILE_WAITING_US,
+            _ if self.gap.is_some() => RETRY_WHILE_HOLDING_US,
             None => POLL_INTERVAL_US,
             Some(retries) => self.retry_delay_us(retries),
         };
--- a/crates/platform/src/planted.rs
+++ b/crates/platform/src/planted.rs
@@ -56,7 +56,7 @@
     }
 
     /// Whether the guards only count.
-    pub fn passes_guards(self) -> bool {
+    pub fn disables_invariant_checks(self) -> bool {
         matches!(
             self,
             InjectedFault::IgnoreDisconnects | InjectedFault::RepeatAfterReset
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -21,7 +21,7 @@
     /// Time of the request to shut down, in microseconds.
     requested_at: Option<i64>,
     /// The earliest time at which that was sent, in microseconds.
-    sent_since: i64,
+    earliest_signal_at: i64,
     /// The longest deadline of all classes, in microseconds.
     longest_deadline_us: i64,
 }
@@ -40,19 +40,19 @@
     pub fn new(longest_deadline_us: i64) -> Shutdown {
         Shutdown {
             requested_at: None,
-            sent_since: 0,
+            earliest_signal_at: 0,
             longest_deadline_us,
         }
     }
 
-    /// Requests the shutdown, now; the request may have been sent as early as `sent_since`, from which on the time counts until the
+    /// Requests the shutdown, now; the request may have been sent as early as `earliest_signal_at`, from which on the time counts until the
     /// process is killed. `None` if it was requested before.
-    pub fn begin(&mut self, now: i64, sent_since: i64) -> Option<ShutdownSchedule> {
+    pub fn begin(&mut self, now: i64, earliest_signal_at: i64) -> Option<ShutdownSchedule> {
         if self.has_begun() {
             return None;
         }
         self.requested_at = Some(now);
-        self.sent_since = sent_since;
+        self.earliest_signal_at = earliest_signal_at;
         Some(ShutdownSchedule {
             close_idle_at: now + GRACE_PERIOD_US,
             respond_by: self.response_deadline()?,
@@ -63,7 +63,7 @@
     pub fn response_deadline(&self) -> Option<i64> {
         let deadline = self.longest_deadline_us.clamp(0, MAX_DEADLINE_US);
         self.requested_at?;
-        Some(self.sent_since + GRACE_PERIOD_US + deadline - RESPONSE_MARGIN_US)
+        Some(self.earliest_signal_at + GRACE_PERIOD_US + deadline - RESPONSE_MARGIN_US)
     }
 
     /// Whether the shutdown was requested.
--- a/crates/platform/src/written_work.rs
+++ b/crates/platform/src/written_work.rs
@@ -8,23 +8,23 @@
 use wheelfield::interface::{EngineId, SlowStartShare};
 
 /// Sums of work may differ by this fraction through rounding.
-const ROUNDING: f64 = 1e-9;
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 /// Writes to one executor that are remembered at most; beyond this nothing fits.
-const MAX_WRITES: usize = 8_192;
+const MAX_TRACKED_REQUESTS: usize = 8_192;
 
 /// A request that was written.
 #[derive(Clone, Copy, Debug)]
-struct Write {
-    at: i64,
+struct WrittenRequest {
+    written_at: i64,
     work: f64,
 }
 
-/// The writes to executors in slow start within the window.
+/// The requests to executors in slow start within the window.
 #[derive(Debug)]
 pub struct WrittenWork {
     /// Time over which work counts, in microseconds.
     window_us: i64,
-    by_engine: BTreeMap<EngineId, VecDeque<Write>>,
+    requests_by_engine: BTreeMap<EngineId, VecDeque<WrittenRequest>>,
 }
 
 impl WrittenWork {
@@ -32,35 +32,45 @@
     pub fn new(window_us: i64) -> WrittenWork {
         WrittenWork {
             window_us,
-            by_engine: BTreeMap::new(),
+            requests_by_engine: BTreeMap::new(),
         }
     }
 
     /// Whether a request fits into the budget beside what was written within the window.
     pub fn fits(&mut self, engine: EngineId, share: SlowStartShare, now: i64) -> bool {
-        self.forget_old(now);
-        let writes = self.by_engine.get(&engine);
-        let written: f64 = writes.into_iter().flatten().map(|write| write.work).sum();
-        let is_full = writes.is_some_and(|writes| writes.len() >= MAX_WRITES);
-        !is_full && written + share.work <= share.budget * (1.0 + ROUNDING)
+        self.remove_expired(now);
+        let requests = self.requests_by_engine.get(&engine);
+        let written: f64 = requests
+            .into_iter()
+            .flatten()
+            .map(|request| request.work)
+            .sum();
+        let is_full = requests.is_some_and(|requests| requests.len() >= MAX_TRACKED_REQUESTS);
+        !is_full && written + share.work <= share.budget * (1.0 + ROUNDING_TOLERANCE)
     }
 
     /// Records that a request was written.
     pub fn record(&mut self, engine: EngineId, share: SlowStartShare, now: i64) {
-        let write = Write {
-            at: now,
+        let request = WrittenRequest {
+            written_at: now,
             work: share.work,
         };
-        self.by_engine.entry(engine).or_default().push_back(write);
+        self.requests_by_engine
+            .entry(engine)
+            .or_default()
+            .push_back(request);
     }
 
-    fn forget_old(&mut self, now: i64) {
-        let from = now - self.window_us;
-        self.by_engine.retain(|_, writes| {
-            while writes.front().is_some_and(|write| write.at < from) {
-                writes.pop_front();
+    fn remove_expired(&mut self, now: i64) {
+        let window_start = now - self.window_us;
+        self.requests_by_engine.retain(|_, requests| {
+            while requests
+                .front()
+                .is_some_and(|request| request.written_at < window_start)
+            {
+                requests.pop_front();
             }
-            !writes.is_empty()
+            !requests.is_empty()
         });
     }
 }
