--- a/crates/platform/src/abandonment/tests.rs
+++ b/crates/platform/src/abandonment/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn attempts_sent_after_the_client_left_are_counted_and_late_beyond_a_tenth_of_a_second() {
+fn attempts_sent_after_the_client_disconnected_are_counted_and_are_late_after_100_ms() {
     let mut abandonments = Abandonments::default();
     abandonments.record_abandonment(QueryId(1), QueryLocation::Waiting, 1_000);
     abandonments.record_abandonment(QueryId(2), QueryLocation::AtExecutor, 1_000);
--- a/crates/platform/src/clients/arrival_times.rs
+++ b/crates/platform/src/clients/arrival_times.rs
@@ -1,29 +1,33 @@
-//! When the bytes of a connection may have arrived: the time of a request counts from when its last byte was written, not from
-//! when it is read or its turn has come.
+//! Arrival times of the bytes received on a connection. The timeout of a request runs from the arrival of its last byte, not from
+//! the time at which the controller reads or parses it.
 
 use std::collections::VecDeque;
 
-/// Stretches that are told apart; beyond this, the latest are taken for as old as the one before.
+/// Maximum number of segments. Once it is reached, further bytes get the arrival time of the last segment, which is earlier than
+/// their own.
 const MAX_SEGMENTS: usize = 64;
 
-/// Bytes up to a position of the stream that may have arrived at the same time.
+/// Consecutive bytes of the stream with the same arrival time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Segment {
+    /// Position in the stream after the last byte.
     end: u64,
-    /// The earliest time at which they can have arrived, in microseconds.
+    /// The earliest time at which the bytes can have arrived, in microseconds.
     arrived_at: i64,
 }
 
-/// The arrival times of the bytes that wait in the input of a connection.
+/// The arrival times of the bytes in the input buffer of a connection.
 #[derive(Debug, Default)]
 pub struct ArrivalTimes {
+    /// Total number of bytes received on the connection.
     received: u64,
+    /// Total number of bytes consumed from its input.
     consumed: u64,
     segments: VecDeque<Segment>,
 }
 
 impl ArrivalTimes {
-    /// Notes that so many bytes were received that can have arrived at this time at the earliest.
+    /// Records that `count` bytes were received, which arrived at `arrived_at` at the earliest.
     pub fn record_received(&mut self, count: usize, arrived_at: i64) {
         self.received += count as u64;
         let end = self.received;
@@ -34,8 +38,8 @@
         }
     }
 
-    /// Notes that so many bytes were consumed. Returns the earliest time at which the last of them can have arrived; `None` if that
-    /// is not known.
+    /// Records that `count` bytes were consumed. Returns the earliest time at which the last of them can have arrived; `None` if
+    /// more bytes were consumed than received.
     pub fn record_consumed(&mut self, count: usize) -> Option<i64> {
         self.consumed += count as u64;
         let consumed = self.consumed;
--- a/crates/platform/src/clients/arrival_times/tests.rs
+++ b/crates/platform/src/clients/arrival_times/tests.rs
@@ -1,9 +1,9 @@
-//! The arrival of consumed bytes, and the bound on what is remembered.
+//! Tests of the arrival times of consumed bytes, and of the limit on the number of segments.
 
 use super::ArrivalTimes;
 
 #[test]
-fn the_time_of_consumed_bytes_is_that_of_the_last_one() {
+fn consumed_bytes_have_the_arrival_time_of_the_last_one() {
     let mut times = ArrivalTimes::default();
     times.record_received(10, 100);
     times.record_received(5, 100);
@@ -13,11 +13,15 @@
     assert_eq!(times.record_consumed(4), Some(200));
     times.record_received(1, 300);
     assert_eq!(times.record_consumed(7), Some(300));
-    assert_eq!(times.record_consumed(1), None, "more than was received");
+    assert_eq!(
+        times.record_consumed(1),
+        None,
+        "more bytes consumed than received"
+    );
 }
 
 #[test]
-fn beyond_the_bound_bytes_count_as_older_than_they_are() {
+fn bytes_beyond_the_segment_limit_count_as_older_than_they_are() {
     let mut times = ArrivalTimes::default();
     (0..1_000).for_each(|n| times.record_received(1, n));
     assert_eq!(times.record_consumed(1_000), Some(63));
--- a/crates/platform/src/clients/connection.rs
+++ b/crates/platform/src/clients/connection.rs
@@ -1,40 +1,40 @@
-//! The state of one connection of a client, and its timeouts.
+//! The state of a client connection, and its timeouts.
 
 use super::arrival_times::ArrivalTimes;
 use crate::http_server::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
 use crate::invariants::{CloseContext, CloseReason};
 use wheelfield_sans_io::ConnectionBuffer;
 
-/// Time in which the first request of a connection must be complete after the connect, and each other one after its first byte,
-/// in microseconds.
+/// Time within which a request must be received completely, in microseconds: after the connection was accepted for the first
+/// request, and after its first byte for each later one.
 const REQUEST_TIMEOUT_US: i64 = 2_000_000;
-/// Time after which a client that reads nothing of its response is closed, in microseconds.
+/// Time without write progress after which the connection of a client that does not read its response is closed, in microseconds.
 const WRITE_STALL_TIMEOUT_US: i64 = 5_000_000;
-/// Time after which a connection without a request is closed, in microseconds.
+/// Time after which an idle connection is closed, in microseconds.
 const IDLE_TIMEOUT_US: i64 = 30_000_000;
-/// Time that the first request of a connection may take to arrive, in microseconds: as long as one that crosses the close of
-/// another connection.
+/// Time after accepting a connection during which its first request is expected, in microseconds. It equals the time for which a
+/// request may be in transit when the controller closes its connection.
 const FIRST_REQUEST_GRACE_US: i64 = 50_000;
-/// Time after which clients as the protocol describes them close an idle connection themselves, in microseconds.
+/// Time after which clients close an idle connection themselves according to the protocol, in microseconds.
 const CLIENT_IDLE_TIMEOUT_US: i64 = 4_000_000;
-/// Bytes that are read while a request is processed: its client may send the next one ahead.
+/// Bytes that are read while a request is being processed, as the client may pipeline the next one.
 const READ_AHEAD_BYTES: usize = 4 << 10;
-/// Bytes that are read at a time while input is dropped.
+/// Bytes that are read at a time while input is discarded.
 const DRAIN_READ_BYTES: usize = 64 << 10;
 
-/// What a connection is doing.
+/// The state of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ClientState {
-    /// It may send a request.
+    /// Idle or receiving a request.
     AwaitingRequest,
-    /// Its request is being processed.
+    /// A request is being processed.
     Processing,
-    /// Its last response is being written, and its input is dropped until this time and for so many bytes more.
+    /// The last response is being written; input is discarded until the time `until`, up to `bytes_left` bytes.
     Draining { until: i64, bytes_left: usize },
 }
 
 impl ClientState {
-    /// Bytes that may wait in the input.
+    /// Maximum number of bytes in the input buffer.
     pub fn max_input_bytes(self) -> usize {
         match self {
             ClientState::AwaitingRequest => MAX_HEAD_BYTES + MAX_BODY_BYTES,
@@ -44,56 +44,57 @@
     }
 }
 
-/// A connection of a client.
+/// A client connection.
 #[derive(Debug)]
 pub(super) struct ClientConnection {
-    /// Bytes received and bytes to be written.
+    /// Input and output buffers.
     pub buffer: ConnectionBuffer,
-    /// What the connection is doing.
+    /// The state of the connection.
     pub state: ClientState,
-    /// Whether it has sent a valid request.
+    /// Whether the client has sent a valid request.
     pub has_sent_request: bool,
-    /// Time of the connect, or of the last request or response, in microseconds.
+    /// Time at which the connection was accepted, or of the last request or response, in microseconds.
     pub last_active_at: i64,
-    /// Time at which an incomplete request began to arrive, in microseconds.
+    /// Time at which the first bytes of an incomplete request were read, in microseconds.
     pub request_started_at: Option<i64>,
     /// Whether the connection is closed after the response to the current request.
     pub close_after_response: bool,
     /// Time at which output was last written or added, in microseconds.
     pub last_write_progress_at: i64,
-    /// Whether input has arrived that was not examined yet, and may be a request.
+    /// Whether input has arrived that was not parsed yet and may be a request.
     pub has_unread_input: bool,
-    /// When the bytes of the input arrived.
+    /// Arrival times of the bytes in the input buffer.
     pub arrival_times: ArrivalTimes,
-    /// Since when nothing is read from it for want of capacity, in microseconds.
+    /// Time since which reading is paused because the input buffer is full, in microseconds.
     pub read_paused_since: Option<i64>,
 }
 
-/// How readily a connection is closed for a new client; the lowest goes first.
+/// Eviction order of a connection: the one with the lowest rank is closed first to make room for a new client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionRank {
     category: EvictionCategory,
+    /// Whether part of a request has arrived.
     is_sending_request: bool,
     last_active_at: i64,
 }
 
-/// The first part of an [`EvictionRank`], in order of eviction.
+/// The most significant part of an [`EvictionRank`], in order of eviction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionCategory {
-    /// Its client has left.
+    /// The client has disconnected.
     Disconnected,
-    /// It has sent no request for longer than a first request may take to arrive.
+    /// The client has sent no request although the time allowed for its first one has passed.
     NoRequestSinceConnect,
-    /// It has been idle for longer than usual clients keep a connection.
+    /// The connection has been idle for longer than clients normally keep one open.
     LongIdle,
-    /// It was accepted just now, and has sent no request.
+    /// The connection was accepted recently, and no request has arrived yet.
     New,
-    /// It has sent a request, and is idle.
+    /// The client has sent a request before, and the connection is idle.
     Idle,
 }
 
 impl ClientConnection {
-    /// A connection that was accepted just now.
+    /// Creates the state of a connection accepted at time `now`.
     pub fn new(now: i64) -> ClientConnection {
         ClientConnection {
             buffer: ConnectionBuffer::default(),
@@ -109,7 +110,7 @@
         }
     }
 
-    /// What the guard of closing looks at.
+    /// The state that is checked before the connection is closed.
     pub fn close_context(&self, reason: CloseReason) -> CloseContext {
         CloseContext {
             reason,
@@ -120,12 +121,12 @@
         }
     }
 
-    /// Whether the client has closed its side.
+    /// Whether the client has closed its side of the connection.
     pub fn has_disconnected(&self) -> bool {
         self.buffer.read_closed || self.buffer.peer_closing
     }
 
-    /// Whether no request is being processed, arriving or expected, and nothing is left to write.
+    /// Whether no request is being processed, received or expected, and no output is left to write.
     pub fn is_idle(&self, now: i64) -> bool {
         let expects_request =
             !self.has_sent_request && now - self.last_active_at < FIRST_REQUEST_GRACE_US;
@@ -135,8 +136,8 @@
         !expects_request && !has_request && self.buffer.output.is_empty()
     }
 
-    /// Its rank among the connections that may be closed for a new one; `None` if it must not be closed, as a response is owed
-    /// or a request may have arrived that was not examined yet.
+    /// The eviction rank of the connection; `None` if it must not be closed because a response is pending or input has arrived that
+    /// was not parsed yet.
     pub fn eviction_rank(&self, now: i64) -> Option<EvictionRank> {
         let has_disconnected = self.has_disconnected();
         let is_in_use = self.has_unread_input || !self.buffer.output.is_empty();
@@ -158,7 +159,7 @@
         })
     }
 
-    /// The timeout that has passed, if any.
+    /// The timeout that has expired, if any.
     pub fn expired_timeout(&self, now: i64) -> Option<ExpiredTimeout> {
         let has_output = !self.buffer.output.is_empty();
         let request_due_since = self
@@ -189,11 +190,11 @@
     }
 }
 
-/// What follows from a timeout that has passed.
+/// The action to take for an expired timeout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ExpiredTimeout {
-    /// The incomplete request is rejected.
+    /// Reject the incomplete request.
     RejectRequest,
-    /// The connection is closed for this reason.
+    /// Close the connection for this reason.
     Close(CloseReason),
 }
--- a/crates/platform/src/clients/mod.rs
+++ b/crates/platform/src/clients/mod.rs
@@ -1,4 +1,4 @@
-//! Connections of clients, with at most one request on each being processed.
+//! Client connections. At most one request per connection is processed at a time.
 
 mod arrival_times;
 mod connection;
@@ -11,38 +11,39 @@
 use tracing::debug;
 use wheelfield_sans_io::{ConnId, ConnectionBuffer, ConnectionTable, Effect, EffectQueue};
 
-/// Owner number of these connections in their [`ConnId`].
+/// The owner number in the [`ConnId`] of client connections.
 pub const OWNER: u8 = 1;
-/// Time for which input after an invalid request is read and dropped, so that the client sees the response, in microseconds.
+/// Time for which input after the last response is read and discarded, in microseconds. Closing the connection at once would
+/// reset it if unread input is left, and the client could lose the response.
 const DRAIN_TIME_US: i64 = 500_000;
-/// Bytes of input after an invalid request that are read and dropped.
+/// Maximum number of bytes of input after the last response that are read and discarded.
 const MAX_DRAIN_BYTES: usize = 8 << 20;
 
-/// A request of a client.
+/// A request from a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
     /// The client's connection.
     pub client: ConnId,
-    /// What is asked for.
+    /// What the client requests.
     pub kind: RequestKind,
-    /// The statement.
+    /// The request body: the SQL statement of a query.
     pub body: Bytes,
-    /// The earliest time at which its last byte can have arrived, in microseconds.
+    /// The earliest time at which the last byte of the request can have arrived, in microseconds.
     pub arrived_at: i64,
 }
 
 /// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClientCounters {
-    /// Connections accepted.
+    /// Accepted connections.
     pub accepted: u64,
-    /// Connections closed for a new one or because of a timeout.
+    /// Connections closed to make room for a new one or because of a timeout.
     pub evicted: u64,
     /// Invalid requests.
     pub invalid: u64,
-    /// Connections rejected because all others were in use.
+    /// Connections rejected because the limit was reached and no open connection could be evicted.
     pub rejected: u64,
-    /// Connections closed, by [`CloseReason`].
+    /// Closed connections, indexed by [`CloseReason`].
     pub closed: [u64; CloseReason::ALL.len()],
 }
 
@@ -51,14 +52,14 @@
 pub struct Clients {
     max_clients: usize,
     connections: ConnectionTable<ClientConnection>,
-    /// Connections that were closed although their client was owed something, until they are taken.
+    /// Violations of the closing invariant that have not been taken yet, with the connection that was closed.
     closing_violations: Vec<(ConnId, ClosingViolation)>,
     /// Counters since the start of the process.
     pub counters: ClientCounters,
 }
 
 impl Clients {
-    /// Creates an empty table of at most so many clients.
+    /// Creates an empty table of at most `max_clients` connections.
     pub fn new(max_clients: usize) -> Clients {
         Clients {
             max_clients,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Accepts a client, closing another one if needed; `None` if all others are in use.
+    /// Accepts a client, evicting another connection if the limit is reached; `None` if no connection can be evicted.
     pub fn accept(&mut self, out: &mut EffectQueue<TimerEvent>) -> Option<ConnId> {
         if self.connections.len() >= self.max_clients && !self.evict_one(out) {
             self.counters.rejected += 1;
@@ -78,7 +79,7 @@
         Some(self.connections.insert(ClientConnection::new(out.now)))
     }
 
-    /// Closes the connection with the lowest eviction rank. Returns whether there was one.
+    /// Closes the connection with the lowest eviction rank. Returns whether a connection could be closed.
     fn evict_one(&mut self, out: &mut EffectQueue<TimerEvent>) -> bool {
         let now = out.now;
         let candidates = self
@@ -93,26 +94,26 @@
         true
     }
 
-    /// Number of clients.
+    /// Number of open connections.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// The buffer of a connection.
+    /// The input and output buffers of a connection.
     pub fn buffer(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
         self.connections
             .get_mut(id)
             .map(|client| &mut client.buffer)
     }
 
-    /// Records that input arrived on a connection, which is examined after all other events of this turn.
+    /// Records that input arrived on a connection. It is parsed after all other events of this turn of the event loop.
     pub fn mark_unread_input(&mut self, id: ConnId) {
         if let Some(client) = self.connections.get_mut(id) {
             client.has_unread_input = true;
         }
     }
 
-    /// Bytes that may be read from a connection.
+    /// Number of bytes that may be read from a connection.
     pub fn read_capacity(&mut self, id: ConnId, now: i64) -> usize {
         let Some(client) = self.connections.get_mut(id) else {
             return 0;
@@ -124,8 +125,8 @@
         capacity
     }
 
-    /// Records that so many bytes were received, which can have arrived at this time at the earliest; earlier, if there was no
-    /// capacity to read them.
+    /// Records that `count` bytes were received, which arrived at `arrived_at` at the earliest. If reading was paused because the
+    /// buffer was full, they may have arrived since the pause began.
     pub fn record_received(&mut self, id: ConnId, count: usize, arrived_at: i64) {
         if let Some(client) = self.connections.get_mut(id) {
             let read_paused_since = client.read_paused_since.take().unwrap_or(arrived_at);
@@ -134,7 +135,8 @@
         }
     }
 
-    /// Records that so many bytes of a response were written. A client that has closed its side is closed after the last byte.
+    /// Records that `count` bytes of output were written. If the client has closed its side, the connection is closed after the
+    /// last byte.
     pub fn bytes_written(&mut self, id: ConnId, count: usize, out: &mut EffectQueue<TimerEvent>) {
         let Some(client) = self.connections.get_mut(id) else {
             return;
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Takes the next request from the input of a connection, if it is complete and valid. An invalid one is answered here.
+    /// Takes the next request from the input of a connection if it is complete and valid. An invalid request is rejected here.
     pub fn next_request(
         &mut self,
         id: ConnId,
@@ -162,7 +164,7 @@
             ClientState::AwaitingRequest => {}
         }
         if client.has_disconnected() {
-            // A client that has closed both sides takes no response.
+            // A client that has closed both directions can't receive a response.
             if client.buffer.output.is_empty() || client.buffer.peer_closing {
                 self.close(id, CloseReason::ClientLeft, out);
             }
@@ -188,7 +190,7 @@
         }
     }
 
-    /// Drops the input of a connection that is closed after its last response.
+    /// Discards the input of a connection that is to be closed after its last response.
     fn drain_input(
         &mut self,
         id: ConnId,
@@ -215,7 +217,7 @@
         }
     }
 
-    /// Takes a complete request out of the input.
+    /// Takes a complete request from the input.
     fn take_request(
         &mut self,
         id: ConnId,
@@ -232,7 +234,7 @@
             .buffer
             .input
             .advance(head.total_length - head.body_length);
-        // A copy, so that the memory of the input is free again.
+        // Copied, so that the memory of the input buffer can be reused.
         let body = Bytes::copy_from_slice(&client.buffer.input.split_to(head.body_length));
         client
             .buffer
@@ -254,7 +256,7 @@
         }
     }
 
-    /// Answers an invalid request.
+    /// Rejects an invalid request.
     pub fn reject_request(
         &mut self,
         id: ConnId,
@@ -301,19 +303,19 @@
             .is_some_and(|client| client.state == ClientState::Processing)
     }
 
-    /// Whether a client is connected and waits for the response to a request.
+    /// Whether a client is connected and waits for a response.
     pub fn awaits_response(&self, id: ConnId) -> bool {
         self.is_processing(id) && !self.has_disconnected(id)
     }
 
-    /// Whether a client has closed its side of the connection.
+    /// Whether a client has closed its side of a connection.
     pub fn has_disconnected(&self, id: ConnId) -> bool {
         self.connections
             .get(id)
             .is_some_and(ClientConnection::has_disconnected)
     }
 
-    /// Closes a connection. The only way to do so.
+    /// Closes a connection. All closes go through this method, so that each is checked and counted.
     pub fn close(&mut self, id: ConnId, reason: CloseReason, out: &mut EffectQueue<TimerEvent>) {
         let Some(client) = self.connections.remove(id) else {
             return;
@@ -330,12 +332,12 @@
         out.push(Effect::Close(id));
     }
 
-    /// Takes the connections that were closed although their client was owed something.
+    /// Takes the violations of the closing invariant since the last call.
     pub fn take_closing_violations(&mut self) -> Vec<(ConnId, ClosingViolation)> {
         std::mem::take(&mut self.closing_violations)
     }
 
-    /// Rejects overdue requests and closes connections whose timeout has passed.
+    /// Rejects incomplete requests that timed out, and closes connections whose timeout has expired.
     pub fn check_timeouts(&mut self, out: &mut EffectQueue<TimerEvent>) {
         let now = out.now;
         let expired: Vec<(ConnId, ExpiredTimeout)> = self
@@ -357,7 +359,7 @@
         }
     }
 
-    /// Closes all idle connections. The others are closed by a later call, after their response.
+    /// Closes all idle connections. Connections in use are left open for a later call.
     pub fn close_idle(&mut self, out: &mut EffectQueue<TimerEvent>) {
         let idle: Vec<ConnId> = self
             .connections
@@ -369,14 +371,14 @@
             .for_each(|id| self.close(id, CloseReason::Shutdown, out));
     }
 
-    /// Closes all connections, whatever they owe: a planted fault.
+    /// Closes all connections, including those with pending responses. Used only to inject a fault.
     pub fn close_all(&mut self, out: &mut EffectQueue<TimerEvent>) {
         let all: Vec<ConnId> = self.connections.iter().map(|(id, _)| id).collect();
         all.into_iter()
             .for_each(|id| self.close(id, CloseReason::Shutdown, out));
     }
 
-    /// Whether a request or response of some client is outstanding.
+    /// Whether any client has an outstanding request or response.
     pub fn has_outstanding(&self, now: i64) -> bool {
         self.connections
             .iter()
--- a/crates/platform/src/dispatcher/attempts.rs
+++ b/crates/platform/src/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: instructions of the driver are carried out, and what becomes of attempts is passed to the driver.
+//! Carries out the driver's instructions for attempts, and reports their progress and outcome to the driver.
 
 use super::Dispatcher;
 use crate::executor_protocol::{Request, RequestId};
@@ -29,7 +29,7 @@
             }
             Instruction::Cancel(attempt) => {
                 self.executors.cancel(attempt, &mut self.out);
-                // The attempt ends with its cancellation, which executors do not confirm.
+                // Executors do not confirm cancellations, so the attempt ends here.
                 self.end_attempt(attempt, Outcome::Cancelled);
             }
             Instruction::Answer(query, answer) => self.answer_query(query, &answer),
@@ -40,7 +40,7 @@
                     info!("{line}");
                 }
             }
-            // The protocol has no probes, and the list of executors is polled rather than subscribed to.
+            // The protocol has no probes, and the list of executors is polled instead of subscribed to.
             Instruction::Probe(_) | Instruction::Subscribe => {}
         }
     }
@@ -57,7 +57,7 @@
         self.executors.launch(engine, pending, &mut self.out);
     }
 
-    /// Answers a query that was not served.
+    /// Sends the response to a query that was rejected or failed.
     fn answer_query(&mut self, query: QueryId, answer: &Answer) {
         let Some(in_flight) = self.in_flight.remove(query) else {
             return;
@@ -79,7 +79,7 @@
         self.respond(in_flight.client, &reply);
     }
 
-    /// Reports the end of an attempt that has no response, unless the driver knows of it.
+    /// Reports to the driver that an attempt ended without a response, unless the driver already considers it ended.
     fn end_attempt(&mut self, attempt: AttemptId, outcome: Outcome) {
         self.in_flight.mark_attempt_ended(attempt.query, outcome);
         if self.driver.decision_engine().is_in_flight(attempt) {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Writes the requests of the attempts queued on a connection that is up.
+    /// Writes the requests of the attempts queued on an established connection.
     pub(super) fn write_requests(&mut self, connection: ConnId) {
         while let Some(attempt) = self.executors.take_queued(connection) {
             self.write_request(connection, attempt);
@@ -109,7 +109,7 @@
         let may_write = decision_engine.may_write(Micros(self.out.now), attempt.id);
         let may_write = may_write && self.reserve_slow_start_share(connection, attempt.id);
         let now = self.out.now;
-        // Its client's time may be up before the driver has noticed.
+        // The client's deadline may pass before the driver's own timer fires.
         let is_due = |query: &&InFlightQuery| may_write && now < query.client_deadline_at;
         let Some(in_flight) = self.in_flight.get(attempt.id.query).filter(is_due) else {
             debug!(id = %attempt.request, attempt = %attempt.id, "attempt not written");
@@ -145,7 +145,7 @@
             .write_request(connection, attempt, &request, &mut self.out);
     }
 
-    /// The guards of sending and repeating, with what is known as the request is about to be written.
+    /// Checks the sending and repeating invariants immediately before a request is written.
     fn check_invariants(
         &self,
         connection: ConnId,
@@ -175,8 +175,8 @@
         driver.slow_start_share(Micros(self.out.now), attempt)
     }
 
-    /// Whether an attempt that may have waited for its connect still fits the slow-start budget of its executor; it counts there
-    /// from now on.
+    /// Whether an attempt still fits into the slow-start budget of its executor; if so, its work is charged to the budget. The
+    /// attempt may have waited for a connection since the policy admitted it.
     fn reserve_slow_start_share(&mut self, connection: ConnId, attempt: AttemptId) -> bool {
         let share = self.slow_start_share(attempt);
         let Some((engine, share)) = self.executors.engine_at(connection).zip(share) else {
@@ -189,7 +189,7 @@
         fits
     }
 
-    /// Asks the guard of starting about an attempt whose first byte was written.
+    /// Checks the slow-start invariant for an attempt whose first byte was written.
     fn check_slow_start(&mut self, attempt: AttemptId, id: RequestId) {
         let Some(engine) = self.executors.engine_of(attempt) else {
             return;
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Passes what has become of an attempt to the driver.
+    /// Passes the progress or end of an attempt to the driver.
     pub(super) fn handle_attempt_event(&mut self, event: AttemptEvent) {
         match event {
             AttemptEvent::Dispatched {
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Passes the end of an attempt to the driver, and its result to the client.
+    /// Passes the end of an attempt to the driver, and the result of a served query to its client.
     fn handle_ended_attempt(&mut self, ended: EndedAttempt) {
         let EndedAttempt {
             attempt,
--- a/crates/platform/src/dispatcher/held_requests.rs
+++ b/crates/platform/src/dispatcher/held_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients that wait for a list of executors which is confirmed: at most one for each client.
+//! Client requests that wait until the name service confirms the list of executors: at most one per client.
 
 use super::Dispatcher;
 use crate::http_server::QueryRequest;
@@ -10,33 +10,33 @@
 use tracing::{info, warn};
 use wheelfield_sans_io::ConnId;
 
-/// A query that was received and not submitted yet.
+/// A query that was received and has not been submitted to the driver yet.
 #[derive(Clone, Debug)]
 pub(super) struct HeldRequest {
     /// The client's connection.
     pub client: ConnId,
-    /// What is asked for.
+    /// The parsed head of the request.
     pub query: QueryRequest,
-    /// The statement.
+    /// The SQL statement.
     pub statement: Bytes,
-    /// The earliest time at which its last byte can have arrived, in microseconds.
+    /// The earliest time at which the last byte of the request can have arrived, in microseconds.
     pub arrived_at: i64,
 }
 
 /// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct HoldCounters {
-    /// Spans in which the list became too old, as nobody could be asked.
+    /// Number of times that the list became too old because this process could not query the name service.
     pub gaps: u64,
-    /// Gaps after which no answer came in time.
+    /// Number of these gaps after which the name service did not answer in time.
     pub gaps_unanswered: u64,
-    /// Requests that waited.
+    /// Number of requests that were held.
     pub requests: u64,
-    /// Queries for the list that could not be sent.
+    /// Number of queries for the list that could not be sent.
     pub unsent_queries: u64,
 }
 
-/// The requests that wait, in order of their arrival.
+/// The held requests, in order of arrival.
 #[derive(Debug, Default)]
 pub(super) struct HeldRequests {
     waiting: VecDeque<HeldRequest>,
@@ -49,7 +49,7 @@
         self.waiting.push_back(request);
     }
 
-    /// Drops the request of a client that has left. Returns whether there was one.
+    /// Removes the held request of a client that disconnected. Returns whether there was one.
     pub fn remove(&mut self, client: ConnId) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|held| held.client != client);
@@ -58,7 +58,8 @@
 }
 
 impl Dispatcher {
-    /// Sets the time of the current call. If the process was inactive before it, nobody was asked for the list meanwhile.
+    /// Sets the current time. If the process was inactive before this call, the list could not be refreshed meanwhile, so it is
+    /// queried at once, and requests are held if it is too old.
     pub fn set_time(&mut self, now: i64) {
         self.out.now = now;
         if self.has_injected(InjectedFault::IgnoreInactivity) {
@@ -74,7 +75,8 @@
         self.query_discovery();
     }
 
-    /// Requests that were decided by the list of before are decided anew, and new ones wait.
+    /// Starts holding new requests. Requests that were routed by the outdated list but not written yet are withdrawn from the
+    /// output buffers, so that they are checked again before they are written.
     fn begin_hold(&mut self, gap: PollingGap) {
         self.held_requests.counters.gaps += 1;
         warn!(
@@ -86,12 +88,12 @@
         self.out.set_timer_at(gap.hold_until(), TimerEvent::EndHold);
     }
 
-    /// Whether new requests wait.
+    /// Whether new requests are held.
     pub(super) fn is_holding_requests(&self) -> bool {
         self.list_freshness.hold_until().is_some()
     }
 
-    /// Has a request wait if new ones do, and its time is not up yet; else returns it.
+    /// Holds a request if new requests are held and its deadline has not passed; otherwise returns it.
     pub(super) fn hold_if_list_too_old(&mut self, request: HeldRequest) -> Option<HeldRequest> {
         let Some(until) = self.list_freshness.hold_until() else {
             return Some(request);
@@ -112,7 +114,7 @@
             .0
     }
 
-    /// Submits the requests whose time is up, so that they are answered.
+    /// Submits the held requests whose deadline has passed, so that they are answered.
     pub(super) fn expire_held_requests(&mut self) {
         let waiting = std::mem::take(&mut self.held_requests.waiting);
         let (expired, waiting) = waiting
@@ -122,7 +124,7 @@
         self.submit_requests(expired);
     }
 
-    /// A query for the list could not be sent.
+    /// Handles a query for the list that could not be sent.
     pub fn handle_query_unsent(&mut self) {
         self.held_requests.counters.unsent_queries += 1;
         if let Some(gap) = self.list_freshness.record_unsent_query(self.out.now) {
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Ends the hold if its time is up; it may have become longer.
+    /// Stops holding requests if the maximum time has passed. Otherwise sets the timer again, as the hold may have been extended.
     pub(super) fn end_expired_hold(&mut self) {
         let end = self.list_freshness.end_expired_gap(self.out.now);
         self.end_hold(end);
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Submits the requests that wait, if they need not any more.
+    /// Submits the held requests if the gap has ended.
     pub(super) fn end_hold(&mut self, end: Option<GapOutcome>) {
         let Some(end) = end else {
             return;
@@ -157,7 +159,7 @@
         self.submit_requests(held);
     }
 
-    /// Submits all requests that wait, whether the list is confirmed or not.
+    /// Submits all held requests, whether the list is confirmed or not.
     pub(super) fn submit_held_requests(&mut self) {
         let held = std::mem::take(&mut self.held_requests.waiting);
         self.submit_requests(held);
--- a/crates/platform/src/dispatcher/lifecycle.rs
+++ b/crates/platform/src/dispatcher/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Timers, the shutdown, and the log of counters.
+//! Handling of timers, the shutdown and the log of counters.
 
 use super::Dispatcher;
 use crate::planted::InjectedFault;
@@ -8,15 +8,15 @@
 use wheelfield_driver::{Driver, Input};
 use wheelfield_sans_io::Effect;
 
-/// Time between two checks of all connections, in microseconds.
+/// Interval between checks of all connections, in microseconds.
 pub(super) const CHECK_INTERVAL_US: i64 = 100_000;
-/// Time between two logs of the counters, in microseconds.
+/// Interval between logs of the counters, in microseconds.
 const COUNTERS_INTERVAL_US: i64 = 10_000_000;
-/// Maximum number of lines of the policy that are logged between two logs of the counters.
+/// Maximum number of policy log lines between two logs of the counters.
 pub(super) const MAX_POLICY_LOG_LINES: u32 = 20;
 
 impl Dispatcher {
-    /// Handles a timer that is due.
+    /// Handles an expired timer.
     pub fn handle_timer(&mut self, event: TimerEvent) {
         match event {
             TimerEvent::QueryDiscovery => self.query_discovery(),
@@ -45,12 +45,12 @@
                     self.clients.close_all(&mut self.out);
                 }
                 self.clients.close_idle(&mut self.out);
-                // However late this is, as the process may have been suspended.
+                // Measured from now, as this timer fires late if the process was suspended.
                 self.out
                     .set_timer_after(shutdown::RECONNECT_PERIOD_US, TimerEvent::StopListening);
             }
             TimerEvent::StopListening => {
-                // Idle clients are closed first, to make way for those that are accepted as listening ends.
+                // Idle clients are closed first, to free capacity for those accepted when listening stops.
                 self.clients.close_idle(&mut self.out);
                 self.out.push(Effect::StopListening);
             }
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Begins the shutdown, unless it has begun.
+    /// Begins the shutdown, unless it has begun already.
     pub fn begin_shutdown(&mut self) {
         if let Some(schedule) = self.shutdown.begin(self.out.now, self.arrival_time()) {
             info!(in_flight = self.in_flight.len(), "shutdown requested");
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Logs all counters.
+    /// Logs all counters, and allows policy log lines again.
     pub(super) fn log_counters(&mut self) {
         self.counters_logged_at = self.out.now;
         self.policy_log_lines_left = MAX_POLICY_LOG_LINES;
--- a/crates/platform/src/dispatcher/mod.rs
+++ b/crates/platform/src/dispatcher/mod.rs
@@ -1,8 +1,9 @@
-//! The dispatcher passes events between the parts of the gateway and the driver until nothing is left to be done.
+//! Passes events between the parts of the gateway and the driver until no event is pending.
 //!
-//! Its methods are grouped by concern: `requests` turns the requests of clients into queries, `attempts` carries out the
-//! instructions of the driver and passes on what becomes of attempts, `topology` handles the list of executors and the messages
-//! of other controllers, and `lifecycle` handles timers, the shutdown and the log of counters.
+//! The methods of the dispatcher are grouped by concern: `requests` turns client requests into queries, `held_requests` delays
+//! them while the list of executors is out of date, `attempts` carries out the driver's instructions and reports the progress of
+//! attempts to it, `topology` handles the list of executors and the messages of other controllers, and `lifecycle` handles
+//! timers, the shutdown and the log of counters.
 
 mod attempts;
 mod held_requests;
@@ -33,14 +34,14 @@
 use wheelfield_sans_io::{ConnId, Effect, EffectQueue, TimerKey};
 use wheelfield_settings::Names;
 
-/// Descriptors reserved for listeners, datagrams, signals, logs, and sockets that wait to be closed.
+/// File descriptors reserved for listeners, datagram sockets, signals, logs, and sockets that are about to be closed.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// Minimum number of descriptors for connections, however few there are.
+/// Minimum number of file descriptors used for connections, even if the configured limit is lower.
 const MIN_CONNECTION_DESCRIPTORS: usize = 16;
-/// Tenths of the descriptors for connections that clients may use; executors have the others.
+/// Share of the connection descriptors that clients may use, in tenths; the rest is for connections to executors.
 const CLIENT_SHARE_TENTHS: usize = 5;
 
-/// How often queries of a class may run.
+/// Execution semantics of a class: how often its queries may run.
 #[derive(Clone, Copy, Debug)]
 struct ClassRules {
     semantics: ExecutionSemantics,
@@ -56,34 +57,34 @@
     }
 }
 
-/// The parts of the gateway and what they share.
+/// The parts of the gateway and the state that they share.
 pub struct Dispatcher {
-    /// Effects and timers.
+    /// Pending effects and timers, and the current time.
     pub out: EffectQueue<TimerEvent>,
-    /// The earliest time at which what is reported now can have arrived, in microseconds; `None` if nothing is known of that.
+    /// The earliest time at which the input that is being reported can have arrived, in microseconds; `None` if unknown.
     pub earliest_arrival_at: Option<i64>,
-    /// Connections of clients.
+    /// Client connections.
     pub clients: Clients,
     /// Connections to executors.
     pub executors: Executors,
-    /// The driver, and through it the policy.
+    /// The driver, which runs the policy.
     pub driver: RecordingDriver,
-    /// Clients whose input is to be examined.
+    /// Clients whose input is ready to be parsed.
     ready_clients: VecDeque<ConnId>,
     names: Names,
     class_rules: Vec<ClassRules>,
-    /// Cores of an executor, by kind.
+    /// Number of cores of an executor, by kind.
     cores_by_kind: Vec<f64>,
     start_times: StartTimes,
     written_work: WrittenWork,
     slow_start_guard: SlowStartGuard,
     violations: ViolationCounts,
-    /// A fault for the soak to find; none in a build that serves.
+    /// The injected fault, if any; always `None` in production builds.
     pub injected_fault: Option<InjectedFault>,
     in_flight: InFlightQueries,
     abandonments: Abandonments,
     discovery: DiscoveryClient,
-    /// The timer of the next query for the list.
+    /// The timer of the next query for the list of executors.
     discovery_timer: Option<TimerKey>,
     list_freshness: ListFreshness,
     held_requests: HeldRequests,
@@ -92,16 +93,16 @@
     initial_executors: Vec<ExecutorEndpoint>,
     rng: fastrand::Rng,
     has_stopped: bool,
-    /// Time at which the counters were logged last, in microseconds.
+    /// Time at which the counters were last logged, in microseconds.
     counters_logged_at: i64,
-    /// Lines of the policy that may be logged until the counters are logged next.
+    /// Number of policy log lines that may still be logged before the next log of the counters.
     policy_log_lines_left: u32,
-    /// Answers of the name service that were ignored, by [`IgnoredAnswer`].
+    /// Number of ignored answers of the name service, indexed by [`IgnoredAnswer`].
     ignored_answers: [u64; IgnoredAnswer::COUNT],
 }
 
 impl Dispatcher {
-    /// Creates a dispatcher that has not started, with a configuration that was read at this time.
+    /// Creates a dispatcher that has not started yet. `now` is the time at which its configuration was read.
     pub fn new(config: BootstrapConfig, now: i64) -> Dispatcher {
         let descriptors = config
             .limits
@@ -174,12 +175,12 @@
             .set_timer_after(CHECK_INTERVAL_US, TimerEvent::CheckConnections);
     }
 
-    /// Whether a fault is planted.
+    /// Whether this fault is injected.
     pub fn has_injected(&self, fault: InjectedFault) -> bool {
         cfg!(feature = "planted") && self.injected_fault == Some(fault)
     }
 
-    /// The earliest time at which what is reported now can have arrived, in microseconds.
+    /// The earliest time at which the input that is being reported can have arrived, in microseconds; the current time if unknown.
     pub fn arrival_time(&self) -> i64 {
         let now = self.out.now;
         if self.has_injected(InjectedFault::IgnoreWaiting) {
@@ -188,7 +189,7 @@
         self.earliest_arrival_at.map_or(now, |since| since.min(now))
     }
 
-    /// Passes events between the parts until none is left, and ends the process once the shutdown is complete.
+    /// Processes events until none is pending, and stops the process once the shutdown is complete.
     pub fn process_events(&mut self) {
         while self.process_next() {}
         for (id, violation) in self.clients.take_closing_violations() {
@@ -206,8 +207,8 @@
         }
     }
 
-    /// Processes the next event, in this order: input of clients, instructions, requests to be written (unless they wait for a list
-    /// that is confirmed), ends of attempts. Returns whether there was one.
+    /// Processes the next pending event and returns whether there was one. The order is: client input, instructions of the driver,
+    /// requests to be written, progress of attempts. No request is written while requests wait for a confirmed list of executors.
     fn process_next(&mut self) -> bool {
         if let Some(client) = self.ready_clients.pop_front() {
             self.read_client(client);
@@ -223,7 +224,7 @@
         true
     }
 
-    /// A connection on which attempts wait to be written.
+    /// A connection that is ready and has attempts queued to be written; `None` while requests are held.
     fn next_writable_connection(&mut self) -> Option<ConnId> {
         if self.is_holding_requests() {
             return None;
@@ -231,12 +232,12 @@
         self.executors.next_ready()
     }
 
-    /// Counts of clients that left while their query was in flight.
+    /// Counters of clients that disconnected while their query was in flight.
     pub fn abandonment_counts(&self) -> AbandonmentCounts {
         self.abandonments.counts
     }
 
-    /// Answers of the name service that were ignored, by [`IgnoredAnswer`].
+    /// Number of ignored answers of the name service, indexed by [`IgnoredAnswer`].
     pub(crate) fn ignored_answers(&self) -> &[u64; IgnoredAnswer::COUNT] {
         &self.ignored_answers
     }
@@ -252,7 +253,7 @@
         usize::try_from(age_us / 1_000).unwrap_or(0)
     }
 
-    /// What was counted of requests that waited for a list.
+    /// Counters of requests that waited for a confirmed list of executors.
     pub(crate) fn hold_counters(&self) -> HoldCounters {
         self.held_requests.counters
     }
@@ -262,12 +263,12 @@
         self.in_flight.len()
     }
 
-    /// Violations of invariants since the start of the process.
+    /// Invariant violations since the start of the process.
     pub fn violation_counts(&self) -> ViolationCounts {
         self.violations
     }
 
-    /// Number of connections, executors and queries held.
+    /// Number of open connections, known executors and queries in flight.
     pub fn resources_in_use(&self) -> usize {
         self.clients.len()
             + self.executors.connection_count()
@@ -275,7 +276,7 @@
             + self.in_flight.len()
     }
 
-    /// Injects a fault for tests: forgets the request ids used lately.
+    /// Injects a fault for tests: clears the record of recently used request ids.
     #[cfg(feature = "planted")]
     pub fn forget_recent_ids(&mut self) {
         self.in_flight.forget_recent_ids();
--- a/crates/platform/src/dispatcher/requests.rs
+++ b/crates/platform/src/dispatcher/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: turned into queries of the driver, or answered at once.
+//! Handling of client requests: they are submitted to the driver as queries or answered at once.
 
 use super::held_requests::HeldRequest;
 use super::Dispatcher;
@@ -15,18 +15,18 @@
 use wheelfield_sans_io::ConnId;
 use wheelfield_settings::position;
 
-/// Time by which a response leaves before its client's timeout, in microseconds: it has to cross a network.
+/// Time before the client's timeout at which a response must be sent, in microseconds, to allow for network latency.
 const RESPONSE_MARGIN_US: i64 = 20_000;
 
 impl Dispatcher {
-    /// Records that input of a client arrived, or that it closed its side. It is examined after all other events of this turn,
-    /// so that no query is started for a client that has left.
+    /// Records that input of a client arrived, or that the client closed its side of the connection. The input is parsed after all
+    /// other events of this turn of the event loop, so that no query is started for a client that has disconnected.
     pub fn handle_client_input(&mut self, client: ConnId) {
         self.clients.mark_unread_input(client);
         self.ready_clients.push_back(client);
     }
 
-    /// Handles the end of a client's connection: its query is abandoned.
+    /// Handles the end of a client's connection by abandoning its query.
     pub fn handle_client_disconnected(&mut self, client: ConnId) {
         self.clients
             .close(client, CloseReason::ClientLeft, &mut self.out);
@@ -52,7 +52,7 @@
             .handle_input(self.out.now, Input::Abandoned(query));
     }
 
-    /// Examines the input of a client.
+    /// Reads the input of a client, and handles its next request if it is complete.
     pub(super) fn read_client(&mut self, client: ConnId) {
         if self.clients.is_processing(client) {
             if self.clients.has_disconnected(client) {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Submits a query to the driver, or answers it at once if it is invalid.
+    /// Submits a query to the driver, or rejects it at once if it is invalid.
     pub(super) fn submit_request(&mut self, request: HeldRequest) {
         let client = request.client;
         if let Err(error) = self.submit_query(request) {
@@ -101,7 +101,10 @@
         }
     }
 
-    /// Submits a query to the driver, or answers it at once if there are too many.
+    /// Submits a query to the driver, or rejects it at once if too many are in flight.
+    ///
+    /// # Errors
+    /// Why the request is invalid.
     fn submit_query(&mut self, held: HeldRequest) -> Result<(), RequestError> {
         let HeldRequest {
             client,
@@ -157,13 +160,13 @@
         Ok(())
     }
 
-    /// When a query that arrived at a time with this timeout must be answered.
+    /// The time by which a query must be answered that arrived at `arrived_at` with this timeout.
     pub(super) fn response_deadline(&self, arrived_at: i64, timeout_us: i64) -> Micros {
         let deadline = arrived_at + (timeout_us - RESPONSE_MARGIN_US).max(1);
         Micros(deadline.min(self.shutdown.response_deadline().unwrap_or(i64::MAX)))
     }
 
-    /// Writes a response, after which the next request of the client is examined: it may have arrived already.
+    /// Writes a response, and schedules parsing of the client's next request, which may have arrived already.
     pub(super) fn respond(&mut self, client: ConnId, reply: &Reply) {
         self.clients.respond(client, reply, &mut self.out);
         self.ready_clients.push_back(client);
--- a/crates/platform/src/dispatcher/topology.rs
+++ b/crates/platform/src/dispatcher/topology.rs
@@ -1,4 +1,4 @@
-//! The list of executors from the name service, and load reports of other controllers.
+//! Handling of the list of executors from the name service, and of load reports from other controllers.
 
 use super::Dispatcher;
 use crate::bootstrap::ExecutorEndpoint;
@@ -15,20 +15,21 @@
 use wheelfield_driver::Input;
 use wheelfield_sans_io::{DatagramSocket, Effect};
 
-/// A list that nothing confirms for longer than this has the next confirmation logged, in microseconds: four queries in a row had no
-/// answer.
+/// A confirmation is logged if the list was unconfirmed for at least this long, in microseconds: four queries in a row were not
+/// answered.
 const LATE_CONFIRMATION_US: i64 = 4 * list_freshness::POLL_INTERVAL_US;
 
-/// When the list before the current one was last confirmed, and how many queries were sent since.
+/// When the list was last confirmed before the current answer, and how many queries were sent since.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PreviousConfirmation {
-    /// In microseconds.
+    /// Time of the last confirmation, in microseconds.
     confirmed_at: i64,
+    /// Number of queries sent since then.
     queries: u64,
 }
 
 impl Dispatcher {
-    /// Replaces the list of executors; `previous` tells of the one before it, if there was one.
+    /// Replaces the list of executors. `previous` is the last confirmation of the list that it replaces, if there was one.
     pub(super) fn replace_executors(
         &mut self,
         executors: &[ExecutorEndpoint],
@@ -44,7 +45,7 @@
             .iter()
             .zip(started_at)
             .map(|(executor, started_at)| {
-                // A start long ago is one whose slow start is over.
+                // With this fault, every start is so long ago that slow start is over.
                 let started_at = started_at.map(|at| if ignores_starts { Micros(1) } else { at });
                 executor.to_entry(&mut self.names, started_at)
             })
@@ -72,7 +73,7 @@
         );
     }
 
-    /// Logs how the list has changed: in short, as operators may keep but a part of each log.
+    /// Logs how the list has changed, in one short line, since operators may keep only part of the log.
     fn log_list_change(
         &self,
         listed: usize,
@@ -102,7 +103,7 @@
         );
     }
 
-    /// Tells the guard of starting of an executor that is new, is back, or states a start.
+    /// Informs the slow-start guard of an executor that is new, is back in service, or has a listed start time.
     fn record_start(&mut self, entry: &EngineEntry) {
         let now = self.out.now;
         let is_first_list = self.executors.executor_count() == 0;
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Sends a query for the list of executors, and sets the time of the next.
+    /// Sends a query for the list of executors, and schedules the next one.
     pub(super) fn query_discovery(&mut self) {
         let query = self.discovery.query(self.out.now, self.rng.u16(..));
         if let Some((resolver, query)) = query {
@@ -136,7 +137,7 @@
         self.discovery_timer = Some(self.out.set_timer_at(at, TimerEvent::QueryDiscovery));
     }
 
-    /// Handles a datagram of the name service.
+    /// Handles a datagram from the name service.
     pub fn handle_discovery_answer(&mut self, from: SocketAddr, datagram: &[u8]) {
         let is_previous_service = from != self.discovery.resolver();
         if self.has_injected(InjectedFault::IgnoreLists)
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Logs that the list is confirmed, where nothing did so for long.
+    /// Logs that the list is confirmed, if it was unconfirmed for a long time.
     fn log_late_confirmation(&self, previous: PreviousConfirmation) {
         let unconfirmed_us = self.out.now - previous.confirmed_at;
         if unconfirmed_us >= LATE_CONFIRMATION_US {
@@ -185,14 +186,14 @@
         }
     }
 
-    /// Uses another name service from now on, and queries it.
+    /// Switches to another name service, and queries it at once.
     pub fn use_resolver(&mut self, resolver: SocketAddr) {
         info!(%resolver, "name service changed");
         self.discovery.use_resolver(resolver);
         self.query_discovery();
     }
 
-    /// Handles a datagram of another controller.
+    /// Handles a datagram from another controller.
     pub fn handle_peer_message(&mut self, from: SocketAddr, datagram: &[u8]) {
         if let Some(reports) = self.peers.decode(from, self.names.engines.keys(), datagram) {
             self.driver
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway as its event loop sees it: events in, effects out.
+//! The interface of the platform protocol to the event loop: it receives events and returns effects.
 
 use crate::abandonment::AbandonmentCounts;
 use crate::bootstrap::BootstrapConfig;
@@ -11,49 +11,49 @@
     BreakCause, ConnId, ConnectionBuffer, DatagramSocket, Effect, IoEvent, Listener, Protocol,
 };
 
-/// A controller on the operators' platform.
+/// A controller that speaks the platform protocol.
 pub struct Platform {
     dispatcher: Dispatcher,
 }
 
 impl Platform {
-    /// Creates a controller that has not started, with a configuration that was read at this time.
+    /// Creates a controller that has not started yet. `now` is the time at which its configuration was read.
     pub fn new(config: BootstrapConfig, now: i64) -> Platform {
         Platform {
             dispatcher: Dispatcher::new(config, now),
         }
     }
 
-    /// Uses the name service at this address from now on, after the configuration was reloaded.
+    /// Switches to the name service at this address, after the configuration was reloaded.
     pub fn use_resolver(&mut self, now: i64, resolver: SocketAddr) {
         assert!(!self.dispatcher.has_injected(InjectedFault::PanicOnReload));
         self.dispatcher.set_time(now);
         self.dispatcher.use_resolver(resolver);
     }
 
-    /// Number of connections, executors and queries held, as a measure of growth.
+    /// Number of open connections, known executors and queries in flight. Tests use it to detect leaks.
     pub fn resources_in_use(&self) -> usize {
         self.dispatcher.resources_in_use()
     }
 
-    /// Plants a fault for the soak to find.
+    /// Injects a fault, which the soak test is expected to detect.
     #[cfg(feature = "planted")]
     pub fn inject_fault(&mut self, fault: InjectedFault) {
         self.dispatcher.injected_fault = Some(fault);
     }
 
-    /// Injects a fault for tests: forgets the request ids used lately.
+    /// Injects a fault for tests: clears the record of recently used request ids.
     #[cfg(feature = "planted")]
     pub fn forget_recent_ids(&mut self) {
         self.dispatcher.forget_recent_ids();
     }
 
-    /// Counts of clients that left while their query was in flight.
+    /// Counters of clients that disconnected while their query was in flight.
     pub fn abandonment_counts(&self) -> AbandonmentCounts {
         self.dispatcher.abandonment_counts()
     }
 
-    /// Violations of invariants since the start of the process.
+    /// Invariant violations since the start of the process.
     pub fn violation_counts(&self) -> ViolationCounts {
         self.dispatcher.violation_counts()
     }
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Handles new input, or its end.
+    /// Handles new input on a connection, or the end of its input.
     fn handle_input(&mut self, id: ConnId) {
         match id.owner() {
             clients::OWNER => self.dispatcher.handle_client_input(id),
--- a/crates/platform/src/http_server.rs
+++ b/crates/platform/src/http_server.rs
@@ -1,85 +1,85 @@
-//! HTTP/1.1 as clients speak it: parses the heads of requests and writes responses.
+//! The HTTP/1.1 protocol of clients: parsing of request heads and writing of responses.
 
 use crate::executor_protocol::RequestId;
 use bytes::BytesMut;
 use httparse::Header;
 use std::fmt::Write as _;
 
-/// Maximum length of a head in bytes.
+/// Maximum length of a request head in bytes.
 pub const MAX_HEAD_BYTES: usize = 8 << 10;
-/// Maximum number of headers of a request.
+/// Maximum number of headers in a request.
 const MAX_HEADERS: usize = 48;
-/// Maximum length of a statement in bytes.
+/// Maximum length of a request body, which is the SQL statement, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
-/// Maximum timeout of a request in milliseconds: an hour.
+/// Maximum timeout of a request in milliseconds: one hour.
 const MAX_TIMEOUT_MS: f64 = 3_600_000.0;
-/// Maximum length of a name in a header in bytes: a tenant, a key, an idempotency key.
+/// Maximum length of a name in a header in bytes: a tenant, an ordering key or an idempotency key.
 const MAX_NAME_BYTES: usize = 128;
 /// Maximum length of a number in a header in bytes.
 const MAX_NUMBER_BYTES: usize = 24;
-/// Maximum estimate of work in milliseconds.
+/// Maximum estimated work in milliseconds.
 const MAX_COST_MS: f64 = 1e8;
-/// Maximum estimate of memory in MB.
+/// Maximum estimated memory in MB.
 const MAX_MEMORY_MB: f64 = 1e7;
 
-/// What a request asks for.
+/// The kind of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestKind {
-    /// Whether the controller accepts queries.
+    /// A health check: whether the controller accepts queries.
     Health,
-    /// The counters of the controller.
+    /// A request for the metrics of the controller.
     Metrics,
-    /// A query to be run.
+    /// A query to run.
     Query(QueryRequest),
 }
 
-/// The head of a query.
+/// The parameters of a query, from the path and headers of its request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueryRequest {
-    /// Name of its class.
+    /// Name of the query's class.
     pub class: String,
-    /// Its id.
+    /// Request id chosen by the client.
     pub id: RequestId,
-    /// Time in which its client wants the response, in microseconds.
+    /// Time within which the client expects the response, in microseconds.
     pub timeout_us: i64,
-    /// Estimated work in seconds of one thread.
+    /// Estimated work in thread-seconds.
     pub work_hint: Option<f64>,
     /// Estimated memory in MB.
     pub memory_hint: Option<f64>,
-    /// Name of its tenant, where the deployment has tenants.
+    /// Name of the tenant, if the deployment has tenants.
     pub tenant: Option<String>,
-    /// Key among whose queries it keeps its order, where its class keeps one.
+    /// Ordering key: queries with the same key run in order, if their class requires it.
     pub ordering_key: Option<String>,
-    /// Idempotency key, where the executors deduplicate its class. It is forwarded unchanged.
+    /// Idempotency key, if executors deduplicate queries of the class. It is forwarded unchanged.
     pub idempotency_key: Option<String>,
 }
 
-/// A head that was parsed.
+/// A parsed request head.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestHead {
-    /// Length of the head and the body after it, in bytes.
+    /// Length of the head and body together, in bytes.
     pub total_length: usize,
     /// Length of the body in bytes.
     pub body_length: usize,
-    /// Whether the connection is to be closed after the response.
+    /// Whether the connection must be closed after the response.
     pub close: bool,
-    /// What the request asks for, or why it is rejected.
+    /// The kind of the request, or the reason why it is rejected.
     pub kind: Result<RequestKind, RequestError>,
 }
 
 /// Why a request is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// It is not HTTP, or the length of its body is ambiguous.
+    /// The request is not valid HTTP, or the length of its body is ambiguous.
     #[error("malformed request")]
     Malformed,
-    /// Its head exceeds the limit.
+    /// The head exceeds the size limit.
     #[error("request head too long")]
     HeadTooLong,
-    /// Its body exceeds the limit.
+    /// The body exceeds the size limit.
     #[error("request body too long")]
     BodyTooLong,
-    /// It does not state the length of its body.
+    /// The request does not specify the length of its body.
     #[error("request body without a length")]
     LengthRequired,
     /// A header is missing, duplicated or out of range.
@@ -91,7 +91,7 @@
     /// The path does not support the method.
     #[error("method not allowed")]
     MethodNotAllowed,
-    /// The request id is in use, or was used lately.
+    /// The request id is in use or was used recently.
     #[error("request id already used")]
     DuplicateId,
     /// The request did not arrive in time.
@@ -100,7 +100,7 @@
 }
 
 impl RequestError {
-    /// The status of the response.
+    /// The HTTP status code of the response.
     pub fn status(self) -> u16 {
         match self {
             RequestError::Malformed | RequestError::InvalidField => 400,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Whether the connection must be closed, because nothing after the request can be parsed.
+    /// Whether the connection must be closed because the input after the request can't be parsed.
     pub fn ends_connection(self) -> bool {
         matches!(
             self,
@@ -127,14 +127,14 @@
     }
 }
 
-/// A header appears twice, or its value is not valid.
+/// A header is missing or duplicated, or its value is invalid.
 #[derive(Clone, Copy, Debug)]
 struct InvalidHeader;
 
-/// Parses the head at the front of `buf`, which is left unchanged; `None` if it is incomplete.
+/// Parses the request head at the start of `buf`; `None` if it is incomplete.
 ///
 /// # Errors
-/// [`RequestError`], if nothing after the request can be parsed.
+/// Why the request is rejected, if the input after it can't be parsed.
 pub fn parse_head(buf: &[u8]) -> Result<Option<RequestHead>, RequestError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -156,7 +156,7 @@
     }))
 }
 
-/// The value of a header. One that appears twice is invalid, as two parsers could take different values of it.
+/// The value of a header. A duplicated header is invalid, as different parsers could choose different values.
 fn single_header<'a>(headers: &[Header<'a>], name: &str) -> Result<Option<&'a str>, InvalidHeader> {
     let mut matching = headers
         .iter()
@@ -193,7 +193,8 @@
     }
 }
 
-/// Whether the client closes the connection after the response, or expects it to be closed. `version` is the minor version.
+/// Whether the connection is closed after the response by the request's `Connection` header or HTTP version. `version` is the minor
+/// version.
 fn closes_connection(version: Option<u8>, headers: &[Header<'_>]) -> bool {
     let connection = single_header(headers, "connection")
         .ok()
@@ -216,7 +217,7 @@
         ("GET", "/health", _) => Ok(RequestKind::Health),
         ("GET", "/metrics", _) => Ok(RequestKind::Metrics),
         (_, "/health" | "/metrics", _) => Err(RequestError::MethodNotAllowed),
-        // There are no paths of results: the response to a query holds all rows.
+        // No path serves results separately, as the response to a query contains all rows.
         ("GET" | "DELETE", ..) => Err(RequestError::NotFound),
         ("POST", _, Some(class)) if !class.is_empty() && !class.contains('/') => {
             let query = parse_query(class, headers).map_err(|_| RequestError::InvalidField)?;
@@ -232,7 +233,7 @@
     let id = RequestId::parse(id.as_bytes()).ok_or(InvalidHeader)?;
     let timeout_ms = number_header(headers, "x-timeout-ms", MAX_TIMEOUT_MS)?;
     let timeout_ms = timeout_ms.filter(|ms| *ms >= 1.0).ok_or(InvalidHeader)?;
-    // An estimate of zero means that there is none.
+    // Zero means that the client gives no estimate.
     let work_ms = number_header(headers, "x-cost-ms", MAX_COST_MS)?.filter(|ms| *ms > 0.0);
     let memory_hint = number_header(headers, "x-need-mb", MAX_MEMORY_MB)?.filter(|mb| *mb > 0.0);
     match single_header(headers, "x-retry")? {
@@ -251,7 +252,7 @@
     })
 }
 
-/// A number of digits with at most one point: no sign, no exponent, no word such as `NaN`.
+/// Parses a header that is a decimal number: digits and at most one point, without sign, exponent or words such as `NaN`.
 fn number_header(
     headers: &[Header<'_>],
     name: &str,
@@ -274,7 +275,8 @@
     }
 }
 
-/// A name of visible characters. It is forwarded as a field of a line, so that it must not end the field, the list or the line.
+/// Parses a header that is a name of visible ASCII characters without commas. Names are forwarded to executors in a comma-separated
+/// line, which must stay intact.
 fn name_header(headers: &[Header<'_>], name: &str) -> Result<Option<String>, InvalidHeader> {
     let Some(text) = single_header(headers, name)? else {
         return Ok(None);
@@ -293,21 +295,21 @@
 /// A response to a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// All rows of the result, as JSON.
+    /// All rows of the result as JSON.
     Rows(Vec<u8>),
-    /// The query has not run, or may run twice: the client may retry it.
+    /// The query has not run or may safely run twice, so the client may retry it.
     Rejected {
-        /// Time after which a retry is advised, in milliseconds; 0 for no advice.
+        /// Recommended delay before a retry, in milliseconds; 0 if there is no recommendation.
         retry_after_ms: i64,
     },
-    /// The query failed, and may have run.
+    /// The query failed and may have run.
     Failed,
-    /// Whether the controller accepts queries.
+    /// The result of a health check.
     Health {
-        /// False once it shuts down.
+        /// Whether the controller accepts queries; false during shutdown.
         is_serving: bool,
     },
-    /// The counters of the controller, as text.
+    /// The metrics of the controller in text format.
     Metrics(String),
     /// The request was invalid.
     Invalid(RequestError),
@@ -321,7 +323,7 @@
         }
     }
 
-    /// Status, reason phrase and body.
+    /// Status code, reason phrase and body.
     fn parts(&self) -> (u16, &'static str, &[u8]) {
         const TRY_LATER: &[u8] = b"{\"reason\":\"TryLater\"}";
         const ABORTED: &[u8] = b"{\"reason\":\"Aborted\"}";
@@ -338,12 +340,12 @@
     }
 }
 
-/// Appends a response. With `close` it announces the end of the connection.
+/// Appends a response to `out`. If `close` is set, the response announces that the connection will be closed.
 pub fn write_reply(reply: &Reply, close: bool, out: &mut BytesMut) {
     let (status, reason, body) = reply.parts();
     let content_type = reply.content_type();
     let mut head = format!("HTTP/1.1 {status} {reason}\r\nContent-Type: {content_type}\r\n");
-    // Writing to a string can't fail.
+    // Writing to a `String` can't fail.
     let _ = write!(head, "Content-Length: {}\r\n", body.len());
     match reply {
         Reply::Rejected { retry_after_ms } if *retry_after_ms > 0 => {
--- a/crates/platform/src/http_server/tests.rs
+++ b/crates/platform/src/http_server/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn a_head_is_parsed_once_it_is_complete() {
+fn a_request_head_is_parsed_once_it_is_complete() {
     let request = b"POST /rpc/report HTTP/1.1\r\nHost: api.internal\r\nx-request-id: 9b1f03aa5c7e2d41\r\n\
         X-Timeout-Ms: 1500\r\nX-Retry: 1\r\nX-Cost-Ms: 820.0\r\nX-Need-Mb: 96\r\nContent-Length: 84\r\n\r\n";
     for cut in 0..request.len() {
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_connection_is_closed_where_its_client_says_so() {
+fn connection_header_and_http_version_decide_whether_the_connection_is_closed() {
     let closes = |version: &str, header: &str| {
         let request = format!("GET /health HTTP/{version}\r\n{header}\r\n");
         parse_head(request.as_bytes())
@@ -67,7 +67,7 @@
 
 proptest! {
     #[test]
-    fn any_bytes_are_parsed_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_are_parsed_or_rejected_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let _ = parse_head(&bytes);
         let _ = parse_head(&[b"POST /rpc/x HTTP/1.1\r\n", &bytes[..], b"\r\n\r\n"].concat());
     }
--- a/crates/platform/src/in_flight.rs
+++ b/crates/platform/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! Queries in flight: those accepted from clients and not answered yet, and request ids used lately.
+//! Queries in flight, which were accepted from clients and not answered yet, and recently used request ids.
 
 use crate::executor_protocol::RequestId;
 use bytes::Bytes;
@@ -6,43 +6,43 @@
 use wheelfield::interface::{Outcome, QueryId};
 use wheelfield_sans_io::ConnId;
 
-/// Request ids sent to executors that are remembered, so that they are not used again for another query. Idempotent queries and
-/// others are counted apart, so that many of the first do not displace the second.
+/// Maximum number of recent request ids that are kept to detect their reuse. Ids of idempotent and of other queries are kept
+/// separately, so that many idempotent queries do not displace the ids of others.
 const MAX_RECENT_IDS: usize = 8_192;
 
 /// A query in flight.
 #[derive(Debug)]
 pub struct InFlightQuery {
-    /// Connection of the client that sent it.
+    /// The connection of the client that sent the query.
     pub client: ConnId,
-    /// Id of its request.
+    /// The request id.
     pub id: RequestId,
-    /// Its class, by position in the settings.
+    /// The index of its class in the settings.
     pub class: usize,
-    /// Its statement.
+    /// The SQL statement.
     pub statement: Bytes,
-    /// Key by which executors recognise a repetition.
+    /// The key by which executors deduplicate the query.
     pub idempotency_key: Option<String>,
-    /// Whether it may run twice.
+    /// Whether the query may run more than once.
     pub is_idempotent: bool,
-    /// Whether an executor has an attempt of it.
+    /// Whether an attempt was dispatched to an executor and has not ended.
     pub is_at_executor: bool,
-    /// When its client stops waiting, in microseconds.
+    /// The time at which the client stops waiting, in microseconds.
     pub client_deadline_at: i64,
-    /// What has become of its attempts.
+    /// The history of its attempts.
     pub history: AttemptHistory,
 }
 
-/// What has become of the attempts of a query, by what was written and what came back.
+/// The history of the attempts of a query, based on the bytes written to executors and their responses.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AttemptHistory {
-    /// Attempts whose first byte was written.
+    /// Number of attempts whose first byte was written.
     pub dispatched: u32,
-    /// Attempts that may have run: those dispatched less those that are known not to have run.
+    /// Number of attempts that may have run: all that were dispatched, except those known not to have run.
     pub possible_runs: u32,
-    /// When the first of these was dispatched, in microseconds.
+    /// The time at which the first attempt that may have run was dispatched, in microseconds.
     pub may_have_run_since: Option<i64>,
-    /// The outcome of the attempt that ended last.
+    /// The outcome of the last attempt that ended.
     pub last_outcome: Option<Outcome>,
 }
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// All queries in flight, at most one for each client.
+/// All queries in flight, at most one per client.
 #[derive(Debug, Default)]
 pub struct InFlightQueries {
     by_query: BTreeMap<QueryId, InFlightQuery>,
@@ -74,7 +74,7 @@
     recent_others: RecentIds,
 }
 
-/// The request ids that were sent to executors last.
+/// The request ids that were most recently sent to executors.
 #[derive(Debug, Default)]
 struct RecentIds {
     ids: BTreeSet<RequestId>,
@@ -95,21 +95,21 @@
 }
 
 impl InFlightQueries {
-    /// Whether a request id is in use or was used lately: the query under it may run, or have run.
+    /// Whether a request id is in use or was used recently, so that a query with this id may be running or have run.
     pub fn is_id_used(&self, id: RequestId) -> bool {
         self.ids.contains(&id)
             || self.recent_idempotent.ids.contains(&id)
             || self.recent_others.ids.contains(&id)
     }
 
-    /// Adds a query that was accepted.
+    /// Adds an accepted query.
     pub fn insert(&mut self, query: QueryId, in_flight: InFlightQuery) {
         self.ids.insert(in_flight.id);
         self.by_client.insert(in_flight.client, query);
         self.by_query.insert(query, in_flight);
     }
 
-    /// A query in flight.
+    /// The query with this id, if it is in flight.
     pub fn get(&self, query: QueryId) -> Option<&InFlightQuery> {
         self.by_query.get(&query)
     }
@@ -119,7 +119,7 @@
         self.by_client.get(&client).copied()
     }
 
-    /// Records that the first byte of a query was sent to an executor under this request id.
+    /// Records that the first byte of an attempt was sent to an executor under this request id.
     pub fn mark_dispatched(&mut self, query: QueryId, id: RequestId, now: i64) {
         let mut is_idempotent = false;
         if let Some(in_flight) = self.by_query.get_mut(&query) {
@@ -135,7 +135,7 @@
         recent.insert(id);
     }
 
-    /// Records that no executor has an attempt of a query any more, as the last one ended so.
+    /// Records that the current attempt of a query ended with this outcome.
     pub fn mark_attempt_ended(&mut self, query: QueryId, outcome: Outcome) {
         if let Some(in_flight) = self.by_query.get_mut(&query) {
             let was_dispatched = std::mem::take(&mut in_flight.is_at_executor);
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Removes a query that is answered, or whose client has left.
+    /// Removes a query that was answered or whose client disconnected.
     pub fn remove(&mut self, query: QueryId) -> Option<InFlightQuery> {
         let in_flight = self.by_query.remove(&query)?;
         self.by_client.remove(&in_flight.client);
@@ -151,7 +151,7 @@
         Some(in_flight)
     }
 
-    /// The numbers of all queries in flight, in order.
+    /// The ids of all queries in flight, in ascending order.
     pub fn queries(&self) -> Vec<QueryId> {
         self.by_query.keys().copied().collect()
     }
@@ -161,12 +161,12 @@
         self.by_query.len()
     }
 
-    /// Whether there is none.
+    /// Whether no query is in flight.
     pub fn is_empty(&self) -> bool {
         self.by_query.is_empty()
     }
 
-    /// Injects a fault for tests: forgets the request ids used lately.
+    /// Injects a fault for tests: clears the record of recently used request ids.
     #[cfg(feature = "planted")]
     pub fn forget_recent_ids(&mut self) {
         self.recent_idempotent = RecentIds::default();
--- a/crates/platform/src/invariants/closing.rs
+++ b/crates/platform/src/invariants/closing.rs
@@ -1,24 +1,24 @@
-//! The guard of closing: a client that waits for a response is not closed.
+//! The closing invariant: the connection of a client that waits for a response is not closed.
 
-/// Why a client's connection is closed.
+/// Why a client connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum CloseReason {
-    /// The client has closed its side, or the connection broke.
+    /// The client closed its side of the connection, or the connection failed.
     ClientLeft,
-    /// The last response was written, and said that the connection ends.
+    /// The last response was written, and announced that the connection closes.
     ResponseWritten,
-    /// It made way for a new client.
+    /// The connection was closed to make room for a new client.
     Evicted,
-    /// It was idle, or sent no request, for too long.
+    /// The connection was idle for too long, or the client sent no request in time.
     Idle,
-    /// The client took nothing of its response for too long.
+    /// The client did not read its response for too long.
     WriteStalled,
-    /// The controller shuts down.
+    /// The controller is shutting down.
     Shutdown,
 }
 
 impl CloseReason {
-    /// All reasons.
+    /// All reasons, in the order of their values.
     pub const ALL: [CloseReason; 6] = [
         CloseReason::ClientLeft,
         CloseReason::ResponseWritten,
@@ -28,7 +28,7 @@
         CloseReason::Shutdown,
     ];
 
-    /// Its name in metrics.
+    /// The name of the reason in metrics.
     pub fn name(self) -> &'static str {
         match self {
             CloseReason::ClientLeft => "client_left",
@@ -41,18 +41,18 @@
     }
 }
 
-/// What is known of a connection that is about to be closed.
+/// The state of a connection that is about to be closed.
 #[derive(Clone, Copy, Debug)]
 pub struct CloseContext {
-    /// Why it is closed.
+    /// Why the connection is closed.
     pub reason: CloseReason,
-    /// Whether the client has closed its side.
+    /// Whether the client has closed its side of the connection.
     pub has_disconnected: bool,
-    /// Whether a request was taken from it and has no response yet.
+    /// Whether a request is being processed and has no response yet.
     pub awaits_response: bool,
-    /// Whether input has arrived that was not examined yet.
+    /// Whether input has arrived that was not parsed yet.
     pub has_unread_input: bool,
-    /// Bytes of responses that were not written yet.
+    /// Number of response bytes that were not written yet.
     pub unwritten_bytes: usize,
 }
 
@@ -62,18 +62,18 @@
     /// A request has no response.
     #[error("connection closed ({0:?}) with a request that has no response")]
     ResponsePending(CloseReason),
-    /// A request may have arrived.
-    #[error("connection closed ({0:?}) with input that was not examined")]
+    /// Input that was not parsed yet may contain a request.
+    #[error("connection closed ({0:?}) with input that was not parsed")]
     InputUnread(CloseReason),
-    /// A response is not written to its end.
+    /// A response was not written completely.
     #[error("connection closed ({0:?}) with {1} bytes of a response unwritten")]
     ResponseUnwritten(CloseReason, usize),
 }
 
-/// Checks a connection that is about to be closed.
+/// Checks whether a connection may be closed.
 ///
 /// # Errors
-/// The violation that closing it is.
+/// The violation, if the client still expects a response.
 pub fn check_closing(context: &CloseContext) -> Result<(), ClosingViolation> {
     let reason = context.reason;
     if context.has_disconnected || reason == CloseReason::ClientLeft {
--- a/crates/platform/src/invariants/mod.rs
+++ b/crates/platform/src/invariants/mod.rs
@@ -1,6 +1,6 @@
-//! Run-time checks of the rules at the four places where one can be broken: an attempt is sent, a query is repeated, a client's
-//! connection is closed, an executor in slow start gets work. Each guard looks at context of this crate, not at what the policy
-//! believes. Violations are counted, logged with the request they concern, and published.
+//! Run-time checks of four invariants: before an attempt is sent, before a query is repeated, when a client connection is closed,
+//! and when an executor in slow start is sent work. The checks use the state of this crate and not that of the policy, so that they
+//! detect faults of the policy. Violations are counted, logged with the request or connection concerned, and exported as metrics.
 
 mod closing;
 mod repeating;
@@ -17,46 +17,46 @@
 use std::fmt;
 use tracing::error;
 
-/// Lines on violations that are logged at most; all are counted.
+/// Maximum number of violations that are logged; all of them are counted.
 const MAX_LOG_LINES: u64 = 1_000;
 
-/// What a guard has found.
+/// A violation of an invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
-    /// By the guard of sending.
+    /// An attempt that must not be sent.
     #[error(transparent)]
     Sending(#[from] SendingViolation),
-    /// By the guard of repeating.
+    /// A query that must not be repeated.
     #[error(transparent)]
     Repeating(#[from] RepeatingViolation),
-    /// By the guard of closing.
+    /// A connection that must not be closed.
     #[error(transparent)]
     Closing(#[from] ClosingViolation),
-    /// By the guard of starting.
+    /// Too many attempts for an executor in slow start.
     #[error(transparent)]
     Starting(#[from] StartingViolation),
 }
 
-/// Violations since the start of the process, by guard.
+/// Number of violations since the start of the process, by invariant. Metrics label them with `guard`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ViolationCounts {
-    /// Attempts that were not to be sent. They were held back.
+    /// Attempts that must not be sent. Except for requests written after their executor left service, they were blocked.
     pub sending: u64,
-    /// Attempts of queries that may have run and must not run again. They were held back.
+    /// Attempts of queries that may have run and must not run again. They were blocked.
     pub repeating: u64,
-    /// Connections closed on a client that was owed a response.
+    /// Connections closed although the client expected a response.
     pub closing: u64,
-    /// Attempts beyond what all controllers together may send to an executor in slow start.
+    /// Attempts in excess of what all controllers together may send to an executor in slow start.
     pub starting: u64,
 }
 
 impl ViolationCounts {
-    /// All violations.
+    /// Total number of violations.
     pub fn total(&self) -> u64 {
         self.sending + self.repeating + self.closing + self.starting
     }
 
-    /// Counts and logs a violation that concerns a request or connection.
+    /// Counts and logs a violation; `id` identifies the request or connection concerned.
     pub fn record(&mut self, id: impl fmt::Display, violation: Violation) {
         match violation {
             Violation::Sending(_) => self.sending += 1,
--- a/crates/platform/src/invariants/repeating.rs
+++ b/crates/platform/src/invariants/repeating.rs
@@ -1,36 +1,36 @@
-//! The guard of repeating: what may have run is sent again only where its class allows that.
+//! The repeating invariant: a query that may have run is sent again only if its class allows it.
 
 use wheelfield::interface::ExecutionSemantics;
 
-/// What is known of a query whose attempt is about to be written.
+/// The state of a query whose next attempt is about to be written.
 #[derive(Clone, Copy, Debug)]
 pub struct RepeatContext {
-    /// How often queries of its class may run.
+    /// The execution semantics of its class.
     pub semantics: ExecutionSemantics,
-    /// For how long executors recognise a repetition by its key, in microseconds.
+    /// Time for which executors deduplicate queries by idempotency key, in microseconds.
     pub deduplication_window_us: i64,
-    /// Time since the first attempt of the query that may have run was sent, in microseconds; `None` if there is none.
+    /// Time since the first attempt that may have run was sent, in microseconds; `None` if no attempt may have run.
     pub may_have_run_for_us: Option<i64>,
 }
 
 /// Why an attempt must not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RepeatingViolation {
-    /// It may have run, and must run at most once.
+    /// The query may have run, and must run at most once.
     #[error("second attempt of a query that may have run and must run at most once")]
     AtMostOnce,
-    /// Executors may have forgotten its key.
-    #[error("attempt of a keyed query that was sent {elapsed_us} us ago, beyond its window")]
+    /// The deduplication window of the idempotency key has passed, so executors may run the query again.
+    #[error("repeated attempt {elapsed_us} us after the first one, beyond the deduplication window of the idempotency key")]
     DeduplicationWindowExpired {
-        /// Time since its first attempt, in microseconds.
+        /// Time since the first attempt that may have run, in microseconds.
         elapsed_us: i64,
     },
 }
 
-/// Checks an attempt before its request is written.
+/// Checks whether an attempt may be sent, before its request is written.
 ///
 /// # Errors
-/// The violation that sending it would be.
+/// The violation that sending the attempt would cause.
 pub fn check_repeating(context: &RepeatContext) -> Result<(), RepeatingViolation> {
     let Some(elapsed_us) = context.may_have_run_for_us else {
         return Ok(());
--- a/crates/platform/src/invariants/sending.rs
+++ b/crates/platform/src/invariants/sending.rs
@@ -1,60 +1,60 @@
-//! The guard of sending: an attempt goes to an executor that takes work, for a client that waits, and with no more time than
-//! that client has left.
+//! The sending invariant: an attempt is sent only to an executor in service, for a client that waits for a response, and with a
+//! time limit no longer than the client's remaining time.
 
-/// Time by which the deadline of an attempt may exceed what its client has left, in microseconds: it is rounded up to whole
-/// milliseconds, and at least one.
+/// Time by which the time limit of an attempt may exceed the client's remaining time, in microseconds. The limit is rounded up to
+/// whole milliseconds, and is at least one millisecond.
 const DEADLINE_TOLERANCE_US: i64 = 2_000;
 
-/// The state of an executor in the last list.
+/// The state of an executor in the current list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedState {
-    /// It takes work.
+    /// The executor accepts requests.
     Up,
-    /// It finishes what it has.
+    /// The executor finishes its running requests and accepts no new ones.
     Draining,
-    /// The list does not name it.
+    /// The executor is not in the list.
     Missing,
 }
 
-/// What is known of an attempt whose request is about to be written.
+/// The state of an attempt whose request is about to be written.
 #[derive(Clone, Copy, Debug)]
 pub struct SendContext {
-    /// Whether the client of its query waits for a response.
+    /// Whether the client waits for a response.
     pub client_is_waiting: bool,
-    /// The state of its executor.
+    /// The listed state of the executor.
     pub executor: ListedState,
-    /// Time that the executor is given, in microseconds.
+    /// Time limit that the request gives to the executor, in microseconds.
     pub time_limit_us: i64,
-    /// Time that the client has left, in microseconds.
+    /// Remaining time of the client, in microseconds.
     pub client_time_left_us: i64,
 }
 
 /// Why an attempt must not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SendingViolation {
-    /// Its client has left, or has its response.
-    #[error("attempt for a client that does not wait")]
+    /// The client has disconnected or has received its response.
+    #[error("attempt for a client that does not wait for a response")]
     ClientNotWaiting,
-    /// Its executor is draining or gone.
+    /// The executor is draining or missing from the list.
     #[error("attempt for an executor that is {0:?} in the list")]
     ExecutorUnavailable(ListedState),
-    /// Its first byte was written although its executor was draining or gone by then.
+    /// The first byte was written after the executor began to drain or was removed from the list.
     #[error("request written to an executor that is {0:?} in the list")]
     WrittenToUnavailable(ListedState),
-    /// It has more time than its client.
-    #[error("attempt may take {time_limit_us} us, its client waits {client_time_left_us} us more")]
+    /// The time limit exceeds the client's remaining time.
+    #[error("time limit of the attempt is {time_limit_us} us, but its client waits only {client_time_left_us} us more")]
     TimeLimitTooLong {
-        /// Time that the executor is given, in microseconds.
+        /// Time limit that the request gives to the executor, in microseconds.
         time_limit_us: i64,
-        /// Time that the client has left, in microseconds.
+        /// Remaining time of the client, in microseconds.
         client_time_left_us: i64,
     },
 }
 
-/// Checks an attempt before its request is written.
+/// Checks whether an attempt may be sent, before its request is written.
 ///
 /// # Errors
-/// The violation that sending it would be.
+/// The violation that sending the attempt would cause.
 pub fn check_sending(context: &SendContext) -> Result<(), SendingViolation> {
     if !context.client_is_waiting {
         return Err(SendingViolation::ClientNotWaiting);
@@ -71,11 +71,11 @@
     Ok(())
 }
 
-/// Checks a request whose first byte has just been written, against the list of that moment: what was allowed to be sent may have
-/// waited in the output.
+/// Checks a request whose first byte was just written against the current list. The list may have changed since the request was
+/// added to the output buffer.
 ///
 /// # Errors
-/// The violation that this was.
+/// The violation, if the executor was not in service any more.
 pub fn check_dispatch(executor: ListedState) -> Result<(), SendingViolation> {
     match executor {
         ListedState::Up => Ok(()),
--- a/crates/platform/src/invariants/starting.rs
+++ b/crates/platform/src/invariants/starting.rs
@@ -1,33 +1,34 @@
-//! The guard of starting: an executor whose process started lately gets no more than all controllers together may send it.
+//! The starting invariant: a recently started executor gets no more requests than all controllers together may send to it.
 //!
-//! The bound is that of the operators: N requests of mean work and a margin, N being the work that the settings allow within
-//! their window. A single controller beyond it would break the rule alone; what the others send is not known here.
+//! The limit is defined by the operators: N requests of mean work plus a margin, where N follows from the work that the settings
+//! allow within the overload window. A controller that exceeds the limit on its own violates the rule; the requests of the other
+//! controllers are not known here.
 
 use std::collections::{BTreeMap, VecDeque};
 use wheelfield::interface::{EngineId, Settings};
 
-/// Below so many requests the margin is wider.
+/// Below this number of requests the margin is wider.
 const WIDE_MARGIN_MAX_REQUESTS: f64 = 30.0;
-/// Weight of the newest query in the mean work.
+/// Weight of the newest query in the exponential moving average of the work.
 const MEAN_WORK_SMOOTHING: f64 = 0.02;
-/// Sends to one executor that are remembered at most.
+/// Maximum number of sends to one executor that are tracked.
 const MAX_TRACKED_SENDS: usize = 8_192;
 
-/// What the settings say of slow start.
+/// The slow-start settings.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartSettings {
-    /// Fraction of its capacity that an executor has as it starts.
+    /// Fraction of its full capacity that an executor has when it starts.
     pub initial_fraction: f64,
-    /// Time until it has all of it, in microseconds.
+    /// Time until an executor reaches its full capacity, in microseconds.
     pub duration_us: i64,
-    /// Multiple of its capacity beyond which it fails; zero if it does not.
+    /// Multiple of its capacity at which an executor fails; zero if overload does not make it fail.
     pub overload_multiple: f64,
-    /// Time over which that is counted, in microseconds.
+    /// Time window over which the work is summed, in microseconds.
     pub window_us: i64,
 }
 
 impl SlowStartSettings {
-    /// The part of the settings that concerns slow start.
+    /// Extracts the slow-start settings.
     pub fn of(settings: &Settings) -> SlowStartSettings {
         SlowStartSettings {
             initial_fraction: settings.slow_start_initial_fraction.clamp(0.0, 1.0),
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Requests of this mean work that an executor with so many cores may get within the window at this age.
+    /// Maximum number of requests of this mean work within the window for an executor with this number of cores and age.
     fn max_requests(&self, cores: f64, age_us: i64, mean_work: f64) -> f64 {
         let age = age_us as f64 / self.duration_us.max(1) as f64;
         let fraction = self.initial_fraction + (1.0 - self.initial_fraction) * age.clamp(0.0, 1.0);
@@ -51,35 +52,35 @@
     }
 }
 
-/// An executor whose process started lately.
+/// A recently started executor.
 #[derive(Debug)]
 struct StartingExecutor {
     started_at: i64,
     cores: f64,
-    /// Times of the sends within the window, in microseconds.
+    /// Times of the sent attempts within the window, in microseconds.
     sends: VecDeque<i64>,
 }
 
-/// More went to an executor in slow start than all controllers together may send.
+/// This controller alone sent more to an executor in slow start than all controllers together may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{sent} attempts within the window for an executor {age_us} us after its start, at most {limit} by all controllers")]
+#[error("{sent} attempts within the overload window to an executor {age_us} us after its start; all controllers together may send at most {limit}")]
 pub struct StartingViolation {
     sent: usize,
     limit: u64,
     age_us: i64,
 }
 
-/// Counts what goes to executors in slow start.
+/// Counts the attempts sent to executors in slow start.
 #[derive(Debug)]
 pub struct SlowStartGuard {
     settings: SlowStartSettings,
     executors: BTreeMap<EngineId, StartingExecutor>,
-    /// Mean work of a query in thread-seconds, by the estimates of the clients.
+    /// Mean work of a query in thread-seconds, from the estimates of the clients; `None` before the first estimate.
     mean_work: Option<f64>,
 }
 
 impl SlowStartGuard {
-    /// A guard that knows of no start.
+    /// Creates a guard without any known start.
     pub fn new(settings: SlowStartSettings) -> SlowStartGuard {
         SlowStartGuard {
             settings,
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Notes that the process of an executor with so many cores started at this time, as far as is known here.
+    /// Records that an executor with this number of cores started at `started_at`, as far as this controller knows.
     pub fn record_start(&mut self, engine: EngineId, started_at: i64, cores: f64, now: i64) {
         if now - started_at >= self.settings.duration_us {
             return;
@@ -101,23 +102,23 @@
         executor.started_at = executor.started_at.max(started_at);
     }
 
-    /// Notes the estimated work of a query, in thread-seconds.
+    /// Records the estimated work of a query, in thread-seconds.
     pub fn record_work(&mut self, work: f64) {
         let mean = self.mean_work.unwrap_or(work);
         self.mean_work = Some(mean + MEAN_WORK_SMOOTHING * (work - mean));
     }
 
-    /// Forgets executors whose slow start is over.
+    /// Removes executors whose slow start is over.
     pub fn remove_warmed_up(&mut self, now: i64) {
         let duration = self.settings.duration_us;
         self.executors
             .retain(|_, executor| now - executor.started_at < duration);
     }
 
-    /// Counts an attempt whose first byte was written.
+    /// Records an attempt whose first byte was written.
     ///
     /// # Errors
-    /// The violation that it is.
+    /// The violation, if the attempt exceeds the limit.
     pub fn record_send(&mut self, engine: EngineId, now: i64) -> Result<(), StartingViolation> {
         let Some(executor) = self.executors.get_mut(&engine) else {
             return Ok(());
--- a/crates/platform/src/invariants/tests.rs
+++ b/crates/platform/src/invariants/tests.rs
@@ -1,4 +1,4 @@
-//! Each guard lets through what the rules allow, and finds each violation.
+//! Each check accepts what the invariant allows, and detects every violation.
 
 use super::*;
 use wheelfield::interface::{EngineId, ExecutionSemantics};
@@ -6,7 +6,7 @@
 const SECOND: i64 = 1_000_000;
 
 #[test]
-fn an_attempt_is_for_a_waiting_client_an_executor_that_is_up_and_the_time_left() {
+fn an_attempt_needs_a_waiting_client_an_executor_that_is_up_and_enough_time() {
     let good = SendContext {
         client_is_waiting: true,
         executor: ListedState::Up,
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_repeated_where_its_class_allows() {
+fn a_query_that_may_have_run_is_repeated_only_if_its_class_allows_it() {
     use ExecutionSemantics::{AtMostOnce, IdempotencyKey, Idempotent};
     let check = |semantics, may_have_run_for_us| {
         check_repeating(&RepeatContext {
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_client_that_is_owed_something_is_not_closed_unless_it_left() {
+fn a_connection_with_pending_input_or_output_is_closed_only_if_the_client_left_or_stalled() {
     let idle = CloseContext {
         reason: CloseReason::Shutdown,
         has_disconnected: false,
@@ -68,7 +68,7 @@
         has_unread_input: false,
         unwritten_bytes: 0,
     };
-    let owing = [
+    let pending = [
         CloseContext {
             awaits_response: true,
             ..idle
@@ -84,7 +84,7 @@
     ];
     for reason in CloseReason::ALL {
         assert_eq!(check_closing(&CloseContext { reason, ..idle }), Ok(()));
-        for context in owing {
+        for context in pending {
             let context = CloseContext { reason, ..context };
             let is_stall = reason == CloseReason::WriteStalled && context.unwritten_bytes > 0;
             let is_allowed = reason == CloseReason::ClientLeft || is_stall;
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn an_executor_in_slow_start_gets_no_more_than_the_bound_of_all_controllers() {
+fn attempts_to_an_executor_in_slow_start_are_limited_to_the_total_of_all_controllers() {
     let settings = SlowStartSettings {
         initial_fraction: 0.5,
         duration_us: 10 * SECOND,
@@ -109,13 +109,13 @@
     let engine = EngineId(7);
     let mut guard = SlowStartGuard::new(settings);
     guard.record_work(0.1);
-    // 2 x 0.5 x 4 cores x 1 s / 0.1 s = 40 requests, and a margin of 2 x root of 40 + 2.
+    // 2 x 0.5 x 4 cores x 1 s / 0.1 s = 40 requests, plus a margin of 2 x sqrt(40) + 2.
     guard.record_start(engine, 0, 4.0, 0);
     let allowed = (0..200)
         .take_while(|_| guard.record_send(engine, 0).is_ok())
         .count();
     assert_eq!(allowed, 54);
-    // A window later all of it is allowed again; once warm, or for others, everything is.
+    // After the window the full number is allowed again. There is no limit for other executors, and none after slow start.
     assert_eq!(guard.record_send(engine, SECOND + 1), Ok(()));
     assert_eq!(guard.record_send(EngineId(8), 0), Ok(()));
     guard.remove_warmed_up(10 * SECOND);
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,13 +1,14 @@
-//! The operators' platform protocol: a complete controller without system calls. Events go in with the time, effects come out.
+//! The platform protocol of the controller, implemented without system calls: it consumes I/O events with the current time and
+//! emits effects for the event loop to carry out.
 //!
-//! [`Platform`] implements [`wheelfield_sans_io::Protocol`], like the gateway of PostgreSQL clients, and runs in the same event
-//! loop. Clients speak HTTP/1.1 (`http_server`, `clients`), executors a protocol of lines (`executor_protocol`, `executors`), the
-//! name service DNS (`discovery`), and other controllers exchange datagrams (`peers`). A result is fetched completely before its
-//! client receives any of it, so that one that is lost on the way can be retried (`result_pages`). The `dispatcher` passes events
-//! between these parts.
+//! [`Platform`] implements [`wheelfield_sans_io::Protocol`], as the gateway for PostgreSQL clients does, and runs in the same event
+//! loop. Clients connect over HTTP/1.1 (`http_server`, `clients`), executors over a line-based protocol (`executor_protocol`,
+//! `executors`), the name service answers over DNS (`discovery`), and other controllers exchange datagrams (`peers`). A result is
+//! fetched completely before any of it is sent to the client, so that a query whose result is lost on the way can be retried
+//! (`result_pages`). The `dispatcher` passes events between these parts.
 //!
-//! Nothing here decides whether a query is admitted, where it is sent or whether it is retried: that comes as instructions of the
-//! [`wheelfield_driver::Driver`].
+//! This crate does not decide whether a query is admitted, which executor it is sent to or whether it is retried: it carries out
+//! the instructions of the [`wheelfield_driver::Driver`].
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/platform/src/list_freshness.rs
+++ b/crates/platform/src/list_freshness.rs
@@ -1,65 +1,68 @@
-//! How old the list of executors is: when the name service last confirmed it, when to ask again, and whether requests may go by it.
+//! The age of the list of executors: when the name service last confirmed it, when to query it again, and whether requests may be
+//! routed by it.
 //!
-//! An executor that drains must get nothing new about two and a half seconds after it began to, whether this process has heard of it
-//! or not. A list that is confirmed four times a second is far younger than that. It may be older without the name service being at
-//! fault when this process was suspended, took long to start, or could not send its queries: then nobody was asked. New requests wait
-//! in that case until the first answer to a query sent since, for a bounded time. While the name service itself is silent they go by
-//! the last list, since it may be away for long.
+//! A draining executor must not get new requests later than about 2.5 s after it began to drain, whether or not this process has
+//! learned of it. A list that is confirmed four times per second is normally much younger. It can become older without a fault of
+//! the name service if this process was suspended, took long to start, or could not send its queries, so that the list was not
+//! refreshed. In that case new requests are held, for a bounded time, until the first answer to a query sent afterwards. If the
+//! name service itself does not answer, requests are routed by the last list, as the outage may be long.
 
-/// Time between a query that was answered and the next one, in microseconds.
+/// Interval between an answered query and the next one, in microseconds.
 pub const POLL_INTERVAL_US: i64 = 250_000;
-/// Time until the first query without an answer is repeated, in microseconds, unless answers are known to take longer.
+/// Time after which an unanswered query is first repeated, in microseconds, unless answers are known to take longer.
 const FIRST_RETRY_US: i64 = 50_000;
-/// The longest such time: it doubles with each query that has no answer.
+/// Maximum time after which an unanswered query is repeated, in microseconds. The time doubles with each unanswered query.
 const MAX_RETRY_US: i64 = 125_000;
-/// Time until a query is repeated while requests wait for its answer, in microseconds: some answers may be lost, and others slow.
+/// Time after which a query is repeated while requests are held, in microseconds, as answers may be lost or slow.
 const RETRY_WHILE_HOLDING_US: i64 = 25_000;
-/// The process is active at least ten times a second; one that was not for so long was suspended or starved, in microseconds.
+/// Time without activity after which the process is considered to have been suspended or starved of CPU time, in microseconds. It
+/// is normally active at least ten times per second.
 const MAX_INACTIVITY_US: i64 = 300_000;
-/// For how long queries that can't be sent have new requests wait, in microseconds; after it they go by the last list.
+/// Maximum time for which failures to send queries cause new requests to be held, in microseconds. After that, requests are
+/// routed by the last list.
 const MAX_UNSENT_HOLD_US: i64 = 2_000_000;
-/// Queries that can't be sent this long after the last such one are another failure, in microseconds. It is far longer than requests
-/// wait, so that failures now and then do not have them wait again and again.
+/// Time without send failures after which the next one counts as a new incident, in microseconds. It is much longer than requests
+/// are held, so that occasional failures do not cause requests to be held repeatedly.
 const UNSENT_RECOVERY_US: i64 = 10_000_000;
-/// For how long new requests wait for a list that is confirmed, in microseconds: several queries may be lost in this time. Every
-/// client of the platform waits longer than that for an answer, or is answered when its own time is up.
+/// Maximum time for which new requests are held until the list is confirmed, in microseconds. Several queries may be lost in this
+/// time. Every client of the platform waits longer than this for a response, or is answered at its own deadline.
 const MAX_HOLD_US: i64 = 1_000_000;
 
-/// A span in which nobody could be asked, and which made the list too old.
+/// A period in which the name service could not be queried and the list became too old.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollingGap {
-    /// Age of the list at its end, in microseconds.
+    /// Age of the list at the end of the gap, in microseconds.
     pub list_age_us: i64,
-    /// From when on the name service can be asked again, in microseconds.
+    /// Time from which the name service can be queried again, in microseconds.
     ended_at: i64,
 }
 
 impl PollingGap {
-    /// Until when new requests wait at most, in microseconds.
+    /// Time until which new requests are held at most, in microseconds.
     pub fn hold_until(self) -> i64 {
         self.ended_at + MAX_HOLD_US
     }
 }
 
-/// What became of a gap.
+/// How the hold after a gap ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GapOutcome {
-    /// The list was confirmed or replaced.
+    /// The name service confirmed or replaced the list.
     Confirmed,
-    /// No answer came in time.
+    /// The name service did not answer in time.
     Unanswered,
 }
 
-/// What follows from the process having been inactive.
+/// The state of the list after a period of inactivity of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Inactivity {
-    /// The list is to be asked for at once, and is good meanwhile.
+    /// The list must be queried at once, and may be used meanwhile.
     ListUsable,
-    /// The list is to be asked for at once, and new requests wait.
+    /// The list must be queried at once, and new requests are held until it is confirmed.
     ListTooOld(PollingGap),
 }
 
-/// Queries that could not be sent, one soon after the other; times in microseconds.
+/// An incident of consecutive queries that could not be sent; times are in microseconds.
 #[derive(Clone, Copy, Debug)]
 struct UnsentQueries {
     first_at: i64,
@@ -67,7 +70,7 @@
 }
 
 impl UnsentQueries {
-    /// Adds a query to those before it, unless they are of long ago.
+    /// Adds a failed query to the previous incident, or starts a new one if that was too long ago.
     fn add(previous: Option<UnsentQueries>, now: i64) -> UnsentQueries {
         let recent = previous.filter(|unsent| now - unsent.last_at < UNSENT_RECOVERY_US);
         UnsentQueries {
@@ -77,27 +80,30 @@
     }
 }
 
-/// The state of the list; all times are in microseconds.
+/// The state of the list of executors and of the queries for it; all times are in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct ListFreshness {
-    /// When the last query was sent whose answer confirmed or replaced the list; at first, when the list was read.
+    /// When the last query was sent whose answer confirmed or replaced the list; initially, when the list was read.
     confirmed_at: i64,
+    /// When the process was last active.
     last_active_at: i64,
     last_query_at: i64,
-    /// Queries since the last answer.
+    /// Number of queries since the last answer.
     unanswered: u32,
-    /// How long the last answer took.
+    /// Time between the last answer and its query.
     round_trip_us: i64,
-    /// Queries that could not be sent, since the last answer.
+    /// The current incident of queries that could not be sent, if any occurred since the last answer.
     unsent: Option<UnsentQueries>,
+    /// The gap after which requests are being held, if any.
     gap: Option<PollingGap>,
-    /// Age up to which a list is good without being confirmed.
+    /// Maximum age at which the list may be used without being confirmed.
     max_list_age_us: i64,
 }
 
 impl ListFreshness {
-    /// A list that was read at a time, before the process began to serve. Requests may go to an executor for the grace after its drain
-    /// was told, and a list may lag behind by all that the name service has to tell it: so it is good for the grace.
+    /// Creates the state for a list that was read at `read_at`, before the process began to serve. Requests may still be sent to
+    /// an executor for `drain_grace_us` after the name service announced its drain, so a list need not reflect a change within that
+    /// time. It may therefore be used for the grace period without being confirmed.
     pub fn new(read_at: i64, drain_grace_us: i64) -> ListFreshness {
         ListFreshness {
             confirmed_at: read_at,
@@ -111,7 +117,7 @@
         }
     }
 
-    /// Notes that the process is active; what follows, if it was not for long.
+    /// Records that the process is active. If it was inactive before for too long, returns the state of the list.
     pub fn record_activity(&mut self, now: i64) -> Option<Inactivity> {
         let inactive_since = self.last_active_at;
         self.last_active_at = inactive_since.max(now);
@@ -127,14 +133,15 @@
         })
     }
 
-    /// Whether inactivity can be why the list is too old. Where it was too old before, and the inactivity is shorter than a list is
-    /// good, the name service is silent: a process that is short of processor time must not wait for it again and again.
+    /// Whether the inactivity can be the reason why the list is too old. If the list was too old already, and the inactivity was
+    /// shorter than the maximum age of a list, the reason is that the name service does not answer. A process that is short of CPU
+    /// time must not hold requests for it repeatedly.
     fn explains_list_age(&self, inactive_since: i64, now: i64) -> bool {
         let was_good = inactive_since - self.confirmed_at <= self.max_list_age_us;
         was_good || now - inactive_since > self.max_list_age_us
     }
 
-    /// A gap that ends now, if the list is too old.
+    /// If the list is too old, records a gap that ends now and returns it.
     fn record_gap_if_list_too_old(&mut self, now: i64) -> Option<PollingGap> {
         let list_age_us = now - self.confirmed_at;
         if list_age_us <= self.max_list_age_us {
@@ -148,7 +155,8 @@
         Some(gap)
     }
 
-    /// Notes that a query could not be sent. Returns the gap that has begun by it; one that is there lasts longer by it.
+    /// Records that a query could not be sent. Returns the gap if this starts one. If there is a gap already, its end is moved to
+    /// now.
     pub fn record_unsent_query(&mut self, now: i64) -> Option<PollingGap> {
         let unsent = UnsentQueries::add(self.unsent, now);
         self.unsent = Some(unsent);
@@ -159,13 +167,14 @@
         self.record_gap_if_list_too_old(now).filter(|_| !has_gap)
     }
 
-    /// Notes that a query is sent.
+    /// Records that a query was sent.
     pub fn record_query(&mut self, now: i64) {
         self.last_query_at = now;
         self.unanswered = self.unanswered.saturating_add(1);
     }
 
-    /// Notes an answer that confirms or replaces the list, to a query sent at a time; what became of the gap, if it ends one.
+    /// Records an answer that confirms or replaces the list, to the query sent at `query_sent_at`. Returns the outcome of the gap
+    /// if the answer ends one.
     pub fn record_answer(&mut self, now: i64, query_sent_at: i64) -> Option<GapOutcome> {
         self.unanswered = 0;
         self.unsent = None;
@@ -175,18 +184,18 @@
         Some(GapOutcome::Confirmed)
     }
 
-    /// Ends the gap if its time is up.
+    /// Ends the gap if requests were held for the maximum time.
     pub fn end_expired_gap(&mut self, now: i64) -> Option<GapOutcome> {
         self.gap.take_if(|gap| now >= gap.hold_until())?;
         Some(GapOutcome::Unanswered)
     }
 
-    /// Until when new requests wait at most; `None` if they may go by the list.
+    /// Time until which new requests are held at most; `None` if they may be routed by the list.
     pub fn hold_until(&self) -> Option<i64> {
         self.gap.map(PollingGap::hold_until)
     }
 
-    /// When the next query is due.
+    /// Time at which the next query is due.
     pub fn next_query_at(&self) -> i64 {
         let delay_us = match self.unanswered.checked_sub(1) {
             _ if self.gap.is_some() => RETRY_WHILE_HOLDING_US,
@@ -196,7 +205,8 @@
         self.last_query_at + delay_us
     }
 
-    /// Twice the time of an answer, so that a service that is slow or crowded is not asked more often than usual.
+    /// The delay before the next repetition of an unanswered query. It is at least twice the last round-trip time (up to the usual
+    /// interval), so that a slow or overloaded name service is not queried more often than usual.
     fn retry_delay_us(&self, retries: u32) -> i64 {
         let doublings = retries.min(i64::BITS / 4);
         let delay_us = (FIRST_RETRY_US << doublings).min(MAX_RETRY_US);
--- a/crates/platform/src/planted.rs
+++ b/crates/platform/src/planted.rs
@@ -1,27 +1,28 @@
-//! Faults that are planted for the soak to find, in builds that have them; never in a build that serves.
+//! Fault injection: deliberate faults that the soak test must detect. They exist only in builds with the feature `planted`, never
+//! in production builds.
 
-/// A planted fault.
+/// An injected fault. Its name on the command line is that of the variant in kebab case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// Clients that leave are not noticed, and the guards hold nothing back.
+    /// Disconnects of clients are ignored, and the invariant checks block nothing.
     IgnoreDisconnects,
-    /// An attempt whose connection was reset counts as never sent, and the guards hold nothing back.
+    /// An attempt whose connection was reset counts as never sent, and the invariant checks block nothing.
     RepeatAfterReset,
-    /// As idle clients are closed at the shutdown, the others are too.
+    /// When idle client connections are closed during the shutdown, the busy ones are closed as well.
     CloseBusyClients,
     /// Answers of the name service are ignored.
     IgnoreLists,
-    /// A request counts as having arrived when it is read.
+    /// Requests count as having arrived when they are read, however long they waited in the socket.
     IgnoreWaiting,
-    /// No executor is in slow start.
+    /// The start times of executors are ignored, so that none is in slow start.
     IgnoreStarts,
-    /// Answers of a former name service are ignored.
+    /// Answers of a previously configured name service are ignored.
     IgnoreFormerService,
-    /// The process goes on by its list, however long it was inactive.
+    /// The list of executors is used without being refreshed first, however long the process was inactive.
     IgnoreInactivity,
-    /// Queries for the list that have no answer are repeated no sooner than others.
+    /// Unanswered queries for the list are repeated only at the usual interval.
     PollAtFixedRate,
-    /// The process panics when its configuration is read again.
+    /// The process panics when its configuration is reloaded.
     PanicOnReload,
 }
 
@@ -42,20 +43,23 @@
     /// Parses the name of a fault.
     ///
     /// # Errors
-    /// If this build has no planted faults, or none of this name.
+    /// If this build does not support fault injection, or there is no fault of this name.
     pub fn parse(name: &str) -> Result<InjectedFault, String> {
         if !cfg!(feature = "planted") {
-            return Err("this build has no planted faults".to_string());
+            return Err(
+                "this build does not support fault injection; build with the feature `planted`"
+                    .to_string(),
+            );
         }
         let known = InjectedFault::NAMES
             .iter()
             .find(|(known, _)| *known == name);
         known
             .map(|(_, fault)| *fault)
-            .ok_or_else(|| format!("no planted fault {name}"))
+            .ok_or_else(|| format!("unknown fault {name}"))
     }
 
-    /// Whether the guards only count.
+    /// Whether the invariant checks only count violations and do not block attempts.
     pub fn disables_invariant_checks(self) -> bool {
         matches!(
             self,
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -1,26 +1,26 @@
-//! The phases of a graceful shutdown. Clients that do not know of it yet are served as before during a grace period.
+//! The phases of a graceful shutdown. During a grace period, clients that are not aware of the shutdown yet are served as before.
 
-/// Time after the request to shut down during which clients may connect (0.4 s) and send requests (0.2 s more), and a request
-/// that crosses the close of its connection may arrive (0.1 s more), in microseconds.
+/// Length of the grace period after the shutdown request, in microseconds: clients may still connect for 0.4 s and send requests
+/// for another 0.2 s, and a request in transit while its connection is closed may arrive up to 0.1 s later.
 const GRACE_PERIOD_US: i64 = 700_000;
-/// Time after the close of idle connections, at the end of the grace period, during which connections are accepted, in microseconds:
-/// a request that crosses the close of its connection is repeated on a new one.
+/// Time after idle connections are closed, at the end of the grace period, during which connections are still accepted, in
+/// microseconds: a client whose request was in transit while its connection was closed repeats it on a new connection.
 pub const RECONNECT_PERIOD_US: i64 = 100_000;
-/// Maximum time that the process may run on after the grace period, in microseconds. Where the longest deadline of all classes
-/// is shorter, that is the maximum. After it the process is killed.
+/// Maximum time for which the process may run after the grace period, in microseconds. If the longest deadline of all classes is
+/// shorter, that deadline applies instead. The process is killed afterwards.
 const MAX_DEADLINE_US: i64 = 3_000_000;
-/// Time before the process may be killed at which all queries are answered, in microseconds: the request to shut down was
-/// received some time after it was sent, and responses have to cross a network.
+/// Time before the process may be killed by which all queries must be answered, in microseconds. It allows for the delay between
+/// sending and receiving the shutdown request, and for the network latency of responses.
 const RESPONSE_MARGIN_US: i64 = 100_000;
-/// Maximum time that writing responses may take after the request to shut down, in microseconds, where nothing kills the process.
+/// Maximum time after the shutdown request for writing responses, in microseconds, if the process is not killed before.
 const MAX_FLUSH_TIME_US: i64 = 60_000_000;
 
 /// The state of the shutdown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Shutdown {
-    /// Time of the request to shut down, in microseconds.
+    /// Time at which the shutdown request was received, in microseconds; `None` if there was none.
     requested_at: Option<i64>,
-    /// The earliest time at which that was sent, in microseconds.
+    /// The earliest time at which the shutdown request can have been sent, in microseconds.
     earliest_signal_at: i64,
     /// The longest deadline of all classes, in microseconds.
     longest_deadline_us: i64,
@@ -29,14 +29,14 @@
 /// Times of the phases of a shutdown, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownSchedule {
-    /// When idle clients are closed.
+    /// Time at which the connections of idle clients are closed.
     pub close_idle_at: i64,
-    /// When all queries in flight are answered.
+    /// Time by which all queries in flight must be answered.
     pub respond_by: i64,
 }
 
 impl Shutdown {
-    /// A shutdown that has not been requested. No class has a longer deadline than this, in microseconds.
+    /// Creates the state before a shutdown request. `longest_deadline_us` is the longest deadline of all classes, in microseconds.
     pub fn new(longest_deadline_us: i64) -> Shutdown {
         Shutdown {
             requested_at: None,
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Requests the shutdown, now; the request may have been sent as early as `earliest_signal_at`, from which on the time counts until the
-    /// process is killed. `None` if it was requested before.
+    /// Begins the shutdown at `now`; returns `None` if it has begun already. The request may have been sent as early as
+    /// `earliest_signal_at`, and the time until the process is killed runs from then.
     pub fn begin(&mut self, now: i64, earliest_signal_at: i64) -> Option<ShutdownSchedule> {
         if self.has_begun() {
             return None;
@@ -59,7 +59,7 @@
         })
     }
 
-    /// When all queries must be answered; `None` before the shutdown was requested.
+    /// Time by which all queries must be answered; `None` before the shutdown was requested.
     pub fn response_deadline(&self) -> Option<i64> {
         let deadline = self.longest_deadline_us.clamp(0, MAX_DEADLINE_US);
         self.requested_at?;
@@ -71,13 +71,14 @@
         self.requested_at.is_some()
     }
 
-    /// Whether no client is expected to connect any more.
+    /// Whether the grace period is over, after which no client is expected to connect.
     pub fn is_grace_period_over(&self, now: i64) -> bool {
         self.requested_at
             .is_some_and(|requested_at| now - requested_at >= GRACE_PERIOD_US)
     }
 
-    /// Whether the process may end, where responses may be outstanding.
+    /// Whether the process may stop: the grace period is over, and no request or response is outstanding or the time for writing
+    /// responses has passed.
     pub fn is_complete(&self, now: i64, has_outstanding: bool) -> bool {
         let is_flush_overdue = self
             .requested_at
--- a/crates/platform/src/timer_event.rs
+++ b/crates/platform/src/timer_event.rs
@@ -1,27 +1,27 @@
-//! The purposes of timers.
+//! The events that timers trigger.
 
 use wheelfield_driver::AttemptId;
 use wheelfield_sans_io::ConnId;
 
-/// What a timer is for.
+/// The action to take when a timer expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimerEvent {
-    /// The list of executors is requested from the name service.
+    /// Query the name service for the list of executors.
     QueryDiscovery,
-    /// Requests have waited long enough for a list that is confirmed.
+    /// Stop holding requests: the maximum wait for a confirmed list of executors has passed.
     EndHold,
-    /// The time of a request that waits for one is up.
+    /// Submit held requests whose deadline has passed.
     ExpireHeld,
-    /// The timeouts of all connections are checked.
+    /// Check the timeouts of all connections.
     CheckConnections,
-    /// The connect timeout of a connection to an executor.
+    /// A connection to an executor was not established in time.
     ConnectTimeout(ConnId),
-    /// An attempt was delayed until its executor knows of the end of a connection.
+    /// Release an attempt that was delayed until its executor has noticed the end of a connection.
     ReleaseDelayed(AttemptId),
-    /// The grace period of the shutdown is over: idle clients are closed.
+    /// Close the connections of idle clients: the grace period of the shutdown is over.
     CloseIdleClients,
-    /// Clients whose request crossed that close have reconnected: listening ends.
+    /// Stop listening: clients whose request was in transit while their connection was closed have had time to reconnect.
     StopListening,
-    /// The process may be killed soon: all queries in flight are answered now.
+    /// Answer all queries in flight, as the process may be killed soon.
     ShutdownDeadline,
 }
--- a/crates/platform/src/written_work.rs
+++ b/crates/platform/src/written_work.rs
@@ -1,34 +1,36 @@
-//! What was written to executors in slow start, by the time at which it was written.
+//! Tracks the work of the requests written to executors in slow start.
 //!
-//! The policy counts an attempt when it decides it; an attempt that waits for its connect reaches the executor later, maybe together
-//! with what the policy allowed meanwhile. So the budget is asked for again as the request is about to be written, against what was
-//! written within the window.
+//! The policy charges an attempt to the slow-start budget when it admits it. An attempt that waits for a connection reaches the
+//! executor later, possibly together with attempts that were admitted meanwhile. The budget is therefore checked again immediately
+//! before a request is written, against the work written within the window.
 
 use std::collections::{BTreeMap, VecDeque};
 use wheelfield::interface::{EngineId, SlowStartShare};
 
-/// Sums of work may differ by this fraction through rounding.
+/// Relative tolerance for rounding errors in sums of work.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
-/// Writes to one executor that are remembered at most; beyond this nothing fits.
+/// Maximum number of requests to one executor that are tracked; once it is reached, no further request fits.
 const MAX_TRACKED_REQUESTS: usize = 8_192;
 
-/// A request that was written.
+/// A written request.
 #[derive(Clone, Copy, Debug)]
 struct WrittenRequest {
+    /// Time at which it was written, in microseconds.
     written_at: i64,
+    /// Work charged to the budget.
     work: f64,
 }
 
-/// The requests to executors in slow start within the window.
+/// The requests written to executors in slow start within the window.
 #[derive(Debug)]
 pub struct WrittenWork {
-    /// Time over which work counts, in microseconds.
+    /// Length of the window over which work is summed, in microseconds.
     window_us: i64,
     requests_by_engine: BTreeMap<EngineId, VecDeque<WrittenRequest>>,
 }
 
 impl WrittenWork {
-    /// Nothing was written yet; work counts over a window of so many microseconds.
+    /// Creates an empty record with a window of `window_us` microseconds.
     pub fn new(window_us: i64) -> WrittenWork {
         WrittenWork {
             window_us,
@@ -36,7 +38,7 @@
         }
     }
 
-    /// Whether a request fits into the budget beside what was written within the window.
+    /// Whether a request fits into the budget together with the work written within the window.
     pub fn fits(&mut self, engine: EngineId, share: SlowStartShare, now: i64) -> bool {
         self.remove_expired(now);
         let requests = self.requests_by_engine.get(&engine);
@@ -49,7 +51,7 @@
         !is_full && written + share.work <= share.budget * (1.0 + ROUNDING_TOLERANCE)
     }
 
-    /// Records that a request was written.
+    /// Records a request as written.
     pub fn record(&mut self, engine: EngineId, share: SlowStartShare, now: i64) {
         let request = WrittenRequest {
             written_at: now,
@@ -61,6 +63,7 @@
             .push_back(request);
     }
 
+    /// Removes requests that are older than the window.
     fn remove_expired(&mut self, now: i64) {
         let window_start = now - self.window_us;
         self.requests_by_engine.retain(|_, requests| {
