--- a/crates/platform/src/dispatcher/attempts.rs
+++ b/crates/platform/src/dispatcher/attempts.rs
@@ -110,8 +110,8 @@
         let may_write = may_write && self.reserve_slow_start_share(connection, attempt.id);
         let now = self.out.now;
         // The client's deadline may pass before the driver's own timer fires.
-        let is_due = |query: &&InFlightQuery| may_write && now < query.client_deadline_at;
-        let Some(in_flight) = self.in_flight.get(attempt.id.query).filter(is_due) else {
+        let is_writable = |query: &&InFlightQuery| may_write && now < query.client_deadline_at;
+        let Some(in_flight) = self.in_flight.get(attempt.id.query).filter(is_writable) else {
             debug!(id = %attempt.request, attempt = %attempt.id, "attempt not written");
             self.end_attempt(attempt.id, Outcome::NeverSent);
             return;
--- a/crates/platform/src/dispatcher/topology.rs
+++ b/crates/platform/src/dispatcher/topology.rs
@@ -109,9 +109,10 @@
         let is_first_list = self.executors.executor_count() == 0;
         let was_up = self.executors.listed_state(entry.engine) == ListedState::Up;
         let cores = self.cores_by_kind.get(entry.kind).copied().unwrap_or(1.0);
-        let stated = entry.started_at.map(|at| at.0.min(now));
-        let observed = (!is_first_list && !was_up && entry.status == Status::Up).then_some(now);
-        if let Some(started_at) = stated.or(observed) {
+        let listed_start = entry.started_at.map(|at| at.0.min(now));
+        let observed_start =
+            (!is_first_list && !was_up && entry.status == Status::Up).then_some(now);
+        if let Some(started_at) = listed_start.or(observed_start) {
             self.slow_start_guard
                 .record_start(entry.engine, started_at, cores, now);
         }
--- a/crates/platform/src/invariants/tests.rs
+++ b/crates/platform/src/invariants/tests.rs
@@ -7,32 +7,32 @@
 
 #[test]
 fn an_attempt_needs_a_waiting_client_an_executor_that_is_up_and_enough_time() {
-    let good = SendContext {
+    let valid = SendContext {
         client_is_waiting: true,
         executor: ListedState::Up,
         time_limit_us: SECOND,
         client_time_left_us: SECOND,
     };
-    assert_eq!(check_sending(&good), Ok(()));
-    let late = SendContext {
+    assert_eq!(check_sending(&valid), Ok(()));
+    let not_waiting = SendContext {
         client_is_waiting: false,
-        ..good
+        ..valid
     };
     assert_eq!(
-        check_sending(&late),
+        check_sending(&not_waiting),
         Err(SendingViolation::ClientNotWaiting)
     );
     for executor in [ListedState::Draining, ListedState::Missing] {
-        let unavailable = SendContext { executor, ..good };
+        let unavailable = SendContext { executor, ..valid };
         let violation = SendingViolation::ExecutorUnavailable(executor);
         assert_eq!(check_sending(&unavailable), Err(violation));
     }
-    let long = SendContext {
+    let too_long = SendContext {
         time_limit_us: SECOND + 10_000,
-        ..good
+        ..valid
     };
     assert!(matches!(
-        check_sending(&long),
+        check_sending(&too_long),
         Err(SendingViolation::TimeLimitTooLong { .. })
     ));
 }
@@ -89,11 +89,11 @@
             let is_stall = reason == CloseReason::WriteStalled && context.unwritten_bytes > 0;
             let is_allowed = reason == CloseReason::ClientLeft || is_stall;
             assert_eq!(check_closing(&context).is_ok(), is_allowed, "{context:?}");
-            let left = CloseContext {
+            let disconnected = CloseContext {
                 has_disconnected: true,
                 ..context
             };
-            assert_eq!(check_closing(&left), Ok(()));
+            assert_eq!(check_closing(&disconnected), Ok(()));
         }
     }
 }
