--- a/crates/platform/src/dispatcher/attempts.rs
+++ b/crates/platform/src/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: instructions of the driver are carried out, and what becomes of attempts is passed to the driver.
+//! Carries out the driver's instructions for attempts, and reports their progress and outcome to the driver.
 
 use super::Dispatcher;
 use crate::executor_protocol::{Request, RequestId};
@@ -6,9 +6,9 @@
 use crate::http_server::Reply;
 use crate::in_flight::{AttemptHistory, InFlightQuery};
 use crate::invariants::{
-    check_dispatch, check_repeating, check_sending, RepeatFacts, SendFacts, Violation,
+    check_dispatch, check_repeating, check_sending, RepeatContext, SendContext, Violation,
 };
-use crate::planted::PlantedFault;
+use crate::planted::InjectedFault;
 use crate::result_pages;
 use tracing::{debug, info};
 use wheelfield::interface::{EngineId, LoadReport, Micros, Outcome, QueryId, SlowStartShare};
@@ -29,7 +29,7 @@
             }
             Instruction::Cancel(attempt) => {
                 self.executors.cancel(attempt, &mut self.out);
-                // The attempt ends with its cancellation, which executors do not confirm.
+                // Executors do not confirm cancellations, so the attempt ends here.
                 self.end_attempt(attempt, Outcome::Cancelled);
             }
             Instruction::Answer(query, answer) => self.answer_query(query, &answer),
@@ -40,7 +40,7 @@
                     info!("{line}");
                 }
             }
-            // The protocol has no probes, and the list of executors is polled rather than subscribed to.
+            // The protocol has no probes, and the list of executors is polled instead of subscribed to.
             Instruction::Probe(_) | Instruction::Subscribe => {}
         }
     }
@@ -57,7 +57,7 @@
         self.executors.launch(engine, pending, &mut self.out);
     }
 
-    /// Answers a query that was not served.
+    /// Sends the response to a query that was rejected or failed.
     fn answer_query(&mut self, query: QueryId, answer: &Answer) {
         let Some(in_flight) = self.in_flight.remove(query) else {
             return;
@@ -79,9 +79,9 @@
         self.respond(in_flight.client, &reply);
     }
 
-    /// Reports the end of an attempt that has no response, unless the driver knows of it.
+    /// Reports to the driver that an attempt ended without a response, unless the driver already considers it ended.
     fn end_attempt(&mut self, attempt: AttemptId, outcome: Outcome) {
-        self.in_flight.mark_returned(attempt.query, outcome);
+        self.in_flight.mark_attempt_ended(attempt.query, outcome);
         if self.driver.decision_engine().is_in_flight(attempt) {
             let report = LoadReport::default();
             let input = Input::AttemptEnded {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Writes the requests of the attempts queued on a connection that is up.
+    /// Writes the requests of the attempts queued on an established connection.
     pub(super) fn write_requests(&mut self, connection: ConnId) {
         while let Some(attempt) = self.executors.take_queued(connection) {
             self.write_request(connection, attempt);
@@ -107,11 +107,11 @@
             .driver()
             .and_then(|driver| driver.timeout_at(attempt.id));
         let may_write = decision_engine.may_write(Micros(self.out.now), attempt.id);
-        let may_write = may_write && self.take_slow_start_share(connection, attempt.id);
+        let may_write = may_write && self.reserve_slow_start_share(connection, attempt.id);
         let now = self.out.now;
-        // Its client's time may be up before the driver has noticed.
-        let is_due = |query: &&InFlightQuery| may_write && now < query.client_deadline_at;
-        let Some(in_flight) = self.in_flight.get(attempt.id.query).filter(is_due) else {
+        // The client's deadline may pass before the driver's own timer fires.
+        let is_writable = |query: &&InFlightQuery| may_write && now < query.client_deadline_at;
+        let Some(in_flight) = self.in_flight.get(attempt.id.query).filter(is_writable) else {
             debug!(id = %attempt.request, attempt = %attempt.id, "attempt not written");
             self.end_attempt(attempt.id, Outcome::NeverSent);
             return;
@@ -124,14 +124,17 @@
         let limit_ms = deadline
             .map_or(1, |at| (at.0 - self.out.now + 999) / 1000)
             .max(1);
-        if let Err(violation) = self.check_guards(connection, in_flight, limit_ms) {
+        if let Err(violation) = self.check_invariants(connection, in_flight, limit_ms) {
             self.violations.record(attempt.request, violation);
-            if !self.planted.is_some_and(PlantedFault::passes_guards) {
+            if !self
+                .injected_fault
+                .is_some_and(InjectedFault::disables_invariant_checks)
+            {
                 self.end_attempt(attempt.id, Outcome::NeverSent);
                 return;
             }
         }
-        let nonce = in_flight.nonce.as_deref();
+        let nonce = in_flight.idempotency_key.as_deref();
         let request = Request {
             class,
             limit_ms,
@@ -142,23 +145,23 @@
             .write_request(connection, attempt, &request, &mut self.out);
     }
 
-    /// The guards of sending and repeating, with what is known as the request is about to be written.
-    fn check_guards(
+    /// Checks the sending and repeating invariants immediately before a request is written.
+    fn check_invariants(
         &self,
         connection: ConnId,
         query: &InFlightQuery,
         limit_ms: i64,
     ) -> Result<(), Violation> {
         let now = self.out.now;
-        check_sending(&SendFacts {
-            client_waits: self.clients.awaits_response(query.client),
+        check_sending(&SendContext {
+            client_is_waiting: self.clients.awaits_response(query.client),
             executor: self.executors.listed_state_at(connection),
-            limit_us: limit_ms * 1_000,
+            time_limit_us: limit_ms * 1_000,
             client_time_left_us: query.client_deadline_at - now,
         })?;
-        if let Some(rules) = self.classes.get(query.class) {
+        if let Some(rules) = self.class_rules.get(query.class) {
             let since = query.history.may_have_run_since;
-            check_repeating(&RepeatFacts {
+            check_repeating(&RepeatContext {
                 semantics: rules.semantics,
                 deduplication_window_us: rules.deduplication_window_us,
                 may_have_run_for_us: since.map(|since| now - since),
@@ -172,9 +175,9 @@
         driver.slow_start_share(Micros(self.out.now), attempt)
     }
 
-    /// Whether an attempt that may have waited for its connect still fits the slow-start budget of its executor; it counts there
-    /// from now on.
-    fn take_slow_start_share(&mut self, connection: ConnId, attempt: AttemptId) -> bool {
+    /// Whether an attempt still fits into the slow-start budget of its executor; if so, its work is charged to the budget. The
+    /// attempt may have waited for a connection since the policy admitted it.
+    fn reserve_slow_start_share(&mut self, connection: ConnId, attempt: AttemptId) -> bool {
         let share = self.slow_start_share(attempt);
         let Some((engine, share)) = self.executors.engine_at(connection).zip(share) else {
             return true;
@@ -186,17 +189,17 @@
         fits
     }
 
-    /// Asks the guard of starting about an attempt whose first byte was written.
-    fn guard_start(&mut self, attempt: AttemptId, id: RequestId) {
+    /// Checks the slow-start invariant for an attempt whose first byte was written.
+    fn check_slow_start(&mut self, attempt: AttemptId, id: RequestId) {
         let Some(engine) = self.executors.engine_of(attempt) else {
             return;
         };
-        if let Err(violation) = self.start_guard.record_send(engine, self.out.now) {
+        if let Err(violation) = self.slow_start_guard.record_send(engine, self.out.now) {
             self.violations.record(id, violation.into());
         }
     }
 
-    /// Passes what has become of an attempt to the driver.
+    /// Passes the progress or end of an attempt to the driver.
     pub(super) fn handle_attempt_event(&mut self, event: AttemptEvent) {
         match event {
             AttemptEvent::Dispatched {
@@ -209,7 +212,7 @@
                 if let Err(violation) = check_dispatch(executor) {
                     self.violations.record(request, violation.into());
                 }
-                self.guard_start(attempt, request);
+                self.check_slow_start(attempt, request);
                 self.abandonments
                     .record_dispatch(attempt.query, self.out.now);
                 self.driver
@@ -223,7 +226,7 @@
         }
     }
 
-    /// Passes the end of an attempt to the driver, and its result to the client.
+    /// Passes the end of an attempt to the driver, and the result of a served query to its client.
     fn handle_ended_attempt(&mut self, ended: EndedAttempt) {
         let EndedAttempt {
             attempt,
@@ -232,7 +235,7 @@
             report,
             pages,
         } = ended;
-        self.in_flight.mark_returned(attempt.query, outcome);
+        self.in_flight.mark_attempt_ended(attempt.query, outcome);
         let is_answer =
             outcome == Outcome::Served && self.driver.decision_engine().may_answer(attempt);
         let answered = if is_answer {
@@ -241,7 +244,7 @@
             None
         };
         let is_repeated =
-            outcome == Outcome::Reset && self.has_planted(PlantedFault::RepeatAfterReset);
+            outcome == Outcome::Reset && self.has_injected(InjectedFault::RepeatAfterReset);
         let outcome = if is_repeated {
             Outcome::NeverSent
         } else {
--- a/crates/platform/src/dispatcher/topology.rs
+++ b/crates/platform/src/dispatcher/topology.rs
@@ -1,4 +1,4 @@
-//! The list of executors from the name service, and load reports of other controllers.
+//! Handling of the list of executors from the name service, and of load reports from other controllers.
 
 use super::Dispatcher;
 use crate::bootstrap::ExecutorEndpoint;
@@ -6,7 +6,7 @@
 use crate::executors::{ListChange, ListedExecutor};
 use crate::invariants::ListedState;
 use crate::list_freshness;
-use crate::planted::PlantedFault;
+use crate::planted::InjectedFault;
 use crate::timer_event::TimerEvent;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,36 +15,37 @@
 use wheelfield_driver::Input;
 use wheelfield_sans_io::{DatagramSocket, Effect};
 
-/// A list that nothing confirms for longer than this has the next confirmation logged, in microseconds: four queries in a row had no
-/// answer.
+/// A confirmation is logged if the list was unconfirmed for at least this long, in microseconds: four queries in a row were not
+/// answered.
 const LATE_CONFIRMATION_US: i64 = 4 * list_freshness::POLL_INTERVAL_US;
 
-/// When the list before the current one was last confirmed, and how many queries were sent since.
+/// When the list was last confirmed before the current answer, and how many queries were sent since.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct FormerConfirmation {
-    /// In microseconds.
+pub(super) struct PreviousConfirmation {
+    /// Time of the last confirmation, in microseconds.
     confirmed_at: i64,
+    /// Number of queries sent since then.
     queries: u64,
 }
 
 impl Dispatcher {
-    /// Replaces the list of executors; `former` tells of the one before it, if there was one.
+    /// Replaces the list of executors. `previous` is the last confirmation of the list that it replaces, if there was one.
     pub(super) fn replace_executors(
         &mut self,
         executors: &[ExecutorEndpoint],
-        former: Option<FormerConfirmation>,
+        previous: Option<PreviousConfirmation>,
     ) {
-        let confirmed_at = former.map(|former| former.confirmed_at);
-        let former_names = std::mem::take(&mut self.names.engines);
+        let confirmed_at = previous.map(|previous| previous.confirmed_at);
+        let previous_names = std::mem::take(&mut self.names.engines);
         let started_at = self
             .start_times
-            .take_list(executors, confirmed_at, self.out.now);
-        let ignores_starts = self.has_planted(PlantedFault::IgnoreStarts);
+            .update(executors, confirmed_at, self.out.now);
+        let ignores_starts = self.has_injected(InjectedFault::IgnoreStarts);
         let entries: Vec<EngineEntry> = executors
             .iter()
             .zip(started_at)
             .map(|(executor, started_at)| {
-                // A start long ago is one whose slow start is over.
+                // With this fault, every start is so long ago that slow start is over.
                 let started_at = started_at.map(|at| if ignores_starts { Micros(1) } else { at });
                 executor.to_entry(&mut self.names, started_at)
             })
@@ -62,7 +63,7 @@
             })
             .collect();
         let change = self.executors.replace_list(listed, &mut self.out);
-        self.log_list_change(entries.len(), &change, &former_names, former);
+        self.log_list_change(entries.len(), &change, &previous_names, previous);
         self.driver.handle_input(
             self.out.now,
             Input::Engines {
@@ -72,18 +73,18 @@
         );
     }
 
-    /// Logs how the list has changed: in short, as operators may keep but a part of each log.
+    /// Logs how the list has changed, in one short line, since operators may keep only part of the log.
     fn log_list_change(
         &self,
         listed: usize,
         change: &ListChange,
-        former_names: &BTreeMap<EngineId, String>,
-        former: Option<FormerConfirmation>,
+        previous_names: &BTreeMap<EngineId, String>,
+        previous: Option<PreviousConfirmation>,
     ) {
         let names = |engines: &[EngineId]| -> Vec<&String> {
             let name = |engine: &EngineId| {
                 let current = self.names.engines.get(engine);
-                current.or(former_names.get(engine))
+                current.or(previous_names.get(engine))
             };
             engines.iter().filter_map(name).collect()
         };
@@ -96,39 +97,40 @@
             moved = change.moved,
             draining = ?names(&change.draining),
             gone = ?names(&change.removed),
-            unconfirmed_ms = former.map(|former| (self.out.now - former.confirmed_at) / 1_000),
-            queries = former.map(|former| former.queries),
+            unconfirmed_ms = previous.map(|previous| (self.out.now - previous.confirmed_at) / 1_000),
+            queries = previous.map(|previous| previous.queries),
             "executor list replaced"
         );
     }
 
-    /// Tells the guard of starting of an executor that is new, is back, or states a start.
+    /// Informs the slow-start guard of an executor that is new, is back in service, or has a listed start time.
     fn record_start(&mut self, entry: &EngineEntry) {
         let now = self.out.now;
         let is_first_list = self.executors.executor_count() == 0;
         let was_up = self.executors.listed_state(entry.engine) == ListedState::Up;
-        let cores = self.cores.get(entry.kind).copied().unwrap_or(1.0);
-        let stated = entry.started_at.map(|at| at.0.min(now));
-        let observed = (!is_first_list && !was_up && entry.status == Status::Up).then_some(now);
-        if let Some(started_at) = stated.or(observed) {
-            self.start_guard
+        let cores = self.cores_by_kind.get(entry.kind).copied().unwrap_or(1.0);
+        let listed_start = entry.started_at.map(|at| at.0.min(now));
+        let observed_start =
+            (!is_first_list && !was_up && entry.status == Status::Up).then_some(now);
+        if let Some(started_at) = listed_start.or(observed_start) {
+            self.slow_start_guard
                 .record_start(entry.engine, started_at, cores, now);
         }
     }
 
-    /// Sends a query for the list of executors, and sets the time of the next.
+    /// Sends a query for the list of executors, and schedules the next one.
     pub(super) fn query_discovery(&mut self) {
         let query = self.discovery.query(self.out.now, self.rng.u16(..));
         if let Some((resolver, query)) = query {
             self.out
                 .push(Effect::Send(DatagramSocket::Discovery, resolver, query));
         }
-        self.list_freshness.note_query(self.out.now);
+        self.list_freshness.record_query(self.out.now);
         self.schedule_discovery();
     }
 
     fn schedule_discovery(&mut self) {
-        let at = match self.has_planted(PlantedFault::PollAtFixedRate) {
+        let at = match self.has_injected(InjectedFault::PollAtFixedRate) {
             true => self.out.now + list_freshness::POLL_INTERVAL_US,
             false => self.list_freshness.next_query_at(),
         };
@@ -136,15 +138,15 @@
         self.discovery_timer = Some(self.out.set_timer_at(at, TimerEvent::QueryDiscovery));
     }
 
-    /// Handles a datagram of the name service.
+    /// Handles a datagram from the name service.
     pub fn handle_discovery_answer(&mut self, from: SocketAddr, datagram: &[u8]) {
-        let is_former = from != self.discovery.resolver();
-        if self.has_planted(PlantedFault::IgnoreLists)
-            || (is_former && self.has_planted(PlantedFault::IgnoreFormerService))
+        let is_previous_service = from != self.discovery.resolver();
+        if self.has_injected(InjectedFault::IgnoreLists)
+            || (is_previous_service && self.has_injected(InjectedFault::IgnoreFormerService))
         {
             return;
         }
-        let former = FormerConfirmation {
+        let previous = PreviousConfirmation {
             confirmed_at: self.discovery.confirmed_at(),
             queries: self.discovery.queries_since_confirmed(),
         };
@@ -152,13 +154,13 @@
             Ok(answer) => {
                 match answer.update {
                     DiscoveryUpdate::Replaced(executors) => {
-                        self.replace_executors(&executors, Some(former));
+                        self.replace_executors(&executors, Some(previous));
                     }
-                    DiscoveryUpdate::Confirmed => self.log_late_confirmation(former),
+                    DiscoveryUpdate::Confirmed => self.log_late_confirmation(previous),
                 }
                 let end = self
                     .list_freshness
-                    .note_answer(self.out.now, answer.asked_at);
+                    .record_answer(self.out.now, answer.asked_at);
                 self.end_hold(end);
                 self.schedule_discovery();
             }
@@ -171,28 +173,28 @@
         }
     }
 
-    /// Logs that the list is confirmed, where nothing did so for long.
-    fn log_late_confirmation(&self, former: FormerConfirmation) {
-        let unconfirmed_us = self.out.now - former.confirmed_at;
+    /// Logs that the list is confirmed, if it was unconfirmed for a long time.
+    fn log_late_confirmation(&self, previous: PreviousConfirmation) {
+        let unconfirmed_us = self.out.now - previous.confirmed_at;
         if unconfirmed_us >= LATE_CONFIRMATION_US {
             info!(
                 serial = self.discovery.serial(),
                 service = %self.discovery.confirmed_by(),
                 unconfirmed_ms = unconfirmed_us / 1_000,
-                queries = former.queries,
+                queries = previous.queries,
                 "executor list confirmed again"
             );
         }
     }
 
-    /// Uses another name service from now on, and queries it.
+    /// Switches to another name service, and queries it at once.
     pub fn use_resolver(&mut self, resolver: SocketAddr) {
         info!(%resolver, "name service changed");
         self.discovery.use_resolver(resolver);
         self.query_discovery();
     }
 
-    /// Handles a datagram of another controller.
+    /// Handles a datagram from another controller.
     pub fn handle_peer_message(&mut self, from: SocketAddr, datagram: &[u8]) {
         if let Some(reports) = self.peers.decode(from, self.names.engines.keys(), datagram) {
             self.driver
--- a/crates/platform/src/invariants/repeating.rs
+++ b/crates/platform/src/invariants/repeating.rs
@@ -1,44 +1,48 @@
-//! The guard of repeating: what may have run is sent again only where its class allows that.
+//! The repeating invariant: a query that may have run is sent again only if its class allows it.
 
 use wheelfield::interface::ExecutionSemantics;
 
-/// What is known of a query whose attempt is about to be written.
+/// The state of a query whose next attempt is about to be written.
 #[derive(Clone, Copy, Debug)]
-pub struct RepeatFacts {
-    /// How often queries of its class may run.
+pub struct RepeatContext {
+    /// The execution semantics of its class.
     pub semantics: ExecutionSemantics,
-    /// For how long executors recognise a repetition by its key, in microseconds.
+    /// Time for which executors deduplicate queries by idempotency key, in microseconds.
     pub deduplication_window_us: i64,
-    /// Time since the first attempt of the query that may have run was sent, in microseconds; `None` if there is none.
+    /// Time since the first attempt that may have run was sent, in microseconds; `None` if no attempt may have run.
     pub may_have_run_for_us: Option<i64>,
 }
 
 /// Why an attempt must not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RepeatingViolation {
-    /// It may have run, and must run at most once.
+    /// The query may have run, and must run at most once.
     #[error("second attempt of a query that may have run and must run at most once")]
     AtMostOnce,
-    /// Executors may have forgotten its key.
-    #[error("attempt of a keyed query that was sent {sent_us} us ago, beyond its window")]
-    WindowClosed {
-        /// Time since its first attempt, in microseconds.
-        sent_us: i64,
+    /// The deduplication window of the idempotency key has passed, so executors may run the query again.
+    #[error("repeated attempt {elapsed_us} us after the first one, beyond the deduplication window of the idempotency key")]
+    DeduplicationWindowExpired {
+        /// Time since the first attempt that may have run, in microseconds.
+        elapsed_us: i64,
     },
 }
 
-/// Checks an attempt before its request is written.
+/// Checks whether an attempt may be sent, before its request is written.
 ///
 /// # Errors
-/// The violation that sending it would be.
-pub fn check_repeating(facts: &RepeatFacts) -> Result<(), RepeatingViolation> {
-    let Some(sent_us) = facts.may_have_run_for_us else {
+/// The violation that sending the attempt would cause.
+pub fn check_repeating(context: &RepeatContext) -> Result<(), RepeatingViolation> {
+    let Some(elapsed_us) = context.may_have_run_for_us else {
         return Ok(());
     };
-    match facts.semantics {
+    match context.semantics {
         ExecutionSemantics::Idempotent => Ok(()),
         ExecutionSemantics::AtMostOnce => Err(RepeatingViolation::AtMostOnce),
-        ExecutionSemantics::IdempotencyKey if sent_us < facts.deduplication_window_us => Ok(()),
-        ExecutionSemantics::IdempotencyKey => Err(RepeatingViolation::WindowClosed { sent_us }),
+        ExecutionSemantics::IdempotencyKey if elapsed_us < context.deduplication_window_us => {
+            Ok(())
+        }
+        ExecutionSemantics::IdempotencyKey => {
+            Err(RepeatingViolation::DeduplicationWindowExpired { elapsed_us })
+        }
     }
 }
