--- a/crates/controller/src/event_loop/connections.rs
+++ b/crates/controller/src/event_loop/connections.rs
@@ -59,8 +59,8 @@
             let Some(socket) = self.get_mut(id) else {
                 continue;
             };
-            if socket.register_again(io.registry).is_err() {
-                socket.assume_ready();
+            if socket.ensure_registered(io.registry).is_err() {
+                socket.mark_ready();
                 self.schedule_retry(id, io.now);
             }
             self.read(id, io);
@@ -108,7 +108,10 @@
                 Err(error) => return notify_broken(id, Direction::Connecting, &error, io),
             }
         }
-        if self.get_mut(id).is_some_and(|socket| socket.is_closing()) {
+        if self
+            .get_mut(id)
+            .is_some_and(|socket| socket.is_peer_closed())
+        {
             io.protocol.handle_io(io.now, IoEvent::Closing(id));
         }
         self.read(id, io);
@@ -130,7 +133,7 @@
                 return;
             };
             let result = connection.socket.read(&mut buffer[..capacity]);
-            let has_ended = connection.socket.has_ended();
+            let has_ended = connection.socket.is_read_finished();
             match result {
                 Ok(0) if has_ended => io.protocol.handle_io(io.now, IoEvent::Ended(id)),
                 Ok(0) => {}
--- a/crates/engine-emulator/src/host.rs
+++ b/crates/engine-emulator/src/host.rs
@@ -285,7 +285,7 @@
             };
             let room = room.min(self.scratch.len());
             let got = c.socket.read(&mut self.scratch[..room]);
-            let over = got.is_err() || c.socket.has_ended() || c.socket.is_closing();
+            let over = got.is_err() || c.socket.is_read_finished() || c.socket.is_peer_closed();
             let n = got.unwrap_or(0);
             let bytes = &self.scratch[..n];
             match &mut c.role {
--- a/crates/load/src/runner.rs
+++ b/crates/load/src/runner.rs
@@ -379,7 +379,7 @@
         }
         let Some(link) = self.links.get_mut(id).filter(|l| !l.gone) else { return };
         link.stream.release_empty_input();
-        if failed || link.stream.has_ended() {
+        if failed || link.stream.is_read_finished() {
             self.broke(id);
         }
     }
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -45,10 +45,10 @@
 
 impl Socket {
     /// Takes an accepted connection and registers it for reading and writing. Where that fails, it can be used all the same, and
-    /// [`Socket::register_again`] is to be called until it succeeds.
+    /// [`Socket::ensure_registered`] is to be called until it succeeds.
     pub fn from_accepted(stream: TcpStream, registry: &Registry, token: Token) -> Socket {
         let mut socket = Socket::new(stream, true, token);
-        let _ = socket.register_again(registry);
+        let _ = socket.ensure_registered(registry);
         socket
     }
 
@@ -91,7 +91,7 @@
 
     fn register(stream: TcpStream, registry: &Registry, token: Token) -> io::Result<Socket> {
         let mut socket = Socket::new(stream, false, token);
-        socket.register_again(registry)?;
+        socket.ensure_registered(registry)?;
         Ok(socket)
     }
 
@@ -99,7 +99,7 @@
     ///
     /// # Errors
     /// If it cannot be registered now either.
-    pub fn register_again(&mut self, registry: &Registry) -> io::Result<()> {
+    pub fn ensure_registered(&mut self, registry: &Registry) -> io::Result<()> {
         if let Some(token) = self.unregistered {
             let interests = Interest::READABLE | Interest::WRITABLE;
             // By its descriptor: a stream of mio cannot be registered a second time after it has failed once.
@@ -110,7 +110,7 @@
     }
 
     /// Has the next read and write ask the system, as the poll reports nothing of a socket that is not registered.
-    pub fn assume_ready(&mut self) {
+    pub fn mark_ready(&mut self) {
         self.readable = true;
         self.writable = true;
     }
@@ -171,7 +171,7 @@
 
     /// Reads once, without waiting. Only the system's word that nothing is left ends that the socket is readable: the poll
     /// reports what arrives once, and a read may return less than there is. Returns the number of bytes; zero if there are none now, or no more will come
-    /// ([`Socket::has_ended`]).
+    /// ([`Socket::is_read_finished`]).
     ///
     /// # Errors
     /// Why the connection broke; the socket is of no further use, unless the error is transient ([`is_transient`]).
@@ -219,12 +219,12 @@
     }
 
     /// Whether the peer sends no more and all it sent was read.
-    pub fn has_ended(&self) -> bool {
+    pub fn is_read_finished(&self) -> bool {
         self.ended
     }
 
     /// Whether the peer has closed, though bytes of it may still wait to be read.
-    pub fn is_closing(&self) -> bool {
+    pub fn is_peer_closed(&self) -> bool {
         self.closing
     }
 
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -106,14 +106,14 @@
         self.socket.is_readable()
     }
 
-    /// As [`Socket::has_ended`].
-    pub fn has_ended(&self) -> bool {
-        self.socket.has_ended()
+    /// As [`Socket::is_read_finished`].
+    pub fn is_read_finished(&self) -> bool {
+        self.socket.is_read_finished()
     }
 
-    /// As [`Socket::is_closing`].
-    pub fn is_closing(&self) -> bool {
-        self.socket.is_closing()
+    /// As [`Socket::is_peer_closed`].
+    pub fn is_peer_closed(&self) -> bool {
+        self.socket.is_peer_closed()
     }
 
     /// As [`Socket::peer_address`].
--- a/crates/platform/src/bootstrap.rs
+++ b/crates/platform/src/bootstrap.rs
@@ -72,7 +72,7 @@
     /// Time after which a connect has failed, in microseconds.
     pub connect_timeout_us: i64,
     /// Time after which executors close an idle connection, in microseconds.
-    pub conn_idle_us: i64,
+    pub executor_idle_timeout_us: i64,
     /// Attempts on one connection at the same time.
     pub max_streams: usize,
     /// Queries in flight at the same time.
@@ -93,7 +93,7 @@
         };
         Ok(ProtocolLimits {
             connect_timeout_us: limit("connect_timeout_us")?,
-            conn_idle_us: limit("conn_idle_us")?,
+            executor_idle_timeout_us: limit("conn_idle_us")?,
             max_streams: limit("max_streams")? as usize,
             max_queries: limit("most_held")? as usize,
             drain_grace_us: whole_number(&settings["safety"]["drain_grace_us"])
@@ -134,7 +134,7 @@
 
 impl ExecutorEndpoint {
     /// The executor as the policy takes it, with its start by the clock of this process. Its name is added to `names`.
-    pub fn to_entry(&self, names: &mut Names, started_at: Option<Micros>) -> EngineEntry {
+    pub fn to_engine_entry(&self, names: &mut Names, started_at: Option<Micros>) -> EngineEntry {
         EngineEntry {
             engine: names.register_engine(&self.name),
             zone: names.zone_position(&self.zone),
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DiscoveryAnswer {
     /// When the query was sent that it answers, in microseconds.
-    pub asked_at: i64,
+    pub query_sent_at: i64,
     /// What it says.
     pub update: DiscoveryUpdate,
 }
@@ -169,7 +169,7 @@
     }
 
     /// Encodes a query with this id, which is to be random; and its destination.
-    pub fn query(&mut self, now: i64, id: u16) -> Option<(SocketAddr, Vec<u8>)> {
+    pub fn encode_query(&mut self, now: i64, id: u16) -> Option<(SocketAddr, Vec<u8>)> {
         let mut message = Message::new(id, MessageType::Query, OpCode::Query);
         message.add_query(Query::query(self.service.clone()?, RecordType::SRV));
         let bytes = message.to_vec().ok()?;
@@ -199,7 +199,7 @@
             return Err(IgnoredAnswer::UnknownSender);
         }
         let message = Message::from_vec(datagram).map_err(|_| IgnoredAnswer::Malformed)?;
-        let asked_at = self
+        let query_sent_at = self
             .find_query(from, &message)
             .ok_or(IgnoredAnswer::Unsolicited)?;
         if message.metadata.response_code != ResponseCode::NoError || message.metadata.truncation {
@@ -222,7 +222,10 @@
         };
         self.serial = serial;
         self.confirm(now, from);
-        Ok(DiscoveryAnswer { asked_at, update })
+        Ok(DiscoveryAnswer {
+            query_sent_at,
+            update,
+        })
     }
 
     /// Notes that the current list is that of a name service.
--- a/crates/platform/src/dispatcher/attempts.rs
+++ b/crates/platform/src/dispatcher/attempts.rs
@@ -152,7 +152,7 @@
         let now = self.out.now;
         check_sending(&SendFacts {
             client_waits: self.clients.awaits_response(query.client),
-            executor: self.executors.listed_state_at(connection),
+            executor: self.executors.listed_state_of_connection(connection),
             limit_us: limit_ms * 1_000,
             client_time_left_us: query.client_deadline_at - now,
         })?;
@@ -176,7 +176,8 @@
     /// from now on.
     fn take_slow_start_share(&mut self, connection: ConnId, attempt: AttemptId) -> bool {
         let share = self.slow_start_share(attempt);
-        let Some((engine, share)) = self.executors.engine_at(connection).zip(share) else {
+        let Some((engine, share)) = self.executors.engine_of_connection(connection).zip(share)
+        else {
             return true;
         };
         let fits = self.written_work.fits(engine, share, self.out.now);
@@ -188,7 +189,7 @@
 
     /// Asks the guard of starting about an attempt whose first byte was written.
     fn guard_start(&mut self, attempt: AttemptId, id: RequestId) {
-        let Some(engine) = self.executors.engine_of(attempt) else {
+        let Some(engine) = self.executors.engine_of_attempt(attempt) else {
             return;
         };
         if let Err(violation) = self.start_guard.record_send(engine, self.out.now) {
--- a/crates/platform/src/dispatcher/held_requests.rs
+++ b/crates/platform/src/dispatcher/held_requests.rs
@@ -82,7 +82,7 @@
             serial = self.discovery.serial(),
             "executor list too old; requests wait for the name service"
         );
-        self.executors.withdraw_unwritten();
+        self.executors.requeue_all_unwritten();
         self.out.set_timer_at(gap.hold_until(), TimerEvent::EndHold);
     }
 
--- a/crates/platform/src/dispatcher/mod.rs
+++ b/crates/platform/src/dispatcher/mod.rs
@@ -135,7 +135,7 @@
                 max_connections: descriptors - max_clients,
                 max_streams: limits.max_streams.max(1),
                 connect_timeout_us: limits.connect_timeout_us,
-                executor_idle_timeout_us: limits.conn_idle_us,
+                executor_idle_timeout_us: limits.executor_idle_timeout_us,
             }),
             driver: RecordingDriver::new(Box::new(driver), None),
             ready_clients: VecDeque::new(),
--- a/crates/platform/src/dispatcher/topology.rs
+++ b/crates/platform/src/dispatcher/topology.rs
@@ -46,7 +46,7 @@
             .map(|(executor, started_at)| {
                 // A start long ago is one whose slow start is over.
                 let started_at = started_at.map(|at| if ignores_starts { Micros(1) } else { at });
-                executor.to_entry(&mut self.names, started_at)
+                executor.to_engine_entry(&mut self.names, started_at)
             })
             .collect();
         for entry in &entries {
@@ -118,7 +118,7 @@
 
     /// Sends a query for the list of executors, and sets the time of the next.
     pub(super) fn query_discovery(&mut self) {
-        let query = self.discovery.query(self.out.now, self.rng.u16(..));
+        let query = self.discovery.encode_query(self.out.now, self.rng.u16(..));
         if let Some((resolver, query)) = query {
             self.out
                 .push(Effect::Send(DatagramSocket::Discovery, resolver, query));
@@ -158,7 +158,7 @@
                 }
                 let end = self
                     .list_freshness
-                    .note_answer(self.out.now, answer.asked_at);
+                    .note_answer(self.out.now, answer.query_sent_at);
                 self.end_hold(end);
                 self.schedule_discovery();
             }
--- a/crates/platform/src/executors/connection.rs
+++ b/crates/platform/src/executors/connection.rs
@@ -156,7 +156,7 @@
     }
 
     /// Takes the requests of which nothing was written out of the output; they wait again, to be written anew.
-    pub fn withdraw_unwritten(&mut self) {
+    pub fn requeue_unwritten(&mut self) {
         let mut unwritten: Vec<(u64, RequestId)> = self
             .running
             .iter()
--- a/crates/platform/src/executors/failures.rs
+++ b/crates/platform/src/executors/failures.rs
@@ -80,7 +80,7 @@
                 self.lose_connection(id, ConnectionLoss::Broken, out);
                 continue;
             }
-            connection.withdraw_unwritten();
+            connection.requeue_unwritten();
             for attempt in std::mem::take(&mut connection.queued) {
                 self.relaunch(engine, attempt, ConnectionLoss::Broken, out);
             }
@@ -88,20 +88,20 @@
     }
 
     /// Takes the requests of which nothing was written back from the output of a connection, to be written anew.
-    pub fn take_back_unwritten(&mut self, id: ConnId) {
+    pub fn requeue_unwritten(&mut self, id: ConnId) {
         let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
-        connection.withdraw_unwritten();
+        connection.requeue_unwritten();
         if connection.is_up && !connection.queued.is_empty() {
             self.ready.push_back(id);
         }
     }
 
     /// Takes the requests of which nothing was written back from the output of all connections.
-    pub fn withdraw_unwritten(&mut self) {
+    pub fn requeue_all_unwritten(&mut self) {
         let all: Vec<ConnId> = self.connections.iter().map(|(id, _)| id).collect();
-        all.into_iter().for_each(|id| self.take_back_unwritten(id));
+        all.into_iter().for_each(|id| self.requeue_unwritten(id));
     }
 
     fn lose_connection(
--- a/crates/platform/src/executors/mod.rs
+++ b/crates/platform/src/executors/mod.rs
@@ -236,7 +236,7 @@
     }
 
     /// The state, in the last list, of the executor that a connection goes to.
-    pub fn listed_state_at(&self, connection: ConnId) -> ListedState {
+    pub fn listed_state_of_connection(&self, connection: ConnId) -> ListedState {
         let Some(connection) = self.connections.get(connection) else {
             return ListedState::Missing;
         };
@@ -249,12 +249,12 @@
     }
 
     /// The executor that a connection goes to.
-    pub fn engine_at(&self, connection: ConnId) -> Option<EngineId> {
+    pub fn engine_of_connection(&self, connection: ConnId) -> Option<EngineId> {
         self.connections.get(connection).map(|c| c.engine)
     }
 
     /// The executor that has a running attempt.
-    pub fn engine_of(&self, attempt: AttemptId) -> Option<EngineId> {
+    pub fn engine_of_attempt(&self, attempt: AttemptId) -> Option<EngineId> {
         let location = self.locations.get(&attempt)?;
         Some(self.connections.get(location.connection)?.engine)
     }
@@ -296,7 +296,7 @@
 
     /// Records that so many bytes were written to a connection.
     pub fn bytes_written(&mut self, id: ConnId, count: usize) {
-        let executor = self.listed_state_at(id);
+        let executor = self.listed_state_of_connection(id);
         let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
--- a/crates/platform/src/executors/responses.rs
+++ b/crates/platform/src/executors/responses.rs
@@ -27,7 +27,7 @@
 
 impl Executors {
     /// Handles the responses in the input of a connection, and the end of the input.
-    pub fn read(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) {
+    pub fn handle_input(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) {
         loop {
             let Some(connection) = self.connections.get_mut(id) else {
                 return;
--- a/crates/platform/src/executors/timeouts.rs
+++ b/crates/platform/src/executors/timeouts.rs
@@ -17,7 +17,7 @@
     pub fn check_connections(&mut self, out: &mut EffectQueue<TimerEvent>) {
         let now = out.now;
         // What could not be written yet is written anew, with the time that its client has left by then.
-        self.withdraw_unwritten();
+        self.requeue_all_unwritten();
         let stalled = self.select(|connection| connection.is_stalled(now));
         let idle = self
             .select(|connection| !connection.is_stalled(now) && self.is_expired(connection, now));
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -69,7 +69,10 @@
     fn handle_input(&mut self, id: ConnId) {
         match id.owner() {
             clients::OWNER => self.dispatcher.handle_client_input(id),
-            _ => self.dispatcher.executors.read(id, &mut self.dispatcher.out),
+            _ => self
+                .dispatcher
+                .executors
+                .handle_input(id, &mut self.dispatcher.out),
         }
     }
 
@@ -171,7 +174,7 @@
     fn take_back_stale_output(&mut self, now: i64, id: ConnId) {
         self.dispatcher.set_time(now);
         if id.owner() != clients::OWNER {
-            self.dispatcher.executors.take_back_unwritten(id);
+            self.dispatcher.executors.requeue_unwritten(id);
         }
     }
 
--- a/crates/testbed/src/crowd.rs
+++ b/crates/testbed/src/crowd.rs
@@ -235,7 +235,7 @@
             Ok(false) => return,
             Err(_) => self.people.broke(id, now),
         }
-        if socket.is_closing() {
+        if socket.is_peer_closed() {
             self.people.closing(id);
         }
         self.write(id, now);
@@ -246,7 +246,7 @@
     fn read(&mut self, id: ConnId, now: i64) {
         while let Some(socket) = self.sockets.get_mut(&id) {
             match socket.read(&mut self.scratch) {
-                Ok(0) if socket.has_ended() => return self.people.broke(id, now),
+                Ok(0) if socket.is_read_finished() => return self.people.broke(id, now),
                 Ok(0) => return,
                 Ok(n) => self.people.receive(id, &self.scratch[..n], now),
                 Err(_) => return self.people.broke(id, now),
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -142,7 +142,7 @@
                 }
             }
             c.stream.release_empty_input();
-            ensure!(!c.stream.has_ended(), "a connection was closed");
+            ensure!(!c.stream.is_read_finished(), "a connection was closed");
         }
         Ok(())
     }
