--- a/crates/platform/src/dispatcher/attempts.rs
+++ b/crates/platform/src/dispatcher/attempts.rs
@@ -155,7 +155,7 @@
         let now = self.out.now;
         check_sending(&SendContext {
             client_is_waiting: self.clients.awaits_response(query.client),
-            executor: self.executors.listed_state_at(connection),
+            executor: self.executors.listed_state_of_connection(connection),
             time_limit_us: limit_ms * 1_000,
             client_time_left_us: query.client_deadline_at - now,
         })?;
@@ -179,7 +179,8 @@
     /// attempt may have waited for a connection since the policy admitted it.
     fn reserve_slow_start_share(&mut self, connection: ConnId, attempt: AttemptId) -> bool {
         let share = self.slow_start_share(attempt);
-        let Some((engine, share)) = self.executors.engine_at(connection).zip(share) else {
+        let Some((engine, share)) = self.executors.engine_of_connection(connection).zip(share)
+        else {
             return true;
         };
         let fits = self.written_work.fits(engine, share, self.out.now);
@@ -191,7 +192,7 @@
 
     /// Checks the slow-start invariant for an attempt whose first byte was written.
     fn check_slow_start(&mut self, attempt: AttemptId, id: RequestId) {
-        let Some(engine) = self.executors.engine_of(attempt) else {
+        let Some(engine) = self.executors.engine_of_attempt(attempt) else {
             return;
         };
         if let Err(violation) = self.slow_start_guard.record_send(engine, self.out.now) {
--- a/crates/platform/src/dispatcher/topology.rs
+++ b/crates/platform/src/dispatcher/topology.rs
@@ -47,7 +47,7 @@
             .map(|(executor, started_at)| {
                 // With this fault, every start is so long ago that slow start is over.
                 let started_at = started_at.map(|at| if ignores_starts { Micros(1) } else { at });
-                executor.to_entry(&mut self.names, started_at)
+                executor.to_engine_entry(&mut self.names, started_at)
             })
             .collect();
         for entry in &entries {
@@ -120,7 +120,7 @@
 
     /// Sends a query for the list of executors, and schedules the next one.
     pub(super) fn query_discovery(&mut self) {
-        let query = self.discovery.query(self.out.now, self.rng.u16(..));
+        let query = self.discovery.encode_query(self.out.now, self.rng.u16(..));
         if let Some((resolver, query)) = query {
             self.out
                 .push(Effect::Send(DatagramSocket::Discovery, resolver, query));
@@ -160,7 +160,7 @@
                 }
                 let end = self
                     .list_freshness
-                    .record_answer(self.out.now, answer.asked_at);
+                    .record_answer(self.out.now, answer.query_sent_at);
                 self.end_hold(end);
                 self.schedule_discovery();
             }
