--- a/crates/platform/src/executor_protocol.rs
+++ b/crates/platform/src/executor_protocol.rs
@@ -1,26 +1,26 @@
-//! The protocol of executors: lines of words that end in CR LF. Where the last word of a line is a length, a body of so many
-//! bytes and another CR LF follow.
+//! The wire protocol of executors. A message is a line of words separated by spaces and terminated by CR LF. If the last word is a
+//! body length, a body of this many bytes and another CR LF follow.
 
 use crate::result_pages::MAX_PAGE_BYTES;
 use bytes::{Buf, Bytes, BytesMut};
 use std::fmt;
 use std::ops::Range;
 
-/// Maximum length of a line, including its end.
+/// Maximum length of a line in bytes, including CR LF.
 const MAX_LINE_BYTES: usize = 1_024;
-/// Maximum number of fields in a line.
+/// Maximum number of fields in a response.
 const MAX_FIELDS: usize = 32;
-/// Bytes of the end of a line or body.
+/// Terminator of lines and bodies.
 const CR_LF: &[u8] = b"\r\n";
-/// Maximum length of a response: a line and a page, and the end of both.
+/// Maximum length of a response in bytes: a line and a page with their terminators.
 pub const MAX_RESPONSE_BYTES: usize = MAX_LINE_BYTES + MAX_PAGE_BYTES + CR_LF.len();
 
-/// The id of a request: 16 hex digits, as the client wrote them.
+/// A request id: 16 hexadecimal digits, in the upper or lower case that the client used.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId([u8; 16]);
 
 impl RequestId {
-    /// Parses an id; `None` if it is not 16 hex digits.
+    /// Parses a request id; `None` if the text is not 16 hexadecimal digits.
     pub fn parse(text: &[u8]) -> Option<RequestId> {
         let id: [u8; 16] = text.try_into().ok()?;
         id.iter()
@@ -28,7 +28,7 @@
             .then_some(RequestId(id))
     }
 
-    /// The id as text.
+    /// Returns the id as text.
     pub fn as_str(&self) -> &str {
         std::str::from_utf8(&self.0).unwrap_or("")
     }
@@ -46,22 +46,22 @@
     }
 }
 
-/// The kind of a response, named after its word in the protocol.
+/// The kind of a response. The variants are named after the keywords of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseKind {
-    /// The request was served; this is the first page of its result.
+    /// The request was served; the body is the first page of its result.
     Hit,
-    /// The executor is full; the request has not run.
+    /// The executor rejected the request because it is at capacity; the request has not run.
     Shed,
     /// The request failed, and may have run.
     Fault,
-    /// The time limit of the request had passed; it has not run.
+    /// The time limit of the request expired before it was started; it has not run.
     Late,
-    /// Progress of a request that has not ended.
+    /// Progress of a request that has not ended yet.
     Info,
     /// A further page of a result.
     Part,
-    /// The reply to a check of the connection.
+    /// The reply to a connection check.
     Pong,
 }
 
@@ -83,19 +83,19 @@
 /// A response of an executor.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
-    /// The id it is addressed to, which need not be one of a request.
+    /// The id that the response refers to; not necessarily a valid request id.
     pub id: Bytes,
-    /// Its kind.
+    /// The kind of the response.
     pub kind: ResponseKind,
-    /// Names and values of its fields.
+    /// Names and values of the fields.
     fields: Vec<(Bytes, Bytes)>,
-    /// Its body; empty where it has none.
+    /// The body; empty if there is none.
     pub body: Bytes,
 }
 
 impl Response {
-    /// The value of a field as text.
-    pub fn text(&self, name: &str) -> Option<&str> {
+    /// Returns the value of a field as text.
+    pub fn field(&self, name: &str) -> Option<&str> {
         let (_, value) = self
             .fields
             .iter()
@@ -103,33 +103,33 @@
         std::str::from_utf8(value).ok()
     }
 
-    /// The value of a field as a finite number.
-    pub fn number(&self, name: &str) -> Option<f64> {
-        self.text(name)?
+    /// Returns the value of a field as a finite number.
+    pub fn numeric_field(&self, name: &str) -> Option<f64> {
+        self.field(name)?
             .parse()
             .ok()
             .filter(|x: &f64| x.is_finite())
     }
 }
 
-/// Why received bytes are no response. Nothing that follows them can be decoded.
+/// The reason why received bytes are not a valid response. The bytes that follow can't be decoded either.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolError {
-    /// The line does not end within its maximum length.
+    /// The line is not terminated within its maximum length.
     #[error("line exceeds its maximum length")]
     UnterminatedLine,
-    /// The line is not of the expected form.
+    /// The line, a field or a page is malformed.
     #[error("invalid line")]
     InvalidLine,
-    /// The length of the body is over that of a page.
+    /// The stated body length exceeds the maximum length of a page.
     #[error("body length exceeds the maximum of a page")]
     InvalidLength,
-    /// The body does not end where its length says.
+    /// The body is not followed by CR LF at its stated length.
     #[error("body does not end at its stated length")]
     LengthMismatch,
 }
 
-/// A line that was parsed, as positions in its bytes.
+/// A parsed line. The id and the fields are given as positions in the line.
 struct Line {
     kind: ResponseKind,
     id_length: usize,
@@ -137,10 +137,10 @@
     body_length: Option<usize>,
 }
 
-/// Decodes a response at the front of `buf` and removes it; `None` if it is incomplete.
+/// Decodes the response at the front of `buf` and removes it from there; `None` if it is incomplete.
 ///
 /// # Errors
-/// [`ProtocolError`]; the connection can no longer be used.
+/// [`ProtocolError`] if the bytes are not a valid response; the connection can no longer be used.
 pub fn decode_response(buf: &mut BytesMut) -> Result<Option<Response>, ProtocolError> {
     let Some(line_length) = find_line_end(buf)? else {
         return Ok(None);
@@ -176,7 +176,7 @@
     }))
 }
 
-/// The length of the first line without its CR LF; `None` if its end has not arrived.
+/// Returns the length of the first line without CR LF; `None` if the line is incomplete.
 fn find_line_end(buf: &[u8]) -> Result<Option<usize>, ProtocolError> {
     let searched = &buf[..buf.len().min(MAX_LINE_BYTES)];
     match memchr::memchr(b'\n', searched) {
@@ -188,7 +188,7 @@
     }
 }
 
-/// Parses a line: id, kind, and for all kinds but `PONG`, which may end there, fields and the length of the body.
+/// Parses a line that consists of the id, the kind, the fields and the length of the body. The latter two are optional for `PONG`.
 fn parse_line(line: &[u8]) -> Result<Line, ProtocolError> {
     let words: Vec<&[u8]> = line.split(|byte| *byte == b' ').collect();
     let (id, kind_word, rest) = match &words[..] {
@@ -232,7 +232,7 @@
     }
 }
 
-/// Parses the list of fields in this range of a line: `-` for none, or pairs of a name and a value separated by commas.
+/// Parses the fields in this range of a line: `-` if there are none, otherwise pairs of the form `name=value`, separated by commas.
 fn parse_fields(line: &Bytes, range: Range<usize>) -> Result<Vec<(Bytes, Bytes)>, ProtocolError> {
     let list = &line[range];
     if list == b"-" {
@@ -250,27 +250,27 @@
     Ok(fields)
 }
 
-/// Removes a body and its CR LF. The body is copied, so that the memory of the buffer is free again.
+/// Removes a body and its CR LF from the buffer. The body is copied, so that it does not keep the memory of the buffer allocated.
 fn take_body(buf: &mut BytesMut, length: usize) -> Bytes {
     let body = Bytes::copy_from_slice(&buf[..length]);
     buf.advance(length + CR_LF.len());
     body
 }
 
-/// A request as it is sent to an executor.
+/// The content of a request to an executor.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// Name of its class.
+    /// Name of the query's class.
     pub class: &'a str,
     /// Time limit in milliseconds.
     pub limit_ms: i64,
-    /// Key by which executors recognise a repetition, as the client wrote it.
+    /// Idempotency key of the client, by which executors recognise a repeated request.
     pub nonce: Option<&'a str>,
-    /// The statement to run.
+    /// The SQL statement to run.
     pub statement: &'a [u8],
 }
 
-/// Appends a request with a priority (`REQ`).
+/// Appends a request with its priority (`REQ`).
 pub fn encode_request(id: RequestId, priority: u8, request: &Request<'_>, out: &mut BytesMut) {
     let Request {
         class,
@@ -294,17 +294,17 @@
     out.extend_from_slice(format!("STOP {id}\r\n").as_bytes());
 }
 
-/// Appends a change of a request's priority (`NICE`).
+/// Appends a priority change of a request (`NICE`).
 pub fn encode_priority(id: RequestId, priority: u8, out: &mut BytesMut) {
     out.extend_from_slice(format!("NICE {id} {priority}\r\n").as_bytes());
 }
 
-/// Appends a request for a page of a result (`FETCH`). The first page, which comes by itself, is page 0.
+/// Appends a request for a page of a result (`FETCH`). Pages are numbered from 0; page 0 arrives without being requested.
 pub fn encode_fetch(id: RequestId, page: usize, out: &mut BytesMut) {
     out.extend_from_slice(format!("FETCH {id} {page}\r\n").as_bytes());
 }
 
-/// Appends the release of a result's pages (`END`).
+/// Appends the release of a result, which lets the executor drop its pages (`END`).
 pub fn encode_release(id: RequestId, out: &mut BytesMut) {
     out.extend_from_slice(format!("END {id}\r\n").as_bytes());
 }
--- a/crates/platform/src/executor_protocol/tests.rs
+++ b/crates/platform/src/executor_protocol/tests.rs
@@ -3,7 +3,7 @@
 
 const ID: &str = "9b1f03aa5c7e2d41";
 
-/// Decodes all responses in bytes that arrive in these pieces.
+/// Decodes all responses in a stream of bytes that arrives in these pieces.
 fn decode_all(pieces: &[&[u8]]) -> Result<Vec<Response>, ProtocolError> {
     let (mut buf, mut all) = (BytesMut::new(), Vec::new());
     for piece in pieces {
@@ -16,12 +16,12 @@
 }
 
 #[test]
-fn responses_are_decoded_alike_however_they_are_split() {
+fn responses_are_decoded_identically_for_every_split_of_the_input() {
     let text = format!(
         "{ID} INFO tell=pct,v=0.25 0\r\n\r\n{ID} HIT pages=2,cost=81.5,meter=inflight:7;util:0.61 6\r\na\t1\tx\n\r\n\
          x PONG\r\n{ID} FAULT - 0\r\n\r\n"
     );
-    let complete = decode_all(&[text.as_bytes()]).expect("sound");
+    let complete = decode_all(&[text.as_bytes()]).expect("valid responses");
     assert_eq!(
         complete.iter().map(|a| a.kind).collect::<Vec<_>>(),
         [
@@ -32,7 +32,10 @@
         ]
     );
     assert_eq!(
-        (complete[1].text("meter"), complete[1].number("cost")),
+        (
+            complete[1].field("meter"),
+            complete[1].numeric_field("cost")
+        ),
         (Some("inflight:7;util:0.61"), Some(81.5))
     );
     assert_eq!(
@@ -46,8 +49,8 @@
 }
 
 #[test]
-fn messages_are_encoded_as_executors_expect() {
-    let id = RequestId::parse(ID.as_bytes()).expect("16 digits");
+fn messages_are_encoded_in_the_wire_format() {
+    let id = RequestId::parse(ID.as_bytes()).expect("a valid request id");
     let mut out = BytesMut::new();
     let request = Request {
         class: "report",
@@ -82,7 +85,7 @@
 
 proptest! {
     #[test]
-    fn any_bytes_are_decoded_or_rejected_and_never_accumulate(bytes in prop::collection::vec(any::<u8>(), 0..4096)) {
+    fn arbitrary_bytes_are_decoded_or_rejected_without_exceeding_the_buffer_limit(bytes in prop::collection::vec(any::<u8>(), 0..4096)) {
         let mut buf = BytesMut::from(&bytes[..]);
         while let Ok(Some(_)) = decode_response(&mut buf) {}
         let is_incomplete = matches!(decode_response(&mut buf), Ok(None));
--- a/crates/platform/src/executors/attempts.rs
+++ b/crates/platform/src/executors/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts as this side receives them, and the events that report what has become of them.
+//! Attempts that the dispatcher assigns to executors, and the events that report their progress and outcome.
 
 use crate::executor_protocol::RequestId;
 use crate::invariants::ListedState;
@@ -9,27 +9,27 @@
 /// An attempt whose request has not been written to a connection yet.
 #[derive(Clone, Debug)]
 pub struct PendingAttempt {
-    /// Number of the attempt.
+    /// Identifier of the attempt.
     pub id: AttemptId,
-    /// Id under which the request is sent.
+    /// Id under which the request is sent to the executor.
     pub request: RequestId,
-    /// Options of the attempt.
+    /// Options that are sent with the request, such as its priority.
     pub options: AttemptOptions,
-    /// Connections that it was assigned to and that broke before any of its request was written.
+    /// Number of connections that the attempt was assigned to and that failed before any byte of its request was written.
     pub(super) connection_losses: u8,
-    /// Since when no connect for it was possible on this machine, in microseconds.
-    pub(super) no_connect_since: Option<i64>,
+    /// Time since which this machine could not open a connection for the attempt, in microseconds.
+    pub(super) connect_blocked_since: Option<i64>,
 }
 
 impl PendingAttempt {
-    /// Creates an attempt that is assigned to no connection yet.
+    /// Creates an attempt that is not yet assigned to a connection.
     pub fn new(id: AttemptId, request: RequestId, options: AttemptOptions) -> PendingAttempt {
         PendingAttempt {
             id,
             request,
             options,
             connection_losses: 0,
-            no_connect_since: None,
+            connect_blocked_since: None,
         }
     }
 }
@@ -37,38 +37,38 @@
 /// A change in the state of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptEvent {
-    /// The first byte of its request has been written.
+    /// The first byte of the request was written to a connection.
     Dispatched {
-        /// Number of the attempt.
+        /// Identifier of the attempt.
         attempt: AttemptId,
-        /// Id under which the request is sent.
+        /// Id under which the request is sent to the executor.
         request: RequestId,
-        /// The state, in the list of that time, of the executor that it is sent to.
+        /// State of the receiving executor in the executor list at the time of the write.
         executor: ListedState,
     },
-    /// The executor reported progress.
+    /// The executor reported the progress of the attempt.
     Updated(AttemptId, AttemptUpdate),
     /// The attempt has ended.
     Ended(Box<EndedAttempt>),
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt and what the executor reported with it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndedAttempt {
-    /// Number of the attempt.
+    /// Identifier of the attempt.
     pub attempt: AttemptId,
-    /// Its outcome.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// Work in seconds of one thread, where the response states it.
+    /// Work that the query took, in seconds of one thread; `None` if the response does not state it.
     pub billed_work: Option<f64>,
-    /// Load of the executor, as far as the response states it.
+    /// Load metrics of the executor that the response contains.
     pub report: LoadReport,
-    /// All pages of the result, in order, if the attempt was served; otherwise empty.
+    /// All pages of the result, in order; empty unless the outcome is [`Outcome::Served`].
     pub pages: Vec<Bytes>,
 }
 
 impl EndedAttempt {
-    /// An end on which the executor reported nothing.
+    /// Creates an ended attempt for which the executor reported neither work nor load.
     pub(super) fn without_report(attempt: AttemptId, outcome: Outcome) -> EndedAttempt {
         EndedAttempt {
             attempt,
--- a/crates/platform/src/executors/connection.rs
+++ b/crates/platform/src/executors/connection.rs
@@ -10,102 +10,104 @@
 use wheelfield_driver::AttemptId;
 use wheelfield_sans_io::{ConnectionBuffer, TimerKey};
 
-/// Cancelled ids that a connection remembers, because a response that crosses the cancellation may still arrive under them.
-/// A connection with this many accepts no new attempt and is closed once it is idle.
+/// Maximum number of cancelled request ids that a connection remembers. A response that the executor sent before it received the
+/// cancellation may still arrive under such an id. A connection with this many accepts only attempts under one of these ids, and
+/// is closed once it is idle.
 pub(super) const MAX_CANCELLED_IDS: usize = 64;
-/// Bytes that may wait to be written to a connection; beyond this, other connections are used.
+/// Maximum size of a connection's output buffer; new attempts are assigned to other connections while it is full.
 const MAX_OUTPUT_BYTES: usize = 256 << 10;
 
-/// Why a connection to an executor is closed.
+/// The reason for closing a connection to an executor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// The list names its executor no longer, or elsewhere.
+    /// The executor list no longer contains the executor, or contains it with another address.
     Unlisted,
-    /// The executor has closed its side.
+    /// The executor has closed its side of the connection.
     PeerClosing,
-    /// It made way for a new one.
+    /// It was idle and was closed to stay within the connection limit when another connection was needed.
     Evicted,
-    /// It has no attempt and must not be used again.
+    /// It is idle and accepts no new attempts; see [`Connection::is_retired`].
     Retired,
-    /// It was idle for too long.
+    /// It exceeded the idle timeout, or is idle and belongs to an executor that is no longer listed.
     Idle,
-    /// It broke, or can no longer be used.
+    /// The connect failed, the connection broke, or a protocol error made it unusable.
     Lost,
 }
 
-/// A served result whose further pages have been requested.
+/// The result of a served attempt of which not all pages have arrived yet.
 #[derive(Debug)]
 pub(super) struct PartialResult {
-    /// Work in seconds of one thread, as the first page stated it.
+    /// Work in seconds of one thread, from the response with the first page.
     pub billed_work: Option<f64>,
-    /// Load of the executor, as the first page stated it.
+    /// Load metrics of the executor, from the response with the first page.
     pub report: LoadReport,
-    /// The pages by number; `None` for those that have not arrived.
+    /// The pages by number; `None` if the page has not arrived.
     pub pages: Vec<Option<Bytes>>,
-    /// Pages that have not arrived.
-    pub missing: usize,
-    /// Bytes of all pages that have arrived.
-    pub bytes: usize,
-    /// Time at which the last page arrived, in microseconds.
+    /// Number of pages that have not arrived.
+    pub missing_pages: usize,
+    /// Total size of the pages that have arrived, in bytes.
+    pub received_bytes: usize,
+    /// Time at which the most recent page arrived, in microseconds.
     pub last_page_at: i64,
 }
 
-/// An attempt whose request was written to the connection's output.
+/// An attempt whose request was appended to the connection's output buffer.
 #[derive(Debug)]
 pub(super) struct RunningAttempt {
-    /// The attempt.
+    /// Identifier, request id and options of the attempt.
     pub attempt: PendingAttempt,
-    /// Position of its request among all bytes sent on this connection.
+    /// Byte range of the request in the stream of all bytes sent on this connection.
     pub request_bytes: Range<u64>,
-    /// Whether the first byte of its request has been written to the socket.
+    /// Whether the first byte of the request was written to the socket.
     pub is_dispatched: bool,
-    /// The pages of its result that have arrived, where it has more than one.
+    /// The partial result; `None` until the first page of a result with several pages has arrived.
     pub result: Option<PartialResult>,
-    /// Whether an earlier attempt under the same request id was cancelled on this connection: a response may belong to that one.
+    /// Whether an earlier attempt under the same request id was cancelled on this connection, so that a response under this id may
+    /// belong to the earlier attempt.
     pub reuses_cancelled_id: bool,
 }
 
-/// A connection to an executor, and the attempts on it.
+/// A connection to an executor and the attempts assigned to it.
 #[derive(Debug)]
 pub(super) struct Connection {
-    /// The executor.
+    /// The executor that the connection goes to.
     pub engine: EngineId,
-    /// Where it was when the connect began.
+    /// Address of the executor when the connect was started.
     pub address: SocketAddr,
-    /// Bytes received and bytes to be written.
+    /// Input and output buffers.
     pub buffer: ConnectionBuffer,
     /// Whether the connect has completed.
-    pub is_up: bool,
-    /// Timer of the connect timeout, until the connect has completed.
+    pub is_connected: bool,
+    /// Timer of the connect timeout; cleared once the connect has completed.
     pub connect_timer: Option<TimerKey>,
-    /// Attempts that wait for the connect to complete, in order of arrival.
+    /// Attempts whose requests have not been written yet, in order of assignment.
     pub queued: Vec<PendingAttempt>,
-    /// Attempts whose request was written, by request id.
+    /// Attempts whose requests were appended to the output buffer, by request id.
     pub running: BTreeMap<RequestId, RunningAttempt>,
-    /// Request ids that were cancelled, or ended without a result.
-    pub cancelled: Vec<RequestId>,
-    /// Bytes put into the output since the connection exists.
+    /// Request ids of attempts that were cancelled or that ended without a result; late responses may still arrive under them.
+    pub cancelled_ids: Vec<RequestId>,
+    /// Total number of bytes appended to the output buffer, less those removed before they were written.
     pub bytes_queued: u64,
-    /// Bytes written to the socket since the connection exists.
+    /// Total number of bytes written to the socket.
     pub bytes_written: u64,
-    /// Time of the last change from use to idleness, in microseconds.
+    /// Time at which an attempt on the connection last ended, or the connect started or completed, in microseconds.
     pub idle_since: i64,
-    /// Time since which an incomplete response is in the input, in microseconds.
+    /// Time since which the input buffer holds an incomplete response, in microseconds; `None` if it holds none.
     pub partial_response_since: Option<i64>,
 }
 
 impl Connection {
-    /// A connection whose connect has just begun.
+    /// Creates a connection whose connect starts at `now`.
     pub fn new(engine: EngineId, address: SocketAddr, now: i64) -> Connection {
         Connection {
             engine,
             address,
             buffer: ConnectionBuffer::default(),
-            is_up: false,
+            is_connected: false,
             connect_timer: None,
             queued: Vec::new(),
             running: BTreeMap::new(),
-            cancelled: Vec::new(),
+            cancelled_ids: Vec::new(),
             bytes_queued: 0,
             bytes_written: 0,
             idle_since: now,
@@ -113,34 +115,37 @@
         }
     }
 
-    /// Number of attempts on the connection.
-    pub fn load(&self) -> usize {
+    /// Returns the number of queued and running attempts on the connection.
+    pub fn attempt_count(&self) -> usize {
         self.queued.len() + self.running.len()
     }
 
-    /// Whether an attempt with this request id may be assigned to the connection, of which at most `max_streams` may be there.
+    /// Returns whether an attempt with this request id may be assigned to the connection. The connection holds at most
+    /// `max_streams` attempts at a time.
     pub fn accepts(&self, request: RequestId, max_streams: usize) -> bool {
         !self.running.contains_key(&request)
-            && (self.cancelled.len() < MAX_CANCELLED_IDS || self.cancelled.contains(&request))
+            && (self.cancelled_ids.len() < MAX_CANCELLED_IDS
+                || self.cancelled_ids.contains(&request))
             && !self.buffer.peer_closing
-            && self.load() < max_streams
+            && self.attempt_count() < max_streams
             && self.buffer.output.len() < MAX_OUTPUT_BYTES
     }
 
-    /// Whether the connection is idle with nothing left to write, and must not be used again.
+    /// Returns whether the connection is idle, has nothing left to write and accepts no new attempts, because it remembers too many
+    /// cancelled ids or the executor is closing it.
     pub fn is_retired(&self) -> bool {
-        let is_done = self.load() == 0 && self.buffer.output.is_empty();
-        is_done && (self.cancelled.len() >= MAX_CANCELLED_IDS || self.buffer.peer_closing)
+        let is_done = self.attempt_count() == 0 && self.buffer.output.is_empty();
+        is_done && (self.cancelled_ids.len() >= MAX_CANCELLED_IDS || self.buffer.peer_closing)
     }
 
-    /// Appends a message to the output and counts its bytes.
+    /// Appends a message to the output buffer and counts its bytes.
     pub fn append(&mut self, encode: impl FnOnce(&mut BytesMut)) {
         let before = self.buffer.output.len();
         encode(&mut self.buffer.output);
         self.bytes_queued += (self.buffer.output.len() - before) as u64;
     }
 
-    /// Records that so many bytes of the output were written; the attempts whose first byte was among them.
+    /// Records that `count` bytes of the output were written. Returns the attempts whose first byte was among them.
     pub fn advance_written(&mut self, count: usize) -> Vec<(AttemptId, RequestId)> {
         self.bytes_written += count as u64;
         self.buffer.advance_written(count);
@@ -155,7 +160,7 @@
         dispatched
     }
 
-    /// Takes the requests of which nothing was written out of the output; they wait again, to be written anew.
+    /// Removes the requests of which no byte was written from the output buffer and puts their attempts back into the queue.
     pub fn requeue_unwritten(&mut self) {
         let mut unwritten: Vec<(u64, RequestId)> = self
             .running
@@ -164,7 +169,7 @@
             .map(|(id, running)| (running.request_bytes.start, *id))
             .collect();
         unwritten.sort_unstable();
-        // From the last one on, so that those before it stay where they are.
+        // In reverse order, so that a removal does not shift the requests that are still to be removed.
         for (_, id) in unwritten.into_iter().rev() {
             if let Some(running) = self.running.remove(&id) {
                 self.remove_output(running.request_bytes);
@@ -173,7 +178,7 @@
         }
     }
 
-    /// Removes bytes that have not been written from the output, by their position among all bytes sent.
+    /// Removes a range of unwritten bytes from the output buffer. The range counts from the first byte sent on the connection.
     fn remove_output(&mut self, bytes: Range<u64>) {
         let position = |byte: u64| (byte - self.bytes_written) as usize;
         let in_output = position(bytes.start)..position(bytes.end);
--- a/crates/platform/src/executors/failures.rs
+++ b/crates/platform/src/executors/failures.rs
@@ -1,4 +1,4 @@
-//! Connections that failed, and what becomes of the attempts on them.
+//! Failed connections: ends or reassigns the attempts that were on them.
 
 use super::connection::{CloseReason, RunningAttempt};
 use super::{DelayedAttempt, Executors, PendingAttempt};
@@ -7,28 +7,30 @@
 use wheelfield::interface::{EngineId, Outcome};
 use wheelfield_sans_io::{ConnId, EffectQueue};
 
-/// Connections that may break under an attempt before any of its request is written; after one more it has found none.
+/// Number of connections that may fail before any byte of an attempt's request is written. With the next such failure the attempt
+/// ends with [`Outcome::ConnectFailed`].
 const MAX_CONNECTION_LOSSES: u8 = 3;
-/// Time after which a connect is tried again that this machine could not try, in microseconds.
+/// Delay before retrying a connect that this machine was unable to start, in microseconds.
 const CONNECT_RETRY_US: i64 = 20_000;
-/// Maximum time that an attempt waits for one, in microseconds.
+/// Maximum time that an attempt waits until this machine can start a connect, in microseconds.
 const MAX_CONNECT_WAIT_US: i64 = 1_000_000;
 
-/// Why a connection is lost.
+/// The way in which a connection failed.
 #[derive(Clone, Copy, Debug)]
 enum ConnectionLoss {
-    /// Nothing listens at the executor's address.
+    /// The connect was refused because nothing listens at the executor's address.
     ConnectRefused,
-    /// The connect did not complete in time, or the executor cannot be reached.
+    /// The connect timed out, or the executor is unreachable.
     ConnectTimedOut,
-    /// This machine could not try to connect.
+    /// This machine was unable to start the connect.
     ConnectImpossible,
-    /// The connection broke, or can no longer be used.
+    /// The connection broke, or a protocol error made it unusable.
     Broken,
 }
 
 impl ConnectionLoss {
-    /// The outcome of the attempts that waited for the connect, if the executor can't be connected to.
+    /// Returns the outcome of the attempts that waited for the connect, or `None` if the failure does not show that the executor is
+    /// unreachable.
     fn connect_outcome(self) -> Option<Outcome> {
         match self {
             ConnectionLoss::ConnectRefused => Some(Outcome::ConnectFailed),
@@ -39,31 +41,32 @@
 }
 
 impl Executors {
-    /// Handles a refused connect.
+    /// Handles a refused connect: the attempts that waited for it end with [`Outcome::ConnectFailed`].
     pub fn handle_connect_refused(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) {
-        self.lose_connection(id, ConnectionLoss::ConnectRefused, out);
+        self.handle_connection_loss(id, ConnectionLoss::ConnectRefused, out);
     }
 
-    /// Handles a connect that did not complete in time.
+    /// Handles a connect timeout: the attempts that waited for the connect end with [`Outcome::ConnectTimedOut`].
     pub fn handle_connect_timeout(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) {
-        self.lose_connection(id, ConnectionLoss::ConnectTimedOut, out);
+        self.handle_connection_loss(id, ConnectionLoss::ConnectTimedOut, out);
     }
 
-    /// Handles a connect that this machine could not try. It tells nothing of the executor, and may be possible soon.
+    /// Handles a connect that this machine was unable to start. This says nothing about the executor and may be temporary, so the
+    /// attempts wait and are retried.
     pub fn handle_connect_impossible(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) {
         self.counters.impossible_connects += 1;
-        self.lose_connection(id, ConnectionLoss::ConnectImpossible, out);
+        self.handle_connection_loss(id, ConnectionLoss::ConnectImpossible, out);
     }
 
-    /// Handles a connection that broke, or that can no longer be used. Each attempt on it ends by how much of its request was
-    /// written; those with nothing written are assigned to another connection.
+    /// Handles a connection that broke or became unusable. The outcome of each attempt on it depends on how much of its request was
+    /// written; attempts of which nothing was written are assigned to another connection.
     pub fn handle_broken(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) {
-        self.lose_connection(id, ConnectionLoss::Broken, out);
+        self.handle_connection_loss(id, ConnectionLoss::Broken, out);
     }
 
-    /// Moves the attempts of which nothing was written off the connections to the former address of an executor. Those that were
-    /// written may still end there.
-    pub(super) fn take_off_former_address(
+    /// Reassigns attempts after an executor's address has changed: those of which nothing was written leave the connections to the
+    /// former address; those already dispatched may still complete there.
+    pub(super) fn reassign_after_move(
         &mut self,
         engine: EngineId,
         out: &mut EffectQueue<TimerEvent>,
@@ -77,34 +80,35 @@
             };
             let has_dispatched = connection.running.values().any(|r| r.is_dispatched);
             if !has_dispatched {
-                self.lose_connection(id, ConnectionLoss::Broken, out);
+                self.handle_connection_loss(id, ConnectionLoss::Broken, out);
                 continue;
             }
             connection.requeue_unwritten();
             for attempt in std::mem::take(&mut connection.queued) {
-                self.relaunch(engine, attempt, ConnectionLoss::Broken, out);
+                self.reassign(engine, attempt, ConnectionLoss::Broken, out);
             }
         }
     }
 
-    /// Takes the requests of which nothing was written back from the output of a connection, to be written anew.
+    /// Removes the requests of which no byte was written from a connection's output buffer and queues them to be written again.
     pub fn requeue_unwritten(&mut self, id: ConnId) {
         let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
         connection.requeue_unwritten();
-        if connection.is_up && !connection.queued.is_empty() {
-            self.ready.push_back(id);
+        if connection.is_connected && !connection.queued.is_empty() {
+            self.ready_connections.push_back(id);
         }
     }
 
-    /// Takes the requests of which nothing was written back from the output of all connections.
+    /// Calls [`Executors::requeue_unwritten`] for all connections.
     pub fn requeue_all_unwritten(&mut self) {
         let all: Vec<ConnId> = self.connections.iter().map(|(id, _)| id).collect();
         all.into_iter().for_each(|id| self.requeue_unwritten(id));
     }
 
-    fn lose_connection(
+    /// Closes a failed connection and ends or reassigns each attempt on it.
+    fn handle_connection_loss(
         &mut self,
         id: ConnId,
         loss: ConnectionLoss,
@@ -117,7 +121,7 @@
         debug!(
             executor = engine.0,
             ?loss,
-            is_up = connection.is_up,
+            is_up = connection.is_connected,
             bytes_written,
             queued = connection.queued.len(),
             running = connection.running.len(),
@@ -129,41 +133,42 @@
         for running in running.into_values() {
             self.locations.remove(&running.attempt.id);
             if running.is_dispatched {
-                self.end_dispatched(engine, &running, bytes_written, out.now);
+                self.end_dispatched_attempt(engine, &running, bytes_written, out.now);
             } else {
                 unsent.push(running.attempt);
             }
         }
         for attempt in unsent {
-            self.relaunch(engine, attempt, loss, out);
+            self.reassign(engine, attempt, loss, out);
         }
     }
 
-    /// Has an attempt wait until a connect may be possible again; after some time it is known not to have been sent.
+    /// Delays an attempt until a connect may be possible again. After [`MAX_CONNECT_WAIT_US`] it ends with [`Outcome::NeverSent`].
     fn wait_for_connect(
         &mut self,
         engine: EngineId,
         mut attempt: PendingAttempt,
         out: &mut EffectQueue<TimerEvent>,
     ) {
-        let since = *attempt.no_connect_since.get_or_insert(out.now);
+        let since = *attempt.connect_blocked_since.get_or_insert(out.now);
         if out.now - since > MAX_CONNECT_WAIT_US {
             return self.report_end(attempt.id, Outcome::NeverSent);
         }
         out.set_timer_after(CONNECT_RETRY_US, TimerEvent::ReleaseDelayed(attempt.id));
-        self.delayed.push(DelayedAttempt { engine, attempt });
+        self.delayed_attempts
+            .push(DelayedAttempt { engine, attempt });
     }
 
     /// Ends an attempt whose connection broke after at least one byte of its request was written.
-    fn end_dispatched(
+    fn end_dispatched_attempt(
         &mut self,
         engine: EngineId,
         running: &RunningAttempt,
         bytes_written: u64,
         now: i64,
     ) {
-        self.record_cut(running.attempt.request, engine, now);
-        // A request that was not written completely has not run.
+        self.record_interrupted_request(running.attempt.request, engine, now);
+        // The executor does not run a request that it received only in part.
         let is_complete = bytes_written >= running.request_bytes.end;
         let outcome = if is_complete {
             Outcome::Reset
@@ -174,9 +179,9 @@
         self.report_end(running.attempt.id, outcome);
     }
 
-    /// Assigns an attempt of which nothing was written to another connection, unless the executor can't be connected to. An
-    /// executor whose connections break as they come up still listens, and must not be taken for dead at once.
-    fn relaunch(
+    /// Assigns an attempt of which nothing was written to another connection, unless the executor is unreachable. An executor whose
+    /// connections break immediately after they are established still listens, so the attempt fails only after several such losses.
+    fn reassign(
         &mut self,
         engine: EngineId,
         mut attempt: PendingAttempt,
@@ -187,7 +192,7 @@
         if matches!(loss, ConnectionLoss::ConnectImpossible) {
             return self.wait_for_connect(engine, attempt, out);
         }
-        attempt.no_connect_since = None;
+        attempt.connect_blocked_since = None;
         attempt.connection_losses += 1;
         match loss.connect_outcome() {
             Some(outcome) => self.report_end(attempt.id, outcome),
--- a/crates/platform/src/executors/mod.rs
+++ b/crates/platform/src/executors/mod.rs
@@ -1,9 +1,9 @@
-//! Connections to executors, and the attempts on them.
+//! Connections to executors and the attempts on them.
 //!
-//! [`Executors`] holds the list of executors and a pool of connections. Its methods are grouped by concern: `pool` assigns
-//! attempts to connections and opens and closes these, `requests` writes requests and cancellations, `responses` handles what
-//! executors answer, `failures` handles connections that fail, and `timeouts` the periodic checks. What becomes of an attempt is
-//! reported as an [`AttemptEvent`].
+//! [`Executors`] holds the executor list and a connection pool. Its methods are grouped by concern: `pool` opens and closes
+//! connections and assigns attempts to them, `requests` writes requests and cancellations, `responses` handles responses,
+//! `failures` handles failed connections, and `timeouts` runs the periodic checks. The progress and the outcome of attempts are
+//! reported as [`AttemptEvent`]s.
 
 mod attempts;
 mod connection;
@@ -25,98 +25,99 @@
 use wheelfield_driver::AttemptId;
 use wheelfield_sans_io::{ConnId, ConnectionBuffer, ConnectionTable, EffectQueue};
 
-/// Owner number of these connections in their [`ConnId`].
+/// Owner number that the [`ConnId`]s of executor connections carry.
 pub const OWNER: u8 = 2;
-/// Bytes that may wait in the input of a connection.
+/// Maximum size of a connection's input buffer.
 const MAX_INPUT_BYTES: usize = 4 * MAX_RESPONSE_BYTES;
 
-/// An executor.
+/// An executor and the connections to it.
 #[derive(Debug)]
 struct Executor {
     address: SocketAddr,
     connections: Vec<ConnId>,
-    /// Its state in the last list; `None` if that does not name it.
-    listed: Option<Status>,
+    /// Status in the latest executor list; `None` if the list does not contain it.
+    listed_status: Option<Status>,
 }
 
-/// An executor of a list.
+/// An entry of the executor list.
 #[derive(Clone, Copy, Debug)]
 pub struct ListedExecutor {
-    /// Its number.
+    /// Identifier of the executor.
     pub engine: EngineId,
-    /// Its address.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Whether it takes work.
+    /// Whether it accepts new work.
     pub status: Status,
 }
 
-/// How a list differs from the one before.
+/// The differences between an executor list and the previous one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListChange {
-    /// Number of executors that the one before did not name.
+    /// Number of executors that the previous list did not contain.
     pub added: usize,
-    /// Number of executors that take work again.
+    /// Number of executors that were draining and accept work again.
     pub readmitted: usize,
-    /// Number of executors with another address.
+    /// Number of executors whose address changed.
     pub moved: usize,
-    /// Executors that take work no longer.
+    /// Executors that have started to drain.
     pub draining: Vec<EngineId>,
-    /// Executors that it no longer names.
+    /// Executors that the new list no longer contains.
     pub removed: Vec<EngineId>,
 }
 
-/// Counters since the start of the process.
+/// Counters of connections and attempts since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ExecutorCounters {
-    /// Connects begun.
+    /// Connects started.
     pub connects: u64,
     /// Connections closed because of an invalid, incomplete or overdue response.
     pub protocol_errors: u64,
-    /// Responses that belong to no running attempt.
+    /// Responses that do not belong to a running attempt.
     pub unmatched_responses: u64,
-    /// Attempts that found no connection.
+    /// Attempts rejected because all connections were in use.
     pub no_connection: u64,
-    /// Connects that this machine could not try.
+    /// Connects that this machine was unable to start.
     pub impossible_connects: u64,
 }
 
-/// Limits of the connections to executors.
+/// Limits and timeouts of the connections to executors.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// Connections to all executors.
+    /// Maximum number of connections to all executors together.
     pub max_connections: usize,
-    /// Attempts on one connection at the same time.
+    /// Maximum number of concurrent attempts on one connection.
     pub max_streams: usize,
-    /// Time after which a connect has failed, in microseconds.
+    /// Connect timeout in microseconds.
     pub connect_timeout_us: i64,
-    /// Time after which executors close an idle connection, in microseconds.
+    /// Idle timeout after which executors close a connection, in microseconds.
     pub executor_idle_timeout_us: i64,
 }
 
-/// The connection that an attempt is on, and the id of its request there.
+/// The connection that an attempt is assigned to, and its request id there.
 #[derive(Clone, Copy, Debug)]
 struct AttemptLocation {
     connection: ConnId,
     request: RequestId,
 }
 
-/// A request that was on a connection, or had been cancelled on it, when the connection was closed.
+/// A request whose connection was closed before the executor was known to have finished it. The request was either still running
+/// or had been cancelled on that connection.
 #[derive(Debug)]
-struct CutRequest {
+struct InterruptedRequest {
     request: RequestId,
     engine: EngineId,
     closed_at: i64,
 }
 
-/// An attempt that waits: until its executor knows of the end of an earlier one under the same request id, or until this machine
-/// may be able to connect again.
+/// An attempt that is not assigned to a connection yet. It waits until the executor has noticed the end of an earlier attempt under
+/// the same request id, or until this machine may be able to start a connect again.
 #[derive(Debug)]
 struct DelayedAttempt {
     engine: EngineId,
     attempt: PendingAttempt,
 }
 
-/// All executors and the connections to them.
+/// The executor list and the pool of connections to the executors.
 #[derive(Debug)]
 pub struct Executors {
     limits: ConnectionLimits,
@@ -124,18 +125,18 @@
     connections: ConnectionTable<Connection>,
     locations: BTreeMap<AttemptId, AttemptLocation>,
     events: VecDeque<AttemptEvent>,
-    /// Connections that are up and may have queued attempts.
-    ready: VecDeque<ConnId>,
-    /// Requests whose connection was closed lately. Expired entries are dropped at each launch and periodic check, so that it
-    /// holds at most the requests of the connections closed within that time.
-    cut_requests: Vec<CutRequest>,
-    delayed: Vec<DelayedAttempt>,
-    /// Counters since the start of the process.
+    /// Established connections that may have queued attempts.
+    ready_connections: VecDeque<ConnId>,
+    /// Requests whose connection was closed within the last `CLOSE_NOTICE_DELAY_US` (see `pool`). Expired entries are dropped at
+    /// each launch and at each periodic check, which bounds the length.
+    interrupted_requests: Vec<InterruptedRequest>,
+    delayed_attempts: Vec<DelayedAttempt>,
+    /// Counters for the metrics endpoint.
     pub counters: ExecutorCounters,
 }
 
 impl Executors {
-    /// Creates the side of the executors, with none known.
+    /// Creates a pool without executors and connections.
     pub fn new(limits: ConnectionLimits) -> Executors {
         Executors {
             limits,
@@ -143,15 +144,15 @@
             connections: ConnectionTable::new(OWNER),
             locations: BTreeMap::new(),
             events: VecDeque::new(),
-            ready: VecDeque::new(),
-            cut_requests: Vec::new(),
-            delayed: Vec::new(),
+            ready_connections: VecDeque::new(),
+            interrupted_requests: Vec::new(),
+            delayed_attempts: Vec::new(),
             counters: ExecutorCounters::default(),
         }
     }
 
-    /// Replaces the list of executors, given with their addresses. Idle connections to executors that are no longer listed or
-    /// have moved are closed.
+    /// Replaces the executor list and returns the differences from the previous one. Idle connections to executors that are no
+    /// longer listed or whose address changed are closed.
     pub fn replace_list(
         &mut self,
         list: Vec<ListedExecutor>,
@@ -161,7 +162,7 @@
         let before: BTreeMap<EngineId, Option<Status>> = self
             .by_engine
             .iter_mut()
-            .map(|(engine, executor)| (*engine, executor.listed.take()))
+            .map(|(engine, executor)| (*engine, executor.listed_status.take()))
             .collect();
         for listed in list {
             let state_before = before.get(&listed.engine).copied().flatten();
@@ -174,7 +175,7 @@
                 usize::from(state_before == Some(Status::Draining) && listed.status == Status::Up);
             if self.update_executor(listed) {
                 change.moved += 1;
-                self.take_off_former_address(listed.engine, out);
+                self.reassign_after_move(listed.engine, out);
             }
         }
         let is_removed = |(engine, state): &(&EngineId, &Option<Status>)| {
@@ -183,7 +184,7 @@
         let removed = before.iter().filter(is_removed);
         change.removed = removed.map(|(engine, _)| *engine).collect();
         let unusable = |connection: &Connection| {
-            connection.load() == 0
+            connection.attempt_count() == 0
                 && (connection.buffer.peer_closing || !self.is_engine_listed(connection.engine))
         };
         let unused: Vec<ConnId> = self
@@ -199,7 +200,7 @@
         change
     }
 
-    /// Takes over an executor of a list; whether it has moved.
+    /// Adds or updates an executor of the list. Returns whether its address changed.
     fn update_executor(&mut self, listed: ListedExecutor) -> bool {
         let ListedExecutor {
             engine,
@@ -209,11 +210,11 @@
         let executor = self.by_engine.entry(engine).or_insert_with(|| Executor {
             address,
             connections: Vec::new(),
-            listed: None,
+            listed_status: None,
         });
         let has_moved = executor.address != address;
         if has_moved {
-            // Nothing more may be sent to the former address: another executor may have it now.
+            // The former address may now belong to another executor, so no new attempt may be sent there.
             for id in &executor.connections {
                 if let Some(connection) = self.connections.get_mut(*id) {
                     connection.buffer.peer_closing = true;
@@ -221,13 +222,13 @@
             }
         }
         executor.address = address;
-        executor.listed = Some(status);
+        executor.listed_status = Some(status);
         has_moved
     }
 
-    /// The state of an executor in the last list.
+    /// Returns the state of an executor in the latest list.
     pub fn listed_state(&self, engine: EngineId) -> ListedState {
-        let listed = self.by_engine.get(&engine).and_then(|e| e.listed);
+        let listed = self.by_engine.get(&engine).and_then(|e| e.listed_status);
         match listed {
             Some(Status::Up) => ListedState::Up,
             Some(Status::Draining) => ListedState::Draining,
@@ -235,7 +236,8 @@
         }
     }
 
-    /// The state, in the last list, of the executor that a connection goes to.
+    /// Returns the state in the latest list of the executor that a connection goes to; `Missing` if the executor is now listed with
+    /// another address.
     pub fn listed_state_of_connection(&self, connection: ConnId) -> ListedState {
         let Some(connection) = self.connections.get(connection) else {
             return ListedState::Missing;
@@ -248,12 +250,12 @@
         }
     }
 
-    /// The executor that a connection goes to.
+    /// Returns the executor that a connection goes to.
     pub fn engine_of_connection(&self, connection: ConnId) -> Option<EngineId> {
         self.connections.get(connection).map(|c| c.engine)
     }
 
-    /// The executor that has a running attempt.
+    /// Returns the executor whose connection an attempt is assigned to.
     pub fn engine_of_attempt(&self, attempt: AttemptId) -> Option<EngineId> {
         let location = self.locations.get(&attempt)?;
         Some(self.connections.get(location.connection)?.engine)
@@ -262,39 +264,40 @@
     fn is_engine_listed(&self, engine: EngineId) -> bool {
         self.by_engine
             .get(&engine)
-            .is_some_and(|executor| executor.listed.is_some())
+            .is_some_and(|executor| executor.listed_status.is_some())
     }
 
-    /// Forgets executors that are not listed and have no connection.
+    /// Removes executors that are neither listed nor connected.
     fn forget_unlisted(&mut self) {
-        self.by_engine
-            .retain(|_, executor| executor.listed.is_some() || !executor.connections.is_empty());
+        self.by_engine.retain(|_, executor| {
+            executor.listed_status.is_some() || !executor.connections.is_empty()
+        });
     }
 
-    /// Number of executors known, including those no longer listed that still have connections.
+    /// Returns the number of executors, including unlisted ones that still have connections.
     pub fn executor_count(&self) -> usize {
         self.by_engine.len()
     }
 
-    /// Number of connections.
+    /// Returns the number of connections to all executors.
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
-    /// The buffer of a connection.
+    /// Returns the input and output buffers of a connection.
     pub fn buffer(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
         self.connections
             .get_mut(id)
             .map(|connection| &mut connection.buffer)
     }
 
-    /// Bytes that may be read from a connection.
+    /// Returns the number of bytes that may be read from a connection now.
     pub fn read_capacity(&mut self, id: ConnId) -> usize {
         self.buffer(id)
             .map_or(0, |buffer| buffer.read_capacity(MAX_INPUT_BYTES))
     }
 
-    /// Records that so many bytes were written to a connection.
+    /// Records that `count` bytes of a connection's output were written, and reports the attempts that this dispatched.
     pub fn bytes_written(&mut self, id: ConnId, count: usize) {
         let executor = self.listed_state_of_connection(id);
         let Some(connection) = self.connections.get_mut(id) else {
@@ -309,17 +312,17 @@
         }
     }
 
-    /// Takes the oldest event that was not taken yet.
+    /// Removes and returns the oldest pending event.
     pub fn next_event(&mut self) -> Option<AttemptEvent> {
         self.events.pop_front()
     }
 
-    /// Takes a connection that is up and may have queued attempts, which [`Executors::take_queued`] returns.
+    /// Removes and returns an established connection that may have queued attempts; [`Executors::take_queued`] returns these.
     pub fn next_ready(&mut self) -> Option<ConnId> {
-        self.ready.pop_front()
+        self.ready_connections.pop_front()
     }
 
-    /// Reports an end on which the executor said nothing.
+    /// Reports that an attempt ended without a report from the executor.
     fn report_end(&mut self, attempt: AttemptId, outcome: Outcome) {
         let ended = EndedAttempt::without_report(attempt, outcome);
         self.events.push_back(AttemptEvent::Ended(Box::new(ended)));
--- a/crates/platform/src/executors/pool.rs
+++ b/crates/platform/src/executors/pool.rs
@@ -1,7 +1,7 @@
-//! The pool of connections: assigns attempts to connections, opens connections and closes them.
+//! The connection pool: assigns attempts to connections, and opens and closes connections.
 
 use super::connection::{CloseReason, Connection};
-use super::{AttemptLocation, CutRequest, DelayedAttempt, Executors, PendingAttempt};
+use super::{AttemptLocation, DelayedAttempt, Executors, InterruptedRequest, PendingAttempt};
 use crate::executor_protocol::RequestId;
 use crate::timer_event::TimerEvent;
 use tracing::debug;
@@ -9,13 +9,14 @@
 use wheelfield_driver::AttemptId;
 use wheelfield_sans_io::{ConnId, Effect, EffectQueue};
 
-/// Time after which an executor knows of the end of a connection, in microseconds. Until then a request that was on it is not
-/// sent to the same executor again, as that could be a second copy.
-const CUT_DELAY_US: i64 = 20_000;
+/// Time that an executor may need to notice that a connection was closed, in microseconds. Until then a request that was on the
+/// connection is not sent to the same executor again, because the executor might run both copies.
+const CLOSE_NOTICE_DELAY_US: i64 = 20_000;
 
 impl Executors {
-    /// Assigns an attempt to a connection to this executor, opening one if needed. Once the connection is up, it is returned
-    /// by [`Executors::next_ready`]. If there is no connection to be had, the attempt ends.
+    /// Assigns an attempt to a connection to this executor, opening one if needed. Once the connection is established,
+    /// [`Executors::next_ready`] returns it. The attempt ends with [`Outcome::ConnectFailed`] if the executor is not known, and
+    /// with [`Outcome::Full`] if all connections are in use.
     pub fn launch(
         &mut self,
         engine: EngineId,
@@ -26,16 +27,20 @@
             self.report_end(attempt.id, Outcome::ConnectFailed);
             return;
         }
-        self.expire_cut_requests(out.now);
-        if self.is_request_cut(attempt.request, engine) {
-            out.set_timer_after(CUT_DELAY_US, TimerEvent::ReleaseDelayed(attempt.id));
-            self.delayed.push(DelayedAttempt { engine, attempt });
+        self.expire_interrupted_requests(out.now);
+        if self.is_request_interrupted(attempt.request, engine) {
+            out.set_timer_after(
+                CLOSE_NOTICE_DELAY_US,
+                TimerEvent::ReleaseDelayed(attempt.id),
+            );
+            self.delayed_attempts
+                .push(DelayedAttempt { engine, attempt });
             return;
         }
         let id = match self.choose_connection(engine, attempt.request) {
             Some(id) => id,
             None => {
-                if !self.has_free_connection() && !self.evict_idle(out) {
+                if !self.is_below_connection_limit() && !self.evict_idle(out) {
                     self.counters.no_connection += 1;
                     self.report_end(attempt.id, Outcome::Full);
                     return;
@@ -49,23 +54,23 @@
         self.assign(id, attempt);
     }
 
-    /// Launches an attempt that was delayed, unless it was cancelled meanwhile.
+    /// Launches a delayed attempt, unless it was cancelled in the meantime.
     pub fn release_delayed(&mut self, attempt: AttemptId, out: &mut EffectQueue<TimerEvent>) {
         if let Some(position) = self
-            .delayed
+            .delayed_attempts
             .iter()
             .position(|delayed| delayed.attempt.id == attempt)
         {
-            let DelayedAttempt { engine, attempt } = self.delayed.swap_remove(position);
+            let DelayedAttempt { engine, attempt } = self.delayed_attempts.swap_remove(position);
             self.launch(engine, attempt, out);
         }
     }
 
-    fn has_free_connection(&self) -> bool {
+    fn is_below_connection_limit(&self) -> bool {
         self.connections.len() < self.limits.max_connections
     }
 
-    /// The existing connection that an attempt is to use; none if a new one is to be opened.
+    /// Chooses the existing connection for an attempt; `None` if a new one should be opened.
     fn choose_connection(&self, engine: EngineId, request: RequestId) -> Option<ConnId> {
         let executor = self.by_engine.get(&engine)?;
         let accepting: Vec<(ConnId, &Connection)> = executor
@@ -78,26 +83,26 @@
             })
             .filter(|(_, connection)| connection.accepts(request, self.limits.max_streams))
             .collect();
-        // The next attempt must not overtake the cancellation of an earlier one under the same id on another connection: the
-        // executor would have two copies, and cancel the wrong one.
+        // If an earlier attempt under the same id was cancelled on a connection, use that one: on another connection the request
+        // could overtake the cancellation, and the executor would hold two copies and cancel the wrong one.
         let with_cancellation = accepting
             .iter()
-            .find(|(_, c)| c.cancelled.contains(&request));
-        // The connection that became idle last is preferred, so that the others reach their idle timeout. An attempt that is
-        // alone on its connection is not affected by an invalid response to another one.
+            .find(|(_, c)| c.cancelled_ids.contains(&request));
+        // Otherwise prefer an idle connection, on which an invalid response to another attempt can't affect this one. Among the
+        // idle ones, use the one that became idle last, so that the others reach their idle timeout.
         let idle = accepting
             .iter()
-            .filter(|(_, c)| c.is_up && c.load() == 0)
+            .filter(|(_, c)| c.is_connected && c.attempt_count() == 0)
             .max_by_key(|(_, c)| c.idle_since);
         if let Some((id, _)) = with_cancellation.or(idle) {
             return Some(*id);
         }
-        if self.has_free_connection() {
+        if self.is_below_connection_limit() {
             return None;
         }
         accepting
             .iter()
-            .min_by_key(|(_, c)| (!c.is_up, c.load()))
+            .min_by_key(|(_, c)| (!c.is_connected, c.attempt_count()))
             .map(|(id, _)| *id)
     }
 
@@ -111,8 +116,8 @@
         };
         self.locations.insert(attempt.id, location);
         connection.queued.push(attempt);
-        if connection.is_up {
-            self.ready.push_back(id);
+        if connection.is_connected {
+            self.ready_connections.push_back(id);
         }
     }
 
@@ -132,14 +137,15 @@
         Some(id)
     }
 
-    /// Closes a connection without attempts: one whose connect has not completed, else the one that has been idle the longest.
-    /// Returns whether there was one.
+    /// Closes one connection that has no attempts, to make room for another. Connections that are still connecting come first, then
+    /// the one that has been idle for the longest time. Returns `false` if all connections have attempts.
     fn evict_idle(&mut self, out: &mut EffectQueue<TimerEvent>) -> bool {
         let idle = self
             .connections
             .iter()
-            .filter(|(_, connection)| connection.load() == 0);
-        let oldest = idle.min_by_key(|(_, connection)| (connection.is_up, connection.idle_since));
+            .filter(|(_, connection)| connection.attempt_count() == 0);
+        let oldest =
+            idle.min_by_key(|(_, connection)| (connection.is_connected, connection.idle_since));
         let Some(id) = oldest.map(|(id, _)| id) else {
             return false;
         };
@@ -147,34 +153,34 @@
         true
     }
 
-    /// Handles a completed connect.
+    /// Handles a completed connect: the attempts queued on the connection can be written.
     pub fn handle_connected(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) {
         if let Some(connection) = self.connections.get_mut(id) {
-            connection.is_up = true;
+            connection.is_connected = true;
             connection.idle_since = out.now;
             out.cancel_timer(&mut connection.connect_timer);
-            self.ready.push_back(id);
+            self.ready_connections.push_back(id);
         }
     }
 
-    /// Handles the executor's close of its side: the connection takes no new attempt, and is closed once it has none.
+    /// Handles the executor closing its side: the connection accepts no new attempts and is closed as soon as it has none.
     pub fn handle_peer_closing(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) {
         if let Some(connection) = self.connections.get_mut(id) {
             connection.buffer.peer_closing = true;
-            if connection.load() == 0 {
+            if connection.attempt_count() == 0 {
                 self.close(id, CloseReason::PeerClosing, out);
             }
         }
     }
 
-    /// Closes a connection that is idle and must not be used again.
+    /// Closes a connection if it is idle and accepts no new attempts; see [`Connection::is_retired`].
     pub(super) fn close_if_retired(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) {
         if self.connections.get(id).is_some_and(Connection::is_retired) {
             self.close(id, CloseReason::Retired, out);
         }
     }
 
-    /// Closes a connection. The only way to do so.
+    /// Closes a connection. All closes go through this method, which records the requests that were cancelled on the connection.
     pub(super) fn close(
         &mut self,
         id: ConnId,
@@ -191,10 +197,10 @@
             "executor connection closed"
         );
         out.cancel_timer(&mut connection.connect_timer);
-        // Cancellations take effect with the end of the connection at the latest, and a new attempt under the same id must not
-        // overtake that.
-        for request in &connection.cancelled {
-            self.record_cut(*request, connection.engine, out.now);
+        // The executor cancels these requests when it notices the close at the latest. A new attempt under the same id must not
+        // reach it before.
+        for request in &connection.cancelled_ids {
+            self.record_interrupted_request(*request, connection.engine, out.now);
         }
         if let Some(executor) = self.by_engine.get_mut(&connection.engine) {
             executor.connections.retain(|other| *other != id);
@@ -202,24 +208,29 @@
         out.push(Effect::Close(id));
     }
 
-    /// Remembers that the connection of a request was closed.
-    pub(super) fn record_cut(&mut self, request: RequestId, engine: EngineId, now: i64) {
-        self.cut_requests.push(CutRequest {
+    /// Records that the connection of a request was closed.
+    pub(super) fn record_interrupted_request(
+        &mut self,
+        request: RequestId,
+        engine: EngineId,
+        now: i64,
+    ) {
+        self.interrupted_requests.push(InterruptedRequest {
             request,
             engine,
             closed_at: now,
         });
     }
 
-    fn is_request_cut(&self, request: RequestId, engine: EngineId) -> bool {
-        self.cut_requests
+    fn is_request_interrupted(&self, request: RequestId, engine: EngineId) -> bool {
+        self.interrupted_requests
             .iter()
-            .any(|cut| cut.request == request && cut.engine == engine)
+            .any(|interrupted| interrupted.request == request && interrupted.engine == engine)
     }
 
-    /// Forgets requests whose executor knows of the end of their connection by now.
-    pub(super) fn expire_cut_requests(&mut self, now: i64) {
-        self.cut_requests
-            .retain(|cut| now - cut.closed_at < CUT_DELAY_US);
+    /// Removes interrupted requests whose executor has had time to notice the close of their connection.
+    pub(super) fn expire_interrupted_requests(&mut self, now: i64) {
+        self.interrupted_requests
+            .retain(|interrupted| now - interrupted.closed_at < CLOSE_NOTICE_DELAY_US);
     }
 }
--- a/crates/platform/src/executors/requests.rs
+++ b/crates/platform/src/executors/requests.rs
@@ -1,4 +1,4 @@
-//! Messages to executors: requests, changes of priority and cancellations.
+//! Messages to executors: requests, priority changes and cancellations.
 
 use super::connection::RunningAttempt;
 use super::{AttemptLocation, Executors, PendingAttempt};
@@ -9,12 +9,12 @@
 use wheelfield_sans_io::{ConnId, EffectQueue};
 
 impl Executors {
-    /// Takes the first attempt that is queued on a connection which is up.
+    /// Removes and returns the first queued attempt of an established connection.
     pub fn take_queued(&mut self, id: ConnId) -> Option<PendingAttempt> {
         let connection = self
             .connections
             .get_mut(id)
-            .filter(|connection| connection.is_up)?;
+            .filter(|connection| connection.is_connected)?;
         if connection.queued.is_empty() {
             return None;
         }
@@ -23,7 +23,7 @@
         Some(attempt)
     }
 
-    /// Writes the request of an attempt to a connection.
+    /// Appends the request of an attempt to the output buffer of a connection and requests a write.
     pub fn write_request(
         &mut self,
         id: ConnId,
@@ -54,7 +54,7 @@
             request_bytes: start..connection.bytes_queued,
             is_dispatched: false,
             result: None,
-            reuses_cancelled_id: connection.cancelled.contains(&attempt.request),
+            reuses_cancelled_id: connection.cancelled_ids.contains(&attempt.request),
             attempt,
         };
         self.locations.insert(running.attempt.id, location);
@@ -62,7 +62,7 @@
         connection.buffer.flush(id, out);
     }
 
-    /// Sends changed options of an attempt whose request was written and whose result has not begun to arrive.
+    /// Sends the changed options of an attempt, if its request was written and no part of its result has arrived.
     pub fn set_options(
         &mut self,
         attempt: AttemptId,
@@ -91,9 +91,10 @@
         }
     }
 
-    /// Cancels an attempt. A response that crosses the cancellation is dropped.
+    /// Cancels an attempt. A response that the executor sent before it received the cancellation is dropped.
     pub fn cancel(&mut self, attempt: AttemptId, out: &mut EffectQueue<TimerEvent>) {
-        self.delayed.retain(|delayed| delayed.attempt.id != attempt);
+        self.delayed_attempts
+            .retain(|delayed| delayed.attempt.id != attempt);
         let Some(AttemptLocation {
             connection: id,
             request,
@@ -108,11 +109,11 @@
         if let Some(running) = connection.running.remove(&request) {
             let has_result = running.result.is_some();
             debug!(id = %request, %attempt, executor = connection.engine.0, has_result, "attempt cancelled");
-            // The attempt counts as never sent, but its request is part of the output: the connection must not send it.
+            // The driver treats the attempt as never sent, so its request must not leave the output buffer: close the connection.
             if !running.is_dispatched {
                 return self.handle_broken(id, out);
             }
-            // After a result has begun to arrive, the executor only keeps the pages.
+            // If the first page has arrived, the query is complete and the executor only has to release the remaining pages.
             connection.append(|output| {
                 if has_result {
                     executor_protocol::encode_release(request, output);
@@ -120,7 +121,7 @@
                     executor_protocol::encode_cancel(request, output);
                 }
             });
-            connection.cancelled.push(request);
+            connection.cancelled_ids.push(request);
             connection.idle_since = out.now;
             connection.buffer.flush(id, out);
         }
--- a/crates/platform/src/executors/responses.rs
+++ b/crates/platform/src/executors/responses.rs
@@ -1,4 +1,4 @@
-//! Responses of executors.
+//! Handles the responses of executors.
 
 use super::connection::{PartialResult, RunningAttempt};
 use super::{AttemptEvent, EndedAttempt, Executors, MAX_INPUT_BYTES};
@@ -11,22 +11,22 @@
 use wheelfield_sans_io::{ConnId, EffectQueue};
 use wheelfield_settings::set_load_metric;
 
-/// What a response means to the attempt it belongs to.
+/// The effect of a response on the attempt that it belongs to.
 enum ResponseEffect {
-    /// It does not fit the state of the attempt, and is dropped.
+    /// The response does not fit the state of the attempt and is dropped.
     Unmatched,
     /// The executor reported progress.
     Updated(AttemptUpdate),
-    /// The first of so many pages: the others are to be fetched.
+    /// The first page of a result with this number of pages; the others have to be fetched.
     FirstPage(usize),
-    /// A further page, but not the last one that was missing.
+    /// A further page of the result; other pages are still missing.
     FurtherPage,
     /// The attempt has ended.
     Ended(EndedAttempt),
 }
 
 impl Executors {
-    /// Handles the responses in the input of a connection, and the end of the input.
+    /// Handles the responses in the input buffer of a connection, and the end of its input.
     pub fn handle_input(&mut self, id: ConnId, out: &mut EffectQueue<TimerEvent>) {
         loop {
             let Some(connection) = self.connections.get_mut(id) else {
@@ -94,7 +94,7 @@
                     .push_back(AttemptEvent::Updated(running.attempt.id, update));
             }
             ResponseEffect::FirstPage(pages) => {
-                // All further pages are requested at once, so that their round trips do not add up.
+                // Request all further pages at once, so that the result takes one more round trip instead of one per page.
                 for page in 1..pages {
                     connection
                         .append(|output| executor_protocol::encode_fetch(request, page, output));
@@ -102,13 +102,13 @@
                 connection.buffer.flush(id, out);
             }
             ResponseEffect::FurtherPage => {}
-            ResponseEffect::Ended(ended) => self.end_running(id, request, kind, ended, out),
+            ResponseEffect::Ended(ended) => self.end_running_attempt(id, request, kind, ended, out),
         }
         Ok(())
     }
 
-    /// Ends a running attempt after its last response, which was of this kind.
-    fn end_running(
+    /// Ends a running attempt. `kind` is the kind of its last response.
+    fn end_running_attempt(
         &mut self,
         id: ConnId,
         request: RequestId,
@@ -128,7 +128,8 @@
             connection.buffer.flush(id, out);
         }
         if running.reuses_cancelled_id {
-            // If this was the response to the cancelled attempt, the other one must not go on.
+            // The response may have been that of the earlier, cancelled attempt under this id. This attempt may then still be
+            // running and has to be cancelled.
             connection.append(|output| executor_protocol::encode_cancel(request, output));
             connection.buffer.flush(id, out);
         }
@@ -139,9 +140,9 @@
             response = ?kind,
             "attempt ended"
         );
-        // A duplicate of this response may follow, and must not be taken for that of another attempt under the same id.
+        // A duplicate of this response may follow. It must not be matched to a later attempt under the same id.
         if !is_served {
-            connection.cancelled.push(request);
+            connection.cancelled_ids.push(request);
         }
         connection.idle_since = out.now;
         self.locations.remove(&ended.attempt);
@@ -155,8 +156,8 @@
         response: Response,
         now: i64,
     ) -> Result<ResponseEffect, ProtocolError> {
-        let failed = |outcome, response: &Response| {
-            let report = load_report(response);
+        let ended_with = |outcome, response: &Response| {
+            let report = parse_load_report(response);
             let ended = EndedAttempt {
                 report,
                 ..EndedAttempt::without_report(self.attempt.id, outcome)
@@ -164,13 +165,15 @@
             Ok(ResponseEffect::Ended(ended))
         };
         match (response.kind, &mut self.result) {
-            (ResponseKind::Info, None) => Ok(ResponseEffect::Updated(attempt_update(&response))),
+            (ResponseKind::Info, None) => {
+                Ok(ResponseEffect::Updated(parse_attempt_update(&response)))
+            }
             (ResponseKind::Hit, None) => self.handle_first_page(response, now),
             (ResponseKind::Part, Some(_)) => self.handle_further_page(response, now),
-            // Also after a result: the executor no longer has its pages.
-            (ResponseKind::Fault, _) => failed(Outcome::Error, &response),
-            (ResponseKind::Shed, None) => failed(Outcome::Full, &response),
-            (ResponseKind::Late, None) => failed(Outcome::NeverSent, &response),
+            // A fault after the first page means that the executor no longer has the remaining pages.
+            (ResponseKind::Fault, _) => ended_with(Outcome::Error, &response),
+            (ResponseKind::Shed, None) => ended_with(Outcome::Full, &response),
+            (ResponseKind::Late, None) => ended_with(Outcome::NeverSent, &response),
             _ => Ok(ResponseEffect::Unmatched),
         }
     }
@@ -180,17 +183,17 @@
         response: Response,
         now: i64,
     ) -> Result<ResponseEffect, ProtocolError> {
-        let pages = response.number("pages").unwrap_or(1.0);
+        let pages = response.numeric_field("pages").unwrap_or(1.0);
         if !(1.0..=MAX_PAGES as f64).contains(&pages)
             || !result_pages::is_valid_page(&response.body)
         {
             return Err(ProtocolError::InvalidLine);
         }
         let pages = pages as usize;
-        let billed_work = response.number("cost").map(|ms| ms / 1e3);
-        let report = load_report(&response);
+        let billed_work = response.numeric_field("cost").map(|ms| ms / 1e3);
+        let report = parse_load_report(&response);
         if pages == 1 {
-            return Ok(ResponseEffect::Ended(self.served(
+            return Ok(ResponseEffect::Ended(self.served_attempt(
                 billed_work,
                 report,
                 vec![response.body],
@@ -200,8 +203,8 @@
             billed_work,
             report,
             pages: vec![None; pages],
-            missing: pages - 1,
-            bytes: response.body.len(),
+            missing_pages: pages - 1,
+            received_bytes: response.body.len(),
             last_page_at: now,
         };
         result.pages[0] = Some(response.body);
@@ -217,35 +220,38 @@
         let Some(result) = &mut self.result else {
             return Ok(ResponseEffect::Unmatched);
         };
-        let number = response.number("page").ok_or(ProtocolError::InvalidLine)?;
+        let number = response
+            .numeric_field("page")
+            .ok_or(ProtocolError::InvalidLine)?;
         let Some(page) = result
             .pages
             .get_mut(number as usize)
             .filter(|page| page.is_none())
         else {
-            // A duplicate.
+            // A page that has already arrived, or whose number is out of range.
             return Ok(ResponseEffect::Unmatched);
         };
-        result.bytes += response.body.len();
-        if !result_pages::is_valid_page(&response.body) || result.bytes > MAX_RESULT_BYTES {
+        result.received_bytes += response.body.len();
+        if !result_pages::is_valid_page(&response.body) || result.received_bytes > MAX_RESULT_BYTES
+        {
             return Err(ProtocolError::InvalidLine);
         }
         *page = Some(response.body);
-        result.missing -= 1;
+        result.missing_pages -= 1;
         result.last_page_at = now;
-        if result.missing > 0 {
+        if result.missing_pages > 0 {
             return Ok(ResponseEffect::FurtherPage);
         }
         let pages = result.pages.iter_mut().filter_map(Option::take).collect();
         let (billed_work, report) = (result.billed_work, result.report);
-        Ok(ResponseEffect::Ended(self.served(
+        Ok(ResponseEffect::Ended(self.served_attempt(
             billed_work,
             report,
             pages,
         )))
     }
 
-    fn served(
+    fn served_attempt(
         &self,
         billed_work: Option<f64>,
         report: LoadReport,
@@ -261,10 +267,10 @@
     }
 }
 
-/// The progress that an `INFO` response reports.
-fn attempt_update(response: &Response) -> AttemptUpdate {
-    let value = response.number("v").unwrap_or(0.0);
-    match response.text("tell") {
+/// Parses the progress that an `INFO` response reports.
+fn parse_attempt_update(response: &Response) -> AttemptUpdate {
+    let value = response.numeric_field("v").unwrap_or(0.0);
+    match response.field("tell") {
         Some("pct") => AttemptUpdate::Progress(value),
         Some("overflow") => AttemptUpdate::Spills(value),
         Some("queued") if value < 2.0 => AttemptUpdate::WaitsForMemory,
@@ -273,10 +279,10 @@
     }
 }
 
-/// The executor's load as the field `meter` states it: pairs of a name and a number, separated by semicolons.
-fn load_report(response: &Response) -> LoadReport {
+/// Parses the executor's load from the field `meter`: pairs of the form `name:number`, separated by semicolons.
+fn parse_load_report(response: &Response) -> LoadReport {
     let mut report = LoadReport::default();
-    for pair in response.text("meter").unwrap_or("").split(';') {
+    for pair in response.field("meter").unwrap_or("").split(';') {
         let Some((name, value)) = pair.split_once(':') else {
             continue;
         };
