--- a/crates/platform/src/result_pages.rs
+++ b/crates/platform/src/result_pages.rs
@@ -1,17 +1,18 @@
-//! Results: the pages of rows that executors send, and the JSON that clients receive.
+//! Query results: validates the pages of rows that executors send, and converts them to the JSON that clients receive.
 
 use bytes::Bytes;
 
 /// Maximum length of a page in bytes.
 pub const MAX_PAGE_BYTES: usize = 6_000;
-/// Maximum length of a result in bytes.
+/// Maximum length of all pages of a result in bytes.
 pub const MAX_RESULT_BYTES: usize = 48_000;
 /// Maximum number of pages of a result.
 pub const MAX_PAGES: usize = 64;
 /// Number of columns of a row.
 const COLUMNS: usize = 3;
 
-/// Whether a page consists of complete rows of three columns: text separated by tabs, each row ended by a line feed.
+/// Returns whether a page consists of complete rows of three columns: UTF-8 text with columns separated by tabs and each row
+/// terminated by a line feed.
 pub fn is_valid_page(page: &[u8]) -> bool {
     let Ok(text) = std::str::from_utf8(page) else {
         return false;
@@ -24,7 +25,7 @@
             .all(|row| row.split('\t').count() == COLUMNS)
 }
 
-/// The JSON of all rows of these pages, in order.
+/// Converts the rows of all pages, in order, to a JSON object whose field `batch` is an array of rows.
 pub fn rows_to_json(pages: &[Bytes]) -> Vec<u8> {
     let length: usize = pages.iter().map(Bytes::len).sum();
     let mut json = Vec::with_capacity(length + length / 2 + 32);
@@ -41,7 +42,7 @@
             if column_index > 0 {
                 json.push(b',');
             }
-            // Writing to memory can't fail.
+            // Writing to a `Vec` can't fail.
             let _ = serde_json::to_writer(&mut json, column);
         }
         json.push(b']');
--- a/crates/platform/src/result_pages/tests.rs
+++ b/crates/platform/src/result_pages/tests.rs
@@ -2,23 +2,26 @@
 use proptest::prelude::*;
 
 #[test]
-fn a_valid_page_has_complete_rows_of_three_columns() {
+fn a_page_is_valid_only_with_complete_rows_of_three_columns() {
     assert!(is_valid_page(b"a\t1\tx\nb\t2\ty\n") && is_valid_page(b"") && is_valid_page(b"\t\t\n"));
-    for bad in [
+    for invalid_page in [
         &b"a\t1\tx"[..],
         b"a\t1\n",
         b"a\t1\tx\ty\n",
         b"a\t1\t\xff\n",
         b"\n",
     ] {
-        assert!(!is_valid_page(bad), "{bad:?}");
+        assert!(!is_valid_page(invalid_page), "{invalid_page:?}");
     }
-    assert!(!is_valid_page(&b"a\t1\tx\n".repeat(1001)), "over the limit");
+    assert!(
+        !is_valid_page(&b"a\t1\tx\n".repeat(1001)),
+        "page exceeds the maximum length"
+    );
 }
 
 proptest! {
     #[test]
-    fn rows_in_pages_are_the_rows_of_the_json(
+    fn json_contains_the_rows_of_all_pages_in_order(
         rows in prop::collection::vec(prop::collection::vec("[^\t\n]{0,8}", 3), 0..20),
         cut in 0usize..20,
     ) {
@@ -29,8 +32,8 @@
         let pages = [page(&rows[..cut]), page(&rows[cut..])];
         prop_assert!(pages.iter().all(|p| is_valid_page(p)));
         let json: serde_json::Value = serde_json::from_slice(&rows_to_json(&pages)).expect("JSON");
-        let got: Vec<Vec<String>> = serde_json::from_value(json["batch"].clone()).expect("rows");
-        prop_assert_eq!(got, rows);
+        let decoded_rows: Vec<Vec<String>> = serde_json::from_value(json["batch"].clone()).expect("rows");
+        prop_assert_eq!(decoded_rows, rows);
         prop_assert!(json.get("cursor").is_none() && json.get("reason").is_none());
     }
 }
--- a/crates/platform/src/table_group.rs
+++ b/crates/platform/src/table_group.rs
@@ -1,18 +1,19 @@
-//! Finds the group of tables that a statement reads or writes.
+//! Determines the table group that a SQL statement reads or writes.
 
 use std::borrow::Cow;
 use wheelfield_pg::sql::{self, Token};
 
-/// Keywords that tables follow.
-const KEYWORDS_BEFORE_TABLES: [&str; 6] = ["from", "join", "into", "update", "table", "using"];
+/// Keywords that introduce a list of tables.
+const TABLE_LIST_KEYWORDS: [&str; 6] = ["from", "join", "into", "update", "table", "using"];
 /// Keywords that end a list of tables.
-const KEYWORDS_AFTER_TABLES: [&str; 10] = [
+const TABLE_LIST_END_KEYWORDS: [&str; 10] = [
     "where", "on", "group", "order", "set", "values", "select", "having", "limit", "union",
 ];
-/// The schema of data that waits to be loaded, which belongs to no group.
+/// Schema of data that has not been loaded yet; it does not belong to a table group.
 const STAGING_SCHEMA: &str = "staging";
 
-/// The group of a schema, which is the number after its last underscore; `None` if it has no such number.
+/// Returns the table group of a schema, which is the number after the last underscore of its name; `None` if there is no such
+/// number.
 fn schema_group(schema: &str) -> Option<u64> {
     if schema.eq_ignore_ascii_case(STAGING_SCHEMA) {
         return None;
@@ -27,23 +28,23 @@
         .any(|keyword| name.eq_ignore_ascii_case(keyword))
 }
 
-/// The group of tables that a statement reads or writes: that of the first schema named among tables, else of the first schema
-/// named elsewhere. `None` if no schema of a group is named.
+/// Returns the table group that a statement reads or writes. This is the group of the first schema that qualifies a table, or, if
+/// there is none, of the first schema that qualifies any other name. `None` if no schema in the statement has a table group.
 pub fn table_group(statement: &str) -> Option<u64> {
-    let mut group_elsewhere = None;
-    let mut is_among_tables = false;
+    let mut other_group = None;
+    let mut is_in_table_list = false;
     let mut is_after_dot = false;
-    // The last name, if it stood at the start of a qualified name.
+    // The preceding name, if it is the first part of a name; a dot after it makes it a schema.
     let mut schema: Option<Cow<'_, str>> = None;
     for token in sql::tokens(statement) {
         match token {
             Token::Name(_) if is_after_dot => {
-                // Inside a qualified name, no word is a keyword.
+                // A word after a dot is part of a qualified name and never a keyword.
                 (schema, is_after_dot) = (None, false);
             }
             Token::Name(name) => {
-                is_among_tables = (is_among_tables || is_keyword(&name, &KEYWORDS_BEFORE_TABLES))
-                    && !is_keyword(&name, &KEYWORDS_AFTER_TABLES);
+                is_in_table_list = (is_in_table_list || is_keyword(&name, &TABLE_LIST_KEYWORDS))
+                    && !is_keyword(&name, &TABLE_LIST_END_KEYWORDS);
                 schema = Some(name);
             }
             Token::Other('.') => {
@@ -51,15 +52,15 @@
                 let Some(group) = schema.take().as_deref().and_then(schema_group) else {
                     continue;
                 };
-                if is_among_tables {
+                if is_in_table_list {
                     return Some(group);
                 }
-                group_elsewhere = group_elsewhere.or(Some(group));
+                other_group = other_group.or(Some(group));
             }
             Token::Other(_) => (schema, is_after_dot) = (None, false),
         }
     }
-    group_elsewhere
+    other_group
 }
 
 #[cfg(test)]
--- a/crates/platform/src/table_group/tests.rs
+++ b/crates/platform/src/table_group/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_group_is_that_of_the_schema_of_the_table() {
+fn the_table_group_is_taken_from_the_schema_of_the_first_table() {
     let group = table_group;
     assert_eq!(
         group("SELECT day, count(*) FROM sales_17.orders WHERE tag = '3f9c' GROUP BY day"),
