--- a/crates/platform/src/bootstrap.rs
+++ b/crates/platform/src/bootstrap.rs
@@ -1,4 +1,4 @@
-//! The configuration that a controller starts with: a JSON file, which includes the list of executors.
+//! The startup configuration of a controller: a JSON file that contains the settings and the initial executor list.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -6,88 +6,88 @@
 use wheelfield::interface::{EngineEntry, Micros, Settings, Status};
 use wheelfield_settings::{parse_settings, Names, SettingsError};
 
-/// Why a configuration can't be used.
+/// The reason why a configuration is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum BootstrapError {
-    /// It is not JSON, or lacks a field.
-    #[error("the configuration is not as expected: {0}")]
+    /// It is not valid JSON, or a field is missing or has the wrong type.
+    #[error("invalid configuration: {0}")]
     Json(#[from] serde_json::Error),
-    /// Its settings are invalid.
+    /// The policy settings are invalid.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// A limit among the settings is missing, or is no whole number.
-    #[error("settings: ceilings.{0} is missing, or is no whole number")]
+    /// A protocol limit, given by its key under `ceilings`, is missing or is not a non-negative integer.
+    #[error("settings: ceilings.{0} is missing or is not a non-negative integer")]
     Ceiling(&'static str),
-    /// There is no class of queries, or one without a name.
-    #[error("settings: grades is missing or empty, or one of them has no name")]
+    /// There is no query class, or a query class has no name. The settings list the classes under `grades`.
+    #[error("settings: grades is missing or empty, or one of its entries has no name")]
     Classes,
-    /// The seed is no hexadecimal number.
-    #[error("the seed is not up to 16 hex digits: '{0}'")]
+    /// The seed is not a hexadecimal number of 64 bits.
+    #[error("invalid seed '{0}': expected up to 16 hexadecimal digits")]
     Seed(String),
 }
 
-/// Resources that a controller may use.
+/// Resource limits of a controller process.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct ResourceLimits {
-    /// Memory of its processes, in MB.
+    /// Maximum memory of its processes, in MB.
     pub memory_mb: f64,
-    /// Number of file descriptors.
+    /// Maximum number of file descriptors.
     pub sockets: usize,
 }
 
-/// The configuration of a controller.
+/// The parsed configuration of a controller.
 #[derive(Clone, Debug)]
 pub struct BootstrapConfig {
     /// Name of the controller.
     pub name: String,
-    /// Address on which it listens for clients.
+    /// Address on which it listens for client connections.
     pub listen: SocketAddr,
-    /// Seed of its random numbers.
+    /// Seed of its random number generators.
     pub seed: u64,
-    /// Resources that it may use.
+    /// Resource limits of the process.
     pub limits: ResourceLimits,
-    /// Address on which it receives messages of other controllers.
+    /// Address on which it receives messages from other controllers.
     pub peer_listen: Option<SocketAddr>,
-    /// Addresses of all controllers by number, including this one.
+    /// Addresses of all controllers by index, including this one.
     pub peers: Vec<SocketAddr>,
-    /// An address that reaches all controllers.
+    /// Address that reaches all controllers, such as a broadcast address.
     pub peers_all: Option<SocketAddr>,
     /// Address of the name service.
     pub resolver: SocketAddr,
-    /// Serial number of the list of executors.
+    /// Serial number of the initial executor list.
     pub serial: u64,
-    /// The executors at the start.
+    /// The initial executor list.
     pub executors: Vec<ExecutorEndpoint>,
     /// Settings of the policy.
     pub settings: Settings,
-    /// Names of the classes, zones and so on that the settings refer to by number.
+    /// Names of the classes, zones and other items that the parsed settings refer to by index.
     pub names: Names,
-    /// Limits that the protocol keeps to.
+    /// Limits that apply to connections and requests rather than to the policy.
     pub protocol_limits: ProtocolLimits,
 }
 
-/// Limits among the settings that concern the protocol rather than the policy.
+/// Limits from the settings that apply to connections and requests rather than to the policy.
 #[derive(Clone, Copy, Debug)]
 pub struct ProtocolLimits {
-    /// Time after which a connect has failed, in microseconds.
+    /// Connect timeout in microseconds.
     pub connect_timeout_us: i64,
-    /// Time after which executors close an idle connection, in microseconds.
+    /// Idle timeout after which executors close a connection, in microseconds (`conn_idle_us` in the settings).
     pub executor_idle_timeout_us: i64,
-    /// Attempts on one connection at the same time.
+    /// Maximum number of concurrent attempts on one connection.
     pub max_streams: usize,
-    /// Queries in flight at the same time.
+    /// Maximum number of queries in flight (`most_held` in the settings).
     pub max_queries: usize,
-    /// Time for which a draining executor still accepts requests, in microseconds.
+    /// Grace period in which a draining executor still accepts requests, in microseconds.
     pub drain_grace_us: i64,
 }
 
-/// Grace of draining executors where the settings name none, in microseconds.
+/// Grace period of draining executors if the settings do not contain one, in microseconds.
 const DEFAULT_DRAIN_GRACE_US: i64 = 1_000_000;
 
 impl ProtocolLimits {
     fn parse(settings: &serde_json::Value) -> Result<ProtocolLimits, BootstrapError> {
         let limit = |key: &'static str| {
-            whole_number(&settings["ceilings"][key])
+            parse_integer(&settings["ceilings"][key])
                 .filter(|number| *number >= 0)
                 .ok_or(BootstrapError::Ceiling(key))
         };
@@ -96,15 +96,15 @@
             executor_idle_timeout_us: limit("conn_idle_us")?,
             max_streams: limit("max_streams")? as usize,
             max_queries: limit("most_held")? as usize,
-            drain_grace_us: whole_number(&settings["safety"]["drain_grace_us"])
+            drain_grace_us: parse_integer(&settings["safety"]["drain_grace_us"])
                 .filter(|grace| *grace >= 0)
                 .unwrap_or(DEFAULT_DRAIN_GRACE_US),
         })
     }
 }
 
-/// A whole number, which may be written with a decimal point.
-fn whole_number(value: &serde_json::Value) -> Option<i64> {
+/// Returns the value of a JSON number that is an integer, also if it is written with a decimal point.
+fn parse_integer(value: &serde_json::Value) -> Option<i64> {
     value.as_i64().or_else(|| {
         value
             .as_f64()
@@ -113,27 +113,28 @@
     })
 }
 
-/// An executor as the configuration or the name service lists it.
+/// An executor as listed in the configuration or by the name service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExecutorEndpoint {
-    /// Its name.
+    /// Name of the executor.
     pub name: String,
-    /// Address on which it listens.
+    /// Address on which it listens for connections of controllers.
     pub address: SocketAddr,
     /// Name of its zone.
     pub zone: String,
-    /// Name of its kind.
+    /// Name of its engine kind.
     pub kind: String,
     /// Number of its cell.
     pub cell: i64,
-    /// Whether it accepts work.
+    /// Whether it accepts new work.
     pub status: Status,
-    /// Unix time of its start as stated, if it started after the others.
+    /// Start time that the list states, as Unix time; `None` if the list states none.
     pub started_at: Option<Micros>,
 }
 
 impl ExecutorEndpoint {
-    /// The executor as the policy takes it, with its start by the clock of this process. Its name is added to `names`.
+    /// Converts the executor to an entry of the policy's engine list, and registers its name in `names`. `started_at` is its start
+    /// time by the clock of this process.
     pub fn to_engine_entry(&self, names: &mut Names, started_at: Option<Micros>) -> EngineEntry {
         EngineEntry {
             engine: names.register_engine(&self.name),
@@ -146,7 +147,7 @@
     }
 }
 
-/// The file. The names of its fields, and of those of the types below, are the keys of the JSON.
+/// The JSON file. Its keys are the field names of this struct and of the types below.
 #[derive(Deserialize)]
 struct ConfigFile {
     name: String,
@@ -164,7 +165,7 @@
     settings: serde_json::Value,
 }
 
-/// The events that the list of executors results from.
+/// The initial executor list as a sequence of events. `cursor` is the serial number of the resulting list.
 #[derive(Deserialize)]
 struct KnownEvents {
     cursor: u64,
@@ -172,14 +173,14 @@
     cmds: Vec<KnownEvent>,
 }
 
-/// An event; those without `nodes` are ignored.
+/// An event; events without `nodes` do not change the list.
 #[derive(Deserialize)]
 struct KnownEvent {
     #[serde(default)]
     nodes: Option<NodeList>,
 }
 
-/// Executors that were added, changed or removed; with `full`, all others were removed.
+/// Executors that were added, changed or removed. If `full` is set, the event replaces the whole list.
 #[derive(Deserialize)]
 struct NodeList {
     #[serde(default)]
@@ -187,7 +188,7 @@
     servers: Vec<Server>,
 }
 
-/// An executor of a [`NodeList`].
+/// An executor in a [`NodeList`].
 #[derive(Deserialize)]
 struct Server {
     id: String,
@@ -203,7 +204,7 @@
     started_ms: i64,
 }
 
-/// The state of a [`Server`].
+/// State of a [`Server`].
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum ServerState {
@@ -212,19 +213,19 @@
     Gone,
 }
 
-/// The part of a configuration that is taken over when it is reloaded.
+/// The fields of a configuration that take effect when it is reloaded.
 #[derive(Deserialize)]
 struct ReloadedConfig {
     resolver: SocketAddr,
 }
 
-/// The Unix time of a start, from milliseconds; `None` for 0 and below.
+/// Converts a start time in Unix milliseconds; `None` if the value is 0 or negative, which means that no start time is stated.
 pub(crate) fn start_time(unix_ms: i64) -> Option<Micros> {
     (unix_ms > 0).then_some(Micros(unix_ms.saturating_mul(1000)))
 }
 
 impl KnownEvents {
-    /// The executors after all events, in order of their names.
+    /// Applies all events and returns the resulting executors, sorted by name.
     fn into_executors(self) -> Vec<ExecutorEndpoint> {
         let mut executors = BTreeMap::new();
         for nodes in self.cmds.into_iter().filter_map(|event| event.nodes) {
@@ -262,10 +263,10 @@
 }
 
 impl BootstrapConfig {
-    /// Parses a configuration.
+    /// Parses a configuration file.
     ///
     /// # Errors
-    /// [`BootstrapError`] if it can't be used.
+    /// [`BootstrapError`] if the configuration is invalid.
     pub fn parse(text: &str) -> Result<BootstrapConfig, BootstrapError> {
         let file: ConfigFile = serde_json::from_str(text)?;
         let (names, settings) = parse_settings(&file.settings)?;
@@ -292,10 +293,10 @@
         })
     }
 
-    /// Parses the address of the name service in a configuration that replaces the one of the start.
+    /// Parses the address of the name service from a reloaded configuration.
     ///
     /// # Errors
-    /// [`BootstrapError::Json`] if there is none.
+    /// [`BootstrapError::Json`] if the configuration is not valid JSON or contains no such address.
     pub fn parse_resolver(text: &str) -> Result<SocketAddr, BootstrapError> {
         Ok(serde_json::from_str::<ReloadedConfig>(text)?.resolver)
     }
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the list of executors, polled from the name service by DNS, and the serial number of the list.
+//! Executor discovery: polls the executor list from the name service by DNS, and tracks the serial number of the list.
 
 use crate::bootstrap::{start_time, ExecutorEndpoint};
 use hickory_proto::op::{Message, MessageType, OpCode, Query, ResponseCode};
@@ -8,70 +8,70 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use wheelfield::interface::Status;
 
-/// The name of the service whose instances are requested.
+/// DNS name of the service whose instances are the executors.
 const SERVICE_NAME: &str = "_rpc._tcp.mesh.local.";
-/// Number of queries whose answers are accepted: the latest ones. They are those of 16 seconds at least, so that a name service that
-/// is slow is still heard.
+/// Number of the most recent DNS queries whose answers are accepted. They cover at least the last 16 seconds, so that answers of a
+/// slow name service are still accepted.
 const MAX_OPEN_QUERIES: usize = 128;
-/// Time after which a name service that answers with serial numbers below the current one, and with no other, is taken to count by
-/// itself, in microseconds. Until then it may be one that lags: what happened is told within 4.5 s in any case, so that this is
-/// about twice as long.
+/// Time after which a name service that has answered only with serial numbers below the current one is assumed to use its own
+/// numbering, in microseconds. Before that, its list may merely be outdated: a name service publishes a change within 4.5 seconds,
+/// and this timeout is about twice as long.
 const LOWER_SERIAL_TIMEOUT_US: i64 = 10_000_000;
-/// Maximum number of executors in a list. Deployments have up to 3,200.
+/// Maximum number of executors in a list. Deployments have up to 3,200 executors.
 const MAX_EXECUTORS: usize = 4_096;
 
-/// What an answer says of the current list.
+/// The effect of an accepted answer on the current executor list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DiscoveryUpdate {
-    /// It is the same.
+    /// The list is unchanged.
     Confirmed,
-    /// This complete list replaces it.
+    /// This complete list replaces the current one.
     Replaced(Vec<ExecutorEndpoint>),
 }
 
-/// An answer that counts.
+/// An accepted answer of a name service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DiscoveryAnswer {
-    /// When the query was sent that it answers, in microseconds.
+    /// Time at which the answered query was sent, in microseconds.
     pub query_sent_at: i64,
-    /// What it says.
+    /// Effect on the current list.
     pub update: DiscoveryUpdate,
 }
 
-/// A query whose answer is accepted.
+/// A DNS query whose answer is accepted.
 #[derive(Clone, Copy, Debug)]
 struct OpenQuery {
-    service: SocketAddr,
+    resolver: SocketAddr,
     id: u16,
-    /// When it was sent, in microseconds.
+    /// Time at which it was sent, in microseconds.
     sent_at: i64,
 }
 
-/// Why an answer was ignored.
+/// The reason why an answer was ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum IgnoredAnswer {
-    /// It was not sent by the name service.
+    /// It did not come from a name service that was queried.
     #[error("unknown sender")]
     UnknownSender,
     /// It is not a DNS message.
     #[error("malformed message")]
     Malformed,
-    /// It answers no open query.
+    /// It does not match an open query.
     #[error("no open query")]
     Unsolicited,
-    /// The name service reports a failure, or the answer is truncated.
+    /// The response code reports a failure, or the answer is truncated.
     #[error("failure response or truncated answer")]
     Failed,
-    /// Records are missing.
+    /// A record is missing or malformed, or the list is too long.
     #[error("missing records")]
     Incomplete,
-    /// Its serial number is below that of the current list.
+    /// Its serial number is lower than that of the current list.
     #[error("list older than the current one")]
     Older,
 }
 
 impl IgnoredAnswer {
-    /// All reasons.
+    /// All reasons, in the order of their discriminants.
     pub const ALL: [IgnoredAnswer; 6] = [
         IgnoredAnswer::UnknownSender,
         IgnoredAnswer::Malformed,
@@ -83,7 +83,7 @@
     /// Number of reasons.
     pub const COUNT: usize = IgnoredAnswer::ALL.len();
 
-    /// Its name in metrics.
+    /// Returns the value of the `reason` label in metrics.
     pub fn name(self) -> &'static str {
         match self {
             IgnoredAnswer::UnknownSender => "unknown_sender",
@@ -95,89 +95,90 @@
         }
     }
 
-    /// Whether answers are ignored for this reason in normal operation.
+    /// Returns whether answers are ignored for this reason in normal operation.
     pub fn is_expected(self) -> bool {
         matches!(self, IgnoredAnswer::Older | IgnoredAnswer::Unsolicited)
     }
 }
 
-/// The client of the name service.
+/// A DNS client that polls the executor list from the name service.
 #[derive(Debug)]
 pub struct DiscoveryClient {
     resolver: SocketAddr,
     serial: u64,
-    /// Since when all answers had serial numbers below the current one, in microseconds.
-    lower_since: Option<i64>,
-    /// When an answer last confirmed or replaced the current list, in microseconds.
+    /// Time since which the current name service has answered only with serial numbers below the current one, in microseconds.
+    lower_serials_since: Option<i64>,
+    /// Time at which an answer last confirmed or replaced the current list, in microseconds.
     confirmed_at: i64,
-    /// The name service that did.
+    /// The name service that sent this answer.
     confirmed_by: SocketAddr,
-    /// Queries sent since then.
+    /// Number of queries sent since `confirmed_at`.
     queries_since_confirmed: u64,
-    /// The queries whose answers are accepted, the latest last.
+    /// The queries whose answers are accepted, oldest first.
     open_queries: VecDeque<OpenQuery>,
-    service: Option<Name>,
+    service_name: Option<Name>,
 }
 
 impl DiscoveryClient {
-    /// Creates a client that has the list with this serial number now.
+    /// Creates a client for a process whose current list has this serial number.
     pub fn new(resolver: SocketAddr, serial: u64, now: i64) -> DiscoveryClient {
         DiscoveryClient {
             resolver,
             serial,
-            lower_since: None,
+            lower_serials_since: None,
             confirmed_at: now,
             confirmed_by: resolver,
             queries_since_confirmed: 0,
             open_queries: VecDeque::new(),
-            service: Name::from_ascii(SERVICE_NAME).ok(),
+            service_name: Name::from_ascii(SERVICE_NAME).ok(),
         }
     }
 
-    /// Uses another name service from now on. What the former one still answers counts as before: it was sent to this process, and
-    /// the new one may lag behind for seconds. The serial number stays, as the numbers carry on.
+    /// Switches to another name service. Answers of the former one to open queries are still accepted, because the list of the new
+    /// one may be seconds behind. The serial number is kept, because the new name service is expected to continue the numbering.
     pub fn use_resolver(&mut self, resolver: SocketAddr) {
         if resolver != self.resolver {
             self.resolver = resolver;
-            self.lower_since = None;
+            self.lower_serials_since = None;
         }
     }
 
-    /// When an answer last confirmed or replaced the current list, in microseconds: at first that of the start.
+    /// Returns the time at which an answer last confirmed or replaced the current list, in microseconds. Before the first answer
+    /// this is the time at which the client was created.
     pub fn confirmed_at(&self) -> i64 {
         self.confirmed_at
     }
 
-    /// The name service that is asked.
+    /// Returns the address of the name service that queries are sent to.
     pub fn resolver(&self) -> SocketAddr {
         self.resolver
     }
 
-    /// The serial number of the current list.
+    /// Returns the serial number of the current list.
     pub fn serial(&self) -> u64 {
         self.serial
     }
 
-    /// The name service that last confirmed or replaced the current list.
+    /// Returns the name service that last confirmed or replaced the current list.
     pub fn confirmed_by(&self) -> SocketAddr {
         self.confirmed_by
     }
 
-    /// Number of queries sent since the current list was last confirmed or replaced.
+    /// Returns the number of queries sent since the current list was last confirmed or replaced.
     pub fn queries_since_confirmed(&self) -> u64 {
         self.queries_since_confirmed
     }
 
-    /// Encodes a query with this id, which is to be random; and its destination.
+    /// Encodes a query for the executor list and returns its destination and content. The caller chooses `id` at random.
     pub fn encode_query(&mut self, now: i64, id: u16) -> Option<(SocketAddr, Vec<u8>)> {
         let mut message = Message::new(id, MessageType::Query, OpCode::Query);
-        message.add_query(Query::query(self.service.clone()?, RecordType::SRV));
+        message.add_query(Query::query(self.service_name.clone()?, RecordType::SRV));
         let bytes = message.to_vec().ok()?;
         if self.open_queries.len() == MAX_OPEN_QUERIES {
             self.open_queries.pop_front();
         }
         self.open_queries.push_back(OpenQuery {
-            service: self.resolver,
+            resolver: self.resolver,
             id,
             sent_at: now,
         });
@@ -185,22 +186,22 @@
         Some((self.resolver, bytes))
     }
 
-    /// Handles an answer: what it says of the current list.
+    /// Handles a datagram from a name service and returns its effect on the current list.
     ///
     /// # Errors
-    /// [`IgnoredAnswer`]; the current list stays, and is not confirmed.
+    /// [`IgnoredAnswer`] if the answer is not accepted; the current list is neither confirmed nor replaced.
     pub fn handle_answer(
         &mut self,
         now: i64,
         from: SocketAddr,
         datagram: &[u8],
     ) -> Result<DiscoveryAnswer, IgnoredAnswer> {
-        if !self.was_asked(from) {
+        if !self.was_queried(from) {
             return Err(IgnoredAnswer::UnknownSender);
         }
         let message = Message::from_vec(datagram).map_err(|_| IgnoredAnswer::Malformed)?;
         let query_sent_at = self
-            .find_query(from, &message)
+            .matching_query_sent_at(from, &message)
             .ok_or(IgnoredAnswer::Unsolicited)?;
         if message.metadata.response_code != ResponseCode::NoError || message.metadata.truncation {
             return Err(IgnoredAnswer::Failed);
@@ -210,13 +211,13 @@
             DiscoveryUpdate::Confirmed
         } else {
             let is_renumbered = serial < self.serial;
-            if is_renumbered && !self.counts_by_itself(from, now) {
+            if is_renumbered && !self.has_own_numbering(from, now) {
                 return Err(IgnoredAnswer::Older);
             }
             let executors = parse_executors(&message).ok_or(IgnoredAnswer::Incomplete)?;
             if is_renumbered {
-                // The numbers of other services are not comparable any more.
-                self.open_queries.retain(|query| query.service == from);
+                // Serial numbers of other name services can't be compared with the new numbering, so their answers are dropped.
+                self.open_queries.retain(|query| query.resolver == from);
             }
             DiscoveryUpdate::Replaced(executors)
         };
@@ -228,49 +229,49 @@
         })
     }
 
-    /// Notes that the current list is that of a name service.
+    /// Records that a name service has confirmed or replaced the current list.
     fn confirm(&mut self, now: i64, from: SocketAddr) {
-        // What a former service tells says nothing of how this one counts.
+        // An answer of a former name service does not show which numbering the current one uses.
         if from == self.resolver {
-            self.lower_since = None;
+            self.lower_serials_since = None;
         }
         self.confirmed_at = now;
         self.confirmed_by = from;
         self.queries_since_confirmed = 0;
     }
 
-    /// Whether the current name service answers with lower serial numbers, and has done so, and nothing else, for so long that it
-    /// counts by itself.
-    fn counts_by_itself(&mut self, from: SocketAddr, now: i64) -> bool {
+    /// Handles a serial number below the current one. Returns whether the current name service has sent only such numbers for
+    /// [`LOWER_SERIAL_TIMEOUT_US`] and is therefore assumed to use its own numbering.
+    fn has_own_numbering(&mut self, from: SocketAddr, now: i64) -> bool {
         if from != self.resolver {
             return false;
         }
-        let since = *self.lower_since.get_or_insert(now);
+        let since = *self.lower_serials_since.get_or_insert(now);
         now - since >= LOWER_SERIAL_TIMEOUT_US
     }
 
-    /// Whether answers of this sender may be accepted.
-    fn was_asked(&self, from: SocketAddr) -> bool {
+    /// Returns whether the sender is the current name service or has an open query.
+    fn was_queried(&self, from: SocketAddr) -> bool {
         let mut queries = self.open_queries.iter();
-        from == self.resolver || queries.any(|query| query.service == from)
+        from == self.resolver || queries.any(|query| query.resolver == from)
     }
 
-    /// When the query was sent that this message of a name service answers; `None` if there is none.
-    fn find_query(&self, from: SocketAddr, message: &Message) -> Option<i64> {
+    /// Returns the time at which the open query that this message answers was sent; `None` if there is no such query.
+    fn matching_query_sent_at(&self, from: SocketAddr, message: &Message) -> Option<i64> {
         let [question] = &message.queries[..] else {
             return None;
         };
         let is_answer = message.metadata.message_type == MessageType::Response
-            && Some(&question.name) == self.service.as_ref()
+            && Some(&question.name) == self.service_name.as_ref()
             && question.query_type == RecordType::SRV;
         let is_asked =
-            |query: &&OpenQuery| query.service == from && query.id == message.metadata.id;
+            |query: &&OpenQuery| query.resolver == from && query.id == message.metadata.id;
         let query = self.open_queries.iter().rev().find(is_asked)?;
         is_answer.then_some(query.sent_at)
     }
 }
 
-/// The serial number of the list: that of the SOA record.
+/// Returns the serial number of the list, which is that of the SOA record.
 fn find_serial(message: &Message) -> Option<u64> {
     message
         .authorities
@@ -281,11 +282,11 @@
         })
 }
 
-/// The records on the hosts of an answer, by lower-case name.
+/// The host records of an answer, by lower-case host name.
 #[derive(Default)]
 struct HostRecords {
     addresses: BTreeMap<Name, Ipv4Addr>,
-    /// Pairs of the form `key=value`.
+    /// Strings of the form `key=value` from the TXT records.
     properties: BTreeMap<Name, Vec<String>>,
 }
 
@@ -315,8 +316,8 @@
     }
 }
 
-/// The executors in an answer; `None` if a record is missing, or there are too many. One that stands there twice takes no work if
-/// either record says so.
+/// Parses the executors in an answer; `None` if a record is missing or there are too many executors. An executor that is listed
+/// twice is draining if either record says so.
 fn parse_executors(message: &Message) -> Option<Vec<ExecutorEndpoint>> {
     let hosts = HostRecords::collect(message);
     let mut executors: Vec<ExecutorEndpoint> = Vec::new();
--- a/crates/platform/src/metrics.rs
+++ b/crates/platform/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The counters of a controller as text, in the exposition format of Prometheus.
+//! The metrics of a controller in the Prometheus text exposition format.
 
 use crate::clients::ClientCounters;
 use crate::discovery::IgnoredAnswer;
@@ -8,54 +8,55 @@
 use std::fmt::Write as _;
 use wheelfield_driver::{Driver, DriverCounters};
 
-/// What all names begin with.
+/// Prefix of all metric names.
 const PREFIX: &str = "wheelfield_";
 
-/// A page of metrics that is being written.
+/// Builds the text of the metrics endpoint.
 #[derive(Default)]
-struct MetricsPage {
+struct MetricsWriter {
     text: String,
 }
 
-impl MetricsPage {
-    fn counter(&mut self, name: &str, help: &str, value: u64) {
-        self.family(name, help, "counter");
-        // Writing to a string can't fail.
+impl MetricsWriter {
+    fn write_counter(&mut self, name: &str, help: &str, value: u64) {
+        self.write_header(name, help, "counter");
+        // Writing to a `String` can't fail.
         let _ = writeln!(self.text, "{PREFIX}{name} {value}");
     }
 
-    fn gauge(&mut self, name: &str, help: &str, value: usize) {
-        self.family(name, help, "gauge");
+    fn write_gauge(&mut self, name: &str, help: &str, value: usize) {
+        self.write_header(name, help, "gauge");
         let _ = writeln!(self.text, "{PREFIX}{name} {value}");
     }
 
-    /// A counter with one label.
-    fn counters<'a>(
+    /// Writes a counter with one label, with one sample per label value.
+    fn write_labelled_counter<'a>(
         &mut self,
         name: &str,
         help: &str,
         label: &str,
         values: impl IntoIterator<Item = (&'a str, u64)>,
     ) {
-        self.family(name, help, "counter");
+        self.write_header(name, help, "counter");
         for (key, value) in values {
             let _ = writeln!(self.text, "{PREFIX}{name}{{{label}=\"{key}\"}} {value}");
         }
     }
 
-    fn family(&mut self, name: &str, help: &str, kind: &str) {
+    /// Writes the `HELP` and `TYPE` lines of a metric.
+    fn write_header(&mut self, name: &str, help: &str, kind: &str) {
         let _ = writeln!(self.text, "# HELP {PREFIX}{name} {help}");
         let _ = writeln!(self.text, "# TYPE {PREFIX}{name} {kind}");
     }
 
-    fn violations(&mut self, counts: ViolationCounts) {
+    fn write_violations(&mut self, counts: ViolationCounts) {
         let ViolationCounts {
             sending,
             repeating,
             closing,
             starting,
         } = counts;
-        self.counters(
+        self.write_labelled_counter(
             "invariant_violations_total",
             "Violations of invariants found at run time.",
             "guard",
@@ -68,8 +69,8 @@
         );
     }
 
-    fn queries(&mut self, counters: DriverCounters) {
-        self.counters(
+    fn write_queries(&mut self, counters: DriverCounters) {
+        self.write_labelled_counter(
             "queries_total",
             "Queries by what became of them.",
             "result",
@@ -82,31 +83,31 @@
                 ("over_capacity", counters.over_capacity),
             ],
         );
-        self.counter("attempts_total", "Attempts started.", counters.attempts);
-        self.counter(
+        self.write_counter("attempts_total", "Attempts started.", counters.attempts);
+        self.write_counter(
             "retries_total",
             "Attempts beyond the first of their query.",
             counters.retries,
         );
     }
 
-    fn clients(&mut self, counters: &ClientCounters) {
-        self.counter(
+    fn write_clients(&mut self, counters: &ClientCounters) {
+        self.write_counter(
             "client_connections_accepted_total",
             "Connections of clients accepted.",
             counters.accepted,
         );
-        self.counter(
+        self.write_counter(
             "client_connections_rejected_total",
             "Connections of clients rejected, as all others were in use.",
             counters.rejected,
         );
-        self.counter(
+        self.write_counter(
             "client_requests_invalid_total",
             "Invalid requests.",
             counters.invalid,
         );
-        self.counters(
+        self.write_labelled_counter(
             "client_connections_closed_total",
             "Connections of clients closed, by reason.",
             "reason",
@@ -114,28 +115,28 @@
         );
     }
 
-    fn executors(&mut self, counters: &ExecutorCounters) {
-        self.counter(
+    fn write_executors(&mut self, counters: &ExecutorCounters) {
+        self.write_counter(
             "executor_connects_total",
             "Connects to executors begun.",
             counters.connects,
         );
-        self.counter(
+        self.write_counter(
             "executor_protocol_errors_total",
             "Connections closed because of an invalid, incomplete or overdue response.",
             counters.protocol_errors,
         );
-        self.counter(
+        self.write_counter(
             "executor_unmatched_responses_total",
             "Responses that belong to no running attempt.",
             counters.unmatched_responses,
         );
-        self.counter(
+        self.write_counter(
             "attempts_without_connection_total",
             "Attempts that found no connection.",
             counters.no_connection,
         );
-        self.counter(
+        self.write_counter(
             "executor_connects_impossible_total",
             "Connects that this machine could not try.",
             counters.impossible_connects,
@@ -144,74 +145,75 @@
 }
 
 impl Dispatcher {
-    /// All counters as text.
+    /// Returns all metrics as text.
     pub(crate) fn metrics(&self) -> String {
-        let mut page = MetricsPage::default();
-        page.violations(self.violation_counts());
+        let mut writer = MetricsWriter::default();
+        writer.write_violations(self.violation_counts());
         let driver = self.driver.decision_engine().driver();
-        page.queries(driver.map(Driver::counters).unwrap_or_default());
-        page.clients(&self.clients.counters);
-        page.executors(&self.executors.counters);
-        self.write_discovery_metrics(&mut page);
-        page.gauge(
+        writer.write_queries(driver.map(Driver::counters).unwrap_or_default());
+        writer.write_clients(&self.clients.counters);
+        writer.write_executors(&self.executors.counters);
+        self.write_discovery_metrics(&mut writer);
+        writer.write_gauge(
             "queries_in_flight",
             "Queries in flight.",
             self.in_flight_count(),
         );
-        page.gauge(
+        writer.write_gauge(
             "client_connections",
             "Connections of clients.",
             self.clients.len(),
         );
-        page.gauge(
+        writer.write_gauge(
             "executor_connections",
             "Connections to executors.",
             self.executors.connection_count(),
         );
-        page.gauge(
+        writer.write_gauge(
             "executors",
             "Executors known.",
             self.executors.executor_count(),
         );
-        page.text
+        writer.text
     }
 
-    /// How the list of executors is had, and how old it is.
-    fn write_discovery_metrics(&self, page: &mut MetricsPage) {
-        page.counters(
+    /// Writes the metrics of executor discovery: ignored answers, gaps in polling, requests held back during these gaps, and the
+    /// age of the list.
+    fn write_discovery_metrics(&self, writer: &mut MetricsWriter) {
+        writer.write_labelled_counter(
             "discovery_answers_ignored_total",
             "Answers of the name service that were ignored, by reason.",
             "reason",
             IgnoredAnswer::ALL
                 .map(|reason| (reason.name(), self.ignored_answers()[reason as usize])),
         );
-        let holds = self.hold_counters();
-        page.counter(
+        let hold_counters = self.hold_counters();
+        writer.write_counter(
             "executor_list_gaps_total",
             "Spans in which the list became too old, as nobody could be asked.",
-            holds.gaps,
+            hold_counters.gaps,
         );
-        page.counter(
+        writer.write_counter(
             "executor_list_gaps_unanswered_total",
             "Gaps after which the name service did not answer in time.",
-            holds.gaps_unanswered,
+            hold_counters.gaps_unanswered,
         );
-        page.counter(
+        writer.write_counter(
             "requests_held_total",
             "Requests that waited for a list that is confirmed.",
-            holds.requests,
+            hold_counters.requests,
         );
-        page.counter(
+        writer.write_counter(
             "executor_list_queries_unsent_total",
             "Queries for the list that this machine could not send.",
-            holds.unsent_queries,
+            hold_counters.unsent_queries,
         );
-        page.gauge(
+        writer.write_gauge(
             "executor_list_age_milliseconds",
             "Time since the name service last confirmed the list of executors.",
             self.list_age_ms(),
         );
-        page.gauge(
+        writer.write_gauge(
             "executor_list_queries_unanswered",
             "Queries for the list of executors since then.",
             self.discovery().queries_since_confirmed() as usize,
--- a/crates/platform/src/peers.rs
+++ b/crates/platform/src/peers.rs
@@ -1,10 +1,10 @@
-//! Load reports exchanged with other controllers, one datagram each.
+//! Exchange of load reports between controllers. Each message is one datagram.
 
 use std::net::SocketAddr;
 use wheelfield::interface::{EngineId, PeerLoadReport};
 use wheelfield_settings::{decode_load_reports, encode_load_reports, MAX_MESSAGE_BYTES};
 
-/// The other controllers.
+/// Addresses of the other controllers, and the codec of the messages exchanged with them.
 #[derive(Debug, Default)]
 pub struct Peers {
     others: Vec<SocketAddr>,
@@ -12,8 +12,8 @@
 }
 
 impl Peers {
-    /// Takes the addresses of all controllers by number, the one at `own_index` being this controller, and an address that
-    /// reaches all of them, where there is one.
+    /// Creates the list of peers from the addresses of all controllers. `own_index` is the position of this controller, and
+    /// `broadcast` is an address that reaches all controllers, if there is one.
     pub fn new(
         controllers: &[SocketAddr],
         own_index: usize,
@@ -29,12 +29,12 @@
         }
     }
 
-    /// Encodes a message of load reports.
+    /// Encodes a message that contains these load reports.
     pub fn encode(&self, reports: &[PeerLoadReport]) -> Vec<u8> {
         encode_load_reports(reports)
     }
 
-    /// The addresses that a message is sent to.
+    /// Returns the addresses to send a message to: the broadcast address if there is one, otherwise all other controllers.
     pub fn recipients(&self) -> Vec<SocketAddr> {
         match self.broadcast {
             Some(address) => vec![address],
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Decodes the reports on known engines in a message; `None` if there are none, if it does not come from another
-    /// controller, or if it is too long.
+    /// Decodes the load reports of known engines in a message. Returns `None` if the message contains none, does not come from
+    /// another controller or is too long.
     pub fn decode<'a>(
         &self,
         from: SocketAddr,
