--- a/crates/net/src/bind.rs
+++ b/crates/net/src/bind.rs
@@ -1,11 +1,12 @@
-//! Listening sockets and datagram sockets.
+//! Opens listening sockets and datagram sockets.
 
 use mio::net::{TcpListener, UdpSocket};
 use socket2::{Domain, Protocol, Type};
 use std::io;
 use std::net::SocketAddr;
 
-/// A listening socket; port 0 lets the system choose one. At most `backlog` connections wait to be accepted.
+/// Opens a non-blocking listening socket. With port 0 the system chooses the port. At most `backlog` connections wait to be
+/// accepted.
 ///
 /// # Errors
 /// If the address cannot be bound.
@@ -22,7 +23,7 @@
     Ok(TcpListener::from_std(socket.into()))
 }
 
-/// A datagram socket; port 0 lets the system choose one.
+/// Opens a non-blocking datagram socket. With port 0 the system chooses the port.
 ///
 /// # Errors
 /// If the address cannot be bound.
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -1,18 +1,19 @@
-//! One clock for a process.
+//! The clock of a process.
 
 use std::time::{Duration, Instant, SystemTime};
 
-/// Microseconds since the Unix epoch that never run backwards: the wall time at the start plus the time passed since. A later
-/// jump of the wall clock changes nothing, and processes with synchronised clocks agree.
+/// A monotonic clock that counts microseconds since the Unix epoch: the wall-clock time at the start plus the monotonic time that
+/// has elapsed since. Later changes of the wall clock have no effect, and the clocks of processes on machines with synchronised
+/// wall clocks agree.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started_at: Instant,
-    /// Wall time at the start, in microseconds.
+    /// Wall-clock time at the start, in microseconds since the Unix epoch.
     wall_at_start: i64,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock at the current wall-clock time.
     pub fn start() -> Clock {
         let wall = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
@@ -24,13 +25,13 @@
         }
     }
 
-    /// The time in microseconds.
+    /// Returns the current time in microseconds since the Unix epoch.
     pub fn now(&self) -> i64 {
         let elapsed = i64::try_from(self.started_at.elapsed().as_micros());
         self.wall_at_start + elapsed.unwrap_or(i64::MAX - self.wall_at_start)
     }
 
-    /// The duration from now until a time in microseconds; zero if that is past.
+    /// Returns the duration from now until the time `at`, in microseconds since the Unix epoch; zero if it has passed.
     pub fn until(&self, at: i64) -> Duration {
         Duration::from_micros(u64::try_from(at - self.now()).unwrap_or(0))
     }
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP messages, and a blocking request for programs without an event loop.
+//! HTTP messages, and a blocking HTTP client for programs without an event loop.
 
 use bytes::BytesMut;
 use std::io::{self, Read as _, Write as _};
@@ -7,15 +7,15 @@
 
 pub use wheelfield_sans_io::http::*;
 
-/// Bytes read at a time.
+/// Size of the read buffer in bytes.
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// Sends a GET request and waits for the response. `timeout` bounds the connect, each read and each write; the response may
-/// have `max_bytes`.
+/// Sends a GET request and waits for the response. `timeout` applies to the connect, to each read and to each write. The response
+/// may have up to `max_bytes`.
 ///
 /// # Errors
-/// Those of the system; `InvalidData` for what is no response or exceeds `max_bytes`; `UnexpectedEof` for an incomplete
-/// response.
+/// I/O errors of the connection; `InvalidData` if the response is invalid or exceeds `max_bytes`; `UnexpectedEof` if it is
+/// incomplete.
 pub fn get(
     address: SocketAddr,
     path: &str,
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,6 +1,7 @@
-//! Sockets, clock and HTTP client that the programs share.
+//! Sockets, a clock and an HTTP client that the programs share.
 //!
-//! Sockets and streams are non-blocking, their buffers bounded. Nothing here depends on queries or engines.
+//! Sockets and streams are non-blocking, and callers can bound the size of their buffers. Nothing in this crate depends on queries
+//! or engines.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -1,7 +1,7 @@
-//! Non-blocking TCP sockets that remember what the system last reported of them.
+//! Non-blocking TCP sockets that track their readiness.
 //!
-//! The poll reports edges: that a socket has become readable or writable is told once, and again only after a call has said
-//! that it would block. So nothing but that answer may be taken for the end of what can be read or written.
+//! The poll of `mio` is edge-triggered: a socket that becomes readable or writable is reported once, and again only after a read
+//! or write has failed with `WouldBlock`. A socket is therefore treated as ready until a call fails with `WouldBlock`.
 
 use mio::event::Event;
 use mio::net::TcpStream;
@@ -13,57 +13,57 @@
 use std::os::fd::AsRawFd as _;
 use std::time::Duration;
 
-/// Idle time after which a peer is probed, so that the connection of one that vanished ends.
+/// Idle time before the first TCP keepalive probe, which detects peers that vanished without closing the connection.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(60);
-/// Interval of the probes of a peer that does not answer.
+/// Interval between TCP keepalive probes to a peer that does not answer.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(15);
-/// What a non-blocking connect returns at first (EINPROGRESS of Linux).
+/// Error code of a non-blocking connect that is in progress (`EINPROGRESS` on Linux).
 const CONNECT_IN_PROGRESS: i32 = 115;
-/// The system has no buffer space now (ENOBUFS of Linux).
+/// Error code for a temporary lack of buffer space (`ENOBUFS` on Linux).
 const NO_BUFFER_SPACE: i32 = 105;
 
-/// Whether an error of a read, write or registration says that the system lacks memory now: nothing was done, nothing is lost, and
-/// the call may be repeated.
+/// Returns whether a read, write or registration failed because the system is temporarily short of memory. Such a call had no
+/// effect, no data is lost, and the call can be retried.
 pub fn is_transient(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::OutOfMemory || error.raw_os_error() == Some(NO_BUFFER_SPACE)
 }
 
-/// A connected or connecting socket without buffers.
+/// A connected or connecting TCP socket without buffers.
 #[derive(Debug)]
 pub struct Socket {
     stream: TcpStream,
     readable: bool,
     writable: bool,
-    /// The peer has closed, though bytes of it may still wait to be read.
-    closing: bool,
-    /// All that the peer sent was read, and no more comes.
-    ended: bool,
+    /// Whether the peer has closed the connection or it failed; received bytes may still wait to be read.
+    peer_closed: bool,
+    /// Whether nothing more can be read: the end of the stream was reached, or a read failed.
+    read_finished: bool,
     connected: bool,
-    /// The token to be registered with, where that has failed so far.
-    unregistered: Option<Token>,
+    /// The token to register the socket with, as long as the registration has not succeeded.
+    pending_registration: Option<Token>,
 }
 
 impl Socket {
-    /// Takes an accepted connection and registers it for reading and writing. Where that fails, it can be used all the same, and
-    /// [`Socket::ensure_registered`] is to be called until it succeeds.
+    /// Wraps an accepted connection and registers it for reading and writing. If the registration fails, the socket can be used
+    /// nevertheless, and the caller has to call [`Socket::ensure_registered`] until it succeeds.
     pub fn from_accepted(stream: TcpStream, registry: &Registry, token: Token) -> Socket {
         let mut socket = Socket::new(stream, true, token);
         let _ = socket.ensure_registered(registry);
         socket
     }
 
-    /// Begins to connect; [`Socket::check_connected`] says when that is done.
+    /// Starts a connect; [`Socket::check_connected`] returns whether it has completed.
     ///
     /// # Errors
-    /// If the system refuses at once.
+    /// If the connect cannot be started or the socket cannot be registered.
     pub fn connect(address: SocketAddr, registry: &Registry, token: Token) -> io::Result<Socket> {
         Socket::register(TcpStream::connect(address)?, registry, token)
     }
 
-    /// Begins to connect from a source address, as one address has ports for a bounded number of connections only.
+    /// Starts a connect from a given source address. Several source addresses allow more connections than one address has ports.
     ///
     /// # Errors
-    /// If the system refuses at once.
+    /// If the source address cannot be bound, the connect cannot be started or the socket cannot be registered.
     pub fn connect_from(
         source: SocketAddr,
         address: SocketAddr,
@@ -95,29 +95,30 @@
         Ok(socket)
     }
 
-    /// Registers the socket, if that has failed so far. What has arrived meanwhile is reported then.
+    /// Registers the socket with the poll unless it is registered already. The poll then also reports data that arrived before.
     ///
     /// # Errors
-    /// If it cannot be registered now either.
+    /// If the registration fails.
     pub fn ensure_registered(&mut self, registry: &Registry) -> io::Result<()> {
-        if let Some(token) = self.unregistered {
+        if let Some(token) = self.pending_registration {
             let interests = Interest::READABLE | Interest::WRITABLE;
-            // By its descriptor: a stream of mio cannot be registered a second time after it has failed once.
+            // Uses the file descriptor, because a `mio` stream can't be registered again after its registration has failed.
             registry.register(&mut SourceFd(&self.stream.as_raw_fd()), token, interests)?;
-            self.unregistered = None;
+            self.pending_registration = None;
         }
         Ok(())
     }
 
-    /// Has the next read and write ask the system, as the poll reports nothing of a socket that is not registered.
+    /// Marks the socket as readable and writable, so that the next read and write make a system call. This is needed for a socket
+    /// that is not registered, because the poll does not report its events.
     pub fn mark_ready(&mut self) {
         self.readable = true;
         self.writable = true;
     }
 
-    /// Whether the poll reports its events.
+    /// Returns whether the socket is registered with the poll.
     pub fn is_registered(&self) -> bool {
-        self.unregistered.is_none()
+        self.pending_registration.is_none()
     }
 
     fn new(stream: TcpStream, connected: bool, token: Token) -> Socket {
@@ -130,24 +131,24 @@
             stream,
             readable: connected,
             writable: connected,
-            closing: false,
-            ended: false,
+            peer_closed: false,
+            read_finished: false,
             connected,
-            unregistered: Some(token),
+            pending_registration: Some(token),
         }
     }
 
-    /// Takes note of an event of the poll.
+    /// Updates the readiness of the socket from an event of the poll.
     pub fn handle_event(&mut self, event: &Event) {
         self.readable |= event.is_readable() || event.is_read_closed() || event.is_error();
         self.writable |= event.is_writable() || event.is_error();
-        self.closing |= event.is_read_closed() || event.is_error();
+        self.peer_closed |= event.is_read_closed() || event.is_error();
     }
 
-    /// Whether the socket is connected; finishes a connect under way where the system has done so.
+    /// Returns whether the socket is connected, and completes a pending connect if the system reports its success.
     ///
     /// # Errors
-    /// Why the connect failed.
+    /// The error with which the connect failed.
     pub fn check_connected(&mut self) -> io::Result<bool> {
         if self.connected || !self.writable {
             return Ok(self.connected);
@@ -169,21 +170,21 @@
         }
     }
 
-    /// Reads once, without waiting. Only the system's word that nothing is left ends that the socket is readable: the poll
-    /// reports what arrives once, and a read may return less than there is. Returns the number of bytes; zero if there are none now, or no more will come
-    /// ([`Socket::is_read_finished`]).
+    /// Reads once without blocking. The socket stays readable until a read fails with `WouldBlock`, because the poll reports
+    /// arriving data once and a read may return only part of it. Returns the number of bytes read; zero if there is nothing to read
+    /// now or nothing more will arrive ([`Socket::is_read_finished`]).
     ///
     /// # Errors
-    /// Why the connection broke; the socket is of no further use, unless the error is transient ([`is_transient`]).
+    /// The error that broke the connection. The socket can't be used any more, unless the error is transient ([`is_transient`]).
     pub fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         while self.is_readable() && !buffer.is_empty() {
             match self.stream.read(buffer) {
-                Ok(0) => self.ended = true,
+                Ok(0) => self.read_finished = true,
                 Ok(length) => return Ok(length),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.readable = false,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => {
-                    self.ended = !is_transient(&e);
+                    self.read_finished = !is_transient(&e);
                     return Err(e);
                 }
             }
@@ -191,10 +192,10 @@
         Ok(0)
     }
 
-    /// Writes once, without waiting. Returns the number of bytes; zero if none can be written now.
+    /// Writes once without blocking. Returns the number of bytes written; zero if nothing can be written now.
     ///
     /// # Errors
-    /// Why the connection broke; the socket is of no further use, unless the error is transient ([`is_transient`]).
+    /// The error that broke the connection. The socket can't be used any more, unless the error is transient ([`is_transient`]).
     pub fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         while self.writable && !bytes.is_empty() {
             match self.stream.write(bytes) {
@@ -208,27 +209,27 @@
         Ok(0)
     }
 
-    /// Whether more may be read now.
+    /// Returns whether a read may return data now.
     pub fn is_readable(&self) -> bool {
-        self.readable && !self.ended
+        self.readable && !self.read_finished
     }
 
-    /// Whether more may be written now.
+    /// Returns whether a write may succeed now.
     pub fn is_writable(&self) -> bool {
         self.writable
     }
 
-    /// Whether the peer sends no more and all it sent was read.
+    /// Returns whether nothing more can be read: the peer has closed its side and all its data was read, or a read has failed.
     pub fn is_read_finished(&self) -> bool {
-        self.ended
+        self.read_finished
     }
 
-    /// Whether the peer has closed, though bytes of it may still wait to be read.
+    /// Returns whether the peer has closed its side or the connection has failed. Received bytes may still wait to be read.
     pub fn is_peer_closed(&self) -> bool {
-        self.closing
+        self.peer_closed
     }
 
-    /// The address of the peer.
+    /// Returns the address of the peer.
     ///
     /// # Errors
     /// If it is not connected.
@@ -236,12 +237,12 @@
         self.stream.peer_addr()
     }
 
-    /// Closes the connection; what is not read or written is lost.
+    /// Closes the connection. Data that was not yet read or written is lost.
     pub fn close(self, registry: &Registry) {
         let _ = registry.deregister(&mut SourceFd(&self.stream.as_raw_fd()));
     }
 
-    /// Closes the connection so that the peer sees it reset.
+    /// Closes the connection with a TCP reset.
     pub fn reset(self, registry: &Registry) {
         let _ = registry.deregister(&mut SourceFd(&self.stream.as_raw_fd()));
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
@@ -249,7 +250,7 @@
 }
 
 impl std::os::fd::AsFd for Socket {
-    /// The descriptor, for reading socket options.
+    /// Returns the file descriptor, for reading socket options.
     fn as_fd(&self) -> std::os::fd::BorrowedFd<'_> {
         self.stream.as_fd()
     }
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -1,4 +1,4 @@
-//! Non-blocking TCP streams with an input and an output buffer.
+//! Non-blocking TCP streams with input and output buffers.
 
 use crate::Socket;
 use bytes::{Buf, BytesMut};
@@ -7,26 +7,25 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// An emptied output buffer larger than this is released, in bytes.
-const MAX_IDLE_BUFFER_BYTES: usize = 2048;
+/// Maximum capacity in bytes that an empty output buffer retains; the memory of a larger one is released.
+const MAX_RETAINED_OUTPUT_BYTES: usize = 2048;
 
-/// A [`Socket`] with the bytes that were received and those to be sent. The caller bounds both: the input by the limit of
-/// [`Stream::fill`], the output by what it puts there.
+/// A [`Socket`] with input and output buffers. The caller bounds both: the input by the limit that it passes to [`Stream::fill`],
+/// the output by the amount of data that it appends.
 #[derive(Debug)]
 pub struct Stream {
     socket: Socket,
-    /// Bytes received and not yet taken.
+    /// Bytes that were received and not yet consumed.
     pub input: BytesMut,
     /// Bytes to be sent.
     pub output: BytesMut,
 }
 
 impl Stream {
-    /// Begins to connect; [`Stream::check_connected`] says when that is done. With a `source`, it connects from that
-    /// address.
+    /// Starts a connect, from the address `source` if one is given. [`Stream::check_connected`] returns whether it has completed.
     ///
     /// # Errors
-    /// If the system refuses at once.
+    /// As [`Socket::connect`] and [`Socket::connect_from`].
     pub fn connect(
         source: Option<SocketAddr>,
         address: SocketAddr,
@@ -44,24 +43,24 @@
         })
     }
 
-    /// Takes note of an event of the poll.
+    /// Updates the readiness of the stream from an event of the poll.
     pub fn handle_event(&mut self, event: &Event) {
         self.socket.handle_event(event);
     }
 
-    /// As [`Socket::check_connected`].
+    /// Returns whether the stream is connected; see [`Socket::check_connected`].
     ///
     /// # Errors
-    /// Why the connect failed.
+    /// The error with which the connect failed.
     pub fn check_connected(&mut self) -> io::Result<bool> {
         self.socket.check_connected()
     }
 
-    /// Reads what has arrived, until the input holds `max_input` bytes, and returns the number of bytes read. `scratch` is
-    /// shared by all streams, so that idle ones hold no memory.
+    /// Reads available data until the input buffer holds `max_input` bytes, and returns the number of bytes read. The caller can
+    /// pass the same `scratch` buffer to all streams, so that idle streams hold no memory.
     ///
     /// # Errors
-    /// Why the connection broke; the stream is of no further use.
+    /// The error that broke the connection; the stream can't be used any more.
     pub fn fill(&mut self, max_input: usize, scratch: &mut [u8]) -> io::Result<usize> {
         let mut total = 0;
         while self.input.len() < max_input {
@@ -77,10 +76,10 @@
         Ok(total)
     }
 
-    /// Writes what the peer takes now of the output; true once all is written.
+    /// Writes as much of the output buffer as possible without blocking. Returns whether all of it was written.
     ///
     /// # Errors
-    /// Why the connection broke; the stream is of no further use.
+    /// The error that broke the connection; the stream can't be used any more.
     pub fn flush(&mut self) -> io::Result<bool> {
         while !self.output.is_empty() {
             match self.socket.write(&self.output)? {
@@ -88,35 +87,35 @@
                 length => self.output.advance(length),
             }
         }
-        if self.output.is_empty() && self.output.capacity() > MAX_IDLE_BUFFER_BYTES {
+        if self.output.is_empty() && self.output.capacity() > MAX_RETAINED_OUTPUT_BYTES {
             self.output = BytesMut::new();
         }
         Ok(self.output.is_empty())
     }
 
-    /// Releases the memory of an empty input.
+    /// Releases the memory of the input buffer if it is empty.
     pub fn release_empty_input(&mut self) {
         if self.input.is_empty() {
             self.input = BytesMut::new();
         }
     }
 
-    /// As [`Socket::is_readable`].
+    /// See [`Socket::is_readable`].
     pub fn is_readable(&self) -> bool {
         self.socket.is_readable()
     }
 
-    /// As [`Socket::is_read_finished`].
+    /// See [`Socket::is_read_finished`].
     pub fn is_read_finished(&self) -> bool {
         self.socket.is_read_finished()
     }
 
-    /// As [`Socket::is_peer_closed`].
+    /// See [`Socket::is_peer_closed`].
     pub fn is_peer_closed(&self) -> bool {
         self.socket.is_peer_closed()
     }
 
-    /// As [`Socket::peer_address`].
+    /// See [`Socket::peer_address`].
     ///
     /// # Errors
     /// If it is not connected.
@@ -124,7 +123,7 @@
         self.socket.peer_address()
     }
 
-    /// As [`Socket::close`].
+    /// See [`Socket::close`].
     pub fn close(self, registry: &Registry) {
         self.socket.close(registry);
     }
