--- a/crates/recorder/src/decision_engine.rs
+++ b/crates/recorder/src/decision_engine.rs
@@ -1,33 +1,34 @@
-//! The interface of what decides in a controller. In every build that serves it is the driver around the policy module.
+//! The interface of the decision engine, the component that admits queries and routes them to analytic engines. Controllers in
+//! production use the [`Driver`] with the policy module; test programs can substitute other implementations.
 
 use wheelfield::interface::{Micros, QueryId};
 use wheelfield_driver::{Arrival, AttemptId, CapacityExceeded, Driver, Input, Instruction};
 
-/// What a controller asks of whatever decides in it. The methods are those of [`Driver`].
+/// Makes the admission and routing decisions of a controller. The methods correspond to those of [`Driver`].
 pub trait DecisionEngine {
-    /// Takes a query and returns its number.
+    /// Submits a query, appends the resulting instructions to `out` and returns the id of the query.
     ///
     /// # Errors
-    /// [`CapacityExceeded`] when as many queries are held as may be.
+    /// [`CapacityExceeded`] if the maximum number of queries is already held.
     fn submit(
         &mut self,
         now: Micros,
         arrival: Arrival,
         out: &mut Vec<Instruction>,
     ) -> Result<QueryId, CapacityExceeded>;
-    /// Takes one input.
+    /// Handles one input and appends the resulting instructions to `out`.
     fn handle_input(&mut self, now: Micros, input: Input, out: &mut Vec<Instruction>);
-    /// Lets the time pass. False if nothing was due.
+    /// Handles the timers that are due at `now` and appends the resulting instructions to `out`. Returns `false` if nothing was due.
     fn handle_timers(&mut self, now: Micros, out: &mut Vec<Instruction>) -> bool;
-    /// When [`DecisionEngine::handle_timers`] is next wanted.
+    /// Returns the time at which [`DecisionEngine::handle_timers`] has to be called next; `None` if no timer is set.
     fn next_timer_at(&self) -> Option<Micros>;
-    /// Whether an attempt was started and has had no outcome.
+    /// Returns whether an attempt was started and has no outcome yet.
     fn is_in_flight(&self, attempt: AttemptId) -> bool;
-    /// Whether an attempt may be written now.
+    /// Returns whether the request of an attempt may be written to its engine now.
     fn may_write(&self, now: Micros, attempt: AttemptId) -> bool;
-    /// Whether an attempt's answer may go to the client.
+    /// Returns whether the answer of an attempt may be sent to the client.
     fn may_answer(&self, attempt: AttemptId) -> bool;
-    /// The driver, where it is one: its state is captured and its counters are published.
+    /// Returns the driver if the decision engine is one. Checkpoints of captures and published counters are taken from it.
     fn driver(&self) -> Option<&Driver> {
         None
     }
--- a/crates/recorder/src/lib.rs
+++ b/crates/recorder/src/lib.rs
@@ -1,4 +1,4 @@
-//! What decides in a controller, and the record of everything that goes through it.
+//! The interface between a controller and its decision engine, and the recording of all inputs and outputs that pass through it.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/recorder/src/recording_driver.rs
+++ b/crates/recorder/src/recording_driver.rs
@@ -1,4 +1,4 @@
-//! What decides, with a record of its inputs and outputs.
+//! A wrapper around a decision engine that records its inputs and outputs.
 
 use crate::DecisionEngine;
 use std::collections::VecDeque;
@@ -6,42 +6,46 @@
 use wheelfield_capture::{RecordedInput, Recorder, State};
 use wheelfield_driver::{Arrival, CapacityExceeded, Input, Instruction};
 
-/// The one path from a controller to what decides in it. Whatever takes it is recorded, where a capture is wanted.
+/// Passes all inputs of a controller to its decision engine and queues the resulting instructions. If a capture is configured, each
+/// input is recorded together with its instructions.
 pub struct RecordingDriver {
-    engine: Box<dyn DecisionEngine>,
+    decision_engine: Box<dyn DecisionEngine>,
     recorder: Option<Recorder>,
-    /// Instructions of the current step.
-    fresh: Vec<Instruction>,
-    /// Instructions that were not taken yet.
-    pending: VecDeque<Instruction>,
+    /// Instructions that result from the current input.
+    step_instructions: Vec<Instruction>,
+    /// Instructions that the controller has not taken yet.
+    pending_instructions: VecDeque<Instruction>,
 }
 
 impl RecordingDriver {
-    /// Wraps what decides; without a recorder nothing is recorded.
-    pub fn new(engine: Box<dyn DecisionEngine>, recorder: Option<Recorder>) -> RecordingDriver {
+    /// Wraps a decision engine. Without a recorder nothing is recorded.
+    pub fn new(
+        decision_engine: Box<dyn DecisionEngine>,
+        recorder: Option<Recorder>,
+    ) -> RecordingDriver {
         RecordingDriver {
-            engine,
+            decision_engine,
             recorder,
-            fresh: Vec::new(),
-            pending: VecDeque::new(),
+            step_instructions: Vec::new(),
+            pending_instructions: VecDeque::new(),
         }
     }
 
-    /// Hands in something that happened.
+    /// Passes an input to the decision engine and records it.
     pub fn handle_input(&mut self, now: i64, input: Input) {
         let recorded = self
             .recorder
             .is_some()
             .then(|| RecordedInput::Input(input.clone()));
-        self.engine
-            .handle_input(Micros(now), input, &mut self.fresh);
+        self.decision_engine
+            .handle_input(Micros(now), input, &mut self.step_instructions);
         self.finish_step(now, recorded, None);
     }
 
-    /// Hands in a query. `label` is the name that its client gave it.
+    /// Submits a query to the decision engine and records it. `label` is the name that the client gave the query.
     ///
     /// # Errors
-    /// [`CapacityExceeded`] when as many queries are held as may be.
+    /// [`CapacityExceeded`] if the maximum number of queries is already held.
     pub fn submit(
         &mut self,
         now: i64,
@@ -53,43 +57,49 @@
             label: label.to_string(),
         };
         let recorded = self.recorder.is_some().then(record);
-        let submitted = self.engine.submit(Micros(now), arrival, &mut self.fresh);
+        let submitted =
+            self.decision_engine
+                .submit(Micros(now), arrival, &mut self.step_instructions);
         self.finish_step(now, recorded, submitted.ok());
         submitted
     }
 
-    /// Lets the time pass.
+    /// Handles the timers that are due, and records this if there were any.
     pub fn handle_timers(&mut self, now: i64) {
-        if self.engine.handle_timers(Micros(now), &mut self.fresh) {
+        if self
+            .decision_engine
+            .handle_timers(Micros(now), &mut self.step_instructions)
+        {
             self.finish_step(now, Some(RecordedInput::Due), None);
         }
     }
 
-    /// Records a step, and keeps its instructions until they are taken.
+    /// Records an input with its instructions, and queues the instructions until the controller takes them.
     fn finish_step(
         &mut self,
         now: i64,
         recorded: Option<RecordedInput>,
         submitted: Option<QueryId>,
     ) {
-        if let (Some(recorder), Some(told)) = (&mut self.recorder, recorded) {
-            recorder.step(Micros(now), &told, submitted, &self.fresh);
+        if let (Some(recorder), Some(input)) = (&mut self.recorder, recorded) {
+            recorder.step(Micros(now), &input, submitted, &self.step_instructions);
             self.maintain_capture(now);
         }
-        self.pending.extend(self.fresh.drain(..));
+        self.pending_instructions
+            .extend(self.step_instructions.drain(..));
     }
 
-    /// Takes the next instruction.
+    /// Removes and returns the oldest pending instruction.
     pub fn next_instruction(&mut self) -> Option<Instruction> {
-        self.pending.pop_front()
+        self.pending_instructions.pop_front()
     }
 
-    /// What decides.
+    /// Returns the wrapped decision engine.
     pub fn decision_engine(&self) -> &dyn DecisionEngine {
-        &*self.engine
+        &*self.decision_engine
     }
 
-    /// Records the names of engines, for readers of the capture.
+    /// Records the names of engines, which readers of the capture show instead of ids.
     pub fn record_engine_names(
         &mut self,
         now: i64,
@@ -100,14 +110,16 @@
         }
     }
 
-    /// Called once a second and after each step: writes checkpoints, looks for reasons to keep a capture.
+    /// Writes checkpoints that are due, and keeps the capture if there is a reason to. Called once a second and after each recorded
+    /// input.
     pub fn maintain_capture(&mut self, now: i64) {
-        if let (Some(recorder), Some(driver)) = (&mut self.recorder, self.engine.driver()) {
+        if let (Some(recorder), Some(driver)) = (&mut self.recorder, self.decision_engine.driver())
+        {
             recorder.tend(driver, Micros(now));
         }
     }
 
-    /// Requests the capture that is held in memory; false if there is none.
+    /// Requests that the capture held in memory be written to a file. Returns `false` if nothing is recorded.
     pub fn request_capture(&mut self, now: i64) -> bool {
         let Some(recorder) = &mut self.recorder else {
             return false;
@@ -117,7 +129,7 @@
         true
     }
 
-    /// The state of the capture.
+    /// Returns the state of the capture.
     pub fn capture_state(&self) -> State {
         self.recorder
             .as_ref()
@@ -125,7 +137,7 @@
             .unwrap_or_default()
     }
 
-    /// Takes the recorder out, to be ended.
+    /// Removes the recorder, so that the caller can finish it.
     pub fn take_recorder(&mut self) -> Option<Recorder> {
         self.recorder.take()
     }
