--- a/crates/controller/src/event_loop/connections.rs
+++ b/crates/controller/src/event_loop/connections.rs
@@ -6,7 +6,7 @@
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 use wheelfield_net::{is_transient, Socket};
-use wheelfield_sans_io::{BreakCause, ConnId, IoEvent};
+use wheelfield_sans_io::{ConnId, FailureCause, IoEvent};
 
 /// Owners of connections within a controller ([`ConnId::owner`]).
 const MAX_OWNERS: usize = 8;
@@ -109,7 +109,7 @@
             }
         }
         if self.get_mut(id).is_some_and(|socket| socket.is_closing()) {
-            io.protocol.handle_io(io.now, IoEvent::Closing(id));
+            io.protocol.handle_io(io.now, IoEvent::PeerClosing(id));
         }
         self.read(id, io);
         self.write(id, io);
@@ -132,7 +132,7 @@
             let result = connection.socket.read(&mut buffer[..capacity]);
             let has_ended = connection.socket.has_ended();
             match result {
-                Ok(0) if has_ended => io.protocol.handle_io(io.now, IoEvent::Ended(id)),
+                Ok(0) if has_ended => io.protocol.handle_io(io.now, IoEvent::ReadClosed(id)),
                 Ok(0) => {}
                 Ok(length) => {
                     let failed_since = connection.reads_fail_since.take().unwrap_or(io.now);
@@ -215,17 +215,17 @@
 impl Direction {
     /// What an error of the system means in this direction. An established connection breaks; a connect fails at the other side,
     /// on the way, or here.
-    fn cause(self, error: &io::Error) -> BreakCause {
+    fn cause(self, error: &io::Error) -> FailureCause {
         if self != Direction::Connecting {
-            return BreakCause::Broken;
+            return FailureCause::ConnectionLost;
         }
         match error.kind() {
-            ErrorKind::ConnectionRefused => BreakCause::ConnectRefused,
-            ErrorKind::TimedOut | ErrorKind::HostUnreachable => BreakCause::ConnectUnanswered,
+            ErrorKind::ConnectionRefused => FailureCause::ConnectRefused,
+            ErrorKind::TimedOut | ErrorKind::HostUnreachable => FailureCause::PeerUnreachable,
             ErrorKind::ConnectionReset | ErrorKind::ConnectionAborted | ErrorKind::BrokenPipe => {
-                BreakCause::Broken
+                FailureCause::ConnectionLost
             }
-            _ => BreakCause::ConnectImpossible,
+            _ => FailureCause::ConnectNotAttempted,
         }
     }
 }
@@ -235,7 +235,7 @@
 }
 
 fn notify_broken(id: ConnId, direction: Direction, error: &io::Error, io: &mut IoContext<'_>) {
-    let event = IoEvent::Broken {
+    let event = IoEvent::ConnectionFailed {
         id,
         writing: direction != Direction::Reading,
         cause: direction.cause(error),
--- a/crates/controller/src/event_loop/mod.rs
+++ b/crates/controller/src/event_loop/mod.rs
@@ -63,10 +63,10 @@
     fn with_arrivals_since<T>(&mut self, since: i64, act: impl FnOnce(&mut Self) -> T) -> T {
         let outer = self.arrivals_since;
         self.arrivals_since = outer.min(since);
-        self.protocol.note_arrivals_since(self.arrivals_since);
+        self.protocol.set_earliest_arrival(self.arrivals_since);
         let result = act(self);
         self.arrivals_since = outer;
-        self.protocol.note_arrivals_since(outer);
+        self.protocol.set_earliest_arrival(outer);
         result
     }
 }
@@ -323,7 +323,7 @@
         let now = self.clock.now();
         let is_stale = lateness::is_stale(self.now, now);
         if is_stale {
-            self.protocol.take_back_stale_output(now, *id);
+            self.protocol.withdraw_stale_output(now, *id);
         }
         is_stale
     }
@@ -343,7 +343,7 @@
             Effect::Send(name, address, datagram) => {
                 let port = self.datagram_ports.iter().find(|p| p.name() == name);
                 if port.is_some_and(|port| !port.send(&datagram, address)) {
-                    io.protocol.handle_datagram_unsent(io.now, name);
+                    io.protocol.handle_datagram_send_failure(io.now, name);
                 }
             }
             Effect::StopListening => self.stop_listening(),
@@ -403,10 +403,10 @@
 
     fn dispatch(&mut self, now: i64) {
         self.now = now;
-        self.protocol.begin_turn(now);
+        self.protocol.begin_iteration(now);
         if let Some(since) = self.lateness.end_poll(now) {
             self.arrivals_since = since;
-            self.protocol.note_arrivals_since(since);
+            self.protocol.set_earliest_arrival(since);
         }
         let events = std::mem::replace(&mut self.events, Events::with_capacity(0));
         for event in &events {
--- a/crates/engine-emulator/src/desk.rs
+++ b/crates/engine-emulator/src/desk.rs
@@ -95,7 +95,7 @@
                     return;
                 }
             };
-            if request.route() != "/engines" {
+            if request.path() != "/engines" {
                 self.put(id, 404, "text/plain", b"GET /engines\n");
                 continue;
             }
@@ -103,10 +103,11 @@
                 self.put(id, 503, "text/plain", b"unavailable\n");
                 continue;
             }
-            let number = |name: &str| request.value(name).and_then(|v| v.parse::<i64>().ok()).unwrap_or(0);
+            let number =
+                |name: &str| request.query_param(name).and_then(|v| v.parse::<i64>().ok()).unwrap_or(0);
             let since = u64::try_from(number("since")).unwrap_or(0);
             let wait = number("wait_ms").clamp(0, LONGEST_WAIT);
-            let who = request.value("who").unwrap_or("").to_string();
+            let who = request.query_param("who").unwrap_or("").to_string();
             if since >= self.registry.version() && wait > 0 {
                 c.waits = Some((since, now + wait * 1000, who));
             } else {
--- a/crates/engine-emulator/src/host.rs
+++ b/crates/engine-emulator/src/host.rs
@@ -443,7 +443,7 @@
     }
 
     fn command(&mut self, request: &http::Request, now: i64) -> Result<String> {
-        match (request.method.as_str(), request.route()) {
+        match (request.method.as_str(), request.path()) {
             ("GET", "/state") => {
                 let engines: Vec<Value> = self
                     .stands
@@ -453,11 +453,11 @@
                 Ok(json!({"t": now, "version": self.desk.registry.version(), "engines": engines}).to_string())
             }
             ("POST", "/registry") => {
-                if let Some(ms) = request.value("stale_ms") {
+                if let Some(ms) = request.query_param("stale_ms") {
                     self.stale = ms.parse::<i64>().context("stale_ms is no number")?.clamp(0, 60_000) * 1000;
                     return Ok("{}".into());
                 }
-                let ms = request.value("unavailable_ms").context("expected unavailable_ms=N or stale_ms=N")?;
+                let ms = request.query_param("unavailable_ms").context("expected unavailable_ms=N or stale_ms=N")?;
                 let ms: i64 = ms.parse().context("unavailable_ms is no number")?;
                 self.desk.registry.unavailable(now + ms * 1000);
                 let event = "registry_unavailable";
@@ -465,11 +465,11 @@
                 Ok("{}".into())
             }
             ("POST", "/fault") => {
-                let name = request.value("engine").context("expected engine=NAME")?;
+                let name = request.query_param("engine").context("expected engine=NAME")?;
                 let engine = self.stands.iter().position(|e| e.name == name);
                 let engine = engine.with_context(|| format!("no engine is named `{name}`"))?;
-                let kind = request.value("kind").context("expected kind=KIND")?;
-                let value = match request.value("value") {
+                let kind = request.query_param("kind").context("expected kind=KIND")?;
+                let value = match request.query_param("value") {
                     Some(v) => v.parse::<f64>().ok().filter(|x| x.is_finite() && *x >= 0.0).context("value is no number of 0 or more")?,
                     None => 1.0,
                 };
--- a/crates/pg-gateway/src/admin.rs
+++ b/crates/pg-gateway/src/admin.rs
@@ -51,7 +51,7 @@
     pub fn next(&mut self, id: ConnId, out: &mut EffectQueue) -> Option<Page> {
         let wire = self.calls.get_mut(id)?;
         match http::take_request(&mut wire.input, 4096) {
-            Ok(Some(request)) => Some(match request.route() {
+            Ok(Some(request)) => Some(match request.path() {
                 "/health" => Page::Health,
                 "/status" => Page::Status,
                 "/metrics" => Page::Metrics,
--- a/crates/pg-gateway/src/gateway.rs
+++ b/crates/pg-gateway/src/gateway.rs
@@ -170,9 +170,11 @@
         match event {
             IoEvent::Connected(id) => self.connected(id),
             IoEvent::Received(id, bytes) => self.received(id, bytes, false),
-            IoEvent::Ended(id) => self.received(id, &[], true),
-            IoEvent::Closing(id) => self.peer_closing(id),
-            IoEvent::Broken { id, writing, reason, .. } => self.connection_broken(id, writing, reason),
+            IoEvent::ReadClosed(id) => self.received(id, &[], true),
+            IoEvent::PeerClosing(id) => self.peer_closing(id),
+            IoEvent::ConnectionFailed { id, writing, reason, .. } => {
+                self.connection_broken(id, writing, reason)
+            }
             IoEvent::Datagram(DatagramSocket::Peers, from, datagram) => {
                 self.peer_datagram(now, from, datagram);
             }
@@ -284,7 +286,7 @@
     fn accept(&mut self, now: i64, door: Listener) -> Option<ConnId> {
         PgGateway::accept(self, now, door)
     }
-    fn begin_turn(&mut self, now: i64) {
+    fn begin_iteration(&mut self, now: i64) {
         self.flow.out.now = now;
         self.flow.note_activity();
     }
--- a/crates/pg-gateway/tests/common/mod.rs
+++ b/crates/pg-gateway/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use wheelfield_pg::front;
 use wheelfield_pg_gateway::{Effect, GatewayEvent, Listener, PgGateway, Start};
 use wheelfield_sans_io::ConnId;
-use wheelfield_sans_io::{BreakCause, IoEvent, Protocol as _};
+use wheelfield_sans_io::{FailureCause, IoEvent, Protocol as _};
 
 pub const CONFIG: &str = r#"
 listen = "127.0.0.1:0"
@@ -250,13 +250,13 @@
         Step::Started => gate.handle(now, GatewayEvent::Started),
         Step::Connected(id) => gate.handle(now, GatewayEvent::Io(IoEvent::Connected(*id))),
         Step::Received(id, bytes) => gate.handle(now, GatewayEvent::Io(IoEvent::Received(*id, bytes))),
-        Step::Ended(id) => gate.handle(now, GatewayEvent::Io(IoEvent::Ended(*id))),
+        Step::Ended(id) => gate.handle(now, GatewayEvent::Io(IoEvent::ReadClosed(*id))),
         Step::Broken(id) => gate.handle(
             now,
-            GatewayEvent::Io(IoEvent::Broken {
+            GatewayEvent::Io(IoEvent::ConnectionFailed {
                 id: *id,
                 writing: false,
-                cause: BreakCause::Broken,
+                cause: FailureCause::ConnectionLost,
                 reason: "reset",
             }),
         ),
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -8,7 +8,7 @@
 use crate::planted::PlantedFault;
 use std::net::SocketAddr;
 use wheelfield_sans_io::{
-    BreakCause, ConnId, ConnectionBuffer, DatagramSocket, Effect, IoEvent, Listener, Protocol,
+    ConnId, ConnectionBuffer, DatagramSocket, Effect, FailureCause, IoEvent, Listener, Protocol,
 };
 
 /// A controller on the operators' platform.
@@ -110,11 +110,11 @@
         self.dispatcher.start();
     }
 
-    fn begin_turn(&mut self, now: i64) {
+    fn begin_iteration(&mut self, now: i64) {
         self.dispatcher.set_time(now);
     }
 
-    fn note_arrivals_since(&mut self, since: i64) {
+    fn set_earliest_arrival(&mut self, since: i64) {
         self.dispatcher.arrivals_since = Some(since);
     }
 
@@ -129,17 +129,19 @@
         match event {
             IoEvent::Connected(id) => executors.handle_connected(id, out),
             IoEvent::Received(id, bytes) => self.handle_received(id, bytes),
-            IoEvent::Ended(id) => self.handle_read_closed(id),
-            IoEvent::Closing(id) if id.owner() == clients::OWNER => self.handle_client_closing(id),
-            IoEvent::Closing(id) => executors.handle_peer_closing(id, out),
-            IoEvent::Broken { id, .. } if id.owner() == clients::OWNER => {
+            IoEvent::ReadClosed(id) => self.handle_read_closed(id),
+            IoEvent::PeerClosing(id) if id.owner() == clients::OWNER => {
+                self.handle_client_closing(id)
+            }
+            IoEvent::PeerClosing(id) => executors.handle_peer_closing(id, out),
+            IoEvent::ConnectionFailed { id, .. } if id.owner() == clients::OWNER => {
                 self.dispatcher.handle_client_disconnected(id);
             }
-            IoEvent::Broken { id, cause, .. } => match cause {
-                BreakCause::ConnectRefused => executors.handle_connect_refused(id, out),
-                BreakCause::ConnectUnanswered => executors.handle_connect_timeout(id, out),
-                BreakCause::ConnectImpossible => executors.handle_connect_impossible(id, out),
-                BreakCause::Broken => executors.handle_broken(id, out),
+            IoEvent::ConnectionFailed { id, cause, .. } => match cause {
+                FailureCause::ConnectRefused => executors.handle_connect_refused(id, out),
+                FailureCause::PeerUnreachable => executors.handle_connect_timeout(id, out),
+                FailureCause::ConnectNotAttempted => executors.handle_connect_impossible(id, out),
+                FailureCause::ConnectionLost => executors.handle_broken(id, out),
             },
             IoEvent::Datagram(DatagramSocket::Peers, from, bytes) => {
                 self.dispatcher.handle_peer_message(from, bytes);
@@ -151,7 +153,7 @@
         }
     }
 
-    fn handle_datagram_unsent(&mut self, now: i64, socket: DatagramSocket) {
+    fn handle_datagram_send_failure(&mut self, now: i64, socket: DatagramSocket) {
         self.dispatcher.set_time(now);
         if socket == DatagramSocket::Discovery {
             self.dispatcher.handle_query_unsent();
@@ -168,7 +170,7 @@
         self.dispatcher.out.mark_listening_stopped();
     }
 
-    fn take_back_stale_output(&mut self, now: i64, id: ConnId) {
+    fn withdraw_stale_output(&mut self, now: i64, id: ConnId) {
         self.dispatcher.set_time(now);
         if id.owner() != clients::OWNER {
             self.dispatcher.executors.take_back_unwritten(id);
--- a/crates/platform/tests/clients.rs
+++ b/crates/platform/tests/clients.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use wheelfield_sans_io::{BreakCause, ConnId, IoEvent, Protocol};
+use wheelfield_sans_io::{ConnId, FailureCause, IoEvent, Protocol};
 
 #[test]
 fn a_query_is_forwarded_and_its_pages_arrive_as_one_response() {
@@ -115,7 +115,7 @@
         third,
         &query_request("load", &request_id(4), "X-Object: rel-7\r\n"),
     );
-    harness.handle_io(IoEvent::Closing(second));
+    harness.handle_io(IoEvent::PeerClosing(second));
     harness.receive(
         executor,
         &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)),
@@ -289,7 +289,7 @@
 fn a_client_that_disconnects_cancels_its_attempt_or_its_partial_request() {
     let mut harness = Harness::new(1);
     let (client, executor, _) = harness.forward_query("look", &request_id(1));
-    harness.handle_io(IoEvent::Closing(client));
+    harness.handle_io(IoEvent::PeerClosing(client));
     assert_eq!(
         harness.take_written(executor),
         format!("STOP {}\r\n", request_id(1))
@@ -301,7 +301,7 @@
     assert!(harness.closed.contains(&client) && harness.take_written(client).is_empty());
     let half = harness.connect_client();
     harness.receive(half, &query_request("look", &request_id(2), "")[..150]);
-    harness.handle_io(IoEvent::Ended(half));
+    harness.handle_io(IoEvent::ReadClosed(half));
     assert!(harness.closed.contains(&half) && harness.take_written(executor).is_empty());
 }
 
@@ -380,8 +380,8 @@
     let waiting = harness.connect_client();
     harness.receive(waiting, &query_request("look", &request_id(2), ""));
     assert_eq!(harness.connects.len(), 1);
-    harness.handle_io(IoEvent::Closing(waiting));
-    harness.handle_io(IoEvent::Closing(running));
+    harness.handle_io(IoEvent::PeerClosing(waiting));
+    harness.handle_io(IoEvent::PeerClosing(running));
     harness.advance(100_000);
     let fresh = harness.complete_connects()[0];
     harness.advance(400_000);
@@ -446,10 +446,10 @@
         if due_after == 20_000 {
             let executor = harness.complete_connects()[0];
             assert!(harness.take_written(executor).starts_with("REQ "));
-            harness.handle_io(IoEvent::Broken {
+            harness.handle_io(IoEvent::ConnectionFailed {
                 id: executor,
                 writing: false,
-                cause: BreakCause::Broken,
+                cause: FailureCause::ConnectionLost,
                 reason: "reset",
             });
             assert!(
@@ -462,7 +462,7 @@
         harness.now += due_after;
         harness
             .platform
-            .handle_io(harness.now, IoEvent::Closing(client));
+            .handle_io(harness.now, IoEvent::PeerClosing(client));
         harness.platform.handle_timers(harness.now);
         harness.run_effects();
         harness
@@ -503,7 +503,7 @@
     // A client that has disconnected is evicted first of all.
     harness
         .platform
-        .handle_io(harness.now, IoEvent::Ended(keepers[15]));
+        .handle_io(harness.now, IoEvent::ReadClosed(keepers[15]));
     let last = harness.connect_client();
     assert_eq!(harness.closed[9..], [keepers[15]]);
     assert!([&more[..], &[one_more, last]]
--- a/crates/platform/tests/crossings.rs
+++ b/crates/platform/tests/crossings.rs
@@ -310,7 +310,7 @@
     harness.now += SECOND;
     harness
         .platform
-        .take_back_stale_output(harness.now, executor);
+        .withdraw_stale_output(harness.now, executor);
     harness.run_effects();
     assert!(!harness.closed.contains(&executor), "it can still be used");
     let request = harness.take_written(executor);
@@ -335,7 +335,7 @@
     harness.now += 120_000;
     harness
         .platform
-        .take_back_stale_output(harness.now, executor);
+        .withdraw_stale_output(harness.now, executor);
     harness.run_effects();
     harness.advance(1);
     assert_eq!(harness.take_written(executor), "");
--- a/crates/platform/tests/executors.rs
+++ b/crates/platform/tests/executors.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use wheelfield_sans_io::{BreakCause, ConnId, IoEvent, Protocol};
+use wheelfield_sans_io::{ConnId, FailureCause, IoEvent, Protocol};
 
 fn hit(n: u64) -> String {
     format!(
@@ -123,10 +123,10 @@
             assert!(!harness.closed.contains(&conn));
             harness.advance(20_000);
         } else {
-            harness.handle_io(IoEvent::Broken {
+            harness.handle_io(IoEvent::ConnectionFailed {
                 id: conn,
                 writing: true,
-                cause: BreakCause::ConnectRefused,
+                cause: FailureCause::ConnectRefused,
                 reason: "refused",
             });
         }
@@ -175,10 +175,10 @@
     harness.receive(client, &query_request("load", &request_id(1), ""));
     for _ in 0..3 {
         let (conn, _) = harness.connects.remove(0);
-        harness.handle_io(IoEvent::Broken {
+        harness.handle_io(IoEvent::ConnectionFailed {
             id: conn,
             writing: true,
-            cause: BreakCause::Broken,
+            cause: FailureCause::ConnectionLost,
             reason: "reset",
         });
         assert_eq!(harness.connects.len(), 1, "no other connection at once");
@@ -199,10 +199,10 @@
     let (fresh, _) = harness.connects.remove(0);
     harness.receive(resting, &hit(1));
     harness.take_written(resting);
-    harness.handle_io(IoEvent::Broken {
+    harness.handle_io(IoEvent::ConnectionFailed {
         id: fresh,
         writing: true,
-        cause: BreakCause::Broken,
+        cause: FailureCause::ConnectionLost,
         reason: "reset",
     });
     assert!(
@@ -221,10 +221,10 @@
         let client = harness.connect_client();
         harness.receive(client, &query_request("load", &request_id(1), ""));
         let executor = harness.complete_connects()[0];
-        harness.handle_io(IoEvent::Broken {
+        harness.handle_io(IoEvent::ConnectionFailed {
             id: executor,
             writing: false,
-            cause: BreakCause::Broken,
+            cause: FailureCause::ConnectionLost,
             reason: "reset",
         });
         harness.connects.clear();
@@ -284,7 +284,7 @@
         let (client, executor, _) = harness.forward_query("look", &request_id(n));
         harness.receive(executor, &hit(n));
         assert_eq!(status(&harness.take_written(client)), 200, "query {n}");
-        harness.handle_io(IoEvent::Ended(client));
+        harness.handle_io(IoEvent::ReadClosed(client));
         harness.closed.retain(|c| *c != client);
     }
     // The connection to each removed executor is closed too.
@@ -313,10 +313,10 @@
     );
     harness.advance(300_000);
     harness.write_limit = None;
-    harness.handle_io(IoEvent::Broken {
+    harness.handle_io(IoEvent::ConnectionFailed {
         id: executor,
         writing: true,
-        cause: BreakCause::Broken,
+        cause: FailureCause::ConnectionLost,
         reason: "reset",
     });
     harness.advance(19_000);
@@ -367,10 +367,10 @@
         let mut harness = Harness::with_config(&text.to_string());
         let (client, executor, _) = harness.forward_query("load", &request_id(1));
         harness.advance(280_000);
-        harness.handle_io(IoEvent::Broken {
+        harness.handle_io(IoEvent::ConnectionFailed {
             id: executor,
             writing: false,
-            cause: BreakCause::Broken,
+            cause: FailureCause::ConnectionLost,
             reason: "reset",
         });
         harness.advance(20_000);
--- a/crates/platform/tests/interleavings/simulation.rs
+++ b/crates/platform/tests/interleavings/simulation.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use wheelfield_invariants::{judge, Asked, End, Evidence, Life, Line, OfClass, Tolerance};
 use wheelfield_platform::BootstrapConfig;
-use wheelfield_sans_io::{BreakCause, ConnId, IoEvent, Listener, Protocol};
+use wheelfield_sans_io::{ConnId, FailureCause, IoEvent, Listener, Protocol};
 
 /// Names of the classes, by number.
 const CLASSES: [&str; 2] = ["look", "load"];
@@ -282,13 +282,13 @@
 
     fn report_disconnect(&mut self, client: ConnId, how: Disconnect) {
         self.handle_io(match how {
-            Disconnect::Reset => IoEvent::Broken {
+            Disconnect::Reset => IoEvent::ConnectionFailed {
                 id: client,
                 writing: false,
-                cause: BreakCause::Broken,
+                cause: FailureCause::ConnectionLost,
                 reason: "reset",
             },
-            Disconnect::Close => IoEvent::Closing(client),
+            Disconnect::Close => IoEvent::PeerClosing(client),
         });
     }
 
@@ -309,10 +309,10 @@
 
     fn refuse_connect(&mut self, index: usize) {
         if let Some(id) = self.take_connect(index) {
-            self.handle_io(IoEvent::Broken {
+            self.handle_io(IoEvent::ConnectionFailed {
                 id,
                 writing: true,
-                cause: BreakCause::ConnectRefused,
+                cause: FailureCause::ConnectRefused,
                 reason: "refused",
             });
         }
@@ -323,10 +323,10 @@
             return;
         };
         self.drop_executor_connection(id);
-        self.handle_io(IoEvent::Broken {
+        self.handle_io(IoEvent::ConnectionFailed {
             id,
             writing: false,
-            cause: BreakCause::Broken,
+            cause: FailureCause::ConnectionLost,
             reason: "reset",
         });
     }
--- a/crates/platform/tests/interleavings/simulation/executor_side.rs
+++ b/crates/platform/tests/interleavings/simulation/executor_side.rs
@@ -114,7 +114,7 @@
         self.handle_io(IoEvent::Received(id, response.as_bytes()));
         if reply == ExecutorReply::ServedThenClosed {
             self.drop_executor_connection(id);
-            self.handle_io(IoEvent::Ended(id));
+            self.handle_io(IoEvent::ReadClosed(id));
         }
     }
 
--- a/crates/platform/tests/list_age.rs
+++ b/crates/platform/tests/list_age.rs
@@ -107,10 +107,10 @@
     let health = harness.connect_client();
     harness.receive(health, "GET /health HTTP/1.1\r\n\r\n");
     assert_eq!(status_of(&mut harness, health), 200);
-    harness.handle_io(wheelfield_sans_io::IoEvent::Broken {
+    harness.handle_io(wheelfield_sans_io::IoEvent::ConnectionFailed {
         id: leaving,
         writing: false,
-        cause: wheelfield_sans_io::BreakCause::Broken,
+        cause: wheelfield_sans_io::FailureCause::ConnectionLost,
         reason: "reset",
     });
     harness.advance(2 * MAX_HOLD);
@@ -167,14 +167,14 @@
     for _ in 0..20 {
         harness
             .platform
-            .handle_datagram_unsent(harness.now, DatagramSocket::Discovery);
+            .handle_datagram_send_failure(harness.now, DatagramSocket::Discovery);
         harness.advance(100 * MILLISECOND);
     }
     assert!(harness.connects.is_empty(), "two seconds on");
     for _ in 0..11 {
         harness
             .platform
-            .handle_datagram_unsent(harness.now, DatagramSocket::Discovery);
+            .handle_datagram_send_failure(harness.now, DatagramSocket::Discovery);
         harness.advance(100 * MILLISECOND);
     }
     assert_eq!(harness.connects.len(), 1);
@@ -189,7 +189,7 @@
     let fail = |harness: &mut Harness| {
         let now = harness.now;
         let platform = &mut harness.platform;
-        platform.handle_datagram_unsent(now, DatagramSocket::Discovery);
+        platform.handle_datagram_send_failure(now, DatagramSocket::Discovery);
     };
     harness.advance(SECOND / 2);
     fail(&mut harness);
--- a/crates/sans-io/src/effect_queue.rs
+++ b/crates/sans-io/src/effect_queue.rs
@@ -26,7 +26,7 @@
 /// Something to be done outside.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Open a connection; [`crate::IoEvent::Connected`] or [`crate::IoEvent::Broken`] follows.
+    /// Open a connection; [`crate::IoEvent::Connected`] or [`crate::IoEvent::ConnectionFailed`] follows.
     Connect(ConnId, SocketAddr),
     /// Write what [`crate::Protocol::output`] holds, as far as it goes, and report it by [`crate::Protocol::bytes_written`].
     Write(ConnId),
--- a/crates/sans-io/src/http.rs
+++ b/crates/sans-io/src/http.rs
@@ -27,20 +27,20 @@
     /// `GET`, `POST` or another.
     pub method: String,
     /// The path with its query.
-    pub path: String,
+    pub target: String,
     /// The body.
     pub body: Bytes,
 }
 
 impl Request {
     /// The path without its query.
-    pub fn route(&self) -> &str {
-        self.path.split('?').next().unwrap_or("")
+    pub fn path(&self) -> &str {
+        self.target.split('?').next().unwrap_or("")
     }
 
     /// A value of the path's query.
-    pub fn value(&self, name: &str) -> Option<&str> {
-        let query = self.path.split_once('?')?.1;
+    pub fn query_param(&self, name: &str) -> Option<&str> {
+        let query = self.target.split_once('?')?.1;
         query
             .split('&')
             .filter_map(|pair| pair.split_once('='))
@@ -112,11 +112,17 @@
     let httparse::Status::Complete(head) = parsed else {
         return partial(buf).map(|()| None);
     };
-    let (method, path) = (
+    let (method, target) = (
         request.method.unwrap_or("").to_string(),
         request.path.unwrap_or("").to_string(),
     );
-    Ok(body(head, request.headers, buf, limit)?.map(|body| Request { method, path, body }))
+    Ok(
+        body(head, request.headers, buf, limit)?.map(|body| Request {
+            method,
+            target,
+            body,
+        }),
+    )
 }
 
 /// Takes a response off the front of `buf`; none until it is complete.
--- a/crates/sans-io/src/http_tests.rs
+++ b/crates/sans-io/src/http_tests.rs
@@ -17,7 +17,11 @@
     }
     let request = request.expect("whole");
     assert_eq!(
-        (request.route(), request.value("wait"), &request.body[..]),
+        (
+            request.path(),
+            request.query_param("wait"),
+            &request.body[..]
+        ),
         ("/engines", Some("9"), &b"{}"[..])
     );
     let response = take_response(&mut buf, 100)
--- a/crates/sans-io/src/lib.rs
+++ b/crates/sans-io/src/lib.rs
@@ -13,5 +13,5 @@
 pub use connection_buffer::ConnectionBuffer;
 pub use connection_table::{ConnId, ConnectionTable};
 pub use effect_queue::{DatagramSocket, Effect, EffectQueue, Listener};
-pub use protocol::{BreakCause, IoEvent, Protocol};
+pub use protocol::{FailureCause, IoEvent, Protocol};
 pub use timers::{TimerKey, Timers};
--- a/crates/sans-io/src/protocol.rs
+++ b/crates/sans-io/src/protocol.rs
@@ -5,16 +5,16 @@
 
 /// Why a connection could not be established, or broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BreakCause {
+pub enum FailureCause {
     /// Nobody listens there: nothing that was sent has arrived.
     ConnectRefused,
     /// The other side did not answer the connect, or cannot be reached. Nothing that was sent has arrived.
-    ConnectUnanswered,
+    PeerUnreachable,
     /// This machine could not even try to connect: it lacks ports, descriptors, memory or a route. That tells nothing of the
     /// other side, and may pass.
-    ConnectImpossible,
+    ConnectNotAttempted,
     /// An established connection broke, or one broke as it was being established.
-    Broken,
+    ConnectionLost,
 }
 
 /// Something that happened on a socket.
@@ -25,17 +25,17 @@
     /// Bytes were received; at most as many as [`Protocol::read_capacity`] allowed.
     Received(ConnId, &'a [u8]),
     /// The other side has closed, though bytes of it may not have been read yet.
-    Closing(ConnId),
+    PeerClosing(ConnId),
     /// The other side sends no more, and all that it sent was received.
-    Ended(ConnId),
+    ReadClosed(ConnId),
     /// A connection could not be established, or broke.
-    Broken {
+    ConnectionFailed {
         /// The connection.
         id: ConnId,
         /// It broke as something was being written.
         writing: bool,
         /// What kind of failure it is.
-        cause: BreakCause,
+        cause: FailureCause,
         /// The system's error message.
         reason: &'a str,
     },
@@ -50,18 +50,18 @@
     /// A connection was accepted. None if there is no capacity, and the socket is to be closed. Read from it at once.
     fn accept(&mut self, now: i64, listener: Listener) -> Option<ConnId>;
     /// The events of a poll follow, or timers: the first call of each turn of the event loop.
-    fn begin_turn(&mut self, now: i64) {
+    fn begin_iteration(&mut self, now: i64) {
         let _ = now;
     }
     /// What is reported until the next call of this kind may have arrived as early as `since`: the process was suspended or busy, or
     /// could not look, from then on.
-    fn note_arrivals_since(&mut self, since: i64) {
+    fn set_earliest_arrival(&mut self, since: i64) {
         let _ = since;
     }
     /// Something happened on a socket.
     fn handle_io(&mut self, now: i64, event: IoEvent<'_>);
     /// A datagram that was to be sent could not be, for a fault of this machine.
-    fn handle_datagram_unsent(&mut self, now: i64, socket: DatagramSocket) {
+    fn handle_datagram_send_failure(&mut self, now: i64, socket: DatagramSocket) {
         let _ = (now, socket);
     }
     /// A graceful shutdown was requested.
@@ -71,7 +71,7 @@
     fn handle_listening_stopped(&mut self, now: i64);
     /// The output of a connection was decided some time ago, as the process was suspended since. Whatever of it depends on the time,
     /// and has not begun to be written, is to be taken back and decided anew, once what has come meanwhile is known.
-    fn take_back_stale_output(&mut self, now: i64, id: ConnId) {
+    fn withdraw_stale_output(&mut self, now: i64, id: ConnId) {
         let _ = (now, id);
     }
     /// How many bytes may be received on a connection now. After none, [`Effect::ResumeReading`] says when some may.
--- a/crates/testbed/src/virtual_time/procs.rs
+++ b/crates/testbed/src/virtual_time/procs.rs
@@ -12,7 +12,7 @@
 use wheelfield_invariants::{Line, NotUp};
 use wheelfield_network_faults::Arrival;
 use wheelfield_pg_gateway::{DatagramSocket, Effect, GatewayEvent, Listener};
-use wheelfield_sans_io::{BreakCause, ConnId, IoEvent, Protocol as _};
+use wheelfield_sans_io::{ConnId, FailureCause, IoEvent, Protocol as _};
 
 /// A line of a stand-in's journal as the judge reads it.
 fn line_of(e: Entry) -> Line {
@@ -163,7 +163,7 @@
             match proc {
                 Proc::Controller(c) => {
                     if let Some(gate) = &mut self.gates[c] {
-                        gate.handle(now, GatewayEvent::Io(IoEvent::Closing(id)));
+                        gate.handle(now, GatewayEvent::Io(IoEvent::PeerClosing(id)));
                     }
                 }
                 Proc::People if id.owner() == 1 => self.people.closing(id),
@@ -191,7 +191,7 @@
                     match proc {
                         Proc::Controller(c) => {
                             if let Some(gate) = &mut self.gates[c] {
-                                gate.handle(now, GatewayEvent::Io(IoEvent::Ended(id)));
+                                gate.handle(now, GatewayEvent::Io(IoEvent::ReadClosed(id)));
                             }
                         }
                         _ => self.broke(proc, id, false),
@@ -214,7 +214,12 @@
         match proc {
             Proc::Controller(c) => {
                 if let Some(gate) = &mut self.gates[c] {
-                    let broken = IoEvent::Broken { id, writing, cause: BreakCause::Broken, reason: "broken" };
+                    let broken = IoEvent::ConnectionFailed {
+                        id,
+                        writing,
+                        cause: FailureCause::ConnectionLost,
+                        reason: "broken",
+                    };
                     gate.handle(now, GatewayEvent::Io(broken));
                 }
             }
