--- a/crates/driver/src/attempts.rs
+++ b/crates/driver/src/attempts.rs
@@ -1,6 +1,9 @@
-//! The table of queries and their attempts: what is in flight, what was answered. It decides nothing.
+//! The table of queries and their attempts. It stores their state and makes no decisions.
 //!
-//! Captures hold it in a positional format: fields may be renamed, but never reordered.
+//! Captures store the table in a positional format: fields may be renamed but not reordered.
+//!
+//! An attempt is in flight until it has an outcome. A query stays in the table until it has been answered and none of its
+//! attempts is in flight.
 
 use crate::timers::{TimerKey, TimerKind, Timers};
 use crate::AttemptOptions;
@@ -8,12 +11,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wheelfield::interface::{EngineId, Micros, Outcome, QueryId};
 
-/// An attempt: its query and its number, counted from 0.
+/// Identifies an attempt by its query and its number, counted from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct AttemptId {
     /// The query.
     pub query: QueryId,
-    /// Which attempt of it.
+    /// Number of the attempt within the query.
     pub number: usize,
 }
 
@@ -27,13 +30,13 @@
 struct Attempt {
     engine: EngineId,
     sent_at: Micros,
-    /// Its first byte was written.
+    /// Whether its first byte has been written to the engine.
     written: bool,
     cancelled: bool,
-    /// The first byte of its answer went to the client.
+    /// Whether the first byte of its answer has been sent to the client.
     answer_started: bool,
     outcome: Option<Outcome>,
-    /// Its timers, so that they are cancelled with it.
+    /// Its timers, which are cancelled when it ends.
     timers: Vec<TimerKey>,
 }
 
@@ -56,38 +59,38 @@
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct HeldQuery {
+struct QueryEntry {
     deadline: Micros,
     answered: bool,
-    /// With which options its next attempt is sent.
+    /// Options of its next attempt.
     options: AttemptOptions,
     attempts: Vec<Attempt>,
 }
 
-/// What an attempt was like as it was settled.
-pub(crate) struct Settled {
+/// State of an attempt at the time of its end.
+pub(crate) struct EndedAttempt {
     pub sent_at: Micros,
     pub answer_started: bool,
-    /// Its query had no final answer yet.
-    pub owed: bool,
+    /// Whether its query was still waiting for its final answer.
+    pub query_unanswered: bool,
 }
 
-/// An attempt that is being started.
+/// Parameters of an attempt that is being started.
 pub(crate) struct NewAttempt {
     pub query: QueryId,
     pub engine: EngineId,
-    /// Zero for the query's own deadline.
+    /// Timeout of the attempt; zero for the deadline of the query.
     pub timeout: Micros,
-    /// Whether a timer settles it when its time is up.
-    pub sets_timer: bool,
+    /// Whether the driver sets a timer that ends the attempt at its timeout.
+    pub has_timeout_timer: bool,
 }
 
-/// Queries that are held, by number.
+/// Queries that are unanswered or have attempts in flight, by id.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct AttemptTable {
-    last_number: u64,
-    queries: BTreeMap<QueryId, HeldQuery>,
-    /// Attempts of which no byte is written, by engine.
+    last_query_id: u64,
+    queries: BTreeMap<QueryId, QueryEntry>,
+    /// Attempts in flight of which no byte has been written, by engine.
     unwritten: BTreeSet<(EngineId, AttemptId)>,
     pub timers: Timers,
     last_answered: Option<QueryId>,
@@ -98,18 +101,18 @@
         self.queries.len()
     }
 
-    /// The number of the next query.
-    pub fn next_number(&mut self) -> QueryId {
-        self.last_number = self.last_number.wrapping_add(1);
-        QueryId(self.last_number)
+    /// Allocates the id of the next query.
+    pub fn next_query_id(&mut self) -> QueryId {
+        self.last_query_id = self.last_query_id.wrapping_add(1);
+        QueryId(self.last_query_id)
     }
 
-    /// Adds a query; false if one of this number is held.
+    /// Adds a query. Returns false if the id is in use.
     pub fn add_query(&mut self, id: QueryId, deadline: Micros) -> bool {
-        let is_free = !self.queries.contains_key(&id);
-        if is_free {
+        let is_new = !self.queries.contains_key(&id);
+        if is_new {
             let options = AttemptOptions::default();
-            let query = HeldQuery {
+            let query = QueryEntry {
                 deadline,
                 answered: false,
                 options,
@@ -117,11 +120,15 @@
             };
             self.queries.insert(id, query);
         }
-        is_free
+        is_new
     }
 
-    /// Starts an attempt, unless the query was answered.
-    pub fn start(&mut self, now: Micros, new: &NewAttempt) -> Option<(AttemptId, AttemptOptions)> {
+    /// Adds an attempt to a query. Returns `None` if the query has been answered or is not in the table.
+    pub fn add_attempt(
+        &mut self,
+        now: Micros,
+        new: &NewAttempt,
+    ) -> Option<(AttemptId, AttemptOptions)> {
         let query = self
             .queries
             .get_mut(&new.query)
@@ -131,14 +138,14 @@
             number: query.attempts.len(),
         };
         query.attempts.push(Attempt::new(new.engine, now));
-        let ends_at = match new.timeout {
+        let times_out_at = match new.timeout {
             Micros(0) => query.deadline,
             timeout => (now + timeout).min(query.deadline),
         };
         let options = query.options;
         self.unwritten.insert((new.engine, attempt));
-        if new.sets_timer {
-            self.set_timer_of(attempt, ends_at, TimerKind::AttemptTimeout(attempt));
+        if new.has_timeout_timer {
+            self.set_attempt_timer(attempt, times_out_at, TimerKind::AttemptTimeout(attempt));
         }
         Some((attempt, options))
     }
@@ -167,18 +174,20 @@
         self.attempt(id).is_some_and(Attempt::is_in_flight)
     }
 
+    /// Whether the answer of an attempt may be sent to the client: the attempt is in flight, its query is unanswered, and no
+    /// other attempt of the query has started its answer.
     pub fn may_answer(&self, id: AttemptId) -> bool {
         let Some(query) = self.queries.get(&id.query).filter(|query| !query.answered) else {
             return false;
         };
         let mut attempts = query.attempts.iter().enumerate();
-        let other_started =
+        let other_answer_started =
             attempts.any(|(number, attempt)| attempt.answer_started && number != id.number);
-        !other_started && self.is_in_flight(id)
+        !other_answer_started && self.is_in_flight(id)
     }
 
-    /// The engine that an attempt is to be written to; none if it was written, cancelled or settled.
-    pub fn engine_to_write(&self, id: AttemptId) -> Option<EngineId> {
+    /// The engine of an attempt that is still to be written; `None` if it has been written or cancelled, or has ended.
+    pub fn engine_if_unwritten(&self, id: AttemptId) -> Option<EngineId> {
         let attempt = self.attempt(id).filter(|attempt| attempt.is_in_flight())?;
         (!attempt.cancelled && !attempt.written).then_some(attempt.engine)
     }
@@ -192,7 +201,7 @@
         self.unwritten.remove(&(engine, id));
     }
 
-    /// Marks that the answer of an attempt has started; false if it may not, or had.
+    /// Marks the answer of an attempt as started. Returns false if it had already started or may not be sent.
     pub fn start_answer(&mut self, id: AttemptId) -> bool {
         let may_start = self.may_answer(id) && !self.answer_started(id);
         if let Some(attempt) = self.in_flight_mut(id).filter(|_| may_start) {
@@ -210,33 +219,33 @@
         self.attempt(id).is_some_and(|attempt| attempt.written)
     }
 
-    /// Marks an attempt as cancelled; false if it was already, or is settled.
-    pub fn cancel(&mut self, id: AttemptId, confirm_by: Micros) -> bool {
+    /// Marks an attempt as cancelled. Returns false if it was already cancelled or has ended.
+    pub fn mark_cancelled(&mut self, id: AttemptId, confirmation_deadline: Micros) -> bool {
         let Some(attempt) = self.in_flight_mut(id).filter(|attempt| !attempt.cancelled) else {
             return false;
         };
         attempt.cancelled = true;
-        self.set_timer_of(id, confirm_by, TimerKind::CancelUnconfirmed(id));
+        self.set_attempt_timer(id, confirmation_deadline, TimerKind::CancelUnconfirmed(id));
         true
     }
 
-    /// Notes the outcome of an attempt; none if it had one.
-    pub fn settle(&mut self, id: AttemptId, outcome: Outcome) -> Option<Settled> {
-        let owed = self.awaits_answer(id.query);
+    /// Records the outcome of an attempt and cancels its timers. Returns `None` if the attempt already had an outcome.
+    pub fn record_outcome(&mut self, id: AttemptId, outcome: Outcome) -> Option<EndedAttempt> {
+        let query_unanswered = self.awaits_answer(id.query);
         let attempt = self.in_flight_mut(id)?;
         attempt.outcome = Some(outcome);
         let engine = attempt.engine;
-        let settled = Settled {
+        let ended = EndedAttempt {
             sent_at: attempt.sent_at,
             answer_started: attempt.answer_started,
-            owed,
+            query_unanswered,
         };
         let timers = std::mem::take(&mut attempt.timers);
         self.unwritten.remove(&(engine, id));
         for key in timers {
             self.timers.cancel(key);
         }
-        Some(settled)
+        Some(ended)
     }
 
     pub fn awaits_answer(&self, query: QueryId) -> bool {
@@ -249,14 +258,14 @@
         self.queries.get(&query).map(|query| query.deadline)
     }
 
-    /// When the time of an attempt is up: of its timers this one is set first.
+    /// When an attempt times out; `None` if it has no timeout timer. That timer is always the first one set for an attempt.
     pub fn timeout_at(&self, id: AttemptId) -> Option<Micros> {
         let first = *self.attempt(id)?.timers.first()?;
         matches!(self.timers.get(first), Some(TimerKind::AttemptTimeout(_))).then_some(first.0)
     }
 
-    /// Notes the final answer; false if there was one.
-    pub fn answer(&mut self, id: QueryId) -> bool {
+    /// Marks a query as answered. Returns false if it already was, or is not in the table.
+    pub fn mark_answered(&mut self, id: QueryId) -> bool {
         let Some(query) = self.queries.get_mut(&id).filter(|query| !query.answered) else {
             return false;
         };
@@ -265,12 +274,12 @@
         true
     }
 
-    /// Takes the query that was answered last; none if it was taken before.
+    /// Returns the query that was answered last, once.
     pub fn take_last_answered(&mut self) -> Option<QueryId> {
         self.last_answered.take()
     }
 
-    /// Whether an attempt of a query may have run.
+    /// Whether any attempt of a query may have run.
     pub fn may_have_run(&self, query: QueryId) -> bool {
         let may_have_run =
             |attempt: &Attempt| !attempt.outcome.is_some_and(Outcome::never_ran) && attempt.written;
@@ -279,26 +288,27 @@
             .is_some_and(|query| query.attempts.iter().any(may_have_run))
     }
 
-    /// Removes a query that was answered and has nothing in flight.
+    /// Removes a query if it has been answered and has no attempt in flight.
     pub fn remove_if_done(&mut self, id: QueryId) {
-        let is_done =
-            |query: &HeldQuery| query.answered && !query.attempts.iter().any(Attempt::is_in_flight);
+        let is_done = |query: &QueryEntry| {
+            query.answered && !query.attempts.iter().any(Attempt::is_in_flight)
+        };
         if self.queries.get(&id).is_some_and(is_done) {
             self.queries.remove(&id);
         }
     }
 
-    /// Attempts of which nothing is written, at the engines that fit.
-    pub fn unwritten_at(&self, fits: impl Fn(&EngineId) -> bool) -> Vec<AttemptId> {
+    /// Attempts in flight of which no byte has been written, on the engines that match.
+    pub fn unwritten_attempts(&self, matches_engine: impl Fn(&EngineId) -> bool) -> Vec<AttemptId> {
         self.unwritten
             .iter()
-            .filter(|(engine, _)| fits(engine))
+            .filter(|(engine, _)| matches_engine(engine))
             .map(|(_, attempt)| *attempt)
             .collect()
     }
 
-    /// The attempts of a query that were written, and are neither cancelled nor settled.
-    pub fn written_in_flight(&self, query: QueryId) -> Vec<AttemptId> {
+    /// The attempts of a query that have been written, are in flight and are not cancelled.
+    pub fn cancellable_attempts(&self, query: QueryId) -> Vec<AttemptId> {
         let attempts = self
             .queries
             .get(&query)
@@ -310,8 +320,8 @@
             .collect()
     }
 
-    /// Sets a timer that is cancelled when its attempt is settled.
-    fn set_timer_of(&mut self, id: AttemptId, at: Micros, kind: TimerKind) {
+    /// Sets a timer that is cancelled when its attempt ends.
+    fn set_attempt_timer(&mut self, id: AttemptId, at: Micros, kind: TimerKind) {
         let key = self.timers.set(at, kind);
         if let Some(attempt) = self.in_flight_mut(id) {
             attempt.timers.push(key);
--- a/crates/driver/src/driver/actions.rs
+++ b/crates/driver/src/driver/actions.rs
@@ -1,16 +1,16 @@
-//! The module's actions are carried out: they become instructions, timers and entries of the attempt table.
+//! Applies the actions of the policy module: converts them to instructions, timers and changes of the attempt table.
 
-use super::{Driver, Ending};
+use super::{AttemptResult, Driver};
 use crate::attempts::{AttemptId, NewAttempt};
 use crate::timers::TimerKind;
 use crate::{Answer, AttemptOptions, Instruction};
 use wheelfield::interface::{Action, EngineId, Event, Micros, Outcome, QueryId};
 
 impl Driver {
-    /// Hands the module the events that wait, and carries out its actions.
-    pub(super) fn run(&mut self, now: Micros, out: &mut Vec<Instruction>) {
+    /// Passes the queued events to the policy module and applies the actions that it returns.
+    pub(super) fn process_events(&mut self, now: Micros, out: &mut Vec<Instruction>) {
         while let Some(event) = self.events.pop_front() {
-            let may_be_done = match &event {
+            let possibly_complete = match &event {
                 Event::AttemptEnded(end) => Some(end.query),
                 Event::Abandoned(query) => Some(*query),
                 _ => None,
@@ -21,16 +21,16 @@
             let mut actions = std::mem::take(&mut self.actions);
             self.gateway.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(now, action, out);
+                self.apply_action(now, action, out);
             }
             self.actions = actions;
-            if let Some(query) = may_be_done {
+            if let Some(query) = possibly_complete {
                 self.table.remove_if_done(query);
             }
         }
     }
 
-    fn carry_out(&mut self, now: Micros, action: Action, out: &mut Vec<Instruction>) {
+    fn apply_action(&mut self, now: Micros, action: Action, out: &mut Vec<Instruction>) {
         match action {
             Action::Send {
                 query,
@@ -44,7 +44,7 @@
             } => {
                 let options = AttemptOptions { grant_mb, priority };
                 self.table.set_options(query, options);
-                for attempt in self.table.written_in_flight(query) {
+                for attempt in self.table.cancellable_attempts(query) {
                     out.push(Instruction::SetOptions(attempt, options));
                 }
             }
@@ -57,13 +57,13 @@
                 }
             }
             Action::Reject { query, retry_after } => {
-                if self.table.answer(query) {
+                if self.table.mark_answered(query) {
                     self.counters.rejected += 1;
                     out.push(Instruction::Answer(query, Answer::Rejected { retry_after }));
                 }
             }
             Action::Fail { query } => {
-                if self.table.answer(query) {
+                if self.table.mark_answered(query) {
                     self.counters.failed += 1;
                     let may_have_run = self.table.may_have_run(query);
                     out.push(Instruction::Answer(query, Answer::Failed { may_have_run }));
@@ -77,7 +77,7 @@
             Action::Subscribe => out.push(Instruction::Subscribe),
             Action::Log(text) => out.push(Instruction::Log(text)),
         }
-        // An answer may be the last that was wanted of a query with nothing in flight.
+        // If the action answered a query that has no attempt in flight, the query is complete.
         if let Some(query) = self.table.take_last_answered() {
             self.table.remove_if_done(query);
         }
@@ -91,13 +91,13 @@
         timeout: Micros,
         out: &mut Vec<Instruction>,
     ) {
-        let new = NewAttempt {
+        let new_attempt = NewAttempt {
             query,
             engine,
             timeout,
-            sets_timer: self.limits.times_attempts(),
+            has_timeout_timer: self.limits.enforces_attempt_timeouts(),
         };
-        let Some((attempt, options)) = self.table.start(now, &new) else {
+        let Some((attempt, options)) = self.table.add_attempt(now, &new_attempt) else {
             return;
         };
         self.counters.attempts += 1;
@@ -109,20 +109,25 @@
         });
     }
 
-    /// Cancels an attempt; false if it was cancelled or settled before.
+    /// Cancels an attempt. Returns false if it was already cancelled or has ended.
     fn cancel_attempt(
         &mut self,
         now: Micros,
         attempt: AttemptId,
         out: &mut Vec<Instruction>,
     ) -> bool {
-        let confirm_by = now + self.limits.cancel_confirmation_timeout;
-        if !self.table.cancel(attempt, confirm_by) {
+        let confirmation_deadline = now + self.limits.cancel_confirmation_timeout;
+        if !self.table.mark_cancelled(attempt, confirmation_deadline) {
             return false;
         }
         out.push(Instruction::Cancel(attempt));
         if !self.table.is_written(attempt) {
-            self.settle(now, attempt, Ending::unreported(Outcome::NeverSent), out);
+            self.end_attempt(
+                now,
+                attempt,
+                AttemptResult::without_report(Outcome::NeverSent),
+                out,
+            );
         }
         true
     }
--- a/crates/driver/src/driver/mod.rs
+++ b/crates/driver/src/driver/mod.rs
@@ -1,8 +1,8 @@
-//! The driver: inputs become events of the policy module, its actions become instructions.
+//! The driver: converts inputs to events of the policy module, and the module's actions to instructions.
 
 mod actions;
 
-use crate::attempts::{AttemptId, AttemptTable, Settled};
+use crate::attempts::{AttemptId, AttemptTable, EndedAttempt};
 use crate::timers::TimerKind;
 use crate::{Answer, Arrival, CapacityExceeded, DriverCounters, DriverLimits, Input, Instruction};
 use serde::{Deserialize, Serialize};
@@ -13,19 +13,19 @@
 };
 use wheelfield::Gateway;
 
-/// How an attempt ended.
-struct Ending {
+/// The outcome of an attempt and what was reported with it.
+struct AttemptResult {
     outcome: Outcome,
     reported_work: Option<f64>,
     report: LoadReport,
-    /// How long it took, where the protocol measures that.
+    /// Duration of the attempt, if the protocol layer measures it.
     elapsed: Option<Micros>,
 }
 
-impl Ending {
-    /// An ending of which the protocol reports nothing.
-    fn unreported(outcome: Outcome) -> Ending {
-        Ending {
+impl AttemptResult {
+    /// The result of an attempt whose end the protocol layer did not report.
+    fn without_report(outcome: Outcome) -> AttemptResult {
+        AttemptResult {
             outcome,
             reported_work: None,
             report: LoadReport::default(),
@@ -34,23 +34,26 @@
     }
 }
 
-/// One policy module with the records around it.
+/// A policy module with the state of its queries, attempts and timers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Driver {
     gateway: Gateway,
     table: AttemptTable,
+    /// Last known status of each engine that an engine list has named.
     engines: BTreeMap<EngineId, Status>,
     limits: DriverLimits,
+    /// Events that the module has not handled yet.
     events: VecDeque<Event>,
+    /// Reused buffer for the actions of one event.
     actions: Vec<Action>,
     counters: DriverCounters,
-    /// The events handed to the module, where they are recorded.
+    /// Events that the module has handled, if recording is enabled.
     #[serde(skip)]
     recorded_events: Option<Vec<Event>>,
 }
 
 impl Driver {
-    /// A driver around a fresh module. The same settings, seed and inputs give the same instructions.
+    /// Creates a driver with a new policy module. The same settings, seed and inputs give the same instructions.
     pub fn new(settings: Settings, seed: u64, limits: DriverLimits) -> Self {
         Driver {
             gateway: Gateway::new(settings, seed),
@@ -64,12 +67,12 @@
         }
     }
 
-    /// From now on, the events of the module are kept until [`Driver::take_recorded_events`] takes them.
+    /// Starts to record the events of the module, to be read by [`Driver::take_recorded_events`].
     pub fn record_events(&mut self) {
         self.recorded_events = Some(Vec::new());
     }
 
-    /// The events of the module since the last call, if they are recorded.
+    /// Returns the events recorded since the last call; empty if recording is not enabled.
     pub fn take_recorded_events(&mut self) -> Vec<Event> {
         self.recorded_events
             .as_mut()
@@ -77,24 +80,24 @@
             .unwrap_or_default()
     }
 
-    /// Takes a query and returns its number; what is to be done for it is appended to `out`.
+    /// Accepts a query and returns its id. The resulting instructions are appended to `out`.
     ///
     /// # Errors
-    /// [`CapacityExceeded`] when as many queries are held as the limits allow; the query was not taken then.
+    /// [`CapacityExceeded`] if [`DriverLimits::max_queries`] is reached. The query is not accepted then.
     pub fn submit(
         &mut self,
         now: Micros,
         arrival: Arrival,
         out: &mut Vec<Instruction>,
     ) -> Result<QueryId, CapacityExceeded> {
-        let id = self.table.next_number();
+        let id = self.table.next_query_id();
         self.submit_with_id(now, id, arrival, out)
     }
 
-    /// Takes a query whose number is given outside, as by a protocol that numbers them itself.
+    /// Like [`Driver::submit`], for a protocol layer that assigns the query ids itself.
     ///
     /// # Errors
-    /// [`CapacityExceeded`] when as many queries are held as the limits allow, or one of this number is.
+    /// [`CapacityExceeded`] if [`DriverLimits::max_queries`] is reached or the id is in use.
     pub fn submit_with_id(
         &mut self,
         now: Micros,
@@ -128,11 +131,11 @@
             tables,
         };
         self.events.push_back(Event::Arrived(query));
-        self.run(now, out);
+        self.process_events(now, out);
         Ok(id)
     }
 
-    /// Takes one input and appends what is to be done.
+    /// Handles one input and appends the resulting instructions to `out`.
     #[expect(
         clippy::too_many_lines,
         reason = "one short arm for each kind of input"
@@ -141,7 +144,7 @@
         match input {
             Input::Started => self.events.push_back(Event::Started),
             Input::Engines { complete, entries } => {
-                self.endpoints_changed(now, complete, entries, out)
+                self.handle_engine_list(now, complete, entries, out)
             }
             Input::ListUnavailable => self.events.push_back(Event::ListUnavailable),
             Input::Dispatched(attempt) => self.table.mark_written(attempt),
@@ -166,13 +169,13 @@
                 reported_work,
                 report,
             } => {
-                let ending = Ending {
+                let result = AttemptResult {
                     outcome,
                     reported_work,
                     report,
                     elapsed: None,
                 };
-                self.attempt_ended(now, attempt, ending, out);
+                self.handle_attempt_end(now, attempt, result, out);
             }
             Input::AttemptMeasured {
                 attempt,
@@ -181,16 +184,16 @@
                 report,
                 elapsed,
             } => {
-                let ending = Ending {
+                let result = AttemptResult {
                     outcome,
                     reported_work,
                     report,
                     elapsed: Some(elapsed),
                 };
-                self.attempt_ended(now, attempt, ending, out);
+                self.handle_attempt_end(now, attempt, result, out);
             }
             Input::Abandoned(query) => {
-                if self.table.answer(query) {
+                if self.table.mark_answered(query) {
                     self.counters.abandoned += 1;
                     self.events.push_back(Event::Abandoned(query));
                 }
@@ -221,31 +224,41 @@
                 self.events.push_back(Event::PeerReports(reports));
             }
         }
-        self.run(now, out);
+        self.process_events(now, out);
     }
 
-    /// When [`Driver::handle_timers`] is next wanted.
+    /// When [`Driver::handle_timers`] must be called next.
     pub fn next_timer_at(&self) -> Option<Micros> {
         self.table.timers.next_at()
     }
 
-    /// Lets the time pass: timers that are due, attempts whose time is up, cancellations that were not confirmed.
-    /// A timer set meanwhile waits for the next call, however short it is. False if nothing was due.
+    /// Handles the timers that are due: those of the module, timeouts of attempts and cancellations that were not confirmed.
+    /// A timer that is set during the call is handled by the next call, even if it is already due. Returns false if no timer
+    /// was due.
     pub fn handle_timers(&mut self, now: Micros, out: &mut Vec<Instruction>) -> bool {
         let due = self.table.timers.take_due(now);
         let any_due = !due.is_empty();
         for timer in due {
             match timer {
                 TimerKind::Module(token) => self.events.push_back(Event::TimerFired(token)),
-                TimerKind::AttemptTimeout(attempt) => self.attempt_timed_out(now, attempt, out),
-                TimerKind::CancelUnconfirmed(attempt) => self.cancel_unconfirmed(now, attempt, out),
+                TimerKind::AttemptTimeout(attempt) => {
+                    self.handle_attempt_timeout(now, attempt, out)
+                }
+                TimerKind::CancelUnconfirmed(attempt) => {
+                    self.handle_unconfirmed_cancel(now, attempt, out)
+                }
             }
-            self.run(now, out);
+            self.process_events(now, out);
         }
         any_due
     }
 
-    fn attempt_timed_out(&mut self, now: Micros, attempt: AttemptId, out: &mut Vec<Instruction>) {
+    fn handle_attempt_timeout(
+        &mut self,
+        now: Micros,
+        attempt: AttemptId,
+        out: &mut Vec<Instruction>,
+    ) {
         if !self.table.is_in_flight(attempt) || self.table.answer_started(attempt) {
             return;
         }
@@ -256,93 +269,107 @@
             Outcome::ConnectTimedOut
         };
         out.push(Instruction::Cancel(attempt));
-        self.attempt_ended(now, attempt, Ending::unreported(outcome), out);
+        self.handle_attempt_end(now, attempt, AttemptResult::without_report(outcome), out);
     }
 
-    /// An answer that crossed the cancellation and has started is the client's.
-    fn cancel_unconfirmed(&mut self, now: Micros, attempt: AttemptId, out: &mut Vec<Instruction>) {
+    /// Ends a cancelled attempt whose engine did not confirm the cancellation in time. If its answer has started nevertheless,
+    /// because it crossed the cancellation on the network, the answer goes on to the client.
+    fn handle_unconfirmed_cancel(
+        &mut self,
+        now: Micros,
+        attempt: AttemptId,
+        out: &mut Vec<Instruction>,
+    ) {
         if self.table.is_in_flight(attempt) && !self.table.answer_started(attempt) {
-            self.attempt_ended(now, attempt, Ending::unreported(Outcome::Cancelled), out);
+            self.handle_attempt_end(
+                now,
+                attempt,
+                AttemptResult::without_report(Outcome::Cancelled),
+                out,
+            );
         }
     }
 
-    /// A timer of the module is due, as a protocol that keeps the time itself reports. False if there was none.
+    /// Handles a timer of the module on the report of a protocol layer that keeps the timers itself. Returns false if no such
+    /// timer is set.
     pub fn fire_timer(&mut self, now: Micros, token: u64, out: &mut Vec<Instruction>) -> bool {
         let is_set = self.table.timers.take_module_timer(token);
         if is_set {
             self.events.push_back(Event::TimerFired(token));
-            self.run(now, out);
+            self.process_events(now, out);
         }
         is_set
     }
 
-    /// Whether an attempt still counts: it was started and has had no outcome. The protocol asks before it writes
-    /// the attempt, and before it lets any byte of its answer through to the client.
+    /// Whether an attempt has been started and has no outcome yet.
     pub fn is_in_flight(&self, attempt: AttemptId) -> bool {
         self.table.is_in_flight(attempt)
     }
 
-    /// Whether an attempt's answer may go to the client: it is in flight and its query has had no answer.
+    /// Whether an attempt's answer may be sent to the client: the attempt is in flight, its query is unanswered, and no other
+    /// attempt has started its answer. The protocol layer checks this before it forwards any byte of the answer.
     pub fn may_answer(&self, attempt: AttemptId) -> bool {
         self.table.may_answer(attempt)
     }
 
-    /// Whether an attempt may be written now: it is in flight, not cancelled, its engine takes work, and it is no retry that
-    /// must not run. The module allowed it as it was sent, which may be some time ago.
+    /// Whether an attempt may be written now: it is in flight and not cancelled, its engine accepts work, and it is not a retry
+    /// that must no longer run. The module approved the attempt when it started it, but time may have passed since, for example
+    /// while a connection was opened. The protocol layer therefore checks this right before it writes.
     pub fn may_write(&self, now: Micros, attempt: AttemptId) -> bool {
         let is_up = |engine: EngineId| self.engines.get(&engine) == Some(&Status::Up);
-        self.table.engine_to_write(attempt).is_some_and(is_up)
+        self.table.engine_if_unwritten(attempt).is_some_and(is_up)
             && self
                 .gateway
                 .may_still_write(now, attempt.query, attempt.number)
     }
 
-    /// What an attempt counts for at an engine in slow start, and the budget there now; none if its engine is not in slow start.
+    /// The work that an attempt adds to an engine in slow start, with the engine's current budget; `None` if its engine is not in
+    /// slow start.
     pub fn slow_start_share(&self, now: Micros, attempt: AttemptId) -> Option<SlowStartShare> {
         self.gateway
             .slow_start_share(now, attempt.query, attempt.number)
     }
 
-    /// Whether a query waits for its final answer.
+    /// Whether a query is waiting for its final answer.
     pub fn awaits_answer(&self, query: QueryId) -> bool {
         self.table.awaits_answer(query)
     }
 
-    /// When a query must have its answer; none once it is forgotten.
+    /// Time by which a query must be answered; `None` if the query is no longer in the table.
     pub fn deadline_of(&self, query: QueryId) -> Option<Micros> {
         self.table.deadline_of(query)
     }
 
-    /// When the time of an attempt is up; none once it is settled, or where the protocol reports that.
+    /// When an attempt times out; `None` once it has ended, or if the protocol layer reports timeouts.
     pub fn timeout_at(&self, attempt: AttemptId) -> Option<Micros> {
         self.table.timeout_at(attempt)
     }
 
-    /// Queries held, answered ones with an attempt in flight among them.
+    /// Number of queries in the table, including answered ones that still have an attempt in flight.
     pub fn queries_held(&self) -> usize {
         self.table.queries_held()
     }
 
-    /// What was counted since the start.
+    /// Counters since the driver was created.
     pub fn counters(&self) -> DriverCounters {
         self.counters
     }
 
-    /// Whether the endpoint list has named an engine.
+    /// Whether any engine list has named an engine.
     pub fn knows_engine(&self, engine: EngineId) -> bool {
         self.engines.contains_key(&engine)
     }
 
-    fn endpoints_changed(
+    fn handle_engine_list(
         &mut self,
         now: Micros,
         complete: bool,
         entries: Vec<EngineEntry>,
         out: &mut Vec<Instruction>,
     ) {
-        let named: BTreeSet<EngineId> = entries.iter().map(|entry| entry.engine).collect();
+        let listed: BTreeSet<EngineId> = entries.iter().map(|entry| entry.engine).collect();
         for (engine, status) in &mut self.engines {
-            if complete && !named.contains(engine) {
+            if complete && !listed.contains(engine) {
                 *status = Status::Removed;
             }
         }
@@ -350,60 +377,65 @@
             self.engines.insert(entry.engine, entry.status);
         }
         let is_not_up = |engine: &EngineId| self.engines.get(engine) != Some(&Status::Up);
-        let not_to_write = self.table.unwritten_at(is_not_up);
+        let unwritten = self.table.unwritten_attempts(is_not_up);
         self.events.push_back(match complete {
             true => Event::EngineList(entries),
             false => Event::EngineChanges(entries),
         });
-        for attempt in not_to_write {
+        for attempt in unwritten {
             out.push(Instruction::Cancel(attempt));
-            self.settle(now, attempt, Ending::unreported(Outcome::NeverSent), out);
+            self.end_attempt(
+                now,
+                attempt,
+                AttemptResult::without_report(Outcome::NeverSent),
+                out,
+            );
         }
     }
 
-    fn attempt_ended(
+    fn handle_attempt_end(
         &mut self,
         now: Micros,
         attempt: AttemptId,
-        ending: Ending,
+        result: AttemptResult,
         out: &mut Vec<Instruction>,
     ) {
         if self.table.is_in_flight(attempt) {
-            self.settle(now, attempt, ending, out);
+            self.end_attempt(now, attempt, result, out);
         } else {
             self.counters.late_endings += 1;
         }
     }
 
-    /// Notes the end of an attempt, answers its query where the end is the answer, and tells the module.
-    fn settle(
+    /// Records the outcome of an attempt, marks its query as answered if that outcome is final, and informs the module.
+    fn end_attempt(
         &mut self,
         now: Micros,
         attempt: AttemptId,
-        ending: Ending,
+        result: AttemptResult,
         out: &mut Vec<Instruction>,
     ) {
-        let Ending {
+        let AttemptResult {
             outcome,
             reported_work,
             report,
             elapsed,
-        } = ending;
-        let Some(Settled {
+        } = result;
+        let Some(EndedAttempt {
             sent_at,
             answer_started,
-            owed,
-        }) = self.table.settle(attempt, outcome)
+            query_unanswered,
+        }) = self.table.record_outcome(attempt, outcome)
         else {
             return;
         };
-        let served = owed && outcome == Outcome::Served;
-        let interrupted = owed && !served && answer_started;
+        let served = query_unanswered && outcome == Outcome::Served;
+        let interrupted = query_unanswered && !served && answer_started;
         if served {
-            self.table.answer(attempt.query);
+            self.table.mark_answered(attempt.query);
             self.counters.served += 1;
         } else if interrupted {
-            self.table.answer(attempt.query);
+            self.table.mark_answered(attempt.query);
             self.counters.failed += 1;
             out.push(Instruction::Answer(attempt.query, Answer::Interrupted));
         }
@@ -411,7 +443,7 @@
             query: attempt.query,
             attempt: attempt.number,
             outcome,
-            query_over: !owed || served || interrupted,
+            query_over: !query_unanswered || served || interrupted,
             elapsed: elapsed.unwrap_or((now - sent_at).max(Micros(0))),
             reported_work,
             report,
--- a/crates/driver/src/input.rs
+++ b/crates/driver/src/input.rs
@@ -1,4 +1,4 @@
-//! What a driver is told, and what it is bounded by.
+//! Inputs of a driver, and its limits.
 
 use crate::AttemptId;
 use serde::{Deserialize, Serialize};
@@ -6,59 +6,60 @@
     AttemptUpdate, EngineEntry, EngineId, LoadReport, Micros, Outcome, PeerLoadReport, QueryId,
 };
 
-/// A query as the protocol hands it in; its number is given by the driver.
+/// A query as the protocol layer submits it. The driver assigns its id.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Arrival {
-    /// Its class, by position in the settings.
+    /// Index of its class in the settings.
     pub class: usize,
-    /// Its tenant, by position, where there are any.
+    /// Index of its tenant in the settings, if tenants are configured.
     pub tenant: Option<usize>,
-    /// The key whose order it keeps.
+    /// Key for classes with keyed order: queries with the same key run in the order in which they arrive.
     pub key: Option<String>,
-    /// When it must have its answer.
+    /// Time by which it must be answered.
     pub deadline: Micros,
-    /// Estimated work in seconds of one thread.
+    /// Estimated work in thread-seconds.
     pub work_hint: Option<f64>,
     /// Estimated memory in MB.
     pub memory_hint: Option<f64>,
-    /// The group of tables that it reads or writes.
+    /// The table group that it reads or writes.
     pub tables: u64,
 }
 
-/// Something that happened outside. Captures hold it: kinds are only added at the end.
+/// Something that happened outside the driver. Captures store it in a positional format, so new variants may only be added at
+/// the end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Input {
-    /// The controller starts; comes first, once.
+    /// The controller has started. This is the first input and occurs once.
     Started,
-    /// The endpoint list: complete, or the changed entries alone.
+    /// An engine list: complete, or only the entries that changed.
     Engines {
-        /// An engine that is missing is gone.
+        /// Whether the list is complete, so that an engine missing from it has been removed.
         complete: bool,
-        /// The entries.
+        /// Entries of the list.
         entries: Vec<EngineEntry>,
     },
-    /// The endpoint list could not be had.
+    /// The engine list could not be fetched.
     ListUnavailable,
     /// The first byte of an attempt is about to be written.
     Dispatched(AttemptId),
-    /// The first byte of its answer is about to go to the client.
+    /// The first byte of an attempt's answer is about to be sent to the client.
     AnswerStarted(AttemptId),
-    /// An engine sent an update of an attempt.
+    /// An engine sent a progress update for an attempt.
     AttemptUpdated(AttemptId, AttemptUpdate),
-    /// An attempt ended, as the protocol reports.
+    /// The protocol layer reports the end of an attempt.
     AttemptEnded {
         /// The attempt.
         attempt: AttemptId,
         /// How it ended.
         outcome: Outcome,
-        /// Work in seconds of one thread, where the answer reports it.
+        /// Work in thread-seconds, if the answer reports it.
         reported_work: Option<f64>,
-        /// The engine's load, where reported.
+        /// The engine's load, if reported.
         report: LoadReport,
     },
-    /// The client left, or withdrew its query: no answer is owed.
+    /// The client disconnected or cancelled its query, which needs no answer any more.
     Abandoned(QueryId),
-    /// A probe came back.
+    /// A probe of an engine ended.
     ProbeEnded {
         /// The engine that was probed.
         engine: EngineId,
@@ -67,52 +68,52 @@
         /// The engine's load.
         report: LoadReport,
     },
-    /// Another controller shares load reports of engines.
+    /// Load reports of engines received from another controller.
     PeerReports(Vec<PeerLoadReport>),
-    /// An attempt ended, as reported by a protocol that measures by itself how long it took.
+    /// Like [`Input::AttemptEnded`], from a protocol layer that measures the duration of attempts itself.
     AttemptMeasured {
         /// The attempt.
         attempt: AttemptId,
         /// How it ended.
         outcome: Outcome,
-        /// Work in seconds of one thread, where the answer reports it.
+        /// Work in thread-seconds, if the answer reports it.
         reported_work: Option<f64>,
-        /// The engine's load, where reported.
+        /// The engine's load, if reported.
         report: LoadReport,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         elapsed: Micros,
     },
-    /// So many controllers share the engines from now on, and this one is number `index` of them, from 0.
+    /// The number of controllers that share the engines, or the index of this one, has changed.
     GatewayCountChanged {
-        /// How many.
+        /// Number of controllers.
         count: u32,
-        /// Which one this is.
+        /// Index of this controller, counted from 0.
         index: u32,
     },
-    /// The controller shuts down: a query must have its answer now.
+    /// The controller is shutting down and the query must be answered now.
     ShutdownDeadline(QueryId),
 }
 
-/// The driver holds as many queries as it may.
+/// The driver has no capacity for another query: [`DriverLimits::max_queries`] is reached, or the query id is in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CapacityExceeded;
 
-/// What the driver itself is bounded by.
+/// Limits of the driver itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DriverLimits {
-    /// Queries held at once; one more is [`CapacityExceeded`].
+    /// Maximum number of queries in the driver; further ones get [`CapacityExceeded`].
     pub max_queries: usize,
-    /// A cancelled attempt whose engine does not confirm that is settled after this.
+    /// A cancelled attempt ends after this time if its engine does not confirm the cancellation.
     pub cancel_confirmation_timeout: Micros,
 }
 
 impl DriverLimits {
-    /// As [`DriverLimits::cancel_confirmation_timeout`]: the protocol reports every end by itself, time-outs too, and the
-    /// driver settles no attempt because its time is up.
+    /// Value of [`DriverLimits::cancel_confirmation_timeout`] for a protocol layer that reports the end of every attempt itself,
+    /// including timeouts. The driver then sets no timeouts for attempts.
     pub const EXTERNALLY_TIMED: Micros = Micros(i64::MAX / 4);
 
-    /// Whether the driver settles attempts whose time is up.
-    pub(crate) fn times_attempts(&self) -> bool {
+    /// Whether the driver ends attempts that exceed their timeout.
+    pub(crate) fn enforces_attempt_timeouts(&self) -> bool {
         self.cancel_confirmation_timeout < DriverLimits::EXTERNALLY_TIMED
     }
 }
--- a/crates/driver/src/instruction.rs
+++ b/crates/driver/src/instruction.rs
@@ -1,15 +1,15 @@
-//! What a driver wants done.
+//! Instructions that a driver issues to the protocol layer.
 
 use crate::AttemptId;
 use serde::{Deserialize, Serialize};
 use wheelfield::interface::{EngineId, Micros, PeerLoadReport, QueryId};
 
-/// Memory and priority of an attempt.
+/// Memory grant and priority of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AttemptOptions {
-    /// Memory grant in MB; zero leaves it to the engine.
+    /// Memory grant in MB. With zero, the engine chooses the grant.
     pub grant_mb: f64,
-    /// 0 to 3; 1 is usual.
+    /// Priority from 0 to 3; the default is 1.
     pub priority: u8,
 }
 
@@ -22,47 +22,48 @@
     }
 }
 
-/// A final answer that the protocol must give. A served query needs none: its rows are the answer.
+/// A final answer that the protocol layer must send. A query that is served needs none, since its rows are the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
-    /// Nothing of it ran, or running twice does no harm: the client may retry.
+    /// The query did not run, or is safe to run twice: the client may retry it.
     Rejected {
-        /// When to come back; zero for no advice.
+        /// How long the client should wait before it retries; zero if no time is suggested.
         retry_after: Micros,
     },
-    /// Nothing is promised.
+    /// The query failed; it is not necessarily safe to retry.
     Failed {
-        /// An attempt of it may have run.
+        /// Whether an attempt of the query may have run.
         may_have_run: bool,
     },
-    /// The answer broke off after its first row had gone to the client.
+    /// The answer broke off after its first row had been sent to the client.
     Interrupted,
 }
 
-/// Something to be done outside. Captures hold it: kinds are only added at the end.
+/// Something that the protocol layer must do. Captures store it in a positional format, so new variants may only be added at
+/// the end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Instruction {
-    /// Start an attempt. Hand in [`crate::Input::Dispatched`] as its first byte is written.
+    /// Start an attempt. [`crate::Input::Dispatched`] must be passed in when its first byte is written.
     Start {
         /// The attempt.
         attempt: AttemptId,
-        /// Where it runs.
+        /// The engine that it runs on.
         engine: EngineId,
         /// Its options.
         options: AttemptOptions,
     },
     /// Change the options of an attempt in flight.
     SetOptions(AttemptId, AttemptOptions),
-    /// Cancel an attempt: end it at the engine if it was written, forget it if not.
+    /// Cancel an attempt: at the engine if it has been written, otherwise by discarding it.
     Cancel(AttemptId),
-    /// Give a query its final answer, at once.
+    /// Send a query its final answer now.
     Answer(QueryId, Answer),
     /// Probe an engine.
     Probe(EngineId),
-    /// Share load reports with all other controllers.
+    /// Send load reports to all other controllers.
     ShareReports(Vec<PeerLoadReport>),
-    /// Ask for the changes of the endpoint list.
+    /// Subscribe to changes of the engine list.
     Subscribe,
-    /// A line for the operators.
+    /// Write a line to the log.
     Log(String),
 }
--- a/crates/driver/src/lib.rs
+++ b/crates/driver/src/lib.rs
@@ -1,16 +1,17 @@
-//! The one path to the policy module, for the controllers, the replay and every checker.
+//! The interface to the policy module that the controllers, the replay tool and the invariant checkers share.
 //!
-//! A [`Driver`] owns one [`wheelfield::Gateway`] and the records around it: the numbers of queries and attempts, the timers,
-//! the seed, what is in flight and what was answered. It is handed what happened outside as [`Input`]s, turns them into
-//! the module's events, and turns the module's actions into [`Instruction`]s. It reads no clock, does no I/O and decides
-//! nothing: where a query goes, whether it is retried and how it is given up is the module's decision.
+//! A [`Driver`] owns one [`wheelfield::Gateway`] (the policy module) and the state around it: query and attempt ids, timers,
+//! attempts in flight, and which queries have been answered. It receives external events as [`Input`]s and converts them to
+//! the module's events, and it converts the module's actions to [`Instruction`]s. It reads no clock, does no I/O and makes no
+//! policy decisions: the module decides where a query runs, whether it is retried and when it fails.
 //!
-//! What the driver does by itself has one possible result only:
+//! The driver handles by itself only the cases that have a single possible result:
 //!
-//! - an ending of an attempt that is settled already is dropped;
-//! - an attempt whose time is up is settled as timed out, or as one whose connection timed out if not a byte of it was written;
-//! - an attempt that is not written yet when its engine drains or goes is cancelled, known not to have run;
-//! - an answer that broke off after its first row went to the client is a failure, as nothing else is left.
+//! - A second report of the end of an attempt is ignored.
+//! - An attempt that exceeds its timeout ends as [`Outcome::TimedOut`](wheelfield::interface::Outcome::TimedOut), or as
+//!   [`Outcome::ConnectTimedOut`](wheelfield::interface::Outcome::ConnectTimedOut) if no byte of it was written.
+//! - An attempt that has not been written when its engine starts to drain or is removed is cancelled. It cannot have run.
+//! - An answer that breaks off after its first row went to the client makes the query fail, since it can no longer be retried.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
