--- a/crates/driver/tests/order_of_events.rs
+++ b/crates/driver/tests/order_of_events.rs
@@ -1,16 +1,16 @@
-//! The driver under inputs that come late, doubled and out of order: the books must not be fooled.
+//! Property tests of the driver: its state stays consistent when inputs are late, duplicated or out of order.
 
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use wheelfield::interface::*;
 use wheelfield_driver::*;
 
-fn class(effect: ExecutionSemantics) -> Class {
+fn class(semantics: ExecutionSemantics) -> Class {
     Class {
         latency_objective: Micros::from_secs_f64(1.0),
         deadline: Micros::from_secs_f64(4.0),
         value: 1.0,
-        semantics: effect,
+        semantics,
         threads: 1.0,
         deduplication_window: Micros::from_secs_f64(2.0),
         ..Class::default()
@@ -60,98 +60,101 @@
     }
 }
 
-/// What a query may look like from outside, kept apart from the driver's own books.
+/// The state of a query as seen from outside the driver, tracked independently of the driver's own state.
 #[derive(Default)]
-struct Seen {
+struct ObservedQuery {
     class: usize,
-    due: Micros,
+    deadline: Micros,
     answers: usize,
-    departed: bool,
-    attempts: BTreeMap<usize, Attempted>,
+    abandoned: bool,
+    attempts: BTreeMap<usize, ObservedAttempt>,
 }
 
 #[derive(Default)]
-struct Attempted {
+struct ObservedAttempt {
     written: bool,
     outcome: Option<Outcome>,
-    /// The driver withdrew it before a byte was written: it never ran.
-    taken_back: bool,
+    /// The driver cancelled it before a byte was written, so it never ran.
+    never_written: bool,
 }
 
-struct World {
+struct Harness {
     driver: Driver,
     now: Micros,
-    seen: BTreeMap<QueryId, Seen>,
-    up: BTreeSet<u64>,
-    started: usize,
+    queries: BTreeMap<QueryId, ObservedQuery>,
+    engines_up: BTreeSet<u64>,
+    attempts_started: usize,
 }
 
-impl World {
-    fn new() -> World {
-        let bounds = DriverLimits {
+impl Harness {
+    fn new() -> Harness {
+        let limits = DriverLimits {
             max_queries: 200,
             ..DriverLimits::default()
         };
-        let driver = Driver::new(settings(), 5, bounds);
-        let mut world = World {
+        let driver = Driver::new(settings(), 5, limits);
+        let mut harness = Harness {
             driver,
             now: Micros(1_000_000),
-            seen: BTreeMap::new(),
-            up: (1..=4).collect(),
-            started: 0,
+            queries: BTreeMap::new(),
+            engines_up: (1..=4).collect(),
+            attempts_started: 0,
         };
-        world.tell(Input::Started);
+        harness.handle_input(Input::Started);
         let entries = (1..=4).map(|n| engine(n, Status::Up)).collect();
-        world.tell(Input::Engines {
+        harness.handle_input(Input::Engines {
             complete: true,
             entries,
         });
-        world
+        harness
     }
 
-    fn tell(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         let mut out = Vec::new();
         self.driver.handle_input(self.now, input, &mut out);
-        self.check(out);
+        self.check_instructions(out);
     }
 
-    fn arrive(&mut self, class: usize) {
+    fn submit(&mut self, class: usize) {
         let mut out = Vec::new();
         if let Ok(id) = self
             .driver
             .submit(self.now, arrival(class, self.now), &mut out)
         {
-            let due = self.now + Micros::from_secs_f64(4.0);
-            self.seen.insert(
+            let deadline = self.now + Micros::from_secs_f64(4.0);
+            self.queries.insert(
                 id,
-                Seen {
+                ObservedQuery {
                     class,
-                    due,
-                    ..Seen::default()
+                    deadline,
+                    ..ObservedQuery::default()
                 },
             );
         }
-        self.check(out);
+        self.check_instructions(out);
     }
 
-    fn pass(&mut self, by: i64) {
+    fn advance_time(&mut self, by: i64) {
         self.now = self.now + Micros(by);
         let mut out = Vec::new();
         self.driver.handle_timers(self.now, &mut out);
-        self.check(out);
-        for (id, seen) in &self.seen {
-            let late = self.now >= seen.due && seen.answers == 0 && !seen.departed;
-            let began = self.driver.deadline_of(*id).is_some() && !self.driver.awaits_answer(*id);
+        self.check_instructions(out);
+        for (id, observed) in &self.queries {
+            let overdue =
+                self.now >= observed.deadline && observed.answers == 0 && !observed.abandoned;
+            let answer_started =
+                self.driver.deadline_of(*id).is_some() && !self.driver.awaits_answer(*id);
             assert!(
-                !late || began || self.answering(*id),
-                "query {id:?} has no answer at its time"
+                !overdue || answer_started || self.has_attempt_in_flight(*id),
+                "query {id:?} has no answer at its deadline"
             );
         }
     }
 
-    /// An answer that has begun is timed by the wire.
-    fn answering(&self, id: QueryId) -> bool {
-        let attempts = self.seen[&id].attempts.keys();
+    /// Whether an attempt of the query is in flight. Once an answer has started, the protocol layer limits its duration, not the
+    /// driver.
+    fn has_attempt_in_flight(&self, id: QueryId) -> bool {
+        let attempts = self.queries[&id].attempts.keys();
         attempts.clone().any(|n| {
             self.driver.is_in_flight(AttemptId {
                 query: id,
@@ -160,47 +163,54 @@
         })
     }
 
-    fn check(&mut self, out: Vec<Instruction>) {
+    fn check_instructions(&mut self, out: Vec<Instruction>) {
         for instruction in out {
             match instruction {
                 Instruction::Start {
                     attempt, engine, ..
                 } => {
-                    self.started += 1;
+                    self.attempts_started += 1;
                     assert!(
-                        self.up.contains(&engine.0),
-                        "sent to an engine that takes no work"
+                        self.engines_up.contains(&engine.0),
+                        "attempt on an engine that is not up"
                     );
-                    let seen = self.seen.entry(attempt.query).or_default();
-                    assert_eq!(seen.answers, 0, "sent after the answer");
-                    assert!(!seen.departed, "sent after the client left");
-                    assert_eq!(attempt.number, seen.attempts.len(), "numbers count up");
-                    let ran =
-                        |a: &Attempted| !a.taken_back && !a.outcome.is_some_and(Outcome::never_ran);
-                    let may_have_run = seen.attempts.values().any(ran);
+                    let observed = self.queries.entry(attempt.query).or_default();
+                    assert_eq!(observed.answers, 0, "attempt after the answer");
+                    assert!(!observed.abandoned, "attempt after the client left");
+                    assert_eq!(
+                        attempt.number,
+                        observed.attempts.len(),
+                        "attempt numbers are consecutive"
+                    );
+                    let ran = |a: &ObservedAttempt| {
+                        !a.never_written && !a.outcome.is_some_and(Outcome::never_ran)
+                    };
+                    let may_have_run = observed.attempts.values().any(ran);
                     assert!(
-                        seen.class != 1 || !may_have_run,
-                        "a once-only query is sent again"
+                        observed.class != 1 || !may_have_run,
+                        "at-most-once query is retried"
                     );
-                    seen.attempts.insert(attempt.number, Attempted::default());
+                    observed
+                        .attempts
+                        .insert(attempt.number, ObservedAttempt::default());
                 }
                 Instruction::Cancel(attempt) => {
-                    let seen = self.seen.get_mut(&attempt.query).expect("known");
-                    let a = seen.attempts.get_mut(&attempt.number).expect("started");
-                    a.taken_back = !a.written;
+                    let observed = self.queries.get_mut(&attempt.query).expect("known");
+                    let a = observed.attempts.get_mut(&attempt.number).expect("started");
+                    a.never_written = !a.written;
                 }
                 Instruction::Answer(query, answer) => {
-                    let seen = self.seen.entry(query).or_default();
-                    seen.answers += 1;
-                    assert_eq!(seen.answers, 1, "two answers");
-                    assert!(!seen.departed, "an answer after the client left");
-                    let ran = |a: &Attempted| {
-                        a.written && !a.taken_back && !a.outcome.is_some_and(Outcome::never_ran)
+                    let observed = self.queries.entry(query).or_default();
+                    observed.answers += 1;
+                    assert_eq!(observed.answers, 1, "second answer for a query");
+                    assert!(!observed.abandoned, "answer after the client left");
+                    let ran = |a: &ObservedAttempt| {
+                        a.written && !a.never_written && !a.outcome.is_some_and(Outcome::never_ran)
                     };
-                    if matches!(answer, Answer::Rejected { .. }) && seen.class == 1 {
+                    if matches!(answer, Answer::Rejected { .. }) && observed.class == 1 {
                         assert!(
-                            !seen.attempts.values().any(ran),
-                            "refused though it may have run"
+                            !observed.attempts.values().any(ran),
+                            "rejected although it may have run"
                         );
                     }
                 }
@@ -211,7 +221,7 @@
 
     fn nth_attempt(&self, pick: usize) -> Option<AttemptId> {
         let all: Vec<AttemptId> = self
-            .seen
+            .queries
             .iter()
             .flat_map(|(q, s)| {
                 s.attempts.keys().map(|n| AttemptId {
@@ -223,23 +233,23 @@
         all.get(pick % all.len().max(1)).copied()
     }
 
-    fn end(&mut self, attempt: AttemptId, outcome: Outcome) {
-        let counts = self.driver.is_in_flight(attempt);
-        let serves = outcome == Outcome::Served && self.driver.may_answer(attempt);
-        let seen = self.seen.get_mut(&attempt.query).expect("known");
-        let a = seen.attempts.get_mut(&attempt.number).expect("started");
-        // What was never written can't have been served or broken.
+    fn end_attempt(&mut self, attempt: AttemptId, outcome: Outcome) {
+        let in_flight = self.driver.is_in_flight(attempt);
+        let completes_query = outcome == Outcome::Served && self.driver.may_answer(attempt);
+        let observed = self.queries.get_mut(&attempt.query).expect("known");
+        let a = observed.attempts.get_mut(&attempt.number).expect("started");
+        // An attempt that was never written cannot have been served or interrupted.
         if !a.written && !outcome.never_ran() {
             return;
         }
-        if counts {
+        if in_flight {
             a.outcome = Some(outcome);
         }
-        if serves {
-            seen.answers += 1;
-            assert_eq!(seen.answers, 1, "served after an answer");
+        if completes_query {
+            observed.answers += 1;
+            assert_eq!(observed.answers, 1, "query served after it was answered");
         }
-        self.tell(Input::AttemptEnded {
+        self.handle_input(Input::AttemptEnded {
             attempt,
             outcome,
             reported_work: None,
@@ -250,14 +260,14 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Arrive(usize),
+    Submit(usize),
     Write(usize),
-    Begin(usize),
-    End(usize, Outcome, bool),
-    Depart(usize),
-    Pass(i64),
+    StartAnswer(usize),
+    EndAttempt(usize, Outcome, bool),
+    Abandon(usize),
+    AdvanceTime(i64),
     Drain(u64),
-    Back(u64),
+    Restore(u64),
 }
 
 fn outcome() -> impl Strategy<Value = Outcome> {
@@ -277,78 +287,78 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        4 => (0usize..3).prop_map(Step::Arrive),
+        4 => (0usize..3).prop_map(Step::Submit),
         4 => any::<usize>().prop_map(Step::Write),
-        1 => any::<usize>().prop_map(Step::Begin),
-        5 => (any::<usize>(), outcome(), any::<bool>()).prop_map(|(a, o, twice)| Step::End(a, o, twice)),
-        1 => any::<usize>().prop_map(Step::Depart),
-        3 => (1i64..900_000).prop_map(Step::Pass),
+        1 => any::<usize>().prop_map(Step::StartAnswer),
+        5 => (any::<usize>(), outcome(), any::<bool>()).prop_map(|(a, o, twice)| Step::EndAttempt(a, o, twice)),
+        1 => any::<usize>().prop_map(Step::Abandon),
+        3 => (1i64..900_000).prop_map(Step::AdvanceTime),
         1 => (1u64..5).prop_map(Step::Drain),
-        1 => (1u64..5).prop_map(Step::Back),
+        1 => (1u64..5).prop_map(Step::Restore),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// One answer for each query, none twice, once-only work never again, whatever comes late, doubled or crossed.
+    /// Each query gets exactly one answer, and at-most-once work that may have run is never retried, even if inputs are late,
+    /// duplicated or cross each other.
     #[test]
-    fn the_books_hold(steps in prop::collection::vec(step(), 1..200)) {
-        let mut world = World::new();
+    fn every_query_gets_one_answer_for_inputs_in_any_order(steps in prop::collection::vec(step(), 1..200)) {
+        let mut harness = Harness::new();
         for step in steps {
             match step {
-                Step::Arrive(class) => world.arrive(class),
+                Step::Submit(class) => harness.submit(class),
                 Step::Write(pick) => {
-                    if let Some(a) = world.nth_attempt(pick).filter(|a| world.driver.may_write(world.now, *a)) {
-                        let seen = world.seen.get_mut(&a.query).expect("known");
-                        seen.attempts.get_mut(&a.number).expect("started").written = true;
-                        world.tell(Input::Dispatched(a));
+                    if let Some(a) = harness.nth_attempt(pick).filter(|a| harness.driver.may_write(harness.now, *a)) {
+                        let observed = harness.queries.get_mut(&a.query).expect("known");
+                        observed.attempts.get_mut(&a.number).expect("started").written = true;
+                        harness.handle_input(Input::Dispatched(a));
                     }
                 }
-                Step::Begin(pick) => {
-                    if let Some(a) = world.nth_attempt(pick) {
-                        if world.seen[&a.query].attempts[&a.number].written {
-                            world.tell(Input::AnswerStarted(a));
+                Step::StartAnswer(pick) => {
+                    if let Some(a) = harness.nth_attempt(pick) {
+                        if harness.queries[&a.query].attempts[&a.number].written {
+                            harness.handle_input(Input::AnswerStarted(a));
                         }
                     }
                 }
-                Step::End(pick, outcome, twice) => {
-                    if let Some(a) = world.nth_attempt(pick) {
-                        world.end(a, outcome);
+                Step::EndAttempt(pick, outcome, twice) => {
+                    if let Some(a) = harness.nth_attempt(pick) {
+                        harness.end_attempt(a, outcome);
                         if twice {
-                            world.end(a, Outcome::Served);
+                            harness.end_attempt(a, Outcome::Served);
                         }
                     }
                 }
-                Step::Depart(pick) => {
-                    if let Some(a) = world.nth_attempt(pick) {
-                        let owed = world.driver.awaits_answer(a.query);
-                        world.seen.get_mut(&a.query).expect("known").departed |= owed;
-                        world.tell(Input::Abandoned(a.query));
+                Step::Abandon(pick) => {
+                    if let Some(a) = harness.nth_attempt(pick) {
+                        let unanswered = harness.driver.awaits_answer(a.query);
+                        harness.queries.get_mut(&a.query).expect("known").abandoned |= unanswered;
+                        harness.handle_input(Input::Abandoned(a.query));
                     }
                 }
-                Step::Pass(by) => world.pass(by),
+                Step::AdvanceTime(by) => harness.advance_time(by),
                 Step::Drain(n) => {
-                    world.up.remove(&n);
-                    world.tell(Input::Engines { complete: false, entries: vec![engine(n, Status::Draining)] });
+                    harness.engines_up.remove(&n);
+                    harness.handle_input(Input::Engines { complete: false, entries: vec![engine(n, Status::Draining)] });
                 }
-                Step::Back(n) => {
-                    world.up.insert(n);
-                    world.tell(Input::Engines { complete: false, entries: vec![engine(n, Status::Up)] });
+                Step::Restore(n) => {
+                    harness.engines_up.insert(n);
+                    harness.handle_input(Input::Engines { complete: false, entries: vec![engine(n, Status::Up)] });
                 }
             }
         }
-        // When all that is out has ended and the time of all is past, the books are empty.
-        let left: Vec<AttemptId> = (0..world.started).filter_map(|n| world.nth_attempt(n)).collect();
-        world.pass(30_000_000);
-        for a in left {
-            world.tell(Input::AttemptEnded { attempt: a, outcome: Outcome::Reset, reported_work: None, report: LoadReport::default() });
+        // After every attempt has ended and every deadline has passed, the driver holds no queries.
+        let remaining: Vec<AttemptId> = (0..harness.attempts_started).filter_map(|n| harness.nth_attempt(n)).collect();
+        harness.advance_time(30_000_000);
+        for a in remaining {
+            harness.handle_input(Input::AttemptEnded { attempt: a, outcome: Outcome::Reset, reported_work: None, report: LoadReport::default() });
         }
-        world.pass(1_000_000);
-        prop_assert_eq!(world.driver.queries_held(), 0);
+        harness.advance_time(1_000_000);
+        prop_assert_eq!(harness.driver.queries_held(), 0);
     }
 
-    /// The same inputs give the same instructions.
     #[test]
     fn the_same_inputs_give_the_same_instructions(classes in prop::collection::vec(0usize..3, 1..60)) {
         let run = || {
@@ -360,7 +370,7 @@
             for (i, class) in classes.iter().enumerate() {
                 let now = Micros(i as i64 * 10_000);
                 driver.handle_timers(now, &mut out);
-                driver.submit(now, arrival(*class, now), &mut out).expect("room");
+                driver.submit(now, arrival(*class, now), &mut out).expect("capacity is available");
             }
             out
         };
--- a/crates/driver/tests/single_cases.rs
+++ b/crates/driver/tests/single_cases.rs
@@ -1,14 +1,14 @@
-//! Single hard cases of the books, one by one.
+//! Edge cases of the driver's query and attempt state.
 
 use wheelfield::interface::*;
 use wheelfield_driver::*;
 
-fn settings(effect: ExecutionSemantics) -> Settings {
+fn settings(semantics: ExecutionSemantics) -> Settings {
     let class = Class {
         latency_objective: Micros::from_secs_f64(1.0),
         deadline: Micros::from_secs_f64(5.0),
         value: 1.0,
-        semantics: effect,
+        semantics,
         threads: 1.0,
         ..Class::default()
     };
@@ -34,60 +34,60 @@
     }
 }
 
-struct Rig {
+struct Harness {
     driver: Driver,
     now: Micros,
 }
 
-impl Rig {
-    fn new(effect: ExecutionSemantics, engines: u64) -> Rig {
-        let mut rig = Rig {
-            driver: Driver::new(settings(effect), 1, DriverLimits::default()),
+impl Harness {
+    fn new(semantics: ExecutionSemantics, engines: u64) -> Harness {
+        let mut harness = Harness {
+            driver: Driver::new(settings(semantics), 1, DriverLimits::default()),
             now: Micros(0),
         };
-        rig.tell(Input::Started);
-        rig.tell(Input::Engines {
+        harness.handle_input(Input::Started);
+        harness.handle_input(Input::Engines {
             complete: true,
             entries: (1..=engines).map(|n| entry(n, Status::Up)).collect(),
         });
-        rig
+        harness
     }
-    fn tell(&mut self, input: Input) -> Vec<Instruction> {
+    fn handle_input(&mut self, input: Input) -> Vec<Instruction> {
         let mut out = Vec::new();
         self.driver.handle_input(self.now, input, &mut out);
         out
     }
-    fn arrive(&mut self) -> (QueryId, Vec<Instruction>) {
+    fn submit(&mut self) -> (QueryId, Vec<Instruction>) {
         let mut out = Vec::new();
-        let due = self.now + Micros::from_secs_f64(5.0);
+        let deadline = self.now + Micros::from_secs_f64(5.0);
         let arrival = Arrival {
-            deadline: due,
+            deadline,
             work_hint: Some(0.1),
             ..Arrival::default()
         };
         let id = self
             .driver
             .submit(self.now, arrival, &mut out)
-            .expect("room");
+            .expect("capacity is available");
         (id, out)
     }
-    fn end(&mut self, attempt: AttemptId, outcome: Outcome) -> Vec<Instruction> {
-        self.tell(Input::AttemptEnded {
+    fn end_attempt(&mut self, attempt: AttemptId, outcome: Outcome) -> Vec<Instruction> {
+        self.handle_input(Input::AttemptEnded {
             attempt,
             outcome,
             reported_work: None,
             report: LoadReport::default(),
         })
     }
-    fn due(&mut self, at: f64) -> Vec<Instruction> {
-        self.now = Micros::from_secs_f64(at);
+    fn advance_time_to(&mut self, seconds: f64) -> Vec<Instruction> {
+        self.now = Micros::from_secs_f64(seconds);
         let mut out = Vec::new();
         self.driver.handle_timers(self.now, &mut out);
         out
     }
 }
 
-fn started(out: &[Instruction]) -> Vec<(AttemptId, EngineId)> {
+fn attempts_started(out: &[Instruction]) -> Vec<(AttemptId, EngineId)> {
     let start = |i: &Instruction| match i {
         Instruction::Start {
             attempt, engine, ..
@@ -97,7 +97,7 @@
     out.iter().filter_map(start).collect()
 }
 
-fn answers(out: &[Instruction]) -> Vec<Answer> {
+fn answers_in(out: &[Instruction]) -> Vec<Answer> {
     out.iter()
         .filter_map(|i| {
             if let Instruction::Answer(_, a) = i {
@@ -110,141 +110,144 @@
 }
 
 #[test]
-fn the_answer_and_the_time_out_in_one_turn() {
-    // Answer first: served, and the time-out finds nothing.
-    let mut rig = Rig::new(ExecutionSemantics::AtMostOnce, 1);
-    let (_, out) = rig.arrive();
-    let (attempt, _) = started(&out)[0];
-    rig.tell(Input::Dispatched(attempt));
-    rig.now = Micros::from_secs_f64(5.0);
-    assert!(answers(&rig.end(attempt, Outcome::Served)).is_empty());
-    assert!(answers(&rig.due(5.0)).is_empty());
+fn answer_and_timeout_at_the_same_time_give_one_result() {
+    // Answer before timeout: the query is served and the timeout has no effect.
+    let mut harness = Harness::new(ExecutionSemantics::AtMostOnce, 1);
+    let (_, out) = harness.submit();
+    let (attempt, _) = attempts_started(&out)[0];
+    harness.handle_input(Input::Dispatched(attempt));
+    harness.now = Micros::from_secs_f64(5.0);
+    assert!(answers_in(&harness.end_attempt(attempt, Outcome::Served)).is_empty());
+    assert!(answers_in(&harness.advance_time_to(5.0)).is_empty());
     assert_eq!(
-        (rig.driver.counters().served, rig.driver.counters().failed),
+        (
+            harness.driver.counters().served,
+            harness.driver.counters().failed
+        ),
         (1, 0)
     );
-    // Time-out first: failed, and the answer is dropped by its number.
-    let mut rig = Rig::new(ExecutionSemantics::AtMostOnce, 1);
-    let (_, out) = rig.arrive();
-    let (attempt, _) = started(&out)[0];
-    rig.tell(Input::Dispatched(attempt));
+    // Timeout before answer: the query fails and the late answer is ignored.
+    let mut harness = Harness::new(ExecutionSemantics::AtMostOnce, 1);
+    let (_, out) = harness.submit();
+    let (attempt, _) = attempts_started(&out)[0];
+    harness.handle_input(Input::Dispatched(attempt));
     assert_eq!(
-        answers(&rig.due(5.0)),
+        answers_in(&harness.advance_time_to(5.0)),
         [Answer::Failed { may_have_run: true }]
     );
-    assert!(!rig.driver.may_answer(attempt));
-    assert!(rig.end(attempt, Outcome::Served).is_empty());
+    assert!(!harness.driver.may_answer(attempt));
+    assert!(harness.end_attempt(attempt, Outcome::Served).is_empty());
     assert_eq!(
         (
-            rig.driver.counters().served,
-            rig.driver.counters().late_endings
+            harness.driver.counters().served,
+            harness.driver.counters().late_endings
         ),
         (0, 1)
     );
 }
 
 #[test]
-fn a_drain_takes_back_what_was_not_written() {
-    let mut rig = Rig::new(ExecutionSemantics::AtMostOnce, 2);
-    let (_, out) = rig.arrive();
-    let (attempt, engine) = started(&out)[0];
-    assert!(rig.driver.may_write(rig.now, attempt));
-    let out = rig.tell(Input::Engines {
+fn draining_engine_cancels_unwritten_attempt() {
+    let mut harness = Harness::new(ExecutionSemantics::AtMostOnce, 2);
+    let (_, out) = harness.submit();
+    let (attempt, engine) = attempts_started(&out)[0];
+    assert!(harness.driver.may_write(harness.now, attempt));
+    let out = harness.handle_input(Input::Engines {
         complete: false,
         entries: vec![entry(engine.0, Status::Draining)],
     });
     assert!(out.contains(&Instruction::Cancel(attempt)));
-    let again = started(&out);
+    let retries = attempts_started(&out);
     assert_eq!(
-        again.len(),
+        retries.len(),
         1,
-        "once-only work that never ran goes to the other engine"
+        "at-most-once work that never ran is retried on the other engine"
     );
-    assert_ne!(again[0].1, engine);
-    assert!(!rig.driver.may_write(rig.now, attempt));
+    assert_ne!(retries[0].1, engine);
+    assert!(!harness.driver.may_write(harness.now, attempt));
 }
 
 #[test]
-fn a_drain_leaves_alone_what_was_written() {
-    let mut rig = Rig::new(ExecutionSemantics::AtMostOnce, 2);
-    let (_, out) = rig.arrive();
-    let (attempt, engine) = started(&out)[0];
-    rig.tell(Input::Dispatched(attempt));
-    let out = rig.tell(Input::Engines {
+fn removed_engine_keeps_written_attempt() {
+    let mut harness = Harness::new(ExecutionSemantics::AtMostOnce, 2);
+    let (_, out) = harness.submit();
+    let (attempt, engine) = attempts_started(&out)[0];
+    harness.handle_input(Input::Dispatched(attempt));
+    let out = harness.handle_input(Input::Engines {
         complete: true,
         entries: vec![entry(3 - engine.0, Status::Up)],
     });
     assert!(out.is_empty());
-    assert!(rig.driver.may_answer(attempt));
+    assert!(harness.driver.may_answer(attempt));
 }
 
 #[test]
-fn a_once_only_query_whose_engine_dies_is_never_sent_again() {
-    let mut rig = Rig::new(ExecutionSemantics::AtMostOnce, 3);
-    let (_, out) = rig.arrive();
-    let (attempt, _) = started(&out)[0];
-    rig.tell(Input::Dispatched(attempt));
-    let out = rig.end(attempt, Outcome::Reset);
-    assert_eq!(answers(&out), [Answer::Failed { may_have_run: true }]);
-    assert!(started(&out).is_empty());
-    assert_eq!(rig.driver.queries_held(), 0);
+fn at_most_once_query_is_not_retried_after_reset() {
+    let mut harness = Harness::new(ExecutionSemantics::AtMostOnce, 3);
+    let (_, out) = harness.submit();
+    let (attempt, _) = attempts_started(&out)[0];
+    harness.handle_input(Input::Dispatched(attempt));
+    let out = harness.end_attempt(attempt, Outcome::Reset);
+    assert_eq!(answers_in(&out), [Answer::Failed { may_have_run: true }]);
+    assert!(attempts_started(&out).is_empty());
+    assert_eq!(harness.driver.queries_held(), 0);
 }
 
 #[test]
-fn an_answer_that_breaks_off_is_a_failure_even_of_repeatable_work() {
-    let mut rig = Rig::new(ExecutionSemantics::Idempotent, 3);
-    let (_, out) = rig.arrive();
-    let (attempt, _) = started(&out)[0];
-    rig.tell(Input::Dispatched(attempt));
-    rig.tell(Input::AnswerStarted(attempt));
+fn interrupted_answer_fails_even_an_idempotent_query() {
+    let mut harness = Harness::new(ExecutionSemantics::Idempotent, 3);
+    let (_, out) = harness.submit();
+    let (attempt, _) = attempts_started(&out)[0];
+    harness.handle_input(Input::Dispatched(attempt));
+    harness.handle_input(Input::AnswerStarted(attempt));
     assert!(
-        answers(&rig.due(20.0)).is_empty(),
-        "an answer that has begun is timed by the wire"
+        answers_in(&harness.advance_time_to(20.0)).is_empty(),
+        "the driver does not time out an attempt whose answer has started"
     );
     assert_eq!(
-        answers(&rig.end(attempt, Outcome::Reset)),
+        answers_in(&harness.end_attempt(attempt, Outcome::Reset)),
         [Answer::Interrupted]
     );
-    assert_eq!(rig.driver.queries_held(), 0);
+    assert_eq!(harness.driver.queries_held(), 0);
 }
 
 #[test]
-fn a_client_that_left_gets_nothing_and_its_attempt_is_withdrawn() {
-    let mut rig = Rig::new(ExecutionSemantics::Idempotent, 2);
-    let (id, out) = rig.arrive();
-    let (attempt, _) = started(&out)[0];
-    rig.tell(Input::Dispatched(attempt));
+fn abandoned_query_is_cancelled_and_gets_no_answer() {
+    let mut harness = Harness::new(ExecutionSemantics::Idempotent, 2);
+    let (id, out) = harness.submit();
+    let (attempt, _) = attempts_started(&out)[0];
+    harness.handle_input(Input::Dispatched(attempt));
     assert_eq!(
-        rig.tell(Input::Abandoned(id)),
+        harness.handle_input(Input::Abandoned(id)),
         [Instruction::Cancel(attempt)]
     );
-    assert!(!rig.driver.may_answer(attempt));
-    assert!(rig.end(attempt, Outcome::Served).is_empty());
-    assert_eq!(rig.driver.queries_held(), 0);
-    assert_eq!(rig.driver.counters().served, 0);
+    assert!(!harness.driver.may_answer(attempt));
+    assert!(harness.end_attempt(attempt, Outcome::Served).is_empty());
+    assert_eq!(harness.driver.queries_held(), 0);
+    assert_eq!(harness.driver.counters().served, 0);
 }
 
 #[test]
-fn a_withdrawal_without_an_echo_is_settled() {
-    let mut rig = Rig::new(ExecutionSemantics::Idempotent, 2);
-    let (id, out) = rig.arrive();
-    let (attempt, _) = started(&out)[0];
-    rig.tell(Input::Dispatched(attempt));
-    rig.tell(Input::Abandoned(id));
-    assert_eq!(rig.driver.queries_held(), 1);
-    rig.due(0.2);
-    assert_eq!(rig.driver.queries_held(), 1);
-    rig.due(0.3);
-    assert_eq!(rig.driver.queries_held(), 0);
+fn unconfirmed_cancellation_ends_after_its_timeout() {
+    let mut harness = Harness::new(ExecutionSemantics::Idempotent, 2);
+    let (id, out) = harness.submit();
+    let (attempt, _) = attempts_started(&out)[0];
+    harness.handle_input(Input::Dispatched(attempt));
+    harness.handle_input(Input::Abandoned(id));
+    assert_eq!(harness.driver.queries_held(), 1);
+    harness.advance_time_to(0.2);
+    assert_eq!(harness.driver.queries_held(), 1);
+    harness.advance_time_to(0.3);
+    assert_eq!(harness.driver.queries_held(), 0);
 }
 
 #[test]
-fn full_books_take_nothing() {
-    let bounds = DriverLimits {
+fn query_over_the_limit_is_not_accepted() {
+    let limits = DriverLimits {
         max_queries: 1,
         ..DriverLimits::default()
     };
-    let mut driver = Driver::new(settings(ExecutionSemantics::AtMostOnce), 1, bounds);
+    let mut driver = Driver::new(settings(ExecutionSemantics::AtMostOnce), 1, limits);
     let mut out = Vec::new();
     driver.handle_input(
         Micros(0),
@@ -268,40 +271,43 @@
 }
 
 #[test]
-fn words_on_engines_that_no_list_has_named_are_left_out() {
-    let mut rig = Rig::new(ExecutionSemantics::Idempotent, 1);
-    let word = PeerLoadReport {
+fn peer_reports_about_unlisted_engines_are_ignored() {
+    let mut harness = Harness::new(ExecutionSemantics::Idempotent, 1);
+    let peer_report = PeerLoadReport {
         engine: EngineId(99),
         report: LoadReport {
             utilisation: Some(1.0),
             ..LoadReport::default()
         },
     };
-    assert!(rig.tell(Input::PeerReports(vec![word])).is_empty());
-    assert!(!rig.driver.knows_engine(EngineId(99)));
+    assert!(harness
+        .handle_input(Input::PeerReports(vec![peer_report]))
+        .is_empty());
+    assert!(!harness.driver.knows_engine(EngineId(99)));
 }
 
-/// A session or connection may take long to come up: whether a repeat is still one that engines drop is asked as it is written.
+/// Opening a session or connection may take long. Whether a retry is still within the deduplication window is therefore checked
+/// when it is written, not only when it is started.
 #[test]
-fn a_repeat_whose_window_has_closed_may_not_be_written() {
+fn retry_after_the_deduplication_window_may_not_be_written() {
     let mut settings = settings(ExecutionSemantics::IdempotencyKey);
     settings.classes[0].deduplication_window = Micros::from_secs_f64(0.4);
-    let mut rig = Rig {
+    let mut harness = Harness {
         driver: Driver::new(settings, 1, DriverLimits::default()),
         now: Micros(0),
     };
-    rig.tell(Input::Started);
-    rig.tell(Input::Engines {
+    harness.handle_input(Input::Started);
+    harness.handle_input(Input::Engines {
         complete: true,
         entries: vec![entry(1, Status::Up)],
     });
-    let (_, out) = rig.arrive();
-    let (first, _) = started(&out)[0];
-    rig.tell(Input::Dispatched(first));
-    rig.now = Micros::from_secs_f64(0.3);
-    let out = rig.end(first, Outcome::Reset);
-    let (again, _) = started(&out)[0];
-    assert!(rig.driver.may_write(rig.now, again));
-    rig.now = Micros::from_secs_f64(0.41);
-    assert!(!rig.driver.may_write(rig.now, again));
+    let (_, out) = harness.submit();
+    let (first, _) = attempts_started(&out)[0];
+    harness.handle_input(Input::Dispatched(first));
+    harness.now = Micros::from_secs_f64(0.3);
+    let out = harness.end_attempt(first, Outcome::Reset);
+    let (retry, _) = attempts_started(&out)[0];
+    assert!(harness.driver.may_write(harness.now, retry));
+    harness.now = Micros::from_secs_f64(0.41);
+    assert!(!harness.driver.may_write(harness.now, retry));
 }
