--- a/crates/engine-emulator/src/registry.rs
+++ b/crates/engine-emulator/src/registry.rs
@@ -94,7 +94,7 @@
     /// Lets the time pass; true if the list changed.
     pub fn advance(&mut self, now: i64) -> bool {
         let before = self.version;
-        while let Some(Coming { number, id, standing, started }) = self.coming.pop(now) {
+        while let Some(Coming { number, id, standing, started }) = self.coming.pop_due(now) {
             if started.is_some() {
                 self.starts.insert(id.clone(), number);
             }
--- a/crates/load/src/crew.rs
+++ b/crates/load/src/crew.rs
@@ -221,7 +221,7 @@
             self.next += self.of;
             self.begin(job, now);
         }
-        while let Some(wake) = self.timers.pop(now) {
+        while let Some(wake) = self.timers.pop_due(now) {
             match wake {
                 Wake::Again(job) => self.begin(job, now),
                 Wake::Due(number) => self.give_up(number, now),
--- a/crates/load/tests/crew.rs
+++ b/crates/load/tests/crew.rs
@@ -63,7 +63,7 @@
         if (asleep.0..asleep.1).contains(&now) {
             now = asleep.1;
         }
-        while let Some(event) = events.pop(now) {
+        while let Some(event) = events.pop_due(now) {
             match event {
                 Event::Opened(conn, life, fine) if lives.get(&conn) == Some(&life) => {
                     if fine {
--- a/crates/sans-io/src/effect_queue.rs
+++ b/crates/sans-io/src/effect_queue.rs
@@ -106,7 +106,7 @@
 
     /// Takes a timer that is due.
     pub fn pop_due_timer(&mut self) -> Option<W> {
-        self.timers.pop(self.now)
+        self.timers.pop_due(self.now)
     }
 
     /// Notes that listening has ended.
--- a/crates/sans-io/src/timers.rs
+++ b/crates/sans-io/src/timers.rs
@@ -42,7 +42,7 @@
     }
 
     /// Takes the next timer that is due.
-    pub fn pop(&mut self, now: i64) -> Option<T> {
+    pub fn pop_due(&mut self, now: i64) -> Option<T> {
         self.next_at().filter(|at| *at <= now)?;
         self.waiting.pop_first().map(|(_, event)| event)
     }
--- a/crates/sans-io/src/timers_tests.rs
+++ b/crates/sans-io/src/timers_tests.rs
@@ -12,7 +12,7 @@
     assert_eq!(timers.cancel(b), Some('b'));
     assert_eq!(timers.cancel(b), None);
     assert_eq!(timers.next_at(), Some(10));
-    let gone: Vec<char> = std::iter::from_fn(|| timers.pop(29)).collect();
+    let gone: Vec<char> = std::iter::from_fn(|| timers.pop_due(29)).collect();
     assert_eq!(gone, ['a', 'A']);
-    assert_eq!((timers.pop(30), timers.is_empty()), (Some('c'), true));
+    assert_eq!((timers.pop_due(30), timers.is_empty()), (Some('c'), true));
 }
--- a/crates/testbed/src/people.rs
+++ b/crates/testbed/src/people.rs
@@ -158,7 +158,7 @@
 
     /// Lets the time pass.
     pub fn pass(&mut self, now: i64) {
-        while let Some(wake) = self.timers.pop(now) {
+        while let Some(wake) = self.timers.pop_due(now) {
             self.woken(wake, now);
         }
     }
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -197,7 +197,7 @@
     let (mut events, mut done) = (0, false);
     while let Some(at) = world.events.next_at().filter(|at| *at <= end) {
         world.now = world.now.max(at);
-        if let Some(event) = world.events.pop(at) {
+        if let Some(event) = world.events.pop_due(at) {
             events += 1;
             world.happen(event);
         }
