--- a/crates/sans-io/src/connection_buffer.rs
+++ b/crates/sans-io/src/connection_buffer.rs
@@ -1,36 +1,37 @@
-//! The bytes of one connection: received and not yet consumed, to be written and not yet written.
+//! Input and output buffers of one connection.
 
 use crate::effect_queue::{Effect, EffectQueue};
 use crate::ConnId;
 use bytes::{Buf, BytesMut};
 use std::ops::Range;
 
-/// An empty output buffer keeps no more memory than this, in bytes.
+/// An empty output buffer whose capacity in bytes exceeds this is freed.
 const RETAINED_CAPACITY: usize = 2048;
 
-/// The bytes of a connection. Its socket is elsewhere.
+/// Input and output buffers of a connection. The event loop owns the socket.
 #[derive(Debug, Default)]
 pub struct ConnectionBuffer {
-    /// Received and not consumed yet.
+    /// Bytes received and not consumed yet.
     pub input: BytesMut,
-    /// To be written.
+    /// Bytes not written to the socket yet.
     pub output: BytesMut,
-    /// The other side sends no more, and all it sent is here.
+    /// Whether the peer has closed its sending side and everything it sent has been received.
     pub read_closed: bool,
-    /// The other side has closed, though something it sent may not have been read yet.
+    /// Whether the peer has closed the connection. Some of the bytes it sent may not have been read yet.
     pub peer_closing: bool,
+    /// Whether [`Effect::Write`] has been requested for the current output.
     write_requested: bool,
-    /// The reader was told that there is no capacity.
+    /// Whether [`ConnectionBuffer::read_capacity`] has returned zero since reading was last resumed.
     read_blocked: bool,
 }
 
 impl ConnectionBuffer {
-    /// Appends bytes that were received.
+    /// Appends received bytes to the input.
     pub fn receive(&mut self, bytes: &[u8]) {
         self.input.extend_from_slice(bytes);
     }
 
-    /// How many bytes may be received now, if at most `limit` are to wait.
+    /// How many more bytes may be received now, with at most `limit` unconsumed bytes in the input.
     pub fn read_capacity(&mut self, limit: usize) -> usize {
         if self.read_closed {
             return 0;
@@ -40,7 +41,7 @@
         capacity
     }
 
-    /// Requests reading again, if there is capacity again; frees the memory of an empty input.
+    /// Requests [`Effect::ResumeReading`] if reading was blocked and there is capacity again. Frees the memory of an empty input.
     pub fn resume_reading(
         &mut self,
         id: ConnId,
@@ -56,23 +57,23 @@
         }
     }
 
-    /// Requests that the output be written.
+    /// Requests [`Effect::Write`], unless the output is empty or already requested to be written.
     pub fn flush(&mut self, id: ConnId, effects: &mut EffectQueue<impl Sized>) {
         if !self.output.is_empty() && !std::mem::replace(&mut self.write_requested, true) {
             effects.push(Effect::Write(id));
         }
     }
 
-    /// Takes bytes out of the output, by their position in it.
+    /// Removes a range of bytes from the output.
     pub fn remove_output(&mut self, bytes: Range<usize>) {
-        let behind = self.output.split_off(bytes.end.min(self.output.len()));
+        let tail = self.output.split_off(bytes.end.min(self.output.len()));
         self.output.truncate(bytes.start);
-        self.output.unsplit(behind);
-        // What is added to an empty output is to be written by a request of its own.
+        self.output.unsplit(tail);
+        // Bytes that are added to an empty output need a write request of their own.
         self.write_requested &= !self.output.is_empty();
     }
 
-    /// So many bytes were written; true once all are.
+    /// Removes `count` written bytes from the output. Returns whether the output is empty.
     pub fn advance_written(&mut self, count: usize) -> bool {
         self.output.advance(count.min(self.output.len()));
         let all_written = self.output.is_empty();
--- a/crates/sans-io/src/connection_table.rs
+++ b/crates/sans-io/src/connection_table.rs
@@ -1,11 +1,13 @@
-//! A table of connections. A slot is reused, its id is not: an event of a connection that was closed finds nothing.
+//! A table of connections. A slot is reused but its id is not, so a late event of a closed connection is not attributed to
+//! another connection.
 
 use slab::Slab;
 
 const GENERATION_BITS: u32 = 29;
 const SLOT_BITS: u32 = 32;
 
-/// Names a connection: the table that owns it, its slot there, and the generation of the slot.
+/// Identifies a connection: the table that owns it, its slot in that table, and a generation number that tells apart the
+/// connections that use the same slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(u64);
 
@@ -19,28 +21,28 @@
         )
     }
 
-    /// The number of the table that owns it, from 1 to 7.
+    /// The number of the owning table, from 1 to 7.
     pub fn owner(self) -> u8 {
         (self.0 >> (GENERATION_BITS + SLOT_BITS)) as u8
     }
 
-    /// Its slot in the table.
+    /// The slot in the owning table.
     pub fn slot(self) -> usize {
         (self.0 & u64::from(u32::MAX)) as usize
     }
 
-    /// As one number; at least 2 to the power of 61.
+    /// The id as a number, which is at least 2^61.
     pub fn as_u64(self) -> u64 {
         self.0
     }
 
-    /// The connection of a number.
+    /// The id for a number returned by [`ConnId::as_u64`].
     pub fn from_u64(number: u64) -> ConnId {
         ConnId(number)
     }
 }
 
-/// Connections of one owner, each with a value. Bounded by whoever inserts.
+/// Connections of one owner, each with a value. The table has no size limit: the caller must bound its insertions.
 #[derive(Debug)]
 pub struct ConnectionTable<T> {
     owner: u8,
@@ -49,7 +51,7 @@
 }
 
 impl<T> ConnectionTable<T> {
-    /// An empty table; `owner` is 1 to 7.
+    /// Creates an empty table; `owner` is 1 to 7.
     pub fn new(owner: u8) -> ConnectionTable<T> {
         debug_assert!((1..8).contains(&owner));
         ConnectionTable {
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Adds a connection.
+    /// Adds a connection and returns its id.
     pub fn insert(&mut self, value: T) -> ConnId {
         self.generation = self.generation.wrapping_add(1);
         let entry = self.slots.vacant_entry();
@@ -68,39 +70,39 @@
         id
     }
 
-    /// The value of a connection.
+    /// Returns the value of a connection.
     pub fn get(&self, id: ConnId) -> Option<&T> {
         self.slots
             .get(id.slot())
-            .filter(|(held, _)| *held == id)
+            .filter(|(stored_id, _)| *stored_id == id)
             .map(|(_, value)| value)
     }
 
-    /// The value of a connection, to be changed.
+    /// Returns the value of a connection as mutable.
     pub fn get_mut(&mut self, id: ConnId) -> Option<&mut T> {
         self.slots
             .get_mut(id.slot())
-            .filter(|(held, _)| *held == id)
+            .filter(|(stored_id, _)| *stored_id == id)
             .map(|(_, value)| value)
     }
 
-    /// Removes a connection.
+    /// Removes a connection and returns its value.
     pub fn remove(&mut self, id: ConnId) -> Option<T> {
         self.get(id)?;
         self.slots.try_remove(id.slot()).map(|(_, value)| value)
     }
 
-    /// All connections.
+    /// Iterates over all connections, in order of their slots.
     pub fn iter(&self) -> impl Iterator<Item = (ConnId, &T)> {
         self.slots.iter().map(|(_, (id, value))| (*id, value))
     }
 
-    /// How many connections there are.
+    /// Number of connections.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Whether there is none.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
--- a/crates/sans-io/src/effect_queue.rs
+++ b/crates/sans-io/src/effect_queue.rs
@@ -1,4 +1,4 @@
-//! What a controller without I/O wants done outside, and when it wants to be called again.
+//! Effects that a sans-I/O controller requests from its event loop, and its timers.
 
 use crate::{ConnId, TimerKey, Timers};
 use std::net::SocketAddr;
@@ -6,63 +6,64 @@
 /// A listening socket of a controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listener {
-    /// Clients connect here.
+    /// Listener for clients.
     Clients,
-    /// Operators connect here.
+    /// Listener for the admin interface.
     Admin,
 }
 
 /// A datagram socket of a controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramSocket {
-    /// Load reports between controllers.
+    /// Socket for load reports between controllers.
     Peers,
-    /// The membership protocol.
+    /// Socket for the membership protocol.
     Gossip,
-    /// Queries to a name service.
+    /// Socket for queries to a name service.
     Discovery,
 }
 
-/// Something to be done outside.
+/// An action that the event loop must perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Open a connection; [`crate::IoEvent::Connected`] or [`crate::IoEvent::ConnectionFailed`] follows.
+    /// Open a connection. The result is reported as [`crate::IoEvent::Connected`] or [`crate::IoEvent::ConnectionFailed`].
     Connect(ConnId, SocketAddr),
-    /// Write what [`crate::Protocol::output`] holds, as far as it goes, and report it by [`crate::Protocol::bytes_written`].
+    /// Write as much of [`crate::Protocol::output`] as the socket accepts, and report the count by
+    /// [`crate::Protocol::bytes_written`].
     Write(ConnId),
-    /// There is capacity again: go on reading, as [`crate::Protocol::read_capacity`] allows.
+    /// Continue to read, as [`crate::Protocol::read_capacity`] allows: there is capacity again.
     ResumeReading(ConnId),
-    /// Close a connection; the controller has forgotten it already.
+    /// Close a connection. The controller has already removed its state.
     Close(ConnId),
-    /// Send a datagram; one that can't be sent is lost.
+    /// Send a datagram. It is not retried if it cannot be sent.
     Send(DatagramSocket, SocketAddr, Vec<u8>),
-    /// Accept the connections that wait already, and no more clients after them;
-    /// [`crate::Protocol::handle_listening_stopped`] follows.
+    /// Accept the client connections that are already in the backlog, then stop listening for clients and call
+    /// [`crate::Protocol::handle_listening_stopped`].
     StopListening,
     /// The shutdown is complete.
     Stopped,
 }
 
-/// Collects effects and timers. Whoever adds to it never looks at what others added.
+/// Collects effects and timers. Components only add to it and never read what another component has added.
 #[derive(Debug)]
-pub struct EffectQueue<W> {
+pub struct EffectQueue<T> {
     /// The time of the current call, in microseconds.
     pub now: i64,
     effects: Vec<Effect>,
-    timers: Timers<W>,
+    timers: Timers<T>,
     listening: Listening,
 }
 
-/// Whether clients may still be accepted.
+/// Whether client connections may still be accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Listening {
     Active,
     Stopped,
 }
 
-impl<W> EffectQueue<W> {
-    /// An empty queue.
-    pub fn new(now: i64) -> EffectQueue<W> {
+impl<T> EffectQueue<T> {
+    /// Creates an empty queue.
+    pub fn new(now: i64) -> EffectQueue<T> {
         EffectQueue {
             now,
             effects: Vec::new(),
@@ -76,51 +77,51 @@
         self.effects.push(effect);
     }
 
-    /// Sets a timer that is due after so many microseconds.
-    pub fn set_timer_after(&mut self, after: i64, event: W) -> TimerKey {
+    /// Sets a timer that is due `after` microseconds from now.
+    pub fn set_timer_after(&mut self, after: i64, event: T) -> TimerKey {
         self.set_timer_at(self.now.saturating_add(after), event)
     }
 
-    /// Sets a timer that is due at a time.
-    pub fn set_timer_at(&mut self, at: i64, event: W) -> TimerKey {
+    /// Sets a timer that is due at the time `at`.
+    pub fn set_timer_at(&mut self, at: i64, event: T) -> TimerKey {
         self.timers.set(at, event)
     }
 
-    /// Cancels a timer, if there is one.
+    /// Cancels a timer if it is set.
     pub fn cancel_timer(&mut self, timer: &mut Option<TimerKey>) {
         if let Some(key) = timer.take() {
             self.timers.cancel(key);
         }
     }
 
-    /// Sets a timer in place of another.
-    pub fn reset_timer(&mut self, timer: &mut Option<TimerKey>, after: i64, event: W) {
+    /// Replaces a timer.
+    pub fn reset_timer(&mut self, timer: &mut Option<TimerKey>, after: i64, event: T) {
         self.cancel_timer(timer);
         *timer = Some(self.set_timer_after(after, event));
     }
 
-    /// When the next timer is due.
+    /// Due time of the next timer.
     pub fn next_timer_at(&self) -> Option<i64> {
         self.timers.next_at()
     }
 
-    /// Takes a timer that is due.
-    pub fn pop_due_timer(&mut self) -> Option<W> {
+    /// Removes the next timer that is due and returns its event.
+    pub fn pop_due_timer(&mut self) -> Option<T> {
         self.timers.pop_due(self.now)
     }
 
-    /// Notes that listening has ended.
+    /// Records that listening has stopped.
     pub fn mark_listening_stopped(&mut self) {
         self.listening = Listening::Stopped;
     }
 
-    /// Whether listening has ended, so that all connections made until then are known. Guards against reporting the shutdown as
-    /// complete before that.
+    /// Whether listening has stopped, so that all connections that were accepted are known. The shutdown must not be reported as
+    /// complete before.
     pub fn has_stopped_listening(&self) -> bool {
         self.listening == Listening::Stopped
     }
 
-    /// Takes the effects; `into` is emptied first.
+    /// Moves the collected effects to `into`, whose previous content is dropped.
     pub fn take(&mut self, into: &mut Vec<Effect>) {
         into.clear();
         std::mem::swap(&mut self.effects, into);
--- a/crates/sans-io/src/http.rs
+++ b/crates/sans-io/src/http.rs
@@ -1,22 +1,24 @@
-//! Just enough HTTP/1.1 beside the main protocol: bodies of stated length, one request at a time, all bounded.
+//! A minimal HTTP/1.1 codec for secondary interfaces. It supports bodies with a Content-Length but no transfer encodings, and
+//! limits the size of each message.
 
 use bytes::{Buf, Bytes, BytesMut};
 use std::fmt::Write;
 
-/// Headers of a message at most, and bytes of its head at most.
+/// Maximum number of headers of a message.
 const MAX_HEADERS: usize = 32;
+/// Maximum length of the start line and headers of an incomplete message.
 const MAX_HEAD_BYTES: usize = 8 << 10;
 
-/// What is wrong with a message.
+/// Why a message cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
-    /// Not HTTP.
+    /// The message is not valid HTTP.
     #[error("not HTTP: {0}")]
     Malformed(String),
-    /// Longer than allowed.
+    /// The message exceeds a size limit.
     #[error("a message over the limit of {0} bytes")]
     TooLong(usize),
-    /// A body whose length is not stated.
+    /// The message has a transfer encoding, such as chunked, which is not supported.
     #[error("a body in chunks, which is not read here")]
     Chunked,
 }
@@ -24,21 +26,21 @@
 /// A request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// `GET`, `POST` or another.
+    /// The method, such as `GET` or `POST`.
     pub method: String,
-    /// The path with its query.
+    /// The request target: path and query string.
     pub target: String,
     /// The body.
     pub body: Bytes,
 }
 
 impl Request {
-    /// The path without its query.
+    /// The path of the target, without the query string.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or("")
     }
 
-    /// A value of the path's query.
+    /// The value of a parameter of the query string, not percent-decoded.
     pub fn query_param(&self, name: &str) -> Option<&str> {
         let query = self.target.split_once('?')?.1;
         query
@@ -52,14 +54,15 @@
 /// A response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// The status, such as 200.
+    /// The status code.
     pub status: u16,
     /// The body.
     pub body: Bytes,
 }
 
-fn body(
-    head: usize,
+/// Removes the head of `head_length` bytes and the body from `buf`, and returns the body; `None` until the body is complete.
+fn take_body(
+    head_length: usize,
     headers: &[httparse::Header<'_>],
     buf: &mut BytesMut,
     limit: usize,
@@ -83,14 +86,15 @@
     if length > limit {
         return Err(HttpError::TooLong(limit));
     }
-    if buf.len() < head + length {
+    if buf.len() < head_length + length {
         return Ok(None);
     }
-    buf.advance(head);
+    buf.advance(head_length);
     Ok(Some(buf.split_to(length).freeze()))
 }
 
-fn partial(buf: &BytesMut) -> Result<(), HttpError> {
+/// Rejects an incomplete head that is over the limit.
+fn check_incomplete_head(buf: &BytesMut) -> Result<(), HttpError> {
     if buf.len() > MAX_HEAD_BYTES {
         Err(HttpError::TooLong(MAX_HEAD_BYTES))
     } else {
@@ -98,10 +102,10 @@
     }
 }
 
-/// Takes a request off the front of `buf`; none until it is complete.
+/// Removes a request from the front of `buf`; `None` until the request is complete.
 ///
 /// # Errors
-/// [`HttpError`] for what is not HTTP, or is over `limit` bytes.
+/// [`HttpError`] if the message is malformed, has a transfer encoding, or has a body of over `limit` bytes.
 pub fn take_request(buf: &mut BytesMut, limit: usize) -> Result<Option<Request>, HttpError> {
     let copy = buf.clone();
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
@@ -109,15 +113,15 @@
     let parsed = request
         .parse(&copy)
         .map_err(|e| HttpError::Malformed(e.to_string()))?;
-    let httparse::Status::Complete(head) = parsed else {
-        return partial(buf).map(|()| None);
+    let httparse::Status::Complete(head_length) = parsed else {
+        return check_incomplete_head(buf).map(|()| None);
     };
     let (method, target) = (
         request.method.unwrap_or("").to_string(),
         request.path.unwrap_or("").to_string(),
     );
     Ok(
-        body(head, request.headers, buf, limit)?.map(|body| Request {
+        take_body(head_length, request.headers, buf, limit)?.map(|body| Request {
             method,
             target,
             body,
@@ -125,10 +129,10 @@
     )
 }
 
-/// Takes a response off the front of `buf`; none until it is complete.
+/// Removes a response from the front of `buf`; `None` until the response is complete.
 ///
 /// # Errors
-/// [`HttpError`] for what is not HTTP, or is over `limit` bytes.
+/// [`HttpError`] if the message is malformed, has a transfer encoding, or has a body of over `limit` bytes.
 pub fn take_response(buf: &mut BytesMut, limit: usize) -> Result<Option<Response>, HttpError> {
     let copy = buf.clone();
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
@@ -136,27 +140,27 @@
     let parsed = response
         .parse(&copy)
         .map_err(|e| HttpError::Malformed(e.to_string()))?;
-    let httparse::Status::Complete(head) = parsed else {
-        return partial(buf).map(|()| None);
+    let httparse::Status::Complete(head_length) = parsed else {
+        return check_incomplete_head(buf).map(|()| None);
     };
     let status = response.code.unwrap_or(0);
-    Ok(body(head, response.headers, buf, limit)?.map(|body| Response { status, body }))
+    Ok(take_body(head_length, response.headers, buf, limit)?.map(|body| Response { status, body }))
 }
 
-/// Appends a request.
-pub fn write_request(method: &str, path: &str, body: &[u8], out: &mut BytesMut) {
+/// Appends a request to `out`.
+pub fn write_request(method: &str, target: &str, body: &[u8], out: &mut BytesMut) {
     let mut head = String::new();
     let _ = write!(
         head,
-        "{method} {path} HTTP/1.1\r\nhost: localhost\r\ncontent-length: {}\r\n\r\n",
+        "{method} {target} HTTP/1.1\r\nhost: localhost\r\ncontent-length: {}\r\n\r\n",
         body.len()
     );
     out.extend_from_slice(head.as_bytes());
     out.extend_from_slice(body);
 }
 
-/// Appends a response.
-pub fn write_response(status: u16, kind: &str, body: &[u8], out: &mut BytesMut) {
+/// Appends a response to `out`.
+pub fn write_response(status: u16, content_type: &str, body: &[u8], out: &mut BytesMut) {
     let reason = match status {
         200 => "OK",
         400 => "Bad Request",
@@ -168,7 +172,7 @@
     let length = body.len();
     let _ = write!(
         head,
-        "HTTP/1.1 {status} {reason}\r\ncontent-type: {kind}\r\ncontent-length: {length}\r\n\r\n"
+        "HTTP/1.1 {status} {reason}\r\ncontent-type: {content_type}\r\ncontent-length: {length}\r\n\r\n"
     );
     out.extend_from_slice(head.as_bytes());
     out.extend_from_slice(body);
--- a/crates/sans-io/src/lib.rs
+++ b/crates/sans-io/src/lib.rs
@@ -1,5 +1,6 @@
-//! What an event loop and the controllers without I/O share: the protocol trait, I/O events, effects and timers, connection
-//! buffers, connection ids that are never reused, and HTTP beside the main protocol. No sockets, no clock.
+//! The interface between an event loop and protocol implementations that do no I/O themselves (sans-I/O): the protocol trait,
+//! I/O events, effects, timers, connection buffers, connection ids that are not reused, and a small HTTP/1.1 codec for
+//! secondary interfaces. The crate uses no sockets and reads no clock.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/sans-io/src/protocol.rs
+++ b/crates/sans-io/src/protocol.rs
@@ -1,89 +1,90 @@
-//! What an event loop on sockets asks of a controller without I/O, whichever protocol that speaks.
+//! The interface of a sans-I/O controller to the event loop that owns its sockets, for any client protocol.
 
 use crate::{ConnId, DatagramSocket, Effect, Listener};
 use std::net::SocketAddr;
 
-/// Why a connection could not be established, or broke.
+/// Why a connection could not be established, or was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureCause {
-    /// Nobody listens there: nothing that was sent has arrived.
+    /// The peer refused the connection, as it has no listener. No data has reached it.
     ConnectRefused,
-    /// The other side did not answer the connect, or cannot be reached. Nothing that was sent has arrived.
+    /// The peer did not answer the connection attempt or cannot be reached. No data has reached it.
     PeerUnreachable,
-    /// This machine could not even try to connect: it lacks ports, descriptors, memory or a route. That tells nothing of the
-    /// other side, and may pass.
+    /// This host could not attempt the connection, for lack of ports, file descriptors, memory or a route. This says nothing
+    /// about the peer and may be temporary.
     ConnectNotAttempted,
-    /// An established connection broke, or one broke as it was being established.
+    /// An established connection was lost, or a connection broke while it was being established.
     ConnectionLost,
 }
 
-/// Something that happened on a socket.
+/// An event on a socket.
 #[derive(Clone, Copy, Debug)]
 pub enum IoEvent<'a> {
-    /// A connection that was opened is established.
+    /// A connection that the controller opened is established.
     Connected(ConnId),
-    /// Bytes were received; at most as many as [`Protocol::read_capacity`] allowed.
+    /// Bytes were received, no more than [`Protocol::read_capacity`] allowed.
     Received(ConnId, &'a [u8]),
-    /// The other side has closed, though bytes of it may not have been read yet.
+    /// The peer has closed the connection. Some of the bytes it sent may not have been read yet.
     PeerClosing(ConnId),
-    /// The other side sends no more, and all that it sent was received.
+    /// The peer has closed its sending side, and everything it sent has been received.
     ReadClosed(ConnId),
-    /// A connection could not be established, or broke.
+    /// A connection could not be established, or was lost.
     ConnectionFailed {
         /// The connection.
         id: ConnId,
-        /// It broke as something was being written.
+        /// Whether the error occurred during a write.
         writing: bool,
-        /// What kind of failure it is.
+        /// The kind of failure.
         cause: FailureCause,
-        /// The system's error message.
+        /// The error message of the operating system.
         reason: &'a str,
     },
-    /// A datagram was received, and from where.
+    /// A datagram was received from an address.
     Datagram(DatagramSocket, SocketAddr, &'a [u8]),
 }
 
-/// A controller without system calls: events go in, with the time in microseconds; effects come out.
+/// A controller that makes no system calls: it receives events with the time in microseconds, and emits effects.
 pub trait Protocol {
-    /// The process has started. Called first, once.
+    /// The process has started. This is the first call and occurs once.
     fn handle_start(&mut self, now: i64);
-    /// A connection was accepted. None if there is no capacity, and the socket is to be closed. Read from it at once.
+    /// A connection was accepted. Returns `None` if there is no capacity, and the event loop must then close the socket; otherwise
+    /// it starts to read from the connection at once.
     fn accept(&mut self, now: i64, listener: Listener) -> Option<ConnId>;
-    /// The events of a poll follow, or timers: the first call of each turn of the event loop.
+    /// Called first in each iteration of the event loop, before its I/O events and timers.
     fn begin_iteration(&mut self, now: i64) {
         let _ = now;
     }
-    /// What is reported until the next call of this kind may have arrived as early as `since`: the process was suspended or busy, or
-    /// could not look, from then on.
+    /// Events reported from now until the next such call may have arrived as early as `since`, because the process has been
+    /// suspended, busy or unable to poll since then.
     fn set_earliest_arrival(&mut self, since: i64) {
         let _ = since;
     }
-    /// Something happened on a socket.
+    /// Handles an event on a socket.
     fn handle_io(&mut self, now: i64, event: IoEvent<'_>);
-    /// A datagram that was to be sent could not be, for a fault of this machine.
+    /// A datagram could not be sent because of a local error.
     fn handle_datagram_send_failure(&mut self, now: i64, socket: DatagramSocket) {
         let _ = (now, socket);
     }
     /// A graceful shutdown was requested.
     fn begin_shutdown(&mut self, now: i64);
-    /// Listening for clients, whose end was asked for by [`Effect::StopListening`], has ended: all connections that were made
-    /// until then have been accepted.
+    /// Listening for clients has stopped after [`Effect::StopListening`], and all connections made until then have been accepted.
     fn handle_listening_stopped(&mut self, now: i64);
-    /// The output of a connection was decided some time ago, as the process was suspended since. Whatever of it depends on the time,
-    /// and has not begun to be written, is to be taken back and decided anew, once what has come meanwhile is known.
+    /// The process was suspended after the output of a connection was produced. Output that depends on the time and has not begun
+    /// to be written must be withdrawn, and decided again once the events that arrived meanwhile have been handled.
     fn withdraw_stale_output(&mut self, now: i64, id: ConnId) {
         let _ = (now, id);
     }
-    /// How many bytes may be received on a connection now. After none, [`Effect::ResumeReading`] says when some may.
+    /// How many bytes may be received on a connection now. After a result of zero, [`Effect::ResumeReading`] signals that there is
+    /// capacity again.
     fn read_capacity(&mut self, id: ConnId) -> usize;
-    /// What is to be written to a connection.
+    /// The bytes to be written to a connection.
     fn output(&mut self, id: ConnId) -> &[u8];
-    /// So many bytes of it were written.
+    /// `count` bytes of the output of a connection were written.
     fn bytes_written(&mut self, now: i64, id: ConnId, count: usize);
-    /// When [`Protocol::handle_timers`] is next wanted.
+    /// When [`Protocol::handle_timers`] must be called next.
     fn next_timer_at(&self) -> Option<i64>;
-    /// Lets the time pass, once all events until now were handled.
+    /// Handles the timers that are due. Called after all events until `now` were handled.
     fn handle_timers(&mut self, now: i64);
-    /// Takes what is to be done outside, of all that happened since the last call; `into` is emptied first.
+    /// Moves the effects emitted since the last call to `into`, whose previous content is dropped.
     fn take_effects(&mut self, into: &mut Vec<Effect>);
 }
--- a/crates/sans-io/src/timers.rs
+++ b/crates/sans-io/src/timers.rs
@@ -1,60 +1,60 @@
-//! Timers by time, each with a key by which it can be cancelled.
+//! Timers ordered by due time, each with a key for its cancellation.
 
 use std::collections::BTreeMap;
 
-/// Names a timer that was set.
+/// Identifies a timer: its due time, and a sequence number that orders timers with the same due time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerKey(i64, u64);
 
-/// Timers by time. Times are microseconds of whatever clock their owner has.
+/// Pending timers, ordered by due time. Times are microseconds of the owner's clock.
 #[derive(Debug)]
 pub struct Timers<T> {
-    set: u64,
-    waiting: BTreeMap<TimerKey, T>,
+    last_sequence: u64,
+    pending: BTreeMap<TimerKey, T>,
 }
 
 impl<T> Default for Timers<T> {
     fn default() -> Self {
         Timers {
-            set: 0,
-            waiting: BTreeMap::new(),
+            last_sequence: 0,
+            pending: BTreeMap::new(),
         }
     }
 }
 
 impl<T> Timers<T> {
-    /// Sets a timer.
+    /// Sets a timer and returns its key.
     pub fn set(&mut self, at: i64, event: T) -> TimerKey {
-        self.set += 1;
-        let key = TimerKey(at, self.set);
-        self.waiting.insert(key, event);
+        self.last_sequence += 1;
+        let key = TimerKey(at, self.last_sequence);
+        self.pending.insert(key, event);
         key
     }
 
-    /// Cancels a timer; none if it went off before.
+    /// Cancels a timer and returns its event; `None` if it has already fired or been cancelled.
     pub fn cancel(&mut self, key: TimerKey) -> Option<T> {
-        self.waiting.remove(&key)
+        self.pending.remove(&key)
     }
 
-    /// When the next goes off.
+    /// Due time of the next timer.
     pub fn next_at(&self) -> Option<i64> {
-        self.waiting.first_key_value().map(|(key, _)| key.0)
+        self.pending.first_key_value().map(|(key, _)| key.0)
     }
 
-    /// Takes the next timer that is due.
+    /// Removes the next timer if it is due, and returns its event.
     pub fn pop_due(&mut self, now: i64) -> Option<T> {
         self.next_at().filter(|at| *at <= now)?;
-        self.waiting.pop_first().map(|(_, event)| event)
+        self.pending.pop_first().map(|(_, event)| event)
     }
 
-    /// How many timers are set.
+    /// Number of pending timers.
     pub fn len(&self) -> usize {
-        self.waiting.len()
+        self.pending.len()
     }
 
-    /// Whether none is set.
+    /// Whether no timer is pending.
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.pending.is_empty()
     }
 }
 
--- a/crates/sans-io/src/timers_tests.rs
+++ b/crates/sans-io/src/timers_tests.rs
@@ -1,9 +1,9 @@
-//! Timers go off in order and can be cancelled.
+//! Tests of [`Timers`].
 
 use super::Timers;
 
 #[test]
-fn timers_go_off_in_order_and_can_be_cancelled() {
+fn timers_fire_in_order_and_can_be_cancelled() {
     let mut timers = Timers::default();
     timers.set(30, 'c');
     let b = timers.set(20, 'b');
@@ -12,7 +12,7 @@
     assert_eq!(timers.cancel(b), Some('b'));
     assert_eq!(timers.cancel(b), None);
     assert_eq!(timers.next_at(), Some(10));
-    let gone: Vec<char> = std::iter::from_fn(|| timers.pop_due(29)).collect();
-    assert_eq!(gone, ['a', 'A']);
+    let fired: Vec<char> = std::iter::from_fn(|| timers.pop_due(29)).collect();
+    assert_eq!(fired, ['a', 'A']);
     assert_eq!((timers.pop_due(30), timers.is_empty()), (Some('c'), true));
 }
