--- a/crates/driver/src/driver/mod.rs
+++ b/crates/driver/src/driver/mod.rs
@@ -273,7 +273,7 @@
     }
 
     /// Ends a cancelled attempt whose engine did not confirm the cancellation in time. If its answer has started nevertheless,
-    /// because it crossed the cancellation on the network, the answer goes on to the client.
+    /// because it crossed the cancellation on the network, the answer is still delivered to the client.
     fn handle_unconfirmed_cancel(
         &mut self,
         now: Micros,
