--- a/crates/driver/src/driver/mod.rs
+++ b/crates/driver/src/driver/mod.rs
@@ -323,8 +323,8 @@
                 .may_still_write(now, attempt.query, attempt.number)
     }
 
-    /// The work that an attempt adds to an engine in slow start, with the engine's current budget; `None` if its engine is not in
-    /// slow start.
+    /// The work that an attempt adds to an engine in slow start, with the engine's current budget; `None` if its engine is not
+    /// in slow start.
     pub fn slow_start_share(&self, now: Micros, attempt: AttemptId) -> Option<SlowStartShare> {
         self.gateway
             .slow_start_share(now, attempt.query, attempt.number)
--- a/crates/driver/src/input.rs
+++ b/crates/driver/src/input.rs
@@ -44,7 +44,7 @@
     Dispatched(AttemptId),
     /// The first byte of an attempt's answer is about to be sent to the client.
     AnswerStarted(AttemptId),
-    /// An engine sent a progress update for an attempt.
+    /// An engine sent an update on an attempt, such as its progress.
     AttemptUpdated(AttemptId, AttemptUpdate),
     /// The protocol layer reports the end of an attempt.
     AttemptEnded {
@@ -108,8 +108,8 @@
 }
 
 impl DriverLimits {
-    /// Value of [`DriverLimits::cancel_confirmation_timeout`] for a protocol layer that reports the end of every attempt itself,
-    /// including timeouts. The driver then sets no timeouts for attempts.
+    /// Value of [`DriverLimits::cancel_confirmation_timeout`] for a protocol layer that reports the end of every attempt
+    /// itself, including timeouts. The driver then sets no timeouts for attempts.
     pub const EXTERNALLY_TIMED: Micros = Micros(i64::MAX / 4);
 
     /// Whether the driver ends attempts that exceed their timeout.
--- a/crates/driver/tests/order_of_events.rs
+++ b/crates/driver/tests/order_of_events.rs
@@ -151,8 +151,8 @@
         }
     }
 
-    /// Whether an attempt of the query is in flight. Once an answer has started, the protocol layer limits its duration, not the
-    /// driver.
+    /// Whether an attempt of the query is in flight. Once an answer has started, the protocol layer limits its duration, not
+    /// the driver.
     fn has_attempt_in_flight(&self, id: QueryId) -> bool {
         let attempts = self.queries[&id].attempts.keys();
         attempts.clone().any(|n| {
--- a/crates/sans-io/src/connection_buffer.rs
+++ b/crates/sans-io/src/connection_buffer.rs
@@ -41,7 +41,8 @@
         capacity
     }
 
-    /// Requests [`Effect::ResumeReading`] if reading was blocked and there is capacity again. Frees the memory of an empty input.
+    /// Requests [`Effect::ResumeReading`] if reading was blocked and there is capacity again. Frees the memory of an empty
+    /// input.
     pub fn resume_reading(
         &mut self,
         id: ConnId,
--- a/crates/sans-io/src/effect_queue.rs
+++ b/crates/sans-io/src/effect_queue.rs
@@ -115,8 +115,8 @@
         self.listening = Listening::Stopped;
     }
 
-    /// Whether listening has stopped, so that all connections that were accepted are known. The shutdown must not be reported as
-    /// complete before.
+    /// Whether listening has stopped, so that all connections that were accepted are known. The shutdown must not be reported
+    /// as complete before.
     pub fn has_stopped_listening(&self) -> bool {
         self.listening == Listening::Stopped
     }
--- a/crates/sans-io/src/protocol.rs
+++ b/crates/sans-io/src/protocol.rs
@@ -47,8 +47,8 @@
 pub trait Protocol {
     /// The process has started. This is the first call and occurs once.
     fn handle_start(&mut self, now: i64);
-    /// A connection was accepted. Returns `None` if there is no capacity, and the event loop must then close the socket; otherwise
-    /// it starts to read from the connection at once.
+    /// A connection was accepted. Returns `None` if there is no capacity, and the event loop must then close the socket;
+    /// otherwise it starts to read from the connection at once.
     fn accept(&mut self, now: i64, listener: Listener) -> Option<ConnId>;
     /// Called first in each iteration of the event loop, before its I/O events and timers.
     fn begin_iteration(&mut self, now: i64) {
@@ -67,15 +67,16 @@
     }
     /// A graceful shutdown was requested.
     fn begin_shutdown(&mut self, now: i64);
-    /// Listening for clients has stopped after [`Effect::StopListening`], and all connections made until then have been accepted.
+    /// Listening for clients has stopped after [`Effect::StopListening`], and all connections made until then have been
+    /// accepted.
     fn handle_listening_stopped(&mut self, now: i64);
-    /// The process was suspended after the output of a connection was produced. Output that depends on the time and has not begun
-    /// to be written must be withdrawn, and decided again once the events that arrived meanwhile have been handled.
+    /// The process was suspended after the output of a connection was produced. Output that depends on the time and has not
+    /// begun to be written must be withdrawn, and decided again once the events that arrived meanwhile have been handled.
     fn withdraw_stale_output(&mut self, now: i64, id: ConnId) {
         let _ = (now, id);
     }
-    /// How many bytes may be received on a connection now. After a result of zero, [`Effect::ResumeReading`] signals that there is
-    /// capacity again.
+    /// How many bytes may be received on a connection now. After a result of zero, [`Effect::ResumeReading`] signals that there
+    /// is capacity again.
     fn read_capacity(&mut self, id: ConnId) -> usize;
     /// The bytes to be written to a connection.
     fn output(&mut self, id: ConnId) -> &[u8];
