--- a/crates/driver/tests/order_of_events.rs
+++ b/crates/driver/tests/order_of_events.rs
@@ -219,6 +219,7 @@
         }
     }
 
+    /// Maps an arbitrary number to one of the attempts so far.
     fn nth_attempt(&self, pick: usize) -> Option<AttemptId> {
         let all: Vec<AttemptId> = self
             .queries
@@ -233,6 +234,7 @@
         all.get(pick % all.len().max(1)).copied()
     }
 
+    /// Reports the end of an attempt, which may have ended before.
     fn end_attempt(&mut self, attempt: AttemptId, outcome: Outcome) {
         let in_flight = self.driver.is_in_flight(attempt);
         let completes_query = outcome == Outcome::Served && self.driver.may_answer(attempt);
@@ -258,11 +260,13 @@
     }
 }
 
+/// A random step of the test. The `usize` of a step picks its attempt or its class.
 #[derive(Clone, Debug)]
 enum Step {
     Submit(usize),
     Write(usize),
     StartAnswer(usize),
+    /// Ends an attempt with an outcome; the flag adds a second report that it was served.
     EndAttempt(usize, Outcome, bool),
     Abandon(usize),
     AdvanceTime(i64),
