--- a/crates/controller/tests/common/mod.rs
+++ b/crates/controller/tests/common/mod.rs
@@ -14,7 +14,7 @@
 use wheelfield_controller::postgres::PostgresController;
 use wheelfield_engine_emulator::host::Host;
 use wheelfield_engine_emulator::setup::Setup;
-use wheelfield_pg::{back, frame, front};
+use wheelfield_pg::{backend_messages, frame, frontend_messages};
 
 /// What is awaited must come within this; no verdict rests on how soon.
 pub const SOON: Duration = Duration::from_secs(20);
@@ -285,14 +285,20 @@
             key: bytes::Bytes::new(),
         };
         let mut out = BytesMut::new();
-        front::put_startup(&[("user", "raw"), ("database", "lab")], &mut out);
+        frontend_messages::put_startup(&[("user", "raw"), ("database", "lab")], &mut out);
         raw.send(&out);
         loop {
             let (tag, message) = raw.next();
             match tag {
-                b'K' => (raw.pid, raw.key) = back::key_of(&message).expect("a key"),
+                b'K' => {
+                    (raw.pid, raw.key) =
+                        backend_messages::parse_backend_key_data(&message).expect("a key")
+                }
                 b'Z' => return raw,
-                b'E' => panic!("not let in: {:?}", back::trouble(&message)),
+                b'E' => panic!(
+                    "not let in: {:?}",
+                    backend_messages::parse_sqlstate_and_message(&message)
+                ),
                 _ => {}
             }
         }
@@ -304,13 +310,15 @@
 
     pub fn query(&mut self, text: &str) {
         let mut out = BytesMut::new();
-        front::put_query(text, &mut out);
+        frontend_messages::put_query(text, &mut out);
         self.send(&out);
     }
 
     pub fn read(&mut self) -> Option<(u8, bytes::Bytes)> {
         loop {
-            if let Some(message) = frame::take(&mut self.input, usize::MAX).expect("well-formed") {
+            if let Some(message) =
+                frame::take_message(&mut self.input, usize::MAX).expect("well-formed")
+            {
                 return Some(message);
             }
             let mut part = [0; 64 << 10];
@@ -332,7 +340,11 @@
             let (tag, message) = self.next();
             match tag {
                 b'Z' => return (tags, state),
-                b'E' => state = back::trouble(&message).expect("fields").0,
+                b'E' => {
+                    state = backend_messages::parse_sqlstate_and_message(&message)
+                        .expect("fields")
+                        .0
+                }
                 b'D' if tags.ends_with('D') => continue,
                 _ => {}
             }
@@ -342,7 +354,7 @@
 
     pub fn cancel(&self) {
         let mut out = BytesMut::new();
-        front::put_cancel(self.pid, &self.key, &mut out);
+        frontend_messages::put_cancel(self.pid, &self.key, &mut out);
         let mut stream =
             TcpStream::connect(self.stream.peer_addr().expect("connected")).expect("it listens");
         stream.write_all(&out).expect("it reads");
--- a/crates/controller/tests/end_to_end.rs
+++ b/crates/controller/tests/end_to_end.rs
@@ -594,7 +594,7 @@
     assert_eq!(
         (
             tag,
-            wheelfield_pg::back::trouble(&message)
+            wheelfield_pg::backend_messages::parse_sqlstate_and_message(&message)
                 .expect("fields")
                 .0
                 .as_str()
--- a/crates/engine-emulator/src/answer.rs
+++ b/crates/engine-emulator/src/answer.rs
@@ -1,7 +1,7 @@
 //! What a stand-in answers: literals and echoed parameters with their types, else rows as the hints ask.
 
 use bytes::{BufMut, Bytes, BytesMut};
-use wheelfield_pg::back::{self, Column};
+use wheelfield_pg::backend_messages::{self, Column};
 use wheelfield_pg::sql;
 
 /// Numbers of the types spoken here.
@@ -97,7 +97,7 @@
 impl Wanted {
     /// Reads the hints of a statement.
     pub fn of(text: &str) -> Wanted {
-        let hints = sql::pairs(text);
+        let hints = sql::comment_pairs(text);
         let get = |name: &str| hints.iter().find(|(n, _)| n == name).map(|(_, v)| v.to_string());
         let number =
             |name: &str| get(name).and_then(|v| v.parse::<f64>().ok()).filter(|x| x.is_finite() && *x >= 0.0);
@@ -204,12 +204,12 @@
         _ => -1,
     };
     let name = name.unwrap_or_else(|| if type_id == oid::BOOL { "bool".into() } else { "?column?".into() });
-    Some((Column { name, type_id, size }, ItemOf(found)))
+    Some((Column { name, type_oid: type_id, type_size: size }, ItemOf(found)))
 }
 
 /// What a statement will answer; `declared` are the types its parameters were given.
 pub fn plan(text: &str, wanted: &Wanted, declared: &[u32]) -> Plan {
-    let bare = sql::folded_as_written(text);
+    let bare = sql::normalized_preserving_case(text);
     let first = bare.split_whitespace().next().unwrap_or("").to_ascii_uppercase();
     if let Some(count) = wanted.rows {
         return Plan::Rows { count, bytes: wanted.row_bytes, of: wanted.mark() };
@@ -297,7 +297,7 @@
         match self {
             Plan::Values(values) => values.iter().map(|(column, _)| column.clone()).collect(),
             Plan::Rows { .. } => {
-                vec![Column { name: "n".into(), type_id: oid::INT8, size: 8 }, Column::text("data")]
+                vec![Column { name: "n".into(), type_oid: oid::INT8, type_size: 8 }, Column::text("data")]
             }
             Plan::Tag(_) => Vec::new(),
         }
@@ -329,7 +329,7 @@
                     .enumerate()
                     .map(|(i, (_, item))| item.cell(given, given.result(i)))
                     .collect();
-                back::row(cells.iter().map(|c| c.as_deref()), out);
+                backend_messages::put_data_row(cells.iter().map(|c| c.as_deref()), out);
             }
             Plan::Rows { bytes, count, of } => {
                 let number = match given.result(0) {
@@ -444,7 +444,7 @@
     #[test]
     fn literals_have_their_types() {
         let plan = of("SELECT 1, 'it''s' AS word, null, TRUE, 2.5, 5000000000 -- end");
-        let types: Vec<u32> = plan.columns().iter().map(|c| c.type_id).collect();
+        let types: Vec<u32> = plan.columns().iter().map(|c| c.type_oid).collect();
         assert_eq!(types, [oid::INT4, oid::TEXT, oid::TEXT, oid::BOOL, oid::FLOAT8, oid::INT8]);
         assert_eq!(plan.columns()[1].name, "word");
         let mut out = BytesMut::new();
--- a/crates/engine-emulator/src/session.rs
+++ b/crates/engine-emulator/src/session.rs
@@ -4,9 +4,9 @@
 use crate::model::Load;
 use bytes::{Bytes, BytesMut};
 use std::collections::{BTreeMap, VecDeque};
-use wheelfield_pg::back::{self, Trouble};
-use wheelfield_pg::frame::{self, Malformed};
-use wheelfield_pg::front::{self, Front, Opening};
+use wheelfield_pg::backend_messages::{self, Diagnostic};
+use wheelfield_pg::frame::{self, ProtocolError};
+use wheelfield_pg::frontend_messages::{self, FrontendMessage, StartupPacket};
 use wheelfield_pg::sql;
 
 /// Longest message taken.
@@ -88,7 +88,7 @@
     told: BTreeMap<&'static str, String>,
     /// What goes beside the end of the answer.
     tail: Option<(Load, f64)>,
-    waiting: Option<Trouble>,
+    waiting: Option<Diagnostic>,
 }
 
 impl Session {
@@ -124,17 +124,17 @@
     /// Takes what it can off `input` and appends its answers to `out`.
     ///
     /// # Errors
-    /// [`Malformed`] for what is not of the protocol; the client was told.
-    pub fn feed(&mut self, input: &mut BytesMut, out: &mut BytesMut) -> Result<Option<Ask>, Malformed> {
+    /// [`ProtocolError`] for what is not of the protocol; the client was told.
+    pub fn feed(&mut self, input: &mut BytesMut, out: &mut BytesMut) -> Result<Option<Ask>, ProtocolError> {
         let result = self.read(input, out);
         if let Err(fault) = &result {
-            Trouble::fatal("08P01", fault.to_string()).put(out);
+            Diagnostic::fatal("08P01", fault.to_string()).put(out);
             self.phase = Phase::Closed;
         }
         result
     }
 
-    fn read(&mut self, input: &mut BytesMut, out: &mut BytesMut) -> Result<Option<Ask>, Malformed> {
+    fn read(&mut self, input: &mut BytesMut, out: &mut BytesMut) -> Result<Option<Ask>, ProtocolError> {
         loop {
             match self.phase {
                 Phase::Closed | Phase::Running => return Ok(None),
@@ -146,16 +146,18 @@
                 }
                 Phase::Opening => {
                     let Some(packet) = frame::take_startup(input)? else { return Ok(None) };
-                    match front::opening(&packet)? {
-                        Opening::Ssl | Opening::Gss => out.extend_from_slice(b"N"),
-                        Opening::Cancel { pid, key } => {
+                    match frontend_messages::parse_startup_packet(&packet)? {
+                        StartupPacket::SslRequest | StartupPacket::GssEncRequest => {
+                            out.extend_from_slice(b"N")
+                        }
+                        StartupPacket::CancelRequest { pid, key } => {
                             self.phase = Phase::Closed;
                             return Ok(Some(Ask::Cancel(pid, key)));
                         }
-                        Opening::Startup(startup) => {
+                        StartupPacket::StartupMessage(startup) => {
                             self.label =
                                 startup.parameters.get("application_name").cloned().unwrap_or_default();
-                            back::authentication_ok(out);
+                            backend_messages::put_authentication_ok(out);
                             for (name, value) in [
                                 ("server_version", "15.0 (stand-in)"),
                                 ("client_encoding", "UTF8"),
@@ -164,16 +166,18 @@
                                 ("integer_datetimes", "on"),
                                 ("standard_conforming_strings", "on"),
                             ] {
-                                back::parameter(name, value, out);
+                                backend_messages::put_parameter_status(name, value, out);
                             }
-                            back::key_data(self.pid, self.key, out);
-                            back::ready(b'I', out);
+                            backend_messages::put_backend_key_data(self.pid, self.key, out);
+                            backend_messages::put_ready_for_query(b'I', out);
                             self.phase = Phase::Ready;
                         }
                     }
                 }
                 Phase::Ready | Phase::Skipping => {
-                    let Some(message) = front::take(input, LONGEST)? else { return Ok(None) };
+                    let Some(message) = frontend_messages::take_message(input, LONGEST)? else {
+                        return Ok(None);
+                    };
                     if let Some(ask) = self.message(message, out) {
                         return Ok(Some(ask));
                     }
@@ -183,38 +187,40 @@
     }
 
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
-    fn message(&mut self, message: Front, out: &mut BytesMut) -> Option<Ask> {
+    fn message(&mut self, message: FrontendMessage, out: &mut BytesMut) -> Option<Ask> {
         match message {
-            Front::Terminate => {
+            FrontendMessage::Terminate => {
                 self.phase = Phase::Closed;
                 return Some(Ask::Close);
             }
-            Front::Sync => {
+            FrontendMessage::Sync => {
                 self.portals.clear();
                 self.phase = Phase::Ready;
-                back::ready(b'I', out);
+                backend_messages::put_ready_for_query(b'I', out);
                 return None;
             }
             _ if matches!(self.phase, Phase::Skipping) => return None,
             _ => {}
         }
         let done = match message {
-            Front::Query(frame) => return self.query(front::query_text(&frame).unwrap_or(""), out),
-            Front::Execute(execute) => {
+            FrontendMessage::Query(frame) => {
+                return self.query(frontend_messages::query_text(&frame).unwrap_or(""), out)
+            }
+            FrontendMessage::Execute(execute) => {
                 return self.execute(&execute.name.unwrap_or_default(), execute.max_rows, out)
             }
-            Front::Parse(parse) => {
+            FrontendMessage::Parse(parse) => {
                 if self.statements.len() >= MOST {
-                    Err(Trouble::error("53400", "too many prepared statements"))
+                    Err(Diagnostic::error("53400", "too many prepared statements"))
                 } else {
                     let types = answer::parameters(&parse.query, &parse.type_oids);
                     let prepared = Prepared { text: parse.query, types };
                     self.statements.insert(parse.name.unwrap_or_default(), prepared);
-                    back::parse_complete(out);
+                    backend_messages::put_parse_complete(out);
                     Ok(())
                 }
             }
-            Front::Bind(bind) => {
+            FrontendMessage::Bind(bind) => {
                 let name = bind.statement_name.clone().unwrap_or_default();
                 match self.statements.get(&name) {
                     Some(prepared) if self.portals.len() < MOST => {
@@ -226,30 +232,36 @@
                         let Prepared { text, types } = prepared.clone();
                         let portal = Portal { text, types, given, next: 0, ran: false };
                         self.portals.insert(bind.portal_name.unwrap_or_default(), portal);
-                        back::bind_complete(out);
+                        backend_messages::put_bind_complete(out);
                         Ok(())
                     }
-                    Some(_) => Err(Trouble::error("53400", "too many portals")),
-                    None => {
-                        Err(Trouble::error("26000", format!("prepared statement \"{name}\" does not exist")))
-                    }
+                    Some(_) => Err(Diagnostic::error("53400", "too many portals")),
+                    None => Err(Diagnostic::error(
+                        "26000",
+                        format!("prepared statement \"{name}\" does not exist"),
+                    )),
                 }
             }
-            Front::Describe(describe) => {
+            FrontendMessage::Describe(describe) => {
                 self.describe(describe.target_type, &describe.name.unwrap_or_default(), out)
             }
-            Front::Close(close) => {
+            FrontendMessage::Close(close) => {
                 let name = close.name.unwrap_or_default();
                 if close.target_type == b'S' {
                     self.statements.remove(&name);
                 } else {
                     self.portals.remove(&name);
                 }
-                back::close_complete(out);
+                backend_messages::put_close_complete(out);
                 Ok(())
             }
-            Front::FunctionCall => Err(Trouble::error("0A000", "no calls of functions by number")),
-            Front::Flush | Front::Copy | Front::Sync | Front::Terminate => Ok(()),
+            FrontendMessage::FunctionCall => {
+                Err(Diagnostic::error("0A000", "no calls of functions by number"))
+            }
+            FrontendMessage::Flush
+            | FrontendMessage::Copy
+            | FrontendMessage::Sync
+            | FrontendMessage::Terminate => Ok(()),
         };
         if let Err(trouble) = done {
             trouble.put(out);
@@ -258,24 +270,27 @@
         None
     }
 
-    fn describe(&mut self, kind: u8, name: &str, out: &mut BytesMut) -> Result<(), Trouble> {
+    fn describe(&mut self, kind: u8, name: &str, out: &mut BytesMut) -> Result<(), Diagnostic> {
         let (text, types, results) = if kind == b'S' {
             let Some(p) = self.statements.get(name) else {
-                return Err(Trouble::error("26000", format!("prepared statement \"{name}\" does not exist")));
+                return Err(Diagnostic::error(
+                    "26000",
+                    format!("prepared statement \"{name}\" does not exist"),
+                ));
             };
-            back::parameter_description(&p.types, out);
+            backend_messages::put_parameter_description(&p.types, out);
             (&p.text, &p.types, Vec::new())
         } else {
             let Some(p) = self.portals.get(name) else {
-                return Err(Trouble::error("34000", format!("portal \"{name}\" does not exist")));
+                return Err(Diagnostic::error("34000", format!("portal \"{name}\" does not exist")));
             };
             (&p.text, &p.types, p.given.results.clone())
         };
         let columns = answer::plan(text, &Wanted::of(text), types).columns();
         if columns.is_empty() {
-            back::no_data(out);
+            backend_messages::put_no_data(out);
         } else {
-            back::row_description(&columns, &results, out);
+            backend_messages::put_row_description(&columns, &results, out);
         }
         Ok(())
     }
@@ -283,8 +298,8 @@
     fn query(&mut self, text: &str, out: &mut BytesMut) -> Option<Ask> {
         let all = sql::statements(text);
         if all.is_empty() {
-            back::empty_query(out);
-            back::ready(b'I', out);
+            backend_messages::put_empty_query_response(out);
+            backend_messages::put_ready_for_query(b'I', out);
             return None;
         }
         if let Some(ask) = self.own(text, out) {
@@ -306,7 +321,7 @@
 
     /// What the stand-in itself is told: settings, priorities, and questions on its load.
     fn own(&mut self, text: &str, out: &mut BytesMut) -> Option<Option<Ask>> {
-        let folded = sql::folded(text);
+        let folded = sql::normalized(text);
         let mut ask = None;
         if folded.starts_with("set ") {
             for statement in sql::statements(&folded) {
@@ -320,23 +335,23 @@
                     _ => {}
                 }
             }
-            back::complete("SET", out);
+            backend_messages::put_command_complete("SET", out);
         } else if folded == "show wheelfield.load" {
             self.waiting = None;
-            back::row_description(&[back::Column::text("load")], &[], out);
-            back::row([Some(&b"ok"[..])].into_iter(), out);
-            back::complete("SHOW", out);
+            backend_messages::put_row_description(&[backend_messages::Column::text("load")], &[], out);
+            backend_messages::put_data_row([Some(&b"ok"[..])].into_iter(), out);
+            backend_messages::put_command_complete("SHOW", out);
         } else if let Some(arguments) = folded.strip_prefix("select wheelfield.set_priority(") {
             let mut numbers =
                 arguments.trim_end_matches(')').split(',').map(|n| n.trim().parse::<i32>().ok());
             if let (Some(Some(pid)), Some(Some(priority))) = (numbers.next(), numbers.next()) {
                 ask = Some(Ask::Priority(pid, priority.clamp(0, 3) as u8));
             }
-            back::complete("SELECT 0", out);
+            backend_messages::put_command_complete("SELECT 0", out);
         } else {
             return None;
         }
-        back::ready(b'I', out);
+        backend_messages::put_ready_for_query(b'I', out);
         Some(ask)
     }
 
@@ -352,30 +367,30 @@
         for (name, value) in figures {
             let Some(value) = value.map(|x| format!("{x:.3}")) else { continue };
             if self.told.get(name) != Some(&value) {
-                back::parameter(name, &value, out);
+                backend_messages::put_parameter_status(name, &value, out);
                 self.told.insert(name, value);
             }
         }
         if let Some(work_ms) = work_ms {
-            back::parameter("wheelfield.work_ms", &format!("{work_ms:.1}"), out);
+            backend_messages::put_parameter_status("wheelfield.work_ms", &format!("{work_ms:.1}"), out);
         }
     }
 
     /// Tells how what runs goes on.
     pub fn tell(&self, name: &str, value: &str, out: &mut BytesMut) {
         if self.running() {
-            back::parameter(&format!("wheelfield.{name}"), value, out);
+            backend_messages::put_parameter_status(&format!("wheelfield.{name}"), value, out);
         }
     }
 
     fn execute(&mut self, name: &str, max_rows: i32, out: &mut BytesMut) -> Option<Ask> {
         let Some(portal) = self.portals.get_mut(name) else {
-            Trouble::error("34000", format!("portal \"{name}\" does not exist")).put(out);
+            Diagnostic::error("34000", format!("portal \"{name}\" does not exist")).put(out);
             self.phase = Phase::Skipping;
             return None;
         };
         if sql::statements(&portal.text).is_empty() {
-            back::empty_query(out);
+            backend_messages::put_empty_query_response(out);
             return None;
         }
         let wanted = Wanted::of(&portal.text);
@@ -409,14 +424,14 @@
     }
 
     /// The query with the host ended otherwise.
-    pub fn failed(&mut self, trouble: &Trouble, out: &mut BytesMut) {
+    pub fn failed(&mut self, trouble: &Diagnostic, out: &mut BytesMut) {
         if !self.running() {
             return;
         }
         self.queue.clear();
         trouble.put(out);
         if self.simple {
-            back::ready(b'I', out);
+            backend_messages::put_ready_for_query(b'I', out);
             self.phase = Phase::Ready;
         } else {
             self.phase = Phase::Skipping;
@@ -428,7 +443,7 @@
         while let Some(giving) = self.queue.front_mut() {
             let columns = giving.plan.columns();
             if !giving.described && !columns.is_empty() {
-                back::row_description(&columns, &[], out);
+                backend_messages::put_row_description(&columns, &[], out);
             }
             giving.described = true;
             let rows = giving.plan.rows();
@@ -448,16 +463,16 @@
                 self.tell_load(load, Some(work_ms), out);
             }
             if suspended {
-                back::portal_suspended(out);
+                backend_messages::put_portal_suspended(out);
                 if let Some(portal) = portal.and_then(|name| self.portals.get_mut(&name)) {
                     portal.next = next;
                 }
             } else {
-                back::complete(&tag, out);
+                backend_messages::put_command_complete(&tag, out);
             }
         }
         if self.simple {
-            back::ready(b'I', out);
+            backend_messages::put_ready_for_query(b'I', out);
         }
         self.phase = Phase::Ready;
     }
--- a/crates/engine-emulator/src/stand.rs
+++ b/crates/engine-emulator/src/stand.rs
@@ -10,7 +10,7 @@
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
 use std::collections::BTreeMap;
-use wheelfield_pg::back::Trouble;
+use wheelfield_pg::backend_messages::Diagnostic;
 use wheelfield_sans_io::{ConnId, ConnectionTable};
 
 /// Bytes of a session's input that wait to be read.
@@ -367,8 +367,8 @@
             None
         };
         let mut trouble = match turned_away {
-            Some((state, message)) => Some(Trouble::error(state, message)),
-            None => wanted.sqlstate.as_ref().map(|state| Trouble::error(state, "as was asked for")),
+            Some((state, message)) => Some(Diagnostic::error(state, message)),
+            None => wanted.sqlstate.as_ref().map(|state| Diagnostic::error(state, "as was asked for")),
         };
         if trouble.is_none() && job.work <= 0.0 {
             // What costs nothing needs no model.
@@ -386,12 +386,12 @@
                     c.work = Some(Work { job: number, query: query.clone(), class: wanted.class });
                 }
             } else {
-                trouble = Some(Trouble::error("53300", "too many sessions"));
+                trouble = Some(Diagnostic::error("53300", "too many sessions"));
             }
         }
         if let Some(trouble) = trouble {
-            let refused = matches!(trouble.state.as_str(), "53300" | "57P03");
-            let state = Some(trouble.state.clone());
+            let refused = matches!(trouble.sqlstate.as_str(), "53300" | "57P03");
+            let state = Some(trouble.sqlstate.clone());
             let event = if refused { "refused" } else { "errored" };
             self.note(now, event, Entry { query, by, state, ..Entry::default() });
             if let Some(c) = self.connections.get_mut(id) {
@@ -417,7 +417,7 @@
         self.note(now, "dropped", entry);
         if let Some(c) = self.connections.get_mut(id) {
             c.session.tell_load(load, None, &mut c.output);
-            let trouble = Trouble::error("57014", "canceling statement due to user request");
+            let trouble = Diagnostic::error("57014", "canceling statement due to user request");
             c.session.failed(&trouble, &mut c.output);
         }
         self.carry_out(now);
--- a/crates/load/src/runner.rs
+++ b/crates/load/src/runner.rs
@@ -15,7 +15,7 @@
 use std::sync::mpsc::{sync_channel, SyncSender, TryRecvError};
 use std::time::Duration;
 use wheelfield_net::{Clock, Stream};
-use wheelfield_pg::{back, frame, front};
+use wheelfield_pg::{backend_messages, frame, frontend_messages};
 
 /// Read from a connection at a time.
 const READ: usize = 256 << 10;
@@ -295,7 +295,7 @@
             self.script.streams[stream as usize].tenants.get(tenant).map_or(plans.user.as_str(), |t| &t.name);
         let hello =
             [("user", user), ("database", plans.database.as_str()), ("application_name", "wheelfield-load")];
-        front::put_startup(&hello, &mut self.links[id].stream.output);
+        frontend_messages::put_startup(&hello, &mut self.links[id].stream.output);
     }
 
     fn write(&mut self, conn: usize, send: usize, job: u64, left: i64) {
@@ -309,20 +309,23 @@
         let Some(link) = self.links.get_mut(id) else { return };
         let out = &mut link.stream.output;
         match stream.protocol {
-            Protocol::Simple => front::put_query(&text, out),
+            Protocol::Simple => frontend_messages::put_query(&text, out),
             Protocol::Extended => {
-                front::put(&Parse::new(None, text, Vec::new()), out);
-                front::put(&Bind::new(None, None, Vec::new(), Vec::new(), Vec::new()), out);
-                front::put(&Execute::new(None, 0), out);
-                front::put(&Sync::new(), out);
+                frontend_messages::put(&Parse::new(None, text, Vec::new()), out);
+                frontend_messages::put(&Bind::new(None, None, Vec::new(), Vec::new(), Vec::new()), out);
+                frontend_messages::put(&Execute::new(None, 0), out);
+                frontend_messages::put(&Sync::new(), out);
             }
             Protocol::Prepared => {
                 if !std::mem::replace(&mut link.prepared, true) {
-                    front::put(&Parse::new(Some("s".into()), text, Vec::new()), out);
+                    frontend_messages::put(&Parse::new(Some("s".into()), text, Vec::new()), out);
                 }
-                front::put(&Bind::new(None, Some("s".into()), Vec::new(), Vec::new(), Vec::new()), out);
-                front::put(&Execute::new(None, 0), out);
-                front::put(&Sync::new(), out);
+                frontend_messages::put(
+                    &Bind::new(None, Some("s".into()), Vec::new(), Vec::new(), Vec::new()),
+                    out,
+                );
+                frontend_messages::put(&Execute::new(None, 0), out);
+                frontend_messages::put(&Sync::new(), out);
             }
         }
         if link.stream.flush().is_err() {
@@ -336,7 +339,7 @@
         let Ok(target) = link.stream.peer_address() else { return };
         if let Some(id) = self.link(target, None, None) {
             let link = &mut self.links[id];
-            front::put_cancel(pid, &key, &mut link.stream.output);
+            frontend_messages::put_cancel(pid, &key, &mut link.stream.output);
         }
     }
 
@@ -368,7 +371,7 @@
         loop {
             let Some(link) = self.links.get_mut(id).filter(|l| !l.gone) else { return };
             failed |= link.stream.fill(READ, &mut self.scratch).is_err();
-            match frame::take(&mut link.stream.input, READ) {
+            match frame::take_message(&mut link.stream.input, READ) {
                 Ok(Some((tag, message))) => self.on_message(id, tag, &message),
                 Ok(None) => break,
                 Err(_) => {
@@ -390,7 +393,7 @@
         let Some(conn) = link.conn else { return };
         match tag {
             b'K' => {
-                if let Ok(key) = back::key_of(message) {
+                if let Ok(key) = backend_messages::parse_backend_key_data(message) {
                     link.key = key;
                 }
             }
@@ -399,7 +402,7 @@
                 return self.broke(id);
             }
             b'E' => {
-                let (state, _) = back::trouble(message).unwrap_or_default();
+                let (state, _) = backend_messages::parse_sqlstate_and_message(message).unwrap_or_default();
                 let text = String::from_utf8_lossy(message);
                 let advice = text.split("retry_after_ms=").nth(1);
                 link.advice =
--- a/crates/pg-gateway/src/cancels.rs
+++ b/crates/pg-gateway/src/cancels.rs
@@ -4,7 +4,7 @@
 use crate::timer_event::TimerEvent;
 use bytes::Bytes;
 use std::net::SocketAddr;
-use wheelfield_pg::front;
+use wheelfield_pg::frontend_messages;
 use wheelfield_sans_io::ConnectionBuffer;
 use wheelfield_sans_io::{ConnId, ConnectionTable, TimerKey};
 
@@ -49,7 +49,7 @@
             return false;
         }
         let mut wire = ConnectionBuffer::default();
-        front::put_cancel(*pid, key, &mut wire.output);
+        frontend_messages::put_cancel(*pid, key, &mut wire.output);
         let id = self.all.insert(Request { wire, session, timer: None });
         if let Some(r) = self.all.get_mut(id) {
             r.timer = Some(out.set_timer_after(patience, TimerEvent::Cancel(id)));
--- a/crates/pg-gateway/src/clients.rs
+++ b/crates/pg-gateway/src/clients.rs
@@ -10,8 +10,8 @@
 use tracing::{debug, info};
 use wheelfield::interface::QueryId;
 use wheelfield_config::Config;
-use wheelfield_pg::back::Trouble;
-use wheelfield_pg::client::{self, Ask, Session, Unit};
+use wheelfield_pg::backend_messages::Diagnostic;
+use wheelfield_pg::client::{self, ClientEvent, Session, Unit};
 use wheelfield_sans_io::ConnectionBuffer;
 use wheelfield_sans_io::{ConnId, ConnectionTable, TimerKey};
 
@@ -51,7 +51,7 @@
 impl Client {
     /// Bytes of it that may wait to be taken.
     fn limit(&self, message: usize) -> usize {
-        match self.session.running() {
+        match self.session.is_running() {
             _ if self.last => 0,
             true => READ_AHEAD,
             false => message + READ_AHEAD,
@@ -91,7 +91,11 @@
             keys: BTreeMap::new(),
             next_pid: 0,
             chance,
-            limits: client::Limits { message: l.message, statements: l.statements, held: l.prepared },
+            limits: client::Limits {
+                message_bytes: l.message,
+                statements: l.statements,
+                stored_bytes: l.prepared,
+            },
             most: l.clients,
             buffer: l.buffer,
             startup: config.timing.startup.0,
@@ -124,8 +128,8 @@
         let Some(c) = self.all.get_mut(id) else { return id };
         if crowded {
             self.counts.turned_away += 1;
-            let trouble = Trouble::fatal("53300", "too many clients").hint("come back in some seconds");
-            c.session.end(&trouble, &mut c.wire.output);
+            let trouble = Diagnostic::fatal("53300", "too many clients").hint("come back in some seconds");
+            c.session.close_with_error(&trouble, &mut c.wire.output);
             c.wire.flush(id, out);
         } else {
             c.startup = Some(out.set_timer_after(self.startup, TimerEvent::Startup(id)));
@@ -141,7 +145,7 @@
 
     /// Bytes that may come from a client now.
     pub fn room(&mut self, id: ConnId) -> usize {
-        let message = self.limits.message;
+        let message = self.limits.message_bytes;
         self.all.get_mut(id).map_or(0, |c| {
             let limit = c.limit(message);
             c.wire.read_capacity(limit)
@@ -150,7 +154,7 @@
 
     /// Reads a client's messages up to the first thing that must be done for it.
     pub fn next(&mut self, id: ConnId, out: &mut EffectQueue) -> Option<Said> {
-        let message = self.limits.message;
+        let message = self.limits.message_bytes;
         let c = self.all.get_mut(id)?;
         while !c.last {
             match c.session.feed(&mut c.wire.input, &mut c.wire.output) {
@@ -161,31 +165,31 @@
                     info!(%fault, "client ended");
                 }
                 Ok(None) => {
-                    if c.wire.read_closed || (c.wire.peer_closing && c.session.running()) {
+                    if c.wire.read_closed || (c.wire.peer_closing && c.session.is_running()) {
                         return Some(Said::Gone);
                     }
                     let limit = c.limit(message);
                     c.wire.resume_reading(id, limit, out);
                     break;
                 }
-                Ok(Some(Ask::Started(who))) => {
+                Ok(Some(ClientEvent::Started(who))) => {
                     out.cancel_timer(&mut c.startup);
                     debug!(user = %who.user, database = %who.database, application = %who.application, "client");
                 }
-                Ok(Some(Ask::Run(unit))) => return Some(Said::Run(unit)),
-                Ok(Some(Ask::More { frames, swallow, sealed })) => {
+                Ok(Some(ClientEvent::Run(unit))) => return Some(Said::Run(unit)),
+                Ok(Some(ClientEvent::More { frames, suppress_acks, is_last })) => {
                     if let Some(query) = c.running {
-                        return Some(Said::More(query, frames, swallow, sealed));
+                        return Some(Said::More(query, frames, suppress_acks, is_last));
                     }
                 }
-                Ok(Some(Ask::Cancel { pid, key })) => {
+                Ok(Some(ClientEvent::Cancel { pid, key })) => {
                     c.last = true;
                     return Some(Said::Cancel(pid, key));
                 }
-                Ok(Some(Ask::Closed)) => c.last = true,
+                Ok(Some(ClientEvent::Closed)) => c.last = true,
             }
         }
-        if c.last && (c.session.running() || c.wire.output.is_empty()) {
+        if c.last && (c.session.is_running() || c.wire.output.is_empty()) {
             return Some(Said::Gone);
         }
         c.wire.flush(id, out);
@@ -228,10 +232,10 @@
     }
 
     /// A client's unit ended without an answer of an engine. Look at its [`Clients::next`].
-    pub fn unserved(&mut self, id: ConnId, trouble: &Trouble) {
+    pub fn unserved(&mut self, id: ConnId, trouble: &Diagnostic) {
         if let Some(c) = self.all.get_mut(id) {
             c.running = None;
-            c.session.unserved(trouble, &mut c.wire.output);
+            c.session.unit_failed(trouble, &mut c.wire.output);
         }
     }
 
@@ -239,7 +243,7 @@
     pub fn served(&mut self, id: ConnId, errored: bool) {
         if let Some(c) = self.all.get_mut(id) {
             c.running = None;
-            c.session.served(errored, &mut c.wire.output);
+            c.session.unit_completed(errored, &mut c.wire.output);
         }
     }
 
@@ -293,10 +297,11 @@
 
     /// A client has not introduced itself in time.
     pub fn startup_late(&mut self, id: ConnId, out: &mut EffectQueue) {
-        let Some(c) = self.all.get_mut(id).filter(|c| !c.session.started()) else { return };
+        let Some(c) = self.all.get_mut(id).filter(|c| !c.session.is_started()) else { return };
         c.startup = None;
         out.saw(Coverage::ClientStartupLate);
-        c.session.end(&Trouble::fatal("08P01", "no startup packet in time"), &mut c.wire.output);
+        c.session
+            .close_with_error(&Diagnostic::fatal("08P01", "no startup packet in time"), &mut c.wire.output);
         c.last = true;
         c.wire.flush(id, out);
     }
@@ -313,8 +318,9 @@
     pub fn end(&mut self, id: ConnId, out: &mut EffectQueue) {
         let Some(c) = self.all.get_mut(id).filter(|c| c.running.is_none() && !c.last) else { return };
         out.saw(Coverage::ClientStopped);
-        let trouble = Trouble::fatal("57P01", "the controller stops").hint("connect again, to another one");
-        c.session.end(&trouble, &mut c.wire.output);
+        let trouble =
+            Diagnostic::fatal("57P01", "the controller stops").hint("connect again, to another one");
+        c.session.close_with_error(&trouble, &mut c.wire.output);
         c.last = true;
         c.wire.flush(id, out);
     }
--- a/crates/pg-gateway/src/dispatcher/attempts.rs
+++ b/crates/pg-gateway/src/dispatcher/attempts.rs
@@ -89,8 +89,8 @@
         let accepted = client.filter(|_| self.tape.decision_engine().may_answer(attempt));
         let Some(s) = self.engines.sessions.get_mut(session) else { return };
         if let Some(sink) = accepted.and_then(|c| self.clients.sink(c)) {
-            if !s.backend.begun() {
-                s.backend.begin(sink);
+            if !s.backend.response_started() {
+                s.backend.start_response(sink);
             }
         }
         let reported_work = s.backend.work_ms().map(|ms| ms / 1e3);
--- a/crates/pg-gateway/src/dispatcher/queries.rs
+++ b/crates/pg-gateway/src/dispatcher/queries.rs
@@ -10,7 +10,7 @@
 use tracing::{debug, info, warn};
 use wheelfield::interface::{Micros, QueryId};
 use wheelfield_driver::{Answer, AttemptOptions, Input};
-use wheelfield_pg::back::Trouble;
+use wheelfield_pg::backend_messages::Diagnostic;
 use wheelfield_pg::client::Unit;
 use wheelfield_sans_io::ConnId;
 
@@ -67,7 +67,7 @@
     }
 
     /// The client's query ends here; nobody else answers it.
-    fn give_up(&mut self, id: ConnId, query: QueryId, trouble: &Trouble) {
+    fn give_up(&mut self, id: ConnId, query: QueryId, trouble: &Diagnostic) {
         self.units.take(query);
         self.engines.detach(query, &mut self.out);
         self.tape.handle_input(self.out.now, Input::Abandoned(query));
--- a/crates/pg-gateway/src/engine_sessions.rs
+++ b/crates/pg-gateway/src/engine_sessions.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 use wheelfield::interface::{EngineId, QueryId};
 use wheelfield_driver::{AttemptId, AttemptOptions};
-use wheelfield_pg::backend::{Backend, Heard};
-use wheelfield_pg::front;
+use wheelfield_pg::backend::{Backend, BackendEvent};
+use wheelfield_pg::frontend_messages;
 use wheelfield_sans_io::ConnectionBuffer;
 use wheelfield_sans_io::{ConnId, ConnectionTable, TimerKey};
 
@@ -69,7 +69,7 @@
 
     /// The session is clean and nothing is to be done on it. `early` is a planted fault: a cancel under way is no hindrance.
     pub fn free(&self, early: bool) -> bool {
-        self.job.is_none() && (early || !self.cancelling) && self.backend.idle()
+        self.job.is_none() && (early || !self.cancelling) && self.backend.is_idle()
     }
 }
 
@@ -82,7 +82,7 @@
     /// It is of no more use, for this reason.
     Lost(String),
     /// Something that must be known; read on after it.
-    Heard(Heard),
+    Heard(BackendEvent),
 }
 
 /// All sessions with all engines.
@@ -170,7 +170,7 @@
     /// Part of a long row has gone to the client of a query: nothing else can be told it.
     pub fn amid_row(&self, query: QueryId) -> bool {
         let of = AttemptId { query, number: 0 }..=AttemptId { query, number: usize::MAX };
-        self.flights.range(of).any(|(_, id)| self.get(*id).is_some_and(|s| s.backend.amid_row()))
+        self.flights.range(of).any(|(_, id)| self.get(*id).is_some_and(|s| s.backend.is_mid_row()))
     }
 
     /// An attempt is over on its session.
@@ -196,10 +196,10 @@
         s.terms = if change { unit.terms } else { s.terms };
         let of = &unit.unit;
         let bytes = &mut s.wire.output;
-        s.backend.run(set.as_deref(), &of.frames, &of.swallow, of.open, bytes);
+        s.backend.run(set.as_deref(), &of.frames, &of.suppress_acks, of.open, bytes);
         for (i, (frames, swallow)) in unit.more.iter().enumerate() {
             let sealed = unit.sealed && i + 1 == unit.more.len();
-            s.backend.more(frames, swallow, sealed, bytes);
+            s.backend.append(frames, swallow, sealed, bytes);
         }
         s.unsent = Some(bytes.len());
         s.progress = out.now;
@@ -212,7 +212,7 @@
     pub fn put_own(&mut self, id: ConnId, job: Job, text: &str, out: &mut EffectQueue) {
         let Some(s) = self.all.get_mut(id) else { return };
         let mut frames = BytesMut::new();
-        front::put_query(text, &mut frames);
+        frontend_messages::put_query(text, &mut frames);
         s.job = Some(job);
         s.backend.run(None, &frames, &[], false, &mut s.wire.output);
         s.wire.flush(id, out);
@@ -229,7 +229,7 @@
     ) {
         for id in self.carriers(query) {
             if let Some(s) = self.all.get_mut(id) {
-                s.backend.more(frames, swallow, sealed, &mut s.wire.output);
+                s.backend.append(frames, swallow, sealed, &mut s.wire.output);
                 s.wire.flush(id, out);
             }
         }
@@ -241,7 +241,7 @@
         let Some(s) = self.all.get_mut(id) else { return Fed::Dry };
         let mut nobody = BytesMut::new();
         let sink = sink.unwrap_or(&mut nobody);
-        let (before, begun) = (s.wire.input.len(), s.backend.begun());
+        let (before, begun) = (s.wire.input.len(), s.backend.response_started());
         let heard = match s.backend.feed(&mut s.wire.input, sink, room) {
             Ok(heard) => heard,
             Err(fault) => return Fed::Lost(fault.to_string()),
@@ -252,7 +252,7 @@
             s.long = false;
         }
         s.paused = false;
-        if heard != Heard::Nothing {
+        if heard != BackendEvent::Pending {
             return Fed::Heard(heard);
         }
         if let Some(client) = s.client().filter(|_| begun && sink.len() >= room) {
--- a/crates/pg-gateway/src/engines.rs
+++ b/crates/pg-gateway/src/engines.rs
@@ -16,7 +16,7 @@
 use wheelfield::interface::{AttemptUpdate, EngineId, LoadReport, Outcome, QueryId};
 use wheelfield_config::Config;
 use wheelfield_driver::{AttemptId, AttemptOptions};
-use wheelfield_pg::backend::{self, Heard};
+use wheelfield_pg::backend::{self, BackendEvent, QUERY_CANCELED};
 use wheelfield_sans_io::ConnId;
 
 /// A session whose answer nobody wants must come clean within so many microseconds, where engines heed no cancels: the query
@@ -216,39 +216,39 @@
     }
 
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
-    fn heard(&mut self, id: ConnId, heard: Heard, out: &mut EffectQueue) {
+    fn heard(&mut self, id: ConnId, heard: BackendEvent, out: &mut EffectQueue) {
         let Some(s) = self.sessions.get_mut(id) else { return };
         let engine = s.engine;
         match heard {
-            Heard::Nothing => {}
-            Heard::Started => {
+            BackendEvent::Pending => {}
+            BackendEvent::Started => {
                 if let Some(pool) = self.pools.get_mut(engine) {
                     pool.connecting = pool.connecting.saturating_sub(1);
                 }
                 self.rest(id, out);
             }
-            Heard::TurnedAway { state, message } => {
+            BackendEvent::StartupFailed { sqlstate: state, message } => {
                 let outcome = if state.starts_with("53") { Outcome::Full } else { Outcome::ConnectFailed };
                 self.lost(id, outcome, &format!("{state} {message}"), out);
             }
-            Heard::Begins => match s.job {
+            BackendEvent::ResponseStarted => match s.job {
                 Some(Job::Attempt { id: attempt, client: Some(client) }) => {
                     self.words.push_back(Word::Begins(id, attempt, client));
                 }
                 _ => self.discard(id, out),
             },
-            Heard::Note(note) => {
+            BackendEvent::QueryStatus(note) => {
                 if let Some(Job::Attempt { id: attempt, .. }) = s.job {
                     let note = match note {
-                        backend::Note::Progress(share) => AttemptUpdate::Progress(share),
-                        backend::Note::Spills(mb) => AttemptUpdate::Spills(mb),
-                        backend::Note::WaitsForMemory => AttemptUpdate::WaitsForMemory,
-                        backend::Note::WaitsForLoad => AttemptUpdate::WaitsForLoad,
+                        backend::QueryStatus::Progress(share) => AttemptUpdate::Progress(share),
+                        backend::QueryStatus::Spills(mb) => AttemptUpdate::Spills(mb),
+                        backend::QueryStatus::WaitsForMemory => AttemptUpdate::WaitsForMemory,
+                        backend::QueryStatus::WaitsForLoad => AttemptUpdate::WaitsForLoad,
                     };
                     self.words.push_back(Word::Noted(attempt, note));
                 }
             }
-            Heard::Served { errored, clean } => match s.job.take() {
+            BackendEvent::Completed { has_query_error: errored, reusable: clean } => match s.job.take() {
                 Some(Job::Attempt { id: attempt, client }) => {
                     self.sessions.landed(attempt);
                     self.words.push_back(Word::Served { session: id, attempt, client, errored, clean });
@@ -261,12 +261,12 @@
                     self.over(id, clean, out);
                 }
             },
-            Heard::Troubled { state, message, clean } => {
-                let begun = s.backend.begun();
+            BackendEvent::EngineError { sqlstate: state, message, reusable: clean } => {
+                let begun = s.backend.response_started();
                 let report = report(s.backend.load());
                 let outcome = match state.as_str() {
                     "53300" | "57P03" if !begun => Outcome::Full,
-                    backend::CANCELLED => Outcome::Cancelled,
+                    QUERY_CANCELED => Outcome::Cancelled,
                     _ => Outcome::Error,
                 };
                 out.saw(if outcome == Outcome::Full {
@@ -285,7 +285,7 @@
                 }
                 self.over(id, clean, out);
             }
-            Heard::Dropped { clean } => {
+            BackendEvent::Discarded { reusable: clean } => {
                 let report = report(s.backend.load());
                 if let Some(Job::Attempt { id: attempt, .. }) = s.job.take() {
                     self.sessions.landed(attempt);
@@ -301,7 +301,7 @@
     pub fn begin(&mut self, id: ConnId, sink: &mut BytesMut, out: &mut EffectQueue) {
         let stall = self.timing.stall.0;
         if let Some(s) = self.sessions.get_mut(id) {
-            s.backend.begin(sink);
+            s.backend.start_response(sink);
             out.reset_timer(&mut s.timer, stall, TimerEvent::Stall(id));
         }
     }
@@ -322,14 +322,14 @@
     /// A session broke, or never came about.
     pub fn lost(&mut self, id: ConnId, outcome: Outcome, reason: &str, out: &mut EffectQueue) {
         let Some(s) = self.sessions.get_mut(id) else { return };
-        let (engine, starting) = (s.engine, s.backend.starting());
+        let (engine, starting) = (s.engine, s.backend.is_starting());
         let job = s.job;
         // What the engine told before it went is more than that it went.
-        let outcome = match s.backend.last_words() {
-            Some((state, _)) if outcome == Outcome::Reset && state != backend::CANCELLED => Outcome::Error,
+        let outcome = match s.backend.take_engine_error() {
+            Some((state, _)) if outcome == Outcome::Reset && state != QUERY_CANCELED => Outcome::Error,
             _ => outcome,
         };
-        let (amid_row, unsent) = (s.backend.amid_row(), s.unsent.is_some());
+        let (amid_row, unsent) = (s.backend.is_mid_row(), s.unsent.is_some());
         out.saw(match job {
             _ if starting => Coverage::LostStarting,
             None => Coverage::LostIdle,
@@ -359,7 +359,7 @@
     /// Its socket broke.
     pub fn broken(&mut self, id: ConnId, writing: bool, reason: &str, out: &mut EffectQueue) {
         let Some(s) = self.sessions.get(id) else { return };
-        let unsent = s.backend.starting() || (writing && s.unsent.is_some());
+        let unsent = s.backend.is_starting() || (writing && s.unsent.is_some());
         self.lost(id, if unsent { Outcome::ConnectFailed } else { Outcome::Reset }, reason, out);
     }
 
@@ -375,7 +375,7 @@
     /// Closes a session; whatever it did is not told.
     fn drop(&mut self, id: ConnId, out: &mut EffectQueue) {
         if let Some(s) = self.sessions.remove(id, out) {
-            self.pools.closed(s.engine, id, s.backend.starting());
+            self.pools.closed(s.engine, id, s.backend.is_starting());
         }
     }
 
@@ -389,7 +389,7 @@
         };
         out.saw(Coverage::Withdrawn);
         if let Some(s) = self.sessions.get_mut(id) {
-            s.backend.cancelling();
+            s.backend.mark_cancelled();
         }
         if !wanted {
             self.discard(id, out);
@@ -475,7 +475,7 @@
 
     /// An engine has not let us in in time.
     pub fn connect_late(&mut self, id: ConnId, out: &mut EffectQueue) {
-        if self.sessions.get(id).is_some_and(|s| s.backend.starting()) {
+        if self.sessions.get(id).is_some_and(|s| s.backend.is_starting()) {
             out.saw(Coverage::ConnectLate);
             self.lost(id, Outcome::ConnectFailed, "no session in time", out);
         }
--- a/crates/pg-gateway/src/injected_faults.rs
+++ b/crates/pg-gateway/src/injected_faults.rs
@@ -8,7 +8,7 @@
 use crate::in_flight::InFlightQueries;
 use wheelfield::interface::{EngineId, ExecutionSemantics, QueryId};
 use wheelfield_driver::AttemptId;
-use wheelfield_pg::front;
+use wheelfield_pg::frontend_messages;
 use wheelfield_sans_io::ConnId;
 
 /// Sends a unit to engines that should not have it, as an attempt of it starts. How often it did.
@@ -41,7 +41,7 @@
         };
         let Some(unit) = units.get(attempt.query) else { return sent };
         // A batch has no text of its own to be sent a second time.
-        if let Ok(text) = front::query_text(&unit.unit.frames) {
+        if let Ok(text) = frontend_messages::query_text(&unit.unit.frames) {
             engines.sessions.put_own(id, Job::Aside, text, out);
             sent += 1;
         }
--- a/crates/pg-gateway/src/route.rs
+++ b/crates/pg-gateway/src/route.rs
@@ -23,7 +23,7 @@
 /// The class of a query: its own hint, the first selector that matches, or the default. Descriptions have their own.
 fn class_of(config: &Config, who: &Identity, unit: &Unit, hints: &Hints<'_>, ignored: &mut u32) -> usize {
     let route = &config.route;
-    if unit.describes {
+    if unit.describe_only {
         return route.describe_class;
     }
     if let Some(name) = &hints.class {
@@ -59,7 +59,7 @@
         key.truncate(end);
     }
     // A description says of its statement what that will cost, not of itself.
-    let runs = !unit.describes;
+    let runs = !unit.describe_only;
     let arrival = Arrival {
         class,
         tenant: config.names.tenants.iter().position(|t| *t == who.user),
--- a/crates/pg-gateway/tests/common/mod.rs
+++ b/crates/pg-gateway/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use wheelfield_driver::{Driver, DriverLimits};
 use wheelfield_engine_emulator::setup::Setup;
 use wheelfield_engine_emulator::stand::{Do, Stand};
-use wheelfield_pg::front;
+use wheelfield_pg::frontend_messages;
 use wheelfield_pg_gateway::{Effect, GatewayEvent, Listener, PgGateway, Start};
 use wheelfield_sans_io::ConnId;
 use wheelfield_sans_io::{BreakCause, IoEvent, Protocol as _};
@@ -273,13 +273,13 @@
 
 pub fn startup() -> Vec<u8> {
     let mut out = BytesMut::new();
-    front::put_startup(&[("user", "me"), ("database", "lab")], &mut out);
+    frontend_messages::put_startup(&[("user", "me"), ("database", "lab")], &mut out);
     out.to_vec()
 }
 
 pub fn query(text: &str) -> Vec<u8> {
     let mut out = BytesMut::new();
-    front::put_query(text, &mut out);
+    frontend_messages::put_query(text, &mut out);
     out.to_vec()
 }
 
--- a/crates/pg/src/backend.rs
+++ b/crates/pg/src/backend.rs
@@ -4,14 +4,14 @@
 //! From the first row on bytes go through as they come, a row in parts if it is long. An answer that nobody wants
 //! any more is read and dropped, and the session is used again only once it is clean.
 
-use crate::back::{self, Trouble};
-use crate::frame::{self, Header, Malformed};
-use crate::front;
+use crate::backend_messages::{self, Diagnostic};
+use crate::frame::{self, Header, ProtocolError};
+use crate::frontend_messages;
 use bytes::{Buf, Bytes, BytesMut};
 use std::collections::VecDeque;
 
 /// SQLSTATE of a query that ended as it was asked to.
-pub const CANCELLED: &str = "57014";
+pub const QUERY_CANCELED: &str = "57014";
 /// Bytes of an answer held back before its first row goes out.
 const HELD: usize = 16 << 10;
 /// Longest message, but for rows, that an engine may send.
@@ -36,7 +36,7 @@
 
 /// Word on the query that runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum QueryStatus {
     /// Share of it done.
     Progress(f64),
     /// It spills, for want of so many MB.
@@ -49,42 +49,42 @@
 
 /// What came of reading.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard {
+pub enum BackendEvent {
     /// More bytes are needed, or more room for them.
-    Nothing,
+    Pending,
     /// The session is ready for its first unit.
     Started,
     /// The engine does not let us in.
-    TurnedAway {
+    StartupFailed {
         /// Its SQLSTATE.
-        state: String,
+        sqlstate: String,
         /// Its words.
         message: String,
     },
-    /// The answer's first row is here. Call [`Backend::begin`] or [`Backend::discard`], and read on.
-    Begins,
+    /// The answer's first row is here. Call [`Backend::start_response`] or [`Backend::discard`], and read on.
+    ResponseStarted,
     /// Word on the query that runs.
-    Note(Note),
+    QueryStatus(QueryStatus),
     /// The unit is over and was served, if with an error of SQL. What was held back is to be released.
-    Served {
+    Completed {
         /// An error of the query's own was part of the answer.
-        errored: bool,
+        has_query_error: bool,
         /// The session may be used again.
-        clean: bool,
+        reusable: bool,
     },
     /// The engine's own trouble ended the unit.
-    Troubled {
+    EngineError {
         /// Its SQLSTATE.
-        state: String,
+        sqlstate: String,
         /// Its words.
         message: String,
         /// The session may be used again.
-        clean: bool,
+        reusable: bool,
     },
     /// A unit that nobody wants any more is over.
-    Dropped {
+    Discarded {
         /// The session may be used again.
-        clean: bool,
+        reusable: bool,
     },
 }
 
@@ -130,7 +130,10 @@
 impl Backend {
     /// A session about to start; the startup packet is appended to `out`.
     pub fn start(user: &str, database: &str, application: &str, out: &mut BytesMut) -> Backend {
-        front::put_startup(&[("user", user), ("database", database), ("application_name", application)], out);
+        frontend_messages::put_startup(
+            &[("user", user), ("database", database), ("application_name", application)],
+            out,
+        );
         Backend {
             phase: Phase::Starting(0),
             key: None,
@@ -151,12 +154,12 @@
     }
 
     /// Ready for a unit.
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.phase == Phase::Idle
     }
 
     /// Not yet past its startup.
-    pub fn starting(&self) -> bool {
+    pub fn is_starting(&self) -> bool {
         matches!(self.phase, Phase::Starting(_))
     }
 
@@ -176,12 +179,12 @@
     }
 
     /// The unit's answer has begun to go to the client.
-    pub fn begun(&self) -> bool {
+    pub fn response_started(&self) -> bool {
         self.begun
     }
 
     /// Starts a unit on an idle session; `settings`, if any, are set before it. `swallow` is as in
-    /// [`crate::client::Unit::swallow`].
+    /// [`crate::client::Unit::suppress_acks`].
     pub fn run(
         &mut self,
         settings: Option<&str>,
@@ -190,10 +193,10 @@
         open: bool,
         out: &mut BytesMut,
     ) {
-        debug_assert!(self.idle());
+        debug_assert!(self.is_idle());
         self.phase = Phase::Busy;
         if let Some(settings) = settings {
-            front::put_query(settings, out);
+            frontend_messages::put_query(settings, out);
             self.phase = Phase::Prelude;
         }
         out.extend_from_slice(frames);
@@ -207,14 +210,14 @@
     }
 
     /// More of an open unit.
-    pub fn more(&mut self, frames: &[u8], swallow: &[bool], sealed: bool, out: &mut BytesMut) {
+    pub fn append(&mut self, frames: &[u8], swallow: &[bool], sealed: bool, out: &mut BytesMut) {
         out.extend_from_slice(frames);
         self.swallow.extend(swallow);
         self.sealed |= sealed;
     }
 
     /// The answer may go to the client: what was held back goes first.
-    pub fn begin(&mut self, sink: &mut BytesMut) {
+    pub fn start_response(&mut self, sink: &mut BytesMut) {
         self.asks = false;
         self.begun = true;
         sink.extend_from_slice(&self.held);
@@ -228,12 +231,12 @@
         self.held = BytesMut::new();
         self.tail = Bytes::new();
         if !std::mem::replace(&mut self.sealed, true) {
-            back::put_bare(b'S', out);
+            backend_messages::put_empty_message(b'S', out);
         }
     }
 
     /// A request to end the unit was sent: if the engine says that it did, that is no error of the query.
-    pub fn cancelling(&mut self) {
+    pub fn mark_cancelled(&mut self) {
         self.cancelled = true;
     }
 
@@ -241,28 +244,33 @@
     /// time. Stops at the first thing that the host must know.
     ///
     /// # Errors
-    /// [`Malformed`] for what is not of the protocol; the session is of no more use.
+    /// [`ProtocolError`] for what is not of the protocol; the session is of no more use.
     pub fn feed(
         &mut self,
         input: &mut BytesMut,
         sink: &mut BytesMut,
         room: usize,
-    ) -> Result<Heard, Malformed> {
+    ) -> Result<BackendEvent, ProtocolError> {
         self.read(input, sink, room).inspect_err(|_| self.phase = Phase::Closed)
     }
 
-    fn read(&mut self, input: &mut BytesMut, sink: &mut BytesMut, room: usize) -> Result<Heard, Malformed> {
+    fn read(
+        &mut self,
+        input: &mut BytesMut,
+        sink: &mut BytesMut,
+        room: usize,
+    ) -> Result<BackendEvent, ProtocolError> {
         loop {
             if self.phase == Phase::Closed {
-                return Ok(Heard::Nothing);
+                return Ok(BackendEvent::Pending);
             }
             if self.begun && sink.len() >= room && !self.dropped {
-                return Ok(Heard::Nothing);
+                return Ok(BackendEvent::Pending);
             }
             if self.passing > 0 {
                 let n = self.passing.min(input.len());
                 if n == 0 {
-                    return Ok(Heard::Nothing);
+                    return Ok(BackendEvent::Pending);
                 }
                 let part = input.split_to(n);
                 self.passing -= n;
@@ -271,7 +279,7 @@
                 }
                 continue;
             }
-            let Some(Header { tag, whole }) = frame::header(input)? else { return Ok(self.dry()) };
+            let Some(Header { tag, whole }) = frame::parse_header(input)? else { return Ok(self.dry()) };
             if tag == b'D' && self.phase == Phase::Busy {
                 if let Some(heard) = self.row(whole, input, sink) {
                     return Ok(heard);
@@ -279,7 +287,11 @@
                 continue;
             }
             if whole > LONGEST {
-                return Err(Malformed::TooLong { tag: frame::shown(tag), length: whole, limit: LONGEST });
+                return Err(ProtocolError::MessageTooLong {
+                    tag: frame::printable_tag(tag),
+                    length: whole,
+                    limit: LONGEST,
+                });
             }
             if input.len() < whole {
                 return Ok(self.dry());
@@ -292,16 +304,16 @@
     }
 
     /// Nothing whole is left to read: a row that waits in the held part is told.
-    fn dry(&mut self) -> Heard {
+    fn dry(&mut self) -> BackendEvent {
         if self.asks {
-            Heard::Begins
+            BackendEvent::ResponseStarted
         } else {
-            Heard::Nothing
+            BackendEvent::Pending
         }
     }
 
     /// Takes a row, or its part that is there.
-    fn row(&mut self, whole: usize, input: &mut BytesMut, sink: &mut BytesMut) -> Option<Heard> {
+    fn row(&mut self, whole: usize, input: &mut BytesMut, sink: &mut BytesMut) -> Option<BackendEvent> {
         let there = whole.min(input.len());
         self.release(sink);
         if self.dropped {
@@ -309,7 +321,7 @@
             self.passing = whole - there;
         } else if self.begun && there < whole && whole <= HELD {
             // A short row goes whole, so that an engine lost in its middle leaves the client a place for the error.
-            return Some(Heard::Nothing);
+            return Some(BackendEvent::Pending);
         } else if self.begun {
             sink.extend_from_slice(&input[..there]);
             input.advance(there);
@@ -318,12 +330,12 @@
             // Short answers are often whole in one read: then the client's answer and its end are one.
             self.asks = true;
             if there < whole {
-                return Some(Heard::Begins);
+                return Some(BackendEvent::ResponseStarted);
             }
             self.held.extend_from_slice(&input[..whole]);
             input.advance(whole);
         } else {
-            return Some(Heard::Begins);
+            return Some(BackendEvent::ResponseStarted);
         }
         None
     }
@@ -336,7 +348,7 @@
         }
     }
 
-    fn forward(&mut self, message: &Bytes, sink: &mut BytesMut) -> Result<(), Malformed> {
+    fn forward(&mut self, message: &Bytes, sink: &mut BytesMut) -> Result<(), ProtocolError> {
         if self.dropped {
             return Ok(());
         }
@@ -348,43 +360,50 @@
         self.held.extend_from_slice(message);
         // Descriptions and notices without end would grow what is held.
         if self.held.len() > LONGEST {
-            return Err(Malformed::Unexpected("over a megabyte before the first row"));
+            return Err(ProtocolError::Unexpected("over a megabyte before the first row"));
         }
         Ok(())
     }
 
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
-    fn message(&mut self, tag: u8, message: Bytes, sink: &mut BytesMut) -> Result<Option<Heard>, Malformed> {
+    fn message(
+        &mut self,
+        tag: u8,
+        message: Bytes,
+        sink: &mut BytesMut,
+    ) -> Result<Option<BackendEvent>, ProtocolError> {
         match (tag, self.phase) {
-            (b'S', _) => return Ok(self.told(&message)?.map(Heard::Note)),
+            (b'S', _) => return Ok(self.told(&message)?.map(BackendEvent::QueryStatus)),
             (b'A', _) => {}
             (b'N', Phase::Busy) => self.forward(&message, sink)?,
             (b'N', _) => {}
             (b'E', Phase::Starting(_)) => {
-                let (state, message) = back::trouble(&message)?;
+                let (sqlstate, message) = backend_messages::parse_sqlstate_and_message(&message)?;
                 self.phase = Phase::Closed;
-                return Ok(Some(Heard::TurnedAway { state, message }));
+                return Ok(Some(BackendEvent::StartupFailed { sqlstate, message }));
             }
             (_, Phase::Starting(n)) => {
                 if n >= MOST_AT_STARTUP {
-                    return Err(Malformed::Unexpected("a startup without end"));
+                    return Err(ProtocolError::Unexpected("a startup without end"));
                 }
                 self.phase = Phase::Starting(n + 1);
                 match tag {
                     b'R' if message.len() >= 9 && message[5..9] == [0, 0, 0, 0] => {}
-                    b'R' => return Err(Malformed::Unexpected("the engine asks for a password")),
-                    b'K' => self.key = Some(back::key_of(&message)?),
+                    b'R' => return Err(ProtocolError::Unexpected("the engine asks for a password")),
+                    b'K' => self.key = Some(backend_messages::parse_backend_key_data(&message)?),
                     b'v' => {}
                     b'Z' => {
                         self.phase = Phase::Idle;
-                        return Ok(Some(Heard::Started));
+                        return Ok(Some(BackendEvent::Started));
                     }
-                    _ => return Err(Malformed::Unknown(frame::shown(tag))),
+                    _ => return Err(ProtocolError::UnknownMessageType(frame::printable_tag(tag))),
                 }
             }
             (b'Z', Phase::Prelude) => self.phase = Phase::Busy,
             (b'C' | b'I', Phase::Prelude) => {}
-            (b'E', Phase::Prelude) => self.trouble = Some(back::trouble(&message)?),
+            (b'E', Phase::Prelude) => {
+                self.trouble = Some(backend_messages::parse_sqlstate_and_message(&message)?)
+            }
             (b'1' | b'2', Phase::Busy) => {
                 if !self.swallow.pop_front().unwrap_or(false) {
                     self.forward(&message, sink)?;
@@ -402,8 +421,8 @@
             }
             (b'E', Phase::Busy) => {
                 self.swallow.clear();
-                let (state, text) = back::trouble(&message)?;
-                if of_the_engine(&state) || (self.cancelled && state == CANCELLED) {
+                let (state, text) = backend_messages::parse_sqlstate_and_message(&message)?;
+                if of_the_engine(&state) || (self.cancelled && state == QUERY_CANCELED) {
                     self.trouble = Some((state, text));
                 } else {
                     self.errored = true;
@@ -417,44 +436,44 @@
                 return Ok(Some(self.over(message.get(5) == Some(&b'I'))));
             }
             (b'E', Phase::Idle) => {
-                let (state, message) = back::trouble(&message)?;
+                let (sqlstate, message) = backend_messages::parse_sqlstate_and_message(&message)?;
                 self.phase = Phase::Closed;
-                return Ok(Some(Heard::Troubled { state, message, clean: false }));
+                return Ok(Some(BackendEvent::EngineError { sqlstate, message, reusable: false }));
             }
-            _ => return Err(Malformed::Unknown(frame::shown(tag))),
+            _ => return Err(ProtocolError::UnknownMessageType(frame::printable_tag(tag))),
         }
         // A trouble of the engine that ends the connection brings no end of the unit.
         Ok(None)
     }
 
-    fn over(&mut self, idle: bool) -> Heard {
-        let clean = idle && self.sealed;
-        self.phase = if clean { Phase::Idle } else { Phase::Closed };
+    fn over(&mut self, idle: bool) -> BackendEvent {
+        let reusable = idle && self.sealed;
+        self.phase = if reusable { Phase::Idle } else { Phase::Closed };
         self.asks = false;
         self.swallow.clear();
         if self.dropped {
             self.dropped = false;
-            return Heard::Dropped { clean };
+            return BackendEvent::Discarded { reusable };
         }
         match self.trouble.take() {
-            Some((state, message)) => Heard::Troubled { state, message, clean },
-            None => Heard::Served { errored: self.errored, clean },
+            Some((sqlstate, message)) => BackendEvent::EngineError { sqlstate, message, reusable },
+            None => BackendEvent::Completed { has_query_error: self.errored, reusable },
         }
     }
 
     /// A long row has gone to the client in part: nothing else can be told it before the rest.
-    pub fn amid_row(&self) -> bool {
+    pub fn is_mid_row(&self) -> bool {
         self.passing > 0 && !self.dropped
     }
 
     /// A trouble that the engine told before it closed the connection.
-    pub fn last_words(&mut self) -> Option<(String, String)> {
+    pub fn take_engine_error(&mut self) -> Option<(String, String)> {
         self.trouble.take()
     }
 
     /// The engine tells its load, the work done, or how the query goes on.
-    fn told(&mut self, message: &[u8]) -> Result<Option<Note>, Malformed> {
-        let (name, value) = back::parameter_of(message)?;
+    fn told(&mut self, message: &[u8]) -> Result<Option<QueryStatus>, ProtocolError> {
+        let (name, value) = backend_messages::parse_parameter_status(message)?;
         let Some(name) = name.strip_prefix("wheelfield.") else { return Ok(None) };
         let number = value.parse::<f64>().ok().filter(|x| x.is_finite() && *x >= 0.0);
         match name {
@@ -465,10 +484,10 @@
             "disks" => self.load.disks = number,
             "work_ms" => self.work_ms = number,
             _ if self.phase != Phase::Busy || self.dropped => {}
-            "progress" => return Ok(number.map(Note::Progress)),
-            "spills" => return Ok(number.map(Note::Spills)),
-            "waits" if value == "memory" => return Ok(Some(Note::WaitsForMemory)),
-            "waits" if value == "load" => return Ok(Some(Note::WaitsForLoad)),
+            "progress" => return Ok(number.map(QueryStatus::Progress)),
+            "spills" => return Ok(number.map(QueryStatus::Spills)),
+            "waits" if value == "memory" => return Ok(Some(QueryStatus::WaitsForMemory)),
+            "waits" if value == "load" => return Ok(Some(QueryStatus::WaitsForLoad)),
             _ => {}
         }
         Ok(None)
@@ -476,6 +495,6 @@
 }
 
 /// What a client is told of an engine's trouble that broke its answer.
-pub fn broken(detail: &str) -> Trouble {
-    Trouble::error("08007", "the answer broke off: the engine was lost").detail(detail)
+pub fn interrupted_response(detail: &str) -> Diagnostic {
+    Diagnostic::error("08007", "the answer broke off: the engine was lost").detail(detail)
 }
--- a/crates/pg/src/client.rs
+++ b/crates/pg/src/client.rs
@@ -5,10 +5,10 @@
 //! anew, without a name, on whichever engine a unit goes to. While a unit runs, the session reads no further
 //! messages, except those of a batch that was flushed and is still open.
 
-use crate::back::{self, Trouble};
-use crate::chatter::Settings;
-use crate::frame::Malformed;
-use crate::front::{self, Front, Opening};
+use crate::backend_messages::{self, Diagnostic};
+use crate::frame::ProtocolError;
+use crate::frontend_messages::{self, FrontendMessage, StartupPacket};
+use crate::local_statements::Settings;
 use crate::sql::{self, Hints, Kind};
 use bytes::{Bytes, BytesMut};
 use pgwire::messages::extendedquery::{Bind, Close, Describe, Execute, Parse};
@@ -20,16 +20,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Bytes of one message.
-    pub message: usize,
+    pub message_bytes: usize,
     /// Prepared statements.
     pub statements: usize,
     /// Bytes of prepared statements, and of a batch.
-    pub held: usize,
+    pub stored_bytes: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { message: 1 << 20, statements: 256, held: 4 << 20 }
+        Limits { message_bytes: 1 << 20, statements: 256, stored_bytes: 4 << 20 }
     }
 }
 
@@ -74,11 +74,11 @@
     /// What to write to the engine.
     pub frames: Bytes,
     /// For each `ParseComplete` or `BindComplete` in turn, whether it is kept from the client.
-    pub swallow: Vec<bool>,
+    pub suppress_acks: Vec<bool>,
     /// More of it will come.
     pub open: bool,
     /// It asks for descriptions and runs nothing.
-    pub describes: bool,
+    pub describe_only: bool,
     text: Text,
 }
 
@@ -92,7 +92,7 @@
     /// The text of its first statement.
     pub fn text(&self) -> &str {
         match &self.text {
-            Text::Frame => front::query_text(&self.frames).unwrap_or(""),
+            Text::Frame => frontend_messages::query_text(&self.frames).unwrap_or(""),
             Text::Statement(statement) => &statement.text,
         }
     }
@@ -100,7 +100,7 @@
 
 /// What a session asks of its host.
 #[derive(Debug)]
-pub enum Ask {
+pub enum ClientEvent {
     /// The client has introduced itself.
     Started(Identity),
     /// Run a unit, and tell its end.
@@ -109,10 +109,10 @@
     More {
         /// What to write to the engine.
         frames: Bytes,
-        /// As in [`Unit::swallow`], for what is added.
-        swallow: Vec<bool>,
+        /// As in [`Unit::suppress_acks`], for what is added.
+        suppress_acks: Vec<bool>,
         /// Nothing more will come.
-        sealed: bool,
+        is_last: bool,
     },
     /// End the query of another session; this connection is done.
     Cancel {
@@ -132,7 +132,7 @@
     /// The batch goes on.
     Resume,
     /// The batch ends in an error of our own.
-    Trouble(Trouble),
+    Error(Diagnostic),
 }
 
 #[derive(Debug)]
@@ -194,8 +194,8 @@
 enum Step {
     Done,
     /// What is pending must be over before this message.
-    Barrier(Front),
-    Ask(Ask),
+    Barrier(FrontendMessage),
+    Ask(ClientEvent),
 }
 
 /// The state of one client's session.
@@ -210,7 +210,7 @@
     statements: BTreeMap<String, Arc<Statement>>,
     statement_bytes: usize,
     batch: Batch,
-    pending: Option<Front>,
+    pending: Option<FrontendMessage>,
 }
 
 impl Session {
@@ -236,17 +236,17 @@
     }
 
     /// The client has introduced itself.
-    pub fn started(&self) -> bool {
+    pub fn is_started(&self) -> bool {
         !matches!(self.phase, Phase::Opening(_))
     }
 
     /// A unit of this session runs.
-    pub fn running(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         matches!(self.phase, Phase::Running { .. })
     }
 
     /// The session is over.
-    pub fn closed(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         matches!(self.phase, Phase::Closed)
     }
 
@@ -269,40 +269,50 @@
     /// that the host must do. Call it again after that, or when more has come.
     ///
     /// # Errors
-    /// [`Malformed`] for what is not of the protocol; the client was told, and the session is closed.
-    pub fn feed(&mut self, input: &mut BytesMut, out: &mut BytesMut) -> Result<Option<Ask>, Malformed> {
+    /// [`ProtocolError`] for what is not of the protocol; the client was told, and the session is closed.
+    pub fn feed(
+        &mut self,
+        input: &mut BytesMut,
+        out: &mut BytesMut,
+    ) -> Result<Option<ClientEvent>, ProtocolError> {
         self.read(input, out).inspect_err(|fault| {
             // What is no startup packet at all mostly shows as one far too long.
-            let too_long = matches!(fault, Malformed::TooLong { tag, .. } if *tag != '-');
+            let too_long = matches!(fault, ProtocolError::MessageTooLong { tag, .. } if *tag != '-');
             let state = if too_long { "54000" } else { "08P01" };
-            Trouble::fatal(state, fault.to_string()).put(out);
+            Diagnostic::fatal(state, fault.to_string()).put(out);
             self.phase = Phase::Closed;
         })
     }
 
-    fn read(&mut self, input: &mut BytesMut, out: &mut BytesMut) -> Result<Option<Ask>, Malformed> {
+    fn read(
+        &mut self,
+        input: &mut BytesMut,
+        out: &mut BytesMut,
+    ) -> Result<Option<ClientEvent>, ProtocolError> {
         loop {
             match self.phase {
                 Phase::Closed | Phase::Running { open: false, .. } => return Ok(None),
                 Phase::Opening(seen) => {
                     let Some(packet) = crate::frame::take_startup(input)? else { return Ok(None) };
                     if seen >= MOST_OPENINGS {
-                        return Err(Malformed::Unexpected("a startup without end"));
+                        return Err(ProtocolError::Unexpected("a startup without end"));
                     }
                     self.phase = Phase::Opening(seen + 1);
-                    match front::opening(&packet)? {
-                        Opening::Ssl | Opening::Gss => out.extend_from_slice(b"N"),
-                        Opening::Cancel { pid, key } => {
+                    match frontend_messages::parse_startup_packet(&packet)? {
+                        StartupPacket::SslRequest | StartupPacket::GssEncRequest => {
+                            out.extend_from_slice(b"N")
+                        }
+                        StartupPacket::CancelRequest { pid, key } => {
                             self.phase = Phase::Closed;
-                            return Ok(Some(Ask::Cancel { pid, key }));
+                            return Ok(Some(ClientEvent::Cancel { pid, key }));
                         }
-                        Opening::Startup(startup) => return Ok(self.start(startup, out)),
+                        StartupPacket::StartupMessage(startup) => return Ok(self.start(startup, out)),
                     }
                 }
                 Phase::Ready | Phase::Skipping | Phase::Running { .. } => {
                     let message = match self.pending.take() {
                         Some(message) => message,
-                        None => match front::take(input, self.limits.message)? {
+                        None => match frontend_messages::take_message(input, self.limits.message_bytes)? {
                             Some(message) => message,
                             None => return Ok(None),
                         },
@@ -315,68 +325,68 @@
         }
     }
 
-    fn start(&mut self, startup: Startup, out: &mut BytesMut) -> Option<Ask> {
+    fn start(&mut self, startup: Startup, out: &mut BytesMut) -> Option<ClientEvent> {
         let get = |name: &str| startup.parameters.get(name).cloned().unwrap_or_default();
         let user = get("user");
         let fault = if user.is_empty() {
-            Some(Trouble::fatal("28000", "no user name in the startup packet"))
+            Some(Diagnostic::fatal("28000", "no user name in the startup packet"))
         } else if startup.parameters.contains_key("replication") {
-            Some(Trouble::fatal("0A000", "replication is not spoken here"))
+            Some(Diagnostic::fatal("0A000", "replication is not spoken here"))
         } else {
             None
         };
         if let Some(fault) = fault {
             fault.put(out);
             self.phase = Phase::Closed;
-            return Some(Ask::Closed);
+            return Some(ClientEvent::Closed);
         }
         let database = Some(get("database")).filter(|d| !d.is_empty()).unwrap_or_else(|| user.clone());
         let unknown: Vec<String> =
             startup.parameters.keys().filter(|k| k.starts_with("_pq_.")).cloned().collect();
         if startup.protocol_number_minor > 0 || !unknown.is_empty() {
-            back::negotiate(0, unknown, out);
+            backend_messages::put_negotiate_protocol_version(0, unknown, out);
         }
         let own = ["user", "database", "options"];
         let given = startup.parameters.iter().map(|(k, v)| (k.as_str(), v.as_str()));
         let given = given.filter(|(k, _)| !own.contains(k) && !k.starts_with("_pq_."));
         self.settings = Settings::new(&user, &database, self.pid, given);
         self.identity = Identity { user, database, application: get("application_name") };
-        back::authentication_ok(out);
+        backend_messages::put_authentication_ok(out);
         for (name, value) in self.settings.reported() {
-            back::parameter(&name, &value, out);
+            backend_messages::put_parameter_status(&name, &value, out);
         }
-        back::key_data(self.pid, self.key, out);
-        back::ready(b'I', out);
+        backend_messages::put_backend_key_data(self.pid, self.key, out);
+        backend_messages::put_ready_for_query(b'I', out);
         self.phase = Phase::Ready;
-        Some(Ask::Started(self.identity.clone()))
+        Some(ClientEvent::Started(self.identity.clone()))
     }
 
-    fn message(&mut self, message: Front, out: &mut BytesMut) -> Option<Ask> {
-        if matches!(message, Front::Terminate) {
+    fn message(&mut self, message: FrontendMessage, out: &mut BytesMut) -> Option<ClientEvent> {
+        if matches!(message, FrontendMessage::Terminate) {
             self.phase = Phase::Closed;
-            return Some(Ask::Closed);
+            return Some(ClientEvent::Closed);
         }
         if matches!(self.phase, Phase::Skipping) {
-            if matches!(message, Front::Sync) {
-                back::ready(b'I', out);
+            if matches!(message, FrontendMessage::Sync) {
+                backend_messages::put_ready_for_query(b'I', out);
                 self.batch = Batch::default();
                 self.phase = Phase::Ready;
             }
             return None;
         }
         let step = match message {
-            Front::Query(frame) if !self.batch.engine => Ok(self.simple(frame, out)),
-            Front::Query(_) => Ok(Step::Barrier(message)),
-            Front::Parse(parse) => self.parse(parse, out),
-            Front::Bind(bind) => self.bind(bind, out),
-            Front::Describe(describe) => self.describe(describe, out),
-            Front::Execute(execute) => self.execute(execute, out),
-            Front::Close(close) => self.close(close, out),
-            Front::Flush => Ok(self.flush()),
-            Front::Sync => Ok(self.sync(out)),
-            Front::Copy | Front::Terminate => Ok(Step::Done),
-            Front::FunctionCall => {
-                Err(Trouble::error("0A000", "calls of functions by number are not spoken here"))
+            FrontendMessage::Query(frame) if !self.batch.engine => Ok(self.simple(frame, out)),
+            FrontendMessage::Query(_) => Ok(Step::Barrier(message)),
+            FrontendMessage::Parse(parse) => self.parse(parse, out),
+            FrontendMessage::Bind(bind) => self.bind(bind, out),
+            FrontendMessage::Describe(describe) => self.describe(describe, out),
+            FrontendMessage::Execute(execute) => self.execute(execute, out),
+            FrontendMessage::Close(close) => self.close(close, out),
+            FrontendMessage::Flush => Ok(self.flush()),
+            FrontendMessage::Sync => Ok(self.sync(out)),
+            FrontendMessage::Copy | FrontendMessage::Terminate => Ok(Step::Done),
+            FrontendMessage::FunctionCall => {
+                Err(Diagnostic::error("0A000", "calls of functions by number are not spoken here"))
             }
         };
         match step {
@@ -386,7 +396,7 @@
                 self.pending = Some(message);
                 Some(self.seal(Then::Resume))
             }
-            Err(trouble) if self.batch.engine => Some(self.seal(Then::Trouble(trouble))),
+            Err(trouble) if self.batch.engine => Some(self.seal(Then::Error(trouble))),
             Err(trouble) => {
                 trouble.put(out);
                 self.phase = Phase::Skipping;
@@ -396,41 +406,41 @@
     }
 
     /// Ends the unit at hand with a Sync of our own.
-    fn seal(&mut self, then: Then) -> Ask {
-        back::put_bare(b'S', &mut self.batch.frames);
+    fn seal(&mut self, then: Then) -> ClientEvent {
+        backend_messages::put_empty_message(b'S', &mut self.batch.frames);
         self.hand_over(false, then)
     }
 
     /// Hands over what the batch holds, as a unit or as more of the one that runs.
-    fn hand_over(&mut self, open: bool, then: Then) -> Ask {
+    fn hand_over(&mut self, open: bool, then: Then) -> ClientEvent {
         let more = matches!(self.phase, Phase::Running { .. });
         self.phase = Phase::Running { open, then };
         let frames = self.batch.frames.split().freeze();
-        let swallow = std::mem::take(&mut self.batch.swallow);
+        let suppress_acks = std::mem::take(&mut self.batch.swallow);
         if more {
-            return Ask::More { frames, swallow, sealed: !open };
+            return ClientEvent::More { frames, suppress_acks, is_last: !open };
         }
         let text = self.batch.first.clone().map_or(Text::Frame, Text::Statement);
-        Ask::Run(Unit { frames, swallow, open, describes: !self.batch.runs, text })
+        ClientEvent::Run(Unit { frames, suppress_acks, open, describe_only: !self.batch.runs, text })
     }
 
     fn simple(&mut self, frame: Bytes, out: &mut BytesMut) -> Step {
-        let text = front::query_text(&frame).unwrap_or("");
+        let text = frontend_messages::query_text(&frame).unwrap_or("");
         let kind = sql::kind(text);
         self.batch = Batch::default();
         match kind {
             Kind::Engine => {
                 self.phase = Phase::Running { open: false, then: Then::Ready };
-                let (swallow, text) = (Vec::new(), Text::Frame);
-                return Step::Ask(Ask::Run(Unit {
+                let (suppress_acks, text) = (Vec::new(), Text::Frame);
+                return Step::Ask(ClientEvent::Run(Unit {
                     frames: frame,
-                    swallow,
+                    suppress_acks,
                     open: false,
-                    describes: false,
+                    describe_only: false,
                     text,
                 }));
             }
-            Kind::Empty => back::empty_query(out),
+            Kind::Empty => backend_messages::put_empty_query_response(out),
             Kind::Local => {
                 for statement in sql::statements(text) {
                     if let Err(trouble) = self.answer(statement, &[], true, out) {
@@ -441,7 +451,7 @@
             }
             other => unsupported(other).put(out),
         }
-        back::ready(b'I', out);
+        backend_messages::put_ready_for_query(b'I', out);
         Step::Done
     }
 
@@ -452,16 +462,16 @@
         formats: &[i16],
         describe: bool,
         out: &mut BytesMut,
-    ) -> Result<(), Trouble> {
+    ) -> Result<(), Diagnostic> {
         let reply = self.settings.answer(statement)?;
-        let folded = sql::folded(statement);
+        let folded = sql::normalized(statement);
         let of = folded.strip_prefix("deallocate ").map(|of| of.strip_prefix("prepare ").unwrap_or(of));
         match of {
             Some(name) if name != "all" => {
                 let name = name.trim_matches('"');
                 let Some(statement) = self.statements.remove(name) else {
                     let message = format!("prepared statement \"{name}\" does not exist");
-                    return Err(Trouble::error("26000", message));
+                    return Err(Diagnostic::error("26000", message));
                 };
                 self.statement_bytes -= statement.frame.len() + statement.text.len();
             }
@@ -473,24 +483,24 @@
         }
         reply.notices.iter().for_each(|n| n.put(out));
         if describe && !reply.columns.is_empty() {
-            back::row_description(&reply.columns, formats, out);
+            backend_messages::put_row_description(&reply.columns, formats, out);
         }
         for row in &reply.rows {
-            back::row(row.iter().map(|v| Some(v.as_bytes())), out);
+            backend_messages::put_data_row(row.iter().map(|v| Some(v.as_bytes())), out);
         }
-        back::complete(&reply.tag, out);
+        backend_messages::put_command_complete(&reply.tag, out);
         if let Some((name, value)) = &reply.reported {
-            back::parameter(name, value, out);
+            backend_messages::put_parameter_status(name, value, out);
         }
         Ok(())
     }
 
     // --- batches ---
 
-    fn parse(&mut self, parse: Parse, out: &mut BytesMut) -> Result<Step, Trouble> {
+    fn parse(&mut self, parse: Parse, out: &mut BytesMut) -> Result<Step, Diagnostic> {
         let name = parse.name.clone().unwrap_or_default();
         if !name.is_empty() && self.statements.contains_key(&name) {
-            return Err(Trouble::error("42P05", format!("prepared statement \"{name}\" already exists")));
+            return Err(Diagnostic::error("42P05", format!("prepared statement \"{name}\" already exists")));
         }
         let kind = sql::kind(&parse.query);
         match kind {
@@ -498,21 +508,22 @@
             Kind::Local if sql::statements(&parse.query).len() == 1 => {}
             Kind::Local => {
                 let message = "cannot insert multiple commands into a prepared statement";
-                return Err(Trouble::error("42601", message));
+                return Err(Diagnostic::error("42601", message));
             }
             other => return Err(unsupported(other)),
         }
         let (mut frame, text) = (BytesMut::new(), parse.query.clone());
-        front::put(&Parse::new(None, parse.query, parse.type_oids), &mut frame);
+        frontend_messages::put(&Parse::new(None, parse.query, parse.type_oids), &mut frame);
         let size = frame.len() + text.len();
         let replaced = self.statements.get(&name).map_or(0, |s| s.frame.len() + s.text.len());
-        if self.statement_bytes - replaced + size > self.limits.held
+        if self.statement_bytes - replaced + size > self.limits.stored_bytes
             || self.statements.len() >= self.limits.statements
         {
-            let Limits { statements, held, .. } = self.limits;
-            let message =
-                format!("over {statements} prepared statements, or {held} bytes of them, in one session");
-            return Err(Trouble::error("53400", message).hint("DEALLOCATE some of them"));
+            let Limits { statements, stored_bytes, .. } = self.limits;
+            let message = format!(
+                "over {statements} prepared statements, or {stored_bytes} bytes of them, in one session"
+            );
+            return Err(Diagnostic::error("53400", message).hint("DEALLOCATE some of them"));
         }
         self.statement_bytes = self.statement_bytes - replaced + size;
         let statement = Arc::new(Statement { text, frame: frame.freeze(), kind });
@@ -524,32 +535,32 @@
             // An own statement amid those of an engine: its acknowledgement would overtake them.
             return Ok(Step::Ask(self.seal_and_acknowledge()));
         } else {
-            back::parse_complete(out);
+            backend_messages::put_parse_complete(out);
         }
         Ok(Step::Done)
     }
 
     /// Runs what is pending; the acknowledgement of the Parse at hand follows it.
-    fn seal_and_acknowledge(&mut self) -> Ask {
+    fn seal_and_acknowledge(&mut self) -> ClientEvent {
         self.batch.acknowledge = true;
         self.seal(Then::Resume)
     }
 
-    fn bind(&mut self, bind: Bind, out: &mut BytesMut) -> Result<Step, Trouble> {
+    fn bind(&mut self, bind: Bind, out: &mut BytesMut) -> Result<Step, Diagnostic> {
         let name = bind.statement_name.clone().unwrap_or_default();
         let statement = self.known(&name)?;
         if self.batch.engine && statement.kind != Kind::Engine {
-            return Ok(Step::Barrier(Front::Bind(bind)));
+            return Ok(Step::Barrier(FrontendMessage::Bind(bind)));
         }
         let portal = bind.portal_name.clone().unwrap_or_default();
         if self.batch.portals.len() >= MOST_PORTALS && !self.batch.portals.contains_key(&portal) {
-            return Err(Trouble::error("53400", format!("over {MOST_PORTALS} portals in one batch")));
+            return Err(Diagnostic::error("53400", format!("over {MOST_PORTALS} portals in one batch")));
         }
         let formats = bind.result_column_format_codes.clone();
         let mut frame = BytesMut::new();
         let mut bind = bind;
         bind.statement_name = None;
-        front::put(&bind, &mut frame);
+        frontend_messages::put(&bind, &mut frame);
         let frame = frame.freeze();
         let sent = self.batch.engine;
         if sent {
@@ -557,24 +568,26 @@
             self.batch.frames.extend_from_slice(&frame);
             self.batch.swallow.push(false);
         } else {
-            back::bind_complete(out);
+            backend_messages::put_bind_complete(out);
         }
         self.batch.portals.insert(portal, Portal { statement, frame, formats, sent });
         self.bounded()?;
         Ok(Step::Done)
     }
 
-    fn known(&self, name: &str) -> Result<Arc<Statement>, Trouble> {
+    fn known(&self, name: &str) -> Result<Arc<Statement>, Diagnostic> {
         let found = self.statements.get(name).cloned();
-        found.ok_or_else(|| Trouble::error("26000", format!("prepared statement \"{name}\" does not exist")))
+        found.ok_or_else(|| {
+            Diagnostic::error("26000", format!("prepared statement \"{name}\" does not exist"))
+        })
     }
 
-    fn bound(&self, name: &str) -> Result<&Portal, Trouble> {
+    fn bound(&self, name: &str) -> Result<&Portal, Diagnostic> {
         let found = self.batch.portals.get(name);
-        found.ok_or_else(|| Trouble::error("34000", format!("portal \"{name}\" does not exist")))
+        found.ok_or_else(|| Diagnostic::error("34000", format!("portal \"{name}\" does not exist")))
     }
 
-    fn describe(&mut self, describe: Describe, out: &mut BytesMut) -> Result<Step, Trouble> {
+    fn describe(&mut self, describe: Describe, out: &mut BytesMut) -> Result<Step, Diagnostic> {
         let name = describe.name.clone().unwrap_or_default();
         let of_statement = describe.target_type == b'S';
         let (statement, formats) = if of_statement {
@@ -585,35 +598,35 @@
         };
         if statement.kind != Kind::Engine {
             if self.batch.engine {
-                return Ok(Step::Barrier(Front::Describe(describe)));
+                return Ok(Step::Barrier(FrontendMessage::Describe(describe)));
             }
             if of_statement {
-                back::parameter_description(&[], out);
+                backend_messages::put_parameter_description(&[], out);
             }
             let columns = match statement.kind {
                 Kind::Local => self.settings.columns(&statement.text),
                 _ => Vec::new(),
             };
             if columns.is_empty() {
-                back::no_data(out);
+                backend_messages::put_no_data(out);
             } else {
-                back::row_description(&columns, &formats, out);
+                backend_messages::put_row_description(&columns, &formats, out);
             }
             return Ok(Step::Done);
         }
         self.batch.needs_engine(&statement, false);
         if of_statement {
             self.batch.statement(&statement, true);
-            front::put(&Describe::new(b'S', None), &mut self.batch.frames);
+            frontend_messages::put(&Describe::new(b'S', None), &mut self.batch.frames);
         } else {
             self.batch.portal(&name);
-            front::put(&describe, &mut self.batch.frames);
+            frontend_messages::put(&describe, &mut self.batch.frames);
         }
         self.bounded()?;
         Ok(Step::Done)
     }
 
-    fn execute(&mut self, execute: Execute, out: &mut BytesMut) -> Result<Step, Trouble> {
+    fn execute(&mut self, execute: Execute, out: &mut BytesMut) -> Result<Step, Diagnostic> {
         let name = execute.name.clone().unwrap_or_default();
         let portal = self.bound(&name)?;
         let (statement, formats) = (portal.statement.clone(), portal.formats.clone());
@@ -621,44 +634,44 @@
             Kind::Engine => {
                 self.batch.needs_engine(&statement, true);
                 self.batch.portal(&name);
-                front::put(&execute, &mut self.batch.frames);
+                frontend_messages::put(&execute, &mut self.batch.frames);
                 self.bounded()?;
             }
-            _ if self.batch.engine => return Ok(Step::Barrier(Front::Execute(execute))),
+            _ if self.batch.engine => return Ok(Step::Barrier(FrontendMessage::Execute(execute))),
             Kind::Local => self.answer(&statement.text, &formats, false, out)?,
-            _ => back::empty_query(out),
+            _ => backend_messages::put_empty_query_response(out),
         }
         Ok(Step::Done)
     }
 
-    fn close(&mut self, close: Close, out: &mut BytesMut) -> Result<Step, Trouble> {
+    fn close(&mut self, close: Close, out: &mut BytesMut) -> Result<Step, Diagnostic> {
         let name = close.name.clone().unwrap_or_default();
         if close.target_type == b'S' {
             if let Some(statement) = self.statements.remove(&name) {
                 self.statement_bytes -= statement.frame.len() + statement.text.len();
             }
             if self.batch.engine {
-                front::put(&Close::new(b'S', None), &mut self.batch.frames);
+                frontend_messages::put(&Close::new(b'S', None), &mut self.batch.frames);
                 self.batch.current = None;
             }
         } else {
             self.batch.portals.remove(&name);
             if self.batch.engine {
-                front::put(&close, &mut self.batch.frames);
+                frontend_messages::put(&close, &mut self.batch.frames);
             }
         }
         if !self.batch.engine {
-            back::close_complete(out);
+            backend_messages::put_close_complete(out);
         }
         self.bounded()?;
         Ok(Step::Done)
     }
 
-    fn bounded(&self) -> Result<(), Trouble> {
+    fn bounded(&self) -> Result<(), Diagnostic> {
         let binds: usize = self.batch.portals.values().map(|p| p.frame.len()).sum();
-        if self.batch.frames.len() + binds > self.limits.held {
-            let message = format!("a batch of over {} bytes", self.limits.held);
-            return Err(Trouble::error("54000", message).hint("send a Sync more often"));
+        if self.batch.frames.len() + binds > self.limits.stored_bytes {
+            let message = format!("a batch of over {} bytes", self.limits.stored_bytes);
+            return Err(Diagnostic::error("54000", message).hint("send a Sync more often"));
         }
         Ok(())
     }
@@ -671,7 +684,7 @@
             // Descriptions alone hold no state at the engine: they are a unit of their own.
             return Step::Ask(self.seal(Then::Resume));
         }
-        back::put_bare(b'H', &mut self.batch.frames);
+        backend_messages::put_empty_message(b'H', &mut self.batch.frames);
         Step::Ask(self.hand_over(true, Then::Ready))
     }
 
@@ -679,7 +692,7 @@
         if self.batch.engine {
             return Step::Ask(self.seal(Then::Ready));
         }
-        back::ready(b'I', out);
+        backend_messages::put_ready_for_query(b'I', out);
         self.batch = Batch::default();
         Step::Done
     }
@@ -688,15 +701,15 @@
 
     /// The unit was served: what the engine sent has gone to `out`, but for its `ReadyForQuery`. `errored` tells
     /// whether an error of the engine was part of it.
-    pub fn served(&mut self, errored: bool, out: &mut BytesMut) {
+    pub fn unit_completed(&mut self, errored: bool, out: &mut BytesMut) {
         let Phase::Running { then, .. } = std::mem::replace(&mut self.phase, Phase::Ready) else { return };
         match then {
             Then::Ready => {
-                back::ready(b'I', out);
+                backend_messages::put_ready_for_query(b'I', out);
                 self.batch = Batch::default();
             }
             _ if errored => self.skip(),
-            Then::Trouble(trouble) => {
+            Then::Error(trouble) => {
                 trouble.put(out);
                 self.skip();
             }
@@ -706,18 +719,18 @@
                 // Portals went with the Sync; their values are kept, and bound again where they are used.
                 batch.portals.values_mut().for_each(|p| p.sent = false);
                 if std::mem::take(&mut batch.acknowledge) {
-                    back::parse_complete(out);
+                    backend_messages::put_parse_complete(out);
                 }
             }
         }
     }
 
     /// The unit was refused, failed or cancelled: the client is told so.
-    pub fn unserved(&mut self, trouble: &Trouble, out: &mut BytesMut) {
+    pub fn unit_failed(&mut self, trouble: &Diagnostic, out: &mut BytesMut) {
         let Phase::Running { open, then } = std::mem::replace(&mut self.phase, Phase::Ready) else { return };
         trouble.put(out);
         if !open && matches!(then, Then::Ready) {
-            back::ready(b'I', out);
+            backend_messages::put_ready_for_query(b'I', out);
             self.batch = Batch::default();
         } else {
             self.skip();
@@ -732,15 +745,15 @@
     }
 
     /// The session ends with this error, as on a time-out of the startup or a stop of the controller.
-    pub fn end(&mut self, trouble: &Trouble, out: &mut BytesMut) {
-        if !self.closed() {
+    pub fn close_with_error(&mut self, trouble: &Diagnostic, out: &mut BytesMut) {
+        if !self.is_closed() {
             trouble.put(out);
             self.phase = Phase::Closed;
         }
     }
 }
 
-fn unsupported(kind: Kind) -> Trouble {
+fn unsupported(kind: Kind) -> Diagnostic {
     let (message, hint) = match kind {
         Kind::Transaction => (
             "transaction blocks are not supported: each statement runs by itself",
@@ -753,5 +766,5 @@
         ),
         _ => ("SET, SHOW and the like can't share a text with queries", "send them one by one"),
     };
-    Trouble::error("0A000", message).hint(hint)
+    Diagnostic::error("0A000", message).hint(hint)
 }
--- a/crates/pg/src/frame.rs
+++ b/crates/pg/src/frame.rs
@@ -7,10 +7,10 @@
 
 /// What can be wrong with a message.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Malformed {
+pub enum ProtocolError {
     /// Longer than allowed.
     #[error("a message '{tag}' of {length} bytes is over the limit of {limit}")]
-    TooLong {
+    MessageTooLong {
         /// Its type.
         tag: char,
         /// Its length in bytes.
@@ -20,7 +20,7 @@
     },
     /// A length that can't be.
     #[error("a message '{tag}' gives its length as {length}")]
-    Length {
+    InvalidLength {
         /// Its type.
         tag: char,
         /// What it says.
@@ -28,10 +28,10 @@
     },
     /// A type that is not of the protocol.
     #[error("a message of unknown type '{0}'")]
-    Unknown(char),
+    UnknownMessageType(char),
     /// The body does not hold what its type says.
     #[error("a message '{tag}' is ill-formed: {fault}")]
-    Body {
+    InvalidBody {
         /// Its type.
         tag: char,
         /// What is wrong.
@@ -42,8 +42,8 @@
     Unexpected(&'static str),
 }
 
-/// A type byte as it is shown to people.
-pub fn shown(tag: u8) -> char {
+/// A type byte as it is printable_tag to people.
+pub fn printable_tag(tag: u8) -> char {
     if tag.is_ascii_graphic() {
         tag as char
     } else {
@@ -66,24 +66,24 @@
 /// The header of the message at the start of `buf`; none if it is not there yet.
 ///
 /// # Errors
-/// [`Malformed::Length`] for a length below that of the length itself.
-pub fn header(buf: &[u8]) -> Result<Option<Header>, Malformed> {
+/// [`ProtocolError::InvalidLength`] for a length below that of the length itself.
+pub fn parse_header(buf: &[u8]) -> Result<Option<Header>, ProtocolError> {
     let Some((&[tag, a, b, c, d], _)) = buf.split_first_chunk::<HEADER>() else { return Ok(None) };
     let length = i32::from_be_bytes([a, b, c, d]);
     match usize::try_from(length) {
         Ok(n) if n >= 4 => Ok(Some(Header { tag, whole: n + 1 })),
-        _ => Err(Malformed::Length { tag: shown(tag), length: i64::from(length) }),
+        _ => Err(ProtocolError::InvalidLength { tag: printable_tag(tag), length: i64::from(length) }),
     }
 }
 
 /// Takes a whole message off the front of `buf`; none until all of it is there.
 ///
 /// # Errors
-/// [`Malformed`] for a length that can't be, or one over `limit` bytes.
-pub fn take(buf: &mut BytesMut, limit: usize) -> Result<Option<(u8, Bytes)>, Malformed> {
-    let Some(Header { tag, whole }) = header(buf)? else { return Ok(None) };
+/// [`ProtocolError`] for a length that can't be, or one over `limit` bytes.
+pub fn take_message(buf: &mut BytesMut, limit: usize) -> Result<Option<(u8, Bytes)>, ProtocolError> {
+    let Some(Header { tag, whole }) = parse_header(buf)? else { return Ok(None) };
     if whole > limit {
-        return Err(Malformed::TooLong { tag: shown(tag), length: whole, limit });
+        return Err(ProtocolError::MessageTooLong { tag: printable_tag(tag), length: whole, limit });
     }
     if buf.len() < whole {
         return Ok(None);
@@ -94,16 +94,16 @@
 /// Takes a startup packet, which has no type, off the front of `buf`.
 ///
 /// # Errors
-/// [`Malformed`] for a length that can't be.
-pub fn take_startup(buf: &mut BytesMut) -> Result<Option<Bytes>, Malformed> {
+/// [`ProtocolError`] for a length that can't be.
+pub fn take_startup(buf: &mut BytesMut) -> Result<Option<Bytes>, ProtocolError> {
     let Some((first, _)) = buf.split_first_chunk::<4>() else { return Ok(None) };
     let length = i32::from_be_bytes(*first);
     let whole = usize::try_from(length).unwrap_or(0);
     if whole < 8 {
-        return Err(Malformed::Length { tag: '-', length: i64::from(length) });
+        return Err(ProtocolError::InvalidLength { tag: '-', length: i64::from(length) });
     }
     if whole > MAX_STARTUP {
-        return Err(Malformed::TooLong { tag: '-', length: whole, limit: MAX_STARTUP });
+        return Err(ProtocolError::MessageTooLong { tag: '-', length: whole, limit: MAX_STARTUP });
     }
     Ok((buf.len() >= whole).then(|| buf.split_to(whole).freeze()))
 }
@@ -122,15 +122,15 @@
     }
 
     /// An error about this message.
-    pub fn wrong(&self, fault: &'static str) -> Malformed {
-        Malformed::Body { tag: shown(self.tag), fault }
+    pub fn wrong(&self, fault: &'static str) -> ProtocolError {
+        ProtocolError::InvalidBody { tag: printable_tag(self.tag), fault }
     }
 
     /// A text up to its NUL byte.
     ///
     /// # Errors
-    /// [`Malformed::Body`] without a NUL, or if it is not UTF-8.
-    pub fn text(&mut self) -> Result<&'a str, Malformed> {
+    /// [`ProtocolError::InvalidBody`] without a NUL, or if it is not UTF-8.
+    pub fn text(&mut self) -> Result<&'a str, ProtocolError> {
         let end =
             self.rest.iter().position(|b| *b == 0).ok_or_else(|| self.wrong("a text without its end"))?;
         let (text, rest) = self.rest.split_at(end);
@@ -141,8 +141,8 @@
     /// So many bytes.
     ///
     /// # Errors
-    /// [`Malformed::Body`] if there are fewer.
-    pub fn bytes(&mut self, n: usize) -> Result<&'a [u8], Malformed> {
+    /// [`ProtocolError::InvalidBody`] if there are fewer.
+    pub fn bytes(&mut self, n: usize) -> Result<&'a [u8], ProtocolError> {
         if self.rest.len() < n {
             return Err(self.wrong("shorter than its own counts"));
         }
@@ -154,32 +154,32 @@
     /// A byte.
     ///
     /// # Errors
-    /// [`Malformed::Body`] at the end.
-    pub fn byte(&mut self) -> Result<u8, Malformed> {
+    /// [`ProtocolError::InvalidBody`] at the end.
+    pub fn byte(&mut self) -> Result<u8, ProtocolError> {
         Ok(self.bytes(1)?[0])
     }
 
     /// A count of two bytes.
     ///
     /// # Errors
-    /// [`Malformed::Body`] at the end.
-    pub fn count(&mut self) -> Result<usize, Malformed> {
+    /// [`ProtocolError::InvalidBody`] at the end.
+    pub fn count(&mut self) -> Result<usize, ProtocolError> {
         Ok(usize::from(self.bytes(2)?.get_u16()))
     }
 
     /// A number of four bytes.
     ///
     /// # Errors
-    /// [`Malformed::Body`] at the end.
-    pub fn number(&mut self) -> Result<i32, Malformed> {
+    /// [`ProtocolError::InvalidBody`] at the end.
+    pub fn number(&mut self) -> Result<i32, ProtocolError> {
         Ok(self.bytes(4)?.get_i32())
     }
 
     /// Nothing may be left.
     ///
     /// # Errors
-    /// [`Malformed::Body`] if something is.
-    pub fn end(&self) -> Result<(), Malformed> {
+    /// [`ProtocolError::InvalidBody`] if something is.
+    pub fn end(&self) -> Result<(), ProtocolError> {
         if self.rest.is_empty() {
             Ok(())
         } else {
--- a/crates/pg/src/front.rs
+++ b/crates/pg/src/frontend_messages.rs
@@ -1,6 +1,6 @@
 //! Messages of a client. The codec trusts the counts inside a message, so their shape is checked first.
 
-use crate::frame::{self, Cursor, Malformed};
+use crate::frame::{self, Cursor, ProtocolError};
 use bytes::{Bytes, BytesMut};
 use pgwire::messages::cancel::CancelRequest;
 use pgwire::messages::extendedquery::{Bind, Close, Describe, Execute, Parse};
@@ -9,7 +9,7 @@
 
 /// A message of a client after its startup.
 #[derive(Debug)]
-pub enum Front {
+pub enum FrontendMessage {
     /// A simple query: the whole message and its text.
     Query(Bytes),
     /// Prepare a statement.
@@ -37,8 +37,8 @@
 /// The text of a simple query's message.
 ///
 /// # Errors
-/// [`Malformed`] if it is not a text with its end.
-pub fn query_text(message: &[u8]) -> Result<&str, Malformed> {
+/// [`ProtocolError`] if it is not a text with its end.
+pub fn query_text(message: &[u8]) -> Result<&str, ProtocolError> {
     let mut cursor = Cursor::over(message);
     let text = cursor.text()?;
     cursor.end()?;
@@ -47,40 +47,40 @@
 
 /// What opens a connection.
 #[derive(Debug)]
-pub enum Opening {
+pub enum StartupPacket {
     /// Asks for TLS.
-    Ssl,
+    SslRequest,
     /// Asks for GSS encryption.
-    Gss,
+    GssEncRequest,
     /// Asks that a query of another connection end.
-    Cancel {
+    CancelRequest {
         /// The process number given at startup.
         pid: i32,
         /// The key given at startup.
         key: Bytes,
     },
     /// Starts a session.
-    Startup(Startup),
+    StartupMessage(Startup),
 }
 
 /// Reads a packet that opens a connection.
 ///
 /// # Errors
-/// [`Malformed`] for what is none.
-pub fn opening(packet: &Bytes) -> Result<Opening, Malformed> {
+/// [`ProtocolError`] for what is none.
+pub fn parse_startup_packet(packet: &Bytes) -> Result<StartupPacket, ProtocolError> {
     const SSL: u32 = 80_877_103;
     const GSS: u32 = 80_877_104;
     const CANCEL: u32 = 80_877_102;
-    let wrong = |fault| Malformed::Body { tag: '-', fault };
+    let wrong = |fault| ProtocolError::InvalidBody { tag: '-', fault };
     let Some(code) = packet.get(4..8).and_then(|b| b.try_into().ok()).map(u32::from_be_bytes) else {
         return Err(wrong("a startup packet without a version"));
     };
     match code {
-        SSL => Ok(Opening::Ssl),
-        GSS => Ok(Opening::Gss),
+        SSL => Ok(StartupPacket::SslRequest),
+        GSS => Ok(StartupPacket::GssEncRequest),
         CANCEL if (16..=268).contains(&packet.len()) => {
             let pid = i32::from_be_bytes([packet[8], packet[9], packet[10], packet[11]]);
-            Ok(Opening::Cancel { pid, key: packet.slice(12..) })
+            Ok(StartupPacket::CancelRequest { pid, key: packet.slice(12..) })
         }
         CANCEL => Err(wrong("a cancel request without its key")),
         version if version >> 16 == 3 => {
@@ -104,7 +104,7 @@
             }
             let mut copy = BytesMut::from(&packet[..]);
             match Startup::decode(&mut copy, &context()) {
-                Ok(Some(startup)) => Ok(Opening::Startup(startup)),
+                Ok(Some(startup)) => Ok(StartupPacket::StartupMessage(startup)),
                 _ => Err(wrong("a startup packet that can't be read")),
             }
         }
@@ -119,7 +119,7 @@
 }
 
 /// Checks that a message holds what its type says, and no more.
-fn check(message: &[u8]) -> Result<(), Malformed> {
+fn check(message: &[u8]) -> Result<(), ProtocolError> {
     let mut c = Cursor::over(message);
     match message.first() {
         Some(b'P') => {
@@ -159,37 +159,40 @@
 /// Takes a client's message off the front of `buf`; none until all of it is there.
 ///
 /// # Errors
-/// [`Malformed`] for what is no message of a client, or is over `limit` bytes.
-pub fn take(buf: &mut BytesMut, limit: usize) -> Result<Option<Front>, Malformed> {
-    let Some((tag, message)) = frame::take(buf, limit)? else { return Ok(None) };
+/// [`ProtocolError`] for what is no message of a client, or is over `limit` bytes.
+pub fn take_message(buf: &mut BytesMut, limit: usize) -> Result<Option<FrontendMessage>, ProtocolError> {
+    let Some((tag, message)) = frame::take_message(buf, limit)? else { return Ok(None) };
     let decoded = match tag {
         b'Q' => {
             query_text(&message)?;
-            return Ok(Some(Front::Query(message)));
+            return Ok(Some(FrontendMessage::Query(message)));
         }
-        b'P' => decode(message, Front::Parse),
-        b'B' => decode(message, Front::Bind),
-        b'D' => decode(message, Front::Describe),
-        b'E' => decode(message, Front::Execute),
-        b'C' => decode(message, Front::Close),
-        b'H' => Ok(Front::Flush),
-        b'S' => Ok(Front::Sync),
-        b'X' => Ok(Front::Terminate),
-        b'd' | b'c' | b'f' => Ok(Front::Copy),
-        b'F' => Ok(Front::FunctionCall),
-        b'p' => Err(Malformed::Unexpected("a password was sent though none was asked for")),
-        other => Err(Malformed::Unknown(frame::shown(other))),
+        b'P' => decode(message, FrontendMessage::Parse),
+        b'B' => decode(message, FrontendMessage::Bind),
+        b'D' => decode(message, FrontendMessage::Describe),
+        b'E' => decode(message, FrontendMessage::Execute),
+        b'C' => decode(message, FrontendMessage::Close),
+        b'H' => Ok(FrontendMessage::Flush),
+        b'S' => Ok(FrontendMessage::Sync),
+        b'X' => Ok(FrontendMessage::Terminate),
+        b'd' | b'c' | b'f' => Ok(FrontendMessage::Copy),
+        b'F' => Ok(FrontendMessage::FunctionCall),
+        b'p' => Err(ProtocolError::Unexpected("a password was sent though none was asked for")),
+        other => Err(ProtocolError::UnknownMessageType(frame::printable_tag(other))),
     };
     decoded.map(Some)
 }
 
-fn decode<M: Message>(message: Bytes, front: fn(M) -> Front) -> Result<Front, Malformed> {
+fn decode<M: Message>(
+    message: Bytes,
+    front: fn(M) -> FrontendMessage,
+) -> Result<FrontendMessage, ProtocolError> {
     check(&message)?;
-    let tag = frame::shown(message[0]);
+    let tag = frame::printable_tag(message[0]);
     let mut whole = message.try_into_mut().unwrap_or_else(|shared| BytesMut::from(&shared[..]));
     match M::decode(&mut whole, &context()) {
         Ok(Some(decoded)) => Ok(front(decoded)),
-        _ => Err(Malformed::Body { tag, fault: "not readable" }),
+        _ => Err(ProtocolError::InvalidBody { tag, fault: "not readable" }),
     }
 }
 
--- a/crates/pg/src/lib.rs
+++ b/crates/pg/src/lib.rs
@@ -1,10 +1,10 @@
 //! PostgreSQL v3 without I/O, on the codec of `pgwire`.
 //!
 //! - [`frame`]: where a message ends, with limits, before anything is decoded.
-//! - [`front`]: messages of a client, their shape checked before the codec sees them (it trusts lengths).
-//! - [`back`]: messages of a server: building them, and reading what of them matters.
+//! - [`frontend_messages`]: messages of a client, their shape checked before the codec sees them (it trusts lengths).
+//! - [`backend_messages`]: messages of a server: building them, and reading what of them matters.
 //! - [`sql`]: where a statement ends, what kind it is, and the hints in its trailing comment.
-//! - [`chatter`]: what a controller answers by itself.
+//! - [`local_statements`]: what a controller answers by itself.
 //! - [`client`]: a client's session, from its first byte to units of work for an engine.
 //! - [`backend`]: a session with an engine, streaming one unit's answer through at a time.
 //!
@@ -12,10 +12,10 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod back;
 pub mod backend;
-pub mod chatter;
+pub mod backend_messages;
 pub mod client;
 pub mod frame;
-pub mod front;
+pub mod frontend_messages;
+pub mod local_statements;
 pub mod sql;
--- a/crates/pg/src/chatter.rs
+++ b/crates/pg/src/local_statements.rs
@@ -3,7 +3,7 @@
 //! Settings are kept and told again; they are not carried to engines. One that would change what an engine does
 //! is taken with a warning that says so.
 
-use crate::back::{Column, Trouble};
+use crate::backend_messages::{Column, Diagnostic};
 use crate::sql::{self, Hints};
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -53,7 +53,7 @@
     /// The tag of the completed command.
     pub tag: String,
     /// Notices and warnings.
-    pub notices: Vec<Trouble>,
+    pub notices: Vec<Diagnostic>,
     /// A setting that clients are told of as it changes.
     pub reported: Option<(String, String)>,
 }
@@ -111,7 +111,7 @@
     /// The hints that hold where a query gives none.
     pub fn hints(&self) -> Hints<'_> {
         let mut hints = Hints::default();
-        for name in sql::HINTS {
+        for name in sql::HINT_NAMES {
             if let Some(value) = self.values.get(&format!("wheelfield.{name}")) {
                 hints.set(name, Cow::Borrowed(value));
             }
@@ -134,8 +134,8 @@
     /// # Errors
     /// What a client is told of a statement that can't be followed.
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
-    pub fn answer(&mut self, statement: &str) -> Result<Reply, Trouble> {
-        let text = sql::folded(statement);
+    pub fn answer(&mut self, statement: &str) -> Result<Reply, Diagnostic> {
+        let text = sql::normalized(statement);
         let (first, rest) = text.split_once(' ').unwrap_or((text.as_str(), ""));
         let done = |tag: &str| Reply { tag: tag.to_string(), ..Reply::default() };
         let row = |name: &str, value: String| Reply {
@@ -163,7 +163,7 @@
                 "plans" => Ok(done("DISCARD PLANS")),
                 "sequences" => Ok(done("DISCARD SEQUENCES")),
                 "temp" | "temporary" => Ok(done("DISCARD TEMP")),
-                other => Err(Trouble::error("42601", format!("syntax error at or near \"{other}\""))
+                other => Err(Diagnostic::error("42601", format!("syntax error at or near \"{other}\""))
                     .hint("known: DISCARD ALL, PLANS, SEQUENCES, TEMP")),
             },
             "deallocate" if matches!(rest, "all" | "prepare all") => Ok(done("DEALLOCATE ALL")),
@@ -180,7 +180,7 @@
                 let known = self.values.contains_key(name) || !self.value(name).is_empty();
                 if !known && !name.contains('.') && !HARMLESS.contains(&name) {
                     let message = format!("unrecognized configuration parameter \"{name}\"");
-                    return Err(Trouble::error("42704", message)
+                    return Err(Diagnostic::error("42704", message)
                         .hint("the controller knows only settings that were set"));
                 }
                 Ok(Reply { tag: "SHOW".into(), ..row(name, self.value(name)) })
@@ -192,7 +192,11 @@
                 "pg_backend_pid()" => row("pg_backend_pid", self.pid.to_string()),
                 "pg_is_in_recovery()" => row("pg_is_in_recovery", "f".into()),
                 "pg_advisory_unlock_all()" => Reply {
-                    columns: vec![Column { name: "pg_advisory_unlock_all".into(), type_id: VOID, size: 4 }],
+                    columns: vec![Column {
+                        name: "pg_advisory_unlock_all".into(),
+                        type_oid: VOID,
+                        type_size: 4,
+                    }],
                     ..row("", String::new())
                 },
                 "session_user" => row("session_user", self.user.clone()),
@@ -200,7 +204,7 @@
                 _ => row("current_setting", self.value("server_version_num")),
             }),
             other => {
-                let warning = Trouble::warning("25P01", "there is no transaction in progress");
+                let warning = Diagnostic::warning("25P01", "there is no transaction in progress");
                 let tag = if matches!(other, "commit" | "end") { "COMMIT" } else { "ROLLBACK" };
                 Ok(Reply { notices: vec![warning], ..done(tag) })
             }
@@ -224,12 +228,14 @@
 
     /// `folded` is the statement after its `set`, in lower case; the value is read from the statement as written.
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
-    fn set(&mut self, statement: &str, folded: &str) -> Result<Reply, Trouble> {
+    fn set(&mut self, statement: &str, folded: &str) -> Result<Reply, Diagnostic> {
         let done = Reply { tag: "SET".into(), ..Reply::default() };
         let folded = folded.strip_prefix("session ").or(folded.strip_prefix("local ")).unwrap_or(folded);
         if folded.starts_with("transaction ") || folded.starts_with("characteristics ") {
-            let warning =
-                Trouble::warning("01000", "there are no transaction blocks here; the setting has no effect");
+            let warning = Diagnostic::warning(
+                "01000",
+                "there are no transaction blocks here; the setting has no effect",
+            );
             return Ok(Reply { notices: vec![warning], ..done });
         }
         let (name, value) = if let Some(zone) = folded.strip_prefix("time zone ") {
@@ -243,7 +249,7 @@
             let operator = rest.starts_with('=') || rest.starts_with("to ");
             if name.is_empty() || !operator {
                 let message = "a SET that can't be read: expected SET name = value";
-                return Err(Trouble::error("42601", message));
+                return Err(Diagnostic::error("42601", message));
             }
             // Case matters in the value, which follows the first = or TO of the statement as written.
             let written = value_as_written(statement).unwrap_or_default();
@@ -252,32 +258,32 @@
         let encoding = name == "client_encoding"
             && !matches!(value.to_ascii_lowercase().as_str(), "utf8" | "utf-8" | "unicode" | "default");
         if encoding {
-            return Err(Trouble::error("0A000", format!("client_encoding {value} is not spoken here"))
+            return Err(Diagnostic::error("0A000", format!("client_encoding {value} is not spoken here"))
                 .hint("use UTF8"));
         }
         if value.len() > LONGEST_VALUE {
-            return Err(Trouble::error(
+            return Err(Diagnostic::error(
                 "22023",
                 format!("a value of over {LONGEST_VALUE} bytes for \"{name}\""),
             ));
         }
         if let Some(hint) = name.strip_prefix("wheelfield.") {
-            if !sql::HINTS.contains(&hint) {
-                return Err(Trouble::error(
+            if !sql::HINT_NAMES.contains(&hint) {
+                return Err(Diagnostic::error(
                     "42704",
                     format!("unrecognized configuration parameter \"{name}\""),
                 )
-                .hint(format!("known: {}", sql::HINTS.map(|h| format!("wheelfield.{h}")).join(", "))));
+                .hint(format!("known: {}", sql::HINT_NAMES.map(|h| format!("wheelfield.{h}")).join(", "))));
             }
             let mut probe = Hints::default();
             probe.set(hint, Cow::Borrowed(value.as_str()));
             if probe.ignored > 0 {
-                return Err(Trouble::error("22023", format!("invalid value for \"{name}\": \"{value}\""))
+                return Err(Diagnostic::error("22023", format!("invalid value for \"{name}\": \"{value}\""))
                     .hint("a number of 0 or more"));
             }
         }
         if !self.values.contains_key(&name) && self.values.len() >= MOST_SETTINGS {
-            return Err(Trouble::error("53400", format!("over {MOST_SETTINGS} settings in one session"))
+            return Err(Diagnostic::error("53400", format!("over {MOST_SETTINGS} settings in one session"))
                 .hint("RESET some of them"));
         }
         let reported = REPORTED.iter().map(|(n, _)| *n).chain(["application_name"]);
@@ -293,7 +299,7 @@
             || HARMLESS.contains(&name.as_str());
         let mut notices = Vec::new();
         if !harmless {
-            notices.push(Trouble::warning(
+            notices.push(Diagnostic::warning(
                 "01000",
                 format!("\"{name}\" is kept by the controller; engines do not see it"),
             ));
--- a/crates/pg/src/sql.rs
+++ b/crates/pg/src/sql.rs
@@ -70,7 +70,7 @@
 }
 
 /// Names of hints, which `SET wheelfield.NAME` takes too.
-pub const HINTS: [&str; 7] = ["class", "id", "key", "work_ms", "memory_mb", "due_ms", "tables"];
+pub const HINT_NAMES: [&str; 7] = ["class", "id", "key", "work_ms", "memory_mb", "due_ms", "tables"];
 
 /// Steps over one lexical element that starts at `at`: a string, a quoted name, a comment, or one byte.
 /// The second value tells whether it was a comment.
@@ -221,12 +221,12 @@
 }
 
 /// A statement without comments, in lower case but for its strings, blanks folded: for comparing short ones.
-pub fn folded(statement: &str) -> String {
+pub fn normalized(statement: &str) -> String {
     fold(statement, true)
 }
 
 /// A statement without comments, blanks folded.
-pub fn folded_as_written(statement: &str) -> String {
+pub fn normalized_preserving_case(statement: &str) -> String {
     fold(statement, false)
 }
 
@@ -275,7 +275,7 @@
     let statement = trimmed(statement);
     // The usual case first: nothing but a select can be one that the controller answers.
     if statement.get(..6).is_some_and(|w| w.eq_ignore_ascii_case("select")) {
-        let own = statement.len() <= LONGEST_OWN && OWN_SELECTS.contains(&folded(statement).as_str());
+        let own = statement.len() <= LONGEST_OWN && OWN_SELECTS.contains(&normalized(statement).as_str());
         return if own { Kind::Local } else { Kind::Engine };
     }
     let [first, second, third] = first_words(statement);
@@ -323,7 +323,7 @@
 pub type Pair<'a> = (Cow<'a, str>, Cow<'a, str>);
 
 /// The names and values in the comment that a text ends with; none if it ends otherwise.
-pub fn pairs(text: &str) -> Vec<Pair<'_>> {
+pub fn comment_pairs(text: &str) -> Vec<Pair<'_>> {
     comment(text).0
 }
 
--- a/crates/pg/tests/backend_session.rs
+++ b/crates/pg/tests/backend_session.rs
@@ -1,21 +1,21 @@
 //! The engine's side: streaming, holding back, dropping, and telling trouble from errors.
 
 use bytes::{BufMut, BytesMut};
-use wheelfield_pg::back::{self, Column, Trouble};
-use wheelfield_pg::backend::{Backend, Heard, Note};
+use wheelfield_pg::backend::{Backend, BackendEvent, QueryStatus};
+use wheelfield_pg::backend_messages::{self, Column, Diagnostic};
 
 fn started() -> Backend {
     let mut out = BytesMut::new();
     let mut backend = Backend::start("w", "d", "wheelfield", &mut out);
     let mut input = BytesMut::new();
-    back::authentication_ok(&mut input);
-    back::parameter("server_version", "1", &mut input);
-    back::key_data(5, 6, &mut input);
-    back::ready(b'I', &mut input);
+    backend_messages::put_authentication_ok(&mut input);
+    backend_messages::put_parameter_status("server_version", "1", &mut input);
+    backend_messages::put_backend_key_data(5, 6, &mut input);
+    backend_messages::put_ready_for_query(b'I', &mut input);
     let mut sink = BytesMut::new();
-    assert_eq!(backend.feed(&mut input, &mut sink, 1000), Ok(Heard::Started));
+    assert_eq!(backend.feed(&mut input, &mut sink, 1000), Ok(BackendEvent::Started));
     assert_eq!(backend.key().map(|(pid, key)| (*pid, key.len())), Some((5, 4)));
-    assert!(backend.idle() && sink.is_empty());
+    assert!(backend.is_idle() && sink.is_empty());
     backend
 }
 
@@ -26,9 +26,9 @@
 }
 
 fn rows(n: usize, out: &mut BytesMut) {
-    back::row_description(&[Column::text("x")], &[], out);
+    backend_messages::put_row_description(&[Column::text("x")], &[], out);
     for _ in 0..n {
-        back::row([Some(&b"0123456789"[..])].into_iter(), out);
+        backend_messages::put_data_row([Some(&b"0123456789"[..])].into_iter(), out);
     }
 }
 
@@ -37,17 +37,20 @@
     let mut backend = running();
     let (mut input, mut sink) = (BytesMut::new(), BytesMut::new());
     rows(1, &mut input);
-    back::parameter("wheelfield.util", "0.5", &mut input);
-    back::parameter("wheelfield.work_ms", "12", &mut input);
-    back::complete("SELECT 1", &mut input);
+    backend_messages::put_parameter_status("wheelfield.util", "0.5", &mut input);
+    backend_messages::put_parameter_status("wheelfield.work_ms", "12", &mut input);
+    backend_messages::put_command_complete("SELECT 1", &mut input);
     let whole = input.len();
-    back::ready(b'I', &mut input);
-    assert_eq!(backend.feed(&mut input, &mut sink, 1000), Ok(Heard::Served { errored: false, clean: true }));
+    backend_messages::put_ready_for_query(b'I', &mut input);
+    assert_eq!(
+        backend.feed(&mut input, &mut sink, 1000),
+        Ok(BackendEvent::Completed { has_query_error: false, reusable: true })
+    );
     assert!(sink.is_empty(), "the host releases it");
-    backend.begin(&mut sink);
+    backend.start_response(&mut sink);
     assert!(sink.len() < whole, "the load is not for the client");
     assert_eq!((backend.load().util, backend.work_ms()), (Some(0.5), Some(12.0)));
-    assert!(backend.idle());
+    assert!(backend.is_idle());
 }
 
 #[test]
@@ -55,14 +58,14 @@
     let mut backend = running();
     let (mut input, mut sink) = (BytesMut::new(), BytesMut::new());
     rows(100, &mut input);
-    assert_eq!(backend.feed(&mut input, &mut sink, 1000), Ok(Heard::Begins));
-    backend.begin(&mut sink);
+    assert_eq!(backend.feed(&mut input, &mut sink, 1000), Ok(BackendEvent::ResponseStarted));
+    backend.start_response(&mut sink);
     rows(1000, &mut input);
     let left = input.len();
-    assert_eq!(backend.feed(&mut input, &mut sink, 500), Ok(Heard::Nothing));
+    assert_eq!(backend.feed(&mut input, &mut sink, 500), Ok(BackendEvent::Pending));
     assert_eq!(input.len(), left, "no room: nothing is taken");
     sink.clear();
-    assert_eq!(backend.feed(&mut input, &mut sink, 500), Ok(Heard::Nothing));
+    assert_eq!(backend.feed(&mut input, &mut sink, 500), Ok(BackendEvent::Pending));
     assert!(sink.len() < 600 && input.len() < left);
 }
 
@@ -73,24 +76,24 @@
     let size = 50_000_000;
     input.put_u8(b'D');
     input.put_i32(size + 4);
-    assert_eq!(backend.feed(&mut input, &mut sink, 1 << 16), Ok(Heard::Begins));
-    backend.begin(&mut sink);
+    assert_eq!(backend.feed(&mut input, &mut sink, 1 << 16), Ok(BackendEvent::ResponseStarted));
+    backend.start_response(&mut sink);
     let (mut sent, mut got) = (0, 0);
     while sent < size as usize {
         let part = (size as usize - sent).min(10_000);
         input.put_bytes(7, part);
         sent += part;
-        assert_eq!(backend.feed(&mut input, &mut sink, 1 << 16), Ok(Heard::Nothing));
+        assert_eq!(backend.feed(&mut input, &mut sink, 1 << 16), Ok(BackendEvent::Pending));
         got += sink.len();
         sink.clear();
         assert!(input.is_empty());
     }
     assert_eq!(got, size as usize + 5);
-    back::complete("SELECT 1", &mut input);
-    back::ready(b'I', &mut input);
+    backend_messages::put_command_complete("SELECT 1", &mut input);
+    backend_messages::put_ready_for_query(b'I', &mut input);
     assert_eq!(
         backend.feed(&mut input, &mut sink, 1 << 16),
-        Ok(Heard::Served { errored: false, clean: true })
+        Ok(BackendEvent::Completed { has_query_error: false, reusable: true })
     );
 }
 
@@ -98,11 +101,13 @@
 fn before_the_first_row_an_engines_trouble_costs_the_client_nothing() {
     let mut backend = running();
     let (mut input, mut sink) = (BytesMut::new(), BytesMut::new());
-    back::row_description(&[Column::text("x")], &[], &mut input);
-    Trouble::error("53300", "too many sessions").put(&mut input);
-    back::ready(b'I', &mut input);
+    backend_messages::put_row_description(&[Column::text("x")], &[], &mut input);
+    Diagnostic::error("53300", "too many sessions").put(&mut input);
+    backend_messages::put_ready_for_query(b'I', &mut input);
     let heard = backend.feed(&mut input, &mut sink, 1000).expect("well-formed");
-    assert!(matches!(heard, Heard::Troubled { state, clean: true, .. } if state == "53300"));
+    assert!(
+        matches!(heard, BackendEvent::EngineError { sqlstate: state, reusable: true, .. } if state == "53300")
+    );
     assert!(sink.is_empty());
 }
 
@@ -110,10 +115,13 @@
 fn an_error_of_the_query_is_its_answer() {
     let mut backend = running();
     let (mut input, mut sink) = (BytesMut::new(), BytesMut::new());
-    Trouble::error("22012", "division by zero").put(&mut input);
-    back::ready(b'I', &mut input);
-    assert_eq!(backend.feed(&mut input, &mut sink, 1000), Ok(Heard::Served { errored: true, clean: true }));
-    backend.begin(&mut sink);
+    Diagnostic::error("22012", "division by zero").put(&mut input);
+    backend_messages::put_ready_for_query(b'I', &mut input);
+    assert_eq!(
+        backend.feed(&mut input, &mut sink, 1000),
+        Ok(BackendEvent::Completed { has_query_error: true, reusable: true })
+    );
+    backend.start_response(&mut sink);
     assert!(!sink.is_empty());
 }
 
@@ -122,13 +130,13 @@
     for ours in [true, false] {
         let mut backend = running();
         if ours {
-            backend.cancelling();
+            backend.mark_cancelled();
         }
         let (mut input, mut sink) = (BytesMut::new(), BytesMut::new());
-        Trouble::error("57014", "canceling statement").put(&mut input);
-        back::ready(b'I', &mut input);
+        Diagnostic::error("57014", "canceling statement").put(&mut input);
+        backend_messages::put_ready_for_query(b'I', &mut input);
         let heard = backend.feed(&mut input, &mut sink, 1000).expect("well-formed");
-        assert_eq!(matches!(heard, Heard::Troubled { .. }), ours);
+        assert_eq!(matches!(heard, BackendEvent::EngineError { .. }), ours);
     }
 }
 
@@ -139,21 +147,24 @@
     rows(5, &mut input);
     backend.discard(&mut out);
     assert!(out.is_empty(), "a sealed unit needs no Sync");
-    assert_eq!(backend.feed(&mut input, &mut sink, 10), Ok(Heard::Nothing));
-    back::complete("SELECT 5", &mut input);
-    back::ready(b'I', &mut input);
-    assert_eq!(backend.feed(&mut input, &mut sink, 10), Ok(Heard::Dropped { clean: true }));
-    assert!(sink.is_empty() && backend.idle());
+    assert_eq!(backend.feed(&mut input, &mut sink, 10), Ok(BackendEvent::Pending));
+    backend_messages::put_command_complete("SELECT 5", &mut input);
+    backend_messages::put_ready_for_query(b'I', &mut input);
+    assert_eq!(backend.feed(&mut input, &mut sink, 10), Ok(BackendEvent::Discarded { reusable: true }));
+    assert!(sink.is_empty() && backend.is_idle());
 }
 
 #[test]
 fn a_session_in_a_transaction_is_not_clean() {
     let mut backend = running();
     let (mut input, mut sink) = (BytesMut::new(), BytesMut::new());
-    back::complete("SELECT 1", &mut input);
-    back::ready(b'T', &mut input);
-    assert_eq!(backend.feed(&mut input, &mut sink, 1000), Ok(Heard::Served { errored: false, clean: false }));
-    assert!(!backend.idle());
+    backend_messages::put_command_complete("SELECT 1", &mut input);
+    backend_messages::put_ready_for_query(b'T', &mut input);
+    assert_eq!(
+        backend.feed(&mut input, &mut sink, 1000),
+        Ok(BackendEvent::Completed { has_query_error: false, reusable: false })
+    );
+    assert!(!backend.is_idle());
 }
 
 #[test]
@@ -172,15 +183,21 @@
     let mut out = BytesMut::new();
     backend.run(Some("SET wheelfield.priority = 2"), b"frames", &[], false, &mut out);
     let (mut input, mut sink) = (BytesMut::new(), BytesMut::new());
-    back::complete("SET", &mut input);
-    back::ready(b'I', &mut input);
-    assert_eq!(backend.feed(&mut input, &mut sink, 1000), Ok(Heard::Nothing));
-    back::parameter("wheelfield.progress", "0.25", &mut input);
-    assert_eq!(backend.feed(&mut input, &mut sink, 1000), Ok(Heard::Note(Note::Progress(0.25))));
-    back::complete("SELECT 0", &mut input);
-    back::ready(b'I', &mut input);
-    assert_eq!(backend.feed(&mut input, &mut sink, 1000), Ok(Heard::Served { errored: false, clean: true }));
-    backend.begin(&mut sink);
+    backend_messages::put_command_complete("SET", &mut input);
+    backend_messages::put_ready_for_query(b'I', &mut input);
+    assert_eq!(backend.feed(&mut input, &mut sink, 1000), Ok(BackendEvent::Pending));
+    backend_messages::put_parameter_status("wheelfield.progress", "0.25", &mut input);
+    assert_eq!(
+        backend.feed(&mut input, &mut sink, 1000),
+        Ok(BackendEvent::QueryStatus(QueryStatus::Progress(0.25)))
+    );
+    backend_messages::put_command_complete("SELECT 0", &mut input);
+    backend_messages::put_ready_for_query(b'I', &mut input);
+    assert_eq!(
+        backend.feed(&mut input, &mut sink, 1000),
+        Ok(BackendEvent::Completed { has_query_error: false, reusable: true })
+    );
+    backend.start_response(&mut sink);
     assert_eq!(sink[0], b'C');
 }
 
--- a/crates/pg/tests/client_session.rs
+++ b/crates/pg/tests/client_session.rs
@@ -1,17 +1,20 @@
 //! A client's session: units, batches, errors in the middle, and what the controller answers itself.
 
 use bytes::{BufMut, BytesMut};
-use wheelfield_pg::back::{self, Trouble};
-use wheelfield_pg::client::{Ask, Limits, Session, Unit};
+use wheelfield_pg::backend_messages::{self, Diagnostic};
+use wheelfield_pg::client::{ClientEvent, Limits, Session, Unit};
 use wheelfield_pg::frame;
-use wheelfield_pg::front;
+use wheelfield_pg::frontend_messages;
 
 fn session() -> Session {
     let mut session = Session::new(Limits::default(), 7, 99);
     let (mut input, mut out) = (BytesMut::new(), BytesMut::new());
-    front::put_startup(&[("user", "ann"), ("database", "sales"), ("application_name", "psql")], &mut input);
+    frontend_messages::put_startup(
+        &[("user", "ann"), ("database", "sales"), ("application_name", "psql")],
+        &mut input,
+    );
     let ask = session.feed(&mut input, &mut out).expect("well-formed");
-    assert!(matches!(ask, Some(Ask::Started(id)) if id.user == "ann" && id.database == "sales"));
+    assert!(matches!(ask, Some(ClientEvent::Started(id)) if id.user == "ann" && id.database == "sales"));
     assert_eq!(tags(&out).chars().filter(|c| *c != 'S').collect::<String>(), "RKZ");
     session
 }
@@ -20,7 +23,7 @@
 fn tags(out: &[u8]) -> String {
     let mut buf = BytesMut::from(out);
     let mut tags = String::new();
-    while let Some((tag, _)) = frame::take(&mut buf, usize::MAX).expect("well-formed") {
+    while let Some((tag, _)) = frame::take_message(&mut buf, usize::MAX).expect("well-formed") {
         tags.push(tag as char);
     }
     assert!(buf.is_empty(), "a torn message");
@@ -29,9 +32,9 @@
 
 fn state_of(out: &[u8]) -> String {
     let mut buf = BytesMut::from(out);
-    while let Some((tag, message)) = frame::take(&mut buf, usize::MAX).expect("well-formed") {
+    while let Some((tag, message)) = frame::take_message(&mut buf, usize::MAX).expect("well-formed") {
         if tag == b'E' {
-            return back::trouble(&message).expect("well-formed").0;
+            return backend_messages::parse_sqlstate_and_message(&message).expect("well-formed").0;
         }
     }
     String::new()
@@ -73,12 +76,12 @@
     fn new() -> Rig {
         Rig { session: session(), input: BytesMut::new(), out: BytesMut::new() }
     }
-    fn feed(&mut self) -> Option<Ask> {
+    fn feed(&mut self) -> Option<ClientEvent> {
         self.session.feed(&mut self.input, &mut self.out).expect("well-formed")
     }
     fn unit(&mut self) -> Unit {
         match self.feed() {
-            Some(Ask::Run(unit)) => unit,
+            Some(ClientEvent::Run(unit)) => unit,
             other => panic!("expected a unit, got {other:?}"),
         }
     }
@@ -90,17 +93,17 @@
 #[test]
 fn a_simple_query_is_a_unit_and_ends_ready() {
     let mut rig = Rig::new();
-    front::put_query("select 1 /*class='fast',work_ms='20',id='a%20b'*/", &mut rig.input);
+    frontend_messages::put_query("select 1 /*class='fast',work_ms='20',id='a%20b'*/", &mut rig.input);
     let unit = rig.unit();
     assert_eq!(tags(&unit.frames), "Q");
-    assert!(!unit.open && !unit.describes);
+    assert!(!unit.open && !unit.describe_only);
     let hints = rig.session.hints(unit.text());
     assert_eq!(
         (hints.class.as_deref(), hints.work_ms, hints.id.as_deref()),
         (Some("fast"), Some(20.0), Some("a b"))
     );
     assert!(rig.feed().is_none(), "nothing more is read while it runs");
-    rig.session.served(false, &mut rig.out);
+    rig.session.unit_completed(false, &mut rig.out);
     assert_eq!(rig.took(), "Z");
 }
 
@@ -115,8 +118,8 @@
     let unit = rig.unit();
     assert_eq!(rig.took(), "12", "what is kept here is acknowledged here");
     assert_eq!(tags(&unit.frames), "PBDES");
-    assert_eq!(unit.swallow, [true, true], "the engine's acknowledgements are kept from the client");
-    rig.session.served(false, &mut rig.out);
+    assert_eq!(unit.suppress_acks, [true, true], "the engine's acknowledgements are kept from the client");
+    rig.session.unit_completed(false, &mut rig.out);
     assert_eq!(rig.took(), "Z");
     // Executed again, it is prepared again, wherever it goes.
     bind("", "s1", &mut rig.input);
@@ -137,11 +140,11 @@
     bind("", "", &mut rig.input);
     execute("", &mut rig.input);
     sync(&mut rig.input);
-    front::put_query("select 2", &mut rig.input);
+    frontend_messages::put_query("select 2", &mut rig.input);
     let unit = rig.unit();
     assert_eq!(tags(&unit.frames), "PBES", "what came before the error runs first");
     rig.out.clear();
-    rig.session.served(false, &mut rig.out);
+    rig.session.unit_completed(false, &mut rig.out);
     assert_eq!(state_of(&rig.out), "0A000");
     assert_eq!(rig.took(), "E");
     let next = rig.unit();
@@ -158,7 +161,7 @@
     sync(&mut rig.input);
     rig.unit();
     rig.out.clear();
-    rig.session.served(true, &mut rig.out);
+    rig.session.unit_completed(true, &mut rig.out);
     assert_eq!(rig.took(), "Z");
 }
 
@@ -171,7 +174,7 @@
     sync(&mut rig.input);
     rig.unit();
     rig.out.clear();
-    rig.session.unserved(&Trouble::error("53300", "full"), &mut rig.out);
+    rig.session.unit_failed(&Diagnostic::error("53300", "full"), &mut rig.out);
     assert_eq!(rig.took(), "EZ");
     // Of a batch that was flushed and is open, the rest is skipped.
     parse("", "select 1", &mut rig.input);
@@ -182,7 +185,7 @@
     assert!(unit.open);
     assert_eq!(tags(&unit.frames), "PBEH");
     rig.out.clear();
-    rig.session.unserved(&Trouble::error("53300", "full"), &mut rig.out);
+    rig.session.unit_failed(&Diagnostic::error("53300", "full"), &mut rig.out);
     assert_eq!(rig.took(), "E");
     execute("", &mut rig.input);
     assert!(rig.feed().is_none());
@@ -204,15 +207,15 @@
     execute("b", &mut rig.input);
     sync(&mut rig.input);
     match rig.feed() {
-        Some(Ask::More { frames, swallow, sealed }) => {
+        Some(ClientEvent::More { frames, suppress_acks, is_last }) => {
             assert_eq!(tags(&frames), "BES");
-            assert_eq!(swallow, [false], "this acknowledgement comes in its turn from the engine");
-            assert!(sealed);
+            assert_eq!(suppress_acks, [false], "this acknowledgement comes in its turn from the engine");
+            assert!(is_last);
         }
         other => panic!("expected more, got {other:?}"),
     }
     rig.out.clear();
-    rig.session.served(false, &mut rig.out);
+    rig.session.unit_completed(false, &mut rig.out);
     assert_eq!(rig.took(), "Z");
 }
 
@@ -223,9 +226,9 @@
     describe(b'S', "s", &mut rig.input);
     sync(&mut rig.input);
     let unit = rig.unit();
-    assert!(unit.describes);
+    assert!(unit.describe_only);
     assert_eq!(tags(&unit.frames), "PDS");
-    rig.session.served(false, &mut rig.out);
+    rig.session.unit_completed(false, &mut rig.out);
     assert_eq!(rig.took(), "1Z");
 }
 
@@ -242,10 +245,10 @@
     let unit = rig.unit();
     assert_eq!(tags(&unit.frames), "PBES");
     rig.out.clear();
-    rig.session.served(false, &mut rig.out);
+    rig.session.unit_completed(false, &mut rig.out);
     assert!(rig.feed().is_none());
     assert_eq!(rig.took(), "12CSZ", "acknowledged, set and told behind the engine's answer");
-    front::put_query("show application_name", &mut rig.input);
+    frontend_messages::put_query("show application_name", &mut rig.input);
     rig.feed();
     assert!(rig.out.windows(6).any(|w| w == b"Report"), "as it was written");
     assert_eq!(rig.took(), "TDCZ");
@@ -268,7 +271,7 @@
         "",
         " ; -- nothing",
     ] {
-        front::put_query(sql, &mut rig.input);
+        frontend_messages::put_query(sql, &mut rig.input);
         assert!(rig.feed().is_none(), "{sql}");
         let out = rig.out.split();
         assert!(tags(&out).ends_with('Z') && state_of(&out).is_empty(), "{sql}");
@@ -285,7 +288,7 @@
         ("set wheelfield.work_ms = 'much'", "22023"),
         ("set client_encoding = 'latin1'", "0A000"),
     ] {
-        front::put_query(sql, &mut rig.input);
+        frontend_messages::put_query(sql, &mut rig.input);
         assert!(rig.feed().is_none(), "{sql}");
         let out = rig.out.split();
         assert_eq!(state_of(&out), state, "{sql}");
@@ -296,8 +299,8 @@
 #[test]
 fn hints_may_be_set_for_the_session() {
     let mut rig = Rig::new();
-    front::put_query("set wheelfield.class = 'Slow One'", &mut rig.input);
-    front::put_query("set statement_timeout = '2s'", &mut rig.input);
+    frontend_messages::put_query("set wheelfield.class = 'Slow One'", &mut rig.input);
+    frontend_messages::put_query("set statement_timeout = '2s'", &mut rig.input);
     rig.feed();
     let hints = rig.session.hints("select 1 /*work_ms='9'*/");
     assert_eq!(
@@ -320,7 +323,7 @@
     assert_eq!(&out[..], b"NNNN");
     input.put_slice(&[0, 0, 0, 8, 4, 210, 22, 47]);
     assert!(session.feed(&mut input, &mut out).is_err());
-    assert!(session.closed());
+    assert!(session.is_closed());
     // A newer minor version, and an option nobody knows, are negotiated down.
     let mut session = Session::new(Limits::default(), 7, 99);
     let body = b"\0\x03\0\x02user\0u\0_pq_.x\0y\0\0";
@@ -328,25 +331,25 @@
     out.clear();
     input.put_i32(body.len() as i32 + 4);
     input.put_slice(body);
-    assert!(matches!(session.feed(&mut input, &mut out), Ok(Some(Ask::Started(_)))));
+    assert!(matches!(session.feed(&mut input, &mut out), Ok(Some(ClientEvent::Started(_)))));
     assert!(tags(&out).starts_with("vR"));
     // A cancel names its target and is the last of its connection.
     let mut session = Session::new(Limits::default(), 7, 99);
     input.clear();
-    front::put_cancel(12, &bytes::Bytes::from_static(&[0, 0, 0, 34]), &mut input);
+    frontend_messages::put_cancel(12, &bytes::Bytes::from_static(&[0, 0, 0, 34]), &mut input);
     match session.feed(&mut input, &mut out) {
-        Ok(Some(Ask::Cancel { pid, key })) => assert_eq!((pid, &key[..]), (12, &[0u8, 0, 0, 34][..])),
+        Ok(Some(ClientEvent::Cancel { pid, key })) => assert_eq!((pid, &key[..]), (12, &[0u8, 0, 0, 34][..])),
         other => panic!("{other:?}"),
     }
-    assert!(session.closed());
+    assert!(session.is_closed());
 }
 
 #[test]
 fn what_is_too_much_is_told_and_costs_the_client_itself() {
-    let limits = Limits { message: 1000, statements: 2, held: 2000 };
+    let limits = Limits { message_bytes: 1000, statements: 2, stored_bytes: 2000 };
     let mut session = Session::new(limits, 1, 1);
     let (mut input, mut out) = (BytesMut::new(), BytesMut::new());
-    front::put_startup(&[("user", "u")], &mut input);
+    frontend_messages::put_startup(&[("user", "u")], &mut input);
     session.feed(&mut input, &mut out).expect("started");
     out.clear();
     for name in ["a", "b", "c"] {
@@ -357,10 +360,10 @@
     assert_eq!(state_of(&out), "53400");
     assert_eq!(tags(&out), "11EZ");
     out.clear();
-    front::put_query(&"x".repeat(2000), &mut input);
+    frontend_messages::put_query(&"x".repeat(2000), &mut input);
     assert!(session.feed(&mut input, &mut out).is_err());
     assert_eq!(state_of(&out), "54000");
-    assert!(session.closed());
+    assert!(session.is_closed());
 }
 
 fn told(session: &mut Session, input: &mut BytesMut) -> (String, String) {
@@ -376,7 +379,7 @@
     // As drivers' pools send it after each use, in one text.
     let mut input = BytesMut::new();
     let text = "SELECT pg_advisory_unlock_all();\nCLOSE ALL;\nUNLISTEN *;\nRESET ALL;";
-    front::put_query(text, &mut input);
+    frontend_messages::put_query(text, &mut input);
     let (tags, words) = told(&mut session, &mut input);
     assert_eq!(tags, "TDCCCCZ");
     for tag in ["pg_advisory_unlock_all", "SELECT 1\0", "CLOSE CURSOR ALL\0", "UNLISTEN\0", "RESET\0"] {
@@ -392,16 +395,16 @@
         ("UNLISTEN news", "UNLISTEN\0"),
     ] {
         let mut input = BytesMut::new();
-        front::put_query(text, &mut input);
+        frontend_messages::put_query(text, &mut input);
         let (tags, words) = told(&mut session, &mut input);
         assert!(tags == "CZ" && words.contains(tag), "{text}: {words:?}");
     }
     let mut input = BytesMut::new();
-    front::put_query("DISCARD EVERYTHING", &mut input);
+    frontend_messages::put_query("DISCARD EVERYTHING", &mut input);
     assert_eq!(told(&mut session, &mut input).0, "EZ");
     // A cursor that was never there is not closed by name.
     let mut input = BytesMut::new();
-    front::put_query("CLOSE c", &mut input);
+    frontend_messages::put_query("CLOSE c", &mut input);
     assert_eq!(told(&mut session, &mut input).0, "EZ");
 }
 
@@ -420,7 +423,7 @@
         ("DEALLOCATE two", "EZ"),
     ] {
         let mut input = BytesMut::new();
-        front::put_query(text, &mut input);
+        frontend_messages::put_query(text, &mut input);
         let (got, words) = told(&mut session, &mut input);
         assert_eq!(got, tags, "{text}");
         assert!(tags == "CZ" || words.contains("26000"), "{words:?}");
--- a/crates/pg/tests/fuzz.rs
+++ b/crates/pg/tests/fuzz.rs
@@ -2,9 +2,9 @@
 
 use bytes::BytesMut;
 use proptest::prelude::*;
-use wheelfield_pg::backend::{Backend, Heard};
-use wheelfield_pg::client::{Ask, Limits, Session};
-use wheelfield_pg::{back, front, sql};
+use wheelfield_pg::backend::{Backend, BackendEvent};
+use wheelfield_pg::client::{ClientEvent, Limits, Session};
+use wheelfield_pg::{backend_messages, frontend_messages, sql};
 
 fn frames() -> impl Strategy<Value = Vec<u8>> {
     let tag = prop::sample::select(b"QPBDECHSXdcfFpZTCEN123ntIsRKAG".to_vec());
@@ -22,20 +22,20 @@
 
     #[test]
     fn a_client_may_send_anything(bytes in frames(), cut in 1usize..50, garbage in any::<bool>()) {
-        let limits = Limits { message: 4096, statements: 8, held: 8192 };
+        let limits = Limits { message_bytes: 4096, statements: 8, stored_bytes: 8192 };
         let mut session = Session::new(limits, 1, 2);
         let (mut input, mut out) = (BytesMut::new(), BytesMut::new());
         if !garbage {
-            front::put_startup(&[("user", "u")], &mut input);
+            frontend_messages::put_startup(&[("user", "u")], &mut input);
         }
         for part in bytes.chunks(cut) {
             input.extend_from_slice(part);
             for _ in 0..40 {
                 match session.feed(&mut input, &mut out) {
-                    Ok(Some(Ask::Run(unit))) => {
+                    Ok(Some(ClientEvent::Run(unit))) => {
                         prop_assert!(unit.frames.len() <= 3 * 8192);
-                        if unit.describes { session.served(false, &mut out) }
-                        else { session.unserved(&back::Trouble::error("53300", "full"), &mut out) }
+                        if unit.describe_only { session.unit_completed(false, &mut out) }
+                        else { session.unit_failed(&backend_messages::Diagnostic::error("53300", "full"), &mut out) }
                     }
                     Ok(Some(_)) => {}
                     Ok(None) | Err(_) => break,
@@ -51,17 +51,17 @@
         let mut backend = Backend::start("u", "d", "a", &mut out);
         let (mut input, mut sink) = (BytesMut::new(), BytesMut::new());
         if late {
-            back::authentication_ok(&mut input);
-            back::ready(b'I', &mut input);
-            prop_assert_eq!(backend.feed(&mut input, &mut sink, 4096), Ok(Heard::Started));
+            backend_messages::put_authentication_ok(&mut input);
+            backend_messages::put_ready_for_query(b'I', &mut input);
+            prop_assert_eq!(backend.feed(&mut input, &mut sink, 4096), Ok(BackendEvent::Started));
             backend.run(None, b"x", &[true, false], false, &mut out);
         }
         for part in bytes.chunks(cut) {
             input.extend_from_slice(part);
             for _ in 0..100 {
                 match backend.feed(&mut input, &mut sink, 4096) {
-                    Ok(Heard::Begins) => backend.begin(&mut sink),
-                    Ok(Heard::Nothing) | Err(_) => break,
+                    Ok(BackendEvent::ResponseStarted) => backend.start_response(&mut sink),
+                    Ok(BackendEvent::Pending) | Err(_) => break,
                     Ok(_) => {}
                 }
             }
@@ -74,7 +74,7 @@
         prop_assert!(statements.iter().map(|s| s.len()).sum::<usize>() <= text.len());
         sql::kind(&text);
         sql::hints(&text);
-        sql::folded(&text);
+        sql::normalized(&text);
     }
 }
 
--- a/crates/testbed/benches/hot.rs
+++ b/crates/testbed/benches/hot.rs
@@ -6,7 +6,7 @@
 use criterion::{criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion, Throughput};
 use wheelfield::interface::{EngineEntry, LoadReport, Micros, Outcome, Status};
 use wheelfield_driver::{Arrival, Driver, DriverLimits, Input, Instruction};
-use wheelfield_pg::{back, frame, front};
+use wheelfield_pg::{backend_messages, frame, frontend_messages};
 use wheelfield_testbed::day::Day;
 
 /// A driver that knows of so many engines, all with a report.
@@ -81,7 +81,7 @@
 fn protocol(c: &mut Criterion) {
     let mut group = c.benchmark_group("protocol");
     let mut query = BytesMut::new();
-    front::put_query(
+    frontend_messages::put_query(
         "select * from facts /*class='lookup',id='q1-0',due_ms='5000',work_ms='300.0'*/",
         &mut query,
     );
@@ -89,23 +89,23 @@
     group.bench_function("a simple query read", |b| {
         b.iter_batched(
             || query.clone(),
-            |mut q| std::hint::black_box(front::take(&mut q, 1 << 20)),
+            |mut q| std::hint::black_box(frontend_messages::take_message(&mut q, 1 << 20)),
             BatchSize::SmallInput,
         );
     });
     let mut rows = BytesMut::new();
     let value: &[u8] = b"0123456789abcdef";
     for _ in 0..200 {
-        back::row([Some(value), None, Some(value)].into_iter(), &mut rows);
+        backend_messages::put_data_row([Some(value), None, Some(value)].into_iter(), &mut rows);
     }
-    back::complete("SELECT 200", &mut rows);
+    backend_messages::put_command_complete("SELECT 200", &mut rows);
     group.throughput(Throughput::Bytes(rows.len() as u64));
     group.bench_function("an answer of 200 rows taken apart", |b| {
         b.iter_batched(
             || rows.clone(),
             |mut all| {
                 let mut n = 0;
-                while let Ok(Some((_, message))) = frame::take(&mut all, 1 << 20) {
+                while let Ok(Some((_, message))) = frame::take_message(&mut all, 1 << 20) {
                     n += message.len();
                 }
                 n
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -14,7 +14,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 use wheelfield_net::{Clock, Stream};
-use wheelfield_pg::{frame, front};
+use wheelfield_pg::{frame, frontend_messages};
 
 /// What is measured, and how long.
 #[derive(Clone, Copy, Debug)]
@@ -81,18 +81,21 @@
 
 fn simple() -> Script {
     let mut query = BytesMut::new();
-    front::put_query("select 1", &mut query);
+    frontend_messages::put_query("select 1", &mut query);
     Script { prepare: BytesMut::new(), query }
 }
 
 fn prepared() -> Script {
     use pgwire::messages::extendedquery::{Bind, Execute, Parse, Sync};
     let (mut prepare, mut query) = (BytesMut::new(), BytesMut::new());
-    front::put(&Parse::new(Some("s".into()), "select 1".into(), Vec::new()), &mut prepare);
-    front::put(&Sync::new(), &mut prepare);
-    front::put(&Bind::new(None, Some("s".into()), Vec::new(), Vec::new(), Vec::new()), &mut query);
-    front::put(&Execute::new(None, 0), &mut query);
-    front::put(&Sync::new(), &mut query);
+    frontend_messages::put(&Parse::new(Some("s".into()), "select 1".into(), Vec::new()), &mut prepare);
+    frontend_messages::put(&Sync::new(), &mut prepare);
+    frontend_messages::put(
+        &Bind::new(None, Some("s".into()), Vec::new(), Vec::new(), Vec::new()),
+        &mut query,
+    );
+    frontend_messages::put(&Execute::new(None, 0), &mut query);
+    frontend_messages::put(&Sync::new(), &mut query);
     Script { prepare, query }
 }
 
@@ -117,7 +120,7 @@
         let entry = self.all.vacant_entry();
         let id = entry.key();
         let mut stream = Stream::connect(None, address, self.poll.registry(), Token(id))?;
-        front::put_startup(&[("user", "lab"), ("database", "lab")], &mut stream.output);
+        frontend_messages::put_startup(&[("user", "lab"), ("database", "lab")], &mut stream.output);
         stream.output.extend_from_slice(&script.prepare);
         entry.insert(Caller { stream, ready: false, sent: Instant::now() });
         Ok(id)
@@ -135,8 +138,12 @@
             }
             c.stream.flush()?;
             c.stream.fill(64 << 10, &mut self.scratch)?;
-            while let Some((tag, message)) = frame::take(&mut c.stream.input, 1 << 20)? {
-                ensure!(tag != b'E', "refused: {:?}", wheelfield_pg::back::trouble(&message));
+            while let Some((tag, message)) = frame::take_message(&mut c.stream.input, 1 << 20)? {
+                ensure!(
+                    tag != b'E',
+                    "refused: {:?}",
+                    wheelfield_pg::backend_messages::parse_sqlstate_and_message(&message)
+                );
                 if tag == b'Z' {
                     answered.push(id);
                 }
--- a/crates/testbed/src/people.rs
+++ b/crates/testbed/src/people.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use wheelfield_engine_emulator::answer;
 use wheelfield_invariants::End;
-use wheelfield_pg::{back, frame, front};
+use wheelfield_pg::{backend_messages, frame, frontend_messages};
 use wheelfield_sans_io::{ConnId, ConnectionTable, Timers};
 
 /// An answer that is late is still waited for so long, to be told from one that never comes.
@@ -239,7 +239,7 @@
         }
         let user = self.manners.tenants.get(place.1).map_or("lab", String::as_str);
         let mut output = BytesMut::new();
-        front::put_startup(
+        frontend_messages::put_startup(
             &[("user", user), ("database", "lab"), ("application_name", "wheelfield-lab")],
             &mut output,
         );
@@ -284,7 +284,7 @@
         if let Some(c) = self.connections.get_mut(id) {
             c.runs = Some(t);
             self.carrier[t] = Some(id);
-            front::put_query(&text, &mut c.output);
+            frontend_messages::put_query(&text, &mut c.output);
             self.wishes.push(Wish::Write(id));
         }
     }
@@ -327,7 +327,7 @@
             None => return,
         }
         while let Some(c) = self.connections.get_mut(id) {
-            match frame::take(&mut c.input, READ) {
+            match frame::take_message(&mut c.input, READ) {
                 Ok(Some((tag, message))) => self.message(id, tag, &message, now),
                 Ok(None) => {
                     if c.input.is_empty() {
@@ -346,7 +346,7 @@
         if !c.ready {
             match tag {
                 b'K' => {
-                    if let Ok((pid, key)) = back::key_of(message) {
+                    if let Ok((pid, key)) = backend_messages::parse_backend_key_data(message) {
                         (c.pid, c.key) = (pid, key);
                     }
                 }
@@ -361,7 +361,9 @@
         }
         let Some(t) = c.runs else {
             // On a connection at rest nothing may come but word that it ends.
-            let fatal = tag == b'E' && back::trouble(message).is_ok_and(|(state, _)| state == "57P01");
+            let fatal = tag == b'E'
+                && backend_messages::parse_sqlstate_and_message(message)
+                    .is_ok_and(|(state, _)| state == "57P01");
             if let Some(last) = c.last.filter(|_| !fatal && !matches!(tag, b'S' | b'N')) {
                 self.tries[last].after = Some(tag as char);
             }
@@ -386,7 +388,7 @@
             }
             b'E' => {
                 tried.answers += 1;
-                let (state, _) = back::trouble(message).unwrap_or_default();
+                let (state, _) = backend_messages::parse_sqlstate_and_message(message).unwrap_or_default();
                 let text = String::from_utf8_lossy(message);
                 let advice = text.split("retry_after_ms=").nth(1);
                 tried.advice_ms =
@@ -470,7 +472,7 @@
         c.cancelled = true;
         // A request to cancel is a connection of its own, which is closed without an answer.
         let mut out = BytesMut::new();
-        front::put_cancel(c.pid, &c.key, &mut out);
+        frontend_messages::put_cancel(c.pid, &c.key, &mut out);
         self.wishes.push(Wish::Cancel(c.controller, out.freeze()));
     }
 
@@ -507,14 +509,16 @@
 /// What somebody sends who is no client.
 fn visitor(chance: &mut Pcg64Mcg) -> Bytes {
     let mut out = BytesMut::new();
-    front::put_startup(&[("user", "nobody"), ("database", "lab")], &mut out);
+    frontend_messages::put_startup(&[("user", "nobody"), ("database", "lab")], &mut out);
     match chance.random_range(0..6) {
         0 => out.truncate(chance.random_range(0..out.len())),
         1 => out = (0..chance.random_range(1..600)).map(|_| chance.random::<u8>()).collect(),
-        2 => front::put_cancel(chance.random_range(0..50), &Bytes::from_static(b"none"), &mut out),
+        2 => {
+            frontend_messages::put_cancel(chance.random_range(0..50), &Bytes::from_static(b"none"), &mut out)
+        }
         3 => {
             out.clear();
-            front::put_cancel(chance.random_range(0..50), &Bytes::from_static(b"none"), &mut out);
+            frontend_messages::put_cancel(chance.random_range(0..50), &Bytes::from_static(b"none"), &mut out);
         }
         // A message without an end, and one of a length that can't be.
         4 => out.extend_from_slice(b"Q\0\0\0\x20select"),
@@ -526,6 +530,10 @@
 /// The description that the stand-in gives of its rows: two columns, `n` and `data`.
 fn described(message: &[u8]) -> bool {
     let mut expected = BytesMut::new();
-    back::row_description(&answer::Plan::Rows { count: 0, bytes: 0, of: 0 }.columns(), &[], &mut expected);
+    backend_messages::put_row_description(
+        &answer::Plan::Rows { count: 0, bytes: 0, of: 0 }.columns(),
+        &[],
+        &mut expected,
+    );
     message == &expected[..]
 }
