--- a/crates/pg/src/backend.rs
+++ b/crates/pg/src/backend.rs
@@ -1,8 +1,9 @@
-//! A session with an engine: it streams the answer of one unit at a time through, and never holds a whole one.
+//! A session with an engine. It streams the response to one unit at a time to the client, and never buffers a whole
+//! response.
 //!
-//! What comes before the first row is held back, so that an engine that dies until then costs the client nothing.
-//! From the first row on bytes go through as they come, a row in parts if it is long. An answer that nobody wants
-//! any more is read and dropped, and the session is used again only once it is clean.
+//! The messages before the first row are held back: if the engine fails until then, the client has seen nothing of
+//! this attempt. From the first row on, bytes are forwarded as they arrive, a long row in parts. A response that is no
+//! longer wanted is read and discarded, and the session is reused only if the engine then reports that it is idle.
 
 use crate::backend_messages::{self, Diagnostic};
 use crate::frame::{self, Header, ProtocolError};
@@ -10,91 +11,95 @@
 use bytes::{Buf, Bytes, BytesMut};
 use std::collections::VecDeque;
 
-/// SQLSTATE of a query that ended as it was asked to.
+/// The SQLSTATE `query_canceled`, with which an engine reports that it has ended a query on request.
 pub const QUERY_CANCELED: &str = "57014";
-/// Bytes of an answer held back before its first row goes out.
-const HELD: usize = 16 << 10;
-/// Longest message, but for rows, that an engine may send.
-const LONGEST: usize = 1 << 20;
-/// Messages of an engine's startup, at most.
-const MOST_AT_STARTUP: u32 = 200;
-
-/// What an engine says of its load. Each figure may be missing.
+/// Maximum number of bytes of a response that are held back until [`Backend::start_response`]. A row up to this length
+/// is forwarded in one piece.
+const MAX_HELD_BYTES: usize = 16 << 10;
+/// Maximum length of a message from an engine in bytes, except for rows.
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
+/// Maximum number of messages that an engine may send during the startup.
+const MAX_STARTUP_MESSAGES: u32 = 200;
+
+/// The load that an engine reports. Each value may be missing.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Share of its cores busy.
+    /// The fraction of its cores that are busy.
     pub util: Option<f64>,
-    /// Queries in hand.
+    /// The number of queries that it has accepted and not finished.
     pub in_flight: Option<f64>,
-    /// Queries waiting for memory.
+    /// The number of queries that wait for memory.
     pub queue: Option<f64>,
-    /// Share of its memory granted.
+    /// The fraction of its memory that is granted to queries.
     pub memory: Option<f64>,
-    /// Share of its disks busy.
+    /// The utilisation of its disks, as a fraction.
     pub disks: Option<f64>,
 }
 
-/// Word on the query that runs.
+/// A status that an engine reports on the running query.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum QueryStatus {
-    /// Share of it done.
+    /// The fraction of the query that is done.
     Progress(f64),
-    /// It spills, for want of so many MB.
+    /// The query spills to disk because it lacks this much memory, in MB.
     Spills(f64),
-    /// It waits for memory.
+    /// The query waits for memory.
     WaitsForMemory,
-    /// It stands still behind a load.
+    /// The query waits for a data load to finish.
     WaitsForLoad,
 }
 
-/// What came of reading.
+/// The result of [`Backend::feed`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum BackendEvent {
-    /// More bytes are needed, or more room for them.
+    /// More input is needed, or the sink is full.
     Pending,
     /// The session is ready for its first unit.
     Started,
-    /// The engine does not let us in.
+    /// The engine refused the session.
     StartupFailed {
-        /// Its SQLSTATE.
+        /// The SQLSTATE that the engine sent.
         sqlstate: String,
-        /// Its words.
+        /// The message that the engine sent.
         message: String,
     },
-    /// The answer's first row is here. Call [`Backend::start_response`] or [`Backend::discard`], and read on.
+    /// The first part of the response that must go to the client has arrived: a row or, in an open unit, the end of a
+    /// statement. Call [`Backend::start_response`] or [`Backend::discard`], then `feed` again.
     ResponseStarted,
-    /// Word on the query that runs.
+    /// The engine reported a status of the running query.
     QueryStatus(QueryStatus),
-    /// The unit is over and was served, if with an error of SQL. What was held back is to be released.
+    /// The unit is over and has a response, which may be an error of the query. If the response has not been started,
+    /// call [`Backend::start_response`] to get the messages that were held back.
     Completed {
-        /// An error of the query's own was part of the answer.
+        /// Whether the response contains an error that the query itself caused.
         has_query_error: bool,
-        /// The session may be used again.
+        /// Whether the session can be reused.
         reusable: bool,
     },
-    /// The engine's own trouble ended the unit.
+    /// The unit failed because of the engine, or was cancelled on request.
     EngineError {
-        /// Its SQLSTATE.
+        /// The SQLSTATE that the engine sent.
         sqlstate: String,
-        /// Its words.
+        /// The message that the engine sent.
         message: String,
-        /// The session may be used again.
+        /// Whether the session can be reused.
         reusable: bool,
     },
-    /// A unit that nobody wants any more is over.
+    /// A discarded unit is over.
     Discarded {
-        /// The session may be used again.
+        /// Whether the session can be reused.
         reusable: bool,
     },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
+    /// The startup is not complete. Holds the number of messages received.
     Starting(u32),
     Idle,
-    /// Settings that precede the unit are answered first.
-    Prelude,
-    Busy,
+    /// The response to the settings that precede the unit is awaited.
+    ApplyingSettings,
+    Running,
     Closed,
 }
 
@@ -102,33 +107,42 @@
 #[derive(Debug)]
 pub struct Backend {
     phase: Phase,
+    /// The process ID and the cancel key.
     key: Option<(i32, Bytes)>,
-    swallow: VecDeque<bool>,
-    held: BytesMut,
-    /// The end of a statement, kept back until it is known that the unit goes on or is over: an engine lost between leaves
-    /// its client with an error, and not with an end and an error.
-    tail: Bytes,
-    begun: bool,
-    /// The first row is in, and the host is to be asked.
-    asks: bool,
-    dropped: bool,
+    /// For each expected `ParseComplete` or `BindComplete` in turn, whether it is not forwarded.
+    suppress_acks: VecDeque<bool>,
+    /// The messages received before [`Backend::start_response`].
+    held_back: BytesMut,
+    /// The completion of a statement (`CommandComplete` or the like), withheld until the next message shows that the
+    /// unit continues or is over. If the engine is lost in between, the client gets only an error, and not a completion
+    /// followed by an error.
+    withheld_completion: Bytes,
+    response_started: bool,
+    /// The first part of the response has arrived, and the caller has to call `start_response` or `discard`.
+    awaits_start: bool,
+    /// The response is not forwarded, because it is no longer wanted.
+    discarding: bool,
+    /// A cancel request was sent for the unit.
     cancelled: bool,
-    errored: bool,
-    trouble: Option<(String, String)>,
-    /// Bytes of a long row still to come, to be passed on or dropped.
-    passing: usize,
-    sealed: bool,
+    has_query_error: bool,
+    /// The SQLSTATE and the message of an error that is a fault of the engine, or the result of a cancel request.
+    engine_error: Option<(String, String)>,
+    /// The number of bytes of a partly received row that have not arrived yet.
+    row_bytes_left: usize,
+    /// The whole unit has been sent. False while an open unit can be continued with [`Backend::append`].
+    all_sent: bool,
     load: Load,
     work_ms: Option<f64>,
 }
 
-/// SQLSTATEs that tell of the engine, not of the query.
-fn of_the_engine(state: &str) -> bool {
-    ["53", "57P", "58", "XX"].iter().any(|class| state.starts_with(class))
+/// Whether an SQLSTATE reports a fault of the engine and not of the query: insufficient resources (53), operator
+/// intervention (57P), system error (58) or internal error (XX).
+fn is_engine_fault(sqlstate: &str) -> bool {
+    ["53", "57P", "58", "XX"].iter().any(|class| sqlstate.starts_with(class))
 }
 
 impl Backend {
-    /// A session about to start; the startup packet is appended to `out`.
+    /// Starts a session: appends the startup packet to `out`.
     pub fn start(user: &str, database: &str, application: &str, out: &mut BytesMut) -> Backend {
         frontend_messages::put_startup(
             &[("user", user), ("database", database), ("application_name", application)],
@@ -137,245 +151,260 @@
         Backend {
             phase: Phase::Starting(0),
             key: None,
-            swallow: VecDeque::new(),
-            held: BytesMut::new(),
-            tail: Bytes::new(),
-            begun: false,
-            asks: false,
-            dropped: false,
+            suppress_acks: VecDeque::new(),
+            held_back: BytesMut::new(),
+            withheld_completion: Bytes::new(),
+            response_started: false,
+            awaits_start: false,
+            discarding: false,
             cancelled: false,
-            errored: false,
-            trouble: None,
-            passing: 0,
-            sealed: true,
+            has_query_error: false,
+            engine_error: None,
+            row_bytes_left: 0,
+            all_sent: true,
             load: Load::default(),
             work_ms: None,
         }
     }
 
-    /// Ready for a unit.
+    /// Whether the session is ready for a unit.
     pub fn is_idle(&self) -> bool {
         self.phase == Phase::Idle
     }
 
-    /// Not yet past its startup.
+    /// Whether the startup is not complete.
     pub fn is_starting(&self) -> bool {
         matches!(self.phase, Phase::Starting(_))
     }
 
-    /// What a request to cancel must name.
+    /// The process ID and the key that a cancel request must contain.
     pub fn key(&self) -> Option<&(i32, Bytes)> {
         self.key.as_ref()
     }
 
-    /// The load as last told.
+    /// The load that the engine reported last.
     pub fn load(&self) -> Load {
         self.load
     }
 
-    /// Work of the unit that just ended, in milliseconds of one thread, where told.
+    /// The work of the unit that ended last in milliseconds of one thread, if the engine reported it.
     pub fn work_ms(&self) -> Option<f64> {
         self.work_ms
     }
 
-    /// The unit's answer has begun to go to the client.
+    /// Whether [`Backend::start_response`] was called for the current unit.
     pub fn response_started(&self) -> bool {
-        self.begun
+        self.response_started
     }
 
-    /// Starts a unit on an idle session; `settings`, if any, are set before it. `swallow` is as in
+    /// Starts a unit on an idle session. `settings` is a text of SET statements that is sent before the unit; its
+    /// response is not forwarded. `open` tells whether more of the unit follows. `suppress_acks` is as in
     /// [`crate::client::Unit::suppress_acks`].
     pub fn run(
         &mut self,
         settings: Option<&str>,
         frames: &[u8],
-        swallow: &[bool],
+        suppress_acks: &[bool],
         open: bool,
         out: &mut BytesMut,
     ) {
         debug_assert!(self.is_idle());
-        self.phase = Phase::Busy;
+        self.phase = Phase::Running;
         if let Some(settings) = settings {
             frontend_messages::put_query(settings, out);
-            self.phase = Phase::Prelude;
+            self.phase = Phase::ApplyingSettings;
         }
         out.extend_from_slice(frames);
-        self.swallow.clear();
-        self.swallow.extend(swallow);
-        (self.begun, self.asks, self.dropped, self.errored) = (false, false, false, false);
-        (self.trouble, self.work_ms, self.cancelled) = (None, None, false);
-        self.sealed = !open;
-        self.held.clear();
-        self.tail = Bytes::new();
+        self.suppress_acks.clear();
+        self.suppress_acks.extend(suppress_acks);
+        (self.response_started, self.awaits_start, self.discarding, self.has_query_error) =
+            (false, false, false, false);
+        (self.engine_error, self.work_ms, self.cancelled) = (None, None, false);
+        self.all_sent = !open;
+        self.held_back.clear();
+        self.withheld_completion = Bytes::new();
     }
 
-    /// More of an open unit.
-    pub fn append(&mut self, frames: &[u8], swallow: &[bool], sealed: bool, out: &mut BytesMut) {
+    /// Sends more of an open unit. `is_last` tells whether the unit is complete with it.
+    pub fn append(&mut self, frames: &[u8], suppress_acks: &[bool], is_last: bool, out: &mut BytesMut) {
         out.extend_from_slice(frames);
-        self.swallow.extend(swallow);
-        self.sealed |= sealed;
+        self.suppress_acks.extend(suppress_acks);
+        self.all_sent |= is_last;
     }
 
-    /// The answer may go to the client: what was held back goes first.
+    /// Starts to forward the response to the client: the messages that were held back are appended to `sink`, and the
+    /// following ones by [`Backend::feed`].
     pub fn start_response(&mut self, sink: &mut BytesMut) {
-        self.asks = false;
-        self.begun = true;
-        sink.extend_from_slice(&self.held);
-        self.held = BytesMut::new();
+        self.awaits_start = false;
+        self.response_started = true;
+        sink.extend_from_slice(&self.held_back);
+        self.held_back = BytesMut::new();
     }
 
-    /// Nobody wants the answer any more. A unit still open is sealed, so that the session comes clean.
+    /// Discards the response, which is no longer wanted. An open unit is ended with a Sync, so that the session becomes
+    /// idle.
     pub fn discard(&mut self, out: &mut BytesMut) {
-        self.asks = false;
-        self.dropped = true;
-        self.held = BytesMut::new();
-        self.tail = Bytes::new();
-        if !std::mem::replace(&mut self.sealed, true) {
+        self.awaits_start = false;
+        self.discarding = true;
+        self.held_back = BytesMut::new();
+        self.withheld_completion = Bytes::new();
+        if !std::mem::replace(&mut self.all_sent, true) {
             backend_messages::put_empty_message(b'S', out);
         }
     }
 
-    /// A request to end the unit was sent: if the engine says that it did, that is no error of the query.
+    /// Records that a cancel request was sent for the unit: an error with [`QUERY_CANCELED`] is then the result of that
+    /// request, and not an error of the query.
     pub fn mark_cancelled(&mut self) {
         self.cancelled = true;
     }
 
-    /// Takes what it can off `input`; what is for the client is appended to `sink`, up to `room` bytes of it at a
-    /// time. Stops at the first thing that the host must know.
+    /// Processes as much of `input` as possible, and appends what is for the client to `sink`. Returns at the first
+    /// event for the caller. Once the response has started it also returns when `sink` holds `sink_limit` bytes.
     ///
     /// # Errors
-    /// [`ProtocolError`] for what is not of the protocol; the session is of no more use.
+    /// [`ProtocolError`] if the engine violates the protocol. The session is then closed.
     pub fn feed(
         &mut self,
         input: &mut BytesMut,
         sink: &mut BytesMut,
-        room: usize,
+        sink_limit: usize,
     ) -> Result<BackendEvent, ProtocolError> {
-        self.read(input, sink, room).inspect_err(|_| self.phase = Phase::Closed)
+        self.process_input(input, sink, sink_limit).inspect_err(|_| self.phase = Phase::Closed)
     }
 
-    fn read(
+    fn process_input(
         &mut self,
         input: &mut BytesMut,
         sink: &mut BytesMut,
-        room: usize,
+        sink_limit: usize,
     ) -> Result<BackendEvent, ProtocolError> {
         loop {
             if self.phase == Phase::Closed {
                 return Ok(BackendEvent::Pending);
             }
-            if self.begun && sink.len() >= room && !self.dropped {
+            if self.response_started && sink.len() >= sink_limit && !self.discarding {
                 return Ok(BackendEvent::Pending);
             }
-            if self.passing > 0 {
-                let n = self.passing.min(input.len());
+            if self.row_bytes_left > 0 {
+                let n = self.row_bytes_left.min(input.len());
                 if n == 0 {
                     return Ok(BackendEvent::Pending);
                 }
                 let part = input.split_to(n);
-                self.passing -= n;
-                if !self.dropped {
+                self.row_bytes_left -= n;
+                if !self.discarding {
                     sink.extend_from_slice(&part);
                 }
                 continue;
             }
-            let Some(Header { tag, whole }) = frame::parse_header(input)? else { return Ok(self.dry()) };
-            if tag == b'D' && self.phase == Phase::Busy {
-                if let Some(heard) = self.row(whole, input, sink) {
-                    return Ok(heard);
+            let Some(Header { tag, message_len }) = frame::parse_header(input)? else {
+                return Ok(self.pending_event());
+            };
+            if tag == b'D' && self.phase == Phase::Running {
+                if let Some(event) = self.handle_row(message_len, input, sink) {
+                    return Ok(event);
                 }
                 continue;
             }
-            if whole > LONGEST {
+            if message_len > MAX_MESSAGE_BYTES {
                 return Err(ProtocolError::MessageTooLong {
                     tag: frame::printable_tag(tag),
-                    length: whole,
-                    limit: LONGEST,
+                    length: message_len,
+                    limit: MAX_MESSAGE_BYTES,
                 });
             }
-            if input.len() < whole {
-                return Ok(self.dry());
+            if input.len() < message_len {
+                return Ok(self.pending_event());
             }
-            let message = input.split_to(whole).freeze();
-            if let Some(heard) = self.message(tag, message, sink)? {
-                return Ok(heard);
+            let message = input.split_to(message_len).freeze();
+            if let Some(event) = self.handle_message(tag, message, sink)? {
+                return Ok(event);
             }
         }
     }
 
-    /// Nothing whole is left to read: a row that waits in the held part is told.
-    fn dry(&mut self) -> BackendEvent {
-        if self.asks {
+    /// The event to return if `input` holds no complete message: [`BackendEvent::ResponseStarted`] if the response
+    /// waits to be started.
+    fn pending_event(&mut self) -> BackendEvent {
+        if self.awaits_start {
             BackendEvent::ResponseStarted
         } else {
             BackendEvent::Pending
         }
     }
 
-    /// Takes a row, or its part that is there.
-    fn row(&mut self, whole: usize, input: &mut BytesMut, sink: &mut BytesMut) -> Option<BackendEvent> {
-        let there = whole.min(input.len());
-        self.release(sink);
-        if self.dropped {
-            input.advance(there);
-            self.passing = whole - there;
-        } else if self.begun && there < whole && whole <= HELD {
-            // A short row goes whole, so that an engine lost in its middle leaves the client a place for the error.
+    /// Processes a row, or the part of it that has arrived.
+    fn handle_row(
+        &mut self,
+        message_len: usize,
+        input: &mut BytesMut,
+        sink: &mut BytesMut,
+    ) -> Option<BackendEvent> {
+        let available = message_len.min(input.len());
+        self.release_completion(sink);
+        if self.discarding {
+            input.advance(available);
+            self.row_bytes_left = message_len - available;
+        } else if self.response_started && available < message_len && message_len <= MAX_HELD_BYTES {
+            // A short row is forwarded only as a whole. If the engine is lost in the middle of the row, the error can
+            // still be sent to the client, which is not possible after part of a row.
             return Some(BackendEvent::Pending);
-        } else if self.begun {
-            sink.extend_from_slice(&input[..there]);
-            input.advance(there);
-            self.passing = whole - there;
-        } else if self.held.len() + whole <= HELD {
-            // Short answers are often whole in one read: then the client's answer and its end are one.
-            self.asks = true;
-            if there < whole {
+        } else if self.response_started {
+            sink.extend_from_slice(&input[..available]);
+            input.advance(available);
+            self.row_bytes_left = message_len - available;
+        } else if self.held_back.len() + message_len <= MAX_HELD_BYTES {
+            // A short response often arrives in one read. Then no `ResponseStarted` is needed, only `Completed`.
+            self.awaits_start = true;
+            if available < message_len {
                 return Some(BackendEvent::ResponseStarted);
             }
-            self.held.extend_from_slice(&input[..whole]);
-            input.advance(whole);
+            self.held_back.extend_from_slice(&input[..message_len]);
+            input.advance(message_len);
         } else {
             return Some(BackendEvent::ResponseStarted);
         }
         None
     }
 
-    /// The unit goes on behind the end of a statement.
-    fn release(&mut self, sink: &mut BytesMut) {
-        if !self.tail.is_empty() {
-            let tail = std::mem::take(&mut self.tail);
-            if self.begun { sink } else { &mut self.held }.extend_from_slice(&tail);
+    /// Forwards the withheld completion of a statement, because another message of the unit follows.
+    fn release_completion(&mut self, sink: &mut BytesMut) {
+        if !self.withheld_completion.is_empty() {
+            let completion = std::mem::take(&mut self.withheld_completion);
+            if self.response_started { sink } else { &mut self.held_back }.extend_from_slice(&completion);
         }
     }
 
+    /// Forwards a message to the client, or holds it back until the response has started.
     fn forward(&mut self, message: &Bytes, sink: &mut BytesMut) -> Result<(), ProtocolError> {
-        if self.dropped {
+        if self.discarding {
             return Ok(());
         }
-        self.release(sink);
-        if self.begun {
+        self.release_completion(sink);
+        if self.response_started {
             sink.extend_from_slice(message);
             return Ok(());
         }
-        self.held.extend_from_slice(message);
-        // Descriptions and notices without end would grow what is held.
-        if self.held.len() > LONGEST {
-            return Err(ProtocolError::Unexpected("over a megabyte before the first row"));
+        self.held_back.extend_from_slice(message);
+        // Bounds the buffer: an engine could send any number of descriptions and notices before the first row.
+        if self.held_back.len() > MAX_MESSAGE_BYTES {
+            return Err(ProtocolError::Unexpected("more than 1 MiB of messages before the first row"));
         }
         Ok(())
     }
 
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
-    fn message(
+    fn handle_message(
         &mut self,
         tag: u8,
         message: Bytes,
         sink: &mut BytesMut,
     ) -> Result<Option<BackendEvent>, ProtocolError> {
         match (tag, self.phase) {
-            (b'S', _) => return Ok(self.told(&message)?.map(BackendEvent::QueryStatus)),
+            (b'S', _) => return Ok(self.handle_parameter_status(&message)?.map(BackendEvent::QueryStatus)),
             (b'A', _) => {}
-            (b'N', Phase::Busy) => self.forward(&message, sink)?,
+            (b'N', Phase::Running) => self.forward(&message, sink)?,
             (b'N', _) => {}
             (b'E', Phase::Starting(_)) => {
                 let (sqlstate, message) = backend_messages::parse_sqlstate_and_message(&message)?;
@@ -383,13 +412,17 @@
                 return Ok(Some(BackendEvent::StartupFailed { sqlstate, message }));
             }
             (_, Phase::Starting(n)) => {
-                if n >= MOST_AT_STARTUP {
-                    return Err(ProtocolError::Unexpected("a startup without end"));
+                if n >= MAX_STARTUP_MESSAGES {
+                    return Err(ProtocolError::Unexpected("too many messages during the startup"));
                 }
                 self.phase = Phase::Starting(n + 1);
                 match tag {
                     b'R' if message.len() >= 9 && message[5..9] == [0, 0, 0, 0] => {}
-                    b'R' => return Err(ProtocolError::Unexpected("the engine asks for a password")),
+                    b'R' => {
+                        return Err(ProtocolError::Unexpected(
+                            "the engine requires authentication, which is not supported",
+                        ))
+                    }
                     b'K' => self.key = Some(backend_messages::parse_backend_key_data(&message)?),
                     b'v' => {}
                     b'Z' => {
@@ -399,41 +432,41 @@
                     _ => return Err(ProtocolError::UnknownMessageType(frame::printable_tag(tag))),
                 }
             }
-            (b'Z', Phase::Prelude) => self.phase = Phase::Busy,
-            (b'C' | b'I', Phase::Prelude) => {}
-            (b'E', Phase::Prelude) => {
-                self.trouble = Some(backend_messages::parse_sqlstate_and_message(&message)?)
+            (b'Z', Phase::ApplyingSettings) => self.phase = Phase::Running,
+            (b'C' | b'I', Phase::ApplyingSettings) => {}
+            (b'E', Phase::ApplyingSettings) => {
+                self.engine_error = Some(backend_messages::parse_sqlstate_and_message(&message)?)
             }
-            (b'1' | b'2', Phase::Busy) => {
-                if !self.swallow.pop_front().unwrap_or(false) {
+            (b'1' | b'2', Phase::Running) => {
+                if !self.suppress_acks.pop_front().unwrap_or(false) {
                     self.forward(&message, sink)?;
                 }
             }
-            (b'3' | b't' | b'T' | b'n', Phase::Busy) => self.forward(&message, sink)?,
-            (b'C' | b'I' | b's', Phase::Busy) if self.sealed && !self.dropped => {
-                self.release(sink);
-                self.tail = message;
+            (b'3' | b't' | b'T' | b'n', Phase::Running) => self.forward(&message, sink)?,
+            (b'C' | b'I' | b's', Phase::Running) if self.all_sent && !self.discarding => {
+                self.release_completion(sink);
+                self.withheld_completion = message;
             }
-            // Of a batch that is open its client waits for each end.
-            (b'C' | b'I' | b's', Phase::Busy) => {
+            // The client of an open batch waits for the completion of each statement, so it is not withheld.
+            (b'C' | b'I' | b's', Phase::Running) => {
                 self.forward(&message, sink)?;
-                self.asks |= !self.begun && !self.dropped;
+                self.awaits_start |= !self.response_started && !self.discarding;
             }
-            (b'E', Phase::Busy) => {
-                self.swallow.clear();
-                let (state, text) = backend_messages::parse_sqlstate_and_message(&message)?;
-                if of_the_engine(&state) || (self.cancelled && state == QUERY_CANCELED) {
-                    self.trouble = Some((state, text));
+            (b'E', Phase::Running) => {
+                self.suppress_acks.clear();
+                let (sqlstate, text) = backend_messages::parse_sqlstate_and_message(&message)?;
+                if is_engine_fault(&sqlstate) || (self.cancelled && sqlstate == QUERY_CANCELED) {
+                    self.engine_error = Some((sqlstate, text));
                 } else {
-                    self.errored = true;
+                    self.has_query_error = true;
                     self.forward(&message, sink)?;
                 }
             }
-            (b'Z', Phase::Busy) => {
-                if self.trouble.is_none() {
-                    self.release(sink);
+            (b'Z', Phase::Running) => {
+                if self.engine_error.is_none() {
+                    self.release_completion(sink);
                 }
-                return Ok(Some(self.over(message.get(5) == Some(&b'I'))));
+                return Ok(Some(self.finish_unit(message.get(5) == Some(&b'I'))));
             }
             (b'E', Phase::Idle) => {
                 let (sqlstate, message) = backend_messages::parse_sqlstate_and_message(&message)?;
@@ -442,37 +475,41 @@
             }
             _ => return Err(ProtocolError::UnknownMessageType(frame::printable_tag(tag))),
         }
-        // A trouble of the engine that ends the connection brings no end of the unit.
+        // If the engine closes the connection after an error, no ReadyForQuery ends the unit. The caller then gets the
+        // error with `take_engine_error`.
         Ok(None)
     }
 
-    fn over(&mut self, idle: bool) -> BackendEvent {
-        let reusable = idle && self.sealed;
+    /// Ends the unit after `ReadyForQuery`. `is_idle` tells whether the engine reported that it is in no transaction.
+    fn finish_unit(&mut self, is_idle: bool) -> BackendEvent {
+        let reusable = is_idle && self.all_sent;
         self.phase = if reusable { Phase::Idle } else { Phase::Closed };
-        self.asks = false;
-        self.swallow.clear();
-        if self.dropped {
-            self.dropped = false;
+        self.awaits_start = false;
+        self.suppress_acks.clear();
+        if self.discarding {
+            self.discarding = false;
             return BackendEvent::Discarded { reusable };
         }
-        match self.trouble.take() {
+        match self.engine_error.take() {
             Some((sqlstate, message)) => BackendEvent::EngineError { sqlstate, message, reusable },
-            None => BackendEvent::Completed { has_query_error: self.errored, reusable },
+            None => BackendEvent::Completed { has_query_error: self.has_query_error, reusable },
         }
     }
 
-    /// A long row has gone to the client in part: nothing else can be told it before the rest.
+    /// Whether part of a row has been forwarded to the client. No other message, not even an error, can be sent to the
+    /// client before the rest of the row.
     pub fn is_mid_row(&self) -> bool {
-        self.passing > 0 && !self.dropped
+        self.row_bytes_left > 0 && !self.discarding
     }
 
-    /// A trouble that the engine told before it closed the connection.
+    /// Returns the SQLSTATE and the message of an error of the engine that no event has reported, because the engine
+    /// closed the connection before the end of the unit.
     pub fn take_engine_error(&mut self) -> Option<(String, String)> {
-        self.trouble.take()
+        self.engine_error.take()
     }
 
-    /// The engine tells its load, the work done, or how the query goes on.
-    fn told(&mut self, message: &[u8]) -> Result<Option<QueryStatus>, ProtocolError> {
+    /// Processes a setting that the engine reports, which may be its load, the work done, or the status of the query.
+    fn handle_parameter_status(&mut self, message: &[u8]) -> Result<Option<QueryStatus>, ProtocolError> {
         let (name, value) = backend_messages::parse_parameter_status(message)?;
         let Some(name) = name.strip_prefix("wheelfield.") else { return Ok(None) };
         let number = value.parse::<f64>().ok().filter(|x| x.is_finite() && *x >= 0.0);
@@ -483,7 +520,7 @@
             "memory" => self.load.memory = number,
             "disks" => self.load.disks = number,
             "work_ms" => self.work_ms = number,
-            _ if self.phase != Phase::Busy || self.dropped => {}
+            _ if self.phase != Phase::Running || self.discarding => {}
             "progress" => return Ok(number.map(QueryStatus::Progress)),
             "spills" => return Ok(number.map(QueryStatus::Spills)),
             "waits" if value == "memory" => return Ok(Some(QueryStatus::WaitsForMemory)),
@@ -494,7 +531,7 @@
     }
 }
 
-/// What a client is told of an engine's trouble that broke its answer.
+/// The error for a client whose response was interrupted because the engine was lost.
 pub fn interrupted_response(detail: &str) -> Diagnostic {
     Diagnostic::error("08007", "the answer broke off: the engine was lost").detail(detail)
 }
--- a/crates/pg/src/backend_messages.rs
+++ b/crates/pg/src/backend_messages.rs
@@ -1,4 +1,4 @@
-//! Messages of a server: building them, and reading what of them matters.
+//! Messages that a server sends: writing all that the controller uses, and parsing those that it evaluates.
 
 use crate::frame::{Cursor, ProtocolError};
 use bytes::{BufMut, Bytes, BytesMut};
@@ -9,23 +9,23 @@
 };
 use pgwire::messages::Message;
 
-/// An error, a warning or a notice as PostgreSQL tells it.
+/// An error, a warning or a notice, as in PostgreSQL's `ErrorResponse` and `NoticeResponse`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Diagnostic {
     /// `ERROR`, `FATAL`, `WARNING` or `NOTICE`.
     pub severity: &'static str,
-    /// The SQLSTATE.
+    /// The SQLSTATE code.
     pub sqlstate: String,
-    /// What happened.
+    /// The primary message.
     pub message: String,
-    /// More of it, for programs.
+    /// Further details, in a form that programs can parse.
     pub detail: Option<String>,
-    /// What to do.
+    /// What the user can do about it.
     pub hint: Option<String>,
 }
 
 impl Diagnostic {
-    /// An error.
+    /// Creates an error.
     pub fn error(sqlstate: &str, message: impl Into<String>) -> Diagnostic {
         Diagnostic {
             severity: "ERROR",
@@ -36,57 +36,57 @@
         }
     }
 
-    /// An error after which the connection closes.
+    /// Creates an error after which the connection is closed.
     pub fn fatal(sqlstate: &str, message: impl Into<String>) -> Diagnostic {
         Diagnostic { severity: "FATAL", ..Diagnostic::error(sqlstate, message) }
     }
 
-    /// A warning, which ends nothing.
+    /// Creates a warning, which does not end the statement.
     pub fn warning(sqlstate: &str, message: impl Into<String>) -> Diagnostic {
         Diagnostic { severity: "WARNING", ..Diagnostic::error(sqlstate, message) }
     }
 
-    /// With a detail.
+    /// Returns the diagnostic with this detail.
     #[must_use]
     pub fn detail(self, detail: impl Into<String>) -> Diagnostic {
         Diagnostic { detail: Some(detail.into()), ..self }
     }
 
-    /// With a hint.
+    /// Returns the diagnostic with this hint.
     #[must_use]
     pub fn hint(self, hint: impl Into<String>) -> Diagnostic {
         Diagnostic { hint: Some(hint.into()), ..self }
     }
 
-    fn fields(&self) -> Vec<(u8, String)> {
-        let clean = |text: &str| text.replace('\0', " ");
+    fn error_fields(&self) -> Vec<(u8, String)> {
+        let without_nul = |text: &str| text.replace('\0', " ");
         let mut fields = vec![
             (b'S', self.severity.to_string()),
             (b'V', self.severity.to_string()),
-            (b'C', clean(&self.sqlstate)),
-            (b'M', clean(&self.message)),
+            (b'C', without_nul(&self.sqlstate)),
+            (b'M', without_nul(&self.message)),
         ];
-        fields.extend(self.detail.as_deref().map(|d| (b'D', clean(d))));
-        fields.extend(self.hint.as_deref().map(|h| (b'H', clean(h))));
+        fields.extend(self.detail.as_deref().map(|detail| (b'D', without_nul(detail))));
+        fields.extend(self.hint.as_deref().map(|hint| (b'H', without_nul(hint))));
         fields
     }
 
-    /// Appends it as an error or, for a warning or a notice, as that.
+    /// Appends an `ErrorResponse` or, for warnings and notices, a `NoticeResponse`.
     pub fn put(&self, out: &mut BytesMut) {
         match self.severity {
-            "ERROR" | "FATAL" => put(&ErrorResponse::new(self.fields()), out),
-            _ => put(&NoticeResponse::new(self.fields()), out),
+            "ERROR" | "FATAL" => put(&ErrorResponse::new(self.error_fields()), out),
+            _ => put(&NoticeResponse::new(self.error_fields()), out),
         }
     }
 }
 
-/// Appends a server's message.
+/// Appends an encoded message.
 pub fn put(message: &impl Message, out: &mut BytesMut) {
-    let written = message.encode(out);
-    debug_assert!(written.is_ok());
+    let result = message.encode(out);
+    debug_assert!(result.is_ok());
 }
 
-/// Appends a message without a body.
+/// Appends a message that has no body.
 pub fn put_empty_message(tag: u8, out: &mut BytesMut) {
     out.put_u8(tag);
     out.put_i32(4);
@@ -122,7 +122,7 @@
     put_empty_message(b's', out);
 }
 
-/// Appends `ReadyForQuery`; `status` is `I`, `T` or `E`.
+/// Appends `ReadyForQuery`. `status` is `I` (idle), `T` (in a transaction) or `E` (in a failed transaction).
 pub fn put_ready_for_query(status: u8, out: &mut BytesMut) {
     out.put_u8(b'Z');
     out.put_i32(5);
@@ -134,45 +134,47 @@
     put(&Authentication::Ok, out);
 }
 
-/// Appends a setting's value.
+/// Appends a `ParameterStatus`, which reports the value of a setting.
 pub fn put_parameter_status(name: &str, value: &str, out: &mut BytesMut) {
     put(&ParameterStatus::new(name.to_string(), value.to_string()), out);
 }
 
-/// Appends what a client needs to cancel.
+/// Appends a `BackendKeyData`, which holds what a client needs to cancel a query.
 pub fn put_backend_key_data(pid: i32, key: i32, out: &mut BytesMut) {
     put(&BackendKeyData::new(pid, SecretKey::I32(key)), out);
 }
 
-/// Appends the answer to a protocol version or option that is not spoken.
+/// Appends a `NegotiateProtocolVersion`, which names the supported minor version and the protocol options that are
+/// not supported.
 pub fn put_negotiate_protocol_version(minor: i32, unknown: Vec<String>, out: &mut BytesMut) {
     put(&NegotiateProtocolVersion::new(minor, unknown), out);
 }
 
-/// Appends the end of a statement.
+/// Appends a `CommandComplete` with a command tag.
 pub fn put_command_complete(tag: &str, out: &mut BytesMut) {
     put(&CommandComplete::new(tag.to_string()), out);
 }
 
-/// A column: its name, the number of its type, and the type's size (-1 if it varies).
+/// A column of a result.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Column {
-    /// Its name.
+    /// The name of the column.
     pub name: String,
-    /// The number of its type.
+    /// The OID of the column's type.
     pub type_oid: u32,
-    /// Bytes of a value; -1 if they vary.
+    /// The size of a value in bytes; -1 if it varies.
     pub type_size: i16,
 }
 
 impl Column {
-    /// A text.
+    /// Creates a column of type `text`.
     pub fn text(name: &str) -> Column {
         Column { name: name.to_string(), type_oid: 25, type_size: -1 }
     }
 }
 
-/// Appends the description of rows; `formats` as in Bind: none for text, one for all, or one each.
+/// Appends a `RowDescription`. `formats` are format codes as in a Bind: none if all columns are text, one for all
+/// columns, or one for each column.
 pub fn put_row_description(columns: &[Column], formats: &[i16], out: &mut BytesMut) {
     let format = |i: usize| match formats {
         [] => 0,
@@ -185,12 +187,12 @@
     put(&RowDescription::new(fields.collect()), out);
 }
 
-/// Appends the types of a statement's parameters.
+/// Appends a `ParameterDescription` with the type OIDs of a statement's parameters.
 pub fn put_parameter_description(types: &[u32], out: &mut BytesMut) {
     put(&ParameterDescription::new(types.to_vec()), out);
 }
 
-/// Appends a row; `None` is NULL.
+/// Appends a `DataRow`. `None` stands for NULL.
 pub fn put_data_row<'a>(values: impl Iterator<Item = Option<&'a [u8]>>, out: &mut BytesMut) {
     let (mut data, mut count) = (BytesMut::new(), 0);
     for value in values {
@@ -206,54 +208,54 @@
     put(&DataRow::new(data, count), out);
 }
 
-/// What an `ErrorResponse` or a notice says: its SQLSTATE and its message.
+/// Parses the SQLSTATE and the primary message of an `ErrorResponse` or a `NoticeResponse`.
 ///
 /// # Errors
-/// [`ProtocolError`] if its fields have no end.
+/// [`ProtocolError`] if a field or the list of fields is not terminated.
 pub fn parse_sqlstate_and_message(message: &[u8]) -> Result<(String, String), ProtocolError> {
-    let mut c = Cursor::over(message);
-    let (mut state, mut text) = (String::new(), String::new());
+    let mut cursor = Cursor::new(message);
+    let (mut sqlstate, mut text) = (String::new(), String::new());
     loop {
-        match c.byte()? {
-            0 => return Ok((state, text)),
-            b'C' => state = c.text()?.to_string(),
-            b'M' => text = c.text()?.to_string(),
+        match cursor.byte()? {
+            0 => return Ok((sqlstate, text)),
+            b'C' => sqlstate = cursor.string()?.to_string(),
+            b'M' => text = cursor.string()?.to_string(),
             _ => {
-                c.text()?;
+                cursor.string()?;
             }
         }
     }
 }
 
-/// The name and value that a `ParameterStatus` tells.
+/// Parses the name and the value in a `ParameterStatus`.
 ///
 /// # Errors
-/// [`ProtocolError`] if they have no end.
+/// [`ProtocolError`] if the name or the value is not terminated, or bytes follow them.
 pub fn parse_parameter_status(message: &[u8]) -> Result<(&str, &str), ProtocolError> {
-    let mut c = Cursor::over(message);
-    let pair = (c.text()?, c.text()?);
-    c.end()?;
+    let mut cursor = Cursor::new(message);
+    let pair = (cursor.string()?, cursor.string()?);
+    cursor.expect_end()?;
     Ok(pair)
 }
 
-/// The process number and key that a `BackendKeyData` tells.
+/// Parses the process ID and the cancel key in a `BackendKeyData`.
 ///
 /// # Errors
-/// [`ProtocolError`] if it is too short.
+/// [`ProtocolError`] if the message is too short, or the key is not 4 to 256 bytes long.
 pub fn parse_backend_key_data(message: &[u8]) -> Result<(i32, Bytes), ProtocolError> {
-    let mut c = Cursor::over(message);
-    let pid = c.number()?;
-    let key = c.rest();
+    let mut cursor = Cursor::new(message);
+    let pid = cursor.int32()?;
+    let key = cursor.remaining();
     if !(4..=256).contains(&key.len()) {
-        return Err(c.wrong("a key of no length"));
+        return Err(cursor.error("the length of the cancel key is not 4 to 256 bytes"));
     }
     Ok((pid, Bytes::copy_from_slice(key)))
 }
 
-/// The tag that a `CommandComplete` tells.
+/// Parses the command tag in a `CommandComplete`.
 ///
 /// # Errors
-/// [`ProtocolError`] if it has no end.
+/// [`ProtocolError`] if the tag is not terminated.
 pub fn parse_command_tag(message: &[u8]) -> Result<&str, ProtocolError> {
-    Cursor::over(message).text()
+    Cursor::new(message).string()
 }
--- a/crates/pg/src/client.rs
+++ b/crates/pg/src/client.rs
@@ -1,14 +1,15 @@
-//! A client's session: from its first byte to units of work for an engine, and back to its next message.
+//! The protocol state of a client's session. It turns the messages of the client into units of work for an engine.
 //!
-//! A unit is what goes to one engine in one piece: a simple query, or the messages of a batch up to its Sync. It is
-//! one query to the module, as the server runs it as one implicit transaction. Statements are kept here and prepared
-//! anew, without a name, on whichever engine a unit goes to. While a unit runs, the session reads no further
-//! messages, except those of a batch that was flushed and is still open.
+//! A unit is what is sent to one engine: a simple query, or the messages of a batch (extended-query messages) up to
+//! its Sync. Admission and routing treat it as one query, because the server runs it as one implicit transaction.
+//! Prepared statements are stored in the session. A unit prepares those that it uses again, as the unnamed statement,
+//! on the engine to which it is sent. While a unit runs, the session reads no further messages, except those of a
+//! batch that was flushed and is still open.
 
 use crate::backend_messages::{self, Diagnostic};
 use crate::frame::ProtocolError;
 use crate::frontend_messages::{self, FrontendMessage, StartupPacket};
-use crate::local_statements::Settings;
+use crate::local_statements::SessionSettings;
 use crate::sql::{self, Hints, Kind};
 use bytes::{Bytes, BytesMut};
 use pgwire::messages::extendedquery::{Bind, Close, Describe, Execute, Parse};
@@ -16,14 +17,14 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What one session may hold.
+/// Limits on the memory of one session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of one message.
+    /// Maximum length of a message in bytes.
     pub message_bytes: usize,
-    /// Prepared statements.
+    /// Maximum number of prepared statements.
     pub statements: usize,
-    /// Bytes of prepared statements, and of a batch.
+    /// Maximum size in bytes of all prepared statements, and of one batch.
     pub stored_bytes: usize,
 }
 
@@ -33,169 +34,189 @@
     }
 }
 
-/// Packets before the startup that a client may send.
-const MOST_OPENINGS: u32 = 4;
-/// Portals of a batch.
-const MOST_PORTALS: usize = 64;
+/// Maximum number of packets up to and including the startup message.
+const MAX_STARTUP_PACKETS: u32 = 4;
+/// Maximum number of portals in a batch.
+const MAX_PORTALS: usize = 64;
 
-/// Who a client says it is.
+/// The identity that a client states in its startup message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Identity {
-    /// The login, which names its tenant.
+    /// The user name, which is the name of the tenant.
     pub user: String,
-    /// The database, which names its route.
+    /// The database name, by which a class can be selected.
     pub database: String,
-    /// A label.
+    /// The application name.
     pub application: String,
 }
 
-/// A statement that was prepared.
+/// A prepared statement.
 #[derive(Debug)]
 pub struct Statement {
     text: String,
-    /// Its Parse, without a name.
-    frame: Bytes,
+    /// The Parse message that prepares it as the unnamed statement.
+    parse_message: Bytes,
     kind: Kind,
 }
 
 #[derive(Debug)]
 struct Portal {
     statement: Arc<Statement>,
-    /// Its Bind, of the unnamed statement.
-    frame: Bytes,
+    /// The Bind message that creates it from the unnamed statement.
+    bind_message: Bytes,
+    /// The format codes of the result columns.
     formats: Vec<i16>,
-    /// The engine has it.
+    /// The Bind message is in the current unit, so the portal exists at the engine.
     sent: bool,
 }
 
-/// A query for an engine, or the first part of one.
+/// A unit of work for an engine, or the first part of an open unit.
 #[derive(Debug)]
 pub struct Unit {
-    /// What to write to the engine.
+    /// The protocol messages to send to the engine.
     pub frames: Bytes,
-    /// For each `ParseComplete` or `BindComplete` in turn, whether it is kept from the client.
+    /// For each expected `ParseComplete` or `BindComplete` in turn, whether it is not forwarded to the client.
     pub suppress_acks: Vec<bool>,
-    /// More of it will come.
+    /// Whether more messages of the unit follow, with [`ClientEvent::More`].
     pub open: bool,
-    /// It asks for descriptions and runs nothing.
+    /// Whether the unit only describes statements or portals, and executes nothing.
     pub describe_only: bool,
-    text: Text,
+    text: UnitText,
 }
 
+/// The source of a unit's text.
 #[derive(Debug)]
-enum Text {
-    Frame,
+enum UnitText {
+    /// The simple query message in `frames`.
+    QueryMessage,
+    /// A prepared statement.
     Statement(Arc<Statement>),
 }
 
 impl Unit {
-    /// The text of its first statement.
+    /// The text of the first statement that the unit executes or, if it executes none, describes. For a simple query,
+    /// the whole text.
     pub fn text(&self) -> &str {
         match &self.text {
-            Text::Frame => frontend_messages::query_text(&self.frames).unwrap_or(""),
-            Text::Statement(statement) => &statement.text,
+            UnitText::QueryMessage => frontend_messages::query_text(&self.frames).unwrap_or(""),
+            UnitText::Statement(statement) => &statement.text,
         }
     }
 }
 
-/// What a session asks of its host.
+/// What [`Session::feed`] asks the caller to do.
 #[derive(Debug)]
 pub enum ClientEvent {
-    /// The client has introduced itself.
+    /// The startup is complete.
     Started(Identity),
-    /// Run a unit, and tell its end.
+    /// Run a unit, and call [`Session::unit_completed`] or [`Session::unit_failed`] at its end.
     Run(Unit),
-    /// More of the open unit.
+    /// Send more of the open unit.
     More {
-        /// What to write to the engine.
+        /// The protocol messages to send to the engine.
         frames: Bytes,
-        /// As in [`Unit::suppress_acks`], for what is added.
+        /// The additional entries for [`Unit::suppress_acks`].
         suppress_acks: Vec<bool>,
-        /// Nothing more will come.
+        /// Whether the unit is complete with these messages.
         is_last: bool,
     },
-    /// End the query of another session; this connection is done.
+    /// Cancel the query of another session. The session of this connection is closed.
     Cancel {
-        /// Its process number.
+        /// The process ID of the other session.
         pid: i32,
-        /// Its key.
+        /// The cancel key of the other session.
         key: Bytes,
     },
-    /// The client said good-bye.
+    /// The client ended the session, or its startup was refused.
     Closed,
 }
 
+/// What the session does at the end of the running unit.
 #[derive(Debug)]
-enum Then {
-    /// The client waits for `ReadyForQuery`.
-    Ready,
-    /// The batch goes on.
+enum AfterUnit {
+    /// Sends `ReadyForQuery`, for which the client waits.
+    ReadyForQuery,
+    /// Continues with the batch, which has not ended.
     Resume,
-    /// The batch ends in an error of our own.
+    /// Sends an error of the controller, which ends the batch.
     Error(Diagnostic),
 }
 
 #[derive(Debug)]
 enum Phase {
-    Opening(u32),
+    /// The startup is not complete. Holds the number of packets received.
+    Startup(u32),
     Ready,
     Running {
         open: bool,
-        then: Then,
+        after: AfterUnit,
     },
-    /// After an error in a batch, up to its Sync.
-    Skipping,
+    /// An error occurred in a batch, and all messages up to its Sync are ignored.
+    SkippingToSync,
     Closed,
 }
 
+/// The extended-query messages since the last Sync.
 #[derive(Debug, Default)]
 struct Batch {
+    /// The messages for the engine that no unit contains yet.
     frames: BytesMut,
-    swallow: Vec<bool>,
-    /// Something in it needs an engine, so that all answers must come in its turn.
-    engine: bool,
-    runs: bool,
-    /// What the engine has as its unnamed statement.
-    current: Option<Arc<Statement>>,
+    /// The entries of [`Unit::suppress_acks`] for `frames`.
+    suppress_acks: Vec<bool>,
+    /// Some message of the batch needs an engine. From then on the responses to later messages must wait for the
+    /// engine, because responses are sent in the order of the messages.
+    needs_engine: bool,
+    /// The batch executes a statement on an engine.
+    executes: bool,
+    /// The statement that is the unnamed statement at the engine at this point of the batch.
+    unnamed_statement: Option<Arc<Statement>>,
     portals: BTreeMap<String, Portal>,
-    first: Option<Arc<Statement>>,
-    /// A Parse of our own waits for its acknowledgement behind the unit.
-    acknowledge: bool,
+    /// The statement whose text is the text of the unit: the first that is executed or, if none is, described.
+    primary_statement: Option<Arc<Statement>>,
+    /// A `ParseComplete` for a statement of the controller has to be sent after the running unit.
+    ack_parse_after_unit: bool,
 }
 
 impl Batch {
-    fn statement(&mut self, statement: &Arc<Statement>, swallow: bool) {
-        if swallow && self.current.as_ref().is_some_and(|c| Arc::ptr_eq(c, statement)) {
+    /// Adds the Parse message of a statement, unless its acknowledgement is suppressed and the engine already has it
+    /// as the unnamed statement.
+    fn prepare(&mut self, statement: &Arc<Statement>, suppress_ack: bool) {
+        if suppress_ack && self.unnamed_statement.as_ref().is_some_and(|c| Arc::ptr_eq(c, statement)) {
             return;
         }
-        self.frames.extend_from_slice(&statement.frame);
-        self.swallow.push(swallow);
-        self.current = Some(statement.clone());
+        self.frames.extend_from_slice(&statement.parse_message);
+        self.suppress_acks.push(suppress_ack);
+        self.unnamed_statement = Some(statement.clone());
     }
 
-    fn portal(&mut self, name: &str) {
+    /// Adds the Bind message of a portal that is not in the current unit.
+    fn bind_portal(&mut self, name: &str) {
         let Some(portal) = self.portals.get_mut(name).filter(|p| !p.sent) else { return };
         portal.sent = true;
-        let (statement, frame) = (portal.statement.clone(), portal.frame.clone());
-        self.statement(&statement, true);
-        self.frames.extend_from_slice(&frame);
-        self.swallow.push(true);
+        let (statement, bind_message) = (portal.statement.clone(), portal.bind_message.clone());
+        self.prepare(&statement, true);
+        self.frames.extend_from_slice(&bind_message);
+        self.suppress_acks.push(true);
     }
 
-    fn needs_engine(&mut self, statement: &Arc<Statement>, runs: bool) {
-        self.engine = true;
-        if self.first.is_none() || (runs && !self.runs) {
-            self.first = Some(statement.clone());
+    /// Records that the batch needs an engine to describe or execute a statement.
+    fn add_engine_statement(&mut self, statement: &Arc<Statement>, executes: bool) {
+        self.needs_engine = true;
+        if self.primary_statement.is_none() || (executes && !self.executes) {
+            self.primary_statement = Some(statement.clone());
         }
-        self.runs |= runs;
+        self.executes |= executes;
     }
 }
 
-enum Step {
+/// The result of handling a message.
+enum Handled {
+    /// Nothing else is to be done.
     Done,
-    /// What is pending must be over before this message.
-    Barrier(FrontendMessage),
-    Ask(ClientEvent),
+    /// The message has to be handled again after the unit that it ends.
+    Deferred(FrontendMessage),
+    /// The caller has to handle an event.
+    Event(ClientEvent),
 }
 
 /// The state of one client's session.
@@ -206,23 +227,26 @@
     key: i32,
     phase: Phase,
     identity: Identity,
-    settings: Settings,
+    settings: SessionSettings,
     statements: BTreeMap<String, Arc<Statement>>,
+    /// The size of all prepared statements, to which [`Limits::stored_bytes`] applies.
     statement_bytes: usize,
     batch: Batch,
+    /// A message that is handled after the running unit.
     pending: Option<FrontendMessage>,
 }
 
 impl Session {
-    /// A session that has seen nothing; `pid` and `key` are what its client needs to cancel.
+    /// Creates the session of a new connection. `pid` and `key` are sent to the client, which needs them to cancel a
+    /// query.
     pub fn new(limits: Limits, pid: i32, key: i32) -> Session {
         Session {
             limits,
             pid,
             key,
-            phase: Phase::Opening(0),
+            phase: Phase::Startup(0),
             identity: Identity::default(),
-            settings: Settings::new("", "", pid, std::iter::empty()),
+            settings: SessionSettings::new("", "", pid, std::iter::empty()),
             statements: BTreeMap::new(),
             statement_bytes: 0,
             batch: Batch::default(),
@@ -230,61 +254,63 @@
         }
     }
 
-    /// Who the client is.
+    /// The identity of the client. Empty before the startup is complete.
     pub fn identity(&self) -> &Identity {
         &self.identity
     }
 
-    /// The client has introduced itself.
+    /// Whether the startup is over, successfully or not.
     pub fn is_started(&self) -> bool {
-        !matches!(self.phase, Phase::Opening(_))
+        !matches!(self.phase, Phase::Startup(_))
     }
 
-    /// A unit of this session runs.
+    /// Whether a unit of this session is running.
     pub fn is_running(&self) -> bool {
         matches!(self.phase, Phase::Running { .. })
     }
 
-    /// The session is over.
+    /// Whether the session is closed.
     pub fn is_closed(&self) -> bool {
         matches!(self.phase, Phase::Closed)
     }
 
-    /// The hints of a text, with the session's settings where it gives none.
+    /// The hints for a text: those in its trailing comment and, where it has none, those set for the session.
     pub fn hints<'a>(&'a self, text: &'a str) -> Hints<'a> {
-        let (own, set) = (sql::hints(text), self.settings.hints());
+        let (query_hints, session_hints) = (sql::hints(text), self.settings.hints());
         Hints {
-            class: own.class.or(set.class),
-            id: own.id.or(set.id),
-            key: own.key.or(set.key),
-            work_ms: own.work_ms.or(set.work_ms),
-            memory_mb: own.memory_mb.or(set.memory_mb),
-            due_ms: own.due_ms.or(set.due_ms),
-            tables: own.tables.or(set.tables),
-            ignored: own.ignored,
+            class: query_hints.class.or(session_hints.class),
+            id: query_hints.id.or(session_hints.id),
+            key: query_hints.key.or(session_hints.key),
+            work_ms: query_hints.work_ms.or(session_hints.work_ms),
+            memory_mb: query_hints.memory_mb.or(session_hints.memory_mb),
+            due_ms: query_hints.due_ms.or(session_hints.due_ms),
+            tables: query_hints.tables.or(session_hints.tables),
+            ignored: query_hints.ignored,
         }
     }
 
-    /// Takes what it can off `input`, and appends to `out` what the client is answered. Stops at the first thing
-    /// that the host must do. Call it again after that, or when more has come.
+    /// Processes as much of `input` as possible, and appends the responses to the client to `out`. Returns at the first
+    /// event for the caller. Call it again after the event was handled, and when more input has arrived.
     ///
     /// # Errors
-    /// [`ProtocolError`] for what is not of the protocol; the client was told, and the session is closed.
+    /// [`ProtocolError`] if the client violates the protocol. The error message for the client has then been appended
+    /// to `out`, and the session is closed.
     pub fn feed(
         &mut self,
         input: &mut BytesMut,
         out: &mut BytesMut,
     ) -> Result<Option<ClientEvent>, ProtocolError> {
-        self.read(input, out).inspect_err(|fault| {
-            // What is no startup packet at all mostly shows as one far too long.
-            let too_long = matches!(fault, ProtocolError::MessageTooLong { tag, .. } if *tag != '-');
-            let state = if too_long { "54000" } else { "08P01" };
-            Diagnostic::fatal(state, fault.to_string()).put(out);
+        self.process_input(input, out).inspect_err(|error| {
+            // Bytes of another protocol usually look like a startup packet that is far too long, so a startup packet
+            // over the limit is reported as a protocol violation (08P01) and not as a too long message (54000).
+            let too_long = matches!(error, ProtocolError::MessageTooLong { tag, .. } if *tag != '-');
+            let sqlstate = if too_long { "54000" } else { "08P01" };
+            Diagnostic::fatal(sqlstate, error.to_string()).put(out);
             self.phase = Phase::Closed;
         })
     }
 
-    fn read(
+    fn process_input(
         &mut self,
         input: &mut BytesMut,
         out: &mut BytesMut,
@@ -292,12 +318,12 @@
         loop {
             match self.phase {
                 Phase::Closed | Phase::Running { open: false, .. } => return Ok(None),
-                Phase::Opening(seen) => {
+                Phase::Startup(seen) => {
                     let Some(packet) = crate::frame::take_startup(input)? else { return Ok(None) };
-                    if seen >= MOST_OPENINGS {
+                    if seen >= MAX_STARTUP_PACKETS {
                         return Err(ProtocolError::Unexpected("a startup without end"));
                     }
-                    self.phase = Phase::Opening(seen + 1);
+                    self.phase = Phase::Startup(seen + 1);
                     match frontend_messages::parse_startup_packet(&packet)? {
                         StartupPacket::SslRequest | StartupPacket::GssEncRequest => {
                             out.extend_from_slice(b"N")
@@ -306,10 +332,12 @@
                             self.phase = Phase::Closed;
                             return Ok(Some(ClientEvent::Cancel { pid, key }));
                         }
-                        StartupPacket::StartupMessage(startup) => return Ok(self.start(startup, out)),
+                        StartupPacket::StartupMessage(startup) => {
+                            return Ok(self.handle_startup(startup, out))
+                        }
                     }
                 }
-                Phase::Ready | Phase::Skipping | Phase::Running { .. } => {
+                Phase::Ready | Phase::SkippingToSync | Phase::Running { .. } => {
                     let message = match self.pending.take() {
                         Some(message) => message,
                         None => match frontend_messages::take_message(input, self.limits.message_bytes)? {
@@ -317,42 +345,43 @@
                             None => return Ok(None),
                         },
                     };
-                    if let Some(ask) = self.message(message, out) {
-                        return Ok(Some(ask));
+                    if let Some(event) = self.handle_message(message, out) {
+                        return Ok(Some(event));
                     }
                 }
             }
         }
     }
 
-    fn start(&mut self, startup: Startup, out: &mut BytesMut) -> Option<ClientEvent> {
+    fn handle_startup(&mut self, startup: Startup, out: &mut BytesMut) -> Option<ClientEvent> {
         let get = |name: &str| startup.parameters.get(name).cloned().unwrap_or_default();
         let user = get("user");
-        let fault = if user.is_empty() {
+        let error = if user.is_empty() {
             Some(Diagnostic::fatal("28000", "no user name in the startup packet"))
         } else if startup.parameters.contains_key("replication") {
             Some(Diagnostic::fatal("0A000", "replication is not spoken here"))
         } else {
             None
         };
-        if let Some(fault) = fault {
-            fault.put(out);
+        if let Some(error) = error {
+            error.put(out);
             self.phase = Phase::Closed;
             return Some(ClientEvent::Closed);
         }
         let database = Some(get("database")).filter(|d| !d.is_empty()).unwrap_or_else(|| user.clone());
-        let unknown: Vec<String> =
+        let unsupported_options: Vec<String> =
             startup.parameters.keys().filter(|k| k.starts_with("_pq_.")).cloned().collect();
-        if startup.protocol_number_minor > 0 || !unknown.is_empty() {
-            backend_messages::put_negotiate_protocol_version(0, unknown, out);
-        }
-        let own = ["user", "database", "options"];
-        let given = startup.parameters.iter().map(|(k, v)| (k.as_str(), v.as_str()));
-        let given = given.filter(|(k, _)| !own.contains(k) && !k.starts_with("_pq_."));
-        self.settings = Settings::new(&user, &database, self.pid, given);
+        if startup.protocol_number_minor > 0 || !unsupported_options.is_empty() {
+            backend_messages::put_negotiate_protocol_version(0, unsupported_options, out);
+        }
+        let reserved = ["user", "database", "options"];
+        let startup_parameters = startup.parameters.iter().map(|(k, v)| (k.as_str(), v.as_str()));
+        let startup_parameters =
+            startup_parameters.filter(|(k, _)| !reserved.contains(k) && !k.starts_with("_pq_."));
+        self.settings = SessionSettings::new(&user, &database, self.pid, startup_parameters);
         self.identity = Identity { user, database, application: get("application_name") };
         backend_messages::put_authentication_ok(out);
-        for (name, value) in self.settings.reported() {
+        for (name, value) in self.settings.reported_parameters() {
             backend_messages::put_parameter_status(&name, &value, out);
         }
         backend_messages::put_backend_key_data(self.pid, self.key, out);
@@ -361,12 +390,12 @@
         Some(ClientEvent::Started(self.identity.clone()))
     }
 
-    fn message(&mut self, message: FrontendMessage, out: &mut BytesMut) -> Option<ClientEvent> {
+    fn handle_message(&mut self, message: FrontendMessage, out: &mut BytesMut) -> Option<ClientEvent> {
         if matches!(message, FrontendMessage::Terminate) {
             self.phase = Phase::Closed;
             return Some(ClientEvent::Closed);
         }
-        if matches!(self.phase, Phase::Skipping) {
+        if matches!(self.phase, Phase::SkippingToSync) {
             if matches!(message, FrontendMessage::Sync) {
                 backend_messages::put_ready_for_query(b'I', out);
                 self.batch = Batch::default();
@@ -374,9 +403,9 @@
             }
             return None;
         }
-        let step = match message {
-            FrontendMessage::Query(frame) if !self.batch.engine => Ok(self.simple(frame, out)),
-            FrontendMessage::Query(_) => Ok(Step::Barrier(message)),
+        let handled = match message {
+            FrontendMessage::Query(frame) if !self.batch.needs_engine => Ok(self.simple_query(frame, out)),
+            FrontendMessage::Query(_) => Ok(Handled::Deferred(message)),
             FrontendMessage::Parse(parse) => self.parse(parse, out),
             FrontendMessage::Bind(bind) => self.bind(bind, out),
             FrontendMessage::Describe(describe) => self.describe(describe, out),
@@ -384,55 +413,55 @@
             FrontendMessage::Close(close) => self.close(close, out),
             FrontendMessage::Flush => Ok(self.flush()),
             FrontendMessage::Sync => Ok(self.sync(out)),
-            FrontendMessage::Copy | FrontendMessage::Terminate => Ok(Step::Done),
+            FrontendMessage::Copy | FrontendMessage::Terminate => Ok(Handled::Done),
             FrontendMessage::FunctionCall => {
                 Err(Diagnostic::error("0A000", "calls of functions by number are not spoken here"))
             }
         };
-        match step {
-            Ok(Step::Done) => None,
-            Ok(Step::Ask(ask)) => Some(ask),
-            Ok(Step::Barrier(message)) => {
+        match handled {
+            Ok(Handled::Done) => None,
+            Ok(Handled::Event(event)) => Some(event),
+            Ok(Handled::Deferred(message)) => {
                 self.pending = Some(message);
-                Some(self.seal(Then::Resume))
+                Some(self.finish_unit(AfterUnit::Resume))
             }
-            Err(trouble) if self.batch.engine => Some(self.seal(Then::Error(trouble))),
-            Err(trouble) => {
-                trouble.put(out);
-                self.phase = Phase::Skipping;
+            Err(error) if self.batch.needs_engine => Some(self.finish_unit(AfterUnit::Error(error))),
+            Err(error) => {
+                error.put(out);
+                self.phase = Phase::SkippingToSync;
                 None
             }
         }
     }
 
-    /// Ends the unit at hand with a Sync of our own.
-    fn seal(&mut self, then: Then) -> ClientEvent {
+    /// Ends the current unit with a Sync and hands it over.
+    fn finish_unit(&mut self, after: AfterUnit) -> ClientEvent {
         backend_messages::put_empty_message(b'S', &mut self.batch.frames);
-        self.hand_over(false, then)
+        self.emit_unit(false, after)
     }
 
-    /// Hands over what the batch holds, as a unit or as more of the one that runs.
-    fn hand_over(&mut self, open: bool, then: Then) -> ClientEvent {
-        let more = matches!(self.phase, Phase::Running { .. });
-        self.phase = Phase::Running { open, then };
+    /// Hands over the messages of the batch, as a new unit or as more of the running one.
+    fn emit_unit(&mut self, open: bool, after: AfterUnit) -> ClientEvent {
+        let continues = matches!(self.phase, Phase::Running { .. });
+        self.phase = Phase::Running { open, after };
         let frames = self.batch.frames.split().freeze();
-        let suppress_acks = std::mem::take(&mut self.batch.swallow);
-        if more {
+        let suppress_acks = std::mem::take(&mut self.batch.suppress_acks);
+        if continues {
             return ClientEvent::More { frames, suppress_acks, is_last: !open };
         }
-        let text = self.batch.first.clone().map_or(Text::Frame, Text::Statement);
-        ClientEvent::Run(Unit { frames, suppress_acks, open, describe_only: !self.batch.runs, text })
+        let text = self.batch.primary_statement.clone().map_or(UnitText::QueryMessage, UnitText::Statement);
+        ClientEvent::Run(Unit { frames, suppress_acks, open, describe_only: !self.batch.executes, text })
     }
 
-    fn simple(&mut self, frame: Bytes, out: &mut BytesMut) -> Step {
+    fn simple_query(&mut self, frame: Bytes, out: &mut BytesMut) -> Handled {
         let text = frontend_messages::query_text(&frame).unwrap_or("");
         let kind = sql::kind(text);
         self.batch = Batch::default();
         match kind {
             Kind::Engine => {
-                self.phase = Phase::Running { open: false, then: Then::Ready };
-                let (suppress_acks, text) = (Vec::new(), Text::Frame);
-                return Step::Ask(ClientEvent::Run(Unit {
+                self.phase = Phase::Running { open: false, after: AfterUnit::ReadyForQuery };
+                let (suppress_acks, text) = (Vec::new(), UnitText::QueryMessage);
+                return Handled::Event(ClientEvent::Run(Unit {
                     frames: frame,
                     suppress_acks,
                     open: false,
@@ -443,39 +472,41 @@
             Kind::Empty => backend_messages::put_empty_query_response(out),
             Kind::Local => {
                 for statement in sql::statements(text) {
-                    if let Err(trouble) = self.answer(statement, &[], true, out) {
-                        trouble.put(out);
+                    if let Err(error) = self.execute_locally(statement, &[], true, out) {
+                        error.put(out);
                         break;
                     }
                 }
             }
-            other => unsupported(other).put(out),
+            other => unsupported_statement(other).put(out),
         }
         backend_messages::put_ready_for_query(b'I', out);
-        Step::Done
+        Handled::Done
     }
 
-    /// Answers a statement of the controller's own.
-    fn answer(
+    /// Executes a statement that the controller answers itself, and appends the response. `describe` tells whether the
+    /// response includes the row description.
+    fn execute_locally(
         &mut self,
         statement: &str,
         formats: &[i16],
         describe: bool,
         out: &mut BytesMut,
     ) -> Result<(), Diagnostic> {
-        let reply = self.settings.answer(statement)?;
-        let folded = sql::normalized(statement);
-        let of = folded.strip_prefix("deallocate ").map(|of| of.strip_prefix("prepare ").unwrap_or(of));
-        match of {
+        let reply = self.settings.execute(statement)?;
+        let normalized = sql::normalized(statement);
+        let deallocated =
+            normalized.strip_prefix("deallocate ").map(|name| name.strip_prefix("prepare ").unwrap_or(name));
+        match deallocated {
             Some(name) if name != "all" => {
                 let name = name.trim_matches('"');
                 let Some(statement) = self.statements.remove(name) else {
                     let message = format!("prepared statement \"{name}\" does not exist");
                     return Err(Diagnostic::error("26000", message));
                 };
-                self.statement_bytes -= statement.frame.len() + statement.text.len();
+                self.statement_bytes -= statement.parse_message.len() + statement.text.len();
             }
-            None if folded != "discard all" => {}
+            None if normalized != "discard all" => {}
             _ => {
                 self.statements.clear();
                 self.statement_bytes = 0;
@@ -495,9 +526,9 @@
         Ok(())
     }
 
-    // --- batches ---
+    // --- Extended-query messages ---
 
-    fn parse(&mut self, parse: Parse, out: &mut BytesMut) -> Result<Step, Diagnostic> {
+    fn parse(&mut self, parse: Parse, out: &mut BytesMut) -> Result<Handled, Diagnostic> {
         let name = parse.name.clone().unwrap_or_default();
         if !name.is_empty() && self.statements.contains_key(&name) {
             return Err(Diagnostic::error("42P05", format!("prepared statement \"{name}\" already exists")));
@@ -510,12 +541,12 @@
                 let message = "cannot insert multiple commands into a prepared statement";
                 return Err(Diagnostic::error("42601", message));
             }
-            other => return Err(unsupported(other)),
+            other => return Err(unsupported_statement(other)),
         }
-        let (mut frame, text) = (BytesMut::new(), parse.query.clone());
-        frontend_messages::put(&Parse::new(None, parse.query, parse.type_oids), &mut frame);
-        let size = frame.len() + text.len();
-        let replaced = self.statements.get(&name).map_or(0, |s| s.frame.len() + s.text.len());
+        let (mut parse_message, text) = (BytesMut::new(), parse.query.clone());
+        frontend_messages::put(&Parse::new(None, parse.query, parse.type_oids), &mut parse_message);
+        let size = parse_message.len() + text.len();
+        let replaced = self.statements.get(&name).map_or(0, |s| s.parse_message.len() + s.text.len());
         if self.statement_bytes - replaced + size > self.limits.stored_bytes
             || self.statements.len() >= self.limits.statements
         {
@@ -526,85 +557,86 @@
             return Err(Diagnostic::error("53400", message).hint("DEALLOCATE some of them"));
         }
         self.statement_bytes = self.statement_bytes - replaced + size;
-        let statement = Arc::new(Statement { text, frame: frame.freeze(), kind });
+        let statement = Arc::new(Statement { text, parse_message: parse_message.freeze(), kind });
         self.statements.insert(name, statement.clone());
-        if self.batch.engine && kind == Kind::Engine {
-            self.batch.statement(&statement, false);
-            self.bounded()?;
-        } else if self.batch.engine {
-            // An own statement amid those of an engine: its acknowledgement would overtake them.
-            return Ok(Step::Ask(self.seal_and_acknowledge()));
+        if self.batch.needs_engine && kind == Kind::Engine {
+            self.batch.prepare(&statement, false);
+            self.check_batch_size()?;
+        } else if self.batch.needs_engine {
+            // A statement that no engine runs follows messages for an engine. Its acknowledgement must come after the
+            // responses to those messages, so the unit ends here.
+            return Ok(Handled::Event(self.finish_unit_then_ack_parse()));
         } else {
             backend_messages::put_parse_complete(out);
         }
-        Ok(Step::Done)
+        Ok(Handled::Done)
     }
 
-    /// Runs what is pending; the acknowledgement of the Parse at hand follows it.
-    fn seal_and_acknowledge(&mut self) -> ClientEvent {
-        self.batch.acknowledge = true;
-        self.seal(Then::Resume)
+    /// Ends the current unit. `ParseComplete` for the Parse message being handled is sent after it.
+    fn finish_unit_then_ack_parse(&mut self) -> ClientEvent {
+        self.batch.ack_parse_after_unit = true;
+        self.finish_unit(AfterUnit::Resume)
     }
 
-    fn bind(&mut self, bind: Bind, out: &mut BytesMut) -> Result<Step, Diagnostic> {
+    fn bind(&mut self, bind: Bind, out: &mut BytesMut) -> Result<Handled, Diagnostic> {
         let name = bind.statement_name.clone().unwrap_or_default();
-        let statement = self.known(&name)?;
-        if self.batch.engine && statement.kind != Kind::Engine {
-            return Ok(Step::Barrier(FrontendMessage::Bind(bind)));
+        let statement = self.find_statement(&name)?;
+        if self.batch.needs_engine && statement.kind != Kind::Engine {
+            return Ok(Handled::Deferred(FrontendMessage::Bind(bind)));
         }
         let portal = bind.portal_name.clone().unwrap_or_default();
-        if self.batch.portals.len() >= MOST_PORTALS && !self.batch.portals.contains_key(&portal) {
-            return Err(Diagnostic::error("53400", format!("over {MOST_PORTALS} portals in one batch")));
+        if self.batch.portals.len() >= MAX_PORTALS && !self.batch.portals.contains_key(&portal) {
+            return Err(Diagnostic::error("53400", format!("over {MAX_PORTALS} portals in one batch")));
         }
         let formats = bind.result_column_format_codes.clone();
-        let mut frame = BytesMut::new();
+        let mut bind_message = BytesMut::new();
         let mut bind = bind;
         bind.statement_name = None;
-        frontend_messages::put(&bind, &mut frame);
-        let frame = frame.freeze();
-        let sent = self.batch.engine;
+        frontend_messages::put(&bind, &mut bind_message);
+        let bind_message = bind_message.freeze();
+        let sent = self.batch.needs_engine;
         if sent {
-            self.batch.statement(&statement, true);
-            self.batch.frames.extend_from_slice(&frame);
-            self.batch.swallow.push(false);
+            self.batch.prepare(&statement, true);
+            self.batch.frames.extend_from_slice(&bind_message);
+            self.batch.suppress_acks.push(false);
         } else {
             backend_messages::put_bind_complete(out);
         }
-        self.batch.portals.insert(portal, Portal { statement, frame, formats, sent });
-        self.bounded()?;
-        Ok(Step::Done)
+        self.batch.portals.insert(portal, Portal { statement, bind_message, formats, sent });
+        self.check_batch_size()?;
+        Ok(Handled::Done)
     }
 
-    fn known(&self, name: &str) -> Result<Arc<Statement>, Diagnostic> {
+    fn find_statement(&self, name: &str) -> Result<Arc<Statement>, Diagnostic> {
         let found = self.statements.get(name).cloned();
         found.ok_or_else(|| {
             Diagnostic::error("26000", format!("prepared statement \"{name}\" does not exist"))
         })
     }
 
-    fn bound(&self, name: &str) -> Result<&Portal, Diagnostic> {
+    fn find_portal(&self, name: &str) -> Result<&Portal, Diagnostic> {
         let found = self.batch.portals.get(name);
         found.ok_or_else(|| Diagnostic::error("34000", format!("portal \"{name}\" does not exist")))
     }
 
-    fn describe(&mut self, describe: Describe, out: &mut BytesMut) -> Result<Step, Diagnostic> {
+    fn describe(&mut self, describe: Describe, out: &mut BytesMut) -> Result<Handled, Diagnostic> {
         let name = describe.name.clone().unwrap_or_default();
-        let of_statement = describe.target_type == b'S';
-        let (statement, formats) = if of_statement {
-            (self.known(&name)?, Vec::new())
+        let is_statement = describe.target_type == b'S';
+        let (statement, formats) = if is_statement {
+            (self.find_statement(&name)?, Vec::new())
         } else {
-            let portal = self.bound(&name)?;
+            let portal = self.find_portal(&name)?;
             (portal.statement.clone(), portal.formats.clone())
         };
         if statement.kind != Kind::Engine {
-            if self.batch.engine {
-                return Ok(Step::Barrier(FrontendMessage::Describe(describe)));
+            if self.batch.needs_engine {
+                return Ok(Handled::Deferred(FrontendMessage::Describe(describe)));
             }
-            if of_statement {
+            if is_statement {
                 backend_messages::put_parameter_description(&[], out);
             }
             let columns = match statement.kind {
-                Kind::Local => self.settings.columns(&statement.text),
+                Kind::Local => self.settings.result_columns(&statement.text),
                 _ => Vec::new(),
             };
             if columns.is_empty() {
@@ -612,63 +644,63 @@
             } else {
                 backend_messages::put_row_description(&columns, &formats, out);
             }
-            return Ok(Step::Done);
+            return Ok(Handled::Done);
         }
-        self.batch.needs_engine(&statement, false);
-        if of_statement {
-            self.batch.statement(&statement, true);
+        self.batch.add_engine_statement(&statement, false);
+        if is_statement {
+            self.batch.prepare(&statement, true);
             frontend_messages::put(&Describe::new(b'S', None), &mut self.batch.frames);
         } else {
-            self.batch.portal(&name);
+            self.batch.bind_portal(&name);
             frontend_messages::put(&describe, &mut self.batch.frames);
         }
-        self.bounded()?;
-        Ok(Step::Done)
+        self.check_batch_size()?;
+        Ok(Handled::Done)
     }
 
-    fn execute(&mut self, execute: Execute, out: &mut BytesMut) -> Result<Step, Diagnostic> {
+    fn execute(&mut self, execute: Execute, out: &mut BytesMut) -> Result<Handled, Diagnostic> {
         let name = execute.name.clone().unwrap_or_default();
-        let portal = self.bound(&name)?;
+        let portal = self.find_portal(&name)?;
         let (statement, formats) = (portal.statement.clone(), portal.formats.clone());
         match statement.kind {
             Kind::Engine => {
-                self.batch.needs_engine(&statement, true);
-                self.batch.portal(&name);
+                self.batch.add_engine_statement(&statement, true);
+                self.batch.bind_portal(&name);
                 frontend_messages::put(&execute, &mut self.batch.frames);
-                self.bounded()?;
+                self.check_batch_size()?;
             }
-            _ if self.batch.engine => return Ok(Step::Barrier(FrontendMessage::Execute(execute))),
-            Kind::Local => self.answer(&statement.text, &formats, false, out)?,
+            _ if self.batch.needs_engine => return Ok(Handled::Deferred(FrontendMessage::Execute(execute))),
+            Kind::Local => self.execute_locally(&statement.text, &formats, false, out)?,
             _ => backend_messages::put_empty_query_response(out),
         }
-        Ok(Step::Done)
+        Ok(Handled::Done)
     }
 
-    fn close(&mut self, close: Close, out: &mut BytesMut) -> Result<Step, Diagnostic> {
+    fn close(&mut self, close: Close, out: &mut BytesMut) -> Result<Handled, Diagnostic> {
         let name = close.name.clone().unwrap_or_default();
         if close.target_type == b'S' {
             if let Some(statement) = self.statements.remove(&name) {
-                self.statement_bytes -= statement.frame.len() + statement.text.len();
+                self.statement_bytes -= statement.parse_message.len() + statement.text.len();
             }
-            if self.batch.engine {
+            if self.batch.needs_engine {
                 frontend_messages::put(&Close::new(b'S', None), &mut self.batch.frames);
-                self.batch.current = None;
+                self.batch.unnamed_statement = None;
             }
         } else {
             self.batch.portals.remove(&name);
-            if self.batch.engine {
+            if self.batch.needs_engine {
                 frontend_messages::put(&close, &mut self.batch.frames);
             }
         }
-        if !self.batch.engine {
+        if !self.batch.needs_engine {
             backend_messages::put_close_complete(out);
         }
-        self.bounded()?;
-        Ok(Step::Done)
+        self.check_batch_size()?;
+        Ok(Handled::Done)
     }
 
-    fn bounded(&self) -> Result<(), Diagnostic> {
-        let binds: usize = self.batch.portals.values().map(|p| p.frame.len()).sum();
+    fn check_batch_size(&self) -> Result<(), Diagnostic> {
+        let binds: usize = self.batch.portals.values().map(|p| p.bind_message.len()).sum();
         if self.batch.frames.len() + binds > self.limits.stored_bytes {
             let message = format!("a batch of over {} bytes", self.limits.stored_bytes);
             return Err(Diagnostic::error("54000", message).hint("send a Sync more often"));
@@ -676,84 +708,88 @@
         Ok(())
     }
 
-    fn flush(&mut self) -> Step {
-        if !self.batch.engine || self.batch.frames.is_empty() {
-            return Step::Done;
+    fn flush(&mut self) -> Handled {
+        if !self.batch.needs_engine || self.batch.frames.is_empty() {
+            return Handled::Done;
         }
-        if !self.batch.runs {
-            // Descriptions alone hold no state at the engine: they are a unit of their own.
-            return Step::Ask(self.seal(Then::Resume));
+        if !self.batch.executes {
+            // Descriptions leave no state at the engine that the rest of the batch needs, so they can be a separate
+            // unit.
+            return Handled::Event(self.finish_unit(AfterUnit::Resume));
         }
         backend_messages::put_empty_message(b'H', &mut self.batch.frames);
-        Step::Ask(self.hand_over(true, Then::Ready))
+        Handled::Event(self.emit_unit(true, AfterUnit::ReadyForQuery))
     }
 
-    fn sync(&mut self, out: &mut BytesMut) -> Step {
-        if self.batch.engine {
-            return Step::Ask(self.seal(Then::Ready));
+    fn sync(&mut self, out: &mut BytesMut) -> Handled {
+        if self.batch.needs_engine {
+            return Handled::Event(self.finish_unit(AfterUnit::ReadyForQuery));
         }
         backend_messages::put_ready_for_query(b'I', out);
         self.batch = Batch::default();
-        Step::Done
+        Handled::Done
     }
 
-    // --- the end of a unit ---
+    // --- The end of a unit ---
 
-    /// The unit was served: what the engine sent has gone to `out`, but for its `ReadyForQuery`. `errored` tells
-    /// whether an error of the engine was part of it.
-    pub fn unit_completed(&mut self, errored: bool, out: &mut BytesMut) {
-        let Phase::Running { then, .. } = std::mem::replace(&mut self.phase, Phase::Ready) else { return };
-        match then {
-            Then::Ready => {
+    /// Ends a unit that has a response. The caller has already appended the messages of the engine, without its
+    /// `ReadyForQuery`, to the output. `has_query_error` tells whether they contain an error.
+    pub fn unit_completed(&mut self, has_query_error: bool, out: &mut BytesMut) {
+        let Phase::Running { after, .. } = std::mem::replace(&mut self.phase, Phase::Ready) else { return };
+        match after {
+            AfterUnit::ReadyForQuery => {
                 backend_messages::put_ready_for_query(b'I', out);
                 self.batch = Batch::default();
             }
-            _ if errored => self.skip(),
-            Then::Error(trouble) => {
-                trouble.put(out);
-                self.skip();
+            _ if has_query_error => self.skip_to_sync(),
+            AfterUnit::Error(error) => {
+                error.put(out);
+                self.skip_to_sync();
             }
-            Then::Resume => {
+            AfterUnit::Resume => {
                 let batch = &mut self.batch;
-                (batch.engine, batch.runs, batch.current, batch.first) = (false, false, None, None);
-                // Portals went with the Sync; their values are kept, and bound again where they are used.
+                (batch.needs_engine, batch.executes, batch.unnamed_statement, batch.primary_statement) =
+                    (false, false, None, None);
+                // The Sync closed the portals at the engine. Their Bind messages are kept, and sent again with the next
+                // unit that uses the portal.
                 batch.portals.values_mut().for_each(|p| p.sent = false);
-                if std::mem::take(&mut batch.acknowledge) {
+                if std::mem::take(&mut batch.ack_parse_after_unit) {
                     backend_messages::put_parse_complete(out);
                 }
             }
         }
     }
 
-    /// The unit was refused, failed or cancelled: the client is told so.
-    pub fn unit_failed(&mut self, trouble: &Diagnostic, out: &mut BytesMut) {
-        let Phase::Running { open, then } = std::mem::replace(&mut self.phase, Phase::Ready) else { return };
-        trouble.put(out);
-        if !open && matches!(then, Then::Ready) {
+    /// Ends a unit that was refused, failed or cancelled, and sends `error` to the client.
+    pub fn unit_failed(&mut self, error: &Diagnostic, out: &mut BytesMut) {
+        let Phase::Running { open, after } = std::mem::replace(&mut self.phase, Phase::Ready) else { return };
+        error.put(out);
+        if !open && matches!(after, AfterUnit::ReadyForQuery) {
             backend_messages::put_ready_for_query(b'I', out);
             self.batch = Batch::default();
         } else {
-            self.skip();
+            self.skip_to_sync();
         }
     }
 
-    fn skip(&mut self) {
-        self.phase = Phase::Skipping;
+    fn skip_to_sync(&mut self) {
+        self.phase = Phase::SkippingToSync;
         self.batch = Batch::default();
-        // A message that waited for the unit is of the batch that is skipped.
+        // The pending message belongs to the batch that is skipped.
         self.pending = None;
     }
 
-    /// The session ends with this error, as on a time-out of the startup or a stop of the controller.
-    pub fn close_with_error(&mut self, trouble: &Diagnostic, out: &mut BytesMut) {
+    /// Closes the session and sends `error` to the client, for example if the startup times out or the controller
+    /// stops.
+    pub fn close_with_error(&mut self, error: &Diagnostic, out: &mut BytesMut) {
         if !self.is_closed() {
-            trouble.put(out);
+            error.put(out);
             self.phase = Phase::Closed;
         }
     }
 }
 
-fn unsupported(kind: Kind) -> Diagnostic {
+fn unsupported_statement(kind: Kind) -> Diagnostic {
     let (message, hint) = match kind {
         Kind::Transaction => (
             "transaction blocks are not supported: each statement runs by itself",
--- a/crates/pg/src/frontend_messages.rs
+++ b/crates/pg/src/frontend_messages.rs
@@ -1,4 +1,5 @@
-//! Messages of a client. The codec trusts the counts inside a message, so their shape is checked first.
+//! Messages that a client sends. The codec trusts the lengths and counts inside a message, so a body is validated
+//! before it is decoded.
 
 use crate::frame::{self, Cursor, ProtocolError};
 use bytes::{Bytes, BytesMut};
@@ -7,159 +8,162 @@
 use pgwire::messages::startup::{SecretKey, Startup};
 use pgwire::messages::{DecodeContext, Message, ProtocolVersion};
 
-/// A message of a client after its startup.
+/// A message that a client sends after the startup.
 #[derive(Debug)]
 pub enum FrontendMessage {
-    /// A simple query: the whole message and its text.
+    /// A simple query: the whole message with its header. [`query_text`] reads the text in it.
     Query(Bytes),
-    /// Prepare a statement.
+    /// Prepares a statement.
     Parse(Parse),
-    /// Make a portal of a statement and values.
+    /// Creates a portal from a prepared statement and parameter values.
     Bind(Bind),
-    /// Describe a statement or a portal.
+    /// Requests the description of a statement or a portal.
     Describe(Describe),
-    /// Run a portal.
+    /// Executes a portal.
     Execute(Execute),
-    /// Close a statement or a portal.
+    /// Closes a statement or a portal.
     Close(Close),
-    /// Send what there is.
+    /// Asks the server to send the responses that it has buffered.
     Flush,
-    /// The end of a batch.
+    /// Ends a batch of extended-query messages.
     Sync,
-    /// Good-bye.
+    /// Ends the session.
     Terminate,
-    /// A part of a COPY, to be ignored outside of one.
+    /// `CopyData`, `CopyDone` or `CopyFail`, which are ignored outside of a COPY.
     Copy,
-    /// A call of a function by number.
+    /// Calls a function by its OID.
     FunctionCall,
 }
 
-/// The text of a simple query's message.
+/// The SQL text of a simple query message.
 ///
 /// # Errors
-/// [`ProtocolError`] if it is not a text with its end.
+/// [`ProtocolError`] if the body is not one NUL-terminated UTF-8 string.
 pub fn query_text(message: &[u8]) -> Result<&str, ProtocolError> {
-    let mut cursor = Cursor::over(message);
-    let text = cursor.text()?;
-    cursor.end()?;
+    let mut cursor = Cursor::new(message);
+    let text = cursor.string()?;
+    cursor.expect_end()?;
     Ok(text)
 }
 
-/// What opens a connection.
+/// A packet that a client sends at the start of a connection.
 #[derive(Debug)]
 pub enum StartupPacket {
-    /// Asks for TLS.
+    /// Requests TLS.
     SslRequest,
-    /// Asks for GSS encryption.
+    /// Requests GSSAPI encryption.
     GssEncRequest,
-    /// Asks that a query of another connection end.
+    /// Requests that the running query of another connection is cancelled.
     CancelRequest {
-        /// The process number given at startup.
+        /// The process ID that the server sent at the startup of that connection.
         pid: i32,
-        /// The key given at startup.
+        /// The cancel key that the server sent at the startup of that connection.
         key: Bytes,
     },
     /// Starts a session.
     StartupMessage(Startup),
 }
 
-/// Reads a packet that opens a connection.
+/// Parses a packet that a client sends at the start of a connection.
 ///
 /// # Errors
-/// [`ProtocolError`] for what is none.
+/// [`ProtocolError`] if the packet is not valid, or asks for a protocol version other than 3.
 pub fn parse_startup_packet(packet: &Bytes) -> Result<StartupPacket, ProtocolError> {
-    const SSL: u32 = 80_877_103;
-    const GSS: u32 = 80_877_104;
-    const CANCEL: u32 = 80_877_102;
-    let wrong = |fault| ProtocolError::InvalidBody { tag: '-', fault };
+    const SSL_REQUEST: u32 = 80_877_103;
+    const GSSENC_REQUEST: u32 = 80_877_104;
+    const CANCEL_REQUEST: u32 = 80_877_102;
+    let error = |reason| ProtocolError::InvalidBody { tag: '-', reason };
     let Some(code) = packet.get(4..8).and_then(|b| b.try_into().ok()).map(u32::from_be_bytes) else {
-        return Err(wrong("a startup packet without a version"));
+        return Err(error("a startup packet without a version"));
     };
     match code {
-        SSL => Ok(StartupPacket::SslRequest),
-        GSS => Ok(StartupPacket::GssEncRequest),
-        CANCEL if (16..=268).contains(&packet.len()) => {
+        SSL_REQUEST => Ok(StartupPacket::SslRequest),
+        GSSENC_REQUEST => Ok(StartupPacket::GssEncRequest),
+        CANCEL_REQUEST if (16..=268).contains(&packet.len()) => {
             let pid = i32::from_be_bytes([packet[8], packet[9], packet[10], packet[11]]);
             Ok(StartupPacket::CancelRequest { pid, key: packet.slice(12..) })
         }
-        CANCEL => Err(wrong("a cancel request without its key")),
+        CANCEL_REQUEST => Err(error("a cancel request without its key")),
         version if version >> 16 == 3 => {
-            let mut pairs = &packet[8..];
-            // The codec reads names and values up to an empty name; each must have its end.
+            let mut parameters = &packet[8..];
+            // The codec reads names and values up to an empty name and does not check that each is terminated.
             loop {
-                let end =
-                    pairs.iter().position(|b| *b == 0).ok_or_else(|| wrong("a name without its end"))?;
-                if end == 0 {
+                let name_len =
+                    parameters.iter().position(|b| *b == 0).ok_or_else(|| error("a name without its end"))?;
+                if name_len == 0 {
                     break;
                 }
-                let rest = &pairs[end + 1..];
-                let value =
-                    rest.iter().position(|b| *b == 0).ok_or_else(|| wrong("a value without its end"))?;
-                let utf8 =
-                    std::str::from_utf8(&pairs[..end]).is_ok() && std::str::from_utf8(&rest[..value]).is_ok();
-                if !utf8 {
-                    return Err(wrong("a text that is not UTF-8"));
+                let after_name = &parameters[name_len + 1..];
+                let value_len = after_name
+                    .iter()
+                    .position(|b| *b == 0)
+                    .ok_or_else(|| error("a value without its end"))?;
+                let is_utf8 = std::str::from_utf8(&parameters[..name_len]).is_ok()
+                    && std::str::from_utf8(&after_name[..value_len]).is_ok();
+                if !is_utf8 {
+                    return Err(error("a text that is not UTF-8"));
                 }
-                pairs = &rest[value + 1..];
+                parameters = &after_name[value_len + 1..];
             }
             let mut copy = BytesMut::from(&packet[..]);
-            match Startup::decode(&mut copy, &context()) {
+            match Startup::decode(&mut copy, &decode_context()) {
                 Ok(Some(startup)) => Ok(StartupPacket::StartupMessage(startup)),
-                _ => Err(wrong("a startup packet that can't be read")),
+                _ => Err(error("a startup packet that can't be read")),
             }
         }
-        _ => Err(wrong("a protocol version other than 3")),
+        _ => Err(error("a protocol version other than 3")),
     }
 }
 
-fn context() -> DecodeContext {
+fn decode_context() -> DecodeContext {
     let mut context = DecodeContext::new(ProtocolVersion::PROTOCOL3_0);
     (context.awaiting_frontend_ssl, context.awaiting_frontend_startup) = (false, false);
     context
 }
 
-/// Checks that a message holds what its type says, and no more.
-fn check(message: &[u8]) -> Result<(), ProtocolError> {
-    let mut c = Cursor::over(message);
+/// Checks that the body has exactly the fields that the message type defines.
+fn validate_body(message: &[u8]) -> Result<(), ProtocolError> {
+    let mut cursor = Cursor::new(message);
     match message.first() {
         Some(b'P') => {
-            c.text()?;
-            c.text()?;
-            let n = c.count()?;
-            c.bytes(4 * n)?;
+            cursor.string()?;
+            cursor.string()?;
+            let n = cursor.count()?;
+            cursor.bytes(4 * n)?;
         }
         Some(b'B') => {
-            c.text()?;
-            c.text()?;
-            let formats = c.count()?;
-            c.bytes(2 * formats)?;
-            for _ in 0..c.count()? {
-                if let Ok(length) = usize::try_from(c.number()?) {
-                    c.bytes(length)?;
+            cursor.string()?;
+            cursor.string()?;
+            let formats = cursor.count()?;
+            cursor.bytes(2 * formats)?;
+            for _ in 0..cursor.count()? {
+                if let Ok(length) = usize::try_from(cursor.int32()?) {
+                    cursor.bytes(length)?;
                 }
             }
-            let formats = c.count()?;
-            c.bytes(2 * formats)?;
+            let formats = cursor.count()?;
+            cursor.bytes(2 * formats)?;
         }
         Some(b'D' | b'C') => {
-            if !matches!(c.byte()?, b'S' | b'P') {
-                return Err(c.wrong("neither a statement nor a portal"));
+            if !matches!(cursor.byte()?, b'S' | b'P') {
+                return Err(cursor.error("neither a statement nor a portal"));
             }
-            c.text()?;
+            cursor.string()?;
         }
         Some(b'E') => {
-            c.text()?;
-            c.number()?;
+            cursor.string()?;
+            cursor.int32()?;
         }
         _ => {}
     }
-    c.end()
+    cursor.expect_end()
 }
 
-/// Takes a client's message off the front of `buf`; none until all of it is there.
+/// Removes a client's message from the front of `buf` and decodes it. Returns `None` until the whole message has been
+/// received.
 ///
 /// # Errors
-/// [`ProtocolError`] for what is no message of a client, or is over `limit` bytes.
+/// [`ProtocolError`] if it is not a valid message of a client, or exceeds `limit` bytes.
 pub fn take_message(buf: &mut BytesMut, limit: usize) -> Result<Option<FrontendMessage>, ProtocolError> {
     let Some((tag, message)) = frame::take_message(buf, limit)? else { return Ok(None) };
     let decoded = match tag {
@@ -185,37 +189,39 @@
 
 fn decode<M: Message>(
     message: Bytes,
-    front: fn(M) -> FrontendMessage,
+    wrap: fn(M) -> FrontendMessage,
 ) -> Result<FrontendMessage, ProtocolError> {
-    check(&message)?;
+    validate_body(&message)?;
     let tag = frame::printable_tag(message[0]);
-    let mut whole = message.try_into_mut().unwrap_or_else(|shared| BytesMut::from(&shared[..]));
-    match M::decode(&mut whole, &context()) {
-        Ok(Some(decoded)) => Ok(front(decoded)),
-        _ => Err(ProtocolError::InvalidBody { tag, fault: "not readable" }),
+    let mut buf = message.try_into_mut().unwrap_or_else(|shared| BytesMut::from(&shared[..]));
+    match M::decode(&mut buf, &decode_context()) {
+        Ok(Some(decoded)) => Ok(wrap(decoded)),
+        _ => Err(ProtocolError::InvalidBody { tag, reason: "not readable" }),
     }
 }
 
-/// Appends a client's message. One too large for the protocol is left out, which no caller can build.
+/// Appends an encoded message. The codec fails only for a message too large for the protocol, which no caller builds;
+/// such a message would be omitted.
 pub fn put(message: &impl Message, out: &mut BytesMut) {
-    let written = message.encode(out);
-    debug_assert!(written.is_ok());
+    let result = message.encode(out);
+    debug_assert!(result.is_ok());
 }
 
-/// Appends the startup packet of a client.
+/// Appends a startup message for protocol version 3.0.
 pub fn put_startup(parameters: &[(&str, &str)], out: &mut BytesMut) {
     let mut startup = Startup::default();
     (startup.protocol_number_major, startup.protocol_number_minor) = (3, 0);
-    startup.parameters = parameters.iter().map(|(k, v)| ((*k).to_string(), (*v).to_string())).collect();
+    startup.parameters =
+        parameters.iter().map(|(name, value)| ((*name).to_string(), (*value).to_string())).collect();
     put(&startup, out);
 }
 
-/// Appends a simple query.
+/// Appends a simple query message.
 pub fn put_query(text: &str, out: &mut BytesMut) {
     put(&pgwire::messages::simplequery::Query::new(text.to_string()), out);
 }
 
-/// Appends a request to end a query of another connection.
+/// Appends a cancel request for the query of another connection.
 pub fn put_cancel(pid: i32, key: &Bytes, out: &mut BytesMut) {
     put(&CancelRequest::new(pid, SecretKey::Bytes(key.clone())), out);
 }
--- a/crates/pg/src/lib.rs
+++ b/crates/pg/src/lib.rs
@@ -1,14 +1,16 @@
-//! PostgreSQL v3 without I/O, on the codec of `pgwire`.
+//! The PostgreSQL v3 protocol without I/O, built on the codec of `pgwire`.
 //!
-//! - [`frame`]: where a message ends, with limits, before anything is decoded.
-//! - [`frontend_messages`]: messages of a client, their shape checked before the codec sees them (it trusts lengths).
-//! - [`backend_messages`]: messages of a server: building them, and reading what of them matters.
-//! - [`sql`]: where a statement ends, what kind it is, and the hints in its trailing comment.
-//! - [`local_statements`]: what a controller answers by itself.
-//! - [`client`]: a client's session, from its first byte to units of work for an engine.
-//! - [`backend`]: a session with an engine, streaming one unit's answer through at a time.
+//! - [`frame`]: splits a byte stream into messages and limits their length before they are decoded.
+//! - [`frontend_messages`]: parses and writes the messages of a client. Bodies are validated before they are
+//!   decoded, because the codec trusts the lengths in them.
+//! - [`backend_messages`]: writes the messages of a server, and parses those that the controller evaluates.
+//! - [`sql`]: splits a text into statements, classifies them, and reads the hints in the trailing comment.
+//! - [`local_statements`]: executes the statements that the controller answers without an engine, such as SET and SHOW.
+//! - [`client`]: the protocol state of a client's session, which turns its messages into units of work for an engine.
+//! - [`backend`]: the protocol state of a session with an engine, which streams the response of one unit at a time to
+//!   its client.
 //!
-//! Nothing here reads a clock or a socket. Bytes go in, bytes and events come out.
+//! Nothing in this crate reads a clock or a socket: the caller passes in bytes and receives bytes and events.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/pg/src/local_statements.rs
+++ b/crates/pg/src/local_statements.rs
@@ -1,23 +1,25 @@
-//! What a controller answers by itself: settings of the session, and what drivers ask at their start.
+//! Executes the statements that the controller answers without an engine: those on the settings of the session, and
+//! the queries that drivers send after connecting.
 //!
-//! Settings are kept and told again; they are not carried to engines. One that would change what an engine does
-//! is taken with a warning that says so.
+//! Settings are stored for the session and reported to the client, but not sent to engines. A setting that would
+//! change the behaviour of an engine is accepted with a warning that engines do not see it.
 
 use crate::backend_messages::{Column, Diagnostic};
 use crate::sql::{self, Hints};
 use std::borrow::Cow;
 use std::collections::BTreeMap;
 
-/// The server version told to clients; drivers switch features by it.
+/// The server version reported to clients. Drivers enable features according to it.
 pub const SERVER_VERSION: &str = "15.0 (wheelfield)";
-/// Settings kept for a session at most, and bytes of a value.
-pub const MOST_SETTINGS: usize = 64;
-const LONGEST_VALUE: usize = 1024;
-/// The type of what returns nothing.
-const VOID: u32 = 2278;
+/// Maximum number of settings of a session.
+pub const MAX_SETTINGS: usize = 64;
+/// Maximum length of a setting's value in bytes.
+const MAX_VALUE_BYTES: usize = 1024;
+/// The OID of the type `void`.
+const VOID_TYPE_OID: u32 = 2278;
 
-/// Settings told at the start, and again as they change.
-const REPORTED: [(&str, &str); 10] = [
+/// Settings that are reported to the client at startup and whenever they change, with their default values.
+const REPORTED_PARAMETERS: [(&str, &str); 10] = [
     ("server_version", SERVER_VERSION),
     ("server_encoding", "UTF8"),
     ("client_encoding", "UTF8"),
@@ -30,8 +32,8 @@
     ("default_transaction_read_only", "off"),
 ];
 
-/// Settings that change nothing an engine does, and so are taken without a warning.
-const HARMLESS: [&str; 9] = [
+/// Settings that are accepted without a warning, because they do not change the behaviour of an engine.
+const SETTINGS_WITHOUT_WARNING: [&str; 9] = [
     "application_name",
     "extra_float_digits",
     "client_min_messages",
@@ -43,62 +45,69 @@
     "jit",
 ];
 
-/// An answer of the controller's own.
+/// The response to a statement that the controller executes itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Reply {
-    /// Columns, where it has rows.
+    /// The columns of the result. Empty if the statement returns no rows.
     pub columns: Vec<Column>,
-    /// Rows of texts.
+    /// The rows of the result, all values as text.
     pub rows: Vec<Vec<String>>,
-    /// The tag of the completed command.
+    /// The command tag for `CommandComplete`.
     pub tag: String,
-    /// Notices and warnings.
+    /// Notices and warnings to send before the result.
     pub notices: Vec<Diagnostic>,
-    /// A setting that clients are told of as it changes.
+    /// The name and the new value of a setting whose change is reported to the client.
     pub reported: Option<(String, String)>,
 }
 
 /// The settings of a session.
 #[derive(Clone, Debug)]
-pub struct Settings {
+pub struct SessionSettings {
     user: String,
     database: String,
     pid: i32,
     values: BTreeMap<String, String>,
 }
 
-impl Settings {
-    /// The settings a session starts with. Of `given`, the first [`MOST_SETTINGS`] are kept.
+impl SessionSettings {
+    /// Creates the settings of a new session. At most [`MAX_SETTINGS`] of the startup parameters are stored; the
+    /// others and those with too long a value are ignored.
     pub fn new<'a>(
         user: &str,
         database: &str,
         pid: i32,
-        given: impl Iterator<Item = (&'a str, &'a str)>,
+        startup_parameters: impl Iterator<Item = (&'a str, &'a str)>,
     ) -> Self {
-        let kept = given.filter(|(_, value)| value.len() <= LONGEST_VALUE).take(MOST_SETTINGS);
-        let values = kept.map(|(name, value)| (name.to_ascii_lowercase(), value.to_string())).collect();
-        Settings { user: user.to_string(), database: database.to_string(), pid, values }
+        let accepted =
+            startup_parameters.filter(|(_, value)| value.len() <= MAX_VALUE_BYTES).take(MAX_SETTINGS);
+        let values = accepted.map(|(name, value)| (name.to_ascii_lowercase(), value.to_string())).collect();
+        SessionSettings { user: user.to_string(), database: database.to_string(), pid, values }
     }
 
-    /// What a client is told at its start.
-    pub fn reported(&self) -> Vec<(String, String)> {
-        let standing = REPORTED.iter().map(|(name, usual)| {
-            let value = self.values.get(&name.to_ascii_lowercase()).map_or(*usual, String::as_str);
+    /// The names and values that are reported to the client at startup.
+    pub fn reported_parameters(&self) -> Vec<(String, String)> {
+        let parameters = REPORTED_PARAMETERS.iter().map(|(name, default)| {
+            let value = self.values.get(&name.to_ascii_lowercase()).map_or(*default, String::as_str);
             ((*name).to_string(), value.to_string())
         });
-        let own = [
-            ("application_name".to_string(), self.value("application_name")),
+        let other_parameters = [
+            ("application_name".to_string(), self.current_value("application_name")),
             ("session_authorization".to_string(), self.user.clone()),
             ("is_superuser".to_string(), "off".to_string()),
         ];
-        standing.chain(own).collect()
+        parameters.chain(other_parameters).collect()
     }
 
-    fn value(&self, name: &str) -> String {
+    /// The value of a setting: the one set in the session, else its default. Empty if the setting is unknown.
+    fn current_value(&self, name: &str) -> String {
         let name = name.to_ascii_lowercase();
-        let usual =
-            || REPORTED.iter().find(|(n, _)| n.eq_ignore_ascii_case(&name)).map(|(_, v)| (*v).to_string());
-        self.values.get(&name).cloned().or_else(usual).unwrap_or_else(|| match name.as_str() {
+        let default = || {
+            REPORTED_PARAMETERS
+                .iter()
+                .find(|(n, _)| n.eq_ignore_ascii_case(&name))
+                .map(|(_, v)| (*v).to_string())
+        };
+        self.values.get(&name).cloned().or_else(default).unwrap_or_else(|| match name.as_str() {
             "transaction_isolation" | "default_transaction_isolation" => "read committed".into(),
             "statement_timeout" | "lock_timeout" => "0".into(),
             "search_path" => "\"$user\", public".into(),
@@ -108,7 +117,7 @@
         })
     }
 
-    /// The hints that hold where a query gives none.
+    /// The hints of the session, which apply where a query does not set its own.
     pub fn hints(&self) -> Hints<'_> {
         let mut hints = Hints::default();
         for name in sql::HINT_NAMES {
@@ -117,27 +126,30 @@
             }
         }
         if hints.due_ms.is_none() {
-            hints.due_ms =
-                self.values.get("statement_timeout").and_then(|v| milliseconds(v)).filter(|ms| *ms > 0.0);
+            hints.due_ms = self
+                .values
+                .get("statement_timeout")
+                .and_then(|v| parse_duration_ms(v))
+                .filter(|ms| *ms > 0.0);
         }
         hints
     }
 
-    /// The columns that a statement of the controller's own will answer with.
-    pub fn columns(&self, statement: &str) -> Vec<Column> {
+    /// The columns of the result of a statement that the controller executes itself. The settings do not change.
+    pub fn result_columns(&self, statement: &str) -> Vec<Column> {
         let mut copy = self.clone();
-        copy.answer(statement).map(|reply| reply.columns).unwrap_or_default()
+        copy.execute(statement).map(|reply| reply.columns).unwrap_or_default()
     }
 
-    /// Answers a statement of kind [`sql::Kind::Local`].
+    /// Executes a statement of kind [`sql::Kind::Local`].
     ///
     /// # Errors
-    /// What a client is told of a statement that can't be followed.
+    /// The error to send to the client if the statement is not valid.
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
-    pub fn answer(&mut self, statement: &str) -> Result<Reply, Diagnostic> {
+    pub fn execute(&mut self, statement: &str) -> Result<Reply, Diagnostic> {
         let text = sql::normalized(statement);
         let (first, rest) = text.split_once(' ').unwrap_or((text.as_str(), ""));
-        let done = |tag: &str| Reply { tag: tag.to_string(), ..Reply::default() };
+        let completed = |tag: &str| Reply { tag: tag.to_string(), ..Reply::default() };
         let row = |name: &str, value: String| Reply {
             columns: vec![Column::text(name)],
             rows: vec![vec![value]],
@@ -148,28 +160,28 @@
             "set" => self.set(statement, rest),
             "reset" => {
                 if matches!(rest, "all" | "") {
-                    self.forget();
+                    self.reset_all();
                 } else {
                     self.values.remove(rest);
                 }
-                Ok(done("RESET"))
+                Ok(completed("RESET"))
             }
             "discard" => match rest {
                 "all" => {
-                    self.forget();
-                    Ok(done("DISCARD ALL"))
+                    self.reset_all();
+                    Ok(completed("DISCARD ALL"))
                 }
-                // Nothing of these is held here.
-                "plans" => Ok(done("DISCARD PLANS")),
-                "sequences" => Ok(done("DISCARD SEQUENCES")),
-                "temp" | "temporary" => Ok(done("DISCARD TEMP")),
+                // The controller stores no plans, sequences or temporary tables.
+                "plans" => Ok(completed("DISCARD PLANS")),
+                "sequences" => Ok(completed("DISCARD SEQUENCES")),
+                "temp" | "temporary" => Ok(completed("DISCARD TEMP")),
                 other => Err(Diagnostic::error("42601", format!("syntax error at or near \"{other}\""))
                     .hint("known: DISCARD ALL, PLANS, SEQUENCES, TEMP")),
             },
-            "deallocate" if matches!(rest, "all" | "prepare all") => Ok(done("DEALLOCATE ALL")),
-            "deallocate" => Ok(done("DEALLOCATE")),
-            "close" => Ok(done("CLOSE CURSOR ALL")),
-            "unlisten" => Ok(done("UNLISTEN")),
+            "deallocate" if matches!(rest, "all" | "prepare all") => Ok(completed("DEALLOCATE ALL")),
+            "deallocate" => Ok(completed("DEALLOCATE")),
+            "close" => Ok(completed("CLOSE CURSOR ALL")),
+            "unlisten" => Ok(completed("UNLISTEN")),
             "show" => {
                 let name = match rest {
                     "transaction isolation level" => "transaction_isolation",
@@ -177,13 +189,13 @@
                     "all" => return Ok(self.show_all()),
                     name => name,
                 };
-                let known = self.values.contains_key(name) || !self.value(name).is_empty();
-                if !known && !name.contains('.') && !HARMLESS.contains(&name) {
+                let is_known = self.values.contains_key(name) || !self.current_value(name).is_empty();
+                if !is_known && !name.contains('.') && !SETTINGS_WITHOUT_WARNING.contains(&name) {
                     let message = format!("unrecognized configuration parameter \"{name}\"");
                     return Err(Diagnostic::error("42704", message)
                         .hint("the controller knows only settings that were set"));
                 }
-                Ok(Reply { tag: "SHOW".into(), ..row(name, self.value(name)) })
+                Ok(Reply { tag: "SHOW".into(), ..row(name, self.current_value(name)) })
             }
             "select" => Ok(match rest {
                 "version()" => row("version", format!("PostgreSQL {SERVER_VERSION}")),
@@ -194,25 +206,25 @@
                 "pg_advisory_unlock_all()" => Reply {
                     columns: vec![Column {
                         name: "pg_advisory_unlock_all".into(),
-                        type_oid: VOID,
+                        type_oid: VOID_TYPE_OID,
                         type_size: 4,
                     }],
                     ..row("", String::new())
                 },
                 "session_user" => row("session_user", self.user.clone()),
                 "current_user" => row("current_user", self.user.clone()),
-                _ => row("current_setting", self.value("server_version_num")),
+                _ => row("current_setting", self.current_value("server_version_num")),
             }),
             other => {
                 let warning = Diagnostic::warning("25P01", "there is no transaction in progress");
                 let tag = if matches!(other, "commit" | "end") { "COMMIT" } else { "ROLLBACK" };
-                Ok(Reply { notices: vec![warning], ..done(tag) })
+                Ok(Reply { notices: vec![warning], ..completed(tag) })
             }
         }
     }
 
-    /// All settings are as they were at the start, but for the label.
-    fn forget(&mut self) {
+    /// Removes all settings except `application_name`.
+    fn reset_all(&mut self) {
         self.values.retain(|name, _| name == "application_name");
     }
 
@@ -226,45 +238,47 @@
         }
     }
 
-    /// `folded` is the statement after its `set`, in lower case; the value is read from the statement as written.
+    /// Executes a SET. `normalized` is the normalized statement without the leading `set`; the value is read from
+    /// `statement`, which preserves its case.
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
-    fn set(&mut self, statement: &str, folded: &str) -> Result<Reply, Diagnostic> {
-        let done = Reply { tag: "SET".into(), ..Reply::default() };
-        let folded = folded.strip_prefix("session ").or(folded.strip_prefix("local ")).unwrap_or(folded);
-        if folded.starts_with("transaction ") || folded.starts_with("characteristics ") {
+    fn set(&mut self, statement: &str, normalized: &str) -> Result<Reply, Diagnostic> {
+        let completed = Reply { tag: "SET".into(), ..Reply::default() };
+        let normalized =
+            normalized.strip_prefix("session ").or(normalized.strip_prefix("local ")).unwrap_or(normalized);
+        if normalized.starts_with("transaction ") || normalized.starts_with("characteristics ") {
             let warning = Diagnostic::warning(
                 "01000",
                 "there are no transaction blocks here; the setting has no effect",
             );
-            return Ok(Reply { notices: vec![warning], ..done });
+            return Ok(Reply { notices: vec![warning], ..completed });
         }
-        let (name, value) = if let Some(zone) = folded.strip_prefix("time zone ") {
-            ("timezone".to_string(), unquoted(zone))
-        } else if let Some(encoding) = folded.strip_prefix("names ") {
-            ("client_encoding".to_string(), unquoted(encoding))
+        let (name, value) = if let Some(zone) = normalized.strip_prefix("time zone ") {
+            ("timezone".to_string(), unquote(zone))
+        } else if let Some(encoding) = normalized.strip_prefix("names ") {
+            ("client_encoding".to_string(), unquote(encoding))
         } else {
-            let end = folded.find(|c: char| !(c.is_ascii_alphanumeric() || c == '_' || c == '.'));
-            let (name, rest) = folded.split_at(end.unwrap_or(folded.len()));
+            let end = normalized.find(|c: char| !(c.is_ascii_alphanumeric() || c == '_' || c == '.'));
+            let (name, rest) = normalized.split_at(end.unwrap_or(normalized.len()));
             let rest = rest.trim_start();
-            let operator = rest.starts_with('=') || rest.starts_with("to ");
-            if name.is_empty() || !operator {
+            let has_operator = rest.starts_with('=') || rest.starts_with("to ");
+            if name.is_empty() || !has_operator {
                 let message = "a SET that can't be read: expected SET name = value";
                 return Err(Diagnostic::error("42601", message));
             }
-            // Case matters in the value, which follows the first = or TO of the statement as written.
-            let written = value_as_written(statement).unwrap_or_default();
-            (name.to_string(), unquoted(&written))
+            // The value is case-sensitive, so it is read from the original statement after the first = or TO.
+            let value = value_as_written(statement).unwrap_or_default();
+            (name.to_string(), unquote(&value))
         };
-        let encoding = name == "client_encoding"
+        let is_unsupported_encoding = name == "client_encoding"
             && !matches!(value.to_ascii_lowercase().as_str(), "utf8" | "utf-8" | "unicode" | "default");
-        if encoding {
+        if is_unsupported_encoding {
             return Err(Diagnostic::error("0A000", format!("client_encoding {value} is not spoken here"))
                 .hint("use UTF8"));
         }
-        if value.len() > LONGEST_VALUE {
+        if value.len() > MAX_VALUE_BYTES {
             return Err(Diagnostic::error(
                 "22023",
-                format!("a value of over {LONGEST_VALUE} bytes for \"{name}\""),
+                format!("a value of over {MAX_VALUE_BYTES} bytes for \"{name}\""),
             ));
         }
         if let Some(hint) = name.strip_prefix("wheelfield.") {
@@ -275,30 +289,31 @@
                 )
                 .hint(format!("known: {}", sql::HINT_NAMES.map(|h| format!("wheelfield.{h}")).join(", "))));
             }
-            let mut probe = Hints::default();
-            probe.set(hint, Cow::Borrowed(value.as_str()));
-            if probe.ignored > 0 {
+            let mut parsed = Hints::default();
+            parsed.set(hint, Cow::Borrowed(value.as_str()));
+            if parsed.ignored > 0 {
                 return Err(Diagnostic::error("22023", format!("invalid value for \"{name}\": \"{value}\""))
                     .hint("a number of 0 or more"));
             }
         }
-        if !self.values.contains_key(&name) && self.values.len() >= MOST_SETTINGS {
-            return Err(Diagnostic::error("53400", format!("over {MOST_SETTINGS} settings in one session"))
+        if !self.values.contains_key(&name) && self.values.len() >= MAX_SETTINGS {
+            return Err(Diagnostic::error("53400", format!("over {MAX_SETTINGS} settings in one session"))
                 .hint("RESET some of them"));
         }
-        let reported = REPORTED.iter().map(|(n, _)| *n).chain(["application_name"]);
+        let reported = REPORTED_PARAMETERS.iter().map(|(n, _)| *n).chain(["application_name"]);
         let reported = reported.into_iter().find(|n| n.eq_ignore_ascii_case(&name));
-        let usual = REPORTED.iter().find(|(n, _)| n.eq_ignore_ascii_case(&name)).map(|(_, v)| *v);
-        let same = usual.is_some_and(|usual| {
+        let default =
+            REPORTED_PARAMETERS.iter().find(|(n, _)| n.eq_ignore_ascii_case(&name)).map(|(_, v)| *v);
+        let is_default = default.is_some_and(|default| {
             let first = |text: &str| text.split(',').next().unwrap_or("").trim().to_ascii_lowercase();
-            first(usual) == first(&value)
+            first(default) == first(&value)
         });
-        let harmless = name.starts_with("wheelfield.")
+        let needs_no_warning = name.starts_with("wheelfield.")
             || name == "client_encoding"
-            || same
-            || HARMLESS.contains(&name.as_str());
+            || is_default
+            || SETTINGS_WITHOUT_WARNING.contains(&name.as_str());
         let mut notices = Vec::new();
-        if !harmless {
+        if !needs_no_warning {
             notices.push(Diagnostic::warning(
                 "01000",
                 format!("\"{name}\" is kept by the controller; engines do not see it"),
@@ -306,27 +321,29 @@
         }
         let reported = reported.map(|n| (n.to_string(), value.clone()));
         self.values.insert(name, value);
-        Ok(Reply { notices, reported, ..done })
+        Ok(Reply { notices, reported, ..completed })
     }
 }
 
+/// The value of a SET statement with its case preserved: the text after the first = or TO.
 fn value_as_written(statement: &str) -> Option<String> {
     let lower = statement.to_ascii_lowercase();
-    let equals = lower.find('=').map(|at| at + 1);
-    let to = lower.find(" to ").map(|at| at + 4);
-    let start = equals.into_iter().chain(to).min()?;
+    let after_equals = lower.find('=').map(|at| at + 1);
+    let after_to = lower.find(" to ").map(|at| at + 4);
+    let start = after_equals.into_iter().chain(after_to).min()?;
     let all = sql::statements(&statement[start..]);
     Some(all.first().map_or("", |s| s.trim()).to_string())
 }
 
-fn unquoted(value: &str) -> String {
+/// Removes the single quotes around a value, and the escapes of quotes in it.
+fn unquote(value: &str) -> String {
     let value = value.trim();
     let inner = value.strip_prefix('\'').and_then(|v| v.strip_suffix('\''));
     inner.map_or_else(|| value.to_string(), |v| v.replace("''", "'"))
 }
 
-/// A time as PostgreSQL's settings write it: milliseconds, or with a unit.
-fn milliseconds(value: &str) -> Option<f64> {
+/// Parses a duration as in PostgreSQL's settings, which is in milliseconds unless a unit follows.
+fn parse_duration_ms(value: &str) -> Option<f64> {
     let value = value.trim();
     let end = value.find(|c: char| !(c.is_ascii_digit() || c == '.')).unwrap_or(value.len());
     let number: f64 = value[..end].parse().ok()?;
--- a/crates/pg/src/sql.rs
+++ b/crates/pg/src/sql.rs
@@ -1,86 +1,88 @@
-//! Where a statement ends, what kind it is, and the hints in its trailing comment.
+//! Splits a text into statements, classifies the statements, and reads the hints in the trailing comment.
 //!
-//! This is a scanner, not a parser: it knows strings, quoted names, dollar quotes and comments, and looks at the
-//! first words. What it does not know is for an engine.
+//! This is a scanner and not a parser: it recognizes strings, quoted names, dollar quotes and comments, and
+//! classifies a statement by its first words. A statement that it does not recognize goes to an engine.
 
 use std::borrow::Cow;
 
-/// What is to be done with a text.
+/// How the controller handles a text of SQL.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Nothing in it.
+    /// Contains no statement.
     Empty,
-    /// For an engine.
+    /// Runs on an engine.
     Engine,
-    /// Answered by the controller itself.
+    /// Is answered by the controller itself.
     Local,
-    /// Would open a transaction block.
+    /// Starts or uses a transaction block, which is not supported.
     Transaction,
-    /// A COPY.
+    /// Is a COPY, which is not supported.
     Copy,
-    /// Needs state that lives on one engine.
+    /// Keeps state in a session with one engine, which is not supported.
     SessionState,
-    /// Local statements and others in one text.
+    /// Contains both statements for the controller and statements for an engine, which is not supported.
     Mixed,
 }
 
-/// What a query says of itself in a trailing comment: `/*class='sim-check',work_ms='210'*/`.
+/// Hints for admission and routing, given in a trailing comment such as `/*class='sim-check',work_ms='210'*/`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Hints<'a> {
-    /// Its class, by name.
+    /// The name of the query's class.
     pub class: Option<Cow<'a, str>>,
-    /// A name for the logs.
+    /// A label that identifies the query in the logs.
     pub id: Option<Cow<'a, str>>,
-    /// The key whose order it keeps.
+    /// The key for keyed order.
     pub key: Option<Cow<'a, str>>,
-    /// Work of all its threads, in milliseconds of one thread.
+    /// The estimated work of the query in milliseconds of one thread, summed over its threads.
     pub work_ms: Option<f64>,
-    /// Memory in MB.
+    /// The estimated memory of the query in MB.
     pub memory_mb: Option<f64>,
-    /// The client gives up so many milliseconds from now.
+    /// The time in milliseconds, counted from the arrival of the query, after which the client gives up.
     pub due_ms: Option<f64>,
-    /// The group of tables that it touches.
+    /// The group of the tables that the query accesses.
     pub tables: Option<u64>,
-    /// Hints that are unknown or ill-formed; they are ignored.
+    /// The number of hints that are ignored because they are unknown or malformed.
     pub ignored: u32,
 }
 
 impl<'a> Hints<'a> {
-    /// Takes one hint by name. An unknown name or an ill-formed value is counted and ignored.
+    /// Sets one hint by name. An unknown name or a malformed value is ignored and counted in `ignored`.
     pub fn set(&mut self, name: &str, value: Cow<'a, str>) {
         let number = |value: &str| value.parse::<f64>().ok().filter(|x| x.is_finite() && *x >= 0.0);
         match name {
             "class" => self.class = Some(value),
             "id" => self.id = Some(value),
             "key" => self.key = Some(value),
-            "work_ms" => self.work_ms = number(&value).or_else(|| self.ignore()),
-            "memory_mb" => self.memory_mb = number(&value).or_else(|| self.ignore()),
-            "due_ms" => self.due_ms = number(&value).or_else(|| self.ignore()),
-            "tables" => self.tables = value.parse().ok().or_else(|| self.ignore()),
+            "work_ms" => self.work_ms = number(&value).or_else(|| self.count_ignored()),
+            "memory_mb" => self.memory_mb = number(&value).or_else(|| self.count_ignored()),
+            "due_ms" => self.due_ms = number(&value).or_else(|| self.count_ignored()),
+            "tables" => self.tables = value.parse().ok().or_else(|| self.count_ignored()),
             _ => {
-                self.ignore::<()>();
+                self.count_ignored::<()>();
             }
         }
     }
 
-    fn ignore<T>(&mut self) -> Option<T> {
+    fn count_ignored<T>(&mut self) -> Option<T> {
         self.ignored += 1;
         None
     }
 }
 
-/// Names of hints, which `SET wheelfield.NAME` takes too.
+/// The names of the hints, which `SET wheelfield.NAME` accepts too.
 pub const HINT_NAMES: [&str; 7] = ["class", "id", "key", "work_ms", "memory_mb", "due_ms", "tables"];
 
-/// Steps over one lexical element that starts at `at`: a string, a quoted name, a comment, or one byte.
-/// The second value tells whether it was a comment.
-fn step(text: &[u8], at: usize) -> (usize, bool) {
-    let find = |from: usize, what: &[u8]| {
+/// Skips the lexical element that starts at `at`: a string, a quoted name, a comment, or one byte. Returns the
+/// position after it, and whether it was a comment.
+fn skip_element(text: &[u8], at: usize) -> (usize, bool) {
+    let end_of = |from: usize, pattern: &[u8]| {
         let rest = text.get(from..).unwrap_or(&[]);
-        rest.windows(what.len()).position(|w| w == what).map_or(text.len(), |p| from + p + what.len())
+        rest.windows(pattern.len())
+            .position(|w| w == pattern)
+            .map_or(text.len(), |p| from + p + pattern.len())
     };
     match (text[at], text.get(at + 1)) {
-        (b'-', Some(b'-')) => (find(at + 2, b"\n"), true),
+        (b'-', Some(b'-')) => (end_of(at + 2, b"\n"), true),
         (b'/', Some(b'*')) => {
             let (mut depth, mut i) = (1, at + 2);
             while depth > 0 && i < text.len() {
@@ -93,11 +95,11 @@
             (i, true)
         }
         (quote @ (b'\'' | b'"'), _) => {
-            let word = |b: u8| b.is_ascii_alphanumeric() || b == b'_';
+            let is_word_byte = |b: u8| b.is_ascii_alphanumeric() || b == b'_';
             let escapes = quote == b'\''
                 && at > 0
                 && matches!(text[at - 1], b'e' | b'E')
-                && !(at > 1 && word(text[at - 2]));
+                && !(at > 1 && is_word_byte(text[at - 2]));
             let mut i = at + 1;
             while i < text.len() {
                 if escapes && text[i] == b'\\' {
@@ -114,12 +116,12 @@
             (text.len(), false)
         }
         (b'$', _) if at == 0 || !(text[at - 1].is_ascii_alphanumeric() || text[at - 1] == b'_') => {
-            let tag = text[at + 1..].iter().position(|b| !(b.is_ascii_alphanumeric() || *b == b'_'));
-            match tag {
-                // $1 is a parameter, $$ and $name$ open a string.
+            let tag_len = text[at + 1..].iter().position(|b| !(b.is_ascii_alphanumeric() || *b == b'_'));
+            match tag_len {
+                // $1 is a parameter; $$ and $name$ start a dollar-quoted string.
                 Some(n) if text[at + 1 + n] == b'$' && !text[at + 1].is_ascii_digit() => {
                     let end = at + 2 + n;
-                    (find(end, &text[at..end]), false)
+                    (end_of(end, &text[at..end]), false)
                 }
                 _ => (at + 1, false),
             }
@@ -128,33 +130,33 @@
     }
 }
 
-/// A part of a statement, as far as names matter: strings, comments and blanks are left out.
+/// A token of a statement. Strings, comments and whitespace are not tokens, because only names are evaluated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Token<'a> {
-    /// A word, or a quoted name without its quotes.
+    /// A keyword or an identifier. A quoted identifier comes without its quotes.
     Name(Cow<'a, str>),
-    /// One other character.
+    /// Any other single character.
     Other(char),
 }
 
-/// The names of a text and what stands between them.
+/// The tokens of a text, in order.
 pub fn tokens(text: &str) -> impl Iterator<Item = Token<'_>> {
     let bytes = text.as_bytes();
-    let word = |b: &u8| b.is_ascii_alphanumeric() || matches!(b, b'_' | b'$') || *b >= 0x80;
+    let is_word_byte = |b: &u8| b.is_ascii_alphanumeric() || matches!(b, b'_' | b'$') || *b >= 0x80;
     let mut at = 0;
     std::iter::from_fn(move || {
         while at < bytes.len() {
             let start = at;
-            if word(&bytes[at]) && bytes[at] != b'$' {
-                at += bytes[at..].iter().position(|b| !word(b)).unwrap_or(bytes.len() - at);
-                // A string with a prefix: E'..', U&'..'.
+            if is_word_byte(&bytes[at]) && bytes[at] != b'$' {
+                at += bytes[at..].iter().position(|b| !is_word_byte(b)).unwrap_or(bytes.len() - at);
+                // A string with a prefix, such as E'...'.
                 if bytes.get(at) == Some(&b'\'') {
-                    at = step(bytes, at).0.min(bytes.len());
+                    at = skip_element(bytes, at).0.min(bytes.len());
                     continue;
                 }
                 return Some(Token::Name(Cow::Borrowed(&text[start..at])));
             }
-            let (next, comment) = step(bytes, at);
+            let (next, is_comment) = skip_element(bytes, at);
             at = next.min(bytes.len());
             match bytes[start] {
                 b'"' => {
@@ -163,7 +165,7 @@
                     return Some(Token::Name(Cow::Owned(inner.replace("\"\"", "\""))));
                 }
                 b'\'' | b'$' => {}
-                b if comment || b.is_ascii_whitespace() => {}
+                b if is_comment || b.is_ascii_whitespace() => {}
                 b => return Some(Token::Other(char::from(b))),
             }
         }
@@ -171,35 +173,35 @@
     })
 }
 
-/// The statements of a text, each without its semicolon; empty ones are left out.
+/// The statements of a text, each without its semicolon. Empty statements are omitted.
 pub fn statements(text: &str) -> Vec<&str> {
     let bytes = text.as_bytes();
-    let (mut out, mut start, mut i, mut something) = (Vec::new(), 0, 0, false);
+    let (mut out, mut start, mut i, mut has_content) = (Vec::new(), 0, 0, false);
     while i < bytes.len() {
-        let (next, comment) = step(bytes, i);
+        let (next, is_comment) = skip_element(bytes, i);
         if bytes[i] == b';' {
-            if something {
+            if has_content {
                 out.push(&text[start..i]);
             }
-            (start, something) = (i + 1, false);
+            (start, has_content) = (i + 1, false);
         } else {
-            something |= !comment && !bytes[i].is_ascii_whitespace();
+            has_content |= !is_comment && !bytes[i].is_ascii_whitespace();
         }
         i = next.min(bytes.len());
     }
-    if something {
+    if has_content {
         out.push(&text[start..]);
     }
     out
 }
 
-/// The text without the blanks and comments it begins with.
-fn trimmed(text: &str) -> &str {
+/// The text without leading whitespace and comments.
+fn trim_start_comments(text: &str) -> &str {
     let bytes = text.as_bytes();
     let mut i = 0;
     while i < bytes.len() {
-        let (next, comment) = step(bytes, i);
-        if !comment && !bytes[i].is_ascii_whitespace() {
+        let (next, is_comment) = skip_element(bytes, i);
+        if !is_comment && !bytes[i].is_ascii_whitespace() {
             break;
         }
         i = next.min(bytes.len());
@@ -207,12 +209,12 @@
     &text[i..]
 }
 
-/// The words that a statement begins with, in lower case.
+/// The first three words of a statement in lower case, each cut to 32 bytes.
 fn first_words(statement: &str) -> [String; 3] {
     let mut words: [String; 3] = Default::default();
     let mut rest = statement;
     for word in &mut words {
-        rest = trimmed(rest);
+        rest = trim_start_comments(rest);
         let end = rest.find(|c: char| !(c.is_ascii_alphanumeric() || c == '_')).unwrap_or(rest.len());
         *word = rest[..end.min(32)].to_ascii_lowercase();
         rest = &rest[end..];
@@ -220,32 +222,33 @@
     words
 }
 
-/// A statement without comments, in lower case but for its strings, blanks folded: for comparing short ones.
+/// The statement without comments, with runs of whitespace replaced by one space, and in lower case except for
+/// strings and quoted names. Used to compare short statements.
 pub fn normalized(statement: &str) -> String {
-    fold(statement, true)
+    normalize(statement, true)
 }
 
-/// A statement without comments, blanks folded.
+/// The statement without comments, and with runs of whitespace replaced by one space. The case is preserved.
 pub fn normalized_preserving_case(statement: &str) -> String {
-    fold(statement, false)
+    normalize(statement, false)
 }
 
-fn fold(statement: &str, lower: bool) -> String {
+fn normalize(statement: &str, lowercase: bool) -> String {
     let bytes = statement.as_bytes();
     let (mut out, mut i) = (String::new(), 0);
     while i < bytes.len() {
-        let (next, comment) = step(bytes, i);
+        let (next, is_comment) = skip_element(bytes, i);
         let mut next = next.min(bytes.len());
-        // A character of several bytes stays whole.
+        // Keeps a multi-byte character in one piece.
         while !statement.is_char_boundary(next) {
             next += 1;
         }
         let part = &statement[i..next];
-        if comment || bytes[i].is_ascii_whitespace() {
+        if is_comment || bytes[i].is_ascii_whitespace() {
             if !out.is_empty() && !out.ends_with(' ') {
                 out.push(' ');
             }
-        } else if lower && !matches!(bytes[i], b'\'' | b'"') {
+        } else if lowercase && !matches!(bytes[i], b'\'' | b'"') {
             out.push_str(&part.to_lowercase());
         } else {
             out.push_str(part);
@@ -255,8 +258,8 @@
     out.trim_end_matches([' ', ';']).to_string()
 }
 
-/// Selects that drivers send at the start and that a controller can answer.
-pub const OWN_SELECTS: [&str; 9] = [
+/// SELECT statements that drivers send after connecting and that the controller can answer.
+pub const LOCAL_SELECTS: [&str; 9] = [
     "select version()",
     "select current_schema()",
     "select current_database()",
@@ -268,20 +271,23 @@
     "select pg_advisory_unlock_all()",
 ];
 
-/// The longest text that is compared with those.
-const LONGEST_OWN: usize = 80;
+/// Longer statements are not compared with [`LOCAL_SELECTS`].
+const MAX_LOCAL_SELECT_BYTES: usize = 80;
 
-fn kind_of_one(statement: &str) -> Kind {
-    let statement = trimmed(statement);
-    // The usual case first: nothing but a select can be one that the controller answers.
+/// Classifies a single statement.
+fn statement_kind(statement: &str) -> Kind {
+    let statement = trim_start_comments(statement);
+    // Checked first because it is the most frequent case. Most SELECT statements go to an engine.
     if statement.get(..6).is_some_and(|w| w.eq_ignore_ascii_case("select")) {
-        let own = statement.len() <= LONGEST_OWN && OWN_SELECTS.contains(&normalized(statement).as_str());
-        return if own { Kind::Local } else { Kind::Engine };
+        let is_local = statement.len() <= MAX_LOCAL_SELECT_BYTES
+            && LOCAL_SELECTS.contains(&normalized(statement).as_str());
+        return if is_local { Kind::Local } else { Kind::Engine };
     }
     let [first, second, third] = first_words(statement);
     match first.as_str() {
         "set" | "reset" | "show" | "discard" | "deallocate" => Kind::Local,
-        // Drivers' pools send them after each use; a session that holds nothing has nothing to close.
+        // Connection pools of drivers send UNLISTEN and CLOSE ALL after each use. A session has no subscriptions and no
+        // cursors, so there is nothing to undo.
         "unlisten" => Kind::Local,
         "close" if second == "all" => Kind::Local,
         "commit" | "end" | "rollback" | "abort" if second != "prepared" && second != "to" => Kind::Local,
@@ -302,13 +308,13 @@
     }
 }
 
-/// What is to be done with a text of one or several statements.
+/// Classifies a text of any number of statements.
 pub fn kind(text: &str) -> Kind {
     let all = statements(text);
     let Some((first, others)) = all.split_first() else { return Kind::Empty };
-    let mut kind = kind_of_one(first);
+    let mut kind = statement_kind(first);
     for other in others {
-        let other = kind_of_one(other);
+        let other = statement_kind(other);
         kind = match (kind, other) {
             (a, b) if a == b => a,
             (Kind::Transaction | Kind::Copy | Kind::SessionState, _) => kind,
@@ -319,47 +325,47 @@
     kind
 }
 
-/// A name and its value.
-pub type Pair<'a> = (Cow<'a, str>, Cow<'a, str>);
+/// The name and the value of an entry in a trailing comment.
+pub type CommentPair<'a> = (Cow<'a, str>, Cow<'a, str>);
 
-/// The names and values in the comment that a text ends with; none if it ends otherwise.
-pub fn comment_pairs(text: &str) -> Vec<Pair<'_>> {
-    comment(text).0
+/// The names and values in the trailing comment of a text. Empty if the text does not end with a comment.
+pub fn comment_pairs(text: &str) -> Vec<CommentPair<'_>> {
+    parse_trailing_comment(text).0
 }
 
-/// The pairs of the trailing comment, and how many parts of it were ill-formed.
-fn comment(text: &str) -> (Vec<Pair<'_>>, u32) {
+/// The names and values in the trailing comment of a text, and the number of malformed entries.
+fn parse_trailing_comment(text: &str) -> (Vec<CommentPair<'_>>, u32) {
     let mut pairs = Vec::new();
-    let end = text.trim_end_matches(|c: char| c.is_ascii_whitespace() || c == ';');
-    let Some(body) = end.strip_suffix("*/").and_then(|t| Some(t[t.rfind("/*")? + 2..].trim())) else {
+    let trimmed = text.trim_end_matches(|c: char| c.is_ascii_whitespace() || c == ';');
+    let Some(body) = trimmed.strip_suffix("*/").and_then(|t| Some(t[t.rfind("/*")? + 2..].trim())) else {
         return (pairs, 0);
     };
     let mut rest = body;
     while !rest.is_empty() {
         let Some((name, after)) = rest.split_once('=') else {
-            // An ordinary comment, or the torn end of a list.
+            // An ordinary comment if nothing was parsed before it, else an incomplete last entry of a list.
             return (pairs, u32::from(rest.len() < body.len()));
         };
         let Some(quoted) = after.trim_start().strip_prefix('\'') else { return (pairs, 1) };
         let Some(close) = closing_quote(quoted) else { return (pairs, 1) };
-        pairs.push((decoded(name.trim()), decoded(&quoted[..close])));
+        pairs.push((decode(name.trim()), decode(&quoted[..close])));
         rest = quoted[close + 1..].trim_start();
         rest = rest.strip_prefix(',').unwrap_or(rest).trim_start();
     }
     (pairs, 0)
 }
 
-/// The hints in the comment that a text ends with; none if it ends otherwise.
+/// The hints in the trailing comment of a text. All are unset if the text does not end with a comment.
 pub fn hints(text: &str) -> Hints<'_> {
-    let (pairs, ill_formed) = comment(text);
-    let mut hints = Hints { ignored: ill_formed, ..Hints::default() };
+    let (pairs, malformed) = parse_trailing_comment(text);
+    let mut hints = Hints { ignored: malformed, ..Hints::default() };
     for (name, value) in pairs {
         hints.set(&name, value);
     }
     hints
 }
 
-/// Where a quoted value ends; a quote in it is escaped by a backslash.
+/// The position of the closing quote. Quotes inside the value are escaped with a backslash.
 fn closing_quote(text: &str) -> Option<usize> {
     let bytes = text.as_bytes();
     let mut i = 0;
@@ -373,11 +379,12 @@
     None
 }
 
-fn decoded(text: &str) -> Cow<'_, str> {
-    let plain = percent_encoding::percent_decode_str(text).decode_utf8_lossy();
-    if plain.contains('\\') {
-        Cow::Owned(plain.replace("\\'", "'"))
+/// Decodes percent-encoding and escaped quotes.
+fn decode(text: &str) -> Cow<'_, str> {
+    let decoded = percent_encoding::percent_decode_str(text).decode_utf8_lossy();
+    if decoded.contains('\\') {
+        Cow::Owned(decoded.replace("\\'", "'"))
     } else {
-        plain
+        decoded
     }
 }
