--- a/crates/pg/src/local_statements.rs
+++ b/crates/pg/src/local_statements.rs
@@ -266,8 +266,8 @@
                 return Err(Diagnostic::error("42601", message));
             }
             // The value is case-sensitive, so it is read from the original statement after the first = or TO.
-            let value = value_as_written(statement).unwrap_or_default();
-            (name.to_string(), unquote(&value))
+            let raw_value = value_as_written(statement).unwrap_or_default();
+            (name.to_string(), unquote(&raw_value))
         };
         let is_unsupported_encoding = name == "client_encoding"
             && !matches!(value.to_ascii_lowercase().as_str(), "utf8" | "utf-8" | "unicode" | "default");
