--- a/crates/gossip/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use wheelfield_gossip::{eviction_packet, Counters, MembershipConfig, Node, Packet, View};
-use wheelfield_network_faults::{Entry, Fault, Parties, Timetable};
+use wheelfield_network_faults::{Fault, FaultSchedule, NodeSet, ScheduledFault};
 
 pub const MS: i64 = 1_000;
 pub const SECOND: i64 = 1_000_000;
@@ -26,7 +26,7 @@
     ticks: BTreeSet<(i64, usize)>,
     side: BTreeSet<usize>,
     split: bool,
-    faults: Timetable,
+    faults: FaultSchedule,
     /// Paused nodes, and until when; their packets and ticks wait.
     paused: BTreeMap<usize, i64>,
     sent: u64,
@@ -54,7 +54,7 @@
             ticks: BTreeSet::new(),
             side: BTreeSet::new(),
             split: false,
-            faults: Timetable::default(),
+            faults: FaultSchedule::default(),
             paused: BTreeMap::new(),
             sent: 0,
             next_sample_at: 0,
@@ -149,20 +149,20 @@
     }
 
     /// Drops all packets from some nodes to others, from now on for a duration.
-    pub fn cut(&mut self, from: Parties, to: Parties, lasts: i64) {
+    pub fn cut(&mut self, from: NodeSet, to: NodeSet, lasts: i64) {
         let fault = Fault {
-            cut: true,
+            blocked: true,
             ..Fault::default()
         };
-        self.faults.0.push(Entry {
+        self.faults.0.push(ScheduledFault {
             fault,
             from,
             to,
-            both: false,
-            at: self.now,
-            lasts,
-            every: 0,
-            times: 1,
+            bidirectional: false,
+            starts_at: self.now,
+            duration: lasts,
+            period: 0,
+            repetitions: 1,
         });
     }
 
@@ -209,7 +209,7 @@
                 self.bytes += 40 + wheelfield_gossip::authentication::encoded_size(&packet) as u64;
             }
             let to = Self::index_of(to);
-            if self.faults.fault(from, to, self.now).cut {
+            if self.faults.fault(from, to, self.now).blocked {
                 continue;
             }
             // One packet in a hundred is duplicated.
--- a/crates/gossip/tests/network.rs
+++ b/crates/gossip/tests/network.rs
@@ -5,7 +5,7 @@
 use common::{Network, MS, SECOND};
 use std::collections::BTreeSet;
 use wheelfield_gossip::{EvictionPolicy, MembershipConfig};
-use wheelfield_network_faults::Parties;
+use wheelfield_network_faults::NodeSet;
 
 fn config(expect: usize) -> MembershipConfig {
     MembershipConfig {
@@ -310,8 +310,8 @@
     assert!(agreed(&net, 10), "{:?}", net.views());
 }
 
-fn only(i: usize) -> Parties {
-    Parties::These([i].into())
+fn only(i: usize) -> NodeSet {
+    NodeSet::Only([i].into())
 }
 
 /// A settled group of twelve.
@@ -328,7 +328,7 @@
 fn a_node_that_receives_nothing_declares_nobody_dead_and_is_not_declared_dead() {
     for seed in 0..4 {
         let mut net = settled(seed);
-        net.cut(Parties::All, only(5), 60 * SECOND);
+        net.cut(NodeSet::All, only(5), 60 * SECOND);
         let lowest = net.watch_until(100 * SECOND);
         assert_eq!(
             (lowest, net.counters().declared_dead),
@@ -350,7 +350,7 @@
 #[test]
 fn a_node_that_nobody_receives_is_declared_dead_stays_counted_and_rejoins() {
     let mut net = settled(1);
-    net.cut(only(5), Parties::All, 60 * SECOND);
+    net.cut(only(5), NodeSet::All, 60 * SECOND);
     let lowest = net.watch_until(95 * SECOND);
     assert_eq!(lowest, 12);
     assert!((0..12)
--- a/crates/testbed/src/day.rs
+++ b/crates/testbed/src/day.rs
@@ -7,7 +7,7 @@
 use wheelfield_config::units::{Size, Time};
 use wheelfield_config::{Config, ConfigError};
 use wheelfield_gossip::MembershipConfig;
-use wheelfield_network_faults::Timetable;
+use wheelfield_network_faults::FaultSchedule;
 
 /// A day as its script tells it.
 #[derive(Clone, Debug, Deserialize)]
@@ -502,7 +502,7 @@
     ///
     /// # Errors
     /// What is wrong with the script, for a person.
-    pub fn timetable(&self, seed: u64) -> Result<Timetable, String> {
+    pub fn timetable(&self, seed: u64) -> Result<FaultSchedule, String> {
         script::timetable(&self.roads, self.controllers, seed)
             .map_err(|(n, fault)| format!("[[roads]] {n}: {fault}"))
     }
--- a/crates/testbed/src/fleet/judge.rs
+++ b/crates/testbed/src/fleet/judge.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use wheelfield_gossip::MembershipChange;
 use wheelfield_invariants::Life;
-use wheelfield_network_faults::Timetable;
+use wheelfield_network_faults::FaultSchedule;
 
 /// Something that a process logged of the membership.
 #[derive(Clone, Debug, PartialEq)]
@@ -66,7 +66,7 @@
     /// The lives of all processes.
     pub lives: &'a [Life],
     /// What went wrong on the roads, in times of the clock.
-    pub roads: &'a Timetable,
+    pub roads: &'a FaultSchedule,
     /// What is judged, in microseconds of the clock: from then on
     pub from: i64,
     /// and until then.
@@ -125,9 +125,9 @@
     fn unheard(&self, whom: usize, by: usize, at: i64, before: i64) -> bool {
         let paused = |l: &Life| l.stalls.iter().any(|(from, to)| *from <= at && at - before < *to);
         let still = |c: usize| self.life(c, at).is_some_and(paused);
-        let cut = |e: &wheelfield_network_faults::Entry| {
-            let concerns = e.concerns(whom, by) || e.concerns(by, whom);
-            e.fault.cut && concerns && e.at <= at && at - before < e.end()
+        let cut = |e: &wheelfield_network_faults::ScheduledFault| {
+            let concerns = e.applies_to(whom, by) || e.applies_to(by, whom);
+            e.fault.blocked && concerns && e.starts_at <= at && at - before < e.ends_at()
         };
         still(whom) || still(by) || self.roads.0.iter().any(cut)
     }
--- a/crates/testbed/src/fleet/relay.rs
+++ b/crates/testbed/src/fleet/relay.rs
@@ -11,7 +11,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 use wheelfield_net::Clock;
-use wheelfield_network_faults::{Counts, Roads, Timetable};
+use wheelfield_network_faults::{FaultSchedule, LinkCounters, LinkEmulator};
 
 /// The longest datagram that is carried.
 const LONGEST: usize = 2_048;
@@ -25,7 +25,7 @@
     /// This controller's process listens there now.
     Listens(usize, SocketAddr),
     /// Faults begin to count from this time of the clock.
-    Begin(Box<Timetable>),
+    Begin(Box<FaultSchedule>),
     End,
 }
 
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub struct Carried {
     /// By the controller that sent it.
-    pub from: Vec<Counts>,
+    pub from: Vec<LinkCounters>,
     /// Datagrams of processes that nobody knows: of one that was killed since, or of a stranger.
     pub strangers: u64,
     /// Lost as too much was under way.
@@ -73,7 +73,7 @@
             owners: HashMap::new(),
             again: vec![false; controllers],
             sockets,
-            roads: Roads::new(Timetable::default(), seed),
+            roads: LinkEmulator::new(FaultSchedule::default(), seed),
             seed,
             under_way: BinaryHeap::new(),
             numbered: 0,
@@ -101,7 +101,7 @@
     ///
     /// # Errors
     /// If the relay has come down.
-    pub fn begin(&self, timetable: Timetable) -> Result<()> {
+    pub fn begin(&self, timetable: FaultSchedule) -> Result<()> {
         self.tell(Word::Begin(Box::new(timetable)))
     }
 
@@ -156,7 +156,7 @@
     owners: HashMap<SocketAddr, usize>,
     /// More may wait at a socket, though the system will not tell so.
     again: Vec<bool>,
-    roads: Roads,
+    roads: LinkEmulator,
     seed: u64,
     under_way: BinaryHeap<Parcel>,
     numbered: u64,
@@ -185,7 +185,7 @@
                         }
                         self.owners.insert(at, controller);
                     }
-                    Word::Begin(timetable) => self.roads = Roads::new(*timetable, self.seed),
+                    Word::Begin(timetable) => self.roads = LinkEmulator::new(*timetable, self.seed),
                     Word::End => return Ok(self.carried()),
                 }
             }
@@ -204,7 +204,7 @@
     }
 
     fn carried(&self) -> Carried {
-        let from = (0..self.sockets.len()).map(|i| self.roads.counts_from(i)).collect();
+        let from = (0..self.sockets.len()).map(|i| self.roads.counters_from(i)).collect();
         Carried { from, strangers: self.strangers, crowded: self.crowded }
     }
 
@@ -223,7 +223,7 @@
                 continue;
             };
             let now = self.clock.now();
-            for arrival in self.roads.carry(from, to, now, &buffer[..length]) {
+            for arrival in self.roads.transmit(from, to, now, &buffer[..length]) {
                 if self.under_way.len() >= UNDER_WAY {
                     self.crowded += 1;
                     continue;
--- a/crates/testbed/src/fleet/script.rs
+++ b/crates/testbed/src/fleet/script.rs
@@ -4,7 +4,7 @@
 use rand_pcg::Pcg64Mcg;
 use serde::Deserialize;
 use wheelfield_config::units::{Size, Time};
-use wheelfield_network_faults::{Entry, Fault, Parties, Timetable};
+use wheelfield_network_faults::{Fault, FaultSchedule, NodeSet, ScheduledFault};
 
 /// Entries at most.
 pub const MOST: usize = 1_000;
@@ -69,9 +69,9 @@
 }
 
 /// Whom a text names among so many, by a draw where it names a share.
-fn parties(text: &str, among: usize, chance: &mut Pcg64Mcg) -> Result<Parties, String> {
+fn parties(text: &str, among: usize, chance: &mut Pcg64Mcg) -> Result<NodeSet, String> {
     if text == "all" {
-        return Ok(Parties::All);
+        return Ok(NodeSet::All);
     }
     if let Some(share) = text.strip_suffix('%') {
         let share: f64 = share.trim().parse().map_err(|_| format!("`{text}` is no share"))?;
@@ -81,7 +81,7 @@
         let mut all: Vec<usize> = (0..among).collect();
         let wanted = (share / 100.0 * among as f64).round() as usize;
         let drawn = (0..wanted).map(|_| all.swap_remove(chance.random_range(0..all.len())));
-        return Ok(Parties::These(drawn.collect()));
+        return Ok(NodeSet::Only(drawn.collect()));
     }
     let mut these = std::collections::BTreeSet::new();
     for part in text.split(',') {
@@ -97,7 +97,7 @@
         }
         these.extend(first..=last);
     }
-    Ok(Parties::These(these))
+    Ok(NodeSet::Only(these))
 }
 
 impl Road {
@@ -105,7 +105,7 @@
     ///
     /// # Errors
     /// What is wrong with it, for a person.
-    fn entry(&self, among: usize, chance: &mut Pcg64Mcg) -> Result<Entry, String> {
+    fn entry(&self, among: usize, chance: &mut Pcg64Mcg) -> Result<ScheduledFault, String> {
         let micros = |t: Option<Time>| t.map_or(0, |t| t.0 .0);
         for (name, share) in [("loss", self.loss), ("doubled", self.doubled), ("corrupt", self.corrupt)] {
             if !(0.0..=1.0).contains(&share) {
@@ -122,14 +122,14 @@
         // Where only a rate is told, a second of it may wait.
         let rate = self.rate.map_or(0, |s| s.0);
         let fault = Fault {
-            cut: self.cut,
+            blocked: self.cut,
             loss: self.loss,
             delay: micros(self.delay),
             jitter: micros(self.jitter),
-            doubled: self.doubled,
+            duplicate: self.doubled,
             corrupt: self.corrupt,
             rate,
-            queue: self.queue.map_or(rate, |s| s.0),
+            queue_limit: self.queue.map_or(rate, |s| s.0),
         };
         if fault == Fault::default() {
             return Err(
@@ -138,15 +138,15 @@
             );
         }
         let (from, to) = (parties(&self.from, among, chance)?, parties(&self.to, among, chance)?);
-        Ok(Entry {
+        Ok(ScheduledFault {
             fault,
             from,
             to,
-            both: self.both,
-            at: self.at.0 .0,
-            lasts,
-            every,
-            times: self.times.unwrap_or(1),
+            bidirectional: self.both,
+            starts_at: self.at.0 .0,
+            duration: lasts,
+            period: every,
+            repetitions: self.times.unwrap_or(1),
         })
     }
 }
@@ -155,11 +155,11 @@
 ///
 /// # Errors
 /// The number of the first entry that can't be used, from 0, and what is wrong with it.
-pub fn timetable(roads: &[Road], among: usize, seed: u64) -> Result<Timetable, (usize, String)> {
+pub fn timetable(roads: &[Road], among: usize, seed: u64) -> Result<FaultSchedule, (usize, String)> {
     if roads.len() > MOST {
         return Err((MOST, format!("{} entries; {MOST} at most", roads.len())));
     }
     let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x0072_6f61_6473);
     let entry = |(n, road): (usize, &Road)| road.entry(among, &mut chance).map_err(|fault| (n, fault));
-    Ok(Timetable(roads.iter().enumerate().map(entry).collect::<Result<_, _>>()?))
+    Ok(FaultSchedule(roads.iter().enumerate().map(entry).collect::<Result<_, _>>()?))
 }
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -4,7 +4,7 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_distr::{Distribution as _, Exp1, LogNormal, Zipf};
 use rand_pcg::Pcg64Mcg;
-use wheelfield_network_faults::Timetable;
+use wheelfield_network_faults::FaultSchedule;
 
 /// A query that a client will send.
 #[derive(Clone, Debug, PartialEq)]
@@ -90,7 +90,7 @@
     /// For the report.
     pub troubles: Vec<Drawn>,
     /// What goes wrong between controllers, in microseconds from the day's start.
-    pub roads: Timetable,
+    pub roads: FaultSchedule,
 }
 
 /// What a kind's figures are when its script leaves them out: size, extra, and the part it strikes.
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -162,7 +162,7 @@
     };
     let mut stage = Stage::set(day, &plan, setting, clock)?;
     let start = clock.now() + LEAD;
-    let roads = plan.roads.clone().from(start);
+    let roads = plan.roads.clone().shifted_by(start);
     stage.begin_roads(roads.clone())?;
     let (sender, receiver) = channel();
     for change in stage.doors() {
@@ -217,7 +217,7 @@
     let fleet = match stage.reached().map(<[_]>::to_vec) {
         Some(reached) => {
             let acts = plan.acts.iter().map(|(at, _)| start + at).max();
-            let healed = roads.end().max(acts).unwrap_or(start);
+            let healed = roads.ends_at().max(acts).unwrap_or(start);
             std::thread::sleep(clock.until(healed));
             let agreed = agree(&stage, clock);
             Some((
@@ -257,8 +257,10 @@
         let evidence = Evidence { reached: &reached, lives: &stage.lives, roads: &roads, from: start, until };
         let told = |l: &&judge::Line| matches!(l.said, judge::Said::Member(..)) && l.at <= until;
         let last = lines.iter().filter(told).map(|l| l.at).max().unwrap_or(healed);
-        let sum =
-            carried.from.iter().fold(wheelfield_network_faults::Counts::default(), |sum, c| sum.and(*c));
+        let sum = carried
+            .from
+            .iter()
+            .fold(wheelfield_network_faults::LinkCounters::default(), |sum, c| sum.merge(*c));
         let member_hours = day.controllers as f64 * (until - start) as f64 / 3.6e9;
         report.fleet = Some(OfFleet {
             verdict: evidence.judge(&lines, day.patience()),
@@ -267,7 +269,7 @@
             suspicions: suspicions as f64 / member_hours,
             bytes: sum.bytes as f64 / (member_hours * 3_600.0),
             words,
-            hurt: sum.cut + sum.lost + sum.crowded + sum.doubled + sum.corrupted,
+            hurt: sum.blocked + sum.lost + sum.queue_overflows + sum.duplicated + sum.corrupted,
         });
     }
     let lines: Vec<String> = tries.iter().map(|t| serde_json::to_string(t).unwrap_or_default()).collect();
--- a/crates/testbed/src/stage.rs
+++ b/crates/testbed/src/stage.rs
@@ -16,7 +16,7 @@
 use wheelfield::interface::Status;
 use wheelfield_invariants::Life;
 use wheelfield_net::{http, Clock};
-use wheelfield_network_faults::Timetable;
+use wheelfield_network_faults::FaultSchedule;
 
 /// A process must tell where it listens within this.
 const STARTS_WITHIN: Duration = Duration::from_secs(20);
@@ -372,7 +372,7 @@
     ///
     /// # Errors
     /// If the relay has come down.
-    pub fn begin_roads(&self, timetable: Timetable) -> Result<()> {
+    pub fn begin_roads(&self, timetable: FaultSchedule) -> Result<()> {
         self.relay.as_ref().map_or(Ok(()), |r| r.begin(timetable))
     }
 
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -32,7 +32,7 @@
 use wheelfield_engine_emulator::stand::Stand;
 use wheelfield_gossip::authentication::Keys;
 use wheelfield_invariants::{End, Life, Line, NotUp};
-use wheelfield_network_faults::Roads;
+use wheelfield_network_faults::LinkEmulator;
 use wheelfield_pg_gateway::fault_injection::FaultInjection;
 use wheelfield_pg_gateway::{DatagramSocket, PgGateway, Start};
 use wheelfield_sans_io::{ConnId, ConnectionTable, TimerKey, Timers};
@@ -104,7 +104,7 @@
     events: Timers<Event>,
     wakes: Wakes,
     net: Network,
-    roads: Roads,
+    roads: LinkEmulator,
     people: People<'a>,
     /// Requests to cancel of clients that wait for their connection.
     raw: ConnectionTable<Bytes>,
@@ -281,7 +281,7 @@
             events: Timers::default(),
             wakes: Wakes::default(),
             net: Network::new(conditions.weather, seed ^ 0x6e65_7477_6f72),
-            roads: Roads::new(plan.roads.clone().from(START + LEAD), seed),
+            roads: LinkEmulator::new(plan.roads.clone().shifted_by(START + LEAD), seed),
             people: People::new(plan, manners, n, start()),
             raw: ConnectionTable::new(2),
             stands,
--- a/crates/testbed/src/virtual_time/procs.rs
+++ b/crates/testbed/src/virtual_time/procs.rs
@@ -10,7 +10,7 @@
 use wheelfield_engine_emulator::registry::Standing;
 use wheelfield_engine_emulator::stand::{Do, Entry};
 use wheelfield_invariants::{Line, NotUp};
-use wheelfield_network_faults::Arrival;
+use wheelfield_network_faults::Delivery;
 use wheelfield_pg_gateway::{DatagramSocket, Effect, GatewayEvent, Listener};
 use wheelfield_sans_io::{BreakCause, ConnId, IoEvent, Protocol as _};
 
@@ -352,8 +352,8 @@
         let datagram = Bytes::from(datagram);
         // Roads are between those who gossip; weather is everywhere.
         let arrivals = match port {
-            DatagramSocket::Gossip => self.roads.carry(c, target, self.now, &datagram),
-            _ => vec![Arrival { at: self.now, bytes: datagram.to_vec() }],
+            DatagramSocket::Gossip => self.roads.transmit(c, target, self.now, &datagram),
+            _ => vec![Delivery { at: self.now, bytes: datagram.to_vec() }],
         };
         for arrival in arrivals {
             let bytes = Bytes::from(arrival.bytes);
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use wheelfield_gossip::MembershipChange;
 use wheelfield_invariants::Life;
-use wheelfield_network_faults::{Entry, Fault, Parties, Timetable};
+use wheelfield_network_faults::{Fault, FaultSchedule, NodeSet, ScheduledFault};
 use wheelfield_testbed::day::Day;
 use wheelfield_testbed::fleet::judge::{read, Evidence, Line, Said};
 use wheelfield_testbed::fleet::script;
@@ -107,11 +107,19 @@
     let life = |controller, killed, stalls| Life { controller, from: 0, killed, stalls, entered: false };
     let lives = [life(0, None, vec![(40, 50)]), life(1, None, vec![]), life(2, Some(100), vec![])];
     let reached: Vec<SocketAddr> = (0..3).map(at).collect();
-    let fault = Fault { cut: true, ..Fault::default() };
-    let these = |n: usize| Parties::These([n].into());
-    let cut =
-        Entry { fault, from: these(1), to: these(2), both: false, at: 60, lasts: 10, every: 0, times: 1 };
-    let roads = Timetable(vec![cut]);
+    let fault = Fault { blocked: true, ..Fault::default() };
+    let these = |n: usize| NodeSet::Only([n].into());
+    let cut = ScheduledFault {
+        fault,
+        from: these(1),
+        to: these(2),
+        bidirectional: false,
+        starts_at: 60,
+        duration: 10,
+        period: 0,
+        repetitions: 1,
+    };
+    let roads = FaultSchedule(vec![cut]);
     let lines: Vec<Line> =
         said.iter().map(|(at, by, said)| Line { at: *at, by: *by, said: said.clone() }).collect();
     Evidence { reached: &reached, lives: &lives, roads: &roads, from: 0, until: 1_000 }.judge(&lines, 5)
