--- a/crates/invariant-check/src/gather.rs
+++ b/crates/invariant-check/src/history_builder.rs
@@ -6,7 +6,9 @@
 use wheelfield::interface::{EngineEntry, EngineId, Micros, Outcome, QueryId, Settings, Status};
 use wheelfield_capture::RecordedInput;
 use wheelfield_driver::{Answer, AttemptId, Driver, Input, Instruction};
-use wheelfield_invariants::{Asked, End, Life, Line, NotUp, OfClass};
+use wheelfield_invariants::{
+    ClassInfo, ClientOutcome, HistoryEvent, ProcessLifetime, QueryRecord, UnavailableEngine,
+};
 use wheelfield_replay::describe::Names;
 use wheelfield_replay::{ReplayError, ReplayedStep, Step, Verdict};
 
@@ -15,29 +17,29 @@
 
 /// All evidence so far.
 #[derive(Debug, Default)]
-pub struct Gathered {
+pub struct HistoryBuilder {
     /// Queries.
-    pub asked: Vec<Asked>,
+    pub queries: Vec<QueryRecord>,
     /// What happened at engines.
-    pub log: Vec<Line>,
+    pub events: Vec<HistoryEvent>,
     /// Lives of the controllers.
-    pub lives: Vec<Life>,
+    pub lifetimes: Vec<ProcessLifetime>,
     /// Cores of engines, by name.
-    pub cores: BTreeMap<String, f64>,
+    pub engine_cores: BTreeMap<String, f64>,
     /// Queries that had not ended where their capture does.
-    pub open: usize,
+    pub unfinished_queries: usize,
     /// Attempts started.
     pub attempts: usize,
     /// Work of each class: so many, and their sum in seconds.
-    work: BTreeMap<usize, (u64, f64)>,
+    reported_work: BTreeMap<usize, (u64, f64)>,
     /// Starts of engines that were told of.
-    starts: BTreeSet<(EngineId, Micros)>,
-    names: Vec<String>,
+    reported_starts: BTreeSet<(EngineId, Micros)>,
+    class_names: Vec<String>,
 }
 
 /// One process of a controller, while its file is read.
 struct Run<'a> {
-    all: &'a mut Gathered,
+    all: &'a mut HistoryBuilder,
     settings: &'a Settings,
     names: Names,
     controller: usize,
@@ -53,12 +55,12 @@
     not_up: BTreeSet<EngineId>,
 }
 
-impl Gathered {
+impl HistoryBuilder {
     /// Adds a file; none if its controller was told other rules than those before.
     ///
     /// # Errors
     /// [`ReplayError`] where it can't be read.
-    pub fn file(
+    pub fn add_capture(
         &mut self,
         path: &Path,
         known: &mut Option<Settings>,
@@ -76,8 +78,8 @@
             return Ok(None);
         }
         let settings = known.get_or_insert(start.settings).clone();
-        self.names = start.classes;
-        let file = self.lives.len();
+        self.class_names = start.classes;
+        let file = self.lifetimes.len();
         let mut run = Run {
             all: self,
             settings: &settings,
@@ -102,7 +104,7 @@
             }
             let wanted = due.zip(last).map(|(due, last)| due.max(last));
             if let Some(wanted) = wanted.filter(|w| step.at.0 - w.0 > STOOD_STILL) {
-                if let Some(life) = run.all.lives.last_mut() {
+                if let Some(life) = run.all.lifetimes.last_mut() {
                     life.stalls.push((wanted.0, step.at.0));
                 }
             }
@@ -112,48 +114,50 @@
             }
             last = Some(step.at);
         }
-        if let (Some(last), Some(life)) = (last, run.all.lives.last_mut()) {
-            life.killed = Some(last.0);
+        if let (Some(last), Some(life)) = (last, run.all.lifetimes.last_mut()) {
+            life.ended_at = Some(last.0);
         }
         Ok(Some(player.into_verdict()))
     }
 
     /// Ends the gathering: lines in order, and queries that nothing can be said of left out.
-    pub fn close(&mut self, settings: &Settings) {
-        self.log.sort_by_key(|l| l.t);
-        let lives = &self.lives;
-        let known = |t: &Asked| {
-            t.end.is_some() || {
-                let covers = |l: &Life| l.from <= t.sent && l.killed.is_none_or(|k| k > t.due);
+    pub fn finish(&mut self, settings: &Settings) {
+        self.events.sort_by_key(|l| l.at);
+        let lives = &self.lifetimes;
+        let known = |t: &QueryRecord| {
+            t.outcome.is_some() || {
+                let covers = |l: &ProcessLifetime| {
+                    l.started_at <= t.sent_at && l.ended_at.is_none_or(|k| k > t.deadline)
+                };
                 lives.iter().any(|l| l.controller == t.controller && covers(l))
             }
         };
-        let before = self.asked.len();
-        self.asked.retain(known);
-        self.open = before - self.asked.len();
-        for t in &mut self.asked {
-            if t.end.is_none() {
-                (t.end, t.ended) = (Some(End::NoAnswer), t.due);
+        let before = self.queries.len();
+        self.queries.retain(known);
+        self.unfinished_queries = before - self.queries.len();
+        for t in &mut self.queries {
+            if t.outcome.is_none() {
+                (t.outcome, t.ended_at) = (Some(ClientOutcome::NoAnswer), t.deadline);
             }
             // A class that the settings do not have is judged by no rule of classes.
             t.class = t.class.min(settings.classes.len());
         }
-        self.asked.sort_by_key(|t| t.sent);
+        self.queries.sort_by_key(|t| t.sent_at);
     }
 
     /// What is known of the classes, by names as the lines use them.
-    pub fn classes(&self, settings: &Settings) -> Vec<OfClass> {
+    pub fn classes(&self, settings: &Settings) -> Vec<ClassInfo> {
         let named = |places: &[usize], nowhere: bool| -> Vec<String> {
             let none = nowhere.then(|| "nowhere".to_string());
             places.iter().map(usize::to_string).chain(none).collect()
         };
         let of = |(i, c): (usize, &wheelfield::interface::Class)| {
-            let (n, sum) = self.work.get(&i).copied().unwrap_or_default();
-            OfClass {
-                name: self.names.get(i).cloned().unwrap_or_else(|| i.to_string()),
+            let (n, sum) = self.reported_work.get(&i).copied().unwrap_or_default();
+            ClassInfo {
+                name: self.class_names.get(i).cloned().unwrap_or_else(|| i.to_string()),
                 zones: named(&c.zones, c.no_engine_permitted),
                 kinds: named(&c.kinds, c.no_engine_permitted),
-                usual_work: if n > 0 { sum / n as f64 } else { 0.0 },
+                typical_work: if n > 0 { sum / n as f64 } else { 0.0 },
             }
         };
         settings.classes.iter().enumerate().map(of).collect()
@@ -163,15 +167,15 @@
 impl Run<'_> {
     /// A life begins: the first of the file, or behind a loss.
     fn lives_on(&mut self, now: Micros, last: Option<Micros>, started: bool) {
-        if let (Some(last), Some(life)) = (last, self.all.lives.last_mut()) {
-            life.killed = Some(last.0);
+        if let (Some(last), Some(life)) = (last, self.all.lifetimes.last_mut()) {
+            life.ended_at = Some(last.0);
         }
-        self.all.lives.push(Life {
+        self.all.lifetimes.push(ProcessLifetime {
             controller: self.controller,
-            from: now.0,
-            killed: None,
+            started_at: now.0,
+            ended_at: None,
             stalls: Vec::new(),
-            entered: !started,
+            begins_mid_run: !started,
         });
     }
 
@@ -183,19 +187,19 @@
             s.slow_start_initial_fraction + (1.0 - s.slow_start_initial_fraction) * grown.clamp(0.0, 1.0)
         });
         let place = |x: usize| if x == usize::MAX { "?".to_string() } else { x.to_string() };
-        let line = Line {
-            t: at.0,
+        let line = HistoryEvent {
+            at: at.0,
             event: event.to_string(),
             engine: self.names.engine(engine),
             query: Some(self.id(attempt.query)),
-            by: format!("wheelfield/{}", self.controller),
-            warmth,
+            sent_by: format!("wheelfield/{}", self.controller),
+            capacity_fraction: warmth,
             zone: entry.map_or_else(String::new, |e| place(e.zone)),
             kind: entry.map_or_else(String::new, |e| place(e.kind)),
             cell: entry.map_or(0, |e| e.cell),
-            ..Line::default()
+            ..HistoryEvent::default()
         };
-        self.all.log.push(line);
+        self.all.events.push(line);
     }
 
     /// The name of a query, unlike that of any other.
@@ -203,19 +207,19 @@
         format!("{}.{}:{}", self.controller, self.file, query.0)
     }
 
-    fn ended(&mut self, query: QueryId, at: Micros, end: End) {
-        let Some(asked) = self.queries.get(&query).and_then(|i| self.all.asked.get_mut(*i)) else { return };
-        if matches!(end, End::Served | End::Refused | End::Failed) {
-            asked.answers += 1;
+    fn ended(&mut self, query: QueryId, at: Micros, end: ClientOutcome) {
+        let Some(asked) = self.queries.get(&query).and_then(|i| self.all.queries.get_mut(*i)) else { return };
+        if matches!(end, ClientOutcome::Served | ClientOutcome::Refused | ClientOutcome::Failed) {
+            asked.answer_count += 1;
         }
-        if asked.end.is_none() {
-            (asked.end, asked.ended) = (Some(end), at.0);
+        if asked.outcome.is_none() {
+            (asked.outcome, asked.ended_at) = (Some(end), at.0);
         }
     }
 
     fn open(&self, query: QueryId) -> bool {
-        let asked = self.queries.get(&query).and_then(|i| self.all.asked.get(*i));
-        asked.is_some_and(|a| a.end.is_none())
+        let asked = self.queries.get(&query).and_then(|i| self.all.queries.get(*i));
+        asked.is_some_and(|a| a.outcome.is_none())
     }
 
     /// Takes a step; `driver` stands behind it.
@@ -224,20 +228,20 @@
         match &step.input {
             RecordedInput::Arrive { arrival, .. } | RecordedInput::ArriveAs { arrival, .. } => {
                 if let Some(query) = step.accepted {
-                    self.queries.insert(query, self.all.asked.len());
+                    self.queries.insert(query, self.all.queries.len());
                     let name = self.id(query);
-                    self.all.asked.push(Asked {
+                    self.all.queries.push(QueryRecord {
                         id: name,
                         class: arrival.class,
                         key: arrival.key.clone(),
                         controller: self.controller,
-                        sent: step.at.0,
-                        due: arrival.deadline.0,
-                        ended: 0,
-                        end: None,
-                        answers: 0,
-                        after: None,
-                        wrong: None,
+                        sent_at: step.at.0,
+                        deadline: arrival.deadline.0,
+                        ended_at: 0,
+                        outcome: None,
+                        answer_count: 0,
+                        message_after_answer: None,
+                        answer_error: None,
                     });
                     if let Some(work) = arrival.work_hint {
                         self.works(arrival.class, work);
@@ -259,7 +263,7 @@
             ) => {
                 self.settled(step.at, *attempt, *outcome);
                 let class =
-                    self.queries.get(&attempt.query).and_then(|i| self.all.asked.get(*i)).map(|a| a.class);
+                    self.queries.get(&attempt.query).and_then(|i| self.all.queries.get(*i)).map(|a| a.class);
                 if let (Some(class), Some(work)) = (class, billed_work) {
                     self.works(class, *work);
                 }
@@ -270,10 +274,10 @@
                     && self.open(attempt.query)
                     && !driver.awaits_answer(attempt.query)
                 {
-                    self.ended(attempt.query, step.at, End::Served);
+                    self.ended(attempt.query, step.at, ClientOutcome::Served);
                 }
             }
-            RecordedInput::Input(Input::Abandoned(query)) => self.ended(*query, step.at, End::Left),
+            RecordedInput::Input(Input::Abandoned(query)) => self.ended(*query, step.at, ClientOutcome::Left),
             _ => {}
         }
         for instruction in &step.answer {
@@ -288,8 +292,8 @@
                 }
                 Instruction::Answer(query, answer) => {
                     let end = match answer {
-                        Answer::Rejected { .. } => End::Refused,
-                        Answer::Failed { .. } | Answer::Interrupted => End::Failed,
+                        Answer::Rejected { .. } => ClientOutcome::Refused,
+                        Answer::Failed { .. } | Answer::Interrupted => ClientOutcome::Failed,
                     };
                     self.ended(*query, step.at, end);
                 }
@@ -307,7 +311,7 @@
     }
 
     fn works(&mut self, class: usize, work: f64) {
-        let (n, sum) = self.all.work.entry(class).or_default();
+        let (n, sum) = self.all.reported_work.entry(class).or_default();
         (*n, *sum) = (*n + 1, *sum + work);
     }
 
@@ -339,23 +343,30 @@
             }
             let name = self.names.engine(e.engine);
             if let Some(started) = e.started_at {
-                if self.all.starts.insert((e.engine, started)) {
-                    let restarted = Line {
-                        t: started.0,
+                if self.all.reported_starts.insert((e.engine, started)) {
+                    let restarted = HistoryEvent {
+                        at: started.0,
                         event: "restarted".into(),
                         engine: name.clone(),
-                        ..Line::default()
+                        ..HistoryEvent::default()
                     };
-                    self.all.log.push(restarted);
+                    self.all.events.push(restarted);
                 }
             }
-            self.all.cores.insert(name, self.settings.cores.get(e.kind).copied().unwrap_or(1.0));
+            self.all.engine_cores.insert(name, self.settings.cores.get(e.kind).copied().unwrap_or(1.0));
             self.engines.insert(e.engine, e.clone());
         }
         let not_up = self.not_up.iter();
-        let not_up =
-            not_up.map(|e| NotUp { engine: self.names.engine(*e), status: "not up".into() }).collect();
+        let not_up = not_up
+            .map(|e| UnavailableEngine { engine: self.names.engine(*e), status: "not up".into() })
+            .collect();
         let who = self.controller.to_string();
-        self.all.log.push(Line { t: at.0, event: "told".into(), who, not_up, ..Line::default() });
+        self.all.events.push(HistoryEvent {
+            at: at.0,
+            event: "told".into(),
+            controller: who,
+            unavailable_engines: not_up,
+            ..HistoryEvent::default()
+        });
     }
 }
--- a/crates/invariant-check/src/lib.rs
+++ b/crates/invariant-check/src/lib.rs
@@ -8,54 +8,54 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod gather;
+mod history_builder;
 
-pub use gather::Gathered;
+pub use history_builder::HistoryBuilder;
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use wheelfield::interface::Settings;
-use wheelfield_invariants::{judge, Breach, Evidence, Tolerance};
+use wheelfield_invariants::{check_history, ClockTolerance, History, Violation};
 use wheelfield_replay::{Options, Player, ReplayError, Verdict};
 
 /// Why there is no verdict.
 #[derive(Debug, thiserror::Error)]
 pub enum CheckError {
     /// A capture can't be read.
-    #[error("{file}: {fault}")]
+    #[error("{file}: {error}")]
     Replay {
         /// Which.
         file: PathBuf,
         /// Why.
-        fault: ReplayError,
+        error: ReplayError,
     },
     /// Two captures are of controllers that were told different rules.
     #[error("{0}: its controller was told other classes or rules than that of the first capture; judge them apart")]
-    Differs(PathBuf),
+    SettingsMismatch(PathBuf),
     /// Nothing to judge.
     #[error("no step in these captures")]
-    Empty,
+    NoSteps,
 }
 
 /// What was found in captures.
 #[derive(Debug, Default)]
-pub struct Checked {
+pub struct CheckReport {
     /// Broken rules, in order of time.
-    pub breaches: Vec<Breach>,
+    pub violations: Vec<Violation>,
     /// Queries that were judged,
     pub queries: usize,
     /// not judged, as the capture ends or has a loss before their end,
-    pub open: usize,
+    pub unfinished_queries: usize,
     /// attempts started.
     pub attempts: usize,
     /// Controllers, and their lives in all.
-    pub lives: usize,
+    pub lifetimes: usize,
     /// When it began, in microseconds of the wall clock.
-    pub start: i64,
+    pub started_at: i64,
     /// Spans in which a controller stood still: which, from, to.
     pub stalls: Vec<(usize, i64, i64)>,
     /// Captures with records lost or a torn end, by file.
-    pub unvouched: Vec<(PathBuf, Verdict)>,
+    pub unverified_captures: Vec<(PathBuf, Verdict)>,
 }
 
 /// Judges captures together: those of all controllers, and of all their lives.
@@ -65,41 +65,41 @@
 ///
 /// # Errors
 /// [`CheckError`].
-pub fn check(files: &[PathBuf], grace: i64) -> Result<Checked, CheckError> {
-    let mut gathered = Gathered::default();
+pub fn check(files: &[PathBuf], grace: i64) -> Result<CheckReport, CheckError> {
+    let mut gathered = HistoryBuilder::default();
     let mut settings: Option<Settings> = None;
-    let mut checked = Checked::default();
+    let mut checked = CheckReport::default();
     for file in files {
         let verdict = gathered
-            .file(file, &mut settings)
-            .map_err(|fault| CheckError::Replay { file: file.clone(), fault })?
-            .ok_or_else(|| CheckError::Differs(file.clone()))?;
+            .add_capture(file, &mut settings)
+            .map_err(|error| CheckError::Replay { file: file.clone(), error })?
+            .ok_or_else(|| CheckError::SettingsMismatch(file.clone()))?;
         if !verdict.unverified.is_empty() || verdict.truncated_after.is_some() {
-            checked.unvouched.push((file.clone(), verdict));
+            checked.unverified_captures.push((file.clone(), verdict));
         }
     }
-    let settings = settings.ok_or(CheckError::Empty)?;
-    gathered.close(&settings);
-    let start = gathered.lives.iter().map(|l| l.from).min().ok_or(CheckError::Empty)?;
+    let settings = settings.ok_or(CheckError::NoSteps)?;
+    gathered.finish(&settings);
+    let start = gathered.lifetimes.iter().map(|l| l.started_at).min().ok_or(CheckError::NoSteps)?;
     let classes = gathered.classes(&settings);
-    let cores: BTreeMap<String, f64> = gathered.cores.clone();
-    checked.breaches = judge(&Evidence {
+    let cores: BTreeMap<String, f64> = gathered.engine_cores.clone();
+    checked.violations = check_history(&History {
         settings: &settings,
-        grace,
+        drain_grace: grace,
         classes: &classes,
-        cores: &cores,
-        start,
-        asked: &gathered.asked,
-        log: &gathered.log,
-        lives: &gathered.lives,
-        tolerance: Tolerance::STEPS,
+        engine_cores: &cores,
+        started_at: start,
+        queries: &gathered.queries,
+        events: &gathered.events,
+        lifetimes: &gathered.lifetimes,
+        tolerance: ClockTolerance::SINGLE_CLOCK,
     });
-    checked.queries = gathered.asked.len();
-    checked.open = gathered.open;
+    checked.queries = gathered.queries.len();
+    checked.unfinished_queries = gathered.unfinished_queries;
     checked.attempts = gathered.attempts;
-    checked.lives = gathered.lives.len();
-    checked.start = start;
-    for life in &gathered.lives {
+    checked.lifetimes = gathered.lifetimes.len();
+    checked.started_at = start;
+    for life in &gathered.lifetimes {
         checked.stalls.extend(life.stalls.iter().map(|(from, to)| (life.controller, *from, *to)));
     }
     checked.stalls.sort_by_key(|s| s.1);
--- a/crates/invariant-check/src/main.rs
+++ b/crates/invariant-check/src/main.rs
@@ -7,8 +7,8 @@
 use std::io::Write;
 use std::path::PathBuf;
 use std::process::ExitCode;
-use wheelfield_invariant_check::{check, Checked};
-use wheelfield_invariants::{Breach, RULES};
+use wheelfield_invariant_check::{check, CheckReport};
+use wheelfield_invariants::{Violation, RULES};
 
 /// Judges the seven rules on captures alone, by the judge of the laboratory.
 ///
@@ -39,7 +39,7 @@
     rules: BTreeMap<&'static str, usize>,
     stalls: Vec<(usize, f64, f64)>,
     unvouched: Vec<String>,
-    breaches: Vec<&'a Breach>,
+    breaches: Vec<&'a Violation>,
 }
 
 fn main() -> ExitCode {
@@ -61,27 +61,27 @@
 
 fn run(cli: &Cli) -> Result<bool> {
     let checked = check(&cli.files, cli.grace.saturating_mul(1000))?;
-    let count = |rule: &str| checked.breaches.iter().filter(|b| b.rule == rule).count();
+    let count = |rule: &str| checked.violations.iter().filter(|b| b.rule == rule).count();
     let rules: BTreeMap<&'static str, usize> = RULES.iter().map(|r| (*r, count(r))).collect();
     let mut out = std::io::stdout().lock();
     if cli.json {
         let shown = Shown {
             queries: checked.queries,
-            open: checked.open,
+            open: checked.unfinished_queries,
             attempts: checked.attempts,
-            lives: checked.lives,
+            lives: checked.lifetimes,
             rules,
             stalls: stalls(&checked),
             unvouched: unvouched(&checked),
-            breaches: checked.breaches.iter().take(cli.most).collect(),
+            breaches: checked.violations.iter().take(cli.most).collect(),
         };
         writeln!(out, "{}", serde_json::to_string_pretty(&shown)?)?;
-        return Ok(checked.breaches.is_empty());
+        return Ok(checked.violations.is_empty());
     }
     writeln!(
         out,
         "{} queries, {} attempts, {} lives of controllers; {} queries were open where their capture ends",
-        checked.queries, checked.attempts, checked.lives, checked.open
+        checked.queries, checked.attempts, checked.lifetimes, checked.unfinished_queries
     )?;
     for line in unvouched(&checked) {
         writeln!(out, "{line}")?;
@@ -98,21 +98,21 @@
         let word = if n == 0 { "kept".to_string() } else { format!("BROKEN {n} times") };
         writeln!(out, "rule {} {:<10} {word}", i + 1, rule)?;
     }
-    for b in checked.breaches.iter().take(cli.most) {
-        writeln!(out, "  {} at {:.2} s: {}", b.rule, b.at as f64 / 1e6, b.what)?;
+    for b in checked.violations.iter().take(cli.most) {
+        writeln!(out, "  {} at {:.2} s: {}", b.rule, b.at as f64 / 1e6, b.description)?;
     }
-    Ok(checked.breaches.is_empty())
+    Ok(checked.violations.is_empty())
 }
 
 /// Stalls in seconds from the start.
-fn stalls(checked: &Checked) -> Vec<(usize, f64, f64)> {
-    let secs = |t: i64| (t - checked.start) as f64 / 1e6;
+fn stalls(checked: &CheckReport) -> Vec<(usize, f64, f64)> {
+    let secs = |t: i64| (t - checked.started_at) as f64 / 1e6;
     checked.stalls.iter().map(|(c, from, to)| (*c, secs(*from), secs(*to))).collect()
 }
 
-fn unvouched(checked: &Checked) -> Vec<String> {
+fn unvouched(checked: &CheckReport) -> Vec<String> {
     let mut lines = Vec::new();
-    for (file, verdict) in &checked.unvouched {
+    for (file, verdict) in &checked.unverified_captures {
         for wheelfield_replay::UnverifiedSpan { after_step: from, to_step: to } in &verdict.unverified {
             lines.push(format!("{}: records are lost between steps {from} and {to}", file.display()));
         }
--- a/crates/invariant-check/tests/planted.rs
+++ b/crates/invariant-check/tests/planted.rs
@@ -5,7 +5,7 @@
 use wheelfield::interface::*;
 use wheelfield_capture::{Limits, RecordedInput, Recorder, Start};
 use wheelfield_driver::{Answer, Arrival, AttemptId, Driver, DriverLimits, Input, Instruction};
-use wheelfield_invariant_check::{check, Checked};
+use wheelfield_invariant_check::{check, CheckReport};
 
 const MS: i64 = 1000;
 const REPEATABLE: usize = 0;
@@ -155,7 +155,7 @@
     assert_eq!(recorder.end(Micros(9_000 * MS)).lost, 0);
 }
 
-fn judged(steps: &[Step]) -> Checked {
+fn judged(steps: &[Step]) -> CheckReport {
     let dir = tempfile::tempdir().expect("a directory");
     let path = dir.path().join("x.wfcap");
     write(&path, steps);
@@ -166,7 +166,7 @@
 fn broken(plant: impl FnOnce(&mut Vec<Step>)) -> Vec<&'static str> {
     let mut steps = day();
     plant(&mut steps);
-    let breaches = judged(&steps).breaches;
+    let breaches = judged(&steps).violations;
     let mut rules: Vec<&str> = breaches.iter().map(|b| b.rule).collect();
     rules.sort_unstable();
     rules.dedup();
@@ -200,8 +200,8 @@
 #[test]
 fn a_day_with_nothing_wrong_has_no_breach() {
     let checked = judged(&day());
-    assert!(checked.breaches.is_empty(), "{:?}", checked.breaches);
-    assert_eq!((checked.queries, checked.open, checked.lives), (80, 0, 1));
+    assert!(checked.violations.is_empty(), "{:?}", checked.violations);
+    assert_eq!((checked.queries, checked.unfinished_queries, checked.lifetimes), (80, 0, 1));
     assert!(checked.attempts > 80, "the queries turned away were sent again");
     assert!(checked.stalls.is_empty());
 }
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -3,8 +3,11 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod evidence;
-mod judge;
+mod checker;
+mod history;
 
-pub use evidence::{read_log, Asked, End, Evidence, Life, Line, LogError, NotUp, OfClass, Tolerance};
-pub use judge::{cold_peaks, judge, Breach, RULES};
+pub use checker::{check_history, slow_start_overload_peaks, Violation, RULES};
+pub use history::{
+    parse_event_log, ClassInfo, ClientOutcome, ClockTolerance, History, HistoryEvent, LogError,
+    ProcessLifetime, QueryRecord, UnavailableEngine,
+};
--- a/crates/platform/tests/interleavings/simulation.rs
+++ b/crates/platform/tests/interleavings/simulation.rs
@@ -8,7 +8,10 @@
 use executor_side::ExecutorConnection;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use wheelfield_invariants::{judge, Asked, End, Evidence, Life, Line, OfClass, Tolerance};
+use wheelfield_invariants::{
+    check_history, ClassInfo, ClientOutcome, ClockTolerance, History, HistoryEvent,
+    ProcessLifetime, QueryRecord,
+};
 use wheelfield_platform::BootstrapConfig;
 use wheelfield_sans_io::{BreakCause, ConnId, IoEvent, Listener, Protocol};
 
@@ -36,11 +39,11 @@
 pub struct Simulation {
     harness: Harness,
     fault: Option<InjectedFault>,
-    queries: Vec<Asked>,
+    queries: Vec<QueryRecord>,
     /// The query of each client, as an index of `queries`.
     clients: BTreeMap<ConnId, usize>,
     executor_connections: BTreeMap<ConnId, ExecutorConnection>,
-    log: Vec<Line>,
+    log: Vec<HistoryEvent>,
     /// The published status of each executor, by its number.
     statuses: BTreeMap<u8, ListedStatus>,
     /// Serial number of the published list.
@@ -101,8 +104,12 @@
         }
         self.shut_down();
         let now = self.harness.now;
-        for query in self.queries.iter_mut().filter(|query| query.end.is_none()) {
-            (query.end, query.ended) = (Some(End::NoAnswer), now);
+        for query in self
+            .queries
+            .iter_mut()
+            .filter(|query| query.outcome.is_none())
+        {
+            (query.outcome, query.ended_at) = (Some(ClientOutcome::NoAnswer), now);
         }
         self.violations(start)
     }
@@ -127,33 +134,33 @@
 
     fn violations(&self, start: i64) -> Vec<String> {
         let config = BootstrapConfig::parse(&config(Vec::new(), 256)).expect("valid");
-        let class = |name: &str| OfClass {
+        let class = |name: &str| ClassInfo {
             name: name.to_string(),
-            usual_work: 0.1,
-            ..OfClass::default()
+            typical_work: 0.1,
+            ..ClassInfo::default()
         };
-        let lives = [Life {
+        let lives = [ProcessLifetime {
             controller: 0,
-            from: 0,
-            killed: None,
+            started_at: 0,
+            ended_at: None,
             stalls: Vec::new(),
-            entered: false,
+            begins_mid_run: false,
         }];
-        let evidence = Evidence {
+        let evidence = History {
             settings: &config.settings,
-            grace: 0,
+            drain_grace: 0,
             classes: &CLASSES.map(class),
-            cores: &BTreeMap::new(),
-            start,
-            asked: &self.queries,
-            log: &self.log,
-            lives: &lives,
-            tolerance: Tolerance::STEPS,
+            engine_cores: &BTreeMap::new(),
+            started_at: start,
+            queries: &self.queries,
+            events: &self.log,
+            lifetimes: &lives,
+            tolerance: ClockTolerance::SINGLE_CLOCK,
         };
-        let breaches = judge(&evidence);
+        let breaches = check_history(&evidence);
         let mut violations: Vec<String> = breaches
             .iter()
-            .map(|breach| format!("{}: {}", breach.rule, breach.what))
+            .map(|breach| format!("{}: {}", breach.rule, breach.description))
             .collect();
         let forwarded_late = self.harness.platform.abandonment_counts().forwarded_late;
         if forwarded_late > 0 {
@@ -195,13 +202,13 @@
             engine.to_string(),
             Some(query.to_string()),
         );
-        self.log.push(Line {
-            t,
+        self.log.push(HistoryEvent {
+            at: t,
             event,
             engine,
             query,
-            by,
-            ..Line::default()
+            sent_by: by,
+            ..HistoryEvent::default()
         });
     }
 
@@ -229,20 +236,20 @@
         let (end, ended) = if client.is_some() {
             (None, i64::MAX)
         } else {
-            (Some(End::Broke), sent)
+            (Some(ClientOutcome::Broke), sent)
         };
-        self.queries.push(Asked {
+        self.queries.push(QueryRecord {
             id: request_id(number),
             class,
             key: None,
             controller: 0,
-            sent,
-            due: sent + timeout_ms * 1_000,
-            ended,
-            end,
-            answers: 0,
-            after: None,
-            wrong: None,
+            sent_at: sent,
+            deadline: sent + timeout_ms * 1_000,
+            ended_at: ended,
+            outcome: end,
+            answer_count: 0,
+            message_after_answer: None,
+            answer_error: None,
         });
         if let Some(client) = client {
             self.clients.insert(client, index);
@@ -251,8 +258,9 @@
 
     /// Only a query that has run may not run again under its id.
     fn repeat_served_query(&mut self, index: usize) {
-        let is_served =
-            |query: &Asked| query.class == AT_MOST_ONCE && query.end == Some(End::Served);
+        let is_served = |query: &QueryRecord| {
+            query.class == AT_MOST_ONCE && query.outcome == Some(ClientOutcome::Served)
+        };
         let served: Vec<u64> = (1..)
             .zip(&self.queries)
             .filter(|(_, query)| is_served(query))
@@ -269,10 +277,12 @@
 
     fn disconnect_client(&mut self, index: usize, how: Disconnect) {
         let queries = &self.queries;
-        let waiting = choose(&self.clients, index, |query| queries[*query].end.is_none());
+        let waiting = choose(&self.clients, index, |query| {
+            queries[*query].outcome.is_none()
+        });
         let Some(client) = waiting else { return };
         let query = &mut self.queries[self.clients[&client]];
-        (query.end, query.ended) = (Some(End::Left), self.harness.now);
+        (query.outcome, query.ended_at) = (Some(ClientOutcome::Left), self.harness.now);
         if self.fault == Some(InjectedFault::DisconnectsLast) {
             self.delayed_disconnects.push((client, how));
         } else {
@@ -367,30 +377,30 @@
                 continue;
             };
             let query = &mut self.queries[query];
-            if query.end.is_none() {
-                (query.end, query.ended) = (Some(End::Broke), self.harness.now);
+            if query.outcome.is_none() {
+                (query.outcome, query.ended_at) = (Some(ClientOutcome::Broke), self.harness.now);
             }
         }
     }
 
     fn receive_at_client(&mut self, query: usize, text: &str) {
         let query = &mut self.queries[query];
-        if query.end != Some(End::Left) {
-            query.answers += text.matches("HTTP/1.1 ").count() as u32;
+        if query.outcome != Some(ClientOutcome::Left) {
+            query.answer_count += text.matches("HTTP/1.1 ").count() as u32;
         }
-        if query.end.is_some() {
+        if query.outcome.is_some() {
             return;
         }
-        query.ended = self.harness.now;
-        query.end = Some(match status(text) {
-            200 => End::Served,
-            503 => End::Refused,
-            _ => End::Failed,
+        query.ended_at = self.harness.now;
+        query.outcome = Some(match status(text) {
+            200 => ClientOutcome::Served,
+            503 => ClientOutcome::Refused,
+            _ => ClientOutcome::Failed,
         });
-        if query.end == Some(End::Served)
+        if query.outcome == Some(ClientOutcome::Served)
             && !text.contains(&format!("[\"{}\",\"1\",\"x\"]", query.id))
         {
-            query.wrong = Some(text.to_string());
+            query.answer_error = Some(text.to_string());
         }
     }
 
--- a/crates/platform/tests/interleavings/simulation/executor_side.rs
+++ b/crates/platform/tests/interleavings/simulation/executor_side.rs
@@ -3,7 +3,7 @@
 use super::{choose, executor_name, InjectedFault, Simulation};
 use crate::common::*;
 use crate::steps::{ExecutorReply, ListedStatus};
-use wheelfield_invariants::{Line, NotUp};
+use wheelfield_invariants::{HistoryEvent, UnavailableEngine};
 use wheelfield_sans_io::{ConnId, DatagramSocket, IoEvent};
 
 /// A connection to an executor, as the executor sees it.
@@ -57,18 +57,18 @@
                 ListedStatus::Draining => "draining".to_string(),
                 ListedStatus::Removed => "removed".to_string(),
             };
-            not_up.push(NotUp {
+            not_up.push(UnavailableEngine {
                 engine: executor_name(*number),
                 status,
             });
         }
         let (t, event, who) = (self.harness.now, "told".to_string(), "0".to_string());
-        self.log.push(Line {
-            t,
+        self.log.push(HistoryEvent {
+            at: t,
             event,
-            who,
-            not_up,
-            ..Line::default()
+            controller: who,
+            unavailable_engines: not_up,
+            ..HistoryEvent::default()
         });
     }
 
--- a/crates/sim-adapter/tests/one_core.rs
+++ b/crates/sim-adapter/tests/one_core.rs
@@ -554,11 +554,15 @@
         // The check: the rules kept, and the same queries.
         let checked = wheelfield_invariant_check::check(&[path], 0).expect("whole");
         assert!(
-            checked.breaches.is_empty(),
+            checked.violations.is_empty(),
             "seed {seed}: {:?}",
-            checked.breaches
+            checked.violations
+        );
+        assert_eq!(
+            checked.queries + checked.unfinished_queries,
+            day.queries,
+            "seed {seed}"
         );
-        assert_eq!(checked.queries + checked.open, day.queries, "seed {seed}");
         // The adapter, on its wire.
         let replies = adapter(&day.heard, &[]);
         let of = |words: &[&str]| -> Vec<String> {
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -4,7 +4,7 @@
 use crate::day::{Class, Habits};
 use crate::plan::Arrival;
 use rand::{Rng, RngExt as _};
-use wheelfield_invariants::End;
+use wheelfield_invariants::ClientOutcome;
 
 /// What clients know of a controller.
 #[derive(Clone, Copy, Debug, Default)]
@@ -35,13 +35,15 @@
     habits: &Habits,
     arrival: &Arrival,
     tried: &Try,
-    end: End,
+    end: ClientOutcome,
     left: i64,
     chance: &mut impl Rng,
 ) -> Option<i64> {
     let again = match end {
-        End::Refused | End::Unreachable => true,
-        End::Broke | End::Failed => class.effect == "repeatable" && tried.state != "57014",
+        ClientOutcome::Refused | ClientOutcome::Unreachable => true,
+        ClientOutcome::Broke | ClientOutcome::Failed => {
+            class.effect == "repeatable" && tried.state != "57014"
+        }
         _ => false,
     };
     if !again || tried.number >= habits.retries || left < 100_000 || arrival.leaves.is_some() {
--- a/crates/testbed/src/crowd.rs
+++ b/crates/testbed/src/crowd.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
-use wheelfield_invariants::End;
+use wheelfield_invariants::ClientOutcome;
 use wheelfield_net::{Clock, Socket};
 use wheelfield_sans_io::ConnId;
 
@@ -33,7 +33,7 @@
     /// When it ended.
     pub ended: i64,
     /// How.
-    pub end: Option<End>,
+    pub end: Option<ClientOutcome>,
     /// The SQLSTATE of an error.
     pub state: String,
     /// Rows that came.
--- a/crates/testbed/src/evidence.rs
+++ b/crates/testbed/src/evidence.rs
@@ -5,7 +5,10 @@
 use crate::plan::Plan;
 use std::collections::BTreeMap;
 use wheelfield::interface::Settings;
-use wheelfield_invariants::{cold_peaks, judge, Asked, Breach, Evidence, Life, Line, OfClass, Tolerance};
+use wheelfield_invariants::{
+    check_history, slow_start_overload_peaks, ClassInfo, ClockTolerance, History, HistoryEvent,
+    ProcessLifetime, QueryRecord, Violation,
+};
 
 /// What a day's plan and script say beyond its log.
 pub struct Known<'a> {
@@ -21,39 +24,44 @@
 
 impl Known<'_> {
     /// Judges the day; and the largest multiple of what it could do that a cold engine was sent.
-    pub fn judge(&self, tries: &[Try], log: &[Line], lives: &[Life]) -> (Vec<Breach>, f64) {
-        let asked: Vec<Asked> = tries.iter().map(|t| self.asked(t)).collect();
-        let classes: Vec<OfClass> = self.day.classes.iter().map(of_class).collect();
+    pub fn judge(
+        &self,
+        tries: &[Try],
+        log: &[HistoryEvent],
+        lives: &[ProcessLifetime],
+    ) -> (Vec<Violation>, f64) {
+        let asked: Vec<QueryRecord> = tries.iter().map(|t| self.asked(t)).collect();
+        let classes: Vec<ClassInfo> = self.day.classes.iter().map(of_class).collect();
         let cores: BTreeMap<String, f64> =
             self.plan.engines.iter().enumerate().map(|e| self.cores(e)).collect();
-        let evidence = Evidence {
+        let evidence = History {
             settings: self.settings,
-            grace: self.day.drain_grace.0 .0,
+            drain_grace: self.day.drain_grace.0 .0,
             classes: &classes,
-            cores: &cores,
-            start: self.start,
-            asked: &asked,
-            log,
-            lives,
-            tolerance: Tolerance::SOCKETS,
+            engine_cores: &cores,
+            started_at: self.start,
+            queries: &asked,
+            events: log,
+            lifetimes: lives,
+            tolerance: ClockTolerance::SEPARATE_CLOCKS,
         };
-        (judge(&evidence), cold_peaks(&evidence).into_values().fold(0.0, f64::max))
+        (check_history(&evidence), slow_start_overload_peaks(&evidence).into_values().fold(0.0, f64::max))
     }
 
-    fn asked(&self, t: &Try) -> Asked {
+    fn asked(&self, t: &Try) -> QueryRecord {
         let arrival = &self.plan.arrivals[t.arrival];
-        Asked {
+        QueryRecord {
             id: t.id.clone(),
             class: arrival.class,
             key: arrival.key.map(|k| k.to_string()),
             controller: t.controller,
-            sent: t.sent,
-            due: t.due,
-            ended: t.ended,
-            end: t.end,
-            answers: t.answers,
-            after: t.after,
-            wrong: t.wrong.map(str::to_string),
+            sent_at: t.sent,
+            deadline: t.due,
+            ended_at: t.ended,
+            outcome: t.end,
+            answer_count: t.answers,
+            message_after_answer: t.after,
+            answer_error: t.wrong.map(str::to_string),
         }
     }
 
@@ -63,11 +71,11 @@
     }
 }
 
-fn of_class(class: &crate::day::Class) -> OfClass {
-    OfClass {
+fn of_class(class: &crate::day::Class) -> ClassInfo {
+    ClassInfo {
         name: class.name.clone(),
         zones: class.zones.clone(),
         kinds: class.kinds.clone(),
-        usual_work: class.work.0 .0 as f64 / 1e6,
+        typical_work: class.work.0 .0 as f64 / 1e6,
     }
 }
--- a/crates/testbed/src/explore/mod.rs
+++ b/crates/testbed/src/explore/mod.rs
@@ -16,7 +16,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 use wheelfield_config::ConfigError;
-use wheelfield_invariants::End;
+use wheelfield_invariants::ClientOutcome;
 use wheelfield_pg_gateway::fault_injection::FaultInjection;
 
 /// What came of a day.
@@ -80,7 +80,7 @@
     let known = Known { day: &day, settings: &settings, plan: &plan, start: virtual_time::start() };
     let (breaches, cold_peak) = known.judge(&played.tries, &played.log, &played.lives);
     let mut wrong: Vec<(String, String)> =
-        breaches.iter().take(20).map(|b| (b.rule.to_string(), b.what.clone())).collect();
+        breaches.iter().take(20).map(|b| (b.rule.to_string(), b.description.clone())).collect();
     if played.leaks > 0 {
         wrong.push(("leak".into(), format!("{} connections that their controller forgot", played.leaks)));
     }
@@ -89,7 +89,7 @@
     let mut note = |what: String| *seen.entry(what).or_default() += 1;
     for t in &played.tries {
         note(match t.end {
-            Some(End::Failed | End::Refused) => format!("client: {}", t.state),
+            Some(ClientOutcome::Failed | ClientOutcome::Refused) => format!("client: {}", t.state),
             end => format!("client: {}", end.map_or("open".into(), |e| format!("{e:?}").to_lowercase())),
         });
     }
@@ -100,7 +100,7 @@
     if cold_peak > 0.5 * settings.overload_multiple {
         note("near: a cold engine was sent over half of what breaks it".into());
     }
-    let late = |t: &&crate::crowd::Try| t.end == Some(End::Served) && t.due - t.ended < 100_000;
+    let late = |t: &&crate::crowd::Try| t.end == Some(ClientOutcome::Served) && t.due - t.ended < 100_000;
     if played.tries.iter().any(|t| late(&t)) {
         note("near: an answer within 100 ms of its client's patience".into());
     }
--- a/crates/testbed/src/fleet/judge.rs
+++ b/crates/testbed/src/fleet/judge.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use wheelfield_gossip::MembershipChange;
-use wheelfield_invariants::Life;
+use wheelfield_invariants::ProcessLifetime;
 use wheelfield_network_faults::FaultSchedule;
 
 /// Something that a process logged of the membership.
@@ -64,7 +64,7 @@
     /// Where each controller is reached by the others.
     pub reached: &'a [SocketAddr],
     /// The lives of all processes.
-    pub lives: &'a [Life],
+    pub lives: &'a [ProcessLifetime],
     /// What went wrong on the roads, in times of the clock.
     pub roads: &'a FaultSchedule,
     /// What is judged, in microseconds of the clock: from then on
@@ -111,8 +111,10 @@
 }
 
 impl Evidence<'_> {
-    fn life(&self, controller: usize, at: i64) -> Option<&Life> {
-        let ran = |l: &&Life| l.controller == controller && l.from <= at && l.killed.is_none_or(|k| at < k);
+    fn life(&self, controller: usize, at: i64) -> Option<&ProcessLifetime> {
+        let ran = |l: &&ProcessLifetime| {
+            l.controller == controller && l.started_at <= at && l.ended_at.is_none_or(|k| at < k)
+        };
         self.lives.iter().find(ran)
     }
 
@@ -123,7 +125,7 @@
 
     /// Whether a controller could not be heard by another at some time within `before` a time.
     fn unheard(&self, whom: usize, by: usize, at: i64, before: i64) -> bool {
-        let paused = |l: &Life| l.stalls.iter().any(|(from, to)| *from <= at && at - before < *to);
+        let paused = |l: &ProcessLifetime| l.stalls.iter().any(|(from, to)| *from <= at && at - before < *to);
         let still = |c: usize| self.life(c, at).is_some_and(paused);
         let cut = |e: &wheelfield_network_faults::ScheduledFault| {
             let concerns = e.applies_to(whom, by) || e.applies_to(by, whom);
@@ -169,7 +171,8 @@
                         }
                         MembershipChange::DeclaredDead => {
                             let died = self.lives.iter().filter(|l| l.controller == whom);
-                            if let Some(died) = died.filter_map(|l| l.killed).filter(|k| *k <= line.at).max()
+                            if let Some(died) =
+                                died.filter_map(|l| l.ended_at).filter(|k| *k <= line.at).max()
                             {
                                 let first = found.entry((whom, died)).or_insert(line.at);
                                 *first = line.at.min(*first);
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -532,10 +532,18 @@
     }
     for l in &played.log {
         let query = l.query.as_deref().unwrap_or("");
-        let told: Vec<String> = l.not_up.iter().map(|n| format!("{} {}", n.engine, n.status)).collect();
+        let told: Vec<String> =
+            l.unavailable_engines.iter().map(|n| format!("{} {}", n.engine, n.status)).collect();
         lines.push((
-            l.t,
-            format!("{:<10} {query:<10} {} {} {} {}", l.engine, l.event, l.by, l.who, told.join(", ")),
+            l.at,
+            format!(
+                "{:<10} {query:<10} {} {} {} {}",
+                l.engine,
+                l.event,
+                l.sent_by,
+                l.controller,
+                told.join(", ")
+            ),
         ));
     }
     lines.sort_by_key(|(t, _)| *t);
--- a/crates/testbed/src/people.rs
+++ b/crates/testbed/src/people.rs
@@ -9,7 +9,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
 use wheelfield_engine_emulator::answer;
-use wheelfield_invariants::End;
+use wheelfield_invariants::ClientOutcome;
 use wheelfield_pg::{back, frame, front};
 use wheelfield_sans_io::{ConnId, ConnectionTable, Timers};
 
@@ -178,7 +178,7 @@
                     self.timers.set(now + WAITS_ON, Wake::Over(t));
                 }
             }
-            Wake::Over(t) => self.leave(t, End::NoAnswer, now),
+            Wake::Over(t) => self.leave(t, ClientOutcome::NoAnswer, now),
             Wake::Visit => {
                 if self.coming > 0 {
                     self.timers.set(now + self.visits, Wake::Visit);
@@ -193,7 +193,7 @@
                 } else if leaves.is_some_and(|(_, cancels)| cancels) {
                     self.cancel(t);
                 } else {
-                    self.leave(t, End::Left, now);
+                    self.leave(t, ClientOutcome::Left, now);
                 }
             }
             Wake::Connect(id) => {
@@ -264,7 +264,7 @@
     /// A connection that was to come did not.
     fn unreachable(&mut self, place: (usize, usize), now: i64) {
         if let Some(t) = self.waiting.get_mut(&place).and_then(VecDeque::pop_front) {
-            self.over(t, End::Unreachable, now);
+            self.over(t, ClientOutcome::Unreachable, now);
         }
     }
 
@@ -397,11 +397,12 @@
             }
             b'Z' => {
                 let end = match tried.state.as_str() {
-                    "" => End::Served,
-                    "53300" => End::Refused,
-                    _ => End::Failed,
+                    "" => ClientOutcome::Served,
+                    "53300" => ClientOutcome::Refused,
+                    _ => ClientOutcome::Failed,
                 };
-                tried.is_wrong(end == End::Served && tried.answers == 0, "an end without an answer");
+                tried
+                    .is_wrong(end == ClientOutcome::Served && tried.answers == 0, "an end without an answer");
                 c.runs = None;
                 c.last = Some(t);
                 self.over(t, end, now);
@@ -432,7 +433,7 @@
         let (place, ready, runs) = ((c.controller, c.tenant), c.ready, c.runs);
         self.bury(id);
         if let Some(t) = runs {
-            self.over(t, End::Broke, now);
+            self.over(t, ClientOutcome::Broke, now);
         } else if !ready {
             self.unreachable(place, now);
         }
@@ -453,7 +454,7 @@
     }
 
     /// A client leaves without waiting any longer.
-    fn leave(&mut self, t: usize, end: End, now: i64) {
+    fn leave(&mut self, t: usize, end: ClientOutcome, now: i64) {
         if self.tries[t].end.is_some() {
             return;
         }
@@ -474,7 +475,7 @@
         self.wishes.push(Wish::Cancel(c.controller, out.freeze()));
     }
 
-    fn over(&mut self, t: usize, end: End, now: i64) {
+    fn over(&mut self, t: usize, end: ClientOutcome, now: i64) {
         let tried = &mut self.tries[t];
         if tried.end.is_some() {
             return;
@@ -482,16 +483,16 @@
         (tried.end, tried.ended) = (Some(end), now);
         self.open -= 1;
         match end {
-            End::Served => self.tally.served += 1,
-            End::Refused => self.tally.refused += 1,
-            End::Failed => self.tally.failed += 1,
+            ClientOutcome::Served => self.tally.served += 1,
+            ClientOutcome::Refused => self.tally.refused += 1,
+            ClientOutcome::Failed => self.tally.failed += 1,
             _ => self.tally.other += 1,
         }
         self.maybe_again(t, end, now);
     }
 
     /// A refused query, or one whose controller could not be had, is tried again within the client's habits.
-    fn maybe_again(&mut self, t: usize, end: End, now: i64) {
+    fn maybe_again(&mut self, t: usize, end: ClientOutcome, now: i64) {
         let tried = &self.tries[t];
         let a: &Arrival = &self.plan.arrivals[tried.arrival];
         let class = &self.manners.classes[a.class];
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -16,7 +16,7 @@
 use std::path::PathBuf;
 use std::sync::mpsc::channel;
 use std::time::Duration;
-use wheelfield_invariants::{read_log, Breach, End, RULES};
+use wheelfield_invariants::{parse_event_log, ClientOutcome, Violation, RULES};
 use wheelfield_net::Clock;
 
 /// The stage is set this long before the first query.
@@ -98,7 +98,7 @@
     /// Processor seconds of all controllers.
     pub controller_cpu_s: f64,
     /// The first breaches.
-    pub breaches: Vec<Breach>,
+    pub breaches: Vec<Violation>,
     /// What the controllers believed of each other, where the script tells of roads between them.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub fleet: Option<OfFleet>,
@@ -235,11 +235,11 @@
     let log_file = options.dir.join("engines.jsonl");
     let text =
         std::fs::read_to_string(&log_file).with_context(|| format!("cannot read {}", log_file.display()))?;
-    let mut log = read_log(&text)?;
+    let mut log = parse_event_log(&text)?;
     if let Some(lists) = &stage.lists {
         let text = std::fs::read_to_string(lists.log())?;
-        log.extend(read_log(&text)?);
-        log.sort_by_key(|l| l.t);
+        log.extend(parse_event_log(&text)?);
+        log.sort_by_key(|l| l.at);
     }
     let settings = day.settings()?;
     let known = Known { day, settings: &settings, plan: &plan, start };
@@ -338,7 +338,7 @@
 }
 
 #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
-fn sum_up(day: &Day, plan: &Plan, start: i64, tries: &[Try], breaches: Vec<Breach>) -> Report {
+fn sum_up(day: &Day, plan: &Plan, start: i64, tries: &[Try], breaches: Vec<Violation>) -> Report {
     let mut report = Report { day: day.name.clone(), ..Report::default() };
     let mut latencies: Vec<Histogram<u64>> = day
         .classes
@@ -351,13 +351,13 @@
     for t in tries {
         report.queries += 1;
         match t.end {
-            Some(End::Served) => report.served += 1,
-            Some(End::Refused) => report.refused += 1,
-            Some(End::Failed) => report.failed += 1,
+            Some(ClientOutcome::Served) => report.served += 1,
+            Some(ClientOutcome::Refused) => report.refused += 1,
+            Some(ClientOutcome::Failed) => report.failed += 1,
             _ => report.unanswered += 1,
         }
         let class = plan.arrivals[t.arrival].class;
-        if t.end == Some(End::Served) {
+        if t.end == Some(ClientOutcome::Served) {
             if let Some(h) = latencies.get_mut(class) {
                 // From when it was to be sent, whatever held it up.
                 let _ = h.record((t.ended - t.sent + t.late_us).max(1) as u64);
@@ -377,21 +377,21 @@
         let (c, of) = (&day.classes[a.class], &mut classes[a.class]);
         of.queries += 1;
         let Some(t) = last.get(&i) else { continue };
-        if t.end == Some(End::Left) {
+        if t.end == Some(ClientOutcome::Left) {
             // Nobody waits for it any more.
             of.queries -= 1;
             continue;
         }
         worth[a.class] += c.worth;
         match t.end {
-            Some(End::Served) => {
+            Some(ClientOutcome::Served) => {
                 of.served += 1;
                 // From when it was first wanted: further tries belong to the first.
                 let took = t.ended - (start + a.at);
                 let aim = c.aim.0 .0 as f64 + c.aim_stretch * a.work / c.threads * 1e6;
                 got[a.class] += if took as f64 <= aim { c.worth } else { c.worth * c.late_worth };
             }
-            Some(End::Refused) => of.refused += 1,
+            Some(ClientOutcome::Refused) => of.refused += 1,
             _ => of.failed += 1,
         }
     }
@@ -492,7 +492,7 @@
         }
     }
     for b in report.breaches.iter().take(10) {
-        writeln!(out, "  {} at {:.2} s: {}", b.rule, b.at as f64 / 1e6, b.what)?;
+        writeln!(out, "  {} at {:.2} s: {}", b.rule, b.at as f64 / 1e6, b.description)?;
     }
     Ok(())
 }
--- a/crates/testbed/src/series.rs
+++ b/crates/testbed/src/series.rs
@@ -6,7 +6,7 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use wheelfield_invariants::{End, Line};
+use wheelfield_invariants::{ClientOutcome, HistoryEvent};
 
 /// A trouble, in seconds from the day's start.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -52,23 +52,23 @@
 
 fn reason(t: &Try) -> Option<&'static str> {
     Some(match (t.end?, t.state.as_str()) {
-        (End::Served, _) => return None,
-        (End::Refused, _) if t.advice_ms.is_some() => "refused, with advice",
-        (End::Refused, _) => "refused, without advice",
-        (End::Failed, "57014") => "cancelled by its client",
-        (End::Failed, "08007") => "failed, may have run",
-        (End::Failed, _) => "failed, did not run",
-        (End::Left, _) => "client left",
-        (End::NoAnswer, _) => "no answer",
-        (End::Broke, _) => "connection broke",
-        (End::Unreachable, _) => "controller not there",
+        (ClientOutcome::Served, _) => return None,
+        (ClientOutcome::Refused, _) if t.advice_ms.is_some() => "refused, with advice",
+        (ClientOutcome::Refused, _) => "refused, without advice",
+        (ClientOutcome::Failed, "57014") => "cancelled by its client",
+        (ClientOutcome::Failed, "08007") => "failed, may have run",
+        (ClientOutcome::Failed, _) => "failed, did not run",
+        (ClientOutcome::Left, _) => "client left",
+        (ClientOutcome::NoAnswer, _) => "no answer",
+        (ClientOutcome::Broke, _) => "connection broke",
+        (ClientOutcome::Unreachable, _) => "controller not there",
     })
 }
 
 impl Series {
     /// Of a day that was played from `start` on.
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
-    pub fn of(day: &Day, plan: &Plan, start: i64, tries: &[Try], log: &[Line]) -> Series {
+    pub fn of(day: &Day, plan: &Plan, start: i64, tries: &[Try], log: &[HistoryEvent]) -> Series {
         let seconds = (day.length.0 .0 as usize).div_ceil(1_000_000).max(1);
         let second = |t: i64| ((t - start).max(0) as usize / 1_000_000).min(seconds - 1);
         let zeros = || vec![0_u32; seconds];
@@ -87,15 +87,15 @@
             last.insert(t.arrival, t);
             let at = second(t.ended);
             match t.end {
-                Some(End::Served) => s.served[at] += 1,
-                Some(End::Refused) => s.refused[at] += 1,
-                Some(End::Failed) => s.failed[at] += 1,
+                Some(ClientOutcome::Served) => s.served[at] += 1,
+                Some(ClientOutcome::Refused) => s.refused[at] += 1,
+                Some(ClientOutcome::Failed) => s.failed[at] += 1,
                 _ => {}
             }
             if let Some(why) = reason(t) {
                 *s.reasons.entry(why.to_string()).or_default() += 1;
             }
-            if t.end == Some(End::Served) {
+            if t.end == Some(ClientOutcome::Served) {
                 if let Some(h) = &mut latency {
                     let _ = h.record((t.ended - t.sent + t.late_us).max(1) as u64);
                 }
@@ -104,12 +104,12 @@
         for (i, a) in plan.arrivals.iter().enumerate() {
             let at = (a.at as usize / 1_000_000).min(seconds - 1);
             let (c, Some(t)) = (&day.classes[a.class], last.get(&i)) else { continue };
-            if t.end == Some(End::Left) {
+            if t.end == Some(ClientOutcome::Left) {
                 continue;
             }
             s.wanted[at] += 1;
             worth[at] += c.worth;
-            if t.end == Some(End::Served) {
+            if t.end == Some(ClientOutcome::Served) {
                 let aim = c.aim.0 .0 as f64 + c.aim_stretch * a.work / c.threads * 1e6;
                 let in_time = (t.ended - (start + a.at)) as f64 <= aim;
                 got[at] += if in_time { c.worth } else { c.worth * c.late_worth };
@@ -117,7 +117,7 @@
         }
         s.service = worth.iter().zip(&got).map(|(w, g)| if *w > 0.0 { g / w } else { 1.0 }).collect();
         for line in log.iter().filter(|l| l.event == "received") {
-            let at = second(line.t);
+            let at = second(line.at);
             s.attempts[at] += 1;
             s.engines.entry(line.engine.clone()).or_insert_with(zeros)[at] += 1;
         }
--- a/crates/testbed/src/stage.rs
+++ b/crates/testbed/src/stage.rs
@@ -14,7 +14,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 use wheelfield::interface::Status;
-use wheelfield_invariants::Life;
+use wheelfield_invariants::ProcessLifetime;
 use wheelfield_net::{http, Clock};
 use wheelfield_network_faults::FaultSchedule;
 
@@ -159,7 +159,7 @@
     /// The engines as a file, if they are kept so.
     pub lists: Option<Lists>,
     /// The lives of all controllers.
-    pub lives: Vec<Life>,
+    pub lives: Vec<ProcessLifetime>,
     /// Processor seconds of controllers that are gone.
     pub spent: f64,
 }
@@ -352,12 +352,12 @@
         if let Some(relay) = &self.relay {
             relay.listens(i, process.address("gossip")?)?;
         }
-        self.lives.push(Life {
+        self.lives.push(ProcessLifetime {
             controller: i,
-            from: self.clock.now(),
-            killed: None,
+            started_at: self.clock.now(),
+            ended_at: None,
             stalls: Vec::new(),
-            entered: false,
+            begins_mid_run: false,
         });
         self.controllers[i] = Some(process);
         Ok(())
@@ -444,7 +444,7 @@
                     let now = self.clock.now();
                     drop(process);
                     if let Some(life) = self.lives.iter_mut().rev().find(|l| l.controller == *i) {
-                        life.killed = Some(now);
+                        life.ended_at = Some(now);
                     }
                     return Ok(vec![Change::Down(*i)]);
                 }
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -31,7 +31,7 @@
 use wheelfield_engine_emulator::setup::Setup;
 use wheelfield_engine_emulator::stand::Stand;
 use wheelfield_gossip::authentication::Keys;
-use wheelfield_invariants::{End, Life, Line, NotUp};
+use wheelfield_invariants::{ClientOutcome, HistoryEvent, ProcessLifetime, UnavailableEngine};
 use wheelfield_network_faults::LinkEmulator;
 use wheelfield_pg_gateway::fault_injection::FaultInjection;
 use wheelfield_pg_gateway::{DatagramSocket, PgGateway, Start};
@@ -73,9 +73,9 @@
     /// All tries.
     pub tries: Vec<Try>,
     /// The engines' log, and who was told what.
-    pub log: Vec<Line>,
+    pub log: Vec<HistoryEvent>,
     /// The lives of the controllers.
-    pub lives: Vec<Life>,
+    pub lives: Vec<ProcessLifetime>,
     /// Events that were played.
     pub events: u64,
     /// Messages between controllers, each to each.
@@ -113,12 +113,12 @@
     gates: Vec<Option<PgGateway>>,
     /// Processes that each controller has had.
     lives: Vec<u64>,
-    lived: Vec<Life>,
+    lived: Vec<ProcessLifetime>,
     /// What reached a controller that stands still.
     stalled: Vec<Option<Vec<Event>>>,
     /// A controller that is being told of much at once.
     batch: Option<usize>,
-    log: Vec<Line>,
+    log: Vec<HistoryEvent>,
     desk: Desk,
     stale: i64,
     set: EngineSet,
@@ -218,7 +218,7 @@
     let World { people, log, lived, messages, seen, .. } = world;
     let mut tries = people.into_tries();
     for t in tries.iter_mut().filter(|t| t.end.is_none()) {
-        (t.end, t.ended) = (Some(End::NoAnswer), end);
+        (t.end, t.ended) = (Some(ClientOutcome::NoAnswer), end);
     }
     Ok(Played { tries, log, lives: lived, events, messages, leaks, seen })
 }
@@ -371,12 +371,12 @@
         gate.handle(self.now, wheelfield_pg_gateway::GatewayEvent::Started);
         self.gates[c] = Some(gate);
         self.people.up(c);
-        self.lived.push(Life {
+        self.lived.push(ProcessLifetime {
             controller: c,
-            from: self.now,
-            killed: None,
+            started_at: self.now,
+            ended_at: None,
             stalls: Vec::new(),
-            entered: false,
+            begins_mid_run: false,
         });
         if self.day.registry.files {
             let at = self.now + HOP;
@@ -398,7 +398,7 @@
         self.stalled[c] = None;
         self.people.down(c, self.now);
         if let Some(life) = self.lived.iter_mut().rev().find(|l| l.controller == c) {
-            life.killed = Some(self.now);
+            life.ended_at = Some(self.now);
         }
         self.net.kill(self.now, Proc::Controller(c));
     }
@@ -467,24 +467,24 @@
             k.entry.started_at = started.map(wheelfield::interface::Micros).or(k.entry.started_at);
         }
         self.set.version += 1;
-        let not_up: Vec<NotUp> = self
+        let not_up: Vec<UnavailableEngine> = self
             .set
             .engines
             .values()
             .filter(|k| k.entry.status != Status::Up)
-            .map(|k| NotUp {
+            .map(|k| UnavailableEngine {
                 engine: k.name.clone(),
                 status: wheelfield_endpoints::word(k.entry.status).to_string(),
             })
             .collect();
         for c in 0..self.gates.len() {
             // From the writing on: the judge is to be the stricter for it.
-            self.log.push(Line {
-                t: self.now,
+            self.log.push(HistoryEvent {
+                at: self.now,
                 event: "told".into(),
-                who: c.to_string(),
-                not_up: not_up.clone(),
-                ..Line::default()
+                controller: c.to_string(),
+                unavailable_engines: not_up.clone(),
+                ..HistoryEvent::default()
             });
             let at = self.now + SETTLES + self.chance.random_range(0..SETTLES);
             self.events.set(at, Event::Files(c, self.lives[c]));
--- a/crates/testbed/src/virtual_time/procs.rs
+++ b/crates/testbed/src/virtual_time/procs.rs
@@ -9,27 +9,29 @@
 use wheelfield_endpoints::News;
 use wheelfield_engine_emulator::registry::Standing;
 use wheelfield_engine_emulator::stand::{Do, Entry};
-use wheelfield_invariants::{Line, NotUp};
+use wheelfield_invariants::{HistoryEvent, UnavailableEngine};
 use wheelfield_network_faults::Delivery;
 use wheelfield_pg_gateway::{DatagramSocket, Effect, GatewayEvent, Listener};
 use wheelfield_sans_io::{BreakCause, ConnId, IoEvent, Protocol as _};
 
 /// A line of a stand-in's journal as the judge reads it.
-fn line_of(e: Entry) -> Line {
+fn line_of(e: Entry) -> HistoryEvent {
     let status = |s: Standing| if s == Standing::Draining { "draining" } else { "removed" };
     let not_up = e.not_up.unwrap_or_default().into_iter();
-    Line {
-        t: e.t,
+    HistoryEvent {
+        at: e.t,
         event: e.event.to_string(),
         engine: e.engine,
         query: e.query,
-        by: e.by,
-        warmth: e.warmth.unwrap_or(0.0),
+        sent_by: e.by,
+        capacity_fraction: e.warmth.unwrap_or(0.0),
         zone: e.zone.unwrap_or_default(),
         kind: e.kind.unwrap_or_default(),
         cell: e.cell.unwrap_or(0),
-        who: e.who.unwrap_or_default(),
-        not_up: not_up.map(|n| NotUp { engine: n.engine, status: status(n.status).into() }).collect(),
+        controller: e.who.unwrap_or_default(),
+        unavailable_engines: not_up
+            .map(|n| UnavailableEngine { engine: n.engine, status: status(n.status).into() })
+            .collect(),
         value: e.value.unwrap_or(0.0),
     }
 }
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -5,7 +5,7 @@
 
 use std::net::SocketAddr;
 use wheelfield_gossip::MembershipChange;
-use wheelfield_invariants::Life;
+use wheelfield_invariants::ProcessLifetime;
 use wheelfield_network_faults::{Fault, FaultSchedule, NodeSet, ScheduledFault};
 use wheelfield_testbed::day::Day;
 use wheelfield_testbed::fleet::judge::{read, Evidence, Line, Said};
@@ -104,7 +104,13 @@
 
 /// Three controllers; the third is killed at 100 and its first is paused from 40 to 50.
 fn judged(said: &[(i64, usize, Said)]) -> wheelfield_testbed::fleet::judge::Verdict {
-    let life = |controller, killed, stalls| Life { controller, from: 0, killed, stalls, entered: false };
+    let life = |controller, killed, stalls| ProcessLifetime {
+        controller,
+        started_at: 0,
+        ended_at: killed,
+        stalls,
+        begins_mid_run: false,
+    };
     let lives = [life(0, None, vec![(40, 50)]), life(1, None, vec![]), life(2, Some(100), vec![])];
     let reached: Vec<SocketAddr> = (0..3).map(at).collect();
     let fault = Fault { blocked: true, ..Fault::default() };
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -1,7 +1,7 @@
 //! The judge on evidence written by hand: a clean day has no breach, and each planted line has its own.
 
 use wheelfield::interface::Settings;
-use wheelfield_invariants::{read_log, Breach, End, Life, Line};
+use wheelfield_invariants::{parse_event_log, ClientOutcome, HistoryEvent, ProcessLifetime, Violation};
 use wheelfield_testbed::crowd::Try;
 use wheelfield_testbed::day::Day;
 use wheelfield_testbed::evidence::Known;
@@ -69,7 +69,7 @@
     plan: Plan,
     tries: Vec<Try>,
     log: Vec<String>,
-    lives: Vec<Life>,
+    lives: Vec<ProcessLifetime>,
 }
 
 impl Scene {
@@ -83,13 +83,18 @@
             troubles: Vec::new(),
             roads: Default::default(),
         };
-        let life =
-            |controller| Life { controller, from: 0, killed: None, stalls: Vec::new(), entered: false };
+        let life = |controller| ProcessLifetime {
+            controller,
+            started_at: 0,
+            ended_at: None,
+            stalls: Vec::new(),
+            begins_mid_run: false,
+        };
         Scene { day, settings, plan, tries: Vec::new(), log: Vec::new(), lives: vec![life(0), life(1)] }
     }
 
     /// A query of a class, sent and answered at milliseconds; its name is given.
-    fn query(&mut self, class: usize, key: Option<u64>, sent: i64, ended: i64, end: End) -> String {
+    fn query(&mut self, class: usize, key: Option<u64>, sent: i64, ended: i64, end: ClientOutcome) -> String {
         let n = self.plan.arrivals.len();
         let id = format!("q{n}-0");
         self.plan.arrivals.push(Arrival {
@@ -106,7 +111,8 @@
             leaves: None,
             honours: false,
         });
-        let answers = u32::from(matches!(end, End::Served | End::Refused | End::Failed));
+        let answers =
+            u32::from(matches!(end, ClientOutcome::Served | ClientOutcome::Refused | ClientOutcome::Failed));
         self.tries.push(Try {
             id: id.clone(),
             arrival: n,
@@ -145,9 +151,9 @@
         self.log.push(line.to_string());
     }
 
-    fn verdict(&mut self) -> Vec<Breach> {
-        let mut log: Vec<Line> = read_log(&self.log.join("\n")).expect("lines");
-        log.sort_by_key(|l| l.t);
+    fn verdict(&mut self) -> Vec<Violation> {
+        let mut log: Vec<HistoryEvent> = parse_event_log(&self.log.join("\n")).expect("lines");
+        log.sort_by_key(|l| l.at);
         let Scene { day, settings, plan, tries, lives, .. } = self;
         Known { day, settings, plan, start: 0 }.judge(tries, &log, lives).0
     }
@@ -165,7 +171,7 @@
     for n in 0..30 {
         let class = [0, 1, 2, 3][n % 4];
         let at = n as i64 * 500;
-        let id = s.query(class, (class == 1).then_some(n as u64), at, at + 400, End::Served);
+        let id = s.query(class, (class == 1).then_some(n as u64), at, at + 400, ClientOutcome::Served);
         s.ran(&id, if class == 3 { 1 } else { n % 3 }, at + 1, at + 399, "finished");
     }
     s
@@ -179,53 +185,53 @@
 #[test]
 fn lost_answers_late_ones_two_and_what_comes_after() {
     let mut s = clean();
-    s.query(0, None, 20_000, 30_500, End::NoAnswer);
+    s.query(0, None, 20_000, 30_500, ClientOutcome::NoAnswer);
     assert_eq!(s.rules(), ["lost"], "none");
     let mut s = clean();
-    s.query(0, None, 20_000, 30_100, End::Served);
+    s.query(0, None, 20_000, 30_100, ClientOutcome::Served);
     assert_eq!(s.rules(), ["lost"], "late");
     let mut s = clean();
-    s.query(0, None, 20_000, 21_000, End::Served);
+    s.query(0, None, 20_000, 21_000, ClientOutcome::Served);
     s.tries.last_mut().expect("one").answers = 2;
     assert_eq!(s.rules(), ["lost"], "two");
     let mut s = clean();
-    s.query(0, None, 20_000, 21_000, End::Served);
+    s.query(0, None, 20_000, 21_000, ClientOutcome::Served);
     s.tries.last_mut().expect("one").after = Some('D');
     assert_eq!(s.rules(), ["lost"], "more after");
     let mut s = clean();
-    let id = s.query(0, None, 20_000, 21_000, End::Refused);
+    let id = s.query(0, None, 20_000, 21_000, ClientOutcome::Refused);
     s.ran(&id, 0, 22_000, 22_100, "finished");
     assert_eq!(s.rules(), ["lost"], "sent after its end");
     let mut s = clean();
-    s.query(0, None, 20_000, 21_000, End::Broke);
+    s.query(0, None, 20_000, 21_000, ClientOutcome::Broke);
     assert_eq!(s.rules(), ["lost"], "its connection broke");
     // What a killed controller held is the client's to try again.
     let mut s = clean();
-    s.query(0, None, 20_000, 21_000, End::Broke);
-    s.lives[0].killed = Some(20_900_000);
+    s.query(0, None, 20_000, 21_000, ClientOutcome::Broke);
+    s.lives[0].ended_at = Some(20_900_000);
     assert!(s.rules().is_empty());
 }
 
 #[test]
 fn work_that_runs_twice_and_refusals_that_are_not_true() {
     let mut s = clean();
-    let id = s.query(1, Some(50), 20_000, 21_000, End::Failed);
+    let id = s.query(1, Some(50), 20_000, 21_000, ClientOutcome::Failed);
     s.ran(&id, 0, 20_001, 20_500, "dropped");
     s.ran(&id, 1, 20_600, 20_900, "finished");
     assert_eq!(s.rules(), ["twice"]);
     let mut s = clean();
-    let id = s.query(1, Some(50), 20_000, 21_000, End::Refused);
+    let id = s.query(1, Some(50), 20_000, 21_000, ClientOutcome::Refused);
     s.ran(&id, 0, 20_001, 20_500, "dropped");
     assert_eq!(s.rules(), ["twice"], "refused though it ran");
     // Turned away unseen, it may go elsewhere, and may be refused.
     let mut s = clean();
-    let id = s.query(1, Some(50), 20_000, 21_000, End::Refused);
+    let id = s.query(1, Some(50), 20_000, 21_000, ClientOutcome::Refused);
     s.ran(&id, 0, 20_001, 20_002, "refused");
     assert!(s.rules().is_empty());
     // Keyed work: inside its zone and its window only.
     for (engine, at, kept) in [(2, 20_600, true), (1, 20_600, false), (2, 23_000, false)] {
         let mut s = clean();
-        let id = s.query(2, None, 20_000, 24_000, End::Served);
+        let id = s.query(2, None, 20_000, 24_000, ClientOutcome::Served);
         s.ran(&id, 0, 20_001, 20_500, "dropped");
         s.ran(&id, engine, at, at + 100, "finished");
         assert_eq!(s.rules().is_empty(), kept, "engine {engine} at {at}");
@@ -239,7 +245,7 @@
     for (at, kept) in [(20_900, true), (21_100, false)] {
         let mut s = clean();
         s.line(told);
-        let id = s.query(0, None, at - 1, at + 200, End::Served);
+        let id = s.query(0, None, at - 1, at + 200, ClientOutcome::Served);
         s.ran(&id, 0, at, at + 100, "finished");
         assert_eq!(s.rules().is_empty(), kept, "at {at}");
     }
@@ -247,13 +253,13 @@
     let mut s = clean();
     s.line(told);
     s.line(r#"{"t":20500000,"event":"told","who":"0","not_up":[]}"#);
-    let id = s.query(0, None, 22_000, 22_200, End::Served);
+    let id = s.query(0, None, 22_000, 22_200, ClientOutcome::Served);
     s.ran(&id, 0, 22_001, 22_100, "finished");
     assert!(s.rules().is_empty());
     // Another controller was told, not this one.
     let mut s = clean();
     s.line(&told.replace("\"who\":\"0\"", "\"who\":\"1\""));
-    let id = s.query(0, None, 22_000, 22_200, End::Served);
+    let id = s.query(0, None, 22_000, 22_200, ClientOutcome::Served);
     s.ran(&id, 0, 22_001, 22_100, "finished");
     assert!(s.rules().is_empty());
 }
@@ -266,7 +272,7 @@
         s.line(r#"{"t":20000000,"event":"restarted","engine":"engine-00"}"#);
         for i in 0..n {
             let at = 20_100 + i * 100;
-            let id = s.query(0, None, at, at + 5_000, End::Served);
+            let id = s.query(0, None, at, at + 5_000, ClientOutcome::Served);
             s.ran(&id, 0, at + 1, at + 4_000, "finished");
             let line = s.log.len() - 2;
             s.log[line] = s.log[line].replace("\"warmth\":1.0", "\"warmth\":0.5");
@@ -282,20 +288,20 @@
 #[test]
 fn keys_out_of_order_or_at_once() {
     let mut s = clean();
-    let one = s.query(1, Some(77), 20_000, 22_000, End::Served);
-    let two = s.query(1, Some(77), 20_500, 23_000, End::Served);
+    let one = s.query(1, Some(77), 20_000, 22_000, ClientOutcome::Served);
+    let two = s.query(1, Some(77), 20_500, 23_000, ClientOutcome::Served);
     s.ran(&one, 0, 20_001, 21_990, "finished");
     s.ran(&two, 1, 21_000, 22_900, "finished");
     assert_eq!(s.rules(), ["order"], "at once");
     let mut s = clean();
-    let one = s.query(1, Some(77), 20_000, 23_000, End::Served);
-    let two = s.query(1, Some(77), 20_500, 21_500, End::Served);
+    let one = s.query(1, Some(77), 20_000, 23_000, ClientOutcome::Served);
+    let two = s.query(1, Some(77), 20_500, 21_500, ClientOutcome::Served);
     s.ran(&two, 1, 20_501, 21_400, "finished");
     s.ran(&one, 0, 22_000, 22_900, "finished");
     assert_eq!(s.rules(), ["order"], "out of turn");
     let mut s = clean();
-    let one = s.query(1, Some(77), 20_000, 21_000, End::Served);
-    let two = s.query(1, Some(77), 20_500, 23_000, End::Served);
+    let one = s.query(1, Some(77), 20_000, 21_000, ClientOutcome::Served);
+    let two = s.query(1, Some(77), 20_500, 23_000, ClientOutcome::Served);
     s.ran(&one, 0, 20_001, 20_990, "finished");
     s.ran(&two, 1, 21_001, 22_900, "finished");
     assert!(s.rules().is_empty(), "one after the other");
@@ -304,7 +310,7 @@
 #[test]
 fn a_bound_class_elsewhere() {
     let mut s = clean();
-    let id = s.query(3, None, 20_000, 20_400, End::Served);
+    let id = s.query(3, None, 20_000, 20_400, ClientOutcome::Served);
     s.ran(&id, 0, 20_001, 20_300, "finished");
     assert_eq!(s.rules(), ["placement"]);
 }
@@ -316,7 +322,7 @@
         let mut s = clean();
         for i in 0..n {
             let at = 20_000 + i * 10;
-            let id = s.query(0, None, at, at + 900, End::Served);
+            let id = s.query(0, None, at, at + 900, ClientOutcome::Served);
             s.ran(&id, 0, at + 1, at + 200, "dropped");
             s.ran(&id, 1, at + 300, at + 800, "finished");
         }
@@ -336,7 +342,7 @@
         s.line(&hang(20_000, 1));
         for i in 0..6 {
             let at = 20_100 + i * step;
-            let id = s.query(0, None, at, at + 1_900, End::Served);
+            let id = s.query(0, None, at, at + 1_900, ClientOutcome::Served);
             s.ran(&id, 1, at + 1_000, at + 1_800, "finished");
             s.ran(&id, 0, 58_000, 58_001, "dropped");
         }
@@ -347,6 +353,6 @@
 
 #[test]
 fn a_log_that_cannot_be_read_is_told_by_its_line() {
-    let fault = read_log("{\"t\":1,\"event\":\"x\"}\n{torn").expect_err("torn");
+    let fault = parse_event_log("{\"t\":1,\"event\":\"x\"}\n{torn").expect_err("torn");
     assert!(format!("{fault:#}").contains("line 2"));
 }
--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -2,7 +2,7 @@
 
 use wheelfield::interface::{Micros, QueryId, Settings};
 use wheelfield_driver::{Arrival, AttemptId, CapacityExceeded, Driver, DriverLimits, Input, Instruction};
-use wheelfield_invariants::End;
+use wheelfield_invariants::ClientOutcome;
 use wheelfield_testbed::day::Day;
 use wheelfield_testbed::plan::Plan;
 use wheelfield_testbed::play::{play_virtual, report_virtual, Report};
@@ -179,7 +179,7 @@
         let (report, played) = play_virtual(&day("bad"), 1, policy).expect("sound");
         assert_eq!((report.refused, broken(&report, "lost")), (0, 0), "{policy:?}: {:?}", report.breaches);
         assert!(report.served > report.queries / 2, "{policy:?}: {report:?}");
-        assert!(played.tries.iter().all(|t| t.end != Some(End::NoAnswer)));
+        assert!(played.tries.iter().all(|t| t.end != Some(ClientOutcome::NoAnswer)));
     }
 }
 
@@ -200,8 +200,8 @@
     let mut heard: std::collections::BTreeMap<String, std::collections::BTreeMap<String, i64>> =
         Default::default();
     for line in played.log.iter().filter(|l| l.event == "told") {
-        for gone in &line.not_up {
-            heard.entry(gone.engine.clone()).or_default().entry(line.who.clone()).or_insert(line.t);
+        for gone in &line.unavailable_engines {
+            heard.entry(gone.engine.clone()).or_default().entry(line.controller.clone()).or_insert(line.at);
         }
     }
     let apart = |times: &std::collections::BTreeMap<String, i64>| {
