--- a/crates/controller/src/gossip_keys.rs
+++ b/crates/controller/src/gossip_keys.rs
@@ -52,7 +52,7 @@
     let mut text = String::new();
     let file = std::fs::File::open(path).map_err(ControllerError::read_file(path))?;
     file.take(MAX_FILE_BYTES).read_to_string(&mut text)?;
-    let keys = Keys::read(&text).map_err(|fault| ControllerError::GossipKeys {
+    let keys = Keys::parse(&text).map_err(|fault| ControllerError::GossipKeys {
         path: path.to_path_buf(),
         fault,
     })?;
--- a/crates/controller/tests/gossip.rs
+++ b/crates/controller/tests/gossip.rs
@@ -137,7 +137,7 @@
     let part = wheelfield_pg_gateway::peers::written(&words, 100)
         .remove(0)
         .1;
-    let held = Keys::read(KEY).expect("keys");
+    let held = Keys::parse(KEY).expect("keys");
     stranger
         .send_to(
             &authenticator
--- a/crates/endpoints-cli/src/membership.rs
+++ b/crates/endpoints-cli/src/membership.rs
@@ -54,7 +54,7 @@
     keys: &Path,
     within: Duration,
 ) -> Result<bool> {
-    let keys = Keys::read(&text(keys)?).with_context(|| format!("{}", keys.display()))?;
+    let keys = Keys::parse(&text(keys)?).with_context(|| format!("{}", keys.display()))?;
     let until = Instant::now() + within;
     let mut authenticators = BTreeMap::new();
     loop {
--- a/crates/gossip/src/authentication/keys.rs
+++ b/crates/gossip/src/authentication/keys.rs
@@ -47,7 +47,7 @@
     ///
     /// # Errors
     /// [`KeyFileError`] with the first line that is wrong.
-    pub fn read(text: &str) -> Result<Keys, KeyFileError> {
+    pub fn parse(text: &str) -> Result<Keys, KeyFileError> {
         let mut keys = Keys(Vec::new());
         for (index, line) in text.lines().enumerate() {
             let line = line.trim();
--- a/crates/gossip/tests/authentication.rs
+++ b/crates/gossip/tests/authentication.rs
@@ -16,7 +16,7 @@
 }
 
 fn keys(text: &str) -> Keys {
-    Keys::read(text).expect("keys")
+    Keys::parse(text).expect("keys")
 }
 
 fn packet(n: usize) -> Packet {
@@ -152,7 +152,7 @@
         ("10123456789abcdef", "a blank"),
         ("1 0123456789abcdef\n1 0123456789abcdeg", "line 2"),
     ] {
-        let message = Keys::read(text).expect_err(text).to_string();
+        let message = Keys::parse(text).expect_err(text).to_string();
         assert!(
             message.contains(problem) && !message.contains("0123456789"),
             "{message}"
@@ -246,7 +246,7 @@
 
 #[test]
 fn a_process_whose_clock_was_set_back_is_accepted_again() {
-    let keys = Keys::read("1 a-key-of-sixteen-letters\n").expect("keys");
+    let keys = Keys::parse("1 a-key-of-sixteen-letters\n").expect("keys");
     let (a, b): (SocketAddr, SocketAddr) = (
         "127.0.0.1:7001".parse().expect("one"),
         "127.0.0.1:7002".parse().expect("two"),
--- a/crates/gossip/tests/recorded.rs
+++ b/crates/gossip/tests/recorded.rs
@@ -52,7 +52,7 @@
 
 #[test]
 fn recorded_datagrams_of_both_formats_are_read() {
-    let keys = Keys::read(KEY_FILE).expect("a key");
+    let keys = Keys::parse(KEY_FILE).expect("a key");
     let mut verifier = Verifier::default();
     for (datagram, packet) in [FIRST_FORMAT, SECOND_FORMAT].into_iter().zip(packets()) {
         assert_eq!(verifier.verify(address(7_001), datagram, &keys), Ok(packet));
@@ -68,7 +68,7 @@
 
 #[test]
 fn the_same_packets_are_written_to_the_recorded_bytes() {
-    let keys = Keys::read(KEY_FILE).expect("a key");
+    let keys = Keys::parse(KEY_FILE).expect("a key");
     let mut authenticator = Authenticator::new(address(7_001), SENDER_INCARNATION);
     for (datagram, packet) in [FIRST_FORMAT, SECOND_FORMAT].into_iter().zip(packets()) {
         assert_eq!(
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -360,7 +360,7 @@
         let mut gossip = None;
         if let Some(g) = &mut config.gossip {
             g.listen.set_port(GOSSIP_PORTS + c as u16);
-            gossip = Keys::read("1 000102030405060708090a0b0c0d0e0f").ok().map(|keys| (g.listen, keys));
+            gossip = Keys::parse("1 000102030405060708090a0b0c0d0e0f").ok().map(|keys| (g.listen, keys));
         }
         let mut secret = [0; 32];
         secret[..8].copy_from_slice(&seed.to_be_bytes());
