--- a/crates/gossip/src/authentication.rs
+++ b/crates/gossip/src/authentication.rs
@@ -20,7 +20,7 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Maximum size of a datagram in bytes, so that it passes a loopback or Ethernet link unfragmented.
+/// Maximum size of a datagram in bytes, so that a loopback or Ethernet link does not fragment it.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
 /// Size of the truncated message authentication code.
 const MAC_BYTES: usize = 16;
@@ -33,7 +33,8 @@
 const HEADER_BYTES: usize = MAGIC_BYTES + KEY_NUMBER_BYTES;
 /// Maximum size of a variable-length 64-bit integer.
 const MAX_VARINT_BYTES: usize = 10;
-/// Maximum size of an application message in bytes: a datagram less magic, key number, incarnation, sequence number and code.
+/// Maximum size of an application message in bytes: that of a datagram without magic, key number, incarnation, sequence number
+/// and message authentication code.
 pub const MAX_MESSAGE_BYTES: usize =
     MAX_DATAGRAM_BYTES - HEADER_BYTES - 2 * MAX_VARINT_BYTES - MAC_BYTES;
 /// Marks the fields that the second format adds.
@@ -48,10 +49,10 @@
     /// The key number is not in the key file.
     #[error("unknown key number")]
     UnknownKey,
-    /// The code does not match the contents or the sender's address.
+    /// The message authentication code does not match the contents or the sender's address.
     #[error("message authentication code does not match")]
     InvalidMac,
-    /// A later incarnation of the sender is known: the one given.
+    /// A later incarnation of the sender is known; the field holds it.
     #[error("earlier incarnation of the sender")]
     StaleIncarnation(u64),
     /// The datagram was accepted before, or is older than the replay window.
@@ -87,7 +88,7 @@
     datagram.starts_with(MESSAGE_MAGIC)
 }
 
-/// The form in which the sender's address enters the code.
+/// The sender's address as it is included in the message authentication code.
 fn encoded_address(address: SocketAddr) -> Vec<u8> {
     address.to_string().into_bytes()
 }
@@ -101,7 +102,7 @@
 }
 
 impl Authenticator {
-    /// An authenticator of a process with this address and incarnation.
+    /// Creates the authenticator of a process with this address and incarnation.
     pub fn new(own: SocketAddr, incarnation: u64) -> Authenticator {
         Authenticator {
             own,
@@ -161,14 +162,14 @@
     [&magic[..], &[key_number]].concat()
 }
 
-/// Verifies datagrams, and accepts each once.
+/// Verifies datagrams and accepts each one once.
 #[derive(Debug, Default)]
 pub struct Verifier {
     replay: ReplayProtection,
 }
 
 impl Verifier {
-    /// The packet of a datagram that came from an address.
+    /// Verifies a datagram that came from an address, and returns its packet.
     ///
     /// # Errors
     /// [`VerificationError`]: why the datagram was dropped.
@@ -192,7 +193,7 @@
         Ok(body.packet)
     }
 
-    /// The application message of a datagram that came from an address.
+    /// Verifies a datagram that came from an address, and returns its application message.
     ///
     /// # Errors
     /// [`VerificationError`]: why the datagram was dropped.
@@ -218,7 +219,7 @@
     postcard::take_from_bytes(bytes).map_err(|_| VerificationError::Malformed)
 }
 
-/// The bytes between the key number and the code, if that is valid.
+/// The bytes between the key number and the message authentication code, if the code is valid.
 fn verified_body<'a>(
     magic: &[u8; MAGIC_BYTES],
     from: SocketAddr,
--- a/crates/gossip/src/authentication/keys.rs
+++ b/crates/gossip/src/authentication/keys.rs
@@ -3,14 +3,14 @@
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 
-/// Maximum number of keys: a new one and those still accepted.
+/// Maximum number of keys: the one that authenticates and older ones that are still accepted.
 pub const MAX_KEYS: usize = 4;
 /// Minimum length of a key in bytes.
 pub const MIN_KEY_BYTES: usize = 16;
 
-/// An error in a key file. It never shows a key.
+/// An error in a key file. The message never contains a key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("line {line} of the keys: {problem}")]
+#[error("key file, line {line}: {problem}")]
 pub struct KeyFileError {
     /// The line, from 1.
     pub line: usize,
@@ -30,7 +30,7 @@
 pub struct Keys(Vec<Key>);
 
 impl std::fmt::Debug for Keys {
-    /// Shows the numbers of the keys, not the keys.
+    /// Shows only the numbers, never the secrets.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             f,
@@ -41,7 +41,7 @@
 }
 
 impl Keys {
-    /// Parses a key file: one key per line, its number (0 to 255), a blank and the key; lines that start with `#` are comments.
+    /// Parses a key file: one key per line, its number (0 to 255), a space and the key; lines that start with `#` are comments.
     /// The first key authenticates. To rotate keys, add the new one as the second line on all controllers, then move it to the
     /// first line on all, then remove the old one.
     ///
@@ -60,29 +60,29 @@
             })?;
         }
         if keys.0.is_empty() {
-            let problem = "no key; write a number, a blank and the key".to_string();
+            let problem = "no key; expected a number, a space and the key".to_string();
             return Err(KeyFileError { line: 1, problem });
         }
         Ok(keys)
     }
 
-    /// Parses and adds a line; the error says what is wrong with it.
+    /// Parses a line and adds its key; the error describes what is wrong with the line.
     fn push_line(&mut self, line: &str) -> Result<(), &'static str> {
         let (number, secret) = line
             .split_once(' ')
-            .ok_or("write a number, a blank and the key")?;
+            .ok_or("expected a number, a space and the key")?;
         let number = number
             .parse::<u8>()
-            .map_err(|_| "its number is not one of 0 to 255")?;
+            .map_err(|_| "the key number is not one of 0 to 255")?;
         let secret = secret.trim().as_bytes().to_vec();
         if secret.len() < MIN_KEY_BYTES {
-            return Err("a key of less than 16 letters; take 32 at random");
+            return Err("key of less than 16 bytes; use 32 random characters");
         }
         if self.get(number).is_some() {
-            return Err("its number is taken; give it another");
+            return Err("the key number is already used");
         }
         if self.0.len() == MAX_KEYS {
-            return Err("a fifth key; remove an old one");
+            return Err("more than 4 keys; remove an old one");
         }
         self.0.push(Key { number, secret });
         Ok(())
@@ -104,7 +104,7 @@
     }
 }
 
-/// The code over the concatenation of some parts, before it is finalized or verified.
+/// The message authentication code over the concatenated parts, to be finalized or verified by the caller.
 pub(super) fn mac(key: &[u8], parts: &[&[u8]]) -> Option<Hmac<Sha256>> {
     let mut mac = <Hmac<Sha256> as KeyInit>::new_from_slice(key).ok()?;
     for part in parts {
--- a/crates/gossip/src/authentication/replay.rs
+++ b/crates/gossip/src/authentication/replay.rs
@@ -5,10 +5,10 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Maximum number of senders that are remembered; beyond it the one heard least recently is forgotten.
+/// Maximum number of remembered senders; beyond it the least recently used one is forgotten.
 const MAX_SENDERS: usize = 8_192;
-/// Number of sequence numbers up to the highest that are told apart: the bits of [`ReplayWindow::accepted`].
-const WINDOW: u64 = u64::BITS as u64;
+/// Number of sequence numbers, up to the highest one, that the window covers: the bits of [`ReplayWindow::accepted`].
+const WINDOW_BITS: u64 = u64::BITS as u64;
 
 /// The sequence numbers accepted from one incarnation of a sender.
 #[derive(Debug)]
@@ -35,7 +35,7 @@
     fn accept(&mut self, sequence: u64) -> Result<(), VerificationError> {
         if sequence > self.highest {
             let ahead = sequence - self.highest;
-            let shifted = if ahead >= WINDOW {
+            let shifted = if ahead >= WINDOW_BITS {
                 0
             } else {
                 self.accepted << ahead
@@ -45,7 +45,7 @@
             return Ok(());
         }
         let behind = self.highest - sequence;
-        if behind >= WINDOW || self.accepted & (1 << behind) != 0 {
+        if behind >= WINDOW_BITS || self.accepted & (1 << behind) != 0 {
             return Err(VerificationError::Replayed);
         }
         self.accepted |= 1 << behind;
--- a/crates/gossip/src/event.rs
+++ b/crates/gossip/src/event.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-/// Maximum number of events that wait to be taken; later ones are dropped, as they only report known state.
+/// Maximum number of pending events; further ones are dropped, as the state that they report can also be queried.
 const MAX_PENDING_EVENTS: usize = 1_024;
 
 /// A change of a member's state.
@@ -49,19 +49,20 @@
     pub declared_dead: u64,
     /// Members rejected because [`crate::MembershipConfig::max_members`] were known.
     pub rejected_at_capacity: u64,
-    /// Times that no packet arrived for so long that this node was isolated or paused.
+    /// Number of times that no packet arrived for several periods, so that this node was isolated or paused.
     pub isolations: u64,
-    /// Suspicions that this node refuted on behalf of a member that it hears.
+    /// Suspicions that this node refuted on behalf of a member whose packets it receives.
     pub proxy_refutations: u64,
     /// Reports of a death or leave that contradicted what this node observed.
     pub uncorroborated: u64,
     /// Members evicted by a quorum.
     pub evicted: u64,
-    /// Times that a later incarnation of the own address appeared. More than one means that two processes use it.
+    /// Number of times that a later incarnation of this node's own address appeared. More than one means that two processes use
+    /// the address.
     pub superseded: u64,
 }
 
-/// Events that wait to be taken, bounded by [`MAX_PENDING_EVENTS`].
+/// Events not yet taken by the caller, bounded by [`MAX_PENDING_EVENTS`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct EventQueue(Vec<MembershipEvent>);
 
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -2,10 +2,10 @@
 //!
 //! Work limits and quota shares depend on the number of controllers and on each controller's index among them. [`Node`]
 //! determines both in the manner of SWIM (Das, Gupta, Motivala 2002): in each period it probes one member, directly and, if
-//! no acknowledgement comes, through other members. A member that answers nobody is suspected and may refute the suspicion;
+//! no acknowledgement arrives, through other members. A member that does not acknowledge is suspected and may refute this;
 //! membership records are piggybacked on the probes.
 //!
-//! Counting too few members is the unsafe error, because all controllers together would then exceed a limit. Therefore an
+//! Counting too few members is unsafe, because all controllers together would then exceed a limit. Therefore an
 //! unreachable member stays counted until an operator or a quorum evicts it ([`EvictionPolicy`]), only a member that left is
 //! removed at once, and a fresh node counts at least the expected number of members until it has listened for
 //! [`MembershipConfig::settling_time`] and more than half of the expected members answer. Each view has a version and a digest
--- a/crates/gossip/src/messages.rs
+++ b/crates/gossip/src/messages.rs
@@ -33,12 +33,12 @@
     RateLimited,
 }
 
-/// A token bucket that holds the bytes of one second. It starts full.
+/// A token bucket that has_tokens the bytes of one second. It starts full.
 #[derive(Clone, Copy, Debug)]
 struct TokenBucket {
     /// Rate in bytes per second; also the capacity.
     rate: u64,
-    /// Available bytes times microseconds, so that nothing is lost to rounding.
+    /// Available bytes times microseconds, so that refills are not rounded.
     tokens: u64,
     refilled_at: i64,
 }
@@ -65,7 +65,7 @@
         self.refilled_at = now;
     }
 
-    fn holds(&self, bytes: u64) -> bool {
+    fn has_tokens(&self, bytes: u64) -> bool {
         self.tokens >= bytes.saturating_mul(SECOND)
     }
 
@@ -88,14 +88,14 @@
     total: TokenBucket,
     recipients: BTreeMap<SocketAddr, TokenBucket>,
     senders: BTreeMap<SocketAddr, Sender>,
-    /// The recipient to start with: the first one that the total limit left out the last time.
+    /// The recipient to start with: the first one that the total limit excluded last time.
     next_recipient: Option<SocketAddr>,
     /// Number of datagrams that were not sent because of a limit.
     pub suppressed: u64,
 }
 
 impl MessageLimiter {
-    /// A limiter that has seen no message.
+    /// Creates a limiter with full buckets.
     pub fn new(limits: RateLimits, now: i64) -> MessageLimiter {
         MessageLimiter {
             total: TokenBucket::full(limits.total, now),
@@ -107,14 +107,14 @@
         }
     }
 
-    /// Drops the state of all addresses that are not members.
+    /// Drops the state of addresses that are not members.
     pub fn retain_members(&mut self, is_member: impl Fn(&SocketAddr) -> bool) {
         self.recipients.retain(|address, _| is_member(address));
         self.senders.retain(|address, _| is_member(address));
     }
 
-    /// The recipients of a datagram of this size, out of members in ascending order. Members that the total limit leaves out
-    /// come first the next time, so that in a large group each member receives a message now and then.
+    /// Selects the recipients of a datagram of this size from the members, which are in ascending order. Members that the total
+    /// limit excludes come first the next time, so that in a large group all members receive messages in turn.
     pub fn select_recipients(
         &mut self,
         now: i64,
@@ -126,15 +126,15 @@
         let start = self
             .next_recipient
             .map_or(0, |next| members.partition_point(|member| *member < next));
-        let (mut recipients, mut first_left_out) = (Vec::new(), None);
+        let (mut recipients, mut first_excluded) = (Vec::new(), None);
         for member in members[start..].iter().chain(&members[..start]) {
             let full = TokenBucket::full(self.limits.per_member, now);
             let bucket = self.recipients.entry(*member).or_insert(full);
             bucket.refill(now);
-            if !self.total.holds(bytes) {
-                first_left_out = first_left_out.or(Some(*member));
+            if !self.total.has_tokens(bytes) {
+                first_excluded = first_excluded.or(Some(*member));
                 self.suppressed += 1;
-            } else if !bucket.holds(bytes) {
+            } else if !bucket.has_tokens(bytes) {
                 self.suppressed += 1;
             } else {
                 bucket.spend(bytes);
@@ -142,7 +142,7 @@
                 recipients.push(*member);
             }
         }
-        self.next_recipient = first_left_out.or(self.next_recipient);
+        self.next_recipient = first_excluded.or(self.next_recipient);
         recipients
     }
 
@@ -166,7 +166,7 @@
             return Err(MessageRejection::Stale);
         }
         sender.bucket.refill(now);
-        if !sender.bucket.holds(bytes) {
+        if !sender.bucket.has_tokens(bytes) {
             return Err(MessageRejection::RateLimited);
         }
         sender.bucket.spend(bytes);
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Node`] is a state machine: the caller passes the time, received packets and an [`Outbox`]. Its concerns are split over
 //! the submodules: `detector` (probes and suspicions), `membership` (the member table and the precedence of records), `view`
-//! (what to act on, and agreement with others) and `dissemination` (piggybacked records and full synchronization).
+//! (the member count to act on, and agreement with others) and `dissemination` (piggybacked records and full synchronization).
 
 mod detector;
 mod dissemination;
@@ -27,14 +27,14 @@
 /// Packets to send, each with its destination, in order.
 pub type Outbox = Vec<(SocketAddr, Packet)>;
 
-/// Number of members that a leaving node notifies directly; they spread the leave.
+/// Number of members that a leaving node notifies directly; they disseminate the leave.
 const LEAVE_FANOUT: usize = 8;
 
 /// One controller's knowledge of all members.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Node {
     config: MembershipConfig,
-    /// The record that this node spreads of itself.
+    /// The record of this node itself, as it is sent to others.
     own: MemberRecord,
     /// All other known members.
     members: BTreeMap<SocketAddr, Member>,
@@ -48,7 +48,7 @@
 }
 
 impl Node {
-    /// A node at the address `own` that knows no member but the seeds to contact. `now` is in microseconds. The same random
+    /// Creates a node at the address `own` that knows only the seeds to contact. `now` is in microseconds. The same random
     /// seed and inputs produce the same packets.
     pub fn new(
         own: SocketAddr,
@@ -93,13 +93,13 @@
         self.members.values().map(|member| &member.record)
     }
 
-    /// The incarnation that this node spreads of itself: at least its own start, and later than that of any earlier process
-    /// at its address.
+    /// The incarnation that this node announces: at least its own start time, and later than that of any earlier process at
+    /// its address.
     pub fn incarnation(&self) -> u64 {
         self.own.incarnation
     }
 
-    /// Answer to a member whose datagrams are dropped because a later `incarnation` of its address is known: that incarnation.
+    /// Packet that tells a member whose datagrams are dropped as stale which later `incarnation` of its address is known.
     pub fn incarnation_notice(&self, to: SocketAddr, incarnation: u64) -> Packet {
         let records = vec![self.own, MemberRecord::alive(to, incarnation)];
         Packet {
@@ -119,7 +119,7 @@
         due.into_iter().flatten().min().unwrap_or(i64::MAX)
     }
 
-    /// Performs everything that is due at `now`.
+    /// Runs all timers that are due at `now`.
     pub fn tick(&mut self, now: i64, out: &mut Outbox) {
         self.detector.expire_relayed_probes(now);
         self.update_settling(now);
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Leaves the group: notifies a few members, who spread the leave.
+    /// Leaves the group: notifies a few members, which disseminate the leave.
     pub fn leave(&mut self, out: &mut Outbox) {
         self.own.state = MemberState::Left;
         let alive = self.addresses_where(|member| member.record.state == MemberState::Alive);
--- a/crates/gossip/src/node/detector.rs
+++ b/crates/gossip/src/node/detector.rs
@@ -71,7 +71,7 @@
         }
     }
 
-    /// When the pending probe is to be repeated.
+    /// When the pending probe is repeated, if it has not been yet.
     pub(super) fn retry_at(&self) -> Option<i64> {
         self.pending.as_ref().and_then(|probe| probe.retry_at)
     }
@@ -97,14 +97,15 @@
 impl Node {
     /// Evaluates the period that ends: the pending probe, suspicion timeouts and evictions.
     pub(super) fn end_period(&mut self, now: i64) {
-        // An isolated or paused node must not take the others for dead: then it suspects and declares dead nobody.
+        // An isolated or paused node receives no acknowledgements, so it must neither suspect nor declare dead any member.
         let is_isolated = self.is_isolated(now);
         self.conclude_probe(now, is_isolated);
         self.conclude_suspicions(now, is_isolated);
         self.evict_dead_members(now);
     }
 
-    /// Marks a member that missed its probe, and suspects it if it missed two in a row, so that single losses raise no suspicion.
+    /// Marks a member that missed its probe, and suspects it if it missed two in a row, so that a single loss raises no
+    /// suspicion.
     fn conclude_probe(&mut self, now: i64, is_isolated: bool) {
         let Some(probe) = self.detector.pending.take() else {
             return;
@@ -171,7 +172,8 @@
         }
     }
 
-    /// Takes the next member of the round; starts a new round in random order if it is used up. None if there is no member.
+    /// Takes the next member of the round, and starts a new round in random order if none is left. Returns none if there is no
+    /// member to probe.
     fn next_probe_target(&mut self) -> Option<SocketAddr> {
         loop {
             match self.detector.round.pop() {
@@ -237,8 +239,8 @@
         }
     }
 
-    /// Probes members directly once half of their suspicion timeout has passed: this delivers a refutation that was not
-    /// disseminated to this node.
+    /// Probes suspected members directly once half of the suspicion timeout has passed: the acknowledgement carries a refutation
+    /// that was not disseminated to this node.
     pub(super) fn probe_long_suspected(&mut self, now: i64, out: &mut Outbox) {
         let half_timeout = self.suspicion_timeout() / 2;
         let suspects = self.addresses_where(|member| {
@@ -294,7 +296,7 @@
         }
     }
 
-    /// Notes that a packet of another member arrived.
+    /// Records that a packet of another member arrived.
     pub(super) fn record_contact(&mut self, now: i64, from: SocketAddr, packet: &Packet) {
         if self.settling.has_contact && self.is_isolated(now) {
             self.end_isolation(now);
@@ -313,7 +315,7 @@
         now - self.detector.last_contact_at > ISOLATION_PERIODS * self.config.probe_period
     }
 
-    /// Restarts suspicions after an isolation: members were unreachable only to this node.
+    /// Extends suspicions by the time of an isolation, in which members were unreachable only to this node.
     fn end_isolation(&mut self, now: i64) {
         let gap = now - self.detector.last_contact_at;
         self.counters.isolations += 1;
@@ -329,12 +331,12 @@
 
     /// How long a suspected member has to refute, in microseconds.
     pub(super) fn suspicion_timeout(&self) -> i64 {
-        // Less the period that the second attempt of the probe took.
+        // One period less, because the second attempt of the probe took one before the suspicion.
         (self.config.suspicion_multiplier * self.group_size_log2() - 1) * self.config.probe_period
     }
 
-    /// Refutes the suspicion of a member that sends packets and receives none: it cannot refute itself. A member that receives
-    /// packets has refuted before, as a packet to it carries first what is known of it.
+    /// Refutes the suspicion of a member that sends packets but receives none, and therefore cannot refute it itself. A member
+    /// that receives packets has refuted it by then, because each packet to a suspected member carries the suspicion.
     fn refute_on_behalf(&mut self, now: i64, from: SocketAddr, packet: &Packet) {
         let sent_record = packet.records.iter().find(|record| record.member == from);
         let Some((member, sent_record)) = self.members.get(&from).zip(sent_record) else {
--- a/crates/gossip/src/node/dissemination.rs
+++ b/crates/gossip/src/node/dissemination.rs
@@ -4,9 +4,9 @@
 use crate::{MemberRecord, MemberState, Message, Packet};
 use std::net::SocketAddr;
 
-/// A record is piggybacked this many times for each doubling of the group size.
+/// Number of times that a record is piggybacked, for each doubling of the group size.
 const RETRANSMIT_MULTIPLIER: u32 = 3;
-/// A node that has not settled synchronizes once in this many probe periods.
+/// Synchronization interval of a node that has not settled, in probe periods.
 const SETTLING_SYNC_PERIODS: i64 = 3;
 
 /// When and with whom to synchronize.
@@ -24,7 +24,7 @@
 }
 
 impl Node {
-    /// Requests all records of one member: a seed until another member was heard, then any member that did not leave. Dead
+    /// Requests all records of one member: a seed until a packet of another member arrived, then any member that did not leave. Dead
     /// members are included, so that the sides of a healed partition find each other.
     pub(super) fn request_sync(&mut self, now: i64, out: &mut Outbox) {
         let mut candidates = self.synchronizer.seeds.clone();
@@ -36,7 +36,7 @@
         candidates.dedup();
         self.synchronizer.next_at = now + self.sync_interval();
         if candidates.is_empty() {
-            // No seeds and no members: there is nobody to wait for.
+            // Without seeds and members there is no contact to wait for.
             self.settling.has_contact = true;
             return;
         }
@@ -44,7 +44,7 @@
         self.send(now, Message::SyncRequest, candidates[index], out);
     }
 
-    /// Time to the next synchronization. A fresh node synchronizes often, as it learns older records in no other way.
+    /// Time to the next synchronization. A fresh node synchronizes often, as records that no longer change are not piggybacked.
     fn sync_interval(&self) -> i64 {
         if self.settling.has_listened {
             self.config.sync_interval
@@ -88,8 +88,8 @@
         ));
     }
 
-    /// The records for a packet: the node's own, that of the receiver if it has something to refute, and those that were
-    /// piggybacked least often.
+    /// The records for a packet: the node's own, that of the receiver unless it is alive, so that it can refute it, and those
+    /// that were piggybacked least often.
     fn piggybacked_records(&mut self, now: i64, to: SocketAddr) -> Vec<MemberRecord> {
         let mut records = vec![self.own];
         let of_receiver = self
--- a/crates/gossip/src/node/membership.rs
+++ b/crates/gossip/src/node/membership.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// The event of a changed record; none if neither state nor incarnation changed.
+/// The event for a changed record; none if neither state nor incarnation changed.
 fn change_between(before: &MemberRecord, after: &MemberRecord) -> Option<MembershipChange> {
     let is_restarted = before.incarnation != after.incarnation;
     if before.state == after.state && !is_restarted {
@@ -72,7 +72,7 @@
         let state_since = entered_state_at(now, &record);
         let is_expired = self.is_expired(now, &record);
         let is_known = self.members.contains_key(&record.member);
-        // A record that is not added anyway must not displace another one.
+        // An expired record is not added, so it must not displace another one.
         let has_capacity = is_expired || is_known || self.make_capacity();
         match self.members.get(&record.member) {
             Some(member) if record.supersedes(&member.record) => {
@@ -121,7 +121,8 @@
         if before.state == MemberState::Suspect && record.state == MemberState::Alive {
             self.counters.refutations += 1;
         }
-        // Death counts from when it was first declared, whoever repeats it; a suspicion times out at each node separately.
+        // The age of a death counts from its first declaration, whichever node forwards it; a suspicion times out at each node
+        // separately.
         if before.state != record.state || is_restarted {
             member.state_since = if record.state == MemberState::Suspect {
                 now
@@ -170,10 +171,11 @@
         record.entering(MemberState::Suspect)
     }
 
-    /// Whether a death is reported of a member that this node did not suspect, or not for long, or a leave of a member that was
-    /// heard since. Nodes that were isolated or partitioned send such reports: they start a suspicion and do not conclude one.
-    /// A node that learned of the suspicion when it was raised has waited long enough. A member that was heard after its
-    /// reported leave was evicted by an operator on the other side of a partition.
+    /// Whether a record reports the death of a member that this node has not suspected for half of the suspicion timeout, or the
+    /// leave of a member whose packets arrived later than that. Nodes that were isolated or partitioned send such reports, so
+    /// they may start a suspicion but not conclude one. Half of the timeout suffices for a node that learned of the suspicion
+    /// soon after it was raised. A member that was heard after its reported leave was evicted by an operator on the other side
+    /// of a partition.
     fn is_contradicted(&self, now: i64, record: &MemberRecord) -> bool {
         let Some(member) = self.members.get(&record.member) else {
             return false;
@@ -198,7 +200,7 @@
         }
     }
 
-    /// Whether a record is too old to be learned: of a member that left, or that a quorum is about to evict.
+    /// Whether a record is too old to be added: it is of a member that left, or of one that a quorum is about to evict.
     fn is_expired(&self, now: i64, record: &MemberRecord) -> bool {
         let is_old = now - entered_state_at(now, record) >= self.config.dead_retention;
         match record.state {
@@ -224,10 +226,11 @@
         self.members.len() < self.config.max_members
     }
 
-    /// Evicts members that have been dead for long, where a quorum may, and forgets members that all others have evicted.
+    /// Evicts members that have been dead for the retention time if a quorum may do so, and forgets uncounted members once all
+    /// nodes have learned of their eviction.
     pub(super) fn evict_dead_members(&mut self, now: i64) {
         let retention = self.config.dead_retention;
-        // A minority partition must not act on itself alone: it has no quorum and keeps counting the others.
+        // A minority partition has no quorum and keeps counting the members of the other side.
         if self.config.eviction == EvictionPolicy::Quorum && self.view().has_quorum {
             let evicted = self.addresses_where(|member| {
                 member.is_counted
@@ -240,7 +243,7 @@
                 self.push_event(member, MembershipChange::Evicted, self.own.member);
             }
         }
-        // Evicted members are remembered until all nodes know, so that they are not learned anew.
+        // Evicted members are remembered until all nodes have evicted them, so that they are not added again.
         let spread = self
             .config
             .sync_interval
--- a/crates/gossip/src/node/view.rs
+++ b/crates/gossip/src/node/view.rs
@@ -1,20 +1,21 @@
-//! The view that a node acts on, when it is settled, and whether it agrees with the views of other members.
+//! The membership view of a node: the member count to act on, whether it is settled, and whether it agrees with the views
+//! of other members.
 
 use super::Node;
 use crate::random::mix;
 use crate::{MemberRecord, MemberState, ViewTag};
 use std::net::SocketAddr;
 
-/// What a node acts on.
+/// The membership view that a node bases its limits and quota shares on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct View {
-    /// Number of members to act on, this node included.
+    /// Number of members to divide limits by, this node included.
     pub count: usize,
     /// Index of this node among the counted members in ascending order of addresses, from 0.
     pub index: usize,
     /// Number of members that acknowledge probes, this node included.
     pub alive: usize,
-    /// Whether the node has listened long enough and suspects nobody.
+    /// Whether the node has listened long enough and suspects no member.
     pub is_settled: bool,
     /// Whether more than half of the counted members are alive.
     pub has_quorum: bool,
@@ -25,7 +26,7 @@
 /// State of a member as seen by a node, for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberStatus {
-    /// What is known of the member.
+    /// The record of the member.
     pub record: MemberRecord,
     /// Whether the member is part of the view.
     pub is_counted: bool,
@@ -39,13 +40,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Settling {
     started_at: i64,
-    /// Another member was heard, or there is no other member to contact.
+    /// A packet of another member arrived, or there is no other member to contact.
     pub(super) has_contact: bool,
     /// When the last new member became known.
     pub(super) last_joined_at: i64,
-    /// The settling time has passed and no new member became known since two synchronizations.
+    /// The settling time has passed and no new member became known during the last two synchronizations.
     pub(super) has_listened: bool,
-    /// More than half of the expected members answered, once: from then on the expected number is ignored.
+    /// More than half of the expected members answered at some time; since then the expected number is ignored.
     is_confirmed: bool,
 }
 
@@ -61,7 +62,7 @@
     }
 }
 
-/// The node's own view tag and its agreement with the tags of other members.
+/// The node's own view tag, and whether the tags of other members agree with it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct ViewAgreement {
     pub(super) tag: ViewTag,
@@ -97,7 +98,7 @@
 }
 
 impl Node {
-    /// What to act on now.
+    /// The current view.
     pub fn view(&self) -> View {
         // A single pass, as simulations evaluate the views of large groups at every event.
         let (mut counted, mut alive, mut index, mut has_suspects) = (1, 1, 0, false);
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Notes the view tag that a member reported.
+    /// Records the view tag that a member reported.
     pub(super) fn compare_views(&mut self, now: i64, from: SocketAddr, tag: Option<ViewTag>) {
         let Some((member, tag)) = self.members.get_mut(&from).zip(tag) else {
             return;
@@ -168,13 +169,13 @@
 
     /// Updates whether the node has listened for long enough and enough of the expected members answered.
     pub(super) fn update_settling(&mut self, now: i64) {
-        // No new member between two synchronizations: all are known.
+        // If no new member joined between two synchronizations, all members are known.
         let quiet_time = self.config.sync_interval + self.config.probe_period;
         let is_quiet = now - self.settling.last_joined_at > quiet_time;
         let is_settling_over = now - self.settling.started_at >= self.config.settling_time;
         self.settling.has_listened |= self.settling.has_contact && is_quiet && is_settling_over;
-        // A part of the group that restarts during a partition must not take itself for the whole group, nor for what it has
-        // learned so far while the partition heals.
+        // Nodes that restart during a partition must not take their side for the whole group, nor, while the partition heals,
+        // the members learned so far for all members.
         self.settling.is_confirmed |=
             self.settling.has_listened && is_quiet && self.has_expected_majority();
     }
--- a/crates/gossip/src/packet.rs
+++ b/crates/gossip/src/packet.rs
@@ -18,7 +18,7 @@
     Left,
 }
 
-/// What is known of a member. A later incarnation takes precedence, then a higher refutation count, then the state.
+/// What a node knows of a member. A later incarnation takes precedence, then a higher refutation count, then the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberRecord {
     /// The address at which the member is reached.
@@ -29,8 +29,8 @@
     pub refutations: u32,
     /// State of the member.
     pub state: MemberState,
-    /// Time spent in this state in milliseconds, rounded up; zero while the member is alive. It has no precedence; it lets all
-    /// nodes forget a dead member at about the same time, so that nobody learns of it anew.
+    /// Time spent in this state in milliseconds, rounded up; zero while the member is alive. It does not affect precedence.
+    /// It lets all nodes forget a dead member at about the same time, so that no node learns of it again.
     pub state_age_ms: u32,
 }
 
@@ -89,7 +89,7 @@
     pub digest: u64,
 }
 
-/// What nodes send each other: a message and piggybacked records.
+/// A packet between nodes: a message and piggybacked records.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Packet {
     /// The purpose.
--- a/crates/gossip/tests/authentication.rs
+++ b/crates/gossip/tests/authentication.rs
@@ -34,15 +34,15 @@
     }
 }
 
-const ONE: &str = "1 0123456789abcdef0123456789abcdef\n";
+const ONE_KEY: &str = "1 0123456789abcdef0123456789abcdef\n";
 
 #[test]
 fn a_datagram_is_accepted_once_and_only_unchanged() {
-    let (keys, from) = (keys(ONE), at(7_001));
+    let (keys, from) = (keys(ONE_KEY), at(7_001));
     let mut authenticator = Authenticator::new(from, 100);
     let datagram = authenticator
         .authenticate(&packet(3), &keys)
-        .expect("short");
+        .expect("fits into a datagram");
     for i in 0..datagram.len() {
         let mut other = datagram.clone();
         other[i] ^= 1;
@@ -61,7 +61,7 @@
     assert_eq!(
         verifier.verify(at(7_002), &datagram, &keys),
         Err(VerificationError::InvalidMac),
-        "of another sender"
+        "from another address"
     );
     assert_eq!(verifier.verify(from, &datagram, &keys), Ok(packet(3)));
     assert_eq!(
@@ -72,21 +72,21 @@
 }
 
 #[test]
-fn late_datagrams_are_accepted_and_very_late_ones_and_those_of_an_earlier_incarnation_are_not() {
-    let (keys, from) = (keys(ONE), at(7_001));
+fn datagrams_outside_the_replay_window_or_of_an_earlier_incarnation_are_rejected() {
+    let (keys, from) = (keys(ONE_KEY), at(7_001));
     let mut authenticator = Authenticator::new(from, 100);
     let mut all: Vec<Vec<u8>> = (0..70)
         .map(|_| {
             authenticator
                 .authenticate(&packet(0), &keys)
-                .expect("short")
+                .expect("fits into a datagram")
         })
         .collect();
     let mut verifier = Verifier::default();
     let newest = all.pop().expect("one");
     assert!(verifier.verify(from, &newest, &keys).is_ok());
     for (i, datagram) in all.iter().enumerate() {
-        // The last of seventy came first: sixty-three before it are still known apart.
+        // The last of 70 datagrams arrived first; the window still covers the 63 before it.
         let expected = if i >= 6 {
             Ok(packet(0))
         } else {
@@ -101,17 +101,17 @@
     }
     let restarted = Authenticator::new(from, 101)
         .authenticate(&packet(0), &keys)
-        .expect("short");
+        .expect("fits into a datagram");
     assert!(verifier.verify(from, &restarted, &keys).is_ok());
     let old = authenticator
         .authenticate(&packet(0), &keys)
-        .expect("short");
+        .expect("fits into a datagram");
     assert!(
         matches!(
             verifier.verify(from, &old, &keys),
             Err(VerificationError::StaleIncarnation(_))
         ),
-        "of the earlier incarnation"
+        "earlier incarnation"
     );
 }
 
@@ -126,7 +126,7 @@
     let verify = |by: &Keys, with: &Keys| {
         let datagram = Authenticator::new(at(1), 5)
             .authenticate(&packet(1), by)
-            .expect("short");
+            .expect("fits into a datagram");
         Verifier::default()
             .verify(at(1), &datagram, with)
             .map(|_| ())
@@ -135,12 +135,12 @@
     assert_eq!(
         verify(&both, &old),
         Ok(()),
-        "the new one does not authenticate yet"
+        "the second key does not authenticate yet"
     );
     assert_eq!(verify(&rotated, &both), Ok(()));
     assert_eq!(verify(&new, &rotated), Ok(()));
     assert_eq!(verify(&old, &new), Err(VerificationError::UnknownKey));
-    // The same number for another key.
+    // Another key under the same number.
     assert_eq!(
         verify(&keys("1 otherotherotherother"), &old),
         Err(VerificationError::InvalidMac)
@@ -149,7 +149,7 @@
         ("", "no key"),
         ("1 short", "less than 16"),
         ("x 0123456789abcdef", "not one of 0 to 255"),
-        ("10123456789abcdef", "a blank"),
+        ("10123456789abcdef", "a space"),
         ("1 0123456789abcdef\n1 0123456789abcdeg", "line 2"),
     ] {
         let message = Keys::parse(text).expect_err(text).to_string();
@@ -164,25 +164,25 @@
 fn the_largest_packet_of_a_node_fits_a_datagram() {
     let max_records = MembershipConfig::default().max_piggybacked_records;
     let datagram = Authenticator::new(at(65_535), u64::MAX)
-        .authenticate(&packet(max_records), &keys(ONE))
-        .expect("it fits");
+        .authenticate(&packet(max_records), &keys(ONE_KEY))
+        .expect("fits into a datagram");
     assert!(datagram.len() <= MAX_DATAGRAM_BYTES, "{}", datagram.len());
     assert!(Authenticator::new(at(1), 1)
-        .authenticate(&packet(100), &keys(ONE))
+        .authenticate(&packet(100), &keys(ONE_KEY))
         .is_none());
 }
 
 proptest! {
     #[test]
     fn arbitrary_bytes_are_dropped(bytes in prop::collection::vec(any::<u8>(), 0..1_600)) {
-        prop_assert!(Verifier::default().verify(at(1), &bytes, &keys(ONE)).is_err());
-        let mut headed = b"WFG1\x01".to_vec();
-        headed.extend(&bytes);
-        prop_assert!(Verifier::default().verify(at(1), &headed, &keys(ONE)).is_err());
+        prop_assert!(Verifier::default().verify(at(1), &bytes, &keys(ONE_KEY)).is_err());
+        let mut with_header = b"WFG1\x01".to_vec();
+        with_header.extend(&bytes);
+        prop_assert!(Verifier::default().verify(at(1), &with_header, &keys(ONE_KEY)).is_err());
     }
 }
 
-/// A process at an address: its node, and the authentication of its datagrams.
+/// A process with its node and the authentication of its datagrams.
 struct Process {
     node: Node,
     authenticator: Authenticator,
@@ -207,7 +207,7 @@
     }
 }
 
-/// Runs both processes from one second to another, as a controller does.
+/// Runs both processes over a span of virtual seconds, as a controller does.
 fn run(all: &mut [(SocketAddr, Process); 2], keys: &Keys, from_s: i64, to_s: i64) {
     for now in (from_s * 10..to_s * 10).map(|tenth| tenth * 100_000) {
         let mut wire: Vec<(SocketAddr, SocketAddr, Vec<u8>)> = Vec::new();
@@ -254,12 +254,12 @@
     let mut all = [(a, process(a, 1_000, b)), (b, process(b, 1_000_000, a))];
     run(&mut all, &keys, 0, 60);
     assert!(all.iter().all(|(_, p)| p.node.view().alive == 2));
-    // The second is killed and restarts with a clock that was set back.
+    // The second process is killed and restarts with a clock that was set back.
     all[1].1 = process(b, 10, a);
     run(&mut all, &keys, 60, 65);
     assert!(
         all[1].1.node.incarnation() > 1_000_000,
-        "it learned the earlier incarnation of its address"
+        "the process learned the earlier incarnation of its address"
     );
     let view = all[0].1.node.view();
     assert_eq!((view.alive, view.count), (2, 2));
@@ -268,12 +268,12 @@
     assert_eq!(
         all[0].1.node.counters().declared_dead,
         before,
-        "and it stays alive"
+        "the process stays alive"
     );
     assert!(all.iter().all(|(_, p)| p.node.view().alive == 2));
 }
 
-/// What builds of the first format read: the packet, and nothing after it.
+/// What builds of the first format read: the packet without the fields of the second format.
 #[derive(serde::Deserialize)]
 struct FirstFormat {
     incarnation: u64,
@@ -296,12 +296,12 @@
     let mut verifier = Verifier::default();
     for (sequence, sent) in [(1, &plain), (2, &tagged)] {
         let mut authenticator = Authenticator::new(at(1), 9);
-        (1..sequence).for_each(|_| drop(authenticator.authenticate(&plain, &keys(ONE))));
+        (1..sequence).for_each(|_| drop(authenticator.authenticate(&plain, &keys(ONE_KEY))));
         let datagram = authenticator
-            .authenticate(sent, &keys(ONE))
-            .expect("it fits");
+            .authenticate(sent, &keys(ONE_KEY))
+            .expect("fits into a datagram");
         assert_eq!(
-            verifier.verify(at(1), &datagram, &keys(ONE)).as_ref(),
+            verifier.verify(at(1), &datagram, &keys(ONE_KEY)).as_ref(),
             Ok(sent)
         );
         let first: FirstFormat =
@@ -325,24 +325,28 @@
         ..packet(1)
     };
     let whole = authenticator
-        .authenticate(&tagged, &keys(ONE))
-        .expect("it fits");
+        .authenticate(&tagged, &keys(ONE_KEY))
+        .expect("fits into a datagram");
     let (body, _) = whole.split_at(whole.len() - 16);
     let with_new_mac = |body: &[u8]| {
-        let mut mac =
-            <Hmac<Sha256> as KeyInit>::new_from_slice(&ONE.trim().as_bytes()[2..]).expect("a key");
+        let mut mac = <Hmac<Sha256> as KeyInit>::new_from_slice(&ONE_KEY.trim().as_bytes()[2..])
+            .expect("a key");
         mac.update(body);
         mac.update(at(1).to_string().as_bytes());
         [body, &mac.finalize().into_bytes()[..16]].concat()
     };
     assert_eq!(
-        Verifier::default().verify(at(1), &with_new_mac(&body[..body.len() - 1]), &keys(ONE)),
+        Verifier::default().verify(
+            at(1),
+            &with_new_mac(&body[..body.len() - 1]),
+            &keys(ONE_KEY)
+        ),
         Err(VerificationError::Malformed)
     );
     let mut longer = body.to_vec();
     longer.extend([3, 1, 4, 1, 5]);
     assert_eq!(
-        Verifier::default().verify(at(1), &with_new_mac(&longer), &keys(ONE)),
+        Verifier::default().verify(at(1), &with_new_mac(&longer), &keys(ONE_KEY)),
         Ok(tagged)
     );
 }
--- a/crates/gossip/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -22,23 +22,24 @@
     starts: BTreeSet<(i64, usize)>,
     /// Packets in flight: by arrival time and sequence number, with sender and receiver.
     in_flight: BTreeMap<(i64, u64), (usize, usize, Packet)>,
-    /// When the tick of each node is due.
+    /// When the next tick of each node is due, by time.
     ticks: BTreeSet<(i64, usize)>,
+    /// The nodes on one side of the partition, while `is_partitioned` is set.
     side: BTreeSet<usize>,
-    split: bool,
+    is_partitioned: bool,
     faults: FaultSchedule,
-    /// Paused nodes, and until when; their packets and ticks wait.
+    /// Paused nodes and the ends of their pauses; their packets and ticks are delayed until then.
     paused: BTreeMap<usize, i64>,
-    sent: u64,
+    last_packet_number: u64,
     next_sample_at: i64,
-    /// Bytes sent while `measure` is set.
+    /// Bytes sent while `measures_bytes` is set.
     pub bytes: u64,
     pub packets: u64,
-    pub measure: bool,
+    pub measures_bytes: bool,
     random_state: u64,
     /// Counters of nodes that were stopped.
     stopped: Counters,
-    /// Highest sum of the quota shares `1 / count` of all nodes, by the counts that they act on.
+    /// Highest sum of the quota shares `1 / count` of all nodes, by their own member counts.
     pub share_sum: f64,
 }
 
@@ -53,14 +54,14 @@
             in_flight: BTreeMap::new(),
             ticks: BTreeSet::new(),
             side: BTreeSet::new(),
-            split: false,
+            is_partitioned: false,
             faults: FaultSchedule::default(),
             paused: BTreeMap::new(),
-            sent: 0,
+            last_packet_number: 0,
             next_sample_at: 0,
             bytes: 0,
             packets: 0,
-            measure: false,
+            measures_bytes: false,
             random_state: seed.wrapping_mul(0x1234_5678_9abc_def1) ^ 0x5555,
             stopped: Counters::default(),
             share_sum: 0.0,
@@ -135,7 +136,7 @@
             .records()
             .find(|r| r.member == address(member))
             .copied();
-        let packet = eviction_packet(record.expect("known"));
+        let packet = eviction_packet(record.expect("a known member"));
         let (now, mut out) = (self.now, Vec::new());
         if let Some(node) = self.nodes.get_mut(&through) {
             node.receive(now, address(999), &packet, &mut out);
@@ -143,13 +144,13 @@
         self.send(through, out);
     }
 
-    pub fn split(&mut self, side: impl Fn(usize) -> bool) {
+    pub fn partition(&mut self, side: impl Fn(usize) -> bool) {
         self.side = self.nodes.keys().copied().filter(|i| side(*i)).collect();
-        self.split = true;
+        self.is_partitioned = true;
     }
 
     /// Drops all packets from some nodes to others, from now on for a duration.
-    pub fn cut(&mut self, from: NodeSet, to: NodeSet, lasts: i64) {
+    pub fn block(&mut self, from: NodeSet, to: NodeSet, duration: i64) {
         let fault = Fault {
             blocked: true,
             ..Fault::default()
@@ -160,15 +161,15 @@
             to,
             bidirectional: false,
             starts_at: self.now,
-            duration: lasts,
+            duration,
             period: 0,
             repetitions: 1,
         });
     }
 
     /// Pauses a process for a duration.
-    pub fn pause(&mut self, i: usize, lasts: i64) {
-        self.paused.insert(i, self.now + lasts);
+    pub fn pause(&mut self, i: usize, duration: i64) {
+        self.paused.insert(i, self.now + duration);
     }
 
     pub fn node(&self, i: usize) -> &Node {
@@ -176,7 +177,7 @@
     }
 
     pub fn heal(&mut self) {
-        self.split = false;
+        self.is_partitioned = false;
     }
 
     /// The lowest number of members, itself included, that a node knows.
@@ -204,8 +205,8 @@
     fn send(&mut self, from: usize, out: Vec<(SocketAddr, Packet)>) {
         for (to, packet) in out {
             self.packets += 1;
-            if self.measure {
-                // Magic, key number, incarnation, sequence number and code add about forty bytes.
+            if self.measures_bytes {
+                // Magic, key number, incarnation, sequence number and authentication code add about 40 bytes.
                 self.bytes += 40 + wheelfield_gossip::authentication::encoded_size(&packet) as u64;
             }
             let to = Self::index_of(to);
@@ -219,14 +220,16 @@
                     continue;
                 }
                 let delay = MS + (self.next_random() * 20.0 * MS as f64) as i64;
-                self.sent += 1;
-                self.in_flight
-                    .insert((self.now + delay, self.sent), (from, to, packet.clone()));
+                self.last_packet_number += 1;
+                self.in_flight.insert(
+                    (self.now + delay, self.last_packet_number),
+                    (from, to, packet.clone()),
+                );
             }
         }
     }
 
-    /// The time of the next event.
+    /// The time of the next start, delivery or tick.
     fn next_event_at(&self) -> Option<i64> {
         let in_flight = self.in_flight.first_key_value().map(|((t, _), _)| *t);
         let tick_at = self.ticks.first().map(|(t, _)| *t);
@@ -235,27 +238,27 @@
     }
 
     pub fn run_until(&mut self, end: i64) {
-        self.watch_until(end);
+        self.run_and_track_lowest_count(end);
     }
 
-    /// Runs until a time, and returns the lowest count that any node acted on.
-    pub fn watch_until(&mut self, end: i64) -> usize {
+    /// Runs until a time, and returns the lowest member count that any node used.
+    pub fn run_and_track_lowest_count(&mut self, end: i64) -> usize {
         let mut lowest = usize::MAX;
         while let Some(at) = self.next_event_at().filter(|t| *t <= end) {
             self.now = at;
-            let acted = self.perform_next();
-            if let Some(node) = acted.and_then(|i| self.nodes.get(&i)) {
+            let active = self.perform_next();
+            if let Some(node) = active.and_then(|i| self.nodes.get(&i)) {
                 lowest = lowest.min(node.view().count);
             }
             // Evaluating all views at each event would take too long.
             if self.now >= self.next_sample_at {
                 self.next_sample_at = self.now + 200 * MS;
-                let all = self
+                let share_sum = self
                     .views()
                     .iter()
                     .map(|v| 1.0 / v.count as f64)
                     .sum::<f64>();
-                self.share_sum = self.share_sum.max(all);
+                self.share_sum = self.share_sum.max(share_sum);
             }
         }
         self.now = end;
@@ -268,7 +271,7 @@
         )
     }
 
-    /// Performs the next event; returns its node.
+    /// Performs the next event, and returns the node that processed it.
     fn perform_next(&mut self) -> Option<usize> {
         let now = self.now;
         if let Some((_, i)) = self.starts.first().copied().filter(|(t, _)| *t <= now) {
@@ -288,7 +291,7 @@
                 self.in_flight.insert((*until, number), (from, to, packet));
                 return None;
             }
-            if self.split && self.side.contains(&from) != self.side.contains(&to) {
+            if self.is_partitioned && self.side.contains(&from) != self.side.contains(&to) {
                 return None;
             }
             let node = self.nodes.get_mut(&to)?;
@@ -302,7 +305,7 @@
             return None;
         }
         let node = self.nodes.get_mut(&i)?;
-        // A tick that was due before a restart may be left.
+        // A tick of the process before a restart may remain; it is then not due.
         if node.next_tick_at() <= now {
             node.tick(now, &mut out);
         }
--- a/crates/gossip/tests/messages.rs
+++ b/crates/gossip/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Rate limits of application messages: recipients in turn, and rejection of stale and excess messages.
+//! Rate limits of application messages: recipients take turns, and stale and excess messages are rejected.
 
 use proptest::prelude::*;
 use std::collections::BTreeSet;
@@ -31,7 +31,7 @@
     let mut reached = BTreeSet::new();
     for second in 0..5 {
         let to = limiter.select_recipients(second * 1_000_000, 1_000, &all);
-        assert_eq!(to.len(), 4, "four kilobytes a second");
+        assert_eq!(to.len(), 4, "total limit of 4 kB/s");
         reached.extend(to);
     }
     assert_eq!(
@@ -58,7 +58,7 @@
         "the other two have used up their limit"
     );
     let recipients = limiter.select_recipients(400_000, 1_000, &members(2));
-    assert_eq!(recipients.len(), 2, "four tenths of a second later");
+    assert_eq!(recipients.len(), 2, "the bucket was refilled for 0.4 s");
 }
 
 #[test]
@@ -94,7 +94,11 @@
     );
     for n in 0..30 {
         let accepted = limiter.accept(0, from, id(6, 2 + n), 100);
-        assert_eq!(accepted.is_ok(), n < 18, "two kilobytes a second: {n}");
+        assert_eq!(
+            accepted.is_ok(),
+            n < 18,
+            "limit of 2 kB/s per sender, message {n}"
+        );
     }
     limiter.retain_members(|_| false);
     assert_eq!(
@@ -111,11 +115,11 @@
     ) {
         let limits = RateLimits { per_member: 3_000, total: 20_000 };
         let (all, mut limiter, mut now, mut sent) = (members(n), MessageLimiter::new(limits, 0), 0, 0);
-        for (bytes, later) in sizes {
-            now += later;
+        for (bytes, interval) in sizes {
+            now += interval;
             sent += bytes * limiter.select_recipients(now, bytes, &all).len();
         }
-        // The initial capacity, and what was refilled since.
+        // The initial capacity plus the refill since.
         prop_assert!(sent as i64 <= 20_000 + 20_000 * now / 1_000_000 + 1);
     }
 }
--- a/crates/gossip/tests/model/main.rs
+++ b/crates/gossip/tests/model/main.rs
@@ -6,17 +6,17 @@
 use membership::{Fault, Membership, NO_FAULTS, PERIOD, SAFETY_PROPERTIES};
 use stateright::{Checker, Model};
 
-/// Only both orders of delivery, for a number of periods.
-fn plain(periods: i64) -> Membership {
+/// No faults, only both orders of delivery, for a number of periods.
+fn without_faults(periods: i64) -> Membership {
     let end = Membership::settled().now + periods * PERIOD;
     Membership { end, ..NO_FAULTS }
 }
 
-/// Explores a number of states and returns the properties with a discovery; no safety property may be violated.
-fn explored(model: Membership, states: usize, deep: bool) -> Vec<&'static str> {
+/// Explores a number of states, asserts that no safety property is violated, and returns the properties with a discovery.
+fn explore(model: Membership, max_states: usize, depth_first: bool) -> Vec<&'static str> {
     let description = format!("{model:?}");
-    let checker = model.checker().target_state_count(states).threads(2);
-    let checker: Box<dyn Checker<Membership>> = if deep {
+    let checker = model.checker().target_state_count(max_states).threads(2);
+    let checker: Box<dyn Checker<Membership>> = if depth_first {
         Box::new(checker.spawn_dfs().join())
     } else {
         Box::new(checker.spawn_bfs().join())
@@ -36,103 +36,104 @@
 }
 
 #[test]
-fn no_node_acts_on_too_few_members_with_losses_and_duplicates() {
-    explored(
+fn no_node_counts_too_few_members_with_losses_and_duplicates() {
+    explore(
         Membership {
             losses: 4,
-            ..plain(9)
+            ..without_faults(9)
         },
         60_000,
         false,
     );
 }
 
-/// A node cannot receive or cannot send for some time, whenever it begins.
+/// A node cannot receive, or cannot send, for some time that begins in any state.
 #[test]
-fn no_node_acts_on_too_few_members_in_one_way_partitions() {
-    let seen = explored(
+fn no_node_counts_too_few_members_in_one_way_partitions() {
+    let discovered = explore(
         Membership {
             partitions: true,
-            ..plain(24)
+            ..without_faults(24)
         },
         120_000,
         false,
     );
-    for wanted in ["a member is suspected", "a suspicion is refuted"] {
+    for property in ["a member is suspected", "a suspicion is refuted"] {
         assert!(
-            seen.contains(&wanted),
-            "the bounds are too narrow for: {wanted}; {seen:?}"
+            discovered.contains(&property),
+            "the bounds are too narrow for: {property}; {discovered:?}"
         );
     }
 }
 
 #[test]
-fn no_node_acts_on_too_few_members_when_a_node_restarts() {
-    let seen = explored(
+fn no_node_counts_too_few_members_when_a_node_restarts() {
+    let discovered = explore(
         Membership {
             restarts: 1,
-            ..plain(9)
+            ..without_faults(9)
         },
         60_000,
         false,
     );
     assert!(
-        seen.contains(&"a restarted node has settled"),
-        "the bounds are too narrow: {seen:?}"
+        discovered.contains(&"a restarted node has settled"),
+        "the bounds are too narrow: {discovered:?}"
     );
 }
 
 /// A node leaves or is killed at any time, while a packet is lost and packets arrive in either order.
 #[test]
 fn a_member_that_left_is_not_counted_and_a_killed_one_is() {
-    let seen = explored(
+    let discovered = explore(
         Membership {
             losses: 1,
             stops: true,
-            ..plain(18)
+            ..without_faults(18)
         },
         120_000,
         false,
     );
-    for wanted in [
+    for property in [
         "a killed member is declared dead",
         "a leave reached all nodes",
     ] {
         assert!(
-            seen.contains(&wanted),
-            "the bounds are too narrow for: {wanted}; {seen:?}"
+            discovered.contains(&property),
+            "the bounds are too narrow for: {property}; {discovered:?}"
         );
     }
-    // And a delayed packet, at any time.
-    let seen = explored(
+    // The same with a packet that is delayed in any state.
+    let discovered = explore(
         Membership {
             stops: true,
             delays: true,
-            ..plain(18)
+            ..without_faults(18)
         },
         120_000,
         true,
     );
     assert!(
-        seen.contains(&"a leave reached all nodes"),
-        "the bounds are too narrow: {seen:?}"
+        discovered.contains(&"a leave reached all nodes"),
+        "the bounds are too narrow: {discovered:?}"
     );
 }
+
 #[test]
-fn each_planted_fault_violates_its_property() {
-    let faulty = [
+fn each_injected_fault_violates_its_property() {
+    let faulty_models = [
         (
             Membership {
                 fault: Fault::UncountedSuspect,
                 partitions: true,
-                ..plain(24)
+                ..without_faults(24)
             },
             SAFETY_PROPERTIES[0],
         ),
         (
             Membership {
                 fault: Fault::DuplicateIndex,
-                ..plain(24)
+                ..without_faults(24)
             },
             SAFETY_PROPERTIES[1],
         ),
@@ -141,7 +142,7 @@
                 fault: Fault::StaleRefutation,
                 stops: true,
                 delays: true,
-                ..plain(24)
+                ..without_faults(24)
             },
             SAFETY_PROPERTIES[3],
         ),
@@ -150,12 +151,12 @@
                 fault: Fault::UndoneLeave,
                 stops: true,
                 delays: true,
-                ..plain(24)
+                ..without_faults(24)
             },
             SAFETY_PROPERTIES[4],
         ),
     ];
-    for (model, property) in faulty {
+    for (model, property) in faulty_models {
         let fault = model.fault;
         let checker = model
             .checker()
--- a/crates/gossip/tests/model/membership.rs
+++ b/crates/gossip/tests/model/membership.rs
@@ -13,7 +13,7 @@
     SocketAddr::from(([127, 0, 0, 1], 7_000 + i as u16))
 }
 
-fn limits() -> MembershipConfig {
+fn config() -> MembershipConfig {
     MembershipConfig {
         probe_period: PERIOD,
         probe_timeout: 400,
@@ -33,26 +33,26 @@
 pub struct State {
     pub now: i64,
     pub nodes: Vec<Node>,
-    /// Packets in flight; a set, as their order has no meaning.
+    /// Packets in flight: sender, receiver, index in its batch and contents; a set, as their order does not matter.
     pub in_flight: BTreeSet<(usize, usize, u64, Packet)>,
     pub lost: u8,
     pub duplicated: u8,
     pub restarts: u8,
     /// A one-way partition of a node: whether it cannot receive (true) or cannot send, and until when.
     pub partition: Option<(usize, bool, i64)>,
-    /// A stopped node, its refutations, and whether it left (true) or was killed.
+    /// The stopped node, its highest known refutation count, and whether it left (true) or was killed.
     pub stopped: Option<(usize, u32, bool)>,
-    /// All others know of the leave.
+    /// Whether all other nodes know of the leave.
     pub is_leave_known: bool,
-    /// A packet that is delayed.
+    /// The packet that is delayed: sender, receiver and contents.
     pub delayed: Option<(usize, usize, Packet)>,
-    /// A packet was delayed.
+    /// Whether a packet was delayed before; there is at most one.
     pub was_delayed: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// All packets in flight arrive, in this order or the reverse, except a lost one.
+    /// All packets in flight arrive, in this order or the reverse, with at most one lost or duplicated.
     Round {
         backwards: bool,
         lost: Option<usize>,
@@ -70,7 +70,7 @@
     DeliverDelayed,
 }
 
-/// A fault of the implementation, for the properties to detect.
+/// A fault injected into the implementation, which a property must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     None,
@@ -87,7 +87,7 @@
 /// Duration of a one-way partition.
 const PARTITION_TIME: i64 = 9 * PERIOD;
 
-/// The protocol within bounds.
+/// The model of the protocol, with the faults that may occur.
 #[derive(Clone, Copy, Debug)]
 pub struct Membership {
     pub fault: Fault,
@@ -102,7 +102,7 @@
     pub end: i64,
 }
 
-/// No fault, for no time.
+/// No faults, and no time to explore.
 pub const NO_FAULTS: Membership = Membership {
     fault: Fault::None,
     losses: 0,
@@ -126,7 +126,7 @@
         node.view().count
     }
 
-    fn put(state: &mut State, from: usize, out: Vec<(SocketAddr, Packet)>) {
+    fn enqueue_packets(state: &mut State, from: usize, out: Vec<(SocketAddr, Packet)>) {
         for (n, (to, packet)) in out.into_iter().enumerate() {
             let to = usize::from(to.port() - 7_000);
             state.in_flight.insert((from, to, n as u64, packet));
@@ -142,14 +142,15 @@
         }
     }
 
-    /// The running nodes.
+    /// The indexes of the running nodes.
     fn running(state: &State) -> impl Iterator<Item = usize> + '_ {
         (0..NODES).filter(|i| state.stopped.is_none_or(|(stopped, ..)| stopped != *i))
     }
 
-    /// A packet as a faulty node reads it: a record of a live member takes precedence, whatever its refutation count.
-    fn misread(&self, node: &Node, packet: &Packet) -> Packet {
-        let believed = match self.fault {
+    /// The packet as a node with an injected fault reads it: the record of a live member takes precedence whatever its refutation
+    /// count.
+    fn apply_fault(&self, node: &Node, packet: &Packet) -> Packet {
+        let overridden = match self.fault {
             Fault::StaleRefutation => MemberState::Suspect,
             Fault::UndoneLeave => MemberState::Left,
             _ => return packet.clone(),
@@ -160,11 +161,11 @@
             .iter_mut()
             .filter(|r| r.state == MemberState::Alive)
         {
-            let held = node
+            let known = node
                 .records()
-                .find(|r| r.member == record.member && r.state == believed);
-            if let Some(held) = held.filter(|r| r.incarnation == record.incarnation) {
-                record.refutations = held.refutations + 1;
+                .find(|r| r.member == record.member && r.state == overridden);
+            if let Some(known) = known.filter(|r| r.incarnation == record.incarnation) {
+                record.refutations = known.refutations + 1;
             }
         }
         packet
@@ -175,21 +176,21 @@
             return;
         }
         let mut out = Vec::new();
-        let packet = self.misread(&state.nodes[to], packet);
+        let packet = self.apply_fault(&state.nodes[to], packet);
         state.nodes[to].receive(state.now, address(from), &packet, &mut out);
-        // Events for the log do not distinguish states.
+        // Events are for the log only; states that differ in them are the same.
         state.nodes[to].take_events();
-        Self::put(state, to, out);
+        Self::enqueue_packets(state, to, out);
     }
 
-    /// A state in which all nodes are settled.
+    /// The initial state, in which all nodes are settled.
     pub fn settled() -> State {
         let node = |i| {
             Node::new(
                 address(i),
                 1,
                 (0..NODES).map(address).collect(),
-                limits(),
+                config(),
                 7 + i as u64,
                 0,
             )
@@ -243,12 +244,12 @@
             self.deliver(state, from, to, &packet);
         }
         if let Some((stopped, _, true)) = state.stopped {
-            let heard = |n: &Node| {
+            let knows_leave = |n: &Node| {
                 n.records()
                     .any(|r| r.member == address(stopped) && r.state == MemberState::Left)
             };
-            let all = Self::running(state).all(|i| heard(&state.nodes[i]));
-            state.is_leave_known |= all;
+            let all_know = Self::running(state).all(|i| knows_leave(&state.nodes[i]));
+            state.is_leave_known |= all_know;
         }
         if state.in_flight.is_empty() {
             let next = Self::running(state)
@@ -264,19 +265,19 @@
                     state.nodes[i].tick(now, &mut out);
                     state.nodes[i].take_events();
                 }
-                Self::put(state, i, out);
+                Self::enqueue_packets(state, i, out);
             }
         }
     }
 }
 
-/// The properties that hold in all states.
+/// The properties that must hold in all states.
 pub const SAFETY_PROPERTIES: [&str; 5] = [
-    "no node acts on fewer members than exist",
+    "no node counts fewer members than exist",
     "no two settled nodes have the same index",
-    "no node acts on more members than exist",
-    "nobody refutes on behalf of a stopped node",
-    "a member that left is not counted once all know",
+    "no node counts more members than exist",
+    "no node refutes on behalf of a stopped node",
+    "a member that left is not counted once all nodes know of the leave",
 ];
 
 impl Model for Membership {
@@ -306,7 +307,7 @@
                     duplicated: None,
                 });
             }
-            // A partition has late effects: further faults would keep the search from reaching them.
+            // The effects of a partition or a stop show late; further faults would keep the search from reaching them.
             if state.duplicated < 1 && !self.partitions && !self.stops {
                 actions.push(Action::Round {
                     backwards: false,
@@ -352,27 +353,23 @@
                 if leaves {
                     next.nodes[i].leave(&mut out);
                 }
-                let refutations = next
+                let records = next
                     .nodes
                     .iter()
                     .flat_map(Node::records)
                     .filter(|r| r.member == address(i));
-                next.stopped = Some((
-                    i,
-                    refutations.map(|r| r.refutations).max().unwrap_or(0),
-                    leaves,
-                ));
-                Membership::put(&mut next, i, out);
+                next.stopped = Some((i, records.map(|r| r.refutations).max().unwrap_or(0), leaves));
+                Membership::enqueue_packets(&mut next, i, out);
             }
             Action::Delay(n) => {
-                let flight = next.in_flight.iter().nth(n).cloned()?;
-                next.in_flight.remove(&flight);
-                (next.was_delayed, next.delayed) = (true, Some((flight.0, flight.1, flight.3)));
+                let packet = next.in_flight.iter().nth(n).cloned()?;
+                next.in_flight.remove(&packet);
+                (next.was_delayed, next.delayed) = (true, Some((packet.0, packet.1, packet.3)));
             }
             Action::DeliverDelayed => {
                 let (from, to, packet) = next.delayed.take()?;
                 self.deliver(&mut next, from, to, &packet);
-                // A delayed packet of the stopped node cannot be told from one of a live node, and refutes once.
+                // A delayed packet of the killed node looks like one of a live node, and refutes a suspicion once.
                 next.stopped = next.stopped.map(|(i, refutations, has_left)| {
                     (i, refutations + u32::from(i == from && !has_left), has_left)
                 });
@@ -384,7 +381,7 @@
                 next.restarts += 1;
                 let start = 2 + next.now as u64;
                 let seeds = (0..NODES).map(address).collect();
-                next.nodes[i] = Node::new(address(i), start, seeds, limits(), start, next.now);
+                next.nodes[i] = Node::new(address(i), start, seeds, config(), start, next.now);
             }
         }
         Some(next)
@@ -394,11 +391,11 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "no node acts on fewer members than exist",
+                "no node counts fewer members than exist",
                 |model: &Membership, state: &State| {
-                    let there =
+                    let member_count =
                         NODES - usize::from(state.stopped.is_some_and(|(_, _, has_left)| has_left));
-                    Membership::running(state).all(|i| model.count(state, i) >= there)
+                    Membership::running(state).all(|i| model.count(state, i) >= member_count)
                 },
             ),
             Property::always(
@@ -408,22 +405,23 @@
                         .view()
                         .tag
                         .digest;
-                    let one = |n: &&Node| n.view().is_settled && n.view().tag.digest == digest;
+                    let is_settled_on_digest =
+                        |n: &&Node| n.view().is_settled && n.view().tag.digest == digest;
                     let settled = Membership::running(state)
                         .map(|i| &state.nodes[i])
-                        .filter(one);
+                        .filter(is_settled_on_digest);
                     let indexes: Vec<usize> = settled.map(|n| model.index(n)).collect();
                     indexes.iter().collect::<BTreeSet<_>>().len() == indexes.len()
                 },
             ),
             Property::always(
-                "no node acts on more members than exist",
+                "no node counts more members than exist",
                 |model: &Membership, state: &State| {
                     (0..NODES).all(|i| model.count(state, i) <= NODES)
                 },
             ),
             Property::always(
-                "nobody refutes on behalf of a stopped node",
+                "no node refutes on behalf of a stopped node",
                 |_, state: &State| {
                     let Some((stopped, refutations, _)) = state.stopped else {
                         return true;
@@ -438,7 +436,7 @@
                 },
             ),
             Property::always(
-                "a member that left is not counted once all know",
+                "a member that left is not counted once all nodes know of the leave",
                 |model: &Membership, state: &State| {
                     !state.is_leave_known
                         || Membership::running(state).all(|i| model.count(state, i) == NODES - 1)
--- a/crates/gossip/tests/recorded.rs
+++ b/crates/gossip/tests/recorded.rs
@@ -4,9 +4,9 @@
 use wheelfield_gossip::authentication::{Authenticator, Keys, Verifier};
 use wheelfield_gossip::{MemberRecord, MemberState, Message, Packet, ViewTag};
 
-const FIRST_FORMAT: &[u8] = include_bytes!("recorded/first-form.bin");
-const SECOND_FORMAT: &[u8] = include_bytes!("recorded/second-form.bin");
-const APPLICATION_MESSAGE: &[u8] = include_bytes!("recorded/words.bin");
+const FIRST_FORMAT: &[u8] = include_bytes!("recorded/first-format.bin");
+const SECOND_FORMAT: &[u8] = include_bytes!("recorded/second-format.bin");
+const APPLICATION_MESSAGE: &[u8] = include_bytes!("recorded/application-message.bin");
 const KEY_FILE: &str = "7 0123456789abcdef0123456789abcdef\n";
 const SENDER_INCARNATION: u64 = 100;
 
