--- a/crates/network-faults/src/lib.rs
+++ b/crates/network-faults/src/lib.rs
@@ -1,8 +1,8 @@
-//! Faults between parties. Each ordered pair of them is a road of its own: what is sent on it comes late, twice, spoilt or never,
-//! by a [`FaultSchedule`] of faults and by chance drawn from a seed for that pair alone.
+//! Emulation of network faults between nodes. Each ordered pair of nodes is a link of its own. A datagram sent on a link may be
+//! delayed, duplicated, corrupted or lost, as determined by a [`FaultSchedule`] and a random number generator per link.
 //!
-//! One model: the laboratory's virtual network and its relay between real processes both play it. No I/O, no clock, no globals;
-//! times are microseconds of whatever clock the caller keeps.
+//! The virtual network of the test bed and its relay between real processes use the same emulator. The crate performs no I/O,
+//! reads no clock and has no global state; times are in microseconds of the caller's clock.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -13,29 +13,29 @@
 pub use schedule::{FaultSchedule, NodeSet, ScheduledFault};
 use std::collections::BTreeMap;
 
-/// What is wrong with a road.
+/// The faults of a link. The default is a link without faults.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Fault {
-    /// Nothing passes.
+    /// All datagrams are lost.
     pub blocked: bool,
-    /// The chance that what is sent is lost.
+    /// Probability that a datagram is lost.
     pub loss: f64,
-    /// It comes so much later, in microseconds,
+    /// Delay of each datagram, in microseconds.
     pub delay: i64,
-    /// and up to so much later than that: what is sent later may come sooner.
+    /// Maximum random delay in addition, in microseconds. Datagrams may overtake each other.
     pub jitter: i64,
-    /// The chance that it comes twice.
+    /// Probability that a datagram is delivered twice.
     pub duplicate: f64,
-    /// The chance that one of its bits is turned over.
+    /// Probability that one bit of a delivered copy is flipped.
     pub corrupt: f64,
-    /// Bytes a second that pass; zero for any number.
+    /// Rate limit in bytes per second; zero for no limit.
     pub rate: u64,
-    /// Bytes that wait where the rate binds; what would be more is lost.
+    /// Capacity of the queue of a rate-limited link in bytes; datagrams that exceed it are lost.
     pub queue_limit: u64,
 }
 
 impl Fault {
-    /// Both at once.
+    /// Combines two faults that apply at the same time.
     pub fn combine(self, other: Fault) -> Fault {
         let either = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
         let (rate, queue_limit) = match (self.rate, other.rate) {
@@ -56,27 +56,27 @@
     }
 }
 
-/// What came of all that was sent on a road.
+/// Counters of the datagrams sent on a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkCounters {
-    /// Datagrams sent,
+    /// Datagrams sent.
     pub sent: u64,
-    /// and their bytes.
+    /// Bytes sent.
     pub bytes: u64,
-    /// Lost by a cut,
+    /// Datagrams lost because the link was blocked.
     pub blocked: u64,
-    /// by chance,
+    /// Datagrams lost at random.
     pub lost: u64,
-    /// for want of room where the rate binds.
+    /// Datagrams lost because the queue of a rate-limited link was full.
     pub queue_overflows: u64,
-    /// Come twice.
+    /// Datagrams delivered twice.
     pub duplicated: u64,
-    /// Spoilt.
+    /// Delivered copies with a flipped bit.
     pub corrupted: u64,
 }
 
 impl LinkCounters {
-    /// The sum of both.
+    /// The sum of two sets of counters.
     pub fn merge(self, other: LinkCounters) -> LinkCounters {
         LinkCounters {
             sent: self.sent + other.sent,
@@ -90,47 +90,47 @@
     }
 }
 
-/// A datagram that arrives.
+/// The delivery of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Delivery {
-    /// When.
+    /// When the datagram arrives.
     pub at: i64,
-    /// With which bytes.
+    /// The contents.
     pub bytes: Vec<u8>,
 }
 
 #[derive(Debug)]
 struct Link {
     rng: Pcg64Mcg,
-    /// Where the rate binds: when the last of what waits has passed.
+    /// When the queue of a rate-limited link is empty.
     busy_until: i64,
     counters: LinkCounters,
 }
 
-/// All roads between parties, numbered from 0.
+/// Emulates all links between nodes, which are numbered from 0.
 #[derive(Debug)]
 pub struct LinkEmulator {
     schedule: FaultSchedule,
     seed: u64,
-    /// Made when first used: of 180 parties few pairs ever speak.
+    /// Created on first use: in a group of 180 nodes only few pairs ever communicate.
     links: BTreeMap<(usize, usize), Link>,
 }
 
 impl LinkEmulator {
-    /// LinkEmulator without faults but those of the schedule. The same schedule, seed and sendings give the same arrivals.
+    /// Creates an emulator. The same schedule, seed and transmissions produce the same deliveries.
     pub fn new(schedule: FaultSchedule, seed: u64) -> LinkEmulator {
         LinkEmulator { schedule, seed, links: BTreeMap::new() }
     }
 
-    /// What is wrong on a road at a time.
+    /// The faults of a link at a time.
     pub fn fault(&self, from: usize, to: usize, now: i64) -> Fault {
         self.schedule.fault(from, to, now)
     }
 
-    /// Takes what is sent on a road, and tells when it arrives and how: not at all, once or twice.
+    /// Transmits a datagram on a link, and returns its deliveries: none, one or two.
     pub fn transmit(&mut self, from: usize, to: usize, now: i64, bytes: &[u8]) -> Vec<Delivery> {
         let fault = self.schedule.fault(from, to, now);
-        // A road's chance is its own: what others send moves nothing on it.
+        // Each link has its own generator, so that traffic on other links does not change its faults.
         let seed = self.seed ^ ((from as u64) << 32 | to as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let link = self.links.entry((from, to)).or_insert_with(|| Link {
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -140,12 +140,12 @@
         link.transmit(fault, now, bytes)
     }
 
-    /// What came of all that was sent on a road.
+    /// The counters of a link.
     pub fn counters(&self, from: usize, to: usize) -> LinkCounters {
         self.links.get(&(from, to)).map_or(LinkCounters::default(), |link| link.counters)
     }
 
-    /// The same over all roads from a party.
+    /// The summed counters of all links from a node.
     pub fn counters_from(&self, from: usize) -> LinkCounters {
         let links = self.links.range((from, 0)..=(from, usize::MAX));
         links.fold(LinkCounters::default(), |sum, (_, link)| sum.merge(link.counters))
@@ -188,7 +188,7 @@
         probability > 0.0 && self.rng.random::<f64>() < probability
     }
 
-    /// When so many bytes have passed where the rate binds; none if too many wait before them.
+    /// Queues a datagram on a rate-limited link; returns when it has been transmitted, or none if the queue is full.
     fn enqueue(&mut self, fault: Fault, now: i64, length: u64) -> Option<i64> {
         if fault.rate == 0 {
             return Some(now);
--- a/crates/network-faults/src/schedule.rs
+++ b/crates/network-faults/src/schedule.rs
@@ -1,19 +1,19 @@
-//! Which faults are on which roads, and when.
+//! The schedule of faults: which links have which faults, and when.
 
 use crate::Fault;
 use std::collections::BTreeSet;
 
-/// Some of the parties.
+/// A set of nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NodeSet {
-    /// All of them.
+    /// All nodes.
     All,
-    /// Those of these numbers.
+    /// The nodes with these numbers.
     Only(BTreeSet<usize>),
 }
 
 impl NodeSet {
-    /// Whether one is among them.
+    /// Whether a node is in the set.
     pub fn contains(&self, node: usize) -> bool {
         match self {
             NodeSet::All => true,
@@ -22,29 +22,29 @@
     }
 }
 
-/// A fault on some roads for some time, maybe again and again.
+/// A fault of some links for some time, which may recur periodically. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScheduledFault {
-    /// What is wrong,
+    /// The fault.
     pub fault: Fault,
-    /// on what is sent by these
+    /// The senders of the affected links.
     pub from: NodeSet,
-    /// to those,
+    /// The receivers of the affected links.
     pub to: NodeSet,
-    /// and the other way as well.
+    /// Whether the links in the opposite direction are affected as well.
     pub bidirectional: bool,
-    /// From when on, in microseconds,
+    /// When the fault first starts.
     pub starts_at: i64,
-    /// for so long,
+    /// How long each repetition lasts.
     pub duration: i64,
-    /// again after so long from its last beginning,
+    /// Time from the start of one repetition to the start of the next; zero if the fault does not recur.
     pub period: i64,
-    /// so many times in all.
+    /// Number of repetitions; zero counts as one.
     pub repetitions: u32,
 }
 
 impl ScheduledFault {
-    /// Whether it is on at a time.
+    /// Whether the fault is active at a time.
     pub fn is_active(&self, now: i64) -> bool {
         let since = now - self.starts_at;
         if since < 0 {
@@ -57,36 +57,36 @@
         repetition < i64::from(self.repetitions.max(1)) && elapsed < self.duration
     }
 
-    /// Whether it is about a road.
+    /// Whether the fault affects a link.
     pub fn applies_to(&self, from: usize, to: usize) -> bool {
         (self.from.contains(from) && self.to.contains(to))
             || (self.bidirectional && self.from.contains(to) && self.to.contains(from))
     }
 
-    /// When it is over for good.
+    /// When the last repetition ends.
     pub fn ends_at(&self) -> i64 {
-        let repetitions = i64::from(self.repetitions.max(1)) - 1;
-        self.starts_at + if self.period > 0 { repetitions * self.period } else { 0 } + self.duration
+        let later_repetitions = i64::from(self.repetitions.max(1)) - 1;
+        self.starts_at + if self.period > 0 { later_repetitions * self.period } else { 0 } + self.duration
     }
 }
 
-/// All that goes wrong on roads.
+/// All faults of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FaultSchedule(pub Vec<ScheduledFault>);
 
 impl FaultSchedule {
-    /// What is wrong on a road at a time: all faults that are on it together.
+    /// The fault of a link at a time: all active faults combined.
     pub fn fault(&self, from: usize, to: usize, now: i64) -> Fault {
         let active = self.0.iter().filter(|entry| entry.is_active(now) && entry.applies_to(from, to));
         active.fold(Fault::default(), |combined, entry| combined.combine(entry.fault))
     }
 
-    /// When the last of it is over; none if there is nothing.
+    /// When the last fault ends; none if the schedule is empty.
     pub fn ends_at(&self) -> Option<i64> {
         self.0.iter().map(ScheduledFault::ends_at).max()
     }
 
-    /// The same, by a clock that was at `zero` when this one was at 0.
+    /// The schedule with all times moved by `offset`.
     pub fn shifted_by(mut self, offset: i64) -> FaultSchedule {
         self.0.iter_mut().for_each(|entry| entry.starts_at += offset);
         self
--- a/crates/network-faults/tests/faults.rs
+++ b/crates/network-faults/tests/faults.rs
@@ -1,9 +1,10 @@
-//! What faults do to what is sent.
+//! The effects of each fault on transmitted datagrams.
 
 use std::collections::BTreeSet;
 use wheelfield_network_faults::{Delivery, Fault, FaultSchedule, LinkEmulator, NodeSet, ScheduledFault};
 
-fn entry(fault: Fault) -> ScheduledFault {
+/// The fault, on all links and at all times.
+fn always(fault: Fault) -> ScheduledFault {
     ScheduledFault {
         fault,
         from: NodeSet::All,
@@ -16,118 +17,130 @@
     }
 }
 
-fn these(parties: &[usize]) -> NodeSet {
-    NodeSet::Only(parties.iter().copied().collect())
+fn nodes(numbers: &[usize]) -> NodeSet {
+    NodeSet::Only(numbers.iter().copied().collect())
 }
 
-fn with(fault: Fault) -> LinkEmulator {
-    LinkEmulator::new(FaultSchedule(vec![entry(fault)]), 7)
+fn emulator(fault: Fault) -> LinkEmulator {
+    LinkEmulator::new(FaultSchedule(vec![always(fault)]), 7)
 }
 
 #[test]
-fn a_cut_holds_in_its_direction_at_its_time_and_on_its_roads_alone() {
-    let cut = Fault { blocked: true, ..Fault::default() };
-    let one_way =
-        ScheduledFault { from: these(&[0]), to: these(&[1, 2]), starts_at: 100, duration: 50, ..entry(cut) };
-    let mut roads = LinkEmulator::new(FaultSchedule(vec![one_way.clone()]), 1);
-    let mut passes = |from, to, now| roads.transmit(from, to, now, b"x").len() == 1;
-    assert!(!passes(0, 1, 100) && !passes(0, 2, 149));
-    assert!(passes(0, 1, 99) && passes(0, 1, 150), "before and after");
-    assert!(passes(1, 0, 120) && passes(0, 3, 120) && passes(2, 1, 120), "other roads");
-    assert_eq!((roads.counters(0, 1).blocked, roads.counters(0, 1).sent), (1, 3));
-    let mut both =
+fn a_link_is_blocked_only_in_its_direction_and_during_the_scheduled_time() {
+    let blocked = Fault { blocked: true, ..Fault::default() };
+    let one_way = ScheduledFault {
+        from: nodes(&[0]),
+        to: nodes(&[1, 2]),
+        starts_at: 100,
+        duration: 50,
+        ..always(blocked)
+    };
+    let mut links = LinkEmulator::new(FaultSchedule(vec![one_way.clone()]), 1);
+    let mut is_delivered = |from, to, now| links.transmit(from, to, now, b"x").len() == 1;
+    assert!(!is_delivered(0, 1, 100) && !is_delivered(0, 2, 149));
+    assert!(is_delivered(0, 1, 99) && is_delivered(0, 1, 150), "before and after the fault");
+    assert!(is_delivered(1, 0, 120) && is_delivered(0, 3, 120) && is_delivered(2, 1, 120), "other links");
+    assert_eq!((links.counters(0, 1).blocked, links.counters(0, 1).sent), (1, 3));
+    let mut bidirectional =
         LinkEmulator::new(FaultSchedule(vec![ScheduledFault { bidirectional: true, ..one_way }]), 1);
-    assert!(both.transmit(1, 0, 120, b"x").is_empty() && !both.transmit(1, 2, 120, b"x").is_empty());
+    assert!(
+        bidirectional.transmit(1, 0, 120, b"x").is_empty()
+            && !bidirectional.transmit(1, 2, 120, b"x").is_empty()
+    );
 }
 
 #[test]
-fn a_flapping_road_is_on_and_off_and_ends() {
-    let flap = ScheduledFault {
+fn a_periodic_fault_recurs_and_ends() {
+    let periodic = ScheduledFault {
         starts_at: 1_000,
         duration: 200,
         period: 400,
         repetitions: 3,
-        ..entry(Fault { blocked: true, ..Fault::default() })
+        ..always(Fault { blocked: true, ..Fault::default() })
     };
-    let on: Vec<bool> = (0..14).map(|n| flap.is_active(900 + n * 200)).collect();
+    let active: Vec<bool> = (0..14).map(|n| periodic.is_active(900 + n * 200)).collect();
     let expected = [0, 1, 0, 1, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0].map(|x| x == 1);
-    assert_eq!(on, expected);
-    assert_eq!(flap.ends_at(), 2_000);
-    assert!(!flap.is_active(flap.ends_at()) && flap.is_active(flap.ends_at() - 1));
+    assert_eq!(active, expected);
+    assert_eq!(periodic.ends_at(), 2_000);
+    assert!(!periodic.is_active(periodic.ends_at()) && periodic.is_active(periodic.ends_at() - 1));
 }
 
 #[test]
-fn loss_and_doubling_come_as_often_as_they_are_told_to() {
-    let mut roads = with(Fault { loss: 0.3, duplicate: 0.1, ..Fault::default() });
-    let came: Vec<usize> = (0..20_000).map(|n| roads.transmit(0, 1, n, b"x").len()).collect();
-    let share = |n: usize| came.iter().filter(|c| **c == n).count() as f64 / 20_000.0;
+fn loss_and_duplication_occur_with_the_given_probabilities() {
+    let mut links = emulator(Fault { loss: 0.3, duplicate: 0.1, ..Fault::default() });
+    let deliveries: Vec<usize> = (0..20_000).map(|n| links.transmit(0, 1, n, b"x").len()).collect();
+    let share = |n: usize| deliveries.iter().filter(|count| **count == n).count() as f64 / 20_000.0;
     assert!((share(0) - 0.3).abs() < 0.02, "{}", share(0));
     assert!((share(2) - 0.07).abs() < 0.01, "{}", share(2));
 }
 
 #[test]
-fn jitter_lets_what_was_sent_later_come_sooner() {
-    let mut roads = with(Fault { delay: 1_000, jitter: 5_000, ..Fault::default() });
-    let at: Vec<i64> =
-        (0..100).flat_map(|n| roads.transmit(0, 1, n * 100, b"x")).map(|a| a.at - 1_000).collect();
-    assert!(at.iter().enumerate().all(|(n, at)| (0..=5_000).contains(&(at - n as i64 * 100))));
-    assert!(at.windows(2).any(|w| w[1] < w[0]), "some overtake");
+fn jitter_reorders_datagrams() {
+    let mut links = emulator(Fault { delay: 1_000, jitter: 5_000, ..Fault::default() });
+    let arrival_times: Vec<i64> = (0..100)
+        .flat_map(|n| links.transmit(0, 1, n * 100, b"x"))
+        .map(|delivery| delivery.at - 1_000)
+        .collect();
+    assert!(arrival_times.iter().enumerate().all(|(n, at)| (0..=5_000).contains(&(at - n as i64 * 100))));
+    assert!(arrival_times.windows(2).any(|w| w[1] < w[0]), "some datagrams overtake earlier ones");
 }
 
 #[test]
-fn a_spoilt_datagram_has_one_bit_turned() {
-    let mut roads = with(Fault { corrupt: 1.0, ..Fault::default() });
-    let mut turned = BTreeSet::new();
+fn a_corrupted_datagram_has_one_flipped_bit() {
+    let mut links = emulator(Fault { corrupt: 1.0, ..Fault::default() });
+    let mut contents = BTreeSet::new();
     for n in 0..200 {
-        let [Delivery { bytes, .. }] = &roads.transmit(0, 1, n, &[0; 4])[..] else { panic!("one comes") };
+        let [Delivery { bytes, .. }] = &links.transmit(0, 1, n, &[0; 4])[..] else {
+            panic!("expected one delivery")
+        };
         let bits: u32 = bytes.iter().map(|b| b.count_ones()).sum();
         assert_eq!(bits, 1);
-        turned.insert(bytes.clone());
+        contents.insert(bytes.clone());
     }
-    assert!(turned.len() > 20, "not always the same");
+    assert!(contents.len() > 20, "the flipped bits vary");
 }
 
 #[test]
-fn where_the_rate_binds_the_queue_fills_and_the_rest_is_lost() {
-    // A hundred bytes take a tenth of a second; three hundred wait at most, with the one that passes.
-    let mut roads = with(Fault { rate: 1_000, queue_limit: 300, ..Fault::default() });
-    let at: Vec<Option<i64>> =
-        (0..5).map(|_| roads.transmit(0, 1, 0, &[0; 100]).first().map(|a| a.at)).collect();
-    assert_eq!(at, [Some(100_000), Some(200_000), Some(300_000), None, None]);
-    // What waited has passed by then.
-    assert_eq!(roads.transmit(0, 1, 150_000, &[0; 100])[0].at, 400_000);
-    assert_eq!(roads.counters(0, 1).queue_overflows, 2);
-    // Others have roads of their own.
-    assert_eq!(roads.transmit(1, 0, 0, &[0; 100])[0].at, 100_000);
+fn datagrams_beyond_the_queue_of_a_rate_limited_link_are_lost() {
+    // Transmitting 100 bytes takes 0.1 s; the queue holds 300 bytes, including the datagram in transmission.
+    let mut links = emulator(Fault { rate: 1_000, queue_limit: 300, ..Fault::default() });
+    let arrival_times: Vec<Option<i64>> =
+        (0..5).map(|_| links.transmit(0, 1, 0, &[0; 100]).first().map(|delivery| delivery.at)).collect();
+    assert_eq!(arrival_times, [Some(100_000), Some(200_000), Some(300_000), None, None]);
+    // By then a part of the queue has been transmitted.
+    assert_eq!(links.transmit(0, 1, 150_000, &[0; 100])[0].at, 400_000);
+    assert_eq!(links.counters(0, 1).queue_overflows, 2);
+    // The link in the opposite direction has its own queue.
+    assert_eq!(links.transmit(1, 0, 0, &[0; 100])[0].at, 100_000);
 }
 
 #[test]
-fn a_roads_chance_is_its_own_and_the_same_again() {
+fn the_faults_of_a_link_are_reproducible_and_independent_of_other_links() {
     let fault = Fault { loss: 0.5, jitter: 900, duplicate: 0.2, corrupt: 0.2, ..Fault::default() };
-    let on =
-        |roads: &mut LinkEmulator| -> Vec<_> { (0..50).map(|n| roads.transmit(3, 4, n, b"abc")).collect() };
-    let alone = on(&mut with(fault));
-    let mut busy = with(fault);
-    (0..500).for_each(|n| drop(busy.transmit(4, 3, n, b"others")));
-    assert_eq!(on(&mut busy), alone);
+    let deliveries =
+        |links: &mut LinkEmulator| -> Vec<_> { (0..50).map(|n| links.transmit(3, 4, n, b"abc")).collect() };
+    let alone = deliveries(&mut emulator(fault));
+    let mut with_traffic = emulator(fault);
+    (0..500).for_each(|n| drop(with_traffic.transmit(4, 3, n, b"others")));
+    assert_eq!(deliveries(&mut with_traffic), alone);
     assert_ne!(
-        on(&mut LinkEmulator::new(FaultSchedule(vec![entry(fault)]), 8)),
+        deliveries(&mut LinkEmulator::new(FaultSchedule(vec![always(fault)]), 8)),
         alone,
-        "another seed, another day"
+        "another seed gives other faults"
     );
 }
 
 #[test]
-fn faults_on_one_road_add_up() {
+fn faults_on_one_link_are_combined() {
     let (slow, lossy) = (
         Fault { delay: 5, rate: 100, queue_limit: 50, ..Fault::default() },
         Fault { loss: 0.5, ..Fault::default() },
     );
-    let table = FaultSchedule(vec![
-        entry(slow),
-        entry(lossy),
-        entry(Fault { loss: 0.5, delay: 2, rate: 70, queue_limit: 90, ..lossy }),
+    let schedule = FaultSchedule(vec![
+        always(slow),
+        always(lossy),
+        always(Fault { loss: 0.5, delay: 2, rate: 70, queue_limit: 90, ..lossy }),
     ]);
-    let all = table.fault(0, 1, 0);
-    assert_eq!((all.delay, all.loss, all.rate, all.queue_limit), (7, 0.75, 70, 50));
+    let combined = schedule.fault(0, 1, 0);
+    assert_eq!((combined.delay, combined.loss, combined.rate, combined.queue_limit), (7, 0.75, 70, 50));
 }
