--- a/crates/invariants/src/checker.rs
+++ b/crates/invariants/src/checker.rs
@@ -1,131 +1,136 @@
-//! The judge.
+//! Checks a history against the rules.
 
 use crate::history::{ClientOutcome, ClockTolerance, History, HistoryEvent, QueryRecord};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use wheelfield::interface::{DeduplicationScope, ExecutionSemantics, Micros};
 
-/// The names of the rules, in their order; and last, that each answer is its own query's and whole.
+/// The names of the seven rules in order, and "answer": each answer belongs to its query and is complete.
 pub const RULES: [&str; 8] = ["lost", "twice", "drain", "cold", "order", "placement", "budget", "answer"];
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, Serialize)]
 pub struct Violation {
-    /// Which rule.
+    /// Name of the rule.
     pub rule: &'static str,
-    /// When, in microseconds from the day's start.
+    /// Time of the violation, in microseconds since the start of the history.
     pub at: i64,
-    /// What was seen.
+    /// Description of the violation.
     #[serde(rename = "what")]
     pub description: String,
 }
 
-/// An attempt as the engines saw it.
+/// An attempt as recorded by its engine.
 #[derive(Clone, Debug)]
 struct Attempt<'a> {
     received: &'a HistoryEvent,
-    /// When it ended there, and whether it was turned away unseen.
-    ended: i64,
-    refused: bool,
+    ended_at: i64,
+    /// Whether the engine refused the attempt without running it.
+    was_refused: bool,
 }
 
 struct Checker<'a> {
-    e: &'a History<'a>,
+    history: &'a History<'a>,
     attempts: BTreeMap<&'a str, Vec<Attempt<'a>>>,
-    asked: BTreeMap<&'a str, &'a QueryRecord>,
-    /// Spans in which an engine hung: what it reads at their end was sent before.
+    queries: BTreeMap<&'a str, &'a QueryRecord>,
+    /// Spans in which an engine hung. What it reads at the end of a span was sent earlier.
     hangs: BTreeMap<&'a str, Vec<(i64, i64)>>,
-    breaches: Vec<Violation>,
+    violations: Vec<Violation>,
 }
 
-/// Judges a day.
-pub fn check_history(evidence: &History<'_>) -> Vec<Violation> {
-    let mut judge = Checker::new(evidence);
-    judge.gather();
-    judge.lost();
-    judge.twice();
-    judge.drain();
-    judge.cold();
-    judge.order();
-    judge.placement();
-    judge.budget();
-    judge.answer();
-    judge.breaches.sort_by_key(|b| b.at);
-    judge.breaches
+/// Checks a history and returns all violations in order of time.
+pub fn check_history(history: &History<'_>) -> Vec<Violation> {
+    let mut checker = Checker::new(history);
+    checker.index_events();
+    checker.check_lost();
+    checker.check_twice();
+    checker.check_drain();
+    checker.check_cold();
+    checker.check_order();
+    checker.check_placement();
+    checker.check_budget();
+    checker.check_answer();
+    checker.violations.sort_by_key(|violation| violation.at);
+    checker.violations
 }
 
-/// Work that a cold engine was sent within the span, and could do in it.
+/// An attempt that an engine in slow start received, with the load of the overload window that ends with it.
 struct ColdDispatch<'a> {
-    line: &'a HistoryEvent,
+    event: &'a HistoryEvent,
+    /// Work sent to the engine within the window, in seconds of one thread.
     work: f64,
-    able: f64,
-    queries: usize,
+    /// Work that the engine could do within the window, in seconds of one thread.
+    capacity: f64,
+    /// Number of attempts within the window.
+    query_count: usize,
 }
 
-/// The largest multiple of what it could do that each cold engine was sent within the span of the settings; one query alone
-/// counts for nothing.
-pub fn slow_start_overload_peaks(evidence: &History<'_>) -> BTreeMap<String, f64> {
-    let judge = Checker::new(evidence);
+/// For each engine, the largest ratio of the work that it was sent within the overload window during slow start to its
+/// capacity. A window with a single query does not count.
+pub fn slow_start_overload_peaks(history: &History<'_>) -> BTreeMap<String, f64> {
+    let checker = Checker::new(history);
     let mut peaks: BTreeMap<String, f64> = BTreeMap::new();
-    for sent in judge.sent_cold().into_iter().filter(|s| s.queries > 1) {
-        let peak = peaks.entry(sent.line.engine.clone()).or_default();
-        *peak = peak.max(sent.work / sent.able.max(1e-9));
+    for dispatch in checker.cold_dispatches().into_iter().filter(|dispatch| dispatch.query_count > 1) {
+        let peak = peaks.entry(dispatch.event.engine.clone()).or_default();
+        *peak = peak.max(dispatch.work / dispatch.capacity.max(1e-9));
     }
     peaks
 }
 
-fn controller_of(by: &str) -> Option<usize> {
-    by.strip_prefix("wheelfield/")?.parse().ok()
+/// The index of the controller that sent an attempt.
+fn controller_index(sent_by: &str) -> Option<usize> {
+    sent_by.strip_prefix("wheelfield/")?.parse().ok()
 }
 
 impl<'a> Checker<'a> {
-    fn new(evidence: &'a History<'a>) -> Checker<'a> {
+    fn new(history: &'a History<'a>) -> Checker<'a> {
         Checker {
-            e: evidence,
+            history,
             attempts: BTreeMap::new(),
-            asked: evidence.queries.iter().map(|t| (t.id.as_str(), t)).collect(),
+            queries: history.queries.iter().map(|query| (query.id.as_str(), query)).collect(),
             hangs: BTreeMap::new(),
-            breaches: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
-    fn breach(&mut self, rule: &'static str, at: i64, what: String) {
-        self.breaches.push(Violation { rule, at: at - self.e.started_at, description: what });
+    fn report(&mut self, rule: &'static str, at: i64, description: String) {
+        self.violations.push(Violation { rule, at: at - self.history.started_at, description });
     }
 
-    /// Each answer is its own client's own query's, and whole if it is told as whole.
-    fn answer(&mut self) {
-        for t in self.e.queries {
-            if let Some(wrong) = &t.answer_error {
-                self.breach("answer", t.ended_at, format!("{}: {wrong}", t.id));
+    /// Rule "answer": each answer belongs to its query and is complete if it is reported as complete.
+    fn check_answer(&mut self) {
+        for query in self.history.queries {
+            if let Some(error) = &query.answer_error {
+                self.report("answer", query.ended_at, format!("{}: {error}", query.id));
             }
         }
     }
 
-    fn gather(&mut self) {
-        for line in self.e.events {
-            let query = line.query.as_deref();
-            match (line.event.as_str(), query) {
+    /// Collects the attempts of each query and the hangs of each engine.
+    fn index_events(&mut self) {
+        for event in self.history.events {
+            let query = event.query.as_deref();
+            match (event.event.as_str(), query) {
                 ("received", Some(query)) => {
-                    let attempt = Attempt { received: line, ended: i64::MAX, refused: false };
+                    let attempt = Attempt { received: event, ended_at: i64::MAX, was_refused: false };
                     self.attempts.entry(query).or_default().push(attempt);
                 }
                 ("finished" | "dropped" | "refused" | "errored", Some(query)) => {
-                    let all = self.attempts.entry(query).or_default();
-                    let same = |a: &&mut Attempt<'_>| {
-                        a.received.engine == line.engine
-                            && a.received.sent_by == line.sent_by
-                            && a.ended == i64::MAX
+                    let attempts = self.attempts.entry(query).or_default();
+                    let is_unfinished_match = |attempt: &&mut Attempt<'_>| {
+                        attempt.received.engine == event.engine
+                            && attempt.received.sent_by == event.sent_by
+                            && attempt.ended_at == i64::MAX
                     };
-                    if let Some(a) = all.iter_mut().find(same) {
-                        (a.ended, a.refused) = (line.at, line.event == "refused");
+                    if let Some(attempt) = attempts.iter_mut().find(is_unfinished_match) {
+                        (attempt.ended_at, attempt.was_refused) = (event.at, event.event == "refused");
                     }
                 }
-                ("fault", _) if line.kind == "hang" => {
-                    let spans = self.hangs.entry(line.engine.as_str()).or_default();
+                ("fault", _) if event.kind == "hang" => {
+                    let spans = self.hangs.entry(event.engine.as_str()).or_default();
                     match spans.last_mut() {
-                        Some(last) if line.value == 0.0 => last.1 = line.at,
-                        _ if line.value > 0.0 => spans.push((line.at, i64::MAX)),
+                        Some(last) if event.value == 0.0 => last.1 = event.at,
+                        _ if event.value > 0.0 => spans.push((event.at, i64::MAX)),
                         _ => {}
                     }
                 }
@@ -134,131 +139,156 @@
         }
     }
 
-    /// Whether an engine stood still at some time in a span.
-    fn hung(&self, engine: &str, from: i64, to: i64) -> bool {
+    /// Whether an engine hung at some time in a span.
+    fn was_hung(&self, engine: &str, from: i64, to: i64) -> bool {
         let spans = self.hangs.get(engine).map(Vec::as_slice).unwrap_or(&[]);
-        spans.iter().any(|(a, b)| *a <= to && *b >= from)
+        spans.iter().any(|(start, end)| *start <= to && *end >= from)
     }
 
-    /// Whether a controller ran without a break in a span.
-    fn ran(&self, controller: usize, from: i64, to: i64) -> bool {
-        let lives = self.e.lifetimes.iter().filter(|l| l.controller == controller);
-        lives.clone().any(|l| l.started_at <= from && l.ended_at.is_none_or(|k| k > to))
+    /// Whether a single process of a controller ran during the whole span.
+    fn ran_continuously(&self, controller: usize, from: i64, to: i64) -> bool {
+        let lifetimes = self.history.lifetimes.iter().filter(|lifetime| lifetime.controller == controller);
+        lifetimes
+            .clone()
+            .any(|lifetime| lifetime.started_at <= from && lifetime.ended_at.is_none_or(|end| end > to))
     }
 
-    fn stood_still(&self, controller: usize, from: i64, to: i64) -> bool {
-        let mut lives = self.e.lifetimes.iter().filter(|l| l.controller == controller);
-        lives.any(|l| l.stalls.iter().any(|(a, b)| *a <= to && *b >= from))
+    /// Whether a controller was stalled at some time in a span.
+    fn was_stalled(&self, controller: usize, from: i64, to: i64) -> bool {
+        let mut lifetimes =
+            self.history.lifetimes.iter().filter(|lifetime| lifetime.controller == controller);
+        lifetimes.any(|lifetime| lifetime.stalls.iter().any(|(start, end)| *start <= to && *end >= from))
     }
 
-    /// Rule 1: one final answer before the client gives up, and nothing after.
-    fn lost(&mut self) {
-        for t in self.e.queries {
-            let answered = matches!(
-                t.outcome,
+    /// Rule 1, "lost": one final answer before the client's deadline, and nothing after it.
+    fn check_lost(&mut self) {
+        for query in self.history.queries {
+            let is_answered = matches!(
+                query.outcome,
                 Some(ClientOutcome::Served | ClientOutcome::Refused | ClientOutcome::Failed)
             );
-            if t.answer_count > 1 {
-                self.breach("lost", t.ended_at, format!("{} got {} answers", t.id, t.answer_count));
+            if query.answer_count > 1 {
+                self.report(
+                    "lost",
+                    query.ended_at,
+                    format!("{} got {} answers", query.id, query.answer_count),
+                );
             }
-            if let Some(tag) = t.message_after_answer {
-                self.breach("lost", t.ended_at, format!("{} got a message '{tag}' after its answer", t.id));
+            if let Some(message) = query.message_after_answer {
+                self.report(
+                    "lost",
+                    query.ended_at,
+                    format!("{} got a message '{message}' after its answer", query.id),
+                );
             }
-            // A controller that stood still could not answer; it is judged by what it does when it goes on.
-            let excused = !self.ran(t.controller, t.sent_at, t.ended_at.min(t.deadline) + 1)
-                || self.stood_still(t.controller, t.sent_at, t.deadline);
-            if answered && t.ended_at > t.deadline + self.e.tolerance.answer_slack && !excused {
-                let late = (t.ended_at - t.deadline) / 1000;
-                self.breach(
+            // A stalled controller could not answer in time; only what it does afterwards is checked.
+            let is_excused = !self.ran_continuously(
+                query.controller,
+                query.sent_at,
+                query.ended_at.min(query.deadline) + 1,
+            ) || self.was_stalled(query.controller, query.sent_at, query.deadline);
+            if is_answered
+                && query.ended_at > query.deadline + self.history.tolerance.answer_slack
+                && !is_excused
+            {
+                let late = (query.ended_at - query.deadline) / 1000;
+                self.report(
                     "lost",
-                    t.ended_at,
-                    format!("{} was answered {late} ms after its client gave up", t.id),
+                    query.ended_at,
+                    format!("{} was answered {late} ms after its client gave up", query.id),
                 );
             }
-            if matches!(t.outcome, Some(ClientOutcome::NoAnswer)) && !excused {
-                self.breach(
+            if matches!(query.outcome, Some(ClientOutcome::NoAnswer)) && !is_excused {
+                self.report(
                     "lost",
-                    t.deadline,
-                    format!("{} got no answer from controller {}", t.id, t.controller),
+                    query.deadline,
+                    format!("{} got no answer from controller {}", query.id, query.controller),
                 );
             }
-            if matches!(t.outcome, Some(ClientOutcome::Broke)) && !excused {
-                self.breach(
+            if matches!(query.outcome, Some(ClientOutcome::Broke)) && !is_excused {
+                self.report(
                     "lost",
-                    t.ended_at,
-                    format!("the connection of {} broke at controller {}", t.id, t.controller),
+                    query.ended_at,
+                    format!("the connection of {} broke at controller {}", query.id, query.controller),
                 );
             }
-            if t.outcome.is_none() {
-                self.breach("lost", t.sent_at, format!("{} did not end", t.id));
+            if query.outcome.is_none() {
+                self.report("lost", query.sent_at, format!("{} did not end", query.id));
             }
-            if !answered && t.outcome != Some(ClientOutcome::Left) {
+            if !is_answered && query.outcome != Some(ClientOutcome::Left) {
                 continue;
             }
-            let attempts = self.attempts.get(t.id.as_str()).cloned().unwrap_or_default();
-            for a in attempts {
-                let r = a.received;
-                if r.at > t.ended_at + self.e.tolerance.transit && !self.hung(&r.engine, t.ended_at, r.at) {
-                    let after = (r.at - t.ended_at) / 1000;
-                    self.breach(
+            let attempts = self.attempts.get(query.id.as_str()).cloned().unwrap_or_default();
+            for attempt in attempts {
+                let received = attempt.received;
+                if received.at > query.ended_at + self.history.tolerance.transit
+                    && !self.was_hung(&received.engine, query.ended_at, received.at)
+                {
+                    let after = (received.at - query.ended_at) / 1000;
+                    self.report(
                         "lost",
-                        r.at,
-                        format!("{} was sent to {} {after} ms after its end", t.id, r.engine),
+                        received.at,
+                        format!("{} was sent to {} {after} ms after its end", query.id, received.engine),
                     );
                 }
             }
         }
     }
 
-    /// Rule 2: nothing runs twice that must not, and a refusal is true.
-    fn twice(&mut self) {
-        for t in self.e.queries {
-            let Some(class) = self.e.settings.classes.get(t.class) else { continue };
-            let ran: Vec<Attempt<'_>> = self
+    /// Rule 2, "twice": no query runs more often than its class permits, and a refused query did not run.
+    fn check_twice(&mut self) {
+        for query in self.history.queries {
+            let Some(class) = self.history.settings.classes.get(query.class) else { continue };
+            let accepted: Vec<Attempt<'_>> = self
                 .attempts
-                .get(t.id.as_str())
+                .get(query.id.as_str())
                 .into_iter()
                 .flatten()
-                .filter(|a| !a.refused)
+                .filter(|attempt| !attempt.was_refused)
                 .cloned()
                 .collect();
             match class.semantics {
                 ExecutionSemantics::Idempotent => {}
                 ExecutionSemantics::AtMostOnce => {
-                    if ran.len() > 1 {
-                        let where_: Vec<&str> = ran.iter().map(|a| a.received.engine.as_str()).collect();
-                        self.breach(
+                    if accepted.len() > 1 {
+                        let engines: Vec<&str> =
+                            accepted.iter().map(|attempt| attempt.received.engine.as_str()).collect();
+                        self.report(
                             "twice",
-                            ran[1].received.at,
-                            format!("{} ran at {}", t.id, where_.join(" and ")),
+                            accepted[1].received.at,
+                            format!("{} ran at {}", query.id, engines.join(" and ")),
                         );
                     }
-                    if t.outcome == Some(ClientOutcome::Refused) && !ran.is_empty() {
-                        self.breach(
+                    if query.outcome == Some(ClientOutcome::Refused) && !accepted.is_empty() {
+                        self.report(
                             "twice",
-                            t.ended_at,
-                            format!("{} was refused, but ran at {}", t.id, ran[0].received.engine),
+                            query.ended_at,
+                            format!("{} was refused, but ran at {}", query.id, accepted[0].received.engine),
                         );
                     }
                 }
                 ExecutionSemantics::IdempotencyKey => {
-                    let Some((first, others)) = ran.split_first() else { continue };
-                    for a in others {
-                        let (one, other) = (first.received, a.received);
-                        let inside = match class.deduplication_scope {
+                    let Some((first, later)) = accepted.split_first() else { continue };
+                    for attempt in later {
+                        let (first_event, later_event) = (first.received, attempt.received);
+                        let in_scope = match class.deduplication_scope {
                             DeduplicationScope::All => true,
-                            DeduplicationScope::Zone => one.zone == other.zone,
-                            DeduplicationScope::Cell => one.cell == other.cell,
+                            DeduplicationScope::Zone => first_event.zone == later_event.zone,
+                            DeduplicationScope::Cell => first_event.cell == later_event.cell,
                         };
-                        let late = other.at - one.at
-                            > class.deduplication_window.0 + self.e.tolerance.window_slack
-                            && !self.hung(&other.engine, one.at, other.at);
-                        if !inside || late {
-                            let why = if inside { "after its window" } else { "outside of its group" };
-                            self.breach(
+                        let is_late = later_event.at - first_event.at
+                            > class.deduplication_window.0 + self.history.tolerance.window_slack
+                            && !self.was_hung(&later_event.engine, first_event.at, later_event.at);
+                        if !in_scope || is_late {
+                            let reason = if in_scope {
+                                "after the deduplication window"
+                            } else {
+                                "outside of the deduplication scope"
+                            };
+                            self.report(
                                 "twice",
-                                other.at,
-                                format!("{} went to {} {why}", t.id, other.engine),
+                                later_event.at,
+                                format!("{} was sent to {} {reason}", query.id, later_event.engine),
                             );
                         }
                     }
@@ -267,77 +297,83 @@
         }
     }
 
-    /// Rule 3: nothing new later than the grace after a controller was told.
-    fn drain(&mut self) {
-        let grace = self.e.drain_grace;
-        let mut told: BTreeMap<(usize, &str), i64> = BTreeMap::new();
+    /// Rule 3, "drain": a controller sends nothing to an unavailable engine later than the grace period after it was told.
+    fn check_drain(&mut self) {
+        let grace = self.history.drain_grace;
+        let mut unavailable_since: BTreeMap<(usize, &str), i64> = BTreeMap::new();
         let mut found = Vec::new();
-        for line in self.e.events {
-            if line.event == "told" {
-                let Ok(who) = line.controller.parse::<usize>() else { continue };
-                let named: BTreeSet<&str> =
-                    line.unavailable_engines.iter().map(|n| n.engine.as_str()).collect();
-                told.retain(|(w, engine), _| *w != who || named.contains(engine));
-                for engine in named {
-                    told.entry((who, engine)).or_insert(line.at);
+        for event in self.history.events {
+            if event.event == "told" {
+                let Ok(controller) = event.controller.parse::<usize>() else { continue };
+                let listed: BTreeSet<&str> = event
+                    .unavailable_engines
+                    .iter()
+                    .map(|listed_engine| listed_engine.engine.as_str())
+                    .collect();
+                unavailable_since
+                    .retain(|(notified, engine), _| *notified != controller || listed.contains(engine));
+                for engine in listed {
+                    unavailable_since.entry((controller, engine)).or_insert(event.at);
                 }
             }
-            if line.event == "received" {
-                let Some(who) = controller_of(&line.sent_by) else { continue };
-                let Some(at) = told.get(&(who, line.engine.as_str())) else { continue };
-                if line.at > at + grace
-                    && !self.hung(&line.engine, *at, line.at)
-                    && !self.stood_still(who, *at, line.at)
+            if event.event == "received" {
+                let Some(controller) = controller_index(&event.sent_by) else { continue };
+                let Some(since) = unavailable_since.get(&(controller, event.engine.as_str())) else {
+                    continue;
+                };
+                if event.at > since + grace
+                    && !self.was_hung(&event.engine, *since, event.at)
+                    && !self.was_stalled(controller, *since, event.at)
                 {
-                    let query = line.query.as_deref().unwrap_or("?");
-                    let after = (line.at - at) / 1000;
+                    let query = event.query.as_deref().unwrap_or("?");
+                    let after = (event.at - since) / 1000;
                     found.push((
-                        line.at,
+                        event.at,
                         format!(
-                            "controller {who} sent {query} to {} {after} ms after it was told",
-                            line.engine
+                            "controller {controller} sent {query} to {} {after} ms after it was told that the engine is unavailable",
+                            event.engine
                         ),
                     ));
                 }
             }
         }
-        for (at, what) in found {
-            self.breach("drain", at, what);
+        for (at, description) in found {
+            self.report("drain", at, description);
         }
     }
 
-    /// The usual work of a class, in seconds of one thread.
-    fn usual_work(&self, class: usize) -> f64 {
-        self.e.classes.get(class).map_or(0.0, |c| c.typical_work)
+    /// The typical work of a class, in seconds of one thread.
+    fn typical_work(&self, class: usize) -> f64 {
+        self.history.classes.get(class).map_or(0.0, |class| class.typical_work)
     }
 
-    /// What cold engines were sent within the span, each time that one was sent something.
-    fn sent_cold(&self) -> Vec<ColdDispatch<'a>> {
-        let s = self.e.settings;
-        let Micros(span) = s.overload_window;
-        let mut sent: BTreeMap<&str, VecDeque<(i64, f64)>> = BTreeMap::new();
+    /// The work that an engine in slow start was sent within the overload window, at each attempt that it received.
+    fn cold_dispatches(&self) -> Vec<ColdDispatch<'a>> {
+        let settings = self.history.settings;
+        let Micros(window_length) = settings.overload_window;
+        let mut windows: BTreeMap<&str, VecDeque<(i64, f64)>> = BTreeMap::new();
         let mut found = Vec::new();
-        if s.overload_multiple <= 0.0 || span <= 0 {
+        if settings.overload_multiple <= 0.0 || window_length <= 0 {
             return found;
         }
-        for line in self.e.events {
-            let engine = line.engine.as_str();
-            match line.event.as_str() {
+        for event in self.history.events {
+            let engine = event.engine.as_str();
+            match event.event.as_str() {
                 "restarted" => {
-                    sent.remove(engine);
+                    windows.remove(engine);
                 }
-                "received" if line.capacity_fraction < 1.0 && line.capacity_fraction > 0.0 => {
-                    let tried = line.query.as_deref().and_then(|q| self.asked.get(q));
-                    let Some(class) = tried.map(|t| t.class) else { continue };
-                    let window = sent.entry(engine).or_default();
-                    window.push_back((line.at, self.usual_work(class)));
-                    while window.front().is_some_and(|(t, _)| *t < line.at - span) {
+                "received" if event.capacity_fraction < 1.0 && event.capacity_fraction > 0.0 => {
+                    let query = event.query.as_deref().and_then(|id| self.queries.get(id));
+                    let Some(class) = query.map(|query| query.class) else { continue };
+                    let window = windows.entry(engine).or_default();
+                    window.push_back((event.at, self.typical_work(class)));
+                    while window.front().is_some_and(|(at, _)| *at < event.at - window_length) {
                         window.pop_front();
                     }
-                    let work: f64 = window.iter().map(|(_, w)| w).sum();
-                    let cores = self.e.engine_cores.get(engine).copied().unwrap_or(1.0);
-                    let able = cores * line.capacity_fraction * span as f64 / 1e6;
-                    found.push(ColdDispatch { line, work, able, queries: window.len() });
+                    let work: f64 = window.iter().map(|(_, work)| work).sum();
+                    let cores = self.history.engine_cores.get(engine).copied().unwrap_or(1.0);
+                    let capacity = cores * event.capacity_fraction * window_length as f64 / 1e6;
+                    found.push(ColdDispatch { event, work, capacity, query_count: window.len() });
                 }
                 _ => {}
             }
@@ -345,69 +381,83 @@
         found
     }
 
-    /// Rule 4: all controllers together don't push over a cold engine.
-    fn cold(&mut self) {
-        let multiple = self.e.settings.overload_multiple;
-        let fell = self.e.events.iter().filter(|l| l.event == "fell_over");
-        let mut found: Vec<(i64, String)> = fell
-            .map(|l| (l.at, format!("{} was sent too much while cold and fell over", l.engine)))
+    /// Rule 4, "cold": all controllers together do not overload an engine in slow start.
+    fn check_cold(&mut self) {
+        let multiple = self.history.settings.overload_multiple;
+        let failures = self.history.events.iter().filter(|event| event.event == "fell_over");
+        let mut found: Vec<(i64, String)> = failures
+            .map(|event| (event.at, format!("{} failed under overload during slow start", event.engine)))
             .collect();
-        let mut over: BTreeSet<(&str, i64)> = BTreeSet::new();
-        for sent in self.sent_cold() {
-            let ColdDispatch { line, work, able, queries } = sent;
-            let engine = line.engine.as_str();
-            let starts = self.e.events.iter().filter(|l| l.event == "restarted" && l.engine == engine);
-            // One query alone is no flood, and one breach tells of a start.
-            if work > multiple * able && queries > 1 {
-                let start = starts.map(|l| l.at).filter(|t| *t <= line.at).max().unwrap_or(0);
-                if over.insert((engine, start)) {
-                    let (warmth, able) = (line.capacity_fraction, multiple * able);
-                    let what =
-                        format!("{engine} at {warmth:.2} of its work was sent {work:.1} of {able:.1} s");
-                    found.push((line.at, what));
+        let mut reported: BTreeSet<(&str, i64)> = BTreeSet::new();
+        for dispatch in self.cold_dispatches() {
+            let ColdDispatch { event, work, capacity, query_count } = dispatch;
+            let engine = event.engine.as_str();
+            let restarts = self
+                .history
+                .events
+                .iter()
+                .filter(|restart| restart.event == "restarted" && restart.engine == engine);
+            // A single query is no overload, and one violation is reported for each start of an engine.
+            if work > multiple * capacity && query_count > 1 {
+                let restarted_at =
+                    restarts.map(|restart| restart.at).filter(|at| *at <= event.at).max().unwrap_or(0);
+                if reported.insert((engine, restarted_at)) {
+                    let (fraction, limit) = (event.capacity_fraction, multiple * capacity);
+                    let description =
+                        format!("{engine} at {fraction:.2} of its capacity was sent {work:.1} s of work; the limit is {limit:.1} s");
+                    found.push((event.at, description));
                 }
             }
         }
-        for (at, what) in found {
-            self.breach("cold", at, what);
+        for (at, description) in found {
+            self.report("cold", at, description);
         }
     }
 
-    /// Rule 5: queries of one key one at a time, in turn.
-    fn order(&mut self) {
-        let ClockTolerance { window_slack: edge, order_resolution: unordered, .. } = self.e.tolerance;
-        let mut lines: BTreeMap<(usize, &str), Vec<&QueryRecord>> = BTreeMap::new();
-        for t in self.e.queries {
-            let in_order = self.e.settings.classes.get(t.class).is_some_and(|c| c.ordered_by_key);
-            if let Some(key) = t.key.as_deref().filter(|_| in_order) {
-                lines.entry((t.controller, key)).or_default().push(t);
+    /// Rule 5, "order": queries of one key run one at a time, in order of arrival.
+    fn check_order(&mut self) {
+        let ClockTolerance { window_slack, order_resolution, .. } = self.history.tolerance;
+        let mut queries_by_key: BTreeMap<(usize, &str), Vec<&QueryRecord>> = BTreeMap::new();
+        for query in self.history.queries {
+            let is_ordered =
+                self.history.settings.classes.get(query.class).is_some_and(|class| class.ordered_by_key);
+            if let Some(key) = query.key.as_deref().filter(|_| is_ordered) {
+                queries_by_key.entry((query.controller, key)).or_default().push(query);
             }
         }
         let mut found = Vec::new();
-        for ((controller, key), tries) in &lines {
-            for (i, t) in tries.iter().enumerate() {
-                for earlier in &tries[..i] {
-                    // What another process of the controller took, this one never heard of.
-                    if !self.ran(*controller, earlier.sent_at, t.sent_at) {
+        for ((controller, key), queries) in &queries_by_key {
+            for (i, query) in queries.iter().enumerate() {
+                for earlier in &queries[..i] {
+                    // A process does not know the queries of an earlier process of the same controller.
+                    if !self.ran_continuously(*controller, earlier.sent_at, query.sent_at) {
                         continue;
                     }
-                    let all =
-                        |t: &QueryRecord| self.attempts.get(t.id.as_str()).map(Vec::as_slice).unwrap_or(&[]);
-                    for a in all(t) {
-                        for b in all(earlier) {
-                            let overlaps = a.received.at < b.ended && a.received.at > b.received.at;
-                            let overtakes = b.received.at > a.received.at + edge
-                                && t.sent_at - earlier.sent_at > unordered;
-                            let hung = self.hung(&b.received.engine, b.received.at, a.received.at)
-                                || self.hung(
-                                    &a.received.engine,
-                                    b.received.at.min(a.received.at),
-                                    a.received.at.max(b.received.at),
-                                );
-                            if (overlaps || overtakes) && !hung {
+                    let attempts_of = |query: &QueryRecord| {
+                        self.attempts.get(query.id.as_str()).map(Vec::as_slice).unwrap_or(&[])
+                    };
+                    for attempt in attempts_of(query) {
+                        for earlier_attempt in attempts_of(earlier) {
+                            let overlaps = attempt.received.at < earlier_attempt.ended_at
+                                && attempt.received.at > earlier_attempt.received.at;
+                            let overtakes = earlier_attempt.received.at > attempt.received.at + window_slack
+                                && query.sent_at - earlier.sent_at > order_resolution;
+                            let was_hung = self.was_hung(
+                                &earlier_attempt.received.engine,
+                                earlier_attempt.received.at,
+                                attempt.received.at,
+                            ) || self.was_hung(
+                                &attempt.received.engine,
+                                earlier_attempt.received.at.min(attempt.received.at),
+                                attempt.received.at.max(earlier_attempt.received.at),
+                            );
+                            if (overlaps || overtakes) && !was_hung {
                                 found.push((
-                                    a.received.at,
-                                    format!("{} ran before {} of key {key} was over", t.id, earlier.id),
+                                    attempt.received.at,
+                                    format!(
+                                        "{} ran before {} of the same key {key} had ended",
+                                        query.id, earlier.id
+                                    ),
                                 ));
                             }
                         }
@@ -415,99 +465,115 @@
                 }
             }
         }
-        for (at, what) in found {
-            self.breach("order", at, what);
+        for (at, description) in found {
+            self.report("order", at, description);
         }
     }
 
-    /// Rule 6: a bound class goes only where it may.
-    fn placement(&mut self) {
+    /// Rule 6, "placement": queries of a class are sent only to zones and machine kinds that the class permits.
+    fn check_placement(&mut self) {
         let mut found = Vec::new();
-        for line in self.e.events.iter().filter(|l| l.event == "received") {
-            let Some(t) = line.query.as_deref().and_then(|q| self.asked.get(q)) else { continue };
-            let Some(class) = self.e.classes.get(t.class) else { continue };
-            let open = |names: &[String], is: &str| names.is_empty() || names.iter().any(|n| n == is);
-            if !open(&class.zones, &line.zone) || !open(&class.kinds, &line.kind) {
+        for event in self.history.events.iter().filter(|event| event.event == "received") {
+            let Some(query) = event.query.as_deref().and_then(|id| self.queries.get(id)) else { continue };
+            let Some(class) = self.history.classes.get(query.class) else { continue };
+            let is_allowed = |names: &[String], name: &str| {
+                names.is_empty() || names.iter().any(|allowed| allowed == name)
+            };
+            if !is_allowed(&class.zones, &event.zone) || !is_allowed(&class.kinds, &event.kind) {
                 found.push((
-                    line.at,
+                    event.at,
                     format!(
-                        "{} of class {} went to {} in zone {:?}",
-                        t.id, class.name, line.engine, line.zone
+                        "{} of class {} was sent to {} in zone {:?}",
+                        query.id, class.name, event.engine, event.zone
                     ),
                 ));
             }
         }
-        for (at, what) in found {
-            self.breach("placement", at, what);
+        for (at, description) in found {
+            self.report("placement", at, description);
         }
     }
 
-    /// Rule 7: further attempts within the budget.
-    fn budget(&mut self) {
-        let Some(budget) = self.e.settings.retry_budget else { return };
-        let (span, edge) = (budget.window.0, self.e.tolerance.window_slack);
-        // What a controller started, where that is known; else what arrived.
-        let starts = self.e.events.iter().any(|l| l.event == "sent");
-        let counted = if starts { "sent" } else { "received" };
+    /// Rule 7, "budget": the retries of a controller stay within its retry budget.
+    fn check_budget(&mut self) {
+        let Some(budget) = self.history.settings.retry_budget else { return };
+        let (window, slack) = (budget.window.0, self.history.tolerance.window_slack);
+        // Attempts that the controller started if they are recorded, otherwise those that engines received.
+        let has_dispatch_events = self.history.events.iter().any(|event| event.event == "sent");
+        let counted_event = if has_dispatch_events { "sent" } else { "received" };
         let mut found = Vec::new();
-        // Each process counts from its start.
-        for life in self.e.lifetimes {
-            let controller = life.controller;
-            let mine = |t: i64| t >= life.started_at && life.ended_at.is_none_or(|k| t <= k);
-            let taken: Vec<i64> = {
-                let sent = self.e.queries.iter().filter(|t| t.controller == controller).map(|t| t.sent_at);
-                let mut all: Vec<i64> = sent.filter(|t| mine(*t)).collect();
-                all.sort_unstable();
-                all
+        // Each process has a budget of its own from its start.
+        for lifetime in self.history.lifetimes {
+            let controller = lifetime.controller;
+            let is_in_lifetime =
+                |at: i64| at >= lifetime.started_at && lifetime.ended_at.is_none_or(|end| at <= end);
+            let accepted_at: Vec<i64> = {
+                let sent_at = self
+                    .history
+                    .queries
+                    .iter()
+                    .filter(|query| query.controller == controller)
+                    .map(|query| query.sent_at);
+                let mut accepted_at: Vec<i64> = sent_at.filter(|at| is_in_lifetime(*at)).collect();
+                accepted_at.sort_unstable();
+                accepted_at
             };
-            let mut further: VecDeque<i64> = VecDeque::new();
-            let received = |l: &&HistoryEvent| {
-                l.event == counted && controller_of(&l.sent_by) == Some(controller) && mine(l.at)
+            let mut retries: VecDeque<i64> = VecDeque::new();
+            let is_counted = |event: &&HistoryEvent| {
+                event.event == counted_event
+                    && controller_index(&event.sent_by) == Some(controller)
+                    && is_in_lifetime(event.at)
             };
-            // What an engine read as its hang ended was sent before: that was an earlier attempt, whenever it was.
-            let read_late = |l: &HistoryEvent| {
-                let sent = l.query.as_deref().and_then(|q| self.asked.get(q)).map_or(l.at, |t| t.sent_at);
-                self.hung(&l.engine, sent, l.at)
+            // An attempt that an engine read when its hang ended was sent before at an unknown time, so it was an earlier attempt.
+            let was_read_after_hang = |event: &HistoryEvent| {
+                let sent_at = event
+                    .query
+                    .as_deref()
+                    .and_then(|id| self.queries.get(id))
+                    .map_or(event.at, |query| query.sent_at);
+                self.was_hung(&event.engine, sent_at, event.at)
             };
-            // Since when: one that arrived before the hang began may have been the first.
-            let mut late: BTreeMap<&str, i64> = BTreeMap::new();
-            for line in self.e.events.iter().filter(received).filter(|l| read_late(l)) {
-                let spans = self.hangs.get(line.engine.as_str()).map_or(&[][..], Vec::as_slice);
-                let from = spans.iter().filter(|(_, b)| *b <= line.at).map(|(a, _)| *a).max();
-                if let Some(query) = line.query.as_deref() {
-                    let since = late.entry(query).or_insert(i64::MAX);
+            // The start of the hang for each such query: an attempt that arrived before it may have been the first one.
+            let mut late_since: BTreeMap<&str, i64> = BTreeMap::new();
+            for event in
+                self.history.events.iter().filter(is_counted).filter(|event| was_read_after_hang(event))
+            {
+                let spans = self.hangs.get(event.engine.as_str()).map_or(&[][..], Vec::as_slice);
+                let from = spans.iter().filter(|(_, end)| *end <= event.at).map(|(start, _)| *start).max();
+                if let Some(query) = event.query.as_deref() {
+                    let since = late_since.entry(query).or_insert(i64::MAX);
                     *since = (*since).min(from.unwrap_or(i64::MIN));
                 }
             }
-            let mut seen: BTreeSet<&str> = BTreeSet::new();
-            for line in self.e.events.iter().filter(received).filter(|l| !read_late(l)) {
-                let Some(query) = line.query.as_deref() else { continue };
-                // Of a process that was entered in the middle, the queries of the span before are not known.
-                let unknown = life.begins_mid_run && line.at < life.started_at + span;
-                let first = seen.insert(query) && late.get(query).is_none_or(|since| line.at < *since);
-                if first || unknown || self.stood_still(controller, line.at - span, line.at) {
+            let mut counted_queries: BTreeSet<&str> = BTreeSet::new();
+            for event in
+                self.history.events.iter().filter(is_counted).filter(|event| !was_read_after_hang(event))
+            {
+                let Some(query) = event.query.as_deref() else { continue };
+                // The queries in the window before a lifetime that begins mid-run are not known.
+                let is_unknown = lifetime.begins_mid_run && event.at < lifetime.started_at + window;
+                let is_first = counted_queries.insert(query)
+                    && late_since.get(query).is_none_or(|since| event.at < *since);
+                if is_first || is_unknown || self.was_stalled(controller, event.at - window, event.at) {
                     continue;
                 }
-                further.push_back(line.at);
-                while further.front().is_some_and(|t| *t <= line.at - span + edge) {
-                    further.pop_front();
+                retries.push_back(event.at);
+                while retries.front().is_some_and(|at| *at <= event.at - window + slack) {
+                    retries.pop_front();
                 }
-                let from = taken.partition_point(|t| *t < line.at - span - edge);
-                let to = taken.partition_point(|t| *t <= line.at + edge);
+                let from = accepted_at.partition_point(|at| *at < event.at - window - slack);
+                let to = accepted_at.partition_point(|at| *at <= event.at + slack);
                 let allowed = budget.guaranteed + budget.fraction * (to - from) as f64;
-                if further.len() as f64 > allowed {
+                if retries.len() as f64 > allowed {
                     found.push((
-                        line.at,
-                        format!(
-                            "controller {controller}: {} further attempts, {allowed:.1} allowed",
-                            further.len()
-                        ),
+                        event.at,
+                        format!("controller {controller}: {} retries, {allowed:.1} allowed", retries.len()),
                     ));
                 }
             }
         }
-        for (at, what) in found {
-            self.breach("budget", at, what);
+        for (at, description) in found {
+            self.report("budget", at, description);
         }
     }
 }
--- a/crates/invariants/src/history.rs
+++ b/crates/invariants/src/history.rs
@@ -1,4 +1,4 @@
-//! What is judged, in the same shape whoever tells of it.
+//! The history that is checked: queries, events at engines and lifetimes of controller processes.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -8,192 +8,195 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClientOutcome {
-    /// Rows and their end came.
+    /// The complete result arrived.
     Served,
-    /// Refused: trying again is harmless.
+    /// The query was rejected and did not run, so it may be retried.
     Refused,
-    /// Failed: nothing is promised.
+    /// The query failed; it may have run.
     Failed,
-    /// Nothing came in time; the client left.
+    /// No answer arrived before the client's deadline.
     NoAnswer,
-    /// The client left early, as it meant to.
+    /// The client abandoned the query early, on purpose.
     Left,
-    /// The connection broke before the answer.
+    /// The connection was lost before the answer.
     Broke,
-    /// No connection was made.
+    /// No connection could be established.
     Unreachable,
 }
 
-/// A query as a client handed it to a controller; each further try of a client is one of its own.
+/// A query as a client sent it to a controller. A retry by the client is a query of its own.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueryRecord {
-    /// Its name, by which the lines of the log speak of it.
+    /// Unique identifier; events refer to the query by it.
     pub id: String,
-    /// Its class, by position in the settings.
+    /// Index of the query's class in the settings.
     pub class: usize,
-    /// The key whose order it keeps.
+    /// The ordering key, if the query has one.
     pub key: Option<String>,
-    /// The controller it went to.
+    /// Index of the controller that received the query.
     pub controller: usize,
-    /// When it was handed in, in microseconds of the wall clock.
+    /// When the client sent the query, in microseconds of the wall clock.
     pub sent_at: i64,
-    /// When its client gives up.
+    /// When the client stops waiting for the answer.
     pub deadline: i64,
-    /// When it ended.
+    /// When the query ended for the client.
     pub ended_at: i64,
-    /// How.
+    /// How the query ended; none if the end is not known.
     pub outcome: Option<ClientOutcome>,
-    /// Final answers.
+    /// Number of final answers that the client received.
     pub answer_count: u32,
-    /// What came on the connection after the answer was whole, by its type.
+    /// Type of a protocol message that arrived after the complete answer.
     pub message_after_answer: Option<char>,
-    /// What is wrong with its answer, where its client looked: rows of another query, out of turn, or missing.
+    /// What is wrong with the answer, if the client checked it: rows that belong to another query, are out of order or missing.
     pub answer_error: Option<String>,
 }
 
-/// Something that happened at an engine, or was told to a controller.
+/// An event at an engine, or a change of the engine list sent to a controller. The serialized names are those of the engines'
+/// JSON log.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct HistoryEvent {
-    /// When, in microseconds of the wall clock.
+    /// Time of the event, in microseconds of the wall clock.
     #[serde(rename = "t")]
     pub at: i64,
-    /// What: `received`, `finished`, `dropped`, `refused`, `errored`, `told`, `restarted`, `fell_over`, `fault`; `sent`
-    /// for an attempt that a controller started, where that is known.
+    /// Kind of event. An attempt was `received`, `finished`, `dropped`, `refused` or `errored` by an engine, or `sent` by a
+    /// controller, if that is recorded. An engine was `restarted`, or `fell_over` by overload. A `fault` was injected into an
+    /// engine. `told`: a controller received an engine list.
     pub event: String,
-    /// At which engine.
+    /// Name of the engine.
     #[serde(default)]
     pub engine: String,
-    /// Which query, by the name its client gave it.
+    /// Identifier of the query, as in [`QueryRecord::id`].
     #[serde(default)]
     pub query: Option<String>,
-    /// Sent by whom: `wheelfield/` and the number of the controller.
+    /// Sender of the attempt: `wheelfield/` and the index of the controller.
     #[serde(default, rename = "by")]
     pub sent_by: String,
-    /// The share of its work that the engine could do.
+    /// The fraction of its full capacity that the engine had; below 1 during slow start.
     #[serde(default, rename = "warmth")]
     pub capacity_fraction: f64,
-    /// Its zone.
+    /// Zone of the engine.
     #[serde(default)]
     pub zone: String,
-    /// Its kind.
+    /// Machine kind of the engine; for a `fault`, the kind of fault.
     #[serde(default)]
     pub kind: String,
-    /// Its cell.
+    /// Cell of the engine.
     #[serde(default)]
     pub cell: i64,
-    /// Told by the registry to whom.
+    /// Index of the controller that received an engine list.
     #[serde(default, rename = "who")]
     pub controller: String,
-    /// Engines that take no work, as told.
+    /// Engines that the list shows as unavailable.
     #[serde(default, rename = "not_up")]
     pub unavailable_engines: Vec<UnavailableEngine>,
-    /// The figure of a fault.
+    /// Magnitude of a fault; zero ends it.
     #[serde(default)]
     pub value: f64,
 }
 
-/// An engine that takes no work.
+/// An engine that an engine list shows as unavailable.
 #[derive(Clone, Debug, Deserialize)]
 pub struct UnavailableEngine {
-    /// Its name.
+    /// Name of the engine.
     pub engine: String,
     /// `draining` or `removed`.
     pub status: String,
 }
 
-/// A line of a log that can't be read.
+/// A line of the engines' log that cannot be parsed.
 #[derive(Debug, thiserror::Error)]
 #[error("line {line} of the engines' log: {error}")]
 pub struct LogError {
-    /// Its number, from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// What is wrong with it.
+    /// The parse error.
     pub error: serde_json::Error,
 }
 
-/// Reads the stand-ins' log: a [`HistoryEvent`] of JSON each.
+/// Parses the log of emulated engines: one [`HistoryEvent`] in JSON per line; blank lines are skipped.
 ///
 /// # Errors
-/// With the number of a line that can't be read.
+/// [`LogError`] with the first line that cannot be parsed.
 pub fn parse_event_log(text: &str) -> Result<Vec<HistoryEvent>, LogError> {
-    let line = |(n, line): (usize, &str)| {
-        serde_json::from_str(line).map_err(|error| LogError { line: n + 1, error })
+    let parse_line = |(index, line): (usize, &str)| {
+        serde_json::from_str(line).map_err(|error| LogError { line: index + 1, error })
     };
-    text.lines().enumerate().filter(|(_, l)| !l.trim().is_empty()).map(line).collect()
+    text.lines().enumerate().filter(|(_, l)| !l.trim().is_empty()).map(parse_line).collect()
 }
 
-/// What is known of a class beyond the settings, by names as the lines use them.
+/// Properties of a class that the settings do not contain, or contain by index; names are those that events use.
 #[derive(Clone, Debug, Default)]
 pub struct ClassInfo {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// The only zones it may run in; empty for any.
+    /// The zones in which the class may run; empty for all.
     pub zones: Vec<String>,
-    /// The only kinds of machine it may run on; empty for any.
+    /// The kinds of machine on which the class may run; empty for all.
     pub kinds: Vec<String>,
-    /// Its usual work, in seconds of one thread.
+    /// Typical work of a query, in seconds of one thread.
     pub typical_work: f64,
 }
 
-/// A span in which one process of a controller ran, and all it did is known.
+/// A span for which the history of one process of a controller is complete.
 #[derive(Clone, Debug)]
 pub struct ProcessLifetime {
-    /// Which controller.
+    /// Index of the controller.
     pub controller: usize,
-    /// From, in microseconds of the wall clock,
+    /// Start of the span, in microseconds of the wall clock.
     pub started_at: i64,
-    /// to; none if it ran to the end.
+    /// End of the span; none if the process ran until the end of the history.
     pub ended_at: Option<i64>,
-    /// Spans in which it stood still.
+    /// Spans in which the process was stalled.
     pub stalls: Vec<(i64, i64)>,
-    /// It was running before, and what it did then is not known.
+    /// Whether the process was already running before the span, with an unknown history.
     pub begins_mid_run: bool,
 }
 
-/// How far clocks of several processes may be apart, in microseconds.
+/// Tolerances for clock differences and transit times between processes, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockTolerance {
-    /// An answer counts as in time up to so long after its client's limit, as a busy process reads its clock late.
+    /// An answer is in time up to this long after the client's deadline, as a busy process reads its clock late.
     pub answer_slack: i64,
-    /// An attempt received so shortly after an answer was sent off before it.
+    /// An attempt that an engine receives up to this long after the answer was sent before the answer.
     pub transit: i64,
-    /// Windows of the budget are judged this much to the controller's favour.
+    /// Windows of the retry budget are extended by this much in the controller's favour.
     pub window_slack: i64,
-    /// Queries of one key handed in within this of each other have no known order.
+    /// The order of two queries of one key is unknown if they were sent at most this far apart.
     pub order_resolution: i64,
 }
 
 impl ClockTolerance {
-    /// For evidence of clients and engines, each by its own clock.
+    /// For histories recorded by clients and engines, each with its own clock.
     pub const SEPARATE_CLOCKS: ClockTolerance = ClockTolerance {
         answer_slack: 20_000,
         transit: 500_000,
         window_slack: 100_000,
         order_resolution: 30_000,
     };
-    /// For evidence of the controller itself: its steps have one clock and one order.
+    /// For histories recorded by the controller itself, whose steps have a single clock and order.
     pub const SINGLE_CLOCK: ClockTolerance =
         ClockTolerance { answer_slack: 20_000, transit: 0, window_slack: 0, order_resolution: -1 };
 }
 
-/// What is judged.
+/// A history to check.
 pub struct History<'a> {
-    /// What the controllers were told of the rules.
+    /// The settings of the controllers.
     pub settings: &'a Settings,
-    /// So long after a controller was told that an engine drains or is gone it may still send there, in microseconds.
+    /// How long a controller may still send to an engine after it was told that the engine is draining or removed, in
+    /// microseconds.
     pub drain_grace: i64,
-    /// The classes, as in the settings.
+    /// The classes, in the order of the settings.
     pub classes: &'a [ClassInfo],
-    /// Cores of an engine, times their speed.
+    /// Number of cores of each engine times their speed, by name of the engine.
     pub engine_cores: &'a BTreeMap<String, f64>,
-    /// When it began, in microseconds of the wall clock.
+    /// Start of the history, in microseconds of the wall clock.
     pub started_at: i64,
     /// All queries.
     pub queries: &'a [QueryRecord],
-    /// What happened at engines, in order.
+    /// All events, in order of time.
     pub events: &'a [HistoryEvent],
-    /// The lives of the controllers.
+    /// Lifetimes of the controller processes.
     pub lifetimes: &'a [ProcessLifetime],
-    /// How exact the clocks are.
+    /// Accuracy of the clocks.
     pub tolerance: ClockTolerance,
 }
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -1,5 +1,7 @@
-//! The seven rules, judged from what happened: no matter whether clients and engines tell of it, as in the
-//! laboratory, or the capture of a controller. One judge for all. No I/O and no clock.
+//! Checks the seven rules of the controllers, listed in [`RULES`], on a [`History`] of queries and engine events.
+//!
+//! A history can come from logs of clients and engines, as in the test bed, or from the captures of controllers. The crate
+//! performs no I/O and reads no clock.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
