--- a/crates/invariants/src/checker.rs
+++ b/crates/invariants/src/checker.rs
@@ -162,73 +162,63 @@
 
     /// Rule 1, "lost": one final answer before the client's deadline, and nothing after it.
     fn check_lost(&mut self) {
-        for query in self.history.queries {
+        for q in self.history.queries {
             let is_answered = matches!(
-                query.outcome,
+                q.outcome,
                 Some(ClientOutcome::Served | ClientOutcome::Refused | ClientOutcome::Failed)
             );
-            if query.answer_count > 1 {
-                self.report(
-                    "lost",
-                    query.ended_at,
-                    format!("{} got {} answers", query.id, query.answer_count),
-                );
+            if q.answer_count > 1 {
+                self.report("lost", q.ended_at, format!("{} got {} answers", q.id, q.answer_count));
             }
-            if let Some(message) = query.message_after_answer {
+            if let Some(message) = q.message_after_answer {
                 self.report(
                     "lost",
-                    query.ended_at,
-                    format!("{} got a message '{message}' after its answer", query.id),
+                    q.ended_at,
+                    format!("{} got a message '{message}' after its answer", q.id),
                 );
             }
             // A stalled controller could not answer in time; only what it does afterwards is checked.
-            let is_excused = !self.ran_continuously(
-                query.controller,
-                query.sent_at,
-                query.ended_at.min(query.deadline) + 1,
-            ) || self.was_stalled(query.controller, query.sent_at, query.deadline);
-            if is_answered
-                && query.ended_at > query.deadline + self.history.tolerance.answer_slack
-                && !is_excused
-            {
-                let late = (query.ended_at - query.deadline) / 1000;
+            let is_excused = !self.ran_continuously(q.controller, q.sent_at, q.ended_at.min(q.deadline) + 1)
+                || self.was_stalled(q.controller, q.sent_at, q.deadline);
+            if is_answered && q.ended_at > q.deadline + self.history.tolerance.answer_slack && !is_excused {
+                let late = (q.ended_at - q.deadline) / 1000;
                 self.report(
                     "lost",
-                    query.ended_at,
-                    format!("{} was answered {late} ms after its client gave up", query.id),
+                    q.ended_at,
+                    format!("{} was answered {late} ms after its client gave up", q.id),
                 );
             }
-            if matches!(query.outcome, Some(ClientOutcome::NoAnswer)) && !is_excused {
+            if matches!(q.outcome, Some(ClientOutcome::NoAnswer)) && !is_excused {
                 self.report(
                     "lost",
-                    query.deadline,
-                    format!("{} got no answer from controller {}", query.id, query.controller),
+                    q.deadline,
+                    format!("{} got no answer from controller {}", q.id, q.controller),
                 );
             }
-            if matches!(query.outcome, Some(ClientOutcome::Broke)) && !is_excused {
+            if matches!(q.outcome, Some(ClientOutcome::Broke)) && !is_excused {
                 self.report(
                     "lost",
-                    query.ended_at,
-                    format!("the connection of {} broke at controller {}", query.id, query.controller),
+                    q.ended_at,
+                    format!("the connection of {} broke at controller {}", q.id, q.controller),
                 );
             }
-            if query.outcome.is_none() {
-                self.report("lost", query.sent_at, format!("{} did not end", query.id));
+            if q.outcome.is_none() {
+                self.report("lost", q.sent_at, format!("{} did not end", q.id));
             }
-            if !is_answered && query.outcome != Some(ClientOutcome::Left) {
+            if !is_answered && q.outcome != Some(ClientOutcome::Left) {
                 continue;
             }
-            let attempts = self.attempts.get(query.id.as_str()).cloned().unwrap_or_default();
+            let attempts = self.attempts.get(q.id.as_str()).cloned().unwrap_or_default();
             for attempt in attempts {
                 let received = attempt.received;
-                if received.at > query.ended_at + self.history.tolerance.transit
-                    && !self.was_hung(&received.engine, query.ended_at, received.at)
+                if received.at > q.ended_at + self.history.tolerance.transit
+                    && !self.was_hung(&received.engine, q.ended_at, received.at)
                 {
-                    let after = (received.at - query.ended_at) / 1000;
+                    let after = (received.at - q.ended_at) / 1000;
                     self.report(
                         "lost",
                         received.at,
-                        format!("{} was sent to {} {after} ms after its end", query.id, received.engine),
+                        format!("{} was sent to {} {after} ms after its end", q.id, received.engine),
                     );
                 }
             }
@@ -500,44 +490,34 @@
         let (window, slack) = (budget.window.0, self.history.tolerance.window_slack);
         // Attempts that the controller started if they are recorded, otherwise those that engines received.
         let has_dispatch_events = self.history.events.iter().any(|event| event.event == "sent");
-        let counted_event = if has_dispatch_events { "sent" } else { "received" };
+        let counted = if has_dispatch_events { "sent" } else { "received" };
         let mut found = Vec::new();
         // Each process has a budget of its own from its start.
         for lifetime in self.history.lifetimes {
             let controller = lifetime.controller;
-            let is_in_lifetime =
-                |at: i64| at >= lifetime.started_at && lifetime.ended_at.is_none_or(|end| at <= end);
+            let in_lifetime =
+                |t: i64| t >= lifetime.started_at && lifetime.ended_at.is_none_or(|end| t <= end);
             let accepted_at: Vec<i64> = {
-                let sent_at = self
-                    .history
-                    .queries
-                    .iter()
-                    .filter(|query| query.controller == controller)
-                    .map(|query| query.sent_at);
-                let mut accepted_at: Vec<i64> = sent_at.filter(|at| is_in_lifetime(*at)).collect();
+                let sent_at =
+                    self.history.queries.iter().filter(|q| q.controller == controller).map(|q| q.sent_at);
+                let mut accepted_at: Vec<i64> = sent_at.filter(|at| in_lifetime(*at)).collect();
                 accepted_at.sort_unstable();
                 accepted_at
             };
             let mut retries: VecDeque<i64> = VecDeque::new();
-            let is_counted = |event: &&HistoryEvent| {
-                event.event == counted_event
-                    && controller_index(&event.sent_by) == Some(controller)
-                    && is_in_lifetime(event.at)
+            let is_counted = |e: &&HistoryEvent| {
+                e.event == counted && controller_index(&e.sent_by) == Some(controller) && in_lifetime(e.at)
             };
-            // An attempt that an engine read when its hang ended was sent before at an unknown time, so it was an earlier attempt.
-            let was_read_after_hang = |event: &HistoryEvent| {
-                let sent_at = event
-                    .query
-                    .as_deref()
-                    .and_then(|id| self.queries.get(id))
-                    .map_or(event.at, |query| query.sent_at);
-                self.was_hung(&event.engine, sent_at, event.at)
+            // An attempt that an engine read when its hang ended was sent before, at an unknown time, so it was an
+            // earlier attempt.
+            let was_read_after_hang = |e: &HistoryEvent| {
+                let sent_at =
+                    e.query.as_deref().and_then(|id| self.queries.get(id)).map_or(e.at, |q| q.sent_at);
+                self.was_hung(&e.engine, sent_at, e.at)
             };
             // The start of the hang for each such query: an attempt that arrived before it may have been the first one.
             let mut late_since: BTreeMap<&str, i64> = BTreeMap::new();
-            for event in
-                self.history.events.iter().filter(is_counted).filter(|event| was_read_after_hang(event))
-            {
+            for event in self.history.events.iter().filter(is_counted).filter(|e| was_read_after_hang(e)) {
                 let spans = self.hangs.get(event.engine.as_str()).map_or(&[][..], Vec::as_slice);
                 let from = spans.iter().filter(|(_, end)| *end <= event.at).map(|(start, _)| *start).max();
                 if let Some(query) = event.query.as_deref() {
@@ -545,15 +525,12 @@
                     *since = (*since).min(from.unwrap_or(i64::MIN));
                 }
             }
-            let mut counted_queries: BTreeSet<&str> = BTreeSet::new();
-            for event in
-                self.history.events.iter().filter(is_counted).filter(|event| !was_read_after_hang(event))
-            {
+            let mut seen: BTreeSet<&str> = BTreeSet::new();
+            for event in self.history.events.iter().filter(is_counted).filter(|e| !was_read_after_hang(e)) {
                 let Some(query) = event.query.as_deref() else { continue };
                 // The queries in the window before a lifetime that begins mid-run are not known.
                 let is_unknown = lifetime.begins_mid_run && event.at < lifetime.started_at + window;
-                let is_first = counted_queries.insert(query)
-                    && late_since.get(query).is_none_or(|since| event.at < *since);
+                let is_first = seen.insert(query) && late_since.get(query).is_none_or(|t| event.at < *t);
                 if is_first || is_unknown || self.was_stalled(controller, event.at - window, event.at) {
                     continue;
                 }
