--- a/crates/invariant-check/src/history_builder.rs
+++ b/crates/invariant-check/src/history_builder.rs
@@ -1,4 +1,4 @@
-//! Steps of a driver, told as the judge's evidence.
+//! Builds a history for the checker from the replayed steps of captures.
 
 use crate::open;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,226 +12,246 @@
 use wheelfield_replay::describe::Names;
 use wheelfield_replay::{ReplayError, ReplayedStep, Step, Verdict};
 
-/// A controller that was told to wake at a time, and took its next step so much later, stood still, in microseconds.
-const STOOD_STILL: i64 = 20_000;
+/// A controller that takes its next step more than this long after its next timer was due was stalled, in microseconds.
+const STALL_THRESHOLD: i64 = 20_000;
 
-/// All evidence so far.
+/// The history collected from all captures so far.
 #[derive(Debug, Default)]
 pub struct HistoryBuilder {
-    /// Queries.
+    /// All queries.
     pub queries: Vec<QueryRecord>,
-    /// What happened at engines.
+    /// Events at engines, and engine lists that controllers received.
     pub events: Vec<HistoryEvent>,
-    /// Lives of the controllers.
+    /// Lifetimes of the controller processes.
     pub lifetimes: Vec<ProcessLifetime>,
-    /// Cores of engines, by name.
+    /// Number of cores of each engine, by name of the engine.
     pub engine_cores: BTreeMap<String, f64>,
-    /// Queries that had not ended where their capture does.
+    /// Number of queries that had not ended when their capture ends or has a loss. They are left out of `queries`.
     pub unfinished_queries: usize,
-    /// Attempts started.
+    /// Number of attempts started.
     pub attempts: usize,
-    /// Work of each class: so many, and their sum in seconds.
+    /// Work of the queries of each class: the number of reports and their sum in seconds.
     reported_work: BTreeMap<usize, (u64, f64)>,
-    /// Starts of engines that were told of.
+    /// Starts of engines that were reported, so that each is added once.
     reported_starts: BTreeSet<(EngineId, Micros)>,
     class_names: Vec<String>,
 }
 
-/// One process of a controller, while its file is read.
-struct Run<'a> {
-    all: &'a mut HistoryBuilder,
+/// Adds the steps of one capture, from one process of a controller, to the history.
+struct CaptureReader<'a> {
+    builder: &'a mut HistoryBuilder,
     settings: &'a Settings,
     names: Names,
     controller: usize,
-    /// Makes names of queries unlike those of any other file.
-    file: usize,
+    /// Number of the capture; makes the identifiers of its queries unique.
+    capture_number: usize,
+    /// Indexes into [`HistoryBuilder::queries`].
     queries: BTreeMap<QueryId, usize>,
+    /// Engines of the attempts that have not ended.
     attempts: BTreeMap<AttemptId, EngineId>,
-    written: BTreeSet<AttemptId>,
-    /// Withdrawn, and not yet heard of.
-    withdrawn: BTreeSet<AttemptId>,
+    /// Attempts that were sent to their engine and have not ended.
+    dispatched: BTreeSet<AttemptId>,
+    /// Cancelled attempts whose end is not confirmed.
+    cancelled: BTreeSet<AttemptId>,
+    /// The last known entry of each engine.
     engines: BTreeMap<EngineId, EngineEntry>,
-    /// Engines that take no work, as told last.
-    not_up: BTreeSet<EngineId>,
+    /// Unavailable engines, according to the last engine list.
+    unavailable_engines: BTreeSet<EngineId>,
 }
 
 impl HistoryBuilder {
-    /// Adds a file; none if its controller was told other rules than those before.
+    /// Adds a capture. Returns none if the settings of its controller differ from those of earlier captures.
     ///
     /// # Errors
-    /// [`ReplayError`] where it can't be read.
+    /// [`ReplayError`] if the capture cannot be read.
     pub fn add_capture(
         &mut self,
         path: &Path,
-        known: &mut Option<Settings>,
+        known_settings: &mut Option<Settings>,
     ) -> Result<Option<Verdict>, ReplayError> {
-        // Names of engines come as they become known; a line needs them from the start.
+        // Engine names are recorded as they become known, but events need them from the start: read the capture twice.
         let mut player = open(path)?;
         while player.next_step()?.is_some() {}
         let Some(start) = player.start.clone() else { return Ok(Some(player.into_verdict())) };
         let names = Names { engines: player.engines.clone(), classes: start.classes.clone() };
-        let same = |a: &Settings, b: &Settings| {
-            let plain = |s: &Settings| Settings { gateway_index: 0.0, zone: None, ..s.clone() };
-            plain(a) == plain(b)
+        let are_equal = |a: &Settings, b: &Settings| {
+            // The index and the zone differ between the controllers of a group.
+            let comparable = |s: &Settings| Settings { gateway_index: 0.0, zone: None, ..s.clone() };
+            comparable(a) == comparable(b)
         };
-        if known.as_ref().is_some_and(|k| !same(k, &start.settings)) {
+        if known_settings.as_ref().is_some_and(|known| !are_equal(known, &start.settings)) {
             return Ok(None);
         }
-        let settings = known.get_or_insert(start.settings).clone();
+        let settings = known_settings.get_or_insert(start.settings).clone();
         self.class_names = start.classes;
-        let file = self.lifetimes.len();
-        let mut run = Run {
-            all: self,
+        let capture_number = self.lifetimes.len();
+        let mut reader = CaptureReader {
+            builder: self,
             settings: &settings,
             names,
             controller: start.index as usize,
-            file,
+            capture_number,
             queries: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            written: BTreeSet::new(),
-            withdrawn: BTreeSet::new(),
+            dispatched: BTreeSet::new(),
+            cancelled: BTreeSet::new(),
             engines: BTreeMap::new(),
-            not_up: BTreeSet::new(),
+            unavailable_engines: BTreeSet::new(),
         };
         let mut player = open(path)?;
-        let (mut last, mut losses, mut due): (Option<Micros>, usize, Option<Micros>) = (None, 0, None);
+        let (mut last_step_at, mut known_losses, mut next_timer_at): (Option<Micros>, usize, Option<Micros>) =
+            (None, 0, None);
         while let Some(ReplayedStep { recorded: step, .. }) = player.next_step()? {
-            let lost = player.losses();
-            if last.is_none() || lost > losses {
-                run.lives_on(step.at, last, matches!(step.input, RecordedInput::Input(Input::Started)));
-                losses = lost;
-                due = None;
+            let losses = player.losses();
+            if last_step_at.is_none() || losses > known_losses {
+                reader.begin_lifetime(
+                    step.at,
+                    last_step_at,
+                    matches!(step.input, RecordedInput::Input(Input::Started)),
+                );
+                known_losses = losses;
+                next_timer_at = None;
             }
-            let wanted = due.zip(last).map(|(due, last)| due.max(last));
-            if let Some(wanted) = wanted.filter(|w| step.at.0 - w.0 > STOOD_STILL) {
-                if let Some(life) = run.all.lifetimes.last_mut() {
-                    life.stalls.push((wanted.0, step.at.0));
+            let due_at = next_timer_at.zip(last_step_at).map(|(timer_at, last)| timer_at.max(last));
+            if let Some(due_at) = due_at.filter(|due_at| step.at.0 - due_at.0 > STALL_THRESHOLD) {
+                if let Some(lifetime) = reader.builder.lifetimes.last_mut() {
+                    lifetime.stalls.push((due_at.0, step.at.0));
                 }
             }
             if let Some(driver) = player.driver() {
-                run.step(&step, driver);
-                due = driver.next_timer_at();
+                reader.add_step(&step, driver);
+                next_timer_at = driver.next_timer_at();
             }
-            last = Some(step.at);
+            last_step_at = Some(step.at);
         }
-        if let (Some(last), Some(life)) = (last, run.all.lifetimes.last_mut()) {
-            life.ended_at = Some(last.0);
+        if let (Some(last), Some(lifetime)) = (last_step_at, reader.builder.lifetimes.last_mut()) {
+            lifetime.ended_at = Some(last.0);
         }
         Ok(Some(player.into_verdict()))
     }
 
-    /// Ends the gathering: lines in order, and queries that nothing can be said of left out.
+    /// Completes the history: sorts events and queries, and leaves out queries whose end is not covered by a capture.
     pub fn finish(&mut self, settings: &Settings) {
-        self.events.sort_by_key(|l| l.at);
-        let lives = &self.lifetimes;
-        let known = |t: &QueryRecord| {
-            t.outcome.is_some() || {
-                let covers = |l: &ProcessLifetime| {
-                    l.started_at <= t.sent_at && l.ended_at.is_none_or(|k| k > t.deadline)
+        self.events.sort_by_key(|event| event.at);
+        let lifetimes = &self.lifetimes;
+        let is_checkable = |query: &QueryRecord| {
+            query.outcome.is_some() || {
+                let covers = |lifetime: &ProcessLifetime| {
+                    lifetime.started_at <= query.sent_at
+                        && lifetime.ended_at.is_none_or(|end| end > query.deadline)
                 };
-                lives.iter().any(|l| l.controller == t.controller && covers(l))
+                lifetimes.iter().any(|lifetime| lifetime.controller == query.controller && covers(lifetime))
             }
         };
-        let before = self.queries.len();
-        self.queries.retain(known);
-        self.unfinished_queries = before - self.queries.len();
-        for t in &mut self.queries {
-            if t.outcome.is_none() {
-                (t.outcome, t.ended_at) = (Some(ClientOutcome::NoAnswer), t.deadline);
+        let total = self.queries.len();
+        self.queries.retain(is_checkable);
+        self.unfinished_queries = total - self.queries.len();
+        for query in &mut self.queries {
+            if query.outcome.is_none() {
+                (query.outcome, query.ended_at) = (Some(ClientOutcome::NoAnswer), query.deadline);
             }
-            // A class that the settings do not have is judged by no rule of classes.
-            t.class = t.class.min(settings.classes.len());
+            // All classes that the settings do not contain get the same index; rules that depend on the class skip it.
+            query.class = query.class.min(settings.classes.len());
         }
-        self.queries.sort_by_key(|t| t.sent_at);
+        self.queries.sort_by_key(|query| query.sent_at);
     }
 
-    /// What is known of the classes, by names as the lines use them.
+    /// The properties of the classes, with zones and machine kinds named as in the events.
     pub fn classes(&self, settings: &Settings) -> Vec<ClassInfo> {
-        let named = |places: &[usize], nowhere: bool| -> Vec<String> {
-            let none = nowhere.then(|| "nowhere".to_string());
-            places.iter().map(usize::to_string).chain(none).collect()
+        // An empty list permits all engines, so a class that permits none gets a name that no engine has.
+        let names_of = |indexes: &[usize], permits_none: bool| -> Vec<String> {
+            let unmatched = permits_none.then(|| "nowhere".to_string());
+            indexes.iter().map(usize::to_string).chain(unmatched).collect()
         };
-        let of = |(i, c): (usize, &wheelfield::interface::Class)| {
-            let (n, sum) = self.reported_work.get(&i).copied().unwrap_or_default();
+        let class_info = |(index, class): (usize, &wheelfield::interface::Class)| {
+            let (count, sum) = self.reported_work.get(&index).copied().unwrap_or_default();
             ClassInfo {
-                name: self.class_names.get(i).cloned().unwrap_or_else(|| i.to_string()),
-                zones: named(&c.zones, c.no_engine_permitted),
-                kinds: named(&c.kinds, c.no_engine_permitted),
-                typical_work: if n > 0 { sum / n as f64 } else { 0.0 },
+                name: self.class_names.get(index).cloned().unwrap_or_else(|| index.to_string()),
+                zones: names_of(&class.zones, class.no_engine_permitted),
+                kinds: names_of(&class.kinds, class.no_engine_permitted),
+                typical_work: if count > 0 { sum / count as f64 } else { 0.0 },
             }
         };
-        settings.classes.iter().enumerate().map(of).collect()
+        settings.classes.iter().enumerate().map(class_info).collect()
     }
 }
 
-impl Run<'_> {
-    /// A life begins: the first of the file, or behind a loss.
-    fn lives_on(&mut self, now: Micros, last: Option<Micros>, started: bool) {
-        if let (Some(last), Some(life)) = (last, self.all.lifetimes.last_mut()) {
-            life.ended_at = Some(last.0);
+impl CaptureReader<'_> {
+    /// Begins a lifetime, at the start of the capture or after a loss of records, and ends the previous one at its last step.
+    fn begin_lifetime(&mut self, now: Micros, last_step_at: Option<Micros>, is_process_start: bool) {
+        if let (Some(last), Some(lifetime)) = (last_step_at, self.builder.lifetimes.last_mut()) {
+            lifetime.ended_at = Some(last.0);
         }
-        self.all.lifetimes.push(ProcessLifetime {
+        self.builder.lifetimes.push(ProcessLifetime {
             controller: self.controller,
             started_at: now.0,
             ended_at: None,
             stalls: Vec::new(),
-            begins_mid_run: !started,
+            begins_mid_run: !is_process_start,
         });
     }
 
-    fn line(&mut self, at: Micros, event: &str, attempt: AttemptId, engine: EngineId) {
+    /// Adds an event of an attempt.
+    fn push_attempt_event(&mut self, at: Micros, event: &str, attempt: AttemptId, engine: EngineId) {
         let entry = self.engines.get(&engine);
-        let s = self.settings;
-        let warmth = entry.and_then(|e| e.started_at).map_or(1.0, |started| {
-            let grown = (at - started).as_secs_f64() / s.slow_start_duration.as_secs_f64().max(1e-6);
-            s.slow_start_initial_fraction + (1.0 - s.slow_start_initial_fraction) * grown.clamp(0.0, 1.0)
+        let settings = self.settings;
+        let capacity_fraction = entry.and_then(|entry| entry.started_at).map_or(1.0, |started_at| {
+            let progress =
+                (at - started_at).as_secs_f64() / settings.slow_start_duration.as_secs_f64().max(1e-6);
+            settings.slow_start_initial_fraction
+                + (1.0 - settings.slow_start_initial_fraction) * progress.clamp(0.0, 1.0)
         });
-        let place = |x: usize| if x == usize::MAX { "?".to_string() } else { x.to_string() };
-        let line = HistoryEvent {
+        let index_name = |index: usize| if index == usize::MAX { "?".to_string() } else { index.to_string() };
+        let attempt_event = HistoryEvent {
             at: at.0,
             event: event.to_string(),
             engine: self.names.engine(engine),
-            query: Some(self.id(attempt.query)),
+            query: Some(self.unique_id(attempt.query)),
             sent_by: format!("wheelfield/{}", self.controller),
-            capacity_fraction: warmth,
-            zone: entry.map_or_else(String::new, |e| place(e.zone)),
-            kind: entry.map_or_else(String::new, |e| place(e.kind)),
-            cell: entry.map_or(0, |e| e.cell),
+            capacity_fraction,
+            zone: entry.map_or_else(String::new, |entry| index_name(entry.zone)),
+            kind: entry.map_or_else(String::new, |entry| index_name(entry.kind)),
+            cell: entry.map_or(0, |entry| entry.cell),
             ..HistoryEvent::default()
         };
-        self.all.events.push(line);
+        self.builder.events.push(attempt_event);
     }
 
-    /// The name of a query, unlike that of any other.
-    fn id(&self, query: QueryId) -> String {
-        format!("{}.{}:{}", self.controller, self.file, query.0)
+    /// The identifier of a query, unique in all captures.
+    fn unique_id(&self, query: QueryId) -> String {
+        format!("{}.{}:{}", self.controller, self.capture_number, query.0)
     }
 
-    fn ended(&mut self, query: QueryId, at: Micros, end: ClientOutcome) {
-        let Some(asked) = self.queries.get(&query).and_then(|i| self.all.queries.get_mut(*i)) else { return };
-        if matches!(end, ClientOutcome::Served | ClientOutcome::Refused | ClientOutcome::Failed) {
-            asked.answer_count += 1;
+    /// Records the final answer or the abandonment of a query; only the first one sets its outcome.
+    fn end_query(&mut self, query: QueryId, at: Micros, outcome: ClientOutcome) {
+        let Some(record) = self.queries.get(&query).and_then(|index| self.builder.queries.get_mut(*index))
+        else {
+            return;
+        };
+        if matches!(outcome, ClientOutcome::Served | ClientOutcome::Refused | ClientOutcome::Failed) {
+            record.answer_count += 1;
         }
-        if asked.outcome.is_none() {
-            (asked.outcome, asked.ended_at) = (Some(end), at.0);
+        if record.outcome.is_none() {
+            (record.outcome, record.ended_at) = (Some(outcome), at.0);
         }
     }
 
-    fn open(&self, query: QueryId) -> bool {
-        let asked = self.queries.get(&query).and_then(|i| self.all.queries.get(*i));
-        asked.is_some_and(|a| a.outcome.is_none())
+    /// Whether a query is known and has not ended.
+    fn is_open(&self, query: QueryId) -> bool {
+        let record = self.queries.get(&query).and_then(|index| self.builder.queries.get(*index));
+        record.is_some_and(|record| record.outcome.is_none())
     }
 
-    /// Takes a step; `driver` stands behind it.
+    /// Adds a step of the capture. The `driver` has the state after the step.
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
-    fn step(&mut self, step: &Step, driver: &Driver) {
+    fn add_step(&mut self, step: &Step, driver: &Driver) {
         match &step.input {
             RecordedInput::Arrive { arrival, .. } | RecordedInput::ArriveAs { arrival, .. } => {
                 if let Some(query) = step.accepted {
-                    self.queries.insert(query, self.all.queries.len());
-                    let name = self.id(query);
-                    self.all.queries.push(QueryRecord {
-                        id: name,
+                    self.queries.insert(query, self.builder.queries.len());
+                    let id = self.unique_id(query);
+                    self.builder.queries.push(QueryRecord {
+                        id,
                         class: arrival.class,
                         key: arrival.key.clone(),
                         controller: self.controller,
@@ -244,79 +264,87 @@
                         answer_error: None,
                     });
                     if let Some(work) = arrival.work_hint {
-                        self.works(arrival.class, work);
+                        self.add_work(arrival.class, work);
                     }
                 }
             }
-            RecordedInput::Input(Input::Engines { complete: whole, entries }) => {
-                self.listed(step.at, *whole, entries)
+            RecordedInput::Input(Input::Engines { complete, entries }) => {
+                self.update_engines(step.at, *complete, entries)
             }
             RecordedInput::Input(Input::Dispatched(attempt)) => {
                 if let Some(engine) = self.attempts.get(attempt).copied() {
-                    self.written.insert(*attempt);
-                    self.line(step.at, "received", *attempt, engine);
+                    self.dispatched.insert(*attempt);
+                    self.push_attempt_event(step.at, "received", *attempt, engine);
                 }
             }
             RecordedInput::Input(
-                Input::AttemptEnded { attempt, outcome, reported_work: billed_work, .. }
-                | Input::AttemptMeasured { attempt, outcome, reported_work: billed_work, .. },
+                Input::AttemptEnded { attempt, outcome, reported_work, .. }
+                | Input::AttemptMeasured { attempt, outcome, reported_work, .. },
             ) => {
-                self.settled(step.at, *attempt, *outcome);
-                let class =
-                    self.queries.get(&attempt.query).and_then(|i| self.all.queries.get(*i)).map(|a| a.class);
-                if let (Some(class), Some(work)) = (class, billed_work) {
-                    self.works(class, *work);
+                self.end_attempt(step.at, *attempt, *outcome);
+                let class = self
+                    .queries
+                    .get(&attempt.query)
+                    .and_then(|index| self.builder.queries.get(*index))
+                    .map(|record| record.class);
+                if let (Some(class), Some(work)) = (class, reported_work) {
+                    self.add_work(class, *work);
                 }
-                let answered =
-                    step.answer.iter().any(|i| matches!(i, Instruction::Answer(q, _) if *q == attempt.query));
+                let is_answered = step.answer.iter().any(
+                    |instruction| matches!(instruction, Instruction::Answer(q, _) if *q == attempt.query),
+                );
                 if *outcome == Outcome::Served
-                    && !answered
-                    && self.open(attempt.query)
+                    && !is_answered
+                    && self.is_open(attempt.query)
                     && !driver.awaits_answer(attempt.query)
                 {
-                    self.ended(attempt.query, step.at, ClientOutcome::Served);
+                    self.end_query(attempt.query, step.at, ClientOutcome::Served);
                 }
             }
-            RecordedInput::Input(Input::Abandoned(query)) => self.ended(*query, step.at, ClientOutcome::Left),
+            RecordedInput::Input(Input::Abandoned(query)) => {
+                self.end_query(*query, step.at, ClientOutcome::Left)
+            }
             _ => {}
         }
         for instruction in &step.answer {
             match instruction {
                 Instruction::Start { attempt, engine, .. } => {
                     self.attempts.insert(*attempt, *engine);
-                    self.all.attempts += 1;
-                    self.line(step.at, "sent", *attempt, *engine);
+                    self.builder.attempts += 1;
+                    self.push_attempt_event(step.at, "sent", *attempt, *engine);
                 }
                 Instruction::Cancel(attempt) => {
-                    self.withdrawn.insert(*attempt);
+                    self.cancelled.insert(*attempt);
                 }
                 Instruction::Answer(query, answer) => {
-                    let end = match answer {
+                    let outcome = match answer {
                         Answer::Rejected { .. } => ClientOutcome::Refused,
                         Answer::Failed { .. } | Answer::Interrupted => ClientOutcome::Failed,
                     };
-                    self.ended(*query, step.at, end);
+                    self.end_query(*query, step.at, outcome);
                 }
                 _ => {}
             }
         }
-        // What was withdrawn is over once the driver counts it no more: at once if its time was up, else when its engine
-        // tells so, or in time if that never comes.
-        let over: Vec<AttemptId> =
-            self.withdrawn.iter().filter(|a| !driver.is_in_flight(**a)).copied().collect();
-        for attempt in over {
-            self.withdrawn.remove(&attempt);
-            self.settled(step.at, attempt, Outcome::TimedOut);
+        // A cancelled attempt has ended once the driver no longer counts it as in flight: at once if it had timed out, otherwise
+        // when its engine confirms the cancellation, or after a timeout without a confirmation.
+        let ended: Vec<AttemptId> =
+            self.cancelled.iter().filter(|attempt| !driver.is_in_flight(**attempt)).copied().collect();
+        for attempt in ended {
+            self.cancelled.remove(&attempt);
+            self.end_attempt(step.at, attempt, Outcome::TimedOut);
         }
     }
 
-    fn works(&mut self, class: usize, work: f64) {
-        let (n, sum) = self.all.reported_work.entry(class).or_default();
-        (*n, *sum) = (*n + 1, *sum + work);
+    /// Adds the work of a query of a class.
+    fn add_work(&mut self, class: usize, work: f64) {
+        let (count, sum) = self.builder.reported_work.entry(class).or_default();
+        (*count, *sum) = (*count + 1, *sum + work);
     }
 
-    fn settled(&mut self, at: Micros, attempt: AttemptId, outcome: Outcome) {
-        if !self.written.remove(&attempt) {
+    /// Adds the event for the end of a dispatched attempt.
+    fn end_attempt(&mut self, at: Micros, attempt: AttemptId, outcome: Outcome) {
+        if !self.dispatched.remove(&attempt) {
             return;
         }
         if let Some(engine) = self.attempts.remove(&attempt) {
@@ -326,46 +354,49 @@
                 _ if outcome.never_ran() => "refused",
                 _ => "dropped",
             };
-            self.line(at, event, attempt, engine);
+            self.push_attempt_event(at, event, attempt, engine);
         }
     }
 
-    fn listed(&mut self, at: Micros, whole: bool, entries: &[EngineEntry]) {
-        if whole {
-            let named: BTreeSet<EngineId> = entries.iter().map(|e| e.engine).collect();
-            self.not_up.extend(self.engines.keys().filter(|e| !named.contains(e)));
+    /// Applies an engine list, which is complete or holds only changed entries, and adds its events.
+    fn update_engines(&mut self, at: Micros, is_complete: bool, entries: &[EngineEntry]) {
+        if is_complete {
+            let listed: BTreeSet<EngineId> = entries.iter().map(|entry| entry.engine).collect();
+            self.unavailable_engines.extend(self.engines.keys().filter(|engine| !listed.contains(engine)));
         }
-        for e in entries {
-            if e.status == Status::Up {
-                self.not_up.remove(&e.engine);
+        for entry in entries {
+            if entry.status == Status::Up {
+                self.unavailable_engines.remove(&entry.engine);
             } else {
-                self.not_up.insert(e.engine);
+                self.unavailable_engines.insert(entry.engine);
             }
-            let name = self.names.engine(e.engine);
-            if let Some(started) = e.started_at {
-                if self.all.reported_starts.insert((e.engine, started)) {
+            let name = self.names.engine(entry.engine);
+            if let Some(started_at) = entry.started_at {
+                if self.builder.reported_starts.insert((entry.engine, started_at)) {
                     let restarted = HistoryEvent {
-                        at: started.0,
+                        at: started_at.0,
                         event: "restarted".into(),
                         engine: name.clone(),
                         ..HistoryEvent::default()
                     };
-                    self.all.events.push(restarted);
+                    self.builder.events.push(restarted);
                 }
             }
-            self.all.engine_cores.insert(name, self.settings.cores.get(e.kind).copied().unwrap_or(1.0));
-            self.engines.insert(e.engine, e.clone());
+            self.builder
+                .engine_cores
+                .insert(name, self.settings.cores.get(entry.kind).copied().unwrap_or(1.0));
+            self.engines.insert(entry.engine, entry.clone());
         }
-        let not_up = self.not_up.iter();
-        let not_up = not_up
-            .map(|e| UnavailableEngine { engine: self.names.engine(*e), status: "not up".into() })
+        let unavailable_engines = self.unavailable_engines.iter();
+        let unavailable_engines = unavailable_engines
+            .map(|engine| UnavailableEngine { engine: self.names.engine(*engine), status: "not up".into() })
             .collect();
-        let who = self.controller.to_string();
-        self.all.events.push(HistoryEvent {
+        let controller = self.controller.to_string();
+        self.builder.events.push(HistoryEvent {
             at: at.0,
             event: "told".into(),
-            controller: who,
-            unavailable_engines: not_up,
+            controller,
+            unavailable_engines,
             ..HistoryEvent::default()
         });
     }
--- a/crates/invariant-check/src/lib.rs
+++ b/crates/invariant-check/src/lib.rs
@@ -1,10 +1,10 @@
-//! Evidence for the judge of the rules, made of captures alone.
+//! Checks the rules of `wheelfield-invariants` on a history that is built from captures alone.
 //!
-//! A capture tells what a controller was told and what it answered; the same driver, fed along, tells which queries it
-//! still owes an answer. Nothing here knows a rule.
+//! A capture contains the inputs of a controller and its outputs. Replaying it in a driver shows which queries are still
+//! unanswered. This crate builds the history; the rules themselves are in `wheelfield-invariants`.
 //!
-//! What a capture can't show: bytes that the wire sent wrongly, what an engine did with an attempt, and clients that
-//! never got through. The laboratory's log of both ends shows those.
+//! A capture cannot show bytes that were sent incorrectly, what an engine did with an attempt, or clients that could not
+//! connect. The logs of clients and engines in the test bed show those.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -18,95 +18,98 @@
 use wheelfield_invariants::{check_history, ClockTolerance, History, Violation};
 use wheelfield_replay::{Options, Player, ReplayError, Verdict};
 
-/// Why there is no verdict.
+/// Why captures could not be checked.
 #[derive(Debug, thiserror::Error)]
 pub enum CheckError {
-    /// A capture can't be read.
+    /// A capture cannot be read.
     #[error("{file}: {error}")]
     Replay {
-        /// Which.
+        /// The capture.
         file: PathBuf,
-        /// Why.
+        /// The cause.
         error: ReplayError,
     },
-    /// Two captures are of controllers that were told different rules.
-    #[error("{0}: its controller was told other classes or rules than that of the first capture; judge them apart")]
+    /// The controllers of two captures have different settings.
+    #[error(
+        "{0}: the settings of its controller differ from those of the first capture; check them separately"
+    )]
     SettingsMismatch(PathBuf),
-    /// Nothing to judge.
-    #[error("no step in these captures")]
+    /// The captures are empty.
+    #[error("the captures contain no steps")]
     NoSteps,
 }
 
-/// What was found in captures.
+/// The result of a check.
 #[derive(Debug, Default)]
 pub struct CheckReport {
-    /// Broken rules, in order of time.
+    /// Violations of rules, in order of time.
     pub violations: Vec<Violation>,
-    /// Queries that were judged,
+    /// Number of queries that were checked.
     pub queries: usize,
-    /// not judged, as the capture ends or has a loss before their end,
+    /// Number of queries that were not checked, because their capture ends or has a loss before they ended.
     pub unfinished_queries: usize,
-    /// attempts started.
+    /// Number of attempts started.
     pub attempts: usize,
-    /// Controllers, and their lives in all.
+    /// Number of lifetimes of controller processes.
     pub lifetimes: usize,
-    /// When it began, in microseconds of the wall clock.
+    /// Start of the first lifetime, in microseconds of the wall clock.
     pub started_at: i64,
-    /// Spans in which a controller stood still: which, from, to.
+    /// Spans in which a controller was stalled: its index, start and end.
     pub stalls: Vec<(usize, i64, i64)>,
-    /// Captures with records lost or a torn end, by file.
+    /// Captures with lost records or a truncated end.
     pub unverified_captures: Vec<(PathBuf, Verdict)>,
 }
 
-/// Judges captures together: those of all controllers, and of all their lives.
+/// Checks captures together: those of all controllers and all of their processes.
 ///
-/// `grace` is for how long a controller may still send to an engine after it was told that it drains or is gone, in
-/// microseconds.
+/// `drain_grace` is how long a controller may still send to an engine after it was told that the engine is draining or removed,
+/// in microseconds.
 ///
 /// # Errors
-/// [`CheckError`].
-pub fn check(files: &[PathBuf], grace: i64) -> Result<CheckReport, CheckError> {
-    let mut gathered = HistoryBuilder::default();
+/// [`CheckError`] if a capture cannot be read, the settings differ or there are no steps.
+pub fn check(files: &[PathBuf], drain_grace: i64) -> Result<CheckReport, CheckError> {
+    let mut builder = HistoryBuilder::default();
     let mut settings: Option<Settings> = None;
-    let mut checked = CheckReport::default();
+    let mut report = CheckReport::default();
     for file in files {
-        let verdict = gathered
+        let verdict = builder
             .add_capture(file, &mut settings)
             .map_err(|error| CheckError::Replay { file: file.clone(), error })?
             .ok_or_else(|| CheckError::SettingsMismatch(file.clone()))?;
         if !verdict.unverified.is_empty() || verdict.truncated_after.is_some() {
-            checked.unverified_captures.push((file.clone(), verdict));
+            report.unverified_captures.push((file.clone(), verdict));
         }
     }
     let settings = settings.ok_or(CheckError::NoSteps)?;
-    gathered.finish(&settings);
-    let start = gathered.lifetimes.iter().map(|l| l.started_at).min().ok_or(CheckError::NoSteps)?;
-    let classes = gathered.classes(&settings);
-    let cores: BTreeMap<String, f64> = gathered.engine_cores.clone();
-    checked.violations = check_history(&History {
+    builder.finish(&settings);
+    let started_at =
+        builder.lifetimes.iter().map(|lifetime| lifetime.started_at).min().ok_or(CheckError::NoSteps)?;
+    let classes = builder.classes(&settings);
+    let engine_cores: BTreeMap<String, f64> = builder.engine_cores.clone();
+    report.violations = check_history(&History {
         settings: &settings,
-        drain_grace: grace,
+        drain_grace,
         classes: &classes,
-        engine_cores: &cores,
-        started_at: start,
-        queries: &gathered.queries,
-        events: &gathered.events,
-        lifetimes: &gathered.lifetimes,
+        engine_cores: &engine_cores,
+        started_at,
+        queries: &builder.queries,
+        events: &builder.events,
+        lifetimes: &builder.lifetimes,
         tolerance: ClockTolerance::SINGLE_CLOCK,
     });
-    checked.queries = gathered.queries.len();
-    checked.unfinished_queries = gathered.unfinished_queries;
-    checked.attempts = gathered.attempts;
-    checked.lifetimes = gathered.lifetimes.len();
-    checked.started_at = start;
-    for life in &gathered.lifetimes {
-        checked.stalls.extend(life.stalls.iter().map(|(from, to)| (life.controller, *from, *to)));
+    report.queries = builder.queries.len();
+    report.unfinished_queries = builder.unfinished_queries;
+    report.attempts = builder.attempts;
+    report.lifetimes = builder.lifetimes.len();
+    report.started_at = started_at;
+    for lifetime in &builder.lifetimes {
+        report.stalls.extend(lifetime.stalls.iter().map(|(from, to)| (lifetime.controller, *from, *to)));
     }
-    checked.stalls.sort_by_key(|s| s.1);
-    Ok(checked)
+    report.stalls.sort_by_key(|stall| stall.1);
+    Ok(report)
 }
 
-/// The player of a file that goes on behind losses.
+/// Opens a capture for a replay that continues after lost records.
 fn open(file: &Path) -> Result<Player, ReplayError> {
     Player::open(file, Options { over_gaps: true, from: None })
 }
--- a/crates/invariant-check/src/main.rs
+++ b/crates/invariant-check/src/main.rs
@@ -1,4 +1,4 @@
-//! `wheelfield-check`: whether the seven rules were kept, by what controllers captured.
+//! `wheelfield-check`: checks on captures whether controllers kept the seven rules.
 
 use anyhow::Result;
 use clap::Parser;
@@ -10,36 +10,44 @@
 use wheelfield_invariant_check::{check, CheckReport};
 use wheelfield_invariants::{Violation, RULES};
 
-/// Judges the seven rules on captures alone, by the judge of the laboratory.
+/// Checks on captures alone whether controllers kept the seven rules.
 ///
-/// Exit codes: 0 kept, 1 a rule broken or a capture that can't be read, 2 bad use.
+/// Exit codes: 0 if all rules were kept, 1 if a rule was violated or a capture cannot be read, 2 for invalid arguments.
 #[derive(Parser)]
 #[command(name = "wheelfield-check", version)]
 struct Cli {
-    /// The captures, best of all controllers together.
+    /// The captures, preferably those of all controllers together.
     #[arg(required = true)]
     files: Vec<PathBuf>,
-    /// A controller may still send to an engine for so long after it was told that it drains or is gone, in milliseconds.
-    #[arg(long, value_name = "MS", default_value_t = 0)]
-    grace: i64,
-    /// The verdict as JSON.
+    /// How long a controller may still send to an engine after it was told that the engine is draining or removed, in
+    /// milliseconds.
+    #[arg(long = "grace", value_name = "MS", default_value_t = 0)]
+    drain_grace_ms: i64,
+    /// Print the report as JSON.
     #[arg(long)]
     json: bool,
-    /// Breaches shown one by one.
-    #[arg(long, value_name = "N", default_value_t = 20)]
-    most: usize,
+    /// Maximum number of violations that are shown one by one.
+    #[arg(long = "most", value_name = "N", default_value_t = 20)]
+    max_violations: usize,
 }
 
+/// The report as JSON.
 #[derive(Serialize)]
-struct Shown<'a> {
+struct JsonReport<'a> {
     queries: usize,
-    open: usize,
+    #[serde(rename = "open")]
+    unfinished_queries: usize,
     attempts: usize,
-    lives: usize,
+    #[serde(rename = "lives")]
+    lifetimes: usize,
+    /// Number of violations of each rule.
     rules: BTreeMap<&'static str, usize>,
+    /// Index of the controller, and start and end in seconds.
     stalls: Vec<(usize, f64, f64)>,
-    unvouched: Vec<String>,
-    breaches: Vec<&'a Violation>,
+    #[serde(rename = "unvouched")]
+    unverified_captures: Vec<String>,
+    #[serde(rename = "breaches")]
+    violations: Vec<&'a Violation>,
 }
 
 fn main() -> ExitCode {
@@ -47,77 +55,87 @@
     match run(&cli) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
-        Err(fault) => {
-            // A reader that closed the pipe has had enough.
-            let broken = fault.downcast_ref::<std::io::Error>();
-            if broken.is_some_and(|e| e.kind() == std::io::ErrorKind::BrokenPipe) {
+        Err(error) => {
+            // The reader of the output may close the pipe early, as `head` does; this is no failure.
+            let io_error = error.downcast_ref::<std::io::Error>();
+            if io_error.is_some_and(|e| e.kind() == std::io::ErrorKind::BrokenPipe) {
                 return ExitCode::SUCCESS;
             }
-            eprintln!("wheelfield-check: {fault:#}");
+            eprintln!("wheelfield-check: {error:#}");
             ExitCode::FAILURE
         }
     }
 }
 
 fn run(cli: &Cli) -> Result<bool> {
-    let checked = check(&cli.files, cli.grace.saturating_mul(1000))?;
-    let count = |rule: &str| checked.violations.iter().filter(|b| b.rule == rule).count();
-    let rules: BTreeMap<&'static str, usize> = RULES.iter().map(|r| (*r, count(r))).collect();
+    let report = check(&cli.files, cli.drain_grace_ms.saturating_mul(1000))?;
+    let count = |rule: &str| report.violations.iter().filter(|violation| violation.rule == rule).count();
+    let rules: BTreeMap<&'static str, usize> = RULES.iter().map(|rule| (*rule, count(rule))).collect();
     let mut out = std::io::stdout().lock();
     if cli.json {
-        let shown = Shown {
-            queries: checked.queries,
-            open: checked.unfinished_queries,
-            attempts: checked.attempts,
-            lives: checked.lifetimes,
+        let json = JsonReport {
+            queries: report.queries,
+            unfinished_queries: report.unfinished_queries,
+            attempts: report.attempts,
+            lifetimes: report.lifetimes,
             rules,
-            stalls: stalls(&checked),
-            unvouched: unvouched(&checked),
-            breaches: checked.violations.iter().take(cli.most).collect(),
+            stalls: stalls(&report),
+            unverified_captures: unverified_spans(&report),
+            violations: report.violations.iter().take(cli.max_violations).collect(),
         };
-        writeln!(out, "{}", serde_json::to_string_pretty(&shown)?)?;
-        return Ok(checked.violations.is_empty());
+        writeln!(out, "{}", serde_json::to_string_pretty(&json)?)?;
+        return Ok(report.violations.is_empty());
     }
     writeln!(
         out,
-        "{} queries, {} attempts, {} lives of controllers; {} queries were open where their capture ends",
-        checked.queries, checked.attempts, checked.lifetimes, checked.unfinished_queries
+        "{} queries, {} attempts, {} controller lifetimes; {} queries were unfinished at the end of their capture",
+        report.queries, report.attempts, report.lifetimes, report.unfinished_queries
     )?;
-    for line in unvouched(&checked) {
+    for line in unverified_spans(&report) {
         writeln!(out, "{line}")?;
     }
-    for (controller, from, to) in stalls(&checked) {
-        let span = to - from;
+    for (controller, from, to) in stalls(&report) {
+        let duration = to - from;
         writeln!(
             out,
-            "controller {controller} stood still for {span:.2} s at {from:.2} s; judged by what it did then"
+            "controller {controller} was stalled for {duration:.2} s at {from:.2} s; late answers, drains and retries during the stall are not checked"
         )?;
     }
     for (i, rule) in RULES.iter().enumerate() {
-        let n = rules.get(rule).copied().unwrap_or(0);
-        let word = if n == 0 { "kept".to_string() } else { format!("BROKEN {n} times") };
-        writeln!(out, "rule {} {:<10} {word}", i + 1, rule)?;
+        let count = rules.get(rule).copied().unwrap_or(0);
+        let result = if count == 0 { "kept".to_string() } else { format!("BROKEN {count} times") };
+        writeln!(out, "rule {} {:<10} {result}", i + 1, rule)?;
     }
-    for b in checked.violations.iter().take(cli.most) {
-        writeln!(out, "  {} at {:.2} s: {}", b.rule, b.at as f64 / 1e6, b.description)?;
+    for violation in report.violations.iter().take(cli.max_violations) {
+        writeln!(
+            out,
+            "  {} at {:.2} s: {}",
+            violation.rule,
+            violation.at as f64 / 1e6,
+            violation.description
+        )?;
     }
-    Ok(checked.violations.is_empty())
+    Ok(report.violations.is_empty())
 }
 
-/// Stalls in seconds from the start.
-fn stalls(checked: &CheckReport) -> Vec<(usize, f64, f64)> {
-    let secs = |t: i64| (t - checked.started_at) as f64 / 1e6;
-    checked.stalls.iter().map(|(c, from, to)| (*c, secs(*from), secs(*to))).collect()
+/// The stalls, in seconds since the start of the history.
+fn stalls(report: &CheckReport) -> Vec<(usize, f64, f64)> {
+    let seconds = |at: i64| (at - report.started_at) as f64 / 1e6;
+    report.stalls.iter().map(|(controller, from, to)| (*controller, seconds(*from), seconds(*to))).collect()
 }
 
-fn unvouched(checked: &CheckReport) -> Vec<String> {
+/// A line for each loss or truncation of a capture.
+fn unverified_spans(report: &CheckReport) -> Vec<String> {
     let mut lines = Vec::new();
-    for (file, verdict) in &checked.unverified_captures {
-        for wheelfield_replay::UnverifiedSpan { after_step: from, to_step: to } in &verdict.unverified {
-            lines.push(format!("{}: records are lost between steps {from} and {to}", file.display()));
+    for (file, verdict) in &report.unverified_captures {
+        for wheelfield_replay::UnverifiedSpan { after_step, to_step } in &verdict.unverified {
+            lines.push(format!(
+                "{}: records are lost between steps {after_step} and {to_step}",
+                file.display()
+            ));
         }
         if let Some(step) = verdict.truncated_after {
-            lines.push(format!("{}: torn after step {step}", file.display()));
+            lines.push(format!("{}: truncated after step {step}", file.display()));
         }
     }
     lines
--- a/crates/invariant-check/tests/planted.rs
+++ b/crates/invariant-check/tests/planted.rs
@@ -1,4 +1,4 @@
-//! The check on captures: a day with nothing wrong has no breach, and each planted fault is found as its own rule's.
+//! The check on captures: a correct run has no violation, and each injected violation is found under its rule.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -8,10 +8,10 @@
 use wheelfield_invariant_check::{check, CheckReport};
 
 const MS: i64 = 1000;
-const REPEATABLE: usize = 0;
-const ONCE: usize = 1;
+const IDEMPOTENT: usize = 0;
+const AT_MOST_ONCE: usize = 1;
 const ORDERED: usize = 2;
-const BOUND: usize = 3;
+const ZONE_BOUND: usize = 3;
 
 fn settings() -> Settings {
     let class = Class {
@@ -43,35 +43,45 @@
     }
 }
 
+/// A recorded step of the driver.
 #[derive(Clone)]
 struct Step {
     at: Micros,
-    told: RecordedInput,
-    taken: Option<QueryId>,
-    out: Vec<Instruction>,
+    input: RecordedInput,
+    /// The query that the driver accepted in this step.
+    accepted: Option<QueryId>,
+    instructions: Vec<Instruction>,
 }
 
-fn engine(n: u64, status: Status, started: Option<Micros>) -> EngineEntry {
-    EngineEntry { engine: EngineId(n), zone: (n % 2) as usize, kind: 0, cell: 0, status, started_at: started }
+fn engine(number: u64, status: Status, started_at: Option<Micros>) -> EngineEntry {
+    EngineEntry {
+        engine: EngineId(number),
+        zone: (number % 2) as usize,
+        kind: 0,
+        cell: 0,
+        status,
+        started_at,
+    }
 }
 
-/// What is to happen, by time; equal times in the order they were planned.
-type Agenda = BTreeMap<(i64, u64), RecordedInput>;
+/// Pending inputs, by time and order of scheduling.
+type PendingInputs = BTreeMap<(i64, u64), RecordedInput>;
 
-fn plan(agenda: &mut Agenda, at: i64, told: RecordedInput) {
-    let n = agenda.len() as u64;
-    let last = agenda.range((at, 0)..=(at, u64::MAX)).next_back().map_or(n, |((_, n), _)| n + 1);
-    agenda.insert((at, last.max(n)), told);
+fn schedule(pending: &mut PendingInputs, at: i64, input: RecordedInput) {
+    let count = pending.len() as u64;
+    let next =
+        pending.range((at, 0)..=(at, u64::MAX)).next_back().map_or(count, |((_, number), _)| number + 1);
+    pending.insert((at, next.max(count)), input);
 }
 
-/// A driver on a wire that serves each attempt after 30 ms; every tenth query is turned away once, and at 1.5 s engine
-/// 4 is told to drain, at 2 s engine 3 to have restarted.
-fn day() -> Vec<Step> {
+/// A run of a driver with emulated engines that finish each attempt after 30 ms. Every tenth query is rejected once by a full
+/// engine. Engine 4 starts draining at 1.5 s, and engine 3 restarts at 2 s.
+fn correct_run() -> Vec<Step> {
     let mut driver = Driver::new(settings(), 7, DriverLimits::default());
-    let mut agenda = Agenda::new();
-    plan(&mut agenda, 0, RecordedInput::Input(Input::Started));
+    let mut pending = PendingInputs::new();
+    schedule(&mut pending, 0, RecordedInput::Input(Input::Started));
     let all = (1..=4).map(|n| engine(n, Status::Up, None)).collect();
-    plan(&mut agenda, MS, RecordedInput::Input(Input::Engines { complete: true, entries: all }));
+    schedule(&mut pending, MS, RecordedInput::Input(Input::Engines { complete: true, entries: all }));
     for n in 0..80 {
         let class = (n % 4) as usize;
         let at = (100 + n * 40) * MS;
@@ -82,248 +92,262 @@
             work_hint: Some(0.03),
             ..Arrival::default()
         };
-        plan(&mut agenda, at, RecordedInput::Arrive { arrival, label: format!("q{n}") });
+        schedule(&mut pending, at, RecordedInput::Arrive { arrival, label: format!("q{n}") });
     }
-    let change = |e| RecordedInput::Input(Input::Engines { complete: false, entries: vec![e] });
-    plan(&mut agenda, 1_500 * MS, change(engine(4, Status::Draining, None)));
-    plan(&mut agenda, 2_000 * MS, change(engine(3, Status::Up, Some(Micros(2_000 * MS)))));
+    let engine_change =
+        |entry| RecordedInput::Input(Input::Engines { complete: false, entries: vec![entry] });
+    schedule(&mut pending, 1_500 * MS, engine_change(engine(4, Status::Draining, None)));
+    schedule(&mut pending, 2_000 * MS, engine_change(engine(3, Status::Up, Some(Micros(2_000 * MS)))));
     let mut steps = Vec::new();
-    while let Some(((at, _), told)) = agenda.pop_first() {
-        let mut todo = vec![(at, told)];
-        while let Some(due) = driver.next_timer_at().filter(|d| d.0 <= todo[0].0) {
-            todo.insert(0, (due.0, RecordedInput::Due));
-            run(&mut driver, &mut agenda, &mut steps, todo.remove(0));
+    while let Some(((at, _), input)) = pending.pop_first() {
+        let mut inputs = vec![(at, input)];
+        while let Some(due) = driver.next_timer_at().filter(|due| due.0 <= inputs[0].0) {
+            inputs.insert(0, (due.0, RecordedInput::Due));
+            perform_step(&mut driver, &mut pending, &mut steps, inputs.remove(0));
         }
-        for step in todo {
-            run(&mut driver, &mut agenda, &mut steps, step);
+        for input in inputs {
+            perform_step(&mut driver, &mut pending, &mut steps, input);
         }
     }
-    // The rest of the time passes, so that every query's limit lies within.
+    // Run the remaining timers until after the deadline of every query.
     let (mut now, end) = (Micros(0), Micros(8_000 * MS));
-    while let Some(due) = driver.next_timer_at().filter(|d| *d <= end) {
+    while let Some(due) = driver.next_timer_at().filter(|due| *due <= end) {
         now = now.max(due);
-        run(&mut driver, &mut agenda, &mut steps, (now.0, RecordedInput::Due));
+        perform_step(&mut driver, &mut pending, &mut steps, (now.0, RecordedInput::Due));
     }
-    run(&mut driver, &mut agenda, &mut steps, (end.0, RecordedInput::Due));
+    perform_step(&mut driver, &mut pending, &mut steps, (end.0, RecordedInput::Due));
     steps
 }
 
-fn run(driver: &mut Driver, agenda: &mut Agenda, steps: &mut Vec<Step>, (at, told): (i64, RecordedInput)) {
-    // A wire asks before it writes, and tells no end of what it did not write.
-    let idle = match &told {
+fn perform_step(
+    driver: &mut Driver,
+    pending: &mut PendingInputs,
+    steps: &mut Vec<Step>,
+    (at, input): (i64, RecordedInput),
+) {
+    // A host asks the driver before it dispatches an attempt, and reports no end of an attempt that it did not dispatch.
+    let is_obsolete = match &input {
         RecordedInput::Input(Input::Dispatched(attempt)) => !driver.may_write(Micros(at), *attempt),
         RecordedInput::Input(Input::AttemptEnded { attempt, .. }) => !driver.is_in_flight(*attempt),
         _ => false,
     };
-    if idle {
+    if is_obsolete {
         return;
     }
-    let mut out = Vec::new();
-    let taken = wheelfield_replay::feed(driver, Micros(at), &told, &mut out);
-    for i in &out {
-        if let Instruction::Start { attempt, .. } = i {
-            plan(agenda, at + MS, RecordedInput::Input(Input::Dispatched(*attempt)));
-            let full = attempt.query.0 % 10 == 3 && attempt.number == 0;
-            let outcome = if full { Outcome::Full } else { Outcome::Served };
-            let (report, billed_work) = (LoadReport::default(), (!full).then_some(0.03));
-            let ended =
-                Input::AttemptEnded { attempt: *attempt, outcome, reported_work: billed_work, report };
-            plan(agenda, at + 30 * MS, RecordedInput::Input(ended));
+    let mut instructions = Vec::new();
+    let accepted = wheelfield_replay::feed(driver, Micros(at), &input, &mut instructions);
+    for instruction in &instructions {
+        if let Instruction::Start { attempt, .. } = instruction {
+            schedule(pending, at + MS, RecordedInput::Input(Input::Dispatched(*attempt)));
+            let is_full = attempt.query.0 % 10 == 3 && attempt.number == 0;
+            let outcome = if is_full { Outcome::Full } else { Outcome::Served };
+            let (report, reported_work) = (LoadReport::default(), (!is_full).then_some(0.03));
+            let ended = Input::AttemptEnded { attempt: *attempt, outcome, reported_work, report };
+            schedule(pending, at + 30 * MS, RecordedInput::Input(ended));
         }
     }
-    steps.push(Step { at: Micros(at), told, taken, out });
+    steps.push(Step { at: Micros(at), input, accepted, instructions });
 }
 
-fn write(path: &Path, steps: &[Step]) {
+fn write_capture(path: &Path, steps: &[Step]) {
     let start = Start {
         build: "test 0".into(),
         index: 0,
         seed: 7,
         settings: settings(),
         bounds: DriverLimits::default(),
-        classes: ["any", "once", "ordered", "bound"].map(String::from).to_vec(),
+        classes: ["idempotent", "at_most_once", "ordered", "zone_bound"].map(String::from).to_vec(),
         tenants: Vec::new(),
     };
     let driver = Driver::new(settings(), 7, DriverLimits::default());
     let limits =
         Limits { max_queued_blocks: 1 << 16, checkpoint_interval: Micros(i64::MAX), ..Limits::default() };
-    let mut recorder = Recorder::begin(path, start, limits, &driver, Micros(0)).expect("a file");
+    let mut recorder = Recorder::begin(path, start, limits, &driver, Micros(0)).expect("a capture file");
     recorder.engines(Micros(0), (1..=4).map(|n| (EngineId(n), format!("engine-{n}"))));
-    for s in steps {
-        recorder.step(s.at, &s.told, s.taken, &s.out);
+    for step in steps {
+        recorder.step(step.at, &step.input, step.accepted, &step.instructions);
     }
     assert_eq!(recorder.end(Micros(9_000 * MS)).lost, 0);
 }
 
-fn judged(steps: &[Step]) -> CheckReport {
-    let dir = tempfile::tempdir().expect("a directory");
+fn check_steps(steps: &[Step]) -> CheckReport {
+    let dir = tempfile::tempdir().expect("a temporary directory");
     let path = dir.path().join("x.wfcap");
-    write(&path, steps);
-    check(&[path], 0).expect("a capture")
+    write_capture(&path, steps);
+    check(&[path], 0).expect("a readable capture")
 }
 
-/// The rules that a day with a fault breaks.
-fn broken(plant: impl FnOnce(&mut Vec<Step>)) -> Vec<&'static str> {
-    let mut steps = day();
-    plant(&mut steps);
-    let breaches = judged(&steps).violations;
-    let mut rules: Vec<&str> = breaches.iter().map(|b| b.rule).collect();
+/// The rules that are violated after a modification of the correct run.
+fn violated_rules(modify: impl FnOnce(&mut Vec<Step>)) -> Vec<&'static str> {
+    let mut steps = correct_run();
+    modify(&mut steps);
+    let violations = check_steps(&steps).violations;
+    let mut rules: Vec<&str> = violations.iter().map(|violation| violation.rule).collect();
     rules.sort_unstable();
     rules.dedup();
     rules
 }
 
-/// The step in which the n-th query of a class came and was sent.
-fn arrival(steps: &[Step], class: usize, nth: usize) -> (usize, QueryId, EngineId) {
-    let sent = |s: &Step| {
-        s.out
-            .iter()
-            .find_map(|i| if let Instruction::Start { engine, .. } = i { Some(*engine) } else { None })
+/// The index of the step in which the n-th query of a class arrived and was sent, with the query and its engine.
+fn nth_arrival(steps: &[Step], class: usize, nth: usize) -> (usize, QueryId, EngineId) {
+    let sent_to = |step: &Step| {
+        step.instructions.iter().find_map(|instruction| {
+            if let Instruction::Start { engine, .. } = instruction {
+                Some(*engine)
+            } else {
+                None
+            }
+        })
     };
-    let of = |(i, s): (usize, &Step)| match &s.told {
-        RecordedInput::Arrive { arrival, .. } if arrival.class == class => Some((i, s.taken?, sent(s)?)),
+    let matching = |(index, step): (usize, &Step)| match &step.input {
+        RecordedInput::Arrive { arrival, .. } if arrival.class == class => {
+            Some((index, step.accepted?, sent_to(step)?))
+        }
         _ => None,
     };
-    steps.iter().enumerate().filter_map(of).nth(nth).expect("a query that was sent")
+    steps.iter().enumerate().filter_map(matching).nth(nth).expect("a query that was sent")
 }
 
-/// Another attempt of a query is started and written at a step.
-fn also(steps: &mut Vec<Step>, at: usize, query: QueryId, number: usize, engine: EngineId) {
+/// Starts and dispatches a further attempt of a query in a step.
+fn add_attempt(steps: &mut Vec<Step>, at: usize, query: QueryId, number: usize, engine: EngineId) {
     let attempt = AttemptId { query, number };
-    let when = steps[at].at;
-    let terms = wheelfield_driver::AttemptOptions::default();
-    steps[at].out.push(Instruction::Start { attempt, engine, options: terms });
-    let told = RecordedInput::Input(Input::Dispatched(attempt));
-    steps.insert(at + 1, Step { at: when, told, taken: None, out: Vec::new() });
+    let dispatched_at = steps[at].at;
+    let options = wheelfield_driver::AttemptOptions::default();
+    steps[at].instructions.push(Instruction::Start { attempt, engine, options });
+    let input = RecordedInput::Input(Input::Dispatched(attempt));
+    steps.insert(at + 1, Step { at: dispatched_at, input, accepted: None, instructions: Vec::new() });
 }
 
 #[test]
-fn a_day_with_nothing_wrong_has_no_breach() {
-    let checked = judged(&day());
-    assert!(checked.violations.is_empty(), "{:?}", checked.violations);
-    assert_eq!((checked.queries, checked.unfinished_queries, checked.lifetimes), (80, 0, 1));
-    assert!(checked.attempts > 80, "the queries turned away were sent again");
-    assert!(checked.stalls.is_empty());
+fn a_correct_run_has_no_violation() {
+    let report = check_steps(&correct_run());
+    assert!(report.violations.is_empty(), "{:?}", report.violations);
+    assert_eq!((report.queries, report.unfinished_queries, report.lifetimes), (80, 0, 1));
+    assert!(report.attempts > 80, "the rejected queries were retried");
+    assert!(report.stalls.is_empty());
 }
 
 #[test]
-fn a_query_without_its_answer_with_two_or_with_a_late_one_is_lost() {
-    let unserved = |steps: &mut Vec<Step>, query: QueryId| {
+fn a_query_with_no_answer_two_answers_or_a_late_answer_violates_lost() {
+    let remove_answer = |steps: &mut Vec<Step>, query: QueryId| {
         steps.retain(
-            |s| !matches!(&s.told, RecordedInput::Input(Input::AttemptEnded { attempt, .. }) if attempt.query == query),
+            |step| !matches!(&step.input, RecordedInput::Input(Input::AttemptEnded { attempt, .. }) if attempt.query == query),
         );
-        for s in steps {
-            s.out.retain(|i| !matches!(i, Instruction::Answer(q, _) if *q == query));
+        for step in steps {
+            step.instructions
+                .retain(|instruction| !matches!(instruction, Instruction::Answer(q, _) if *q == query));
         }
     };
     assert_eq!(
-        broken(|steps| {
-            let (_, query, _) = arrival(steps, REPEATABLE, 5);
-            unserved(steps, query);
+        violated_rules(|steps| {
+            let (_, query, _) = nth_arrival(steps, IDEMPOTENT, 5);
+            remove_answer(steps, query);
         }),
         ["lost"]
     );
-    let answer = |q| Instruction::Answer(q, Answer::Failed { may_have_run: true });
+    let answer = |query| Instruction::Answer(query, Answer::Failed { may_have_run: true });
     assert_eq!(
-        broken(|steps| {
-            let (at, query, _) = arrival(steps, REPEATABLE, 5);
-            steps[at + 40].out.push(answer(query));
+        violated_rules(|steps| {
+            let (at, query, _) = nth_arrival(steps, IDEMPOTENT, 5);
+            steps[at + 40].instructions.push(answer(query));
         }),
         ["lost"]
     );
     assert_eq!(
-        broken(|steps| {
-            let (_, query, _) = arrival(steps, REPEATABLE, 5);
-            unserved(steps, query);
-            steps.last_mut().expect("one").out.push(answer(query));
+        violated_rules(|steps| {
+            let (_, query, _) = nth_arrival(steps, IDEMPOTENT, 5);
+            remove_answer(steps, query);
+            steps.last_mut().expect("a step").instructions.push(answer(query));
         }),
         ["lost"]
     );
 }
 
 #[test]
-fn work_sent_twice_that_must_not_run_twice() {
+fn a_second_attempt_of_an_at_most_once_query_violates_twice() {
     assert_eq!(
-        broken(|steps| {
-            let (at, query, engine) = arrival(steps, ONCE, 5);
-            also(steps, at + 2, query, 1, EngineId(3 - (engine.0 - 1) % 2));
+        violated_rules(|steps| {
+            let (at, query, engine) = nth_arrival(steps, AT_MOST_ONCE, 5);
+            add_attempt(steps, at + 2, query, 1, EngineId(3 - (engine.0 - 1) % 2));
         }),
         ["twice"]
     );
 }
 
 #[test]
-fn work_sent_to_an_engine_that_was_told_to_drain() {
-    let elsewhere = |steps: &mut Vec<Step>, nth: usize| {
-        let (at, _, _) = arrival(steps, REPEATABLE, nth);
-        for i in &mut steps[at].out {
-            if let Instruction::Start { engine, .. } = i {
+fn an_attempt_sent_to_a_draining_engine_violates_drain() {
+    let redirect = |steps: &mut Vec<Step>, nth: usize| {
+        let (at, _, _) = nth_arrival(steps, IDEMPOTENT, nth);
+        for instruction in &mut steps[at].instructions {
+            if let Instruction::Start { engine, .. } = instruction {
                 *engine = EngineId(4);
             }
         }
     };
-    assert!(broken(|steps| elsewhere(steps, 3)).is_empty(), "before it was told");
-    assert_eq!(broken(|steps| elsewhere(steps, 10)), ["drain"]);
+    assert!(violated_rules(|steps| redirect(steps, 3)).is_empty(), "sent before the engine starts draining");
+    assert_eq!(violated_rules(|steps| redirect(steps, 10)), ["drain"]);
 }
 
 #[test]
-fn a_cold_engine_that_gets_more_than_it_can_bear() {
-    // Four cores at a quarter, twice that in a second: two seconds of work. Eighty queries of 0.1 s are too much.
+fn overload_of_an_engine_in_slow_start_violates_cold() {
+    // Four cores at a quarter of their capacity do 1 s of work in the window of 1 s; twice that is allowed. The queries of
+    // 0.2 s that arrive within a second exceed it.
     assert_eq!(
-        broken(|steps| {
-            for s in steps.iter_mut() {
-                match &mut s.told {
+        violated_rules(|steps| {
+            for step in steps.iter_mut() {
+                match &mut step.input {
                     RecordedInput::Arrive { arrival, .. } => arrival.work_hint = Some(0.2),
-                    RecordedInput::Input(Input::AttemptEnded { reported_work: billed_work, .. }) => {
-                        *billed_work = Some(0.2)
+                    RecordedInput::Input(Input::AttemptEnded { reported_work, .. }) => {
+                        *reported_work = Some(0.2)
                     }
                     _ => {}
                 }
-                for i in &mut s.out {
-                    match i {
-                        Instruction::Start { engine, .. } if s.at.0 > 2_000 * MS => *engine = EngineId(3),
+                for instruction in &mut step.instructions {
+                    match instruction {
+                        Instruction::Start { engine, .. } if step.at.0 > 2_000 * MS => *engine = EngineId(3),
                         _ => {}
                     }
                 }
             }
         }),
         ["cold", "placement"],
-        "engine 3 is in the wrong zone for the bound class, too"
+        "engine 3 is also in a zone that the zone-bound class does not permit"
     );
 }
 
 #[test]
-fn a_key_that_runs_twice_at_once() {
+fn concurrent_queries_of_one_key_violate_order() {
     assert_eq!(
-        broken(|steps| {
-            let (_, query, _) = arrival(steps, ORDERED, 6);
-            let (at, _, _) = arrival(steps, ORDERED, 5);
-            // The sixth is written while the fifth runs, although it came only later.
-            let told = RecordedInput::Input(Input::AttemptEnded {
-                attempt: AttemptId { query: steps[at].taken.expect("taken"), number: 0 },
+        violated_rules(|steps| {
+            let (_, query, _) = nth_arrival(steps, ORDERED, 6);
+            let (at, _, _) = nth_arrival(steps, ORDERED, 5);
+            // Move the end of query 5 of the class to after the dispatch of query 6.
+            let ended = RecordedInput::Input(Input::AttemptEnded {
+                attempt: AttemptId { query: steps[at].accepted.expect("accepted"), number: 0 },
                 outcome: Outcome::Served,
                 reported_work: None,
                 report: LoadReport::default(),
             });
-            let ends = |s: &Step| matches!((&s.told, &told), (RecordedInput::Input(Input::AttemptEnded { attempt: a, .. }), RecordedInput::Input(Input::AttemptEnded { attempt: b, .. })) if a == b);
-            let end = steps.iter().position(ends).expect("its end");
-            let late = steps.iter().position(|s| s.taken == Some(query)).expect("the next") + 3;
-            // Its end is told only after the next was written.
-            let mut moved = steps.remove(end);
-            moved.at = steps[late].at;
-            steps.insert(late, moved);
+            let is_end = |step: &Step| matches!((&step.input, &ended), (RecordedInput::Input(Input::AttemptEnded { attempt: a, .. }), RecordedInput::Input(Input::AttemptEnded { attempt: b, .. })) if a == b);
+            let end = steps.iter().position(is_end).expect("the end of query 5");
+            let after_dispatch =
+                steps.iter().position(|step| step.accepted == Some(query)).expect("the arrival of query 6")
+                    + 3;
+            let mut end_step = steps.remove(end);
+            end_step.at = steps[after_dispatch].at;
+            steps.insert(after_dispatch, end_step);
         }),
         ["order"]
     );
 }
 
 #[test]
-fn a_bound_class_sent_elsewhere() {
+fn an_engine_outside_the_zones_of_the_class_violates_placement() {
     assert_eq!(
-        broken(|steps| {
-            let (at, _, _) = arrival(steps, BOUND, 5);
-            for i in &mut steps[at].out {
-                if let Instruction::Start { engine, .. } = i {
+        violated_rules(|steps| {
+            let (at, _, _) = nth_arrival(steps, ZONE_BOUND, 5);
+            for instruction in &mut steps[at].instructions {
+                if let Instruction::Start { engine, .. } = instruction {
                     *engine = EngineId(1);
                 }
             }
@@ -333,51 +357,51 @@
 }
 
 #[test]
-fn more_further_attempts_than_the_budget_allows() {
-    let further = |n: usize| {
-        broken(|steps| {
-            let (at, query, engine) = arrival(steps, REPEATABLE, 8);
-            for number in 1..=n {
-                also(steps, at + 2, query, number, engine);
+fn more_retries_than_the_budget_allows_violate_budget() {
+    let violated_with_retries = |count: usize| {
+        violated_rules(|steps| {
+            let (at, query, engine) = nth_arrival(steps, IDEMPOTENT, 8);
+            for number in 1..=count {
+                add_attempt(steps, at + 2, query, number, engine);
             }
         })
     };
-    assert_eq!(further(1), [""; 0]);
-    assert_eq!(further(12), ["budget"]);
+    assert_eq!(violated_with_retries(1), [""; 0]);
+    assert_eq!(violated_with_retries(12), ["budget"]);
 }
 
 #[test]
-fn what_comes_while_the_controller_stands_still_is_told_as_a_stall() {
-    let mut steps = day();
-    let at = steps.iter().position(|s| s.at.0 > 1_000 * MS).expect("a step");
-    // The same day, but nothing is read for two seconds: all of it is found at once.
-    let late = Micros(steps[at].at.0 + 2_000 * MS);
-    steps.retain(|s| s.at <= late);
-    for s in &mut steps[at..] {
-        s.at = late;
+fn a_suspended_controller_is_reported_as_a_stall() {
+    let mut steps = correct_run();
+    let at = steps.iter().position(|step| step.at.0 > 1_000 * MS).expect("a step");
+    // The controller takes no step for two seconds and then takes all the missed ones at once.
+    let resumed_at = Micros(steps[at].at.0 + 2_000 * MS);
+    steps.retain(|step| step.at <= resumed_at);
+    for step in &mut steps[at..] {
+        step.at = resumed_at;
     }
-    let checked = judged(&steps);
-    assert_eq!(checked.stalls.len(), 1, "{:?}", checked.stalls);
+    let report = check_steps(&steps);
+    assert_eq!(report.stalls.len(), 1, "{:?}", report.stalls);
 }
 
 #[test]
-fn captures_of_other_rules_are_not_judged_together() {
-    let dir = tempfile::tempdir().expect("a directory");
+fn captures_with_different_settings_are_rejected() {
+    let dir = tempfile::tempdir().expect("a temporary directory");
     let (one, other) = (dir.path().join("a.wfcap"), dir.path().join("b.wfcap"));
-    write(&one, &day());
+    write_capture(&one, &correct_run());
     let driver = Driver::new(settings(), 7, DriverLimits::default());
-    let altered = Settings { max_attempts: 1, ..settings() };
+    let other_settings = Settings { max_attempts: 1, ..settings() };
     let start = Start {
         build: "test 0".into(),
         index: 1,
         seed: 7,
-        settings: altered,
+        settings: other_settings,
         bounds: DriverLimits::default(),
         classes: Vec::new(),
         tenants: Vec::new(),
     };
     let recorder = Recorder::begin(&other, start, Limits::default(), &driver, Micros(0)).expect("a file");
     recorder.end(Micros(0));
-    let fault = check(&[one, other], 0).expect_err("other rules").to_string();
-    assert!(fault.contains("b.wfcap") && fault.contains("judge them apart"), "{fault}");
+    let error = check(&[one, other], 0).expect_err("different settings").to_string();
+    assert!(error.contains("b.wfcap") && error.contains("check them separately"), "{error}");
 }
