--- a/crates/gossip/tests/recorded.rs
+++ b/crates/gossip/tests/recorded.rs
@@ -4,9 +4,9 @@
 use wheelfield_gossip::authentication::{Authenticator, Keys, Verifier};
 use wheelfield_gossip::{MemberRecord, MemberState, Message, Packet, ViewTag};
 
-const FIRST_FORMAT: &[u8] = include_bytes!("recorded/first-form.bin");
-const SECOND_FORMAT: &[u8] = include_bytes!("recorded/second-form.bin");
-const APPLICATION_MESSAGE: &[u8] = include_bytes!("recorded/words.bin");
+const FIRST_FORMAT: &[u8] = include_bytes!("recorded/first-format.bin");
+const SECOND_FORMAT: &[u8] = include_bytes!("recorded/second-format.bin");
+const APPLICATION_MESSAGE: &[u8] = include_bytes!("recorded/application-message.bin");
 const KEY_FILE: &str = "7 0123456789abcdef0123456789abcdef\n";
 const SENDER_INCARNATION: u64 = 100;
 
@@ -52,7 +52,7 @@
 
 #[test]
 fn recorded_datagrams_of_both_formats_are_read() {
-    let keys = Keys::read(KEY_FILE).expect("a key");
+    let keys = Keys::parse(KEY_FILE).expect("a key");
     let mut verifier = Verifier::default();
     for (datagram, packet) in [FIRST_FORMAT, SECOND_FORMAT].into_iter().zip(packets()) {
         assert_eq!(verifier.verify(address(7_001), datagram, &keys), Ok(packet));
@@ -68,7 +68,7 @@
 
 #[test]
 fn the_same_packets_are_written_to_the_recorded_bytes() {
-    let keys = Keys::read(KEY_FILE).expect("a key");
+    let keys = Keys::parse(KEY_FILE).expect("a key");
     let mut authenticator = Authenticator::new(address(7_001), SENDER_INCARNATION);
     for (datagram, packet) in [FIRST_FORMAT, SECOND_FORMAT].into_iter().zip(packets()) {
         assert_eq!(
--- a/crates/sim-adapter/tests/one_core.rs
+++ b/crates/sim-adapter/tests/one_core.rs
@@ -571,11 +571,15 @@
         // The invariant check of the capture finds no violation, and the same number of queries.
         let checked = wheelfield_invariant_check::check(&[path], 0).expect("complete");
         assert!(
-            checked.breaches.is_empty(),
+            checked.violations.is_empty(),
             "seed {seed}: {:?}",
-            checked.breaches
+            checked.violations
+        );
+        assert_eq!(
+            checked.queries + checked.unfinished_queries,
+            day.queries,
+            "seed {seed}"
         );
-        assert_eq!(checked.queries + checked.open, day.queries, "seed {seed}");
         // The adapter process gives the same decisions.
         let replies = run_adapter(&day.module_events, &[]);
         let replies_with = |prefixes: &[&str]| -> Vec<String> {
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -16,7 +16,7 @@
 use std::path::PathBuf;
 use std::sync::mpsc::channel;
 use std::time::Duration;
-use wheelfield_invariants::{read_log, Breach, End, RULES};
+use wheelfield_invariants::{parse_event_log, ClientOutcome, Violation, RULES};
 use wheelfield_net::Clock;
 
 /// The stage is set this long before the first query.
@@ -98,7 +98,7 @@
     /// Processor seconds of all controllers.
     pub controller_cpu_s: f64,
     /// The first breaches.
-    pub breaches: Vec<Breach>,
+    pub breaches: Vec<Violation>,
     /// What the controllers believed of each other, where the script tells of roads between them.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub fleet: Option<OfFleet>,
@@ -162,7 +162,7 @@
     };
     let mut stage = Stage::set(day, &plan, setting, clock)?;
     let start = clock.now() + LEAD;
-    let roads = plan.roads.clone().from(start);
+    let roads = plan.roads.clone().shifted_by(start);
     stage.begin_roads(roads.clone())?;
     let (sender, receiver) = channel();
     for change in stage.doors() {
@@ -217,7 +217,7 @@
     let fleet = match stage.reached().map(<[_]>::to_vec) {
         Some(reached) => {
             let acts = plan.acts.iter().map(|(at, _)| start + at).max();
-            let healed = roads.end().max(acts).unwrap_or(start);
+            let healed = roads.ends_at().max(acts).unwrap_or(start);
             std::thread::sleep(clock.until(healed));
             let agreed = agree(&stage, clock);
             Some((
@@ -235,11 +235,11 @@
     let log_file = options.dir.join("engines.jsonl");
     let text =
         std::fs::read_to_string(&log_file).with_context(|| format!("cannot read {}", log_file.display()))?;
-    let mut log = read_log(&text)?;
+    let mut log = parse_event_log(&text)?;
     if let Some(lists) = &stage.lists {
         let text = std::fs::read_to_string(lists.log())?;
-        log.extend(read_log(&text)?);
-        log.sort_by_key(|l| l.t);
+        log.extend(parse_event_log(&text)?);
+        log.sort_by_key(|l| l.at);
     }
     let settings = day.settings()?;
     let known = Known { day, settings: &settings, plan: &plan, start };
@@ -257,8 +257,10 @@
         let evidence = Evidence { reached: &reached, lives: &stage.lives, roads: &roads, from: start, until };
         let told = |l: &&judge::Line| matches!(l.said, judge::Said::Member(..)) && l.at <= until;
         let last = lines.iter().filter(told).map(|l| l.at).max().unwrap_or(healed);
-        let sum =
-            carried.from.iter().fold(wheelfield_network_faults::Counts::default(), |sum, c| sum.and(*c));
+        let sum = carried
+            .from
+            .iter()
+            .fold(wheelfield_network_faults::LinkCounters::default(), |sum, c| sum.merge(*c));
         let member_hours = day.controllers as f64 * (until - start) as f64 / 3.6e9;
         report.fleet = Some(OfFleet {
             verdict: evidence.judge(&lines, day.patience()),
@@ -267,7 +269,7 @@
             suspicions: suspicions as f64 / member_hours,
             bytes: sum.bytes as f64 / (member_hours * 3_600.0),
             words,
-            hurt: sum.cut + sum.lost + sum.crowded + sum.doubled + sum.corrupted,
+            hurt: sum.blocked + sum.lost + sum.queue_overflows + sum.duplicated + sum.corrupted,
         });
     }
     let lines: Vec<String> = tries.iter().map(|t| serde_json::to_string(t).unwrap_or_default()).collect();
@@ -336,7 +338,7 @@
 }
 
 #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
-fn sum_up(day: &Day, plan: &Plan, start: i64, tries: &[Try], breaches: Vec<Breach>) -> Report {
+fn sum_up(day: &Day, plan: &Plan, start: i64, tries: &[Try], breaches: Vec<Violation>) -> Report {
     let mut report = Report { day: day.name.clone(), ..Report::default() };
     let mut latencies: Vec<Histogram<u64>> = day
         .classes
@@ -349,13 +351,13 @@
     for t in tries {
         report.queries += 1;
         match t.end {
-            Some(End::Served) => report.served += 1,
-            Some(End::Refused) => report.refused += 1,
-            Some(End::Failed) => report.failed += 1,
+            Some(ClientOutcome::Served) => report.served += 1,
+            Some(ClientOutcome::Refused) => report.refused += 1,
+            Some(ClientOutcome::Failed) => report.failed += 1,
             _ => report.unanswered += 1,
         }
         let class = plan.arrivals[t.arrival].class;
-        if t.end == Some(End::Served) {
+        if t.end == Some(ClientOutcome::Served) {
             if let Some(h) = latencies.get_mut(class) {
                 // From when it was to be sent, whatever held it up.
                 let _ = h.record((t.ended - t.sent + t.late_us).max(1) as u64);
@@ -375,21 +377,21 @@
         let (c, of) = (&day.classes[a.class], &mut classes[a.class]);
         of.queries += 1;
         let Some(t) = last.get(&i) else { continue };
-        if t.end == Some(End::Left) {
+        if t.end == Some(ClientOutcome::Left) {
             // Nobody waits for it any more.
             of.queries -= 1;
             continue;
         }
         worth[a.class] += c.worth;
         match t.end {
-            Some(End::Served) => {
+            Some(ClientOutcome::Served) => {
                 of.served += 1;
                 // From when it was first wanted: further tries belong to the first.
                 let took = t.ended - (start + a.at);
                 let aim = c.aim.0 .0 as f64 + c.aim_stretch * a.work / c.threads * 1e6;
                 got[a.class] += if took as f64 <= aim { c.worth } else { c.worth * c.late_worth };
             }
-            Some(End::Refused) => of.refused += 1,
+            Some(ClientOutcome::Refused) => of.refused += 1,
             _ => of.failed += 1,
         }
     }
@@ -490,7 +492,7 @@
         }
     }
     for b in report.breaches.iter().take(10) {
-        writeln!(out, "  {} at {:.2} s: {}", b.rule, b.at as f64 / 1e6, b.what)?;
+        writeln!(out, "  {} at {:.2} s: {}", b.rule, b.at as f64 / 1e6, b.description)?;
     }
     Ok(())
 }
