--- a/crates/controller/src/postgres.rs
+++ b/crates/controller/src/postgres.rs
@@ -19,7 +19,7 @@
 use wheelfield_gossip::authentication::Keys;
 use wheelfield_net::Clock;
 use wheelfield_pg_gateway::fault_injection::FaultInjection;
-use wheelfield_pg_gateway::{GatewayEvent, PgGateway, Start};
+use wheelfield_pg_gateway::{GatewayEvent, PgGateway, PgGatewayOptions};
 use wheelfield_sans_io::{DatagramSocket, Listener, Protocol};
 
 /// How long the start waits for a first set of engine files.
@@ -258,15 +258,15 @@
     };
     let driver = Driver::new(config.settings.clone(), seed, limits);
     let recorder = start_recorder(&config, seed, limits, &driver, now)?;
-    let start = Start {
+    let start = PgGatewayOptions {
         now,
         seed,
-        secret: rand::random(),
-        mind: Box::new(driver),
+        cancel_key_seed: rand::random(),
+        decision_engine: Box::new(driver),
         recorder,
-        peers,
+        peer_address: peers,
         gossip,
-        plant: fault,
+        fault,
     };
     Ok(PgGateway::new(config, start))
 }
--- a/crates/controller/tests/end_to_end.rs
+++ b/crates/controller/tests/end_to_end.rs
@@ -532,7 +532,7 @@
             ..LoadReport::default()
         },
     };
-    let good = wheelfield_pg_gateway::peers::Speaker::new(1, 1)
+    let good = wheelfield_pg_gateway::peers::ReportSender::new(1, 1)
         .datagrams(&[word])
         .remove(0);
     let mut garbled = good.clone();
--- a/crates/controller/tests/gossip.rs
+++ b/crates/controller/tests/gossip.rs
@@ -134,7 +134,7 @@
         engine: EngineId(1),
         report: LoadReport::default(),
     }];
-    let part = wheelfield_pg_gateway::peers::written(&words, 100)
+    let part = wheelfield_pg_gateway::peers::encode_reports(&words, 100)
         .remove(0)
         .1;
     let held = Keys::read(KEY).expect("keys");
--- a/crates/pg-gateway/src/bootstrap.rs
+++ b/crates/pg-gateway/src/bootstrap.rs
@@ -7,21 +7,21 @@
 use wheelfield_recorder::DecisionEngine;
 
 /// What a controller starts with.
-pub struct Start {
+pub struct PgGatewayOptions {
     /// The time, in microseconds.
     pub now: i64,
     /// Seed of what the gossip draws.
     pub seed: u64,
     /// Makes the keys to cancel: from the system where it must not be guessed.
-    pub secret: [u8; 32],
+    pub cancel_key_seed: [u8; 32],
     /// What decides.
-    pub mind: Box<dyn DecisionEngine>,
+    pub decision_engine: Box<dyn DecisionEngine>,
     /// Records what that is told and answers.
     pub recorder: Option<Recorder>,
     /// Where words of other controllers come in.
-    pub peers: Option<SocketAddr>,
+    pub peer_address: Option<SocketAddr>,
     /// Where gossip comes in, and its keys.
     pub gossip: Option<(SocketAddr, Keys)>,
     /// A fault for a judge to find.
-    pub plant: Option<FaultInjection>,
+    pub fault: Option<FaultInjection>,
 }
--- a/crates/pg-gateway/src/dispatcher/attempts.rs
+++ b/crates/pg-gateway/src/dispatcher/attempts.rs
@@ -112,7 +112,7 @@
 
     /// Writes an attempt to a session that is there for it.
     fn dispatch(&mut self, session: ConnId, attempt: AttemptId) {
-        let planted = self.plant == Some(FaultInjection::Drained);
+        let planted = self.plant == Some(FaultInjection::SendToDraining);
         if !self.tape.decision_engine().may_write(Micros(self.out.now), attempt) && !planted
             || self.units.get(attempt.query).is_none()
         {
--- a/crates/pg-gateway/src/dispatcher/mod.rs
+++ b/crates/pg-gateway/src/dispatcher/mod.rs
@@ -5,7 +5,7 @@
 mod queries;
 
 use crate::admin::{Admin, Page};
-use crate::bootstrap::Start;
+use crate::bootstrap::PgGatewayOptions;
 use crate::clients::Clients;
 use crate::coverage::Coverage;
 use crate::effect_queue::EffectQueue;
@@ -57,19 +57,28 @@
 
 impl Dispatcher {
     /// The parts of a controller that has not started.
-    pub fn new(config: Config, start: Start) -> Dispatcher {
-        let Start { now, seed, secret, mind, recorder, peers, gossip, plant } = start;
-        let plant = plant.filter(|_| cfg!(feature = "planted"));
+    pub fn new(config: Config, options: PgGatewayOptions) -> Dispatcher {
+        let PgGatewayOptions {
+            now,
+            seed,
+            cancel_key_seed,
+            decision_engine,
+            recorder,
+            peer_address,
+            gossip,
+            fault,
+        } = options;
+        let plant = fault.filter(|_| cfg!(feature = "planted"));
         Dispatcher {
             out: EffectQueue::new(now),
-            tape: RecordingDriver::new(mind, recorder),
-            clients: Clients::new(&config, StdRng::from_seed(secret)),
+            tape: RecordingDriver::new(decision_engine, recorder),
+            clients: Clients::new(&config, StdRng::from_seed(cancel_key_seed)),
             units: InFlightQueries::default(),
             engines: Engines::new(&config, plant),
             sets: EndpointSets::new(&config),
             call: Call::new(&config),
             list_age: ListAge::new(&config, now),
-            peering: Peering::new(&config, peers, now),
+            peering: Peering::new(&config, peer_address, now),
             gossip: gossip.and_then(|(own, keys)| Gossip::new(&config, own, keys, seed, now, plant)),
             admin: Admin::new(),
             stop: Stop::default(),
@@ -185,8 +194,8 @@
     }
 
     /// Connections that are held.
-    pub fn connections(&self) -> usize {
-        self.clients.len() + self.engines.connections() + self.call.connections() + self.admin.len()
+    pub fn connection_count(&self) -> usize {
+        self.clients.len() + self.engines.connection_count() + self.call.connection_count() + self.admin.len()
     }
 
     fn look(&self) -> Look<'_> {
--- a/crates/pg-gateway/src/dispatcher/queries.rs
+++ b/crates/pg-gateway/src/dispatcher/queries.rs
@@ -114,17 +114,17 @@
         }
         let trouble = peer_load::of(answer);
         self.clients.unserved(unit.client, &trouble);
-        if self.planted(FaultInjection::Twice, 2) {
+        if self.planted(FaultInjection::DuplicateError, 2) {
             self.clients.sink(unit.client).into_iter().for_each(|sink| trouble.put(sink));
         }
-        if !self.planted(FaultInjection::TimerEvent, 2) {
+        if !self.planted(FaultInjection::LoseWakeup, 2) {
             self.ready.push_back(unit.client);
         }
     }
 
     /// The client's query was served; its answer is in its output.
     pub(super) fn served(&mut self, query: QueryId, errored: bool) {
-        if self.planted(FaultInjection::Lose, 20) {
+        if self.planted(FaultInjection::LoseAnswer, 20) {
             self.units.take(query);
             return;
         }
--- a/crates/pg-gateway/src/engines.rs
+++ b/crates/pg-gateway/src/engines.rs
@@ -173,7 +173,7 @@
 
     /// A clean session takes the next that waits for one, or rests.
     pub fn rest(&mut self, id: ConnId, out: &mut EffectQueue) {
-        let reused = self.plant == Some(FaultInjection::Reuse);
+        let reused = self.plant == Some(FaultInjection::ReuseDuringCancel);
         let Some(s) = self.sessions.get_mut(id).filter(|s| s.free(reused)) else { return };
         out.cancel_timer(&mut s.timer);
         s.idle_since = out.now;
@@ -185,7 +185,7 @@
         if let Some(attempt) = pool.waiting.pop_front() {
             return self.words.push_back(Word::Free(id, attempt));
         }
-        if pool.up || self.plant == Some(FaultInjection::Drained) {
+        if pool.up || self.plant == Some(FaultInjection::SendToDraining) {
             pool.idle.push(id);
         } else {
             self.drop(id, out);
@@ -436,7 +436,7 @@
     }
 
     /// Connections that are held.
-    pub fn connections(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.sessions.len() + self.cancels.len()
     }
 
@@ -455,7 +455,7 @@
 
     /// A request to cancel is over: its engine has closed the connection.
     pub fn cancel_over(&mut self, id: ConnId, out: &mut EffectQueue) {
-        let leaks = self.plant == Some(FaultInjection::Leak);
+        let leaks = self.plant == Some(FaultInjection::LeakCancelConnections);
         let Some(session) = self.cancels.over(id, leaks, out) else { return };
         if let Some(s) = self.sessions.get_mut(session) {
             s.cancelling = false;
--- a/crates/pg-gateway/src/fault_injection.rs
+++ b/crates/pg-gateway/src/fault_injection.rs
@@ -4,55 +4,55 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultInjection {
     /// Once-only queries are sent to a second engine too.
-    Resend,
+    DuplicateExecution,
     /// Some answers never go out.
-    Lose,
+    LoseAnswer,
     /// Queries are sent to engines that drain.
-    Drained,
+    SendToDraining,
     /// Queries are sent far more often than the budget allows.
-    Budget,
+    ExceedRetryBudget,
     /// The text of another client's query is sent in place of one's own.
-    Swap,
+    SwapQueryText,
     /// Some refusals and failures are not written until something else happens: a lost wake-up.
-    TimerEvent,
+    LoseWakeup,
     /// A session is used again while a request to cancel its last query is under way.
-    Reuse,
+    ReuseDuringCancel,
     /// A client's cancel ends the query of another.
-    Stranger,
+    CancelOtherQuery,
     /// Connections of requests to cancel are never closed.
-    Leak,
+    LeakCancelConnections,
     /// Some refusals and failures are told twice.
-    Twice,
+    DuplicateError,
     /// Now and then the last byte of what an engine sent is lost.
-    Cut,
+    TruncateInput,
     /// Those that answer are taken for all there are.
-    Sink,
+    CountAliveOnly,
     /// Two go by one number.
-    Number,
+    DuplicateIndex,
     /// One that is said to be gone is taken for one that said goodbye.
-    Goodbye,
+    TreatDeadAsLeft,
 }
 
 /// Those about what controllers believe of each other, which show where the roads between them have faults.
-pub const FLEET_PLANTS: [(&str, FaultInjection); 3] = [
-    ("sink", FaultInjection::Sink),
-    ("number", FaultInjection::Number),
-    ("goodbye", FaultInjection::Goodbye),
+pub const FLEET_FAULT_INJECTIONS: [(&str, FaultInjection); 3] = [
+    ("sink", FaultInjection::CountAliveOnly),
+    ("number", FaultInjection::DuplicateIndex),
+    ("goodbye", FaultInjection::TreatDeadAsLeft),
 ];
 
 /// Those that one controller shows, by name.
 pub const FAULT_INJECTIONS: [(&str, FaultInjection); 11] = [
-    ("resend", FaultInjection::Resend),
-    ("lose", FaultInjection::Lose),
-    ("drained", FaultInjection::Drained),
-    ("budget", FaultInjection::Budget),
-    ("swap", FaultInjection::Swap),
-    ("wake", FaultInjection::TimerEvent),
-    ("reuse", FaultInjection::Reuse),
-    ("stranger", FaultInjection::Stranger),
-    ("leak", FaultInjection::Leak),
-    ("twice", FaultInjection::Twice),
-    ("cut", FaultInjection::Cut),
+    ("resend", FaultInjection::DuplicateExecution),
+    ("lose", FaultInjection::LoseAnswer),
+    ("drained", FaultInjection::SendToDraining),
+    ("budget", FaultInjection::ExceedRetryBudget),
+    ("swap", FaultInjection::SwapQueryText),
+    ("wake", FaultInjection::LoseWakeup),
+    ("reuse", FaultInjection::ReuseDuringCancel),
+    ("stranger", FaultInjection::CancelOtherQuery),
+    ("leak", FaultInjection::LeakCancelConnections),
+    ("twice", FaultInjection::DuplicateError),
+    ("cut", FaultInjection::TruncateInput),
 ];
 
 impl FaultInjection {
@@ -64,7 +64,7 @@
         if !cfg!(feature = "planted") {
             return Err("this build has no planted faults; build with --features planted".to_string());
         }
-        let all = || FAULT_INJECTIONS.iter().chain(&FLEET_PLANTS);
+        let all = || FAULT_INJECTIONS.iter().chain(&FLEET_FAULT_INJECTIONS);
         let known = all().find(|(n, _)| *n == name).map(|(_, plant)| *plant);
         known.ok_or_else(|| {
             let names: Vec<&str> = all().map(|(n, _)| *n).collect();
--- a/crates/pg-gateway/src/gateway.rs
+++ b/crates/pg-gateway/src/gateway.rs
@@ -1,6 +1,6 @@
 //! The door of a controller: what happened in, effects out.
 
-use crate::bootstrap::Start;
+use crate::bootstrap::PgGatewayOptions;
 use crate::clients;
 use crate::coverage::Coverage;
 use crate::dispatcher::Dispatcher;
@@ -24,8 +24,8 @@
 
 impl PgGateway {
     /// A controller that has not started.
-    pub fn new(config: Config, start: Start) -> PgGateway {
-        PgGateway { flow: Dispatcher::new(config, start) }
+    pub fn new(config: Config, options: PgGatewayOptions) -> PgGateway {
+        PgGateway { flow: Dispatcher::new(config, options) }
     }
 
     /// The bytes of a connection.
@@ -126,8 +126,8 @@
     }
 
     /// Connections that it holds, in whatever state.
-    pub fn connections(&self) -> usize {
-        self.flow.connections()
+    pub fn connection_count(&self) -> usize {
+        self.flow.connection_count()
     }
 
     /// The number by which [`News::Looked`] is to tell that the engine files were read from now on, if that is asked for.
@@ -257,7 +257,7 @@
     }
 
     fn received(&mut self, id: ConnId, bytes: &[u8], ended: bool) {
-        let cut = id.owner() == engine_sessions::ROOM && self.flow.planted(FaultInjection::Cut, 50);
+        let cut = id.owner() == engine_sessions::ROOM && self.flow.planted(FaultInjection::TruncateInput, 50);
         let Some(wire) = self.wire(id) else { return };
         wire.receive(if cut { &bytes[..bytes.len().saturating_sub(1)] } else { bytes });
         wire.read_closed |= ended;
--- a/crates/pg-gateway/src/gossip.rs
+++ b/crates/pg-gateway/src/gossip.rs
@@ -3,7 +3,7 @@
 use crate::effect_queue::{DatagramSocket, Effect, EffectQueue};
 use crate::fault_injection::FaultInjection;
 use crate::metrics::Figure;
-use crate::peers::{read, written};
+use crate::peers::{decode_reports, encode_reports};
 use crate::timer_event::TimerEvent;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -148,7 +148,7 @@
         let reads = |a: &MemberStatus| a.record.state == MemberState::Alive && a.view_tag.is_some();
         let members: Vec<SocketAddr> =
             self.node.member_statuses(out.now).filter(reads).map(|a| a.record.member).collect();
-        for (_, part) in written(told, MAX_MESSAGE_BYTES) {
+        for (_, part) in encode_reports(told, MAX_MESSAGE_BYTES) {
             let whom = words.select_recipients(out.now, part.len() + ABOUT_WORDS, &members);
             if whom.is_empty() {
                 continue;
@@ -172,7 +172,7 @@
                 let known = self.node.is_counted(&from);
                 let words = self.words.as_mut().filter(|_| known);
                 let taken = words.is_some_and(|w| w.accept(out.now, from, id, datagram.len()).is_ok());
-                let told = taken.then(|| read(part)).flatten();
+                let told = taken.then(|| decode_reports(part)).flatten();
                 *(if told.is_some() { &mut self.heard } else { &mut self.untaken }) += 1;
                 told
             }
@@ -205,7 +205,7 @@
         }
         match self.verifier.verify(from, datagram, &self.keys) {
             Ok(mut packet) => {
-                if self.plant == Some(FaultInjection::Goodbye) {
+                if self.plant == Some(FaultInjection::TreatDeadAsLeft) {
                     let gone = packet.records.iter_mut().filter(|r| r.state == MemberState::Dead);
                     gone.for_each(|r| r.state = MemberState::Left);
                 }
@@ -234,8 +234,8 @@
     fn view(&self) -> View {
         let view = self.node.view();
         match self.plant {
-            Some(FaultInjection::Sink) => View { count: view.alive, ..view },
-            Some(FaultInjection::Number) => View { index: view.index.saturating_sub(1), ..view },
+            Some(FaultInjection::CountAliveOnly) => View { count: view.alive, ..view },
+            Some(FaultInjection::DuplicateIndex) => View { index: view.index.saturating_sub(1), ..view },
             _ => view,
         }
     }
--- a/crates/pg-gateway/src/injected_faults.rs
+++ b/crates/pg-gateway/src/injected_faults.rs
@@ -21,15 +21,15 @@
     out: &mut EffectQueue,
 ) -> u64 {
     let wanted = match plant {
-        FaultInjection::Resend if once => 1,
-        FaultInjection::Budget if !once => 2,
-        FaultInjection::Drained => 1,
+        FaultInjection::DuplicateExecution if once => 1,
+        FaultInjection::ExceedRetryBudget if !once => 2,
+        FaultInjection::SendToDraining => 1,
         _ => return 0,
     };
     let others: Vec<EngineId> = engines
         .pools
         .iter()
-        .filter(|(e, p)| if plant == FaultInjection::Drained { !p.up } else { p.up && *e != engine })
+        .filter(|(e, p)| if plant == FaultInjection::SendToDraining { !p.up } else { p.up && *e != engine })
         .map(|(e, _)| e)
         .take(wanted)
         .collect();
@@ -59,13 +59,14 @@
 
     /// Whose query a cancel ends in place of the one that was meant.
     pub fn stranger(&mut self, query: QueryId) -> Option<(ConnId, QueryId)> {
-        let other = self.planted(FaultInjection::Stranger, 1).then(|| self.units.another(query)).flatten()?;
+        let other =
+            self.planted(FaultInjection::CancelOtherQuery, 1).then(|| self.units.another(query)).flatten()?;
         Some((self.units.get(other)?.client, other))
     }
 
     /// Whose text is sent in place of a query's own.
     pub fn swapped(&mut self, query: QueryId) -> Option<QueryId> {
-        self.planted(FaultInjection::Swap, 20).then(|| self.units.another(query)).flatten()
+        self.planted(FaultInjection::SwapQueryText, 20).then(|| self.units.another(query)).flatten()
     }
 
     /// Whether a fault strikes now, as one time in so many.
--- a/crates/pg-gateway/src/lib.rs
+++ b/crates/pg-gateway/src/lib.rs
@@ -41,7 +41,7 @@
 mod shutdown;
 mod timer_event;
 
-pub use bootstrap::Start;
+pub use bootstrap::PgGatewayOptions;
 pub use event::GatewayEvent;
 pub use gateway::PgGateway;
 pub use wheelfield_recorder::DecisionEngine;
--- a/crates/pg-gateway/src/peering.rs
+++ b/crates/pg-gateway/src/peering.rs
@@ -1,7 +1,7 @@
 //! Words to and from the other controllers.
 
 use crate::effect_queue::{DatagramSocket, Effect, EffectQueue};
-use crate::peers::{Dropped, Listener, Speaker};
+use crate::peers::{DatagramError, ReportReceiver, ReportSender};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use tracing::debug;
@@ -13,8 +13,8 @@
 pub(crate) struct Peering {
     addresses: Vec<SocketAddr>,
     known: BTreeSet<SocketAddr>,
-    speaker: Speaker,
-    listener: Listener,
+    speaker: ReportSender,
+    listener: ReportReceiver,
     /// Datagrams that were none, old, or a stranger's.
     pub dropped: u64,
 }
@@ -29,8 +29,8 @@
         Some(Peering {
             known: addresses.iter().copied().collect(),
             addresses,
-            speaker: Speaker::new(index, now as u64),
-            listener: Listener::new(count, index),
+            speaker: ReportSender::new(index, now as u64),
+            listener: ReportReceiver::new(count, index),
             dropped: 0,
         })
     }
@@ -46,8 +46,11 @@
 
     /// What a datagram tells.
     pub fn hear(&mut self, from: SocketAddr, datagram: &[u8]) -> Option<Vec<PeerLoadReport>> {
-        let heard =
-            if self.known.contains(&from) { self.listener.hear(datagram) } else { Err(Dropped::Stranger) };
+        let heard = if self.known.contains(&from) {
+            self.listener.receive(datagram)
+        } else {
+            Err(DatagramError::UnknownSender)
+        };
         heard
             .inspect_err(|why| {
                 self.dropped += 1;
--- a/crates/pg-gateway/src/peers.rs
+++ b/crates/pg-gateway/src/peers.rs
@@ -7,23 +7,23 @@
 use wheelfield::interface::{EngineId, LoadReport, PeerLoadReport};
 
 /// Bytes of a datagram at most, to pass any loopback or Ethernet link whole.
-pub const LONGEST: usize = 1400;
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
 const MAGIC: &[u8; 4] = b"WFP1";
 const HEAD: usize = 4 + 4 + 8 + 4 + 2;
 const TAIL: usize = 4;
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Dropped {
+pub enum DatagramError {
     /// Too short, too long, of another kind, or with a wrong sum.
     #[error("garbled")]
-    Garbled,
+    Corrupt,
     /// Of a controller that is not among the peers.
     #[error("from a stranger")]
-    Stranger,
+    UnknownSender,
     /// Not newer than the last of its sender.
     #[error("old or doubled")]
-    Old,
+    Stale,
 }
 
 fn figures(report: &LoadReport) -> [Option<f64>; 5] {
@@ -31,7 +31,7 @@
 }
 
 /// Words as bytes, in parts of so many bytes at most: how many there are in each, and they.
-pub fn written(words: &[PeerLoadReport], most: usize) -> Vec<(u16, Vec<u8>)> {
+pub fn encode_reports(words: &[PeerLoadReport], most: usize) -> Vec<(u16, Vec<u8>)> {
     let mut parts: Vec<(u16, Vec<u8>)> = Vec::new();
     for word in words {
         let told = figures(&word.report);
@@ -51,7 +51,7 @@
 }
 
 /// Words of bytes; none if a part of them can't be read.
-pub(crate) fn read(mut rest: &[u8]) -> Option<Vec<PeerLoadReport>> {
+pub(crate) fn decode_reports(mut rest: &[u8]) -> Option<Vec<PeerLoadReport>> {
     let rest = &mut rest;
     let mut words = Vec::new();
     while !rest.is_empty() {
@@ -86,21 +86,21 @@
 
 /// What one controller sends.
 #[derive(Debug)]
-pub struct Speaker {
+pub struct ReportSender {
     index: u32,
     start: u64,
     sequence: u32,
 }
 
-impl Speaker {
+impl ReportSender {
     /// A speaker of a controller, by its number and the time of its start.
-    pub fn new(index: u32, start: u64) -> Speaker {
-        Speaker { index, start, sequence: 0 }
+    pub fn new(index: u32, start: u64) -> ReportSender {
+        ReportSender { index, start, sequence: 0 }
     }
 
     /// The datagrams that carry some words: as many as they need.
     pub fn datagrams(&mut self, words: &[PeerLoadReport]) -> Vec<Vec<u8>> {
-        let parts = written(words, LONGEST - HEAD - TAIL);
+        let parts = encode_reports(words, MAX_DATAGRAM_BYTES - HEAD - TAIL);
         let datagram = |(count, body): (u16, Vec<u8>)| {
             self.sequence = self.sequence.wrapping_add(1);
             let mut datagram = MAGIC.to_vec();
@@ -118,7 +118,7 @@
 
 /// What one controller has heard of the others.
 #[derive(Debug, Default)]
-pub struct Listener {
+pub struct ReportReceiver {
     controllers: u32,
     own: u32,
     heard: BTreeMap<u32, (u64, u32)>,
@@ -130,35 +130,35 @@
     Some(*first)
 }
 
-impl Listener {
+impl ReportReceiver {
     /// A listener among so many controllers, of which it is number `own`.
-    pub fn new(controllers: u32, own: u32) -> Listener {
-        Listener { controllers, own, heard: BTreeMap::new() }
+    pub fn new(controllers: u32, own: u32) -> ReportReceiver {
+        ReportReceiver { controllers, own, heard: BTreeMap::new() }
     }
 
     /// Reads a datagram.
     ///
     /// # Errors
     /// Why it is [`Dropped`].
-    pub fn hear(&mut self, datagram: &[u8]) -> Result<Vec<PeerLoadReport>, Dropped> {
-        if datagram.len() > LONGEST || datagram.len() < HEAD + TAIL {
-            return Err(Dropped::Garbled);
+    pub fn receive(&mut self, datagram: &[u8]) -> Result<Vec<PeerLoadReport>, DatagramError> {
+        if datagram.len() > MAX_DATAGRAM_BYTES || datagram.len() < HEAD + TAIL {
+            return Err(DatagramError::Corrupt);
         }
         let (body, sum) = datagram.split_at(datagram.len() - TAIL);
         if crc32fast::hash(body).to_be_bytes() != sum {
-            return Err(Dropped::Garbled);
+            return Err(DatagramError::Corrupt);
         }
         let mut rest = body;
-        let (index, start, sequence, words) = Self::parse(&mut rest).ok_or(Dropped::Garbled)?;
+        let (index, start, sequence, words) = Self::parse(&mut rest).ok_or(DatagramError::Corrupt)?;
         if index >= self.controllers || index == self.own {
-            return Err(Dropped::Stranger);
+            return Err(DatagramError::UnknownSender);
         }
         // Later starts come first, then later numbers; half the range is behind us.
         let newer = self.heard.get(&index).is_none_or(|(s, n)| {
             start > *s || (start == *s && sequence != *n && sequence.wrapping_sub(*n) < u32::MAX / 2)
         });
         if !newer {
-            return Err(Dropped::Old);
+            return Err(DatagramError::Stale);
         }
         self.heard.insert(index, (start, sequence));
         Ok(words)
@@ -172,7 +172,7 @@
         let start = u64::from_be_bytes(take(rest)?);
         let sequence = u32::from_be_bytes(take(rest)?);
         let count = u16::from_be_bytes(take(rest)?);
-        let words = read(rest)?;
+        let words = decode_reports(rest)?;
         (words.len() == usize::from(count)).then_some((index, start, sequence, words))
     }
 }
@@ -190,31 +190,35 @@
 
     #[test]
     fn words_go_round_and_long_ones_are_split() {
-        let (mut speaker, mut listener) = (Speaker::new(3, 100), Listener::new(5, 0));
+        let (mut speaker, mut listener) = (ReportSender::new(3, 100), ReportReceiver::new(5, 0));
         let all = speaker.datagrams(&words(200));
-        assert!(all.len() > 1 && all.iter().all(|d| d.len() <= LONGEST));
-        let heard: Vec<PeerLoadReport> = all.iter().flat_map(|d| listener.hear(d).expect("sound")).collect();
+        assert!(all.len() > 1 && all.iter().all(|d| d.len() <= MAX_DATAGRAM_BYTES));
+        let heard: Vec<PeerLoadReport> =
+            all.iter().flat_map(|d| listener.receive(d).expect("sound")).collect();
         assert_eq!(heard, words(200));
     }
 
     #[test]
     fn garbled_doubled_old_and_strange_ones_are_dropped() {
-        let (mut speaker, mut listener) = (Speaker::new(3, 100), Listener::new(5, 0));
+        let (mut speaker, mut listener) = (ReportSender::new(3, 100), ReportReceiver::new(5, 0));
         let first = speaker.datagrams(&words(1)).remove(0);
         let second = speaker.datagrams(&words(1)).remove(0);
         for i in 0..first.len() {
             let mut garbled = first.clone();
             garbled[i] ^= 0x10;
-            assert_eq!(listener.hear(&garbled), Err(Dropped::Garbled), "byte {i}");
+            assert_eq!(listener.receive(&garbled), Err(DatagramError::Corrupt), "byte {i}");
         }
-        assert!(listener.hear(&second).is_ok());
-        assert_eq!(listener.hear(&second), Err(Dropped::Old), "doubled");
-        assert_eq!(listener.hear(&first), Err(Dropped::Old), "late");
-        assert!(listener.hear(&Speaker::new(3, 101).datagrams(&words(1))[0]).is_ok(), "restarted");
-        assert_eq!(listener.hear(&Speaker::new(9, 1).datagrams(&words(1))[0]), Err(Dropped::Stranger));
+        assert!(listener.receive(&second).is_ok());
+        assert_eq!(listener.receive(&second), Err(DatagramError::Stale), "doubled");
+        assert_eq!(listener.receive(&first), Err(DatagramError::Stale), "late");
+        assert!(listener.receive(&ReportSender::new(3, 101).datagrams(&words(1))[0]).is_ok(), "restarted");
         assert_eq!(
-            listener.hear(&Speaker::new(0, 1).datagrams(&words(1))[0]),
-            Err(Dropped::Stranger),
+            listener.receive(&ReportSender::new(9, 1).datagrams(&words(1))[0]),
+            Err(DatagramError::UnknownSender)
+        );
+        assert_eq!(
+            listener.receive(&ReportSender::new(0, 1).datagrams(&words(1))[0]),
+            Err(DatagramError::UnknownSender),
             "our own"
         );
     }
@@ -224,9 +228,9 @@
         fn any_bytes_are_heard_or_dropped(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
             let mut with_sum = bytes.clone();
             with_sum.extend(crc32fast::hash(&bytes).to_be_bytes());
-            let mut listener = Listener::new(5, 0);
-            let _ = listener.hear(&bytes);
-            let _ = listener.hear(&with_sum);
+            let mut listener = ReportReceiver::new(5, 0);
+            let _ = listener.receive(&bytes);
+            let _ = listener.receive(&with_sum);
         }
     }
 }
--- a/crates/pg-gateway/src/registry.rs
+++ b/crates/pg-gateway/src/registry.rs
@@ -56,7 +56,7 @@
     }
 
     /// Connections that are held.
-    pub fn connections(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.wires.len()
     }
 
--- a/crates/pg-gateway/tests/common/mod.rs
+++ b/crates/pg-gateway/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use wheelfield_engine_emulator::setup::Setup;
 use wheelfield_engine_emulator::stand::{Do, Stand};
 use wheelfield_pg::front;
-use wheelfield_pg_gateway::{Effect, GatewayEvent, Listener, PgGateway, Start};
+use wheelfield_pg_gateway::{Effect, GatewayEvent, Listener, PgGateway, PgGatewayOptions};
 use wheelfield_sans_io::ConnId;
 use wheelfield_sans_io::{BreakCause, IoEvent, Protocol as _};
 
@@ -78,8 +78,16 @@
 pub fn gate(now: i64) -> PgGateway {
     let config = wheelfield_config::parse("test", CONFIG).unwrap_or_else(|fault| panic!("{fault}"));
     let mind = Box::new(Driver::new(config.settings.clone(), 1, DriverLimits::default()));
-    let start =
-        Start { now, seed: 1, secret: [7; 32], mind, recorder: None, peers: None, gossip: None, plant: None };
+    let start = PgGatewayOptions {
+        now,
+        seed: 1,
+        cancel_key_seed: [7; 32],
+        decision_engine: mind,
+        recorder: None,
+        peer_address: None,
+        gossip: None,
+        fault: None,
+    };
     PgGateway::new(config, start)
 }
 
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -34,7 +34,7 @@
 use wheelfield_invariants::{End, Life, Line, NotUp};
 use wheelfield_network_faults::Roads;
 use wheelfield_pg_gateway::fault_injection::FaultInjection;
-use wheelfield_pg_gateway::{DatagramSocket, PgGateway, Start};
+use wheelfield_pg_gateway::{DatagramSocket, PgGateway, PgGatewayOptions};
 use wheelfield_sans_io::{ConnId, ConnectionTable, TimerKey, Timers};
 
 /// A day begins at this time of the virtual clock: 2020-01-01, in microseconds since 1970.
@@ -210,7 +210,7 @@
     for c in 0..world.gates.len() {
         if let Some(gate) = world.gates[c].take() {
             if world.stalled[c].is_none() {
-                leaks += world.net.of(Proc::Controller(c)).saturating_sub(gate.connections());
+                leaks += world.net.of(Proc::Controller(c)).saturating_sub(gate.connection_count());
             }
             world.note_seen(&gate);
         }
@@ -365,8 +365,16 @@
         let mut secret = [0; 32];
         secret[..8].copy_from_slice(&seed.to_be_bytes());
         let mind = (self.minds)(config.settings.clone(), seed);
-        let start =
-            Start { now: self.now, seed, secret, mind, recorder: None, peers, gossip, plant: self.plant };
+        let start = PgGatewayOptions {
+            now: self.now,
+            seed,
+            cancel_key_seed: secret,
+            decision_engine: mind,
+            recorder: None,
+            peer_address: peers,
+            gossip,
+            fault: self.plant,
+        };
         let mut gate = PgGateway::new(config, start);
         gate.handle(self.now, wheelfield_pg_gateway::GatewayEvent::Started);
         self.gates[c] = Some(gate);
--- a/crates/testbed/tests/explore.rs
+++ b/crates/testbed/tests/explore.rs
@@ -43,13 +43,13 @@
     }
     // And each as what it is, in one of the first days, whatever else it breaks.
     for (plant, rule) in [
-        (FaultInjection::Swap, "answer"),
-        (FaultInjection::Stranger, "answer"),
-        (FaultInjection::Leak, "leak"),
-        (FaultInjection::Resend, "twice"),
-        (FaultInjection::Drained, "drain"),
-        (FaultInjection::Budget, "budget"),
-        (FaultInjection::Lose, "lost"),
+        (FaultInjection::SwapQueryText, "answer"),
+        (FaultInjection::CancelOtherQuery, "answer"),
+        (FaultInjection::LeakCancelConnections, "leak"),
+        (FaultInjection::DuplicateExecution, "twice"),
+        (FaultInjection::SendToDraining, "drain"),
+        (FaultInjection::ExceedRetryBudget, "budget"),
+        (FaultInjection::LoseAnswer, "lost"),
     ] {
         let shows = |number: &u64| {
             let outcome = play(&Scenario::draw(*number), Some(plant)).expect("a day");
@@ -61,14 +61,14 @@
 
 #[test]
 fn a_failing_day_is_made_smaller_and_still_fails() {
-    let (number, rule) = found(FaultInjection::Twice).expect("found");
+    let (number, rule) = found(FaultInjection::DuplicateError).expect("found");
     let scenario = Scenario::draw(number);
-    let (small, _) = shrink(&scenario, &rule, Some(FaultInjection::Twice));
+    let (small, _) = shrink(&scenario, &rule, Some(FaultInjection::DuplicateError));
     assert!(small.length_ms < scenario.length_ms && small.troubles.len() <= scenario.troubles.len());
     let text = toml::to_string(&small).expect("TOML");
     let again: Scenario = toml::from_str(&text).expect("read back");
     assert_eq!(again, small);
-    let outcome = play(&again, Some(FaultInjection::Twice)).expect("a day");
+    let outcome = play(&again, Some(FaultInjection::DuplicateError)).expect("a day");
     assert!(outcome.wrong.iter().any(|(r, _)| *r == rule));
     assert!(play(&again, None).expect("a day").sound(), "without the fault nothing is wrong");
 }
