--- a/crates/pg-gateway/src/admin.rs
+++ b/crates/pg-gateway/src/admin.rs
@@ -1,16 +1,16 @@
-//! What operators ask over HTTP.
+//! The HTTP endpoints for operators: health, status and metrics.
 
 use crate::effect_queue::{Effect, EffectQueue};
 use wheelfield_sans_io::ConnectionBuffer;
 use wheelfield_sans_io::{http, ConnId, ConnectionTable};
 
-pub(crate) const ROOM: u8 = 5;
-/// Calls at once; one more is closed.
-const MOST: usize = 64;
-/// Bytes of a call.
-const LONGEST: usize = 16 << 10;
+pub(crate) const CONNECTION_OWNER: u8 = 5;
+/// Maximum number of concurrent connections; further ones are closed.
+const MAX_CONNECTIONS: usize = 64;
+/// Maximum size of a request.
+const MAX_REQUEST_BYTES: usize = 16 << 10;
 
-/// What is asked for.
+/// The requested page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Page {
     Health,
@@ -19,48 +19,49 @@
     Unknown,
 }
 
-/// The calls of operators.
+/// The HTTP connections of operators.
 #[derive(Debug)]
 pub(crate) struct Admin {
-    calls: ConnectionTable<ConnectionBuffer>,
+    connections: ConnectionTable<ConnectionBuffer>,
 }
 
 impl Admin {
     pub fn new() -> Admin {
-        Admin { calls: ConnectionTable::new(ROOM) }
+        Admin { connections: ConnectionTable::new(CONNECTION_OWNER) }
     }
 
-    /// An operator has connected; none if too many have.
+    /// Accepts a connection. Returns `None` if the connection limit is reached.
     pub fn accept(&mut self) -> Option<ConnId> {
-        (self.calls.len() < MOST).then(|| self.calls.insert(ConnectionBuffer::default()))
+        (self.connections.len() < MAX_CONNECTIONS)
+            .then(|| self.connections.insert(ConnectionBuffer::default()))
     }
 
     pub fn len(&self) -> usize {
-        self.calls.len()
+        self.connections.len()
     }
 
-    pub fn wire(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
-        self.calls.get_mut(id)
+    pub fn buffer(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
+        self.connections.get_mut(id)
     }
 
-    pub fn room(&mut self, id: ConnId) -> usize {
-        self.calls.get_mut(id).map_or(0, |w| w.read_capacity(LONGEST))
+    pub fn read_capacity(&mut self, id: ConnId) -> usize {
+        self.connections.get_mut(id).map_or(0, |buffer| buffer.read_capacity(MAX_REQUEST_BYTES))
     }
 
-    /// The next page that a call asks for; a call that is none is closed.
-    pub fn next(&mut self, id: ConnId, out: &mut EffectQueue) -> Option<Page> {
-        let wire = self.calls.get_mut(id)?;
-        match http::take_request(&mut wire.input, 4096) {
+    /// Returns the next requested page. Closes the connection if the request is malformed.
+    pub fn next_request(&mut self, id: ConnId, out: &mut EffectQueue) -> Option<Page> {
+        let buffer = self.connections.get_mut(id)?;
+        match http::take_request(&mut buffer.input, 4096) {
             Ok(Some(request)) => Some(match request.route() {
                 "/health" => Page::Health,
                 "/status" => Page::Status,
                 "/metrics" => Page::Metrics,
                 _ => Page::Unknown,
             }),
-            // One that asks no more is closed once it has its answers.
-            Ok(None) if !wire.read_closed || !wire.output.is_empty() => {
-                wire.resume_reading(id, LONGEST, out);
-                wire.flush(id, out);
+            // A client that has closed its sending side is disconnected once its responses are written.
+            Ok(None) if !buffer.read_closed || !buffer.output.is_empty() => {
+                buffer.resume_reading(id, MAX_REQUEST_BYTES, out);
+                buffer.flush(id, out);
                 None
             }
             _ => {
@@ -70,23 +71,27 @@
         }
     }
 
-    /// Answers a call.
-    pub fn answer(&mut self, id: ConnId, status: u16, kind: &str, body: &str) {
-        if let Some(wire) = self.calls.get_mut(id) {
-            http::write_response(status, kind, body.as_bytes(), &mut wire.output);
+    /// Writes a response.
+    pub fn respond(&mut self, id: ConnId, status: u16, content_type: &str, body: &str) {
+        if let Some(buffer) = self.connections.get_mut(id) {
+            http::write_response(status, content_type, body.as_bytes(), &mut buffer.output);
         }
     }
 
-    /// Bytes have gone to an operator.
-    pub fn wrote(&mut self, id: ConnId, n: usize, out: &mut EffectQueue) {
-        if self.calls.get_mut(id).is_some_and(|w| w.advance_written(n) && w.read_closed) {
+    /// Handles bytes written to the socket; closes a finished connection.
+    pub fn bytes_written(&mut self, id: ConnId, count: usize, out: &mut EffectQueue) {
+        if self
+            .connections
+            .get_mut(id)
+            .is_some_and(|buffer| buffer.advance_written(count) && buffer.read_closed)
+        {
             self.remove(id, out);
         }
     }
 
-    /// A call is over.
+    /// Closes a connection.
     pub fn remove(&mut self, id: ConnId, out: &mut EffectQueue) {
-        if self.calls.remove(id).is_some() {
+        if self.connections.remove(id).is_some() {
             out.push(Effect::Close(id));
         }
     }
--- a/crates/pg-gateway/src/bootstrap.rs
+++ b/crates/pg-gateway/src/bootstrap.rs
@@ -1,4 +1,4 @@
-//! What a controller starts with.
+//! What a gateway is created with.
 
 use crate::fault_injection::FaultInjection;
 use std::net::SocketAddr;
@@ -6,22 +6,23 @@
 use wheelfield_gossip::authentication::Keys;
 use wheelfield_recorder::DecisionEngine;
 
-/// What a controller starts with.
+/// The inputs of a new gateway besides its configuration.
 pub struct PgGatewayOptions {
-    /// The time, in microseconds.
+    /// The current time, in microseconds.
     pub now: i64,
-    /// Seed of what the gossip draws.
+    /// Seed of the random choices of the gossip protocol.
     pub seed: u64,
-    /// Makes the keys to cancel: from the system where it must not be guessed.
+    /// Seed of the generator of cancel keys. In production it comes from the operating system, since cancel
+    /// keys must not be predictable.
     pub cancel_key_seed: [u8; 32],
-    /// What decides.
+    /// Makes the admission and routing decisions.
     pub decision_engine: Box<dyn DecisionEngine>,
-    /// Records what that is told and answers.
+    /// Records the inputs and instructions of the decision engine.
     pub recorder: Option<Recorder>,
-    /// Where words of other controllers come in.
+    /// The local address that receives load reports of other controllers.
     pub peer_address: Option<SocketAddr>,
-    /// Where gossip comes in, and its keys.
+    /// The local address of the gossip socket, and the gossip keys.
     pub gossip: Option<(SocketAddr, Keys)>,
-    /// A fault for a judge to find.
+    /// A fault to inject, in builds with the feature `planted`.
     pub fault: Option<FaultInjection>,
 }
--- a/crates/pg-gateway/src/cancels.rs
+++ b/crates/pg-gateway/src/cancels.rs
@@ -1,4 +1,5 @@
-//! Requests to cancel: connections of their own, over once the engine closes them.
+//! PostgreSQL cancel requests. Each one uses a connection of its own and is finished when the engine closes
+//! that connection.
 
 use crate::effect_queue::{Effect, EffectQueue};
 use crate::timer_event::TimerEvent;
@@ -8,86 +9,87 @@
 use wheelfield_sans_io::ConnectionBuffer;
 use wheelfield_sans_io::{ConnId, ConnectionTable, TimerKey};
 
-pub(crate) const ROOM: u8 = 3;
-/// Requests under way at once; without room for one the session is closed instead.
-const MOST: usize = 1024;
-/// Bytes of an answer that nobody reads.
-const READ: usize = 4096;
+pub(crate) const CONNECTION_OWNER: u8 = 3;
+/// Maximum number of concurrent cancel requests. Beyond it, the session is closed instead.
+const MAX_REQUESTS: usize = 1024;
+/// Read capacity of a connection; engines do not answer cancel requests, so received bytes are discarded.
+const READ_LIMIT: usize = 4096;
 
 #[derive(Debug)]
-struct Request {
-    wire: ConnectionBuffer,
+struct CancelRequest {
+    buffer: ConnectionBuffer,
     session: ConnId,
     timer: Option<TimerKey>,
 }
 
-/// The requests under way.
+/// The cancel requests in progress.
 #[derive(Debug)]
-pub(crate) struct Cancels {
-    all: ConnectionTable<Request>,
+pub(crate) struct CancelRequests {
+    requests: ConnectionTable<CancelRequest>,
 }
 
-impl Cancels {
-    pub fn new() -> Cancels {
-        Cancels { all: ConnectionTable::new(ROOM) }
+impl CancelRequests {
+    pub fn new() -> CancelRequests {
+        CancelRequests { requests: ConnectionTable::new(CONNECTION_OWNER) }
     }
 
     pub fn len(&self) -> usize {
-        self.all.len()
+        self.requests.len()
     }
 
-    /// Begins a request; false if too many are under way.
-    pub fn begin(
+    /// Starts a cancel request. Returns false if too many are in progress.
+    pub fn start(
         &mut self,
         session: ConnId,
-        to: SocketAddr,
+        address: SocketAddr,
         (pid, key): &(i32, Bytes),
-        patience: i64,
+        timeout: i64,
         out: &mut EffectQueue,
     ) -> bool {
-        if self.all.len() >= MOST {
+        if self.requests.len() >= MAX_REQUESTS {
             return false;
         }
-        let mut wire = ConnectionBuffer::default();
-        front::put_cancel(*pid, key, &mut wire.output);
-        let id = self.all.insert(Request { wire, session, timer: None });
-        if let Some(r) = self.all.get_mut(id) {
-            r.timer = Some(out.set_timer_after(patience, TimerEvent::Cancel(id)));
+        let mut buffer = ConnectionBuffer::default();
+        front::put_cancel(*pid, key, &mut buffer.output);
+        let id = self.requests.insert(CancelRequest { buffer, session, timer: None });
+        if let Some(request) = self.requests.get_mut(id) {
+            request.timer = Some(out.set_timer_after(timeout, TimerEvent::CancelRequestTimeout(id)));
         }
-        out.push(Effect::Connect(id, to));
+        out.push(Effect::Connect(id, address));
         true
     }
 
-    pub fn wire(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
-        self.all.get_mut(id).map(|r| &mut r.wire)
+    pub fn buffer(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
+        self.requests.get_mut(id).map(|request| &mut request.buffer)
     }
 
-    pub fn room(&mut self, id: ConnId) -> usize {
-        self.all.get_mut(id).map_or(0, |r| r.wire.read_capacity(READ))
+    pub fn read_capacity(&mut self, id: ConnId) -> usize {
+        self.requests.get_mut(id).map_or(0, |request| request.buffer.read_capacity(READ_LIMIT))
     }
 
-    /// It is connected: the request goes out.
+    /// Sends the request once its connection is established.
     pub fn connected(&mut self, id: ConnId, out: &mut EffectQueue) {
-        if let Some(r) = self.all.get_mut(id) {
-            r.wire.flush(id, out);
+        if let Some(request) = self.requests.get_mut(id) {
+            request.buffer.flush(id, out);
         }
     }
 
-    /// Something came that nobody reads.
+    /// Discards received bytes.
     pub fn received(&mut self, id: ConnId, out: &mut EffectQueue) {
-        if let Some(r) = self.all.get_mut(id) {
-            r.wire.input.clear();
-            r.wire.resume_reading(id, READ, out);
+        if let Some(request) = self.requests.get_mut(id) {
+            request.buffer.input.clear();
+            request.buffer.resume_reading(id, READ_LIMIT, out);
         }
     }
 
-    /// A request is over, in whatever way. Its session. `leaks` is a planted fault: the connection stays.
-    pub fn over(&mut self, id: ConnId, leaks: bool, out: &mut EffectQueue) -> Option<ConnId> {
-        let mut r = self.all.remove(id)?;
-        out.cancel_timer(&mut r.timer);
-        if !leaks {
+    /// Ends a request, whatever its outcome, and returns the session it belongs to. `leak_connection` is an
+    /// injected fault that leaves the connection open.
+    pub fn finish(&mut self, id: ConnId, leak_connection: bool, out: &mut EffectQueue) -> Option<ConnId> {
+        let mut request = self.requests.remove(id)?;
+        out.cancel_timer(&mut request.timer);
+        if !leak_connection {
             out.push(Effect::Close(id));
         }
-        Some(r.session)
+        Some(request.session)
     }
 }
--- a/crates/pg-gateway/src/clients.rs
+++ b/crates/pg-gateway/src/clients.rs
@@ -1,4 +1,4 @@
-//! Sessions of clients: their messages in, their answers out, their keys to cancel.
+//! Client sessions: parsing the clients' messages, writing their answers, and their cancel keys.
 
 use crate::coverage::Coverage;
 use crate::effect_queue::{Effect, EffectQueue};
@@ -15,319 +15,354 @@
 use wheelfield_sans_io::ConnectionBuffer;
 use wheelfield_sans_io::{ConnId, ConnectionTable, TimerKey};
 
-pub(crate) const ROOM: u8 = 1;
-/// Read ahead of a client whose query runs.
-const READ_AHEAD: usize = 16 << 10;
-/// A client that takes nothing of its answer for so many times the stall of an engine is gone.
-const READER_PATIENCE: i64 = 6;
+pub(crate) const CONNECTION_OWNER: u8 = 1;
+/// Bytes read ahead from a client while its query runs.
+const READ_AHEAD_BYTES: usize = 16 << 10;
+/// A client that reads nothing of its answer for this multiple of the engine stall timeout is disconnected.
+const READ_TIMEOUT_STALLS: i64 = 6;
 
-/// What a client wants.
-pub(crate) enum Said {
-    /// A unit is to run.
+/// A request of a client to the dispatcher.
+pub(crate) enum ClientRequest {
+    /// Run a unit of work.
     Run(Unit),
-    /// More of the open unit of this query.
-    More(QueryId, Bytes, Vec<bool>, bool),
-    /// The query of another session is to end.
+    /// Further messages of the open unit of this query: the frames, which completion messages to suppress,
+    /// and whether the unit is now complete.
+    Continue(QueryId, Bytes, Vec<bool>, bool),
+    /// Cancel the query of another session, given its process ID and cancel key.
     Cancel(i32, Bytes),
-    /// It can be told nothing more.
-    Gone,
+    /// The client is gone, or cannot be sent anything more.
+    Disconnected,
 }
 
 #[derive(Debug)]
 struct Client {
-    wire: ConnectionBuffer,
+    buffer: ConnectionBuffer,
     session: Session,
     pid: i32,
     running: Option<QueryId>,
-    /// It is closed once all has gone.
-    last: bool,
-    startup: Option<TimerKey>,
-    /// A session with an engine that waits until this client has taken some of its answer.
-    pauses: Option<ConnId>,
-    /// When it last took some.
-    moved: i64,
+    /// The connection is closed once the output is written.
+    closing: bool,
+    startup_timer: Option<TimerKey>,
+    /// An engine session that is not read until this client has read some of its answer.
+    paused_session: Option<ConnId>,
+    /// When the client last read some of its answer.
+    last_progress_at: i64,
 }
 
 impl Client {
-    /// Bytes of it that may wait to be taken.
-    fn limit(&self, message: usize) -> usize {
+    /// How many received bytes may be buffered.
+    fn read_limit(&self, max_message: usize) -> usize {
         match self.session.running() {
-            _ if self.last => 0,
-            true => READ_AHEAD,
-            false => message + READ_AHEAD,
+            _ if self.closing => 0,
+            true => READ_AHEAD_BYTES,
+            false => max_message + READ_AHEAD_BYTES,
         }
     }
 }
 
-/// What was counted.
+/// Counters of client connections.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Counts {
+pub(crate) struct ClientCounters {
     pub accepted: u64,
-    pub turned_away: u64,
-    pub malformed: u64,
+    pub rejected: u64,
+    pub protocol_errors: u64,
 }
 
 /// All clients.
 #[derive(Debug)]
 pub(crate) struct Clients {
-    all: ConnectionTable<Client>,
-    keys: BTreeMap<i32, (i32, ConnId)>,
+    clients: ConnectionTable<Client>,
+    cancel_keys: BTreeMap<i32, (i32, ConnId)>,
     next_pid: i32,
-    chance: StdRng,
-    limits: client::Limits,
-    most: usize,
-    buffer: usize,
-    startup: i64,
-    patience: i64,
-    pub counts: Counts,
+    rng: StdRng,
+    session_limits: client::Limits,
+    max_clients: usize,
+    output_limit: usize,
+    startup_timeout: i64,
+    read_timeout: i64,
+    pub counters: ClientCounters,
 }
 
 impl Clients {
-    /// `chance` makes the keys to cancel: it must not be guessed.
-    pub fn new(config: &Config, chance: StdRng) -> Clients {
-        let l = config.limits;
+    /// `rng` generates the cancel keys, so its output must not be predictable.
+    pub fn new(config: &Config, rng: StdRng) -> Clients {
+        let limits = config.limits;
         Clients {
-            all: ConnectionTable::new(ROOM),
-            keys: BTreeMap::new(),
+            clients: ConnectionTable::new(CONNECTION_OWNER),
+            cancel_keys: BTreeMap::new(),
             next_pid: 0,
-            chance,
-            limits: client::Limits { message: l.message, statements: l.statements, held: l.prepared },
-            most: l.clients,
-            buffer: l.buffer,
-            startup: config.timing.startup.0,
-            patience: config.timing.stall.0 * READER_PATIENCE,
-            counts: Counts::default(),
+            rng,
+            session_limits: client::Limits {
+                message: limits.message,
+                statements: limits.statements,
+                held: limits.prepared,
+            },
+            max_clients: limits.clients,
+            output_limit: limits.buffer,
+            startup_timeout: config.timing.startup.0,
+            read_timeout: config.timing.stall.0 * READ_TIMEOUT_STALLS,
+            counters: ClientCounters::default(),
         }
     }
 
     pub fn len(&self) -> usize {
-        self.all.len()
+        self.clients.len()
     }
 
-    /// A client has connected.
+    /// Adds a new connection. Beyond the client limit, the client is sent an error and closed.
     pub fn accept(&mut self, out: &mut EffectQueue) -> ConnId {
-        self.counts.accepted += 1;
-        let crowded = self.all.len() >= self.most;
+        self.counters.accepted += 1;
+        let over_limit = self.clients.len() >= self.max_clients;
         self.next_pid = self.next_pid.checked_add(1).unwrap_or(1);
-        let (pid, key) = (self.next_pid, self.chance.random::<i32>());
-        let id = self.all.insert(Client {
-            wire: ConnectionBuffer::default(),
-            session: Session::new(self.limits, pid, key),
+        let (pid, key) = (self.next_pid, self.rng.random::<i32>());
+        let id = self.clients.insert(Client {
+            buffer: ConnectionBuffer::default(),
+            session: Session::new(self.session_limits, pid, key),
             pid,
             running: None,
-            last: crowded,
-            startup: None,
-            pauses: None,
-            moved: out.now,
+            closing: over_limit,
+            startup_timer: None,
+            paused_session: None,
+            last_progress_at: out.now,
         });
-        out.saw(if crowded { Coverage::ClientTurnedAway } else { Coverage::ClientAccepted });
-        let Some(c) = self.all.get_mut(id) else { return id };
-        if crowded {
-            self.counts.turned_away += 1;
-            let trouble = Trouble::fatal("53300", "too many clients").hint("come back in some seconds");
-            c.session.end(&trouble, &mut c.wire.output);
-            c.wire.flush(id, out);
+        out.record(if over_limit { Coverage::ClientRejected } else { Coverage::ClientAccepted });
+        let Some(client) = self.clients.get_mut(id) else { return id };
+        if over_limit {
+            self.counters.rejected += 1;
+            let error = Trouble::fatal("53300", "too many clients").hint("come back in some seconds");
+            client.session.end(&error, &mut client.buffer.output);
+            client.buffer.flush(id, out);
         } else {
-            c.startup = Some(out.set_timer_after(self.startup, TimerEvent::Startup(id)));
-            self.keys.insert(pid, (key, id));
+            client.startup_timer =
+                Some(out.set_timer_after(self.startup_timeout, TimerEvent::ClientStartupTimeout(id)));
+            self.cancel_keys.insert(pid, (key, id));
         }
         id
     }
 
-    /// What the socket does next with its bytes.
-    pub fn wire(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
-        self.all.get_mut(id).map(|c| &mut c.wire)
+    /// The input and output buffers of a connection.
+    pub fn buffer(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
+        self.clients.get_mut(id).map(|client| &mut client.buffer)
     }
 
-    /// Bytes that may come from a client now.
-    pub fn room(&mut self, id: ConnId) -> usize {
-        let message = self.limits.message;
-        self.all.get_mut(id).map_or(0, |c| {
-            let limit = c.limit(message);
-            c.wire.read_capacity(limit)
+    /// How many bytes may be read from a client now.
+    pub fn read_capacity(&mut self, id: ConnId) -> usize {
+        let max_message = self.session_limits.message;
+        self.clients.get_mut(id).map_or(0, |client| {
+            let limit = client.read_limit(max_message);
+            client.buffer.read_capacity(limit)
         })
     }
 
-    /// Reads a client's messages up to the first thing that must be done for it.
-    pub fn next(&mut self, id: ConnId, out: &mut EffectQueue) -> Option<Said> {
-        let message = self.limits.message;
-        let c = self.all.get_mut(id)?;
-        while !c.last {
-            match c.session.feed(&mut c.wire.input, &mut c.wire.output) {
+    /// Processes a client's messages up to the next request that the dispatcher must handle.
+    pub fn next_request(&mut self, id: ConnId, out: &mut EffectQueue) -> Option<ClientRequest> {
+        let max_message = self.session_limits.message;
+        let client = self.clients.get_mut(id)?;
+        while !client.closing {
+            match client.session.feed(&mut client.buffer.input, &mut client.buffer.output) {
                 Err(fault) => {
-                    self.counts.malformed += 1;
-                    out.saw(Coverage::ClientMalformed);
-                    c.last = true;
-                    info!(%fault, "client ended");
+                    self.counters.protocol_errors += 1;
+                    out.record(Coverage::ClientProtocolError);
+                    client.closing = true;
+                    info!(%fault, "closing a client after a protocol error");
                 }
                 Ok(None) => {
-                    if c.wire.read_closed || (c.wire.peer_closing && c.session.running()) {
-                        return Some(Said::Gone);
+                    if client.buffer.read_closed || (client.buffer.peer_closing && client.session.running()) {
+                        return Some(ClientRequest::Disconnected);
                     }
-                    let limit = c.limit(message);
-                    c.wire.resume_reading(id, limit, out);
+                    let limit = client.read_limit(max_message);
+                    client.buffer.resume_reading(id, limit, out);
                     break;
                 }
-                Ok(Some(Ask::Started(who))) => {
-                    out.cancel_timer(&mut c.startup);
-                    debug!(user = %who.user, database = %who.database, application = %who.application, "client");
+                Ok(Some(Ask::Started(identity))) => {
+                    out.cancel_timer(&mut client.startup_timer);
+                    debug!(
+                        user = %identity.user,
+                        database = %identity.database,
+                        application = %identity.application,
+                        "client session started"
+                    );
                 }
-                Ok(Some(Ask::Run(unit))) => return Some(Said::Run(unit)),
-                Ok(Some(Ask::More { frames, swallow, sealed })) => {
-                    if let Some(query) = c.running {
-                        return Some(Said::More(query, frames, swallow, sealed));
+                Ok(Some(Ask::Run(unit))) => return Some(ClientRequest::Run(unit)),
+                Ok(Some(Ask::More { frames, swallow: suppress_acks, sealed: is_last })) => {
+                    if let Some(query) = client.running {
+                        return Some(ClientRequest::Continue(query, frames, suppress_acks, is_last));
                     }
                 }
                 Ok(Some(Ask::Cancel { pid, key })) => {
-                    c.last = true;
-                    return Some(Said::Cancel(pid, key));
+                    client.closing = true;
+                    return Some(ClientRequest::Cancel(pid, key));
                 }
-                Ok(Some(Ask::Closed)) => c.last = true,
+                Ok(Some(Ask::Closed)) => client.closing = true,
             }
         }
-        if c.last && (c.session.running() || c.wire.output.is_empty()) {
-            return Some(Said::Gone);
+        if client.closing && (client.session.running() || client.buffer.output.is_empty()) {
+            return Some(ClientRequest::Disconnected);
         }
-        c.wire.flush(id, out);
+        client.buffer.flush(id, out);
         None
     }
 
-    /// Whether a client is gone or about to leave.
+    /// Whether a client has disconnected or is about to.
     pub fn is_leaving(&self, id: ConnId) -> bool {
-        self.all.get(id).is_none_or(|c| c.wire.read_closed || c.wire.peer_closing)
+        self.clients.get(id).is_none_or(|client| client.buffer.read_closed || client.buffer.peer_closing)
     }
 
     pub fn session(&self, id: ConnId) -> Option<&Session> {
-        self.all.get(id).map(|c| &c.session)
+        self.clients.get(id).map(|client| &client.session)
     }
 
-    /// The query of a client's unit.
-    pub fn runs(&mut self, id: ConnId, query: QueryId) {
-        if let Some(c) = self.all.get_mut(id) {
-            c.running = Some(query);
+    /// Associates a client with the query of its current unit.
+    pub fn set_running(&mut self, id: ConnId, query: QueryId) {
+        if let Some(client) = self.clients.get_mut(id) {
+            client.running = Some(query);
         }
     }
 
-    /// The query that the holder of a key runs.
-    pub fn query_of(&self, pid: i32, key: &[u8]) -> Option<(ConnId, QueryId)> {
-        let (known, id) = self.keys.get(&pid)?;
-        let query = self.all.get(*id).filter(|_| known.to_be_bytes() == key)?.running?;
+    /// Looks up the running query of the session that a cancel request identifies.
+    pub fn running_query(&self, pid: i32, key: &[u8]) -> Option<(ConnId, QueryId)> {
+        let (expected, id) = self.cancel_keys.get(&pid)?;
+        let query = self.clients.get(*id).filter(|_| expected.to_be_bytes() == key)?.running?;
         Some((*id, query))
     }
 
-    /// Where the answer of a client goes.
+    /// The output buffer that a client's answer is written to.
     pub fn sink(&mut self, id: ConnId) -> Option<&mut BytesMut> {
-        self.all.get_mut(id).map(|c| &mut c.wire.output)
+        self.clients.get_mut(id).map(|client| &mut client.buffer.output)
     }
 
-    /// Something went to a client's output.
+    /// Requests a write of a client's output.
     pub fn flush(&mut self, id: ConnId, out: &mut EffectQueue) {
-        if let Some(c) = self.all.get_mut(id) {
-            c.wire.flush(id, out);
+        if let Some(client) = self.clients.get_mut(id) {
+            client.buffer.flush(id, out);
         }
     }
 
-    /// A client's unit ended without an answer of an engine. Look at its [`Clients::next`].
-    pub fn unserved(&mut self, id: ConnId, trouble: &Trouble) {
-        if let Some(c) = self.all.get_mut(id) {
-            c.running = None;
-            c.session.unserved(trouble, &mut c.wire.output);
+    /// Ends a client's unit with an error instead of an engine's answer. Call [`Clients::next_request`]
+    /// afterwards.
+    pub fn finish_with_error(&mut self, id: ConnId, error: &Trouble) {
+        if let Some(client) = self.clients.get_mut(id) {
+            client.running = None;
+            client.session.unserved(error, &mut client.buffer.output);
         }
     }
 
-    /// A client's unit was served. Look at its [`Clients::next`].
-    pub fn served(&mut self, id: ConnId, errored: bool) {
-        if let Some(c) = self.all.get_mut(id) {
-            c.running = None;
-            c.session.served(errored, &mut c.wire.output);
+    /// Ends a client's unit that an engine has answered. Call [`Clients::next_request`] afterwards.
+    pub fn finish_served(&mut self, id: ConnId, has_query_error: bool) {
+        if let Some(client) = self.clients.get_mut(id) {
+            client.running = None;
+            client.session.served(has_query_error, &mut client.buffer.output);
         }
     }
 
-    /// Bytes have gone to a client. The session with an engine that may go on, and whether the client is done with.
-    pub fn wrote(&mut self, id: ConnId, n: usize, out: &mut EffectQueue) -> (Option<ConnId>, bool) {
-        let Some(c) = self.all.get_mut(id) else { return (None, false) };
-        let all = c.wire.advance_written(n);
-        if n > 0 {
-            c.moved = out.now;
+    /// Handles bytes written to a client. Returns the engine session that may be read again, if any, and
+    /// whether the connection is finished.
+    pub fn bytes_written(
+        &mut self,
+        id: ConnId,
+        count: usize,
+        out: &mut EffectQueue,
+    ) -> (Option<ConnId>, bool) {
+        let Some(client) = self.clients.get_mut(id) else { return (None, false) };
+        let all_written = client.buffer.advance_written(count);
+        if count > 0 {
+            client.last_progress_at = out.now;
         }
-        // A session that waits goes on once half of the room is free.
-        let go_on = if c.wire.output.len() <= self.buffer / 2 { c.pauses.take() } else { None };
-        (go_on, all && c.last)
+        // Reading resumes once half of the output buffer is free.
+        let resumed_session = if client.buffer.output.len() <= self.output_limit / 2 {
+            client.paused_session.take()
+        } else {
+            None
+        };
+        (resumed_session, all_written && client.closing)
     }
 
-    /// A client's output is full: its engine waits, but not for ever.
-    pub fn pause(&mut self, id: ConnId, session: ConnId, out: &mut EffectQueue) {
-        if let Some(c) = self.all.get_mut(id) {
-            out.saw(Coverage::ClientPaused);
-            if c.pauses.replace(session).is_none() {
-                out.set_timer_after(self.patience, TimerEvent::Reader(id));
+    /// Stops reading an engine session because the client's output buffer is full, and starts the client's
+    /// read timeout.
+    pub fn pause_session(&mut self, id: ConnId, session: ConnId, out: &mut EffectQueue) {
+        if let Some(client) = self.clients.get_mut(id) {
+            out.record(Coverage::ClientOutputFull);
+            if client.paused_session.replace(session).is_none() {
+                out.set_timer_after(self.read_timeout, TimerEvent::ClientReadTimeout(id));
             }
-            c.wire.flush(id, out);
+            client.buffer.flush(id, out);
         }
     }
 
-    /// Whether a session waits for a client.
-    pub fn pauses(&self, id: ConnId, session: ConnId) -> bool {
-        self.all.get(id).is_some_and(|c| c.pauses == Some(session))
+    /// Whether an engine session is paused because of this client.
+    pub fn is_pausing(&self, id: ConnId, session: ConnId) -> bool {
+        self.clients.get(id).is_some_and(|client| client.paused_session == Some(session))
     }
 
-    /// A session waits no more for a client.
-    pub fn unpause(&mut self, id: ConnId, session: ConnId) {
-        if let Some(c) = self.all.get_mut(id) {
-            c.pauses = c.pauses.filter(|paused| *paused != session);
+    /// Notes that an engine session is no longer paused because of this client.
+    pub fn clear_paused_session(&mut self, id: ConnId, session: ConnId) {
+        if let Some(client) = self.clients.get_mut(id) {
+            client.paused_session = client.paused_session.filter(|paused| *paused != session);
         }
     }
 
-    /// True for a client that has taken nothing of its answer for too long.
-    pub fn reader_stalled(&mut self, id: ConnId, out: &mut EffectQueue) -> bool {
-        let Some(c) = self.all.get(id).filter(|c| c.pauses.is_some()) else { return false };
-        if out.now - c.moved >= self.patience {
-            out.saw(Coverage::ClientStalled);
+    /// Whether a client has read nothing of its answer for too long. If it has not, the timer is set again.
+    pub fn check_read_timeout(&mut self, id: ConnId, out: &mut EffectQueue) -> bool {
+        let Some(client) = self.clients.get(id).filter(|client| client.paused_session.is_some()) else {
+            return false;
+        };
+        if out.now - client.last_progress_at >= self.read_timeout {
+            out.record(Coverage::ClientReadTimeout);
             info!("a client that takes nothing of its answer is closed");
             return true;
         }
-        let at = c.moved + self.patience;
-        out.set_timer_at(at, TimerEvent::Reader(id));
+        let deadline = client.last_progress_at + self.read_timeout;
+        out.set_timer_at(deadline, TimerEvent::ClientReadTimeout(id));
         false
     }
 
-    /// A client has not introduced itself in time.
-    pub fn startup_late(&mut self, id: ConnId, out: &mut EffectQueue) {
-        let Some(c) = self.all.get_mut(id).filter(|c| !c.session.started()) else { return };
-        c.startup = None;
-        out.saw(Coverage::ClientStartupLate);
-        c.session.end(&Trouble::fatal("08P01", "no startup packet in time"), &mut c.wire.output);
-        c.last = true;
-        c.wire.flush(id, out);
+    /// Closes a client that has not sent its startup packet in time.
+    pub fn handle_startup_timeout(&mut self, id: ConnId, out: &mut EffectQueue) {
+        let Some(client) = self.clients.get_mut(id).filter(|client| !client.session.started()) else {
+            return;
+        };
+        client.startup_timer = None;
+        out.record(Coverage::ClientStartupTimeout);
+        client.session.end(&Trouble::fatal("08P01", "no startup packet in time"), &mut client.buffer.output);
+        client.closing = true;
+        client.buffer.flush(id, out);
     }
 
-    /// The controller stops: ends all with nothing running.
-    pub fn end_idle(&mut self, out: &mut EffectQueue) {
-        let all: Vec<ConnId> = self.all.iter().map(|(id, _)| id).collect();
-        for id in all {
-            self.end(id, out);
+    /// For shutdown: closes all clients without a running query.
+    pub fn shut_down_idle(&mut self, out: &mut EffectQueue) {
+        let ids: Vec<ConnId> = self.clients.iter().map(|(id, _)| id).collect();
+        for id in ids {
+            self.shut_down(id, out);
         }
     }
 
-    /// The controller stops: ends a client with nothing running.
-    pub fn end(&mut self, id: ConnId, out: &mut EffectQueue) {
-        let Some(c) = self.all.get_mut(id).filter(|c| c.running.is_none() && !c.last) else { return };
-        out.saw(Coverage::ClientStopped);
-        let trouble = Trouble::fatal("57P01", "the controller stops").hint("connect again, to another one");
-        c.session.end(&trouble, &mut c.wire.output);
-        c.last = true;
-        c.wire.flush(id, out);
+    /// For shutdown: closes a client if it has no running query.
+    pub fn shut_down(&mut self, id: ConnId, out: &mut EffectQueue) {
+        let Some(client) =
+            self.clients.get_mut(id).filter(|client| client.running.is_none() && !client.closing)
+        else {
+            return;
+        };
+        out.record(Coverage::ClientClosedByShutdown);
+        let error = Trouble::fatal("57P01", "the controller stops").hint("connect again, to another one");
+        client.session.end(&error, &mut client.buffer.output);
+        client.closing = true;
+        client.buffer.flush(id, out);
     }
 
-    /// A client can be told nothing more: its connection closes. The query that it waited for is told.
+    /// Closes a connection. Returns the query that the client was waiting for.
     pub fn remove(&mut self, id: ConnId, out: &mut EffectQueue) -> Option<QueryId> {
-        let mut c = self.all.remove(id)?;
-        out.cancel_timer(&mut c.startup);
-        if self.keys.get(&c.pid).is_some_and(|(_, of)| *of == id) {
-            self.keys.remove(&c.pid);
+        let mut client = self.clients.remove(id)?;
+        out.cancel_timer(&mut client.startup_timer);
+        if self.cancel_keys.get(&client.pid).is_some_and(|(_, holder)| *holder == id) {
+            self.cancel_keys.remove(&client.pid);
         }
-        out.saw(if c.running.is_some() { Coverage::ClientGoneRunning } else { Coverage::ClientGoneIdle });
+        out.record(if client.running.is_some() {
+            Coverage::ClientDisconnectedRunning
+        } else {
+            Coverage::ClientDisconnectedIdle
+        });
         out.push(Effect::Close(id));
-        c.running
+        client.running
     }
 }
--- a/crates/pg-gateway/src/coverage.rs
+++ b/crates/pg-gateway/src/coverage.rs
@@ -1,94 +1,94 @@
-//! What came to pass in a controller, counted: states that were reached and things that went wrong. Exploration reads it to
-//! see what its days never do.
+//! Coverage counters: how often the gateway reached certain states and error paths. The exploration in the
+//! test bed reads them to find paths that its scenarios never exercise.
 
-macro_rules! seen {
-    ($($name:ident = $word:literal,)*) => {
-        /// Something that came to pass.
+macro_rules! coverage_points {
+    ($($point:ident = $name:literal,)*) => {
+        /// A state or code path that is counted.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-        pub(crate) enum Coverage { $($name,)* }
-        const WORDS: &[&str] = &[$($word,)*];
+        pub(crate) enum Coverage { $($point,)* }
+        const NAMES: &[&str] = &[$($name,)*];
     };
 }
 
-seen! {
+coverage_points! {
     ClientAccepted = "client accepted",
-    ClientTurnedAway = "client turned away",
-    ClientMalformed = "client malformed",
-    ClientStartupLate = "client's startup late",
-    ClientStalled = "client takes nothing of its answer",
-    ClientGoneIdle = "client gone, nothing running",
-    ClientGoneRunning = "client gone as its query ran",
-    ClientPaused = "client's output full",
-    ClientStopped = "client ended by a stop",
-    UnitTaken = "unit taken",
-    UnitOpen = "unit taken while open",
-    UnitMore = "more of an open unit",
-    UnitTooLong = "open unit too long",
-    UnitCrowded = "unit crowded out",
-    CancelUnknown = "cancel with no query of its key",
-    CancelTaken = "cancel taken",
-    CancelAmidRow = "cancel amid a row",
-    Refused = "refused",
-    FailedRun = "failed, may have run",
-    FailedNotRun = "failed, not run",
-    Broken = "failed, answer broke off",
-    Served = "served",
-    ServedErrored = "served with an error of SQL",
-    Crossed = "answer nobody wants any more",
+    ClientRejected = "client rejected",
+    ClientProtocolError = "client sent malformed data",
+    ClientStartupTimeout = "client startup timed out",
+    ClientReadTimeout = "client stopped reading its answer",
+    ClientDisconnectedIdle = "idle client disconnected",
+    ClientDisconnectedRunning = "client disconnected while its query ran",
+    ClientOutputFull = "client's output full",
+    ClientClosedByShutdown = "client closed by shutdown",
+    UnitAccepted = "unit accepted",
+    OpenUnitAccepted = "open unit accepted",
+    OpenUnitContinued = "open unit continued",
+    OpenUnitTooLong = "open unit too long",
+    UnitOverCapacity = "unit crowded out",
+    CancelWithoutQuery = "cancel request without a matching query",
+    CancelAccepted = "cancel request accepted",
+    CancelDuringRow = "cancel request in the middle of a row",
+    QueryRejected = "query rejected",
+    QueryFailedMayHaveRun = "query failed, may have run",
+    QueryFailedNotRun = "query failed, not run",
+    AnswerInterrupted = "failed, answer broke off",
+    QueryServed = "query served",
+    QueryServedWithError = "query served with an SQL error",
+    UnwantedAnswer = "answer no longer wanted",
     SessionOpened = "session opened",
-    SessionReused = "session used again",
-    NoneFree = "no session free",
-    ConnectLate = "engine's connect late",
-    LostStarting = "session lost before its start",
-    LostIdle = "session lost at rest",
-    LostUnsent = "session lost, nothing written",
-    LostRunning = "session lost as an attempt ran",
-    LostAmidRow = "session lost amid a row",
-    Unclean = "session closed as unclean",
-    IdleClosed = "session closed after a long rest",
-    Stalled = "engine stalled in its answer",
-    Abandoned = "discarded answer did not end",
-    Resent = "attempt after the first",
-    NotWritten = "attempt taken back before it was written",
-    HalfWritten = "attempt given up before it was written whole",
-    Withdrawn = "attempt withdrawn",
-    WithdrawnWaiting = "attempt withdrawn before it had a session",
-    EngineRefused = "attempt turned away",
-    EngineErrored = "attempt ended by an error of the engine",
-    CancelSent = "request to cancel sent",
-    CancelFailed = "request to cancel could not be handed in",
-    CancelLate = "request to cancel not taken",
-    CancelsFull = "too many requests to cancel",
-    Probed = "probe answered",
+    SessionReused = "session reused",
+    SessionLimitReached = "session limit reached",
+    EngineConnectTimeout = "engine connect timed out",
+    SessionLostStarting = "session lost during startup",
+    SessionLostIdle = "idle session lost",
+    SessionLostUnsent = "session lost before anything was written",
+    SessionLostRunning = "session lost as an attempt ran",
+    SessionLostDuringRow = "session lost in the middle of a row",
+    UncleanSessionClosed = "unclean session closed",
+    IdleSessionClosed = "idle session closed",
+    AnswerStalled = "engine stalled in its answer",
+    DiscardTimeout = "discarded answer timed out",
+    AttemptRetried = "attempt after the first",
+    AttemptNotWritten = "attempt withdrawn before it was written",
+    AttemptPartlyWritten = "attempt discarded when partly written",
+    AttemptCancelled = "attempt cancelled",
+    WaitingAttemptCancelled = "attempt cancelled before it had a session",
+    AttemptRejectedByEngine = "attempt rejected by the engine",
+    AttemptFailedByEngine = "attempt failed by an engine error",
+    CancelRequestSent = "cancel request sent",
+    CancelRequestFailed = "request to cancel could not be handed in",
+    CancelRequestTimeout = "request to cancel not taken",
+    CancelRequestLimitReached = "too many cancel requests",
+    ProbeAnswered = "probe answered",
     ProbeLost = "probe lost",
-    TermsSet = "terms changed by a second session",
-    ListTaken = "list of engines taken",
-    ListRefused = "list of engines refused",
-    ListMissing = "list of engines not to be had",
-    FilesTaken = "engine files taken",
-    WordsHeard = "words of another controller",
-    WordsDropped = "words dropped",
-    GatewaysTold = "number of controllers changed",
-    StopLate = "stop without all answers",
-    StopDone = "stop with all answers",
+    PriorityChanged = "priority changed through a second session",
+    EngineListApplied = "engine list applied",
+    EngineListRejected = "engine list rejected",
+    EngineListUnavailable = "engine list unavailable",
+    EndpointFilesRead = "endpoint files read",
+    LoadReportsReceived = "words of another controller",
+    LoadReportsDropped = "load reports dropped",
+    GatewayCountChanged = "number of controllers changed",
+    DrainTimeout = "shutdown drain timed out",
+    DrainCompleted = "shutdown drain completed",
 }
 
-/// Counts of all that is known.
+/// A counter for each coverage point.
 #[derive(Clone, Debug)]
-pub(crate) struct Counts([u64; WORDS.len()]);
+pub(crate) struct CoverageCounts([u64; NAMES.len()]);
 
-impl Default for Counts {
+impl Default for CoverageCounts {
     fn default() -> Self {
-        Counts([0; WORDS.len()])
+        CoverageCounts([0; NAMES.len()])
     }
 }
 
-impl Counts {
-    pub fn note(&mut self, what: Coverage) {
-        self.0[what as usize] += 1;
+impl CoverageCounts {
+    pub fn increment(&mut self, point: Coverage) {
+        self.0[point as usize] += 1;
     }
 
     pub fn iter(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
-        WORDS.iter().copied().zip(self.0.iter().copied())
+        NAMES.iter().copied().zip(self.0.iter().copied())
     }
 }
--- a/crates/pg-gateway/src/dispatcher/attempts.rs
+++ b/crates/pg-gateway/src/dispatcher/attempts.rs
@@ -1,8 +1,9 @@
-//! Attempts: instructions of the driver go to sessions with engines, and what those tell goes to the driver and the clients.
+//! Attempts: executes the driver's instructions on engine sessions, and reports engine events to the driver
+//! and the clients.
 
 use super::Dispatcher;
 use crate::coverage::Coverage;
-use crate::engines::{self, Progress, Word};
+use crate::engine_events::{load_report, EngineEvent, ReadProgress};
 use crate::fault_injection::FaultInjection;
 use tracing::{info, warn};
 use wheelfield::interface::{EngineId, LoadReport, Micros, Outcome};
@@ -10,167 +11,172 @@
 use wheelfield_sans_io::ConnId;
 
 impl Dispatcher {
-    /// Reads a session's answer on to its client.
-    pub(super) fn read(&mut self, id: ConnId) {
-        let client = self.engines.sessions.get(id).and_then(|s| s.client());
-        let sink = client.and_then(|c| self.clients.sink(c));
-        let had = sink.as_ref().map_or(0, |s| s.len());
+    /// Reads an engine session and forwards its answer to the client.
+    pub(super) fn read_session(&mut self, id: ConnId) {
+        let client = self.engines.sessions.get(id).and_then(|session| session.client());
+        let sink = client.and_then(|client| self.clients.sink(client));
+        let length_before = sink.as_ref().map_or(0, |sink| sink.len());
         let progress = self.engines.read(id, sink, &mut self.out);
         if let Some(client) = client {
-            if self.clients.sink(client).is_some_and(|s| s.len() > had) {
+            if self.clients.sink(client).is_some_and(|sink| sink.len() > length_before) {
                 self.clients.flush(client, &mut self.out);
             }
         }
         match progress {
-            Progress::Done => {}
-            // What came of it is known first: words go before this.
-            Progress::More => self.readable.push_front(id),
-            Progress::Full(client) => self.clients.pause(client, id, &mut self.out),
+            ReadProgress::Done => {}
+            // The event that was read is handled first: events have priority over further reads.
+            ReadProgress::MorePending => self.readable_sessions.push_front(id),
+            ReadProgress::OutputFull(client) => self.clients.pause_session(client, id, &mut self.out),
         }
     }
 
-    /// Handles what an engine's session tells.
-    pub(super) fn heed(&mut self, word: Word) {
+    /// Handles an event of an engine session.
+    pub(super) fn handle_engine_event(&mut self, event: EngineEvent) {
         let now = self.out.now;
-        match word {
-            Word::Free(session, attempt) => self.dispatch(session, attempt),
-            Word::Begins(session, attempt, client) => self.begin_answer(session, attempt, client),
-            Word::Noted(attempt, note) => self.tape.handle_input(now, Input::AttemptUpdated(attempt, note)),
-            Word::Served { session, attempt, client, errored, clean } => {
-                self.end_served(session, attempt, client, errored, clean);
+        match event {
+            EngineEvent::SessionReady(session, attempt) => self.write_attempt(session, attempt),
+            EngineEvent::AnswerReady(session, attempt, client) => self.begin_answer(session, attempt, client),
+            EngineEvent::AttemptUpdated(attempt, update) => {
+                self.driver.handle_input(now, Input::AttemptUpdated(attempt, update))
             }
-            Word::Ended { attempt, engine, outcome, report, reason } => {
+            EngineEvent::Served { session, attempt, client, has_query_error, reusable } => {
+                self.finish_attempt(session, attempt, client, has_query_error, reusable);
+            }
+            EngineEvent::Ended { attempt, engine, outcome, report, reason } => {
                 if let Some(reason) = reason {
-                    let engine = self.sets.engines().name(engine);
-                    let id = self.units.label(attempt.query);
+                    let engine = self.endpoint_sets.engines().name(engine);
+                    let id = self.queries.label(attempt.query);
                     info!(query = attempt.query.0, id, engine, reason, "attempt ended by its engine");
                 }
-                self.tape
+                self.driver
                     .handle_input(now, Input::AttemptEnded { attempt, outcome, reported_work: None, report });
             }
-            Word::Probed(engine, outcome, report) => {
-                let served = u64::from(outcome == Outcome::Served);
-                self.probes = (self.probes.0 + served, self.probes.1 + 1 - served);
-                self.out.saw(if served > 0 { Coverage::Probed } else { Coverage::ProbeLost });
-                self.tape.handle_input(now, Input::ProbeEnded { engine, outcome, report });
+            EngineEvent::ProbeEnded(engine, outcome, report) => {
+                let answered = u64::from(outcome == Outcome::Served);
+                self.probe_counts = (self.probe_counts.0 + answered, self.probe_counts.1 + 1 - answered);
+                self.out.record(if answered > 0 { Coverage::ProbeAnswered } else { Coverage::ProbeLost });
+                self.driver.handle_input(now, Input::ProbeEnded { engine, outcome, report });
             }
-            Word::Cut(client) => self.client_gone(client),
-            Word::Readable(session, client) => {
+            EngineEvent::RowInterrupted(client) => self.disconnect_client(client),
+            EngineEvent::SessionReadable(session, client) => {
                 if let Some(client) = client {
-                    self.clients.unpause(client, session);
+                    self.clients.clear_paused_session(client, session);
                 }
-                self.readable.push_back(session);
+                self.readable_sessions.push_back(session);
             }
         }
     }
 
-    /// An engine begins its answer: it goes on to the client, if no other attempt answers.
+    /// Handles the start of an answer: forwards it to the client if the driver lets this attempt answer.
     fn begin_answer(&mut self, session: ConnId, attempt: AttemptId, client: ConnId) {
-        let may = self.tape.decision_engine().may_answer(attempt);
-        match self.clients.sink(client).filter(|_| may) {
+        let may_answer = self.driver.decision_engine().may_answer(attempt);
+        match self.clients.sink(client).filter(|_| may_answer) {
             Some(sink) => {
-                self.engines.begin(session, sink, &mut self.out);
-                self.tape.handle_input(self.out.now, Input::AnswerStarted(attempt));
+                self.engines.begin_answer(session, sink, &mut self.out);
+                self.driver.handle_input(self.out.now, Input::AnswerStarted(attempt));
                 self.clients.flush(client, &mut self.out);
             }
-            None => self.engines.discard(session, &mut self.out),
+            None => self.engines.discard_answer(session, &mut self.out),
         }
     }
 
-    /// An engine has answered an attempt, for a client that still waits or for none.
-    fn end_served(
+    /// Handles the complete answer of an attempt. `client` is `None` if no client waits for it any more.
+    fn finish_attempt(
         &mut self,
         session: ConnId,
         attempt: AttemptId,
         client: Option<ConnId>,
-        errored: bool,
-        clean: bool,
+        has_query_error: bool,
+        reusable: bool,
     ) {
-        let accepted = client.filter(|_| self.tape.decision_engine().may_answer(attempt));
-        let Some(s) = self.engines.sessions.get_mut(session) else { return };
-        if let Some(sink) = accepted.and_then(|c| self.clients.sink(c)) {
-            if !s.backend.begun() {
-                s.backend.begin(sink);
+        let accepted = client.filter(|_| self.driver.decision_engine().may_answer(attempt));
+        let Some(engine_session) = self.engines.sessions.get_mut(session) else { return };
+        if let Some(sink) = accepted.and_then(|client| self.clients.sink(client)) {
+            if !engine_session.backend.begun() {
+                engine_session.backend.begin(sink);
             }
         }
-        let reported_work = s.backend.work_ms().map(|ms| ms / 1e3);
-        let report = engines::report(s.backend.load());
+        let reported_work = engine_session.backend.work_ms().map(|ms| ms / 1e3);
+        let report = load_report(engine_session.backend.load());
         let outcome = Outcome::Served;
-        self.tape.handle_input(self.out.now, Input::AttemptEnded { attempt, outcome, reported_work, report });
-        self.out.saw(if accepted.is_none() {
-            Coverage::Crossed
-        } else if errored {
-            Coverage::ServedErrored
+        self.driver
+            .handle_input(self.out.now, Input::AttemptEnded { attempt, outcome, reported_work, report });
+        self.out.record(if accepted.is_none() {
+            Coverage::UnwantedAnswer
+        } else if has_query_error {
+            Coverage::QueryServedWithError
         } else {
-            Coverage::Served
+            Coverage::QueryServed
         });
         if accepted.is_some() {
-            self.served(attempt.query, errored);
+            self.finish_served(attempt.query, has_query_error);
         }
-        self.engines.over(session, clean, &mut self.out);
+        self.engines.finish_unit(session, reusable, &mut self.out);
     }
 
-    /// Writes an attempt to a session that is there for it.
-    fn dispatch(&mut self, session: ConnId, attempt: AttemptId) {
-        let planted = self.plant == Some(FaultInjection::SendToDraining);
-        if !self.tape.decision_engine().may_write(Micros(self.out.now), attempt) && !planted
-            || self.units.get(attempt.query).is_none()
+    /// Writes an attempt to its engine session, if the driver still permits it.
+    fn write_attempt(&mut self, session: ConnId, attempt: AttemptId) {
+        let may_send_to_draining = self.fault == Some(FaultInjection::SendToDraining);
+        if !self.driver.decision_engine().may_write(Micros(self.out.now), attempt) && !may_send_to_draining
+            || self.queries.get(attempt.query).is_none()
         {
-            self.out.saw(Coverage::NotWritten);
-            // A repeat that came too late is out still, and was not sent.
-            if self.tape.decision_engine().is_in_flight(attempt) {
-                let (outcome, billed_work, report) = (Outcome::NeverSent, None, LoadReport::default());
-                self.tape.handle_input(
+            self.out.record(Coverage::AttemptNotWritten);
+            // A retry whose time has run out still counts as in flight; it is reported as never sent.
+            if self.driver.decision_engine().is_in_flight(attempt) {
+                let (outcome, reported_work, report) = (Outcome::NeverSent, None, LoadReport::default());
+                self.driver.handle_input(
                     self.out.now,
-                    Input::AttemptEnded { attempt, outcome, reported_work: billed_work, report },
+                    Input::AttemptEnded { attempt, outcome, reported_work, report },
                 );
             }
-            return self.engines.rest(session, &mut self.out);
+            return self.engines.release_session(session, &mut self.out);
         }
-        self.tape.handle_input(self.out.now, Input::Dispatched(attempt));
-        let wanted = self.swapped(attempt.query).unwrap_or(attempt.query);
-        if let Some(unit) = self.units.get(wanted) {
-            self.engines.put(session, attempt, unit, &mut self.out);
+        self.driver.handle_input(self.out.now, Input::Dispatched(attempt));
+        let sent_query = self.swapped_query(attempt.query).unwrap_or(attempt.query);
+        if let Some(in_flight) = self.queries.get(sent_query) {
+            self.engines.write_attempt(session, attempt, in_flight, &mut self.out);
         }
     }
 
-    /// Carries out an instruction of the driver.
-    pub(super) fn carry_out(&mut self, instruction: Instruction) {
+    /// Executes an instruction of the driver.
+    pub(super) fn execute_instruction(&mut self, instruction: Instruction) {
         match instruction {
-            Instruction::Start { attempt, engine, options: terms } => self.start(attempt, engine, terms),
-            Instruction::SetOptions(attempt, terms) => {
-                self.engines.set_terms(attempt, terms, &mut self.out);
+            Instruction::Start { attempt, engine, options } => self.start_attempt(attempt, engine, options),
+            Instruction::SetOptions(attempt, options) => {
+                self.engines.set_priority(attempt, options, &mut self.out);
             }
             Instruction::Cancel(attempt) => {
-                let wanted = self.tape.decision_engine().may_answer(attempt);
-                self.engines.withdraw(attempt, wanted, &mut self.out);
+                let wanted = self.driver.decision_engine().may_answer(attempt);
+                self.engines.cancel_attempt(attempt, wanted, &mut self.out);
             }
-            Instruction::Answer(query, answer) => self.answer(query, answer),
+            Instruction::Answer(query, answer) => self.finish_query(query, answer),
             Instruction::Probe(engine) => self.engines.probe(engine, &mut self.out),
-            Instruction::ShareReports(words) => {
+            Instruction::ShareReports(reports) => {
                 if let Some(peering) = &mut self.peering {
-                    peering.tell(&words, &mut self.out);
+                    peering.send_reports(&reports, &mut self.out);
                 }
                 if let Some(gossip) = &mut self.gossip {
-                    gossip.tell(&words, &mut self.out);
+                    gossip.send_reports(&reports, &mut self.out);
                 }
             }
-            Instruction::Subscribe => self.call.ask(self.sets.registry_version(), &mut self.out),
-            Instruction::Log(text) => warn!(reason = %text, "set aside"),
+            Instruction::Subscribe => {
+                self.registry.request_list(self.endpoint_sets.registry_version(), &mut self.out)
+            }
+            Instruction::Log(text) => warn!(reason = %text, "engine ejected"),
         }
     }
 
-    fn start(&mut self, attempt: AttemptId, engine: EngineId, terms: AttemptOptions) {
+    fn start_attempt(&mut self, attempt: AttemptId, engine: EngineId, options: AttemptOptions) {
         if attempt.number > 0 {
-            self.out.saw(Coverage::Resent);
-            let name = self.sets.engines().name(engine);
-            let id = self.units.label(attempt.query);
-            info!(query = attempt.query.0, id, engine = name, attempt = attempt.number, "resend");
+            self.out.record(Coverage::AttemptRetried);
+            let name = self.endpoint_sets.engines().name(engine);
+            let id = self.queries.label(attempt.query);
+            info!(query = attempt.query.0, id, engine = name, attempt = attempt.number, "retrying query");
         }
-        if let Some(unit) = self.units.get_mut(attempt.query) {
-            unit.terms = terms;
+        if let Some(in_flight) = self.queries.get_mut(attempt.query) {
+            in_flight.options = options;
         }
-        self.plant_at(attempt, engine);
-        self.engines.launch(attempt, engine, &mut self.out);
+        self.inject_extra_attempts(attempt, engine);
+        self.engines.start_attempt(attempt, engine, &mut self.out);
     }
 }
--- a/crates/pg-gateway/src/dispatcher/endpoints.rs
+++ b/crates/pg-gateway/src/dispatcher/endpoints.rs
@@ -1,8 +1,8 @@
-//! The list of engines: what the registry tells, what changes by it, and the wait for it after a suspension.
+//! The engine list: applies updates, and delays new queries after the process was suspended.
 
 use super::Dispatcher;
 use crate::coverage::Coverage;
-use crate::registry::Told;
+use crate::registry::RegistryUpdate;
 use crate::timer_event::TimerEvent;
 use tracing::{info, warn};
 use wheelfield::interface::Status;
@@ -11,67 +11,72 @@
 use wheelfield_sans_io::ConnId;
 
 impl Dispatcher {
-    /// The process is active. If it was not for long, the registry is asked, and files are read, before new queries are taken.
+    /// Notes that the process is running. After a longer inactivity, requests the engine list and the
+    /// endpoint files anew before further queries are accepted.
     pub fn note_activity(&mut self) {
         let Some(wait_until) = self.list_age.note_activity(self.out.now) else { return };
         warn!("the process was suspended; new queries wait for the list of engines");
         if self.list_age.polls_registry() {
-            self.call.ask_anew(self.sets.registry_version(), &mut self.out);
+            self.registry.restart_request(self.endpoint_sets.registry_version(), &mut self.out);
         }
-        self.out.set_timer_at(wait_until, TimerEvent::ListWaitOver);
+        self.out.set_timer_at(wait_until, TimerEvent::EngineListWaitTimeout);
     }
 
-    /// The next client to be looked at. While the list is waited for only those that leave are.
-    pub(super) fn next_ready(&mut self) -> Option<ConnId> {
-        if !self.list_age.is_awaited(self.out.now, self.call.waiting()) {
-            return self.ready.pop_front();
+    /// The next client with input to process. While the engine list is awaited, only clients that are
+    /// leaving are returned.
+    pub(super) fn next_ready_client(&mut self) -> Option<ConnId> {
+        if !self.list_age.is_awaited(self.out.now, self.registry.is_awaiting_response()) {
+            return self.ready_clients.pop_front();
         }
-        let leaving = self.ready.iter().position(|id| self.clients.is_leaving(*id))?;
-        self.ready.remove(leaving)
+        let leaving = self.ready_clients.iter().position(|id| self.clients.is_leaving(*id))?;
+        self.ready_clients.remove(leaving)
     }
 
-    pub fn registry_told(&mut self, told: Option<Told>) {
-        match told {
+    pub fn handle_registry_update(&mut self, update: Option<RegistryUpdate>) {
+        match update {
             None => {}
-            Some(Told::Unavailable) => {
-                self.out.saw(Coverage::ListMissing);
-                self.tape.handle_input(self.out.now, Input::ListUnavailable);
+            Some(RegistryUpdate::Unavailable) => {
+                self.out.record(Coverage::EngineListUnavailable);
+                self.driver.handle_input(self.out.now, Input::ListUnavailable);
             }
-            Some(Told::List(body)) => {
-                let version = self.sets.registry_version();
+            Some(RegistryUpdate::List(body)) => {
+                let version = self.endpoint_sets.registry_version();
                 match from_registry(&body, &self.config.names, version) {
                     Ok(set) => {
-                        let change = self.sets.registry(set, self.out.now);
-                        self.changed(change);
+                        let change = self.endpoint_sets.update_from_registry(set, self.out.now);
+                        self.apply_change(change);
                     }
                     Err(fault) => {
-                        self.sets.counts.refused += 1;
-                        self.out.saw(Coverage::ListRefused);
-                        warn!(%fault, "a list of engines was refused; the last one stays");
+                        self.endpoint_sets.counters.rejected += 1;
+                        self.out.record(Coverage::EngineListRejected);
+                        warn!(%fault, "engine list rejected; keeping the previous list");
                     }
                 }
             }
         }
     }
 
-    /// The engine list has changed.
-    pub fn changed(&mut self, change: Option<Change>) {
-        let Some(Change { whole, entries }) = change.filter(|c| c.whole || !c.entries.is_empty()) else {
+    /// Applies a change of the engine list.
+    pub fn apply_change(&mut self, change: Option<Change>) {
+        let Some(Change { whole, entries }) =
+            change.filter(|change| change.whole || !change.entries.is_empty())
+        else {
             return;
         };
-        self.out.saw(Coverage::ListTaken);
-        let known = self.sets.engines();
+        self.out.record(Coverage::EngineListApplied);
+        let engines = self.endpoint_sets.engines();
         for entry in &entries {
-            info!(engine = known.name(entry.engine), status = ?entry.status, "engine list");
+            info!(engine = engines.name(entry.engine), status = ?entry.status, "engine list entry applied");
         }
         let now = self.out.now;
-        self.tape.record_engine_names(now, known.known().iter().map(|(id, k)| (*id, k.name.clone())));
+        self.driver
+            .record_engine_names(now, engines.known().iter().map(|(id, known)| (*id, known.name.clone())));
         for entry in &entries {
-            if let Some(k) = known.known().get(&entry.engine) {
-                let up = k.entry.status == Status::Up;
-                self.engines.listed(entry.engine, k.address, up, &mut self.out);
+            if let Some(known) = engines.known().get(&entry.engine) {
+                let is_up = known.entry.status == Status::Up;
+                self.engines.set_engine(entry.engine, known.address, is_up, &mut self.out);
             }
         }
-        self.tape.handle_input(now, Input::Engines { complete: whole, entries });
+        self.driver.handle_input(now, Input::Engines { complete: whole, entries });
     }
 }
--- a/crates/pg-gateway/src/dispatcher/mod.rs
+++ b/crates/pg-gateway/src/dispatcher/mod.rs
@@ -1,4 +1,4 @@
-//! What goes on between the parts of a controller: what one tells is handed to the others until nothing is left to be done.
+//! Passes events and instructions between the components of a gateway until none is pending.
 
 mod attempts;
 mod endpoints;
@@ -15,10 +15,10 @@
 use crate::gossip::Gossip;
 use crate::in_flight::InFlightQueries;
 use crate::list_age::ListAge;
-use crate::metrics::Look;
+use crate::metrics::MetricsSnapshot;
 use crate::peering::Peering;
-use crate::registry::Call;
-use crate::shutdown::Stop;
+use crate::registry::RegistryClient;
+use crate::shutdown::Shutdown;
 use crate::timer_event::TimerEvent;
 use rand::{rngs::StdRng, SeedableRng as _};
 use std::collections::VecDeque;
@@ -27,36 +27,37 @@
 use wheelfield_recorder::RecordingDriver;
 use wheelfield_sans_io::ConnId;
 
-/// Idle sessions, ages and captures are looked at so often.
-const SWEEP: i64 = 1_000_000;
+/// Interval between the closing of idle sessions, the check of the age of the registry list, and capture
+/// maintenance.
+const MAINTENANCE_INTERVAL_US: i64 = 1_000_000;
 
-/// All parts.
+/// The components of a gateway.
 pub(crate) struct Dispatcher {
     pub config: Config,
     pub out: EffectQueue,
-    pub tape: RecordingDriver,
+    pub driver: RecordingDriver,
     pub clients: Clients,
-    pub units: InFlightQueries,
+    pub queries: InFlightQueries,
     pub engines: Engines,
-    pub sets: EndpointSets,
-    pub call: Call,
+    pub endpoint_sets: EndpointSets,
+    pub registry: RegistryClient,
     pub list_age: ListAge,
     pub peering: Option<Peering>,
     pub gossip: Option<Gossip>,
     pub admin: Admin,
-    pub stop: Stop,
-    /// Clients to be looked at, and sessions to be read on.
-    pub ready: VecDeque<ConnId>,
-    pub readable: VecDeque<ConnId>,
-    cancels_heard: u64,
+    pub shutdown: Shutdown,
+    /// Clients with input to process, and engine sessions to read.
+    pub ready_clients: VecDeque<ConnId>,
+    pub readable_sessions: VecDeque<ConnId>,
+    cancel_requests_received: u64,
     hints_ignored: u64,
-    probes: (u64, u64),
-    pub plant: Option<FaultInjection>,
-    pub planted: u64,
+    probe_counts: (u64, u64),
+    pub fault: Option<FaultInjection>,
+    pub faults_injected: u64,
 }
 
 impl Dispatcher {
-    /// The parts of a controller that has not started.
+    /// The components of a gateway that has not started.
     pub fn new(config: Config, options: PgGatewayOptions) -> Dispatcher {
         let PgGatewayOptions {
             now,
@@ -68,149 +69,156 @@
             gossip,
             fault,
         } = options;
-        let plant = fault.filter(|_| cfg!(feature = "planted"));
+        let fault = fault.filter(|_| cfg!(feature = "planted"));
         Dispatcher {
             out: EffectQueue::new(now),
-            tape: RecordingDriver::new(decision_engine, recorder),
+            driver: RecordingDriver::new(decision_engine, recorder),
             clients: Clients::new(&config, StdRng::from_seed(cancel_key_seed)),
-            units: InFlightQueries::default(),
-            engines: Engines::new(&config, plant),
-            sets: EndpointSets::new(&config),
-            call: Call::new(&config),
+            queries: InFlightQueries::default(),
+            engines: Engines::new(&config, fault),
+            endpoint_sets: EndpointSets::new(&config),
+            registry: RegistryClient::new(&config),
             list_age: ListAge::new(&config, now),
             peering: Peering::new(&config, peer_address, now),
-            gossip: gossip.and_then(|(own, keys)| Gossip::new(&config, own, keys, seed, now, plant)),
+            gossip: gossip.and_then(|(own, keys)| Gossip::new(&config, own, keys, seed, now, fault)),
             admin: Admin::new(),
-            stop: Stop::default(),
-            ready: VecDeque::new(),
-            readable: VecDeque::new(),
-            cancels_heard: 0,
+            shutdown: Shutdown::default(),
+            ready_clients: VecDeque::new(),
+            readable_sessions: VecDeque::new(),
+            cancel_requests_received: 0,
             hints_ignored: 0,
-            probes: (0, 0),
-            plant,
-            planted: 0,
+            probe_counts: (0, 0),
+            fault,
+            faults_injected: 0,
             config,
         }
     }
 
-    // --- what happened ---
+    // --- events ---
 
-    pub fn started(&mut self) {
-        self.tape.handle_input(self.out.now, Input::Started);
-        if self.config.registry.is_none() && !self.sets.of_files() {
-            let change = self.sets.fixed(&self.config);
-            self.changed(Some(change));
+    pub fn handle_start(&mut self) {
+        self.driver.handle_input(self.out.now, Input::Started);
+        if self.config.registry.is_none() && !self.endpoint_sets.has_files() {
+            let change = self.endpoint_sets.use_configured_engines(&self.config);
+            self.apply_change(Some(change));
         } else if self.config.registry.is_some() && !self.config.settings.subscribe {
-            self.call.ask(self.sets.registry_version(), &mut self.out);
+            self.registry.request_list(self.endpoint_sets.registry_version(), &mut self.out);
         }
         if let Some(gossip) = &mut self.gossip {
-            gossip.tend(&mut self.out);
+            gossip.tick(&mut self.out);
         }
-        self.out.set_timer_after(SWEEP, TimerEvent::Sweep);
+        self.out.set_timer_after(MAINTENANCE_INTERVAL_US, TimerEvent::Maintenance);
     }
 
-    pub fn woken(&mut self, wake: TimerEvent) {
+    pub fn handle_timer(&mut self, timer: TimerEvent) {
         let out = &mut self.out;
-        match wake {
-            TimerEvent::Startup(id) => self.clients.startup_late(id, out),
-            TimerEvent::Reader(id) => {
-                if self.clients.reader_stalled(id, out) {
-                    self.client_gone(id);
+        match timer {
+            TimerEvent::ClientStartupTimeout(id) => self.clients.handle_startup_timeout(id, out),
+            TimerEvent::ClientReadTimeout(id) => {
+                if self.clients.check_read_timeout(id, out) {
+                    self.disconnect_client(id);
                 }
             }
-            TimerEvent::Connect(id) => self.engines.connect_late(id, out),
-            TimerEvent::Stall(id) => {
-                let client = self.engines.sessions.get(id).and_then(|s| s.client());
-                let paused = client.is_some_and(|c| self.clients.pauses(c, id));
-                self.engines.stalled(id, paused, out);
+            TimerEvent::EngineConnectTimeout(id) => self.engines.handle_connect_timeout(id, out),
+            TimerEvent::AnswerStallCheck(id) => {
+                let client = self.engines.sessions.get(id).and_then(|session| session.client());
+                let is_paused = client.is_some_and(|client| self.clients.is_pausing(client, id));
+                self.engines.check_stall(id, is_paused, out);
+            }
+            TimerEvent::DiscardTimeout(id) => self.engines.handle_discard_timeout(id, out),
+            TimerEvent::CancelRequestTimeout(id) => self.engines.handle_cancel_timeout(id, out),
+            TimerEvent::ProbeTimeout(id) => self.engines.handle_probe_timeout(id, out),
+            TimerEvent::RegistryRequest => {
+                self.registry.request_list(self.endpoint_sets.registry_version(), out)
             }
-            TimerEvent::Abandon(id) => self.engines.abandon(id, out),
-            TimerEvent::Cancel(id) => self.engines.cancel_late(id, out),
-            TimerEvent::Probe(id) => self.engines.probe_late(id, out),
-            TimerEvent::Registry => self.call.ask(self.sets.registry_version(), out),
-            // The clients that wait are looked at after it.
-            TimerEvent::ListWaitOver => {}
+            // Processing the pending clients afterwards resumes the delayed queries.
+            TimerEvent::EngineListWaitTimeout => {}
             TimerEvent::Gossip => {
                 if let Some(gossip) = &mut self.gossip {
-                    gossip.tend(out);
+                    gossip.tick(out);
                 }
             }
-            TimerEvent::Stop if self.stop == Stop::Stopped => {}
-            TimerEvent::Stop => {
-                out.saw(Coverage::StopLate);
-                self.stop.late(self.clients.len(), out);
+            TimerEvent::DrainTimeout if self.shutdown == Shutdown::Stopped => {}
+            TimerEvent::DrainTimeout => {
+                out.record(Coverage::DrainTimeout);
+                self.shutdown.handle_drain_timeout(self.clients.len(), out);
             }
-            TimerEvent::Sweep => self.sweep(),
+            TimerEvent::Maintenance => self.run_maintenance(),
         }
     }
 
-    fn sweep(&mut self) {
+    fn run_maintenance(&mut self) {
         let now = self.out.now;
-        self.out.set_timer_after(SWEEP, TimerEvent::Sweep);
-        self.engines.close_idle(&mut self.out);
-        let change = self.sets.age(now);
-        self.changed(change);
-        if let Some((count, index)) = self.gossip.as_mut().and_then(|g| g.news()) {
-            self.out.saw(Coverage::GatewaysTold);
-            self.tape.handle_input(now, Input::GatewayCountChanged { count, index });
+        self.out.set_timer_after(MAINTENANCE_INTERVAL_US, TimerEvent::Maintenance);
+        self.engines.close_idle_sessions(&mut self.out);
+        let change = self.endpoint_sets.expire_registry(now);
+        self.apply_change(change);
+        if let Some((count, index)) = self.gossip.as_mut().and_then(|gossip| gossip.take_view_change()) {
+            self.out.record(Coverage::GatewayCountChanged);
+            self.driver.handle_input(now, Input::GatewayCountChanged { count, index });
         }
-        self.tape.maintain_capture(now);
+        self.driver.maintain_capture(now);
     }
 
-    /// Does what is to be done until nothing is left.
-    pub fn settle(&mut self) {
+    /// Processes pending work until none is left.
+    pub fn process_pending(&mut self) {
         loop {
-            // Clients are heard before anything is sent, as one may have left; engines after, as an answer may be long.
-            if let Some(word) = self.engines.word() {
-                self.heed(word);
-            } else if let Some(id) = self.next_ready() {
-                self.attend(id);
-            } else if let Some(instruction) = self.tape.next_instruction() {
-                self.carry_out(instruction);
-            } else if let Some(id) = self.readable.pop_front() {
-                self.read(id);
+            // Client input is processed before instructions are executed, since a client may have
+            // disconnected or cancelled. Engine sessions are read last, since answers may be long.
+            if let Some(event) = self.engines.next_event() {
+                self.handle_engine_event(event);
+            } else if let Some(id) = self.next_ready_client() {
+                self.read_client(id);
+            } else if let Some(instruction) = self.driver.next_instruction() {
+                self.execute_instruction(instruction);
+            } else if let Some(id) = self.readable_sessions.pop_front() {
+                self.read_session(id);
             } else {
                 break;
             }
         }
-        if self.stop == Stop::Stopping && self.out.has_stopped_listening() && self.clients.len() == 0 {
-            self.out.saw(Coverage::StopDone);
-            self.stop.over(&mut self.out);
+        if self.shutdown == Shutdown::Draining && self.out.has_stopped_listening() && self.clients.len() == 0
+        {
+            self.out.record(Coverage::DrainCompleted);
+            self.shutdown.finish(&mut self.out);
         }
     }
 
-    // --- beside queries ---
+    // --- administration ---
 
-    pub fn operator(&mut self, id: ConnId) {
-        while let Some(page) = self.admin.next(id, &mut self.out) {
-            let (status, kind, body) = match page {
+    pub fn serve_admin(&mut self, id: ConnId) {
+        while let Some(page) = self.admin.next_request(id, &mut self.out) {
+            let (status, content_type, body) = match page {
                 Page::Health => (200, "text/plain", "ok\n".to_string()),
-                Page::Status => (200, "application/json", self.look().status()),
-                Page::Metrics => (200, "text/plain", self.look().metrics()),
+                Page::Status => (200, "application/json", self.metrics_snapshot().render_status()),
+                Page::Metrics => (200, "text/plain", self.metrics_snapshot().render_metrics()),
                 Page::Unknown => (404, "text/plain", "known: /health, /status, /metrics\n".to_string()),
             };
-            self.admin.answer(id, status, kind, &body);
+            self.admin.respond(id, status, content_type, &body);
         }
     }
 
-    /// Connections that are held.
+    /// The number of open connections.
     pub fn connection_count(&self) -> usize {
-        self.clients.len() + self.engines.connection_count() + self.call.connection_count() + self.admin.len()
+        self.clients.len()
+            + self.engines.connection_count()
+            + self.registry.connection_count()
+            + self.admin.len()
     }
 
-    fn look(&self) -> Look<'_> {
-        Look {
+    fn metrics_snapshot(&self) -> MetricsSnapshot<'_> {
+        MetricsSnapshot {
             now: self.out.now,
-            tape: &self.tape,
+            driver: &self.driver,
             clients: &self.clients,
             engines: &self.engines,
-            sets: &self.sets,
-            call: &self.call,
+            endpoint_sets: &self.endpoint_sets,
+            registry: &self.registry,
             peering: self.peering.as_ref(),
             gossip: self.gossip.as_ref(),
-            cancels: self.cancels_heard,
+            cancel_requests: self.cancel_requests_received,
             hints_ignored: self.hints_ignored,
-            probes: self.probes,
+            probe_counts: self.probe_counts,
         }
     }
 }
--- a/crates/pg-gateway/src/dispatcher/queries.rs
+++ b/crates/pg-gateway/src/dispatcher/queries.rs
@@ -1,12 +1,13 @@
-//! Queries: clients' messages become queries of the driver, and its answers go to the clients.
+//! Queries: submits the clients' units to the driver, and delivers the driver's final answers to the
+//! clients.
 
 use super::Dispatcher;
-use crate::clients::Said;
+use crate::clients::ClientRequest;
 use crate::coverage::Coverage;
 use crate::fault_injection::FaultInjection;
-use crate::in_flight::InHand;
-use crate::shutdown::Stop;
-use crate::{peer_load, route};
+use crate::in_flight::InFlightQuery;
+use crate::shutdown::Shutdown;
+use crate::{route, sql_errors};
 use tracing::{debug, info, warn};
 use wheelfield::interface::{Micros, QueryId};
 use wheelfield_driver::{Answer, AttemptOptions, Input};
@@ -15,132 +16,159 @@
 use wheelfield_sans_io::ConnId;
 
 impl Dispatcher {
-    /// Reads a client's messages as far as they go.
-    pub(super) fn attend(&mut self, id: ConnId) {
-        while let Some(said) = self.clients.next(id, &mut self.out) {
-            match said {
-                Said::Run(unit) => self.take(id, unit),
-                Said::More(query, frames, swallow, sealed) => {
-                    self.engines.sessions.more(query, &frames, &swallow, sealed, &mut self.out);
-                    self.out.saw(Coverage::UnitMore);
-                    let Some(unit) = self.units.get_mut(query) else { continue };
-                    unit.sealed |= sealed;
-                    unit.more.push((frames, swallow));
-                    if unit.held() > self.config.limits.prepared {
-                        self.out.saw(Coverage::UnitTooLong);
-                        self.give_up(id, query, &peer_load::too_long());
+    /// Processes a client's pending messages.
+    pub(super) fn read_client(&mut self, id: ConnId) {
+        while let Some(request) = self.clients.next_request(id, &mut self.out) {
+            match request {
+                ClientRequest::Run(unit) => self.submit(id, unit),
+                ClientRequest::Continue(query, frames, suppress_acks, is_last) => {
+                    self.engines.sessions.continue_unit(
+                        query,
+                        &frames,
+                        &suppress_acks,
+                        is_last,
+                        &mut self.out,
+                    );
+                    self.out.record(Coverage::OpenUnitContinued);
+                    let Some(in_flight) = self.queries.get_mut(query) else { continue };
+                    in_flight.is_complete |= is_last;
+                    in_flight.continuations.push((frames, suppress_acks));
+                    if in_flight.continuation_bytes() > self.config.limits.prepared {
+                        self.out.record(Coverage::OpenUnitTooLong);
+                        self.abandon_query(id, query, &sql_errors::batch_too_long());
                     }
                 }
-                Said::Cancel(pid, key) => self.cancel_of(pid, &key),
-                Said::Gone => return self.client_gone(id),
+                ClientRequest::Cancel(pid, key) => self.handle_cancel_request(pid, &key),
+                ClientRequest::Disconnected => return self.disconnect_client(id),
             }
         }
-        if self.stop == Stop::Stopping {
-            self.clients.end(id, &mut self.out);
+        if self.shutdown == Shutdown::Draining {
+            self.clients.shut_down(id, &mut self.out);
         }
     }
 
-    /// Takes a client's unit to the driver.
-    fn take(&mut self, id: ConnId, unit: Unit) {
+    /// Submits a client's unit to the driver.
+    fn submit(&mut self, id: ConnId, unit: Unit) {
         let now = self.out.now;
         let Some(session) = self.clients.session(id) else { return };
         let hints = session.hints(unit.text());
         let routed = route::route(&self.config, Micros(now), session.identity(), &unit, &hints);
         let label = hints.id.as_deref().unwrap_or("").chars().take(64).collect::<String>();
         drop(hints);
-        self.hints_ignored += u64::from(routed.ignored);
+        self.hints_ignored += u64::from(routed.ignored_hints);
         let class = routed.arrival.class;
-        match self.tape.submit(now, routed.arrival, &label) {
+        match self.driver.submit(now, routed.arrival, &label) {
             Ok(query) => {
-                self.out.saw(if unit.open { Coverage::UnitOpen } else { Coverage::UnitTaken });
-                let (sealed, more, terms) = (!unit.open, Vec::new(), AttemptOptions::default());
-                let of = InHand { client: id, unit, more, sealed, terms, label, class, since: now };
-                self.units.put(query, of);
-                self.clients.runs(id, query);
+                self.out.record(if unit.open { Coverage::OpenUnitAccepted } else { Coverage::UnitAccepted });
+                let (is_complete, continuations, options) =
+                    (!unit.open, Vec::new(), AttemptOptions::default());
+                let in_flight = InFlightQuery {
+                    client: id,
+                    unit,
+                    continuations,
+                    is_complete,
+                    options,
+                    label,
+                    class,
+                    accepted_at: now,
+                };
+                self.queries.insert(query, in_flight);
+                self.clients.set_running(id, query);
             }
             Err(_) => {
-                self.out.saw(Coverage::UnitCrowded);
-                info!(id = %label, reason = "the controller holds as many queries as it may", "refused");
-                self.clients.unserved(id, &peer_load::crowded());
+                self.out.record(Coverage::UnitOverCapacity);
+                info!(id = %label, reason = "the controller holds as many queries as it may", "query rejected");
+                self.clients.finish_with_error(id, &sql_errors::too_many_queries());
             }
         }
     }
 
-    /// The client's query ends here; nobody else answers it.
-    fn give_up(&mut self, id: ConnId, query: QueryId, trouble: &Trouble) {
-        self.units.take(query);
-        self.engines.detach(query, &mut self.out);
-        self.tape.handle_input(self.out.now, Input::Abandoned(query));
-        self.clients.unserved(id, trouble);
-        self.ready.push_back(id);
+    /// Ends a client's query with an error, discards what engines answer, and tells the driver.
+    fn abandon_query(&mut self, id: ConnId, query: QueryId, error: &Trouble) {
+        self.queries.remove(query);
+        self.engines.detach_query(query, &mut self.out);
+        self.driver.handle_input(self.out.now, Input::Abandoned(query));
+        self.clients.finish_with_error(id, error);
+        self.ready_clients.push_back(id);
     }
 
-    /// A client asks that the query of another session end.
-    fn cancel_of(&mut self, pid: i32, key: &[u8]) {
-        self.cancels_heard += 1;
-        let Some((id, query)) = self.clients.query_of(pid, key) else {
-            return self.out.saw(Coverage::CancelUnknown);
+    /// Handles a cancel request for the query of another session.
+    fn handle_cancel_request(&mut self, pid: i32, key: &[u8]) {
+        self.cancel_requests_received += 1;
+        let Some((id, query)) = self.clients.running_query(pid, key) else {
+            return self.out.record(Coverage::CancelWithoutQuery);
         };
-        let (id, query) = self.stranger(query).unwrap_or((id, query));
-        info!(query = query.0, id = self.units.label(query), "cancelled by its client");
-        if self.engines.sessions.amid_row(query) {
-            self.out.saw(Coverage::CancelAmidRow);
-            return self.client_gone(id);
+        let (id, query) = self.wrong_cancel_target(query).unwrap_or((id, query));
+        info!(query = query.0, id = self.queries.label(query), "query cancelled by its client");
+        if self.engines.sessions.has_partial_row(query) {
+            self.out.record(Coverage::CancelDuringRow);
+            return self.disconnect_client(id);
         }
-        self.out.saw(Coverage::CancelTaken);
-        self.give_up(id, query, &peer_load::cancelled());
+        self.out.record(Coverage::CancelAccepted);
+        self.abandon_query(id, query, &sql_errors::cancelled());
     }
 
-    pub(super) fn answer(&mut self, query: QueryId, answer: Answer) {
-        let Some(unit) = self.units.take(query) else { return };
-        self.engines.detach(query, &mut self.out);
-        let class = &self.config.names.classes[unit.class];
-        let (id, held_us) = (&unit.label, self.out.now - unit.since);
+    /// Ends a query that the driver rejects or fails, with an SQL error for the client.
+    pub(super) fn finish_query(&mut self, query: QueryId, answer: Answer) {
+        let Some(in_flight) = self.queries.remove(query) else { return };
+        self.engines.detach_query(query, &mut self.out);
+        let class = &self.config.names.classes[in_flight.class];
+        let (id, held_us) = (&in_flight.label, self.out.now - in_flight.accepted_at);
         match answer {
             Answer::Rejected { retry_after } => {
-                self.out.saw(Coverage::Refused);
-                let retry_after_ms = peer_load::advice_ms(retry_after);
-                info!(query = query.0, id, class, held_us, retry_after_ms, "refused");
+                self.out.record(Coverage::QueryRejected);
+                let retry_after_ms = sql_errors::retry_after_ms(retry_after);
+                info!(query = query.0, id, class, held_us, retry_after_ms, "query rejected");
             }
             Answer::Failed { may_have_run } => {
-                self.out.saw(if may_have_run { Coverage::FailedRun } else { Coverage::FailedNotRun });
+                self.out.record(if may_have_run {
+                    Coverage::QueryFailedMayHaveRun
+                } else {
+                    Coverage::QueryFailedNotRun
+                });
                 let reason = if may_have_run { "may have run" } else { "not run" };
-                warn!(query = query.0, id, class, held_us, reason, "failed");
+                warn!(query = query.0, id, class, held_us, reason, "query failed");
             }
             Answer::Interrupted => {
-                self.out.saw(Coverage::Broken);
-                warn!(query = query.0, id, class, held_us, reason = "answer broke off", "failed");
+                self.out.record(Coverage::AnswerInterrupted);
+                warn!(query = query.0, id, class, held_us, reason = "answer interrupted", "query failed");
             }
         }
-        let trouble = peer_load::of(answer);
-        self.clients.unserved(unit.client, &trouble);
-        if self.planted(FaultInjection::DuplicateError, 2) {
-            self.clients.sink(unit.client).into_iter().for_each(|sink| trouble.put(sink));
+        let error = sql_errors::for_answer(answer);
+        self.clients.finish_with_error(in_flight.client, &error);
+        if self.should_inject(FaultInjection::DuplicateError, 2) {
+            self.clients.sink(in_flight.client).into_iter().for_each(|sink| error.put(sink));
         }
-        if !self.planted(FaultInjection::LoseWakeup, 2) {
-            self.ready.push_back(unit.client);
+        if !self.should_inject(FaultInjection::LoseWakeup, 2) {
+            self.ready_clients.push_back(in_flight.client);
         }
     }
 
-    /// The client's query was served; its answer is in its output.
-    pub(super) fn served(&mut self, query: QueryId, errored: bool) {
-        if self.planted(FaultInjection::LoseAnswer, 20) {
-            self.units.take(query);
+    /// Completes a query whose answer is in the output buffer of its client.
+    pub(super) fn finish_served(&mut self, query: QueryId, has_query_error: bool) {
+        if self.should_inject(FaultInjection::LoseAnswer, 20) {
+            self.queries.remove(query);
             return;
         }
-        let Some(unit) = self.units.take(query) else { return };
-        let class = &self.config.names.classes[unit.class];
-        debug!(query = query.0, id = %unit.label, class, held_us = self.out.now - unit.since, "served");
-        self.clients.served(unit.client, errored);
-        self.ready.push_back(unit.client);
+        let Some(in_flight) = self.queries.remove(query) else { return };
+        let class = &self.config.names.classes[in_flight.class];
+        debug!(
+            query = query.0,
+            id = %in_flight.label,
+            class,
+            held_us = self.out.now - in_flight.accepted_at,
+            "query served"
+        );
+        self.clients.finish_served(in_flight.client, has_query_error);
+        self.ready_clients.push_back(in_flight.client);
     }
 
-    /// A client can be told nothing more: its connection closes.
-    pub fn client_gone(&mut self, id: ConnId) {
+    /// Closes a client and abandons its query.
+    pub fn disconnect_client(&mut self, id: ConnId) {
         let Some(query) = self.clients.remove(id, &mut self.out) else { return };
-        if self.units.take(query).is_some() {
-            self.engines.detach(query, &mut self.out);
-            self.tape.handle_input(self.out.now, Input::Abandoned(query));
+        if self.queries.remove(query).is_some() {
+            self.engines.detach_query(query, &mut self.out);
+            self.driver.handle_input(self.out.now, Input::Abandoned(query));
         }
     }
 }
--- a/crates/pg-gateway/src/effect_queue.rs
+++ b/crates/pg-gateway/src/effect_queue.rs
@@ -1,42 +1,42 @@
-//! Where the rooms of a gate put what they want: effects, timers, and the counts of what came to pass.
+//! The queue of effects and timers of the gateway, and its coverage counters.
 
-use crate::coverage::{Counts, Coverage};
+use crate::coverage::{Coverage, CoverageCounts};
 use crate::timer_event::TimerEvent;
 use std::ops::{Deref, DerefMut};
 pub use wheelfield_sans_io::{DatagramSocket, Effect};
 
-/// [`wheelfield_sans_io::EffectQueue`], and what came to pass.
+/// A [`wheelfield_sans_io::EffectQueue`] with coverage counters.
 #[derive(Debug)]
 pub(crate) struct EffectQueue {
-    wanted: wheelfield_sans_io::EffectQueue<TimerEvent>,
-    seen: Counts,
+    inner: wheelfield_sans_io::EffectQueue<TimerEvent>,
+    coverage: CoverageCounts,
 }
 
 impl EffectQueue {
     pub fn new(now: i64) -> EffectQueue {
-        EffectQueue { wanted: wheelfield_sans_io::EffectQueue::new(now), seen: Counts::default() }
+        EffectQueue { inner: wheelfield_sans_io::EffectQueue::new(now), coverage: CoverageCounts::default() }
     }
 
-    /// Something came to pass.
-    pub fn saw(&mut self, what: Coverage) {
-        self.seen.note(what);
+    /// Counts that a coverage point was reached.
+    pub fn record(&mut self, point: Coverage) {
+        self.coverage.increment(point);
     }
 
-    /// What came to pass, and how often.
-    pub fn seen(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
-        self.seen.iter()
+    /// The name and count of each coverage point.
+    pub fn coverage(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
+        self.coverage.iter()
     }
 }
 
 impl Deref for EffectQueue {
     type Target = wheelfield_sans_io::EffectQueue<TimerEvent>;
     fn deref(&self) -> &Self::Target {
-        &self.wanted
+        &self.inner
     }
 }
 
 impl DerefMut for EffectQueue {
     fn deref_mut(&mut self) -> &mut Self::Target {
-        &mut self.wanted
+        &mut self.inner
     }
 }
--- a/crates/pg-gateway/src/endpoint_sets.rs
+++ b/crates/pg-gateway/src/endpoint_sets.rs
@@ -1,4 +1,4 @@
-//! Which engines there are: what files and a registry say, merged, and what the module is told of it.
+//! The known engines: merges the sets of the endpoint files and the registry into the engine list.
 
 use serde_json::json;
 use std::sync::Arc;
@@ -9,151 +9,158 @@
 use wheelfield_endpoints::tracker::{Change, Engines};
 use wheelfield_endpoints::{EngineSet, News};
 
-/// Counted here.
+/// Counters of endpoint file updates and engine lists.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Counts {
-    pub refused: u64,
+pub(crate) struct EndpointCounters {
+    pub rejected: u64,
     pub held: u64,
-    pub not_kept: u64,
+    pub not_saved: u64,
 }
 
-/// What files say, where there are any.
+/// State of the endpoint files, if they are configured.
 #[derive(Debug, Default)]
-struct Files {
+struct EndpointFiles {
     set: Option<Arc<EngineSet>>,
-    /// The registry's, and when it was heard last.
+    /// The last set of the registry and when it was received.
     registry: Option<(EngineSet, i64)>,
-    /// Whether the registry counted when the sets were merged last.
-    counted: bool,
+    /// Whether the last merge used the set of the registry.
+    registry_in_use: bool,
     contradictions: Vec<Contradiction>,
     fault: Option<String>,
-    /// A registry that was not heard for so long says nothing.
-    age: Micros,
+    /// A registry set that is older than this is not used.
+    max_registry_age: Micros,
 }
 
-/// The engines in force.
+/// The known engines and their sources.
 #[derive(Debug)]
 pub(crate) struct EndpointSets {
     engines: Engines,
-    files: Option<Files>,
-    pub counts: Counts,
+    files: Option<EndpointFiles>,
+    pub counters: EndpointCounters,
 }
 
 impl EndpointSets {
     pub fn new(config: &Config) -> EndpointSets {
-        let files =
-            config.endpoint_files.as_ref().map(|m| Files { age: m.max_registry_age, ..Files::default() });
-        EndpointSets { engines: Engines::default(), files, counts: Counts::default() }
+        let files = config.endpoint_files.as_ref().map(|files| EndpointFiles {
+            max_registry_age: files.max_registry_age,
+            ..EndpointFiles::default()
+        });
+        EndpointSets { engines: Engines::default(), files, counters: EndpointCounters::default() }
     }
 
     pub fn engines(&self) -> &Engines {
         &self.engines
     }
 
-    /// The engines that the configuration itself names.
-    pub fn fixed(&mut self, config: &Config) -> Change {
+    /// Uses the engines that are listed in the configuration.
+    pub fn use_configured_engines(&mut self, config: &Config) -> Change {
         self.engines.fixed(config)
     }
 
-    /// Whether files say which engines there are.
-    pub fn of_files(&self) -> bool {
+    /// Whether endpoint files are the source of the engine list.
+    pub fn has_files(&self) -> bool {
         self.files.is_some()
     }
 
-    /// Word of the files.
-    pub fn news(&mut self, news: News, now: i64) -> Option<Change> {
-        let f = self.files.as_mut()?;
+    /// Applies an update of the endpoint files.
+    pub fn update_from_files(&mut self, news: News, now: i64) -> Option<Change> {
+        let files = self.files.as_mut()?;
         match news {
             News::Set(set) => {
-                info!(version = set.version, engines = set.engines.len(), "engine files in force");
-                (f.set, f.fault) = (Some(set), None);
-                return self.merged(now);
+                info!(version = set.version, engines = set.engines.len(), "engine files applied");
+                (files.set, files.fault) = (Some(set), None);
+                return self.merge_sets(now);
             }
             News::Kept(set, age) => {
                 warn!(version = set.version, age_s = age.0 / 1_000_000, "the set that was kept is in force");
-                f.fault = Some(format!("the set that was kept is in force, of {} s ago", age.0 / 1_000_000));
-                f.set = Some(set);
-                return self.merged(now);
+                files.fault =
+                    Some(format!("the set that was kept is in force, of {} s ago", age.0 / 1_000_000));
+                files.set = Some(set);
+                return self.merge_sets(now);
             }
             News::Refused(fault) => {
                 warn!(%fault, "engine files refused; the set in force stays");
-                f.fault = Some(fault.to_string());
-                self.counts.refused += 1;
+                files.fault = Some(fault.to_string());
+                self.counters.rejected += 1;
             }
             News::Held(why, until) => {
                 let until_s = until.map(|t| (t.0 - now) / 1_000_000);
                 warn!(why, until_s, "engine files held; write confirmed = true if that is meant");
-                f.fault = Some(format!("held: {why}"));
-                self.counts.held += 1;
+                files.fault = Some(format!("held: {why}"));
+                self.counters.held += 1;
             }
             News::Fine => {
-                info!("engine files are those in force again");
-                f.fault = None;
+                info!("engine files match the current engine set again");
+                files.fault = None;
             }
-            News::KeptBad(why) => warn!(why, "the set that was kept can't be used"),
+            News::KeptBad(why) => warn!(why, "the saved engine set cannot be used"),
             News::NotKept(why) => {
                 error!(
                     why,
-                    "the set in force could not be kept; a start without a good file would have none"
+                    "the current engine set could not be saved; a start without a valid file would have none"
                 );
-                self.counts.not_kept += 1;
+                self.counters.not_saved += 1;
             }
-            // Who asked for it hears of it before.
+            // The gateway handles this event itself.
             News::Looked(_) => {}
             News::PollOnly(why) => warn!(why, "the system tells of no changes; engine files are polled"),
         }
         None
     }
 
-    /// A list as the registry tells it. Where files say which engines there are, it is noted beside them.
-    pub fn registry(&mut self, set: EngineSet, now: i64) -> Option<Change> {
+    /// Applies a list of the registry, which is merged with the endpoint files if there are any.
+    pub fn update_from_registry(&mut self, set: EngineSet, now: i64) -> Option<Change> {
         match &mut self.files {
-            Some(f) => {
-                f.registry = Some((set, now));
-                self.merged(now)
+            Some(files) => {
+                files.registry = Some((set, now));
+                self.merge_sets(now)
             }
             None => Some(self.engines.set(set)),
         }
     }
 
-    /// The version that the registry told last.
+    /// The version of the last list of the registry.
     pub fn registry_version(&self) -> u64 {
         match &self.files {
-            Some(f) => f.registry.as_ref().map_or(0, |(set, _)| set.version),
+            Some(files) => files.registry.as_ref().map_or(0, |(set, _)| set.version),
             None => self.engines.version(),
         }
     }
 
-    /// A registry that fell silent counts no more, and one that speaks again does.
-    pub fn age(&mut self, now: i64) -> Option<Change> {
-        let f = self.files.as_ref()?;
-        let fresh = f.registry.as_ref().is_some_and(|(_, heard)| now - heard <= f.age.0);
-        if fresh == f.counted {
+    /// Merges the sets again when the registry set has become too old, or is up to date again.
+    pub fn expire_registry(&mut self, now: i64) -> Option<Change> {
+        let files = self.files.as_ref()?;
+        let is_fresh = files
+            .registry
+            .as_ref()
+            .is_some_and(|(_, received_at)| now - received_at <= files.max_registry_age.0);
+        if is_fresh == files.registry_in_use {
             return None;
         }
-        self.merged(now)
+        self.merge_sets(now)
     }
 
-    fn merged(&mut self, now: i64) -> Option<Change> {
-        let f = self.files.as_mut()?;
-        let set = f.set.as_ref()?;
-        let told = f.registry.as_ref().map(|(told, heard)| (told, Micros(now - heard)));
-        f.counted = told.is_some_and(|(_, age)| age <= f.age);
-        let (merged, contradictions) = merge(set, told, f.age);
-        if contradictions != f.contradictions {
-            for c in &contradictions {
-                warn!(what = ?c, "engine files and registry contradict each other");
+    fn merge_sets(&mut self, now: i64) -> Option<Change> {
+        let files = self.files.as_mut()?;
+        let set = files.set.as_ref()?;
+        let registry =
+            files.registry.as_ref().map(|(registry, received_at)| (registry, Micros(now - received_at)));
+        files.registry_in_use = registry.is_some_and(|(_, age)| age <= files.max_registry_age);
+        let (merged, contradictions) = merge(set, registry, files.max_registry_age);
+        if contradictions != files.contradictions {
+            for contradiction in &contradictions {
+                warn!(what = ?contradiction, "engine files and registry contradict each other");
             }
-            f.contradictions = contradictions;
+            files.contradictions = contradictions;
         }
         Some(self.engines.set_from_files(merged, Micros(now)))
     }
 
-    /// What an operator is shown of the files.
+    /// The state of the endpoint files for the status page.
     pub fn status(&self) -> serde_json::Value {
-        let Some(f) = &self.files else { return serde_json::Value::Null };
-        let version = f.set.as_ref().map(|s| s.version);
-        let contradictions: Vec<String> = f.contradictions.iter().map(|c| format!("{c:?}")).collect();
-        json!({"version": version, "fault": f.fault, "contradictions": contradictions})
+        let Some(files) = &self.files else { return serde_json::Value::Null };
+        let version = files.set.as_ref().map(|s| s.version);
+        let contradictions: Vec<String> = files.contradictions.iter().map(|c| format!("{c:?}")).collect();
+        json!({"version": version, "fault": files.fault, "contradictions": contradictions})
     }
 }
--- a/crates/pg-gateway/src/engine_sessions.rs
+++ b/crates/pg-gateway/src/engine_sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions with engines, each by itself: one query at a time, its answer read on to its client.
+//! Engine sessions: each runs one query at a time and forwards its answer to the client.
 
 use crate::effect_queue::{Effect, EffectQueue};
 use crate::timer_event::TimerEvent;
@@ -11,51 +11,53 @@
 use wheelfield_sans_io::ConnectionBuffer;
 use wheelfield_sans_io::{ConnId, ConnectionTable, TimerKey};
 
-pub(crate) const ROOM: u8 = 2;
-/// Read from an engine at a time.
-const READ: usize = 64 << 10;
-/// For a message that is not a row and longer than that.
-const READ_LONG: usize = (1 << 20) + READ;
+pub(crate) const CONNECTION_OWNER: u8 = 2;
+/// Maximum number of buffered bytes of an engine.
+const READ_LIMIT: usize = 64 << 10;
+/// Read limit for a message that is longer than [`READ_LIMIT`] and not a row.
+const LONG_MESSAGE_READ_LIMIT: usize = (1 << 20) + READ_LIMIT;
 
-/// What a session does.
+/// What a session is running.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Job {
-    /// An attempt, and its client while that wants the answer.
+    /// An attempt, and its client as long as it wants the answer.
     Attempt { id: AttemptId, client: Option<ConnId> },
-    /// A question on the engine's load.
+    /// A query of the engine's load.
     Probe,
-    /// Something whose answer nobody waits for.
-    Aside,
+    /// A statement whose result is ignored.
+    Discarded,
 }
 
 /// A session with an engine.
 #[derive(Debug)]
 pub(crate) struct Session {
     pub engine: EngineId,
-    pub wire: ConnectionBuffer,
+    pub buffer: ConnectionBuffer,
     pub backend: Backend,
     pub job: Option<Job>,
-    terms: AttemptOptions,
+    options: AttemptOptions,
     pub timer: Option<TimerKey>,
-    /// A request to cancel is under way: the session is not used until that is over.
+    /// A cancel request is in progress: the session must not be reused before that has finished, since it
+    /// could end the next query.
     pub cancelling: bool,
-    /// Bytes that were to be written as the attempt was put on it; none of it ran while so many are.
+    /// Size of the output buffer when the attempt was written to it. As long as the buffer has not shrunk
+    /// below this, the engine has received nothing of the attempt.
     pub unsent: Option<usize>,
-    /// When it last took something of an answer.
-    pub progress: i64,
+    /// When part of an answer was last processed.
+    pub last_progress_at: i64,
     pub idle_since: i64,
-    /// Its client must take something first.
+    /// Reading is paused because the client's output buffer is full.
     paused: bool,
-    /// A long message needs more room.
-    long: bool,
+    /// A long message needs a larger read limit.
+    reading_long_message: bool,
 }
 
 impl Session {
-    fn limit(&self) -> usize {
-        match (self.paused, self.long) {
+    fn read_limit(&self) -> usize {
+        match (self.paused, self.reading_long_message) {
             (true, _) => 0,
-            (_, true) => READ_LONG,
-            _ => READ,
+            (_, true) => LONG_MESSAGE_READ_LIMIT,
+            _ => READ_LIMIT,
         }
     }
 
@@ -67,229 +69,235 @@
         }
     }
 
-    /// The session is clean and nothing is to be done on it. `early` is a planted fault: a cancel under way is no hindrance.
-    pub fn free(&self, early: bool) -> bool {
-        self.job.is_none() && (early || !self.cancelling) && self.backend.idle()
+    /// Whether the session can run another query. `ignore_cancel` is an injected fault that disregards a
+    /// cancel request in progress.
+    pub fn is_free(&self, ignore_cancel: bool) -> bool {
+        self.job.is_none() && (ignore_cancel || !self.cancelling) && self.backend.idle()
     }
 }
 
-/// What came of reading a session.
-pub(crate) enum Fed {
-    /// Nothing more for now.
-    Dry,
-    /// Its client, which must take something first.
-    Full(ConnId),
-    /// It is of no more use, for this reason.
+/// The result of reading a session.
+pub(crate) enum ReadOutcome {
+    /// More input is needed.
+    Incomplete,
+    /// The client's output buffer is full.
+    OutputFull(ConnId),
+    /// The session is unusable, for this reason.
     Lost(String),
-    /// Something that must be known; read on after it.
-    Heard(Heard),
+    /// An event that must be handled before reading on.
+    Event(Heard),
 }
 
-/// All sessions with all engines.
+/// All engine sessions.
 #[derive(Debug)]
 pub(crate) struct Sessions {
-    all: ConnectionTable<Session>,
-    /// Which session carries an attempt.
-    flights: BTreeMap<AttemptId, ConnId>,
+    sessions: ConnectionTable<Session>,
+    /// The session that runs each attempt.
+    by_attempt: BTreeMap<AttemptId, ConnId>,
     user: String,
     database: String,
-    label: String,
-    /// Engines heed terms.
-    termed: bool,
-    buffer: usize,
+    application_name: String,
+    /// Whether engines accept settings for priority and memory grant.
+    sets_options: bool,
+    output_limit: usize,
 }
 
 impl Sessions {
     pub fn new(config: &wheelfield_config::Config) -> Sessions {
-        let s = &config.settings;
+        let settings = &config.settings;
         Sessions {
-            all: ConnectionTable::new(ROOM),
-            flights: BTreeMap::new(),
+            sessions: ConnectionTable::new(CONNECTION_OWNER),
+            by_attempt: BTreeMap::new(),
             user: config.user.clone(),
             database: config.database.clone(),
-            label: format!("wheelfield/{}", s.gateway_index),
-            termed: s.priorities || s.memory_grants,
-            buffer: config.limits.buffer,
+            application_name: format!("wheelfield/{}", settings.gateway_index),
+            sets_options: settings.priorities || settings.memory_grants,
+            output_limit: config.limits.buffer,
         }
     }
 
     pub fn len(&self) -> usize {
-        self.all.len()
+        self.sessions.len()
     }
 
     pub fn get(&self, id: ConnId) -> Option<&Session> {
-        self.all.get(id)
+        self.sessions.get(id)
     }
 
     pub fn get_mut(&mut self, id: ConnId) -> Option<&mut Session> {
-        self.all.get_mut(id)
+        self.sessions.get_mut(id)
     }
 
-    pub fn wire(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
-        self.all.get_mut(id).map(|s| &mut s.wire)
+    pub fn buffer(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
+        self.sessions.get_mut(id).map(|session| &mut session.buffer)
     }
 
-    pub fn room(&mut self, id: ConnId) -> usize {
-        self.all.get_mut(id).map_or(0, |s| {
-            let limit = s.limit();
-            s.wire.read_capacity(limit)
+    pub fn read_capacity(&mut self, id: ConnId) -> usize {
+        self.sessions.get_mut(id).map_or(0, |session| {
+            let limit = session.read_limit();
+            session.buffer.read_capacity(limit)
         })
     }
 
-    /// Opens a session: the startup is written once it is connected.
+    /// Opens a session. The startup packet is written once it is connected.
     pub fn open(&mut self, engine: EngineId, out: &mut EffectQueue) -> ConnId {
-        let mut wire = ConnectionBuffer::default();
-        let backend = Backend::start(&self.user, &self.database, &self.label, &mut wire.output);
-        self.all.insert(Session {
+        let mut buffer = ConnectionBuffer::default();
+        let backend = Backend::start(&self.user, &self.database, &self.application_name, &mut buffer.output);
+        self.sessions.insert(Session {
             engine,
-            wire,
+            buffer,
             backend,
             job: None,
-            terms: AttemptOptions::default(),
+            options: AttemptOptions::default(),
             timer: None,
             cancelling: false,
             unsent: None,
-            progress: out.now,
+            last_progress_at: out.now,
             idle_since: out.now,
             paused: false,
-            long: false,
+            reading_long_message: false,
         })
     }
 
-    /// The session that carries an attempt.
-    pub fn carrier(&self, attempt: AttemptId) -> Option<ConnId> {
-        self.flights.get(&attempt).copied()
+    /// The session that runs an attempt.
+    pub fn session_of(&self, attempt: AttemptId) -> Option<ConnId> {
+        self.by_attempt.get(&attempt).copied()
     }
 
-    /// The sessions that carry attempts of a query.
-    pub fn carriers(&self, query: QueryId) -> Vec<ConnId> {
-        let of = AttemptId { query, number: 0 }..=AttemptId { query, number: usize::MAX };
-        self.flights.range(of).map(|(_, id)| *id).collect()
+    /// The sessions that run attempts of a query.
+    pub fn sessions_of(&self, query: QueryId) -> Vec<ConnId> {
+        let attempts = AttemptId { query, number: 0 }..=AttemptId { query, number: usize::MAX };
+        self.by_attempt.range(attempts).map(|(_, id)| *id).collect()
     }
 
-    /// Part of a long row has gone to the client of a query: nothing else can be told it.
-    pub fn amid_row(&self, query: QueryId) -> bool {
-        let of = AttemptId { query, number: 0 }..=AttemptId { query, number: usize::MAX };
-        self.flights.range(of).any(|(_, id)| self.get(*id).is_some_and(|s| s.backend.amid_row()))
+    /// Whether the client of a query has received only part of a long row, so that nothing else can be sent
+    /// to it.
+    pub fn has_partial_row(&self, query: QueryId) -> bool {
+        let attempts = AttemptId { query, number: 0 }..=AttemptId { query, number: usize::MAX };
+        self.by_attempt
+            .range(attempts)
+            .any(|(_, id)| self.get(*id).is_some_and(|session| session.backend.amid_row()))
     }
 
-    /// An attempt is over on its session.
-    pub fn landed(&mut self, attempt: AttemptId) {
-        self.flights.remove(&attempt);
+    /// Removes an attempt that has ended from the index.
+    pub fn release_attempt(&mut self, attempt: AttemptId) {
+        self.by_attempt.remove(&attempt);
     }
 
-    /// Puts an attempt on a clean session.
-    pub fn put(
+    /// Writes an attempt to an idle session.
+    pub fn write_attempt(
         &mut self,
         id: ConnId,
         attempt: AttemptId,
-        unit: &crate::in_flight::InHand,
+        query: &crate::in_flight::InFlightQuery,
         out: &mut EffectQueue,
     ) {
-        let termed = self.termed;
-        let Some(s) = self.all.get_mut(id) else { return };
-        let change = termed && s.terms != unit.terms;
-        let set = change.then(|| {
-            let AttemptOptions { grant_mb, priority } = unit.terms;
+        let sets_options = self.sets_options;
+        let Some(session) = self.sessions.get_mut(id) else { return };
+        let options_differ = sets_options && session.options != query.options;
+        let set_statements = options_differ.then(|| {
+            let AttemptOptions { grant_mb, priority } = query.options;
             format!("SET wheelfield.priority = {priority}; SET wheelfield.grant_mb = {grant_mb:.0}")
         });
-        s.terms = if change { unit.terms } else { s.terms };
-        let of = &unit.unit;
-        let bytes = &mut s.wire.output;
-        s.backend.run(set.as_deref(), &of.frames, &of.swallow, of.open, bytes);
-        for (i, (frames, swallow)) in unit.more.iter().enumerate() {
-            let sealed = unit.sealed && i + 1 == unit.more.len();
-            s.backend.more(frames, swallow, sealed, bytes);
+        session.options = if options_differ { query.options } else { session.options };
+        let unit = &query.unit;
+        let output = &mut session.buffer.output;
+        session.backend.run(set_statements.as_deref(), &unit.frames, &unit.swallow, unit.open, output);
+        for (i, (frames, suppress_acks)) in query.continuations.iter().enumerate() {
+            let is_last = query.is_complete && i + 1 == query.continuations.len();
+            session.backend.more(frames, suppress_acks, is_last, output);
         }
-        s.unsent = Some(bytes.len());
-        s.progress = out.now;
-        s.job = Some(Job::Attempt { id: attempt, client: Some(unit.client) });
-        s.wire.flush(id, out);
-        self.flights.insert(attempt, id);
+        session.unsent = Some(output.len());
+        session.last_progress_at = out.now;
+        session.job = Some(Job::Attempt { id: attempt, client: Some(query.client) });
+        session.buffer.flush(id, out);
+        self.by_attempt.insert(attempt, id);
     }
 
-    /// Writes a text of our own to a clean session.
-    pub fn put_own(&mut self, id: ConnId, job: Job, text: &str, out: &mut EffectQueue) {
-        let Some(s) = self.all.get_mut(id) else { return };
+    /// Writes a statement of the gateway itself to an idle session.
+    pub fn write_statement(&mut self, id: ConnId, job: Job, statement: &str, out: &mut EffectQueue) {
+        let Some(session) = self.sessions.get_mut(id) else { return };
         let mut frames = BytesMut::new();
-        front::put_query(text, &mut frames);
-        s.job = Some(job);
-        s.backend.run(None, &frames, &[], false, &mut s.wire.output);
-        s.wire.flush(id, out);
+        front::put_query(statement, &mut frames);
+        session.job = Some(job);
+        session.backend.run(None, &frames, &[], false, &mut session.buffer.output);
+        session.buffer.flush(id, out);
     }
 
-    /// More of an open unit goes to the sessions that carry it.
-    pub fn more(
+    /// Forwards further messages of an open unit to the sessions that run it. `suppress_acks` tells for each
+    /// completion message whether it is kept from the client; `is_last` completes the unit.
+    pub fn continue_unit(
         &mut self,
         query: QueryId,
         frames: &[u8],
-        swallow: &[bool],
-        sealed: bool,
+        suppress_acks: &[bool],
+        is_last: bool,
         out: &mut EffectQueue,
     ) {
-        for id in self.carriers(query) {
-            if let Some(s) = self.all.get_mut(id) {
-                s.backend.more(frames, swallow, sealed, &mut s.wire.output);
-                s.wire.flush(id, out);
+        for id in self.sessions_of(query) {
+            if let Some(session) = self.sessions.get_mut(id) {
+                session.backend.more(frames, suppress_acks, is_last, &mut session.buffer.output);
+                session.buffer.flush(id, out);
             }
         }
     }
 
-    /// Reads on, up to the first thing that must be known. Rows go to `sink`, if somebody wants them.
-    pub fn feed(&mut self, id: ConnId, sink: Option<&mut BytesMut>, out: &mut EffectQueue) -> Fed {
-        let room = self.buffer;
-        let Some(s) = self.all.get_mut(id) else { return Fed::Dry };
-        let mut nobody = BytesMut::new();
-        let sink = sink.unwrap_or(&mut nobody);
-        let (before, begun) = (s.wire.input.len(), s.backend.begun());
-        let heard = match s.backend.feed(&mut s.wire.input, sink, room) {
-            Ok(heard) => heard,
-            Err(fault) => return Fed::Lost(fault.to_string()),
+    /// Reads a session up to the next event. Rows are written to `sink`, if given, and discarded otherwise.
+    pub fn read(&mut self, id: ConnId, sink: Option<&mut BytesMut>, out: &mut EffectQueue) -> ReadOutcome {
+        let output_limit = self.output_limit;
+        let Some(session) = self.sessions.get_mut(id) else { return ReadOutcome::Incomplete };
+        let mut discarded = BytesMut::new();
+        let sink = sink.unwrap_or(&mut discarded);
+        let (input_before, response_started) = (session.buffer.input.len(), session.backend.begun());
+        let event = match session.backend.feed(&mut session.buffer.input, sink, output_limit) {
+            Ok(event) => event,
+            Err(error) => return ReadOutcome::Lost(error.to_string()),
         };
-        let took = s.wire.input.len() < before;
-        if took {
-            s.progress = out.now;
-            s.long = false;
+        let consumed = session.buffer.input.len() < input_before;
+        if consumed {
+            session.last_progress_at = out.now;
+            session.reading_long_message = false;
         }
-        s.paused = false;
-        if heard != Heard::Nothing {
-            return Fed::Heard(heard);
+        session.paused = false;
+        if event != Heard::Nothing {
+            return ReadOutcome::Event(event);
         }
-        if let Some(client) = s.client().filter(|_| begun && sink.len() >= room) {
-            s.paused = true;
-            return Fed::Full(client);
+        if let Some(client) = session.client().filter(|_| response_started && sink.len() >= output_limit) {
+            session.paused = true;
+            return ReadOutcome::OutputFull(client);
         }
-        if s.wire.read_closed {
-            return Fed::Lost("the engine closed the connection".to_string());
+        if session.buffer.read_closed {
+            return ReadOutcome::Lost("the engine closed the connection".to_string());
         }
-        // A long message that is not a row needs more room to be whole.
-        s.long |= !took && s.wire.input.len() >= READ;
-        let limit = s.limit();
-        s.wire.resume_reading(id, limit, out);
-        Fed::Dry
+        // A message other than a row is processed whole, so a long one needs a larger read limit.
+        session.reading_long_message |= !consumed && session.buffer.input.len() >= READ_LIMIT;
+        let limit = session.read_limit();
+        session.buffer.resume_reading(id, limit, out);
+        ReadOutcome::Incomplete
     }
 
-    /// Nobody wants a session's answer any more. The client that did; none if nobody did before.
-    pub fn discard(&mut self, id: ConnId, patience: i64, out: &mut EffectQueue) -> Option<ConnId> {
-        let s = self.all.get_mut(id)?;
-        let was = match &mut s.job {
+    /// Discards the rest of an answer. Returns the client that wanted it; `None` if the answer was already
+    /// being discarded.
+    pub fn discard(&mut self, id: ConnId, timeout: i64, out: &mut EffectQueue) -> Option<ConnId> {
+        let session = self.sessions.get_mut(id)?;
+        let client = match &mut session.job {
             Some(Job::Attempt { client, .. }) => Some(client.take()?),
             _ => None,
         };
-        s.backend.discard(&mut s.wire.output);
-        s.wire.flush(id, out);
-        out.reset_timer(&mut s.timer, patience, TimerEvent::Abandon(id));
-        was
+        session.backend.discard(&mut session.buffer.output);
+        session.buffer.flush(id, out);
+        out.reset_timer(&mut session.timer, timeout, TimerEvent::DiscardTimeout(id));
+        client
     }
 
-    /// Closes a session. What it was.
+    /// Closes and returns a session.
     pub fn remove(&mut self, id: ConnId, out: &mut EffectQueue) -> Option<Session> {
-        let mut s = self.all.remove(id)?;
-        out.cancel_timer(&mut s.timer);
-        if let Some(Job::Attempt { id: attempt, .. }) = &s.job {
-            self.flights.remove(attempt);
+        let mut session = self.sessions.remove(id)?;
+        out.cancel_timer(&mut session.timer);
+        if let Some(Job::Attempt { id: attempt, .. }) = &session.job {
+            self.by_attempt.remove(attempt);
         }
         out.push(Effect::Close(id));
-        Some(s)
+        Some(session)
     }
 }
--- a/crates/pg-gateway/src/engines.rs
+++ b/crates/pg-gateway/src/engines.rs
@@ -1,12 +1,13 @@
-//! The side of the engines: sessions are opened, kept, given to attempts and probes, and broken. What must be known of
-//! it comes out as [`Word`]s; nothing here knows of clients but by the numbers of their connections.
+//! The engine side: opens, reuses and closes sessions, runs attempts and probes on them, and cancels
+//! attempts. Reports to the dispatcher by [`EngineEvent`]s; clients are known only by connection ID.
 
-use crate::cancels::Cancels;
+use crate::cancels::CancelRequests;
 use crate::coverage::Coverage;
 use crate::effect_queue::{Effect, EffectQueue};
-use crate::engine_sessions::{Fed, Job, Sessions};
+use crate::engine_events::{load_report, EngineEvent, ReadProgress};
+use crate::engine_sessions::{Job, ReadOutcome, Sessions};
 use crate::fault_injection::FaultInjection;
-use crate::in_flight::InHand;
+use crate::in_flight::InFlightQuery;
 use crate::pools::Pools;
 use crate::timer_event::TimerEvent;
 use bytes::BytesMut;
@@ -19,541 +20,535 @@
 use wheelfield_pg::backend::{self, Heard};
 use wheelfield_sans_io::ConnId;
 
-/// A session whose answer nobody wants must come clean within so many microseconds, where engines heed no cancels: the query
-/// runs to its end. Where they do, what is not confirmed counts as ended after `timing.withdraw`, and is ended then by the
-/// end of its session.
-const ABANDON_UNHEEDED: i64 = 60_000_000;
+/// Timeout for a discarded answer, in microseconds, where engines do not support cancellation: the query
+/// runs to its end. Where they do, an attempt counts as ended after `timing.cancel` without confirmation;
+/// its session is closed then, which ends the query.
+const DISCARD_TIMEOUT_UNCANCELLED_US: i64 = 60_000_000;
 
-/// What came of the engines' side.
-#[derive(Debug)]
-pub(crate) enum Word {
-    /// A session is there for an attempt.
-    Free(ConnId, AttemptId),
-    /// An attempt's answer has its first row, for this client. Let it begin, or discard it; then read on.
-    Begins(ConnId, AttemptId, ConnId),
-    /// Word on an attempt.
-    Noted(AttemptId, AttemptUpdate),
-    /// The answer of an attempt is whole. End it by [`Engines::over`].
-    Served { session: ConnId, attempt: AttemptId, client: Option<ConnId>, errored: bool, clean: bool },
-    /// An attempt ended otherwise. The reason is for the log.
-    Ended {
-        attempt: AttemptId,
-        engine: EngineId,
-        outcome: Outcome,
-        report: LoadReport,
-        reason: Option<String>,
-    },
-    /// A probe came back, or did not.
-    Probed(EngineId, Outcome, LoadReport),
-    /// A client got part of a row: no error can be told it.
-    Cut(ConnId),
-    /// A session may be read on; the client that it waited for wants nothing more of it.
-    Readable(ConnId, Option<ConnId>),
-}
-
-/// How far a session was read.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Progress {
-    /// As far as it goes.
-    Done,
-    /// There may be more once what came of it is known.
-    More,
-    /// Its client must take something first.
-    Full(ConnId),
-}
-
-/// An engine's load as the module reads it.
-pub(crate) fn report(load: backend::Load) -> LoadReport {
-    LoadReport {
-        utilisation: load.util,
-        in_flight: load.in_flight,
-        queued: load.queue,
-        memory_granted: load.memory,
-        disk_utilisation: load.disks,
-    }
-}
-
-/// The side of the engines.
+/// All engine sessions, pools and cancel requests.
 #[derive(Debug)]
 pub(crate) struct Engines {
     pub sessions: Sessions,
     pub pools: Pools,
-    cancels: Cancels,
-    words: VecDeque<Word>,
-    most: usize,
-    heeded: bool,
+    cancel_requests: CancelRequests,
+    events: VecDeque<EngineEvent>,
+    max_sessions: usize,
+    cancellation: bool,
     timing: wheelfield_config::Timing,
-    /// A planted fault.
-    plant: Option<FaultInjection>,
+    /// An injected fault.
+    fault: Option<FaultInjection>,
 }
 
 impl Engines {
-    pub fn new(config: &Config, plant: Option<FaultInjection>) -> Engines {
+    pub fn new(config: &Config, fault: Option<FaultInjection>) -> Engines {
         Engines {
             sessions: Sessions::new(config),
             pools: Pools::default(),
-            cancels: Cancels::new(),
-            words: VecDeque::new(),
-            most: config.limits.sessions,
-            heeded: config.settings.cancellation,
+            cancel_requests: CancelRequests::new(),
+            events: VecDeque::new(),
+            max_sessions: config.limits.sessions,
+            cancellation: config.settings.cancellation,
             timing: config.timing,
-            plant: plant.filter(|_| cfg!(feature = "planted")),
+            fault: fault.filter(|_| cfg!(feature = "planted")),
         }
     }
 
-    /// The next thing that must be known.
-    pub fn word(&mut self) -> Option<Word> {
-        self.words.pop_front()
+    pub fn next_event(&mut self) -> Option<EngineEvent> {
+        self.events.pop_front()
     }
 
-    /// An engine as it is listed now.
-    pub fn listed(&mut self, engine: EngineId, address: SocketAddr, up: bool, out: &mut EffectQueue) {
-        for id in self.pools.listed(engine, address, up) {
-            self.drop(id, out);
+    /// Applies an entry of the engine list.
+    pub fn set_engine(&mut self, engine: EngineId, address: SocketAddr, is_up: bool, out: &mut EffectQueue) {
+        for id in self.pools.set_engine(engine, address, is_up) {
+            self.close_session(id, out);
         }
     }
 
     // --- attempts ---
 
-    /// Finds a session for an attempt, or opens one.
-    pub fn launch(&mut self, attempt: AttemptId, engine: EngineId, out: &mut EffectQueue) {
+    /// Assigns an idle session to an attempt, or opens one.
+    pub fn start_attempt(&mut self, attempt: AttemptId, engine: EngineId, out: &mut EffectQueue) {
         let Some(pool) = self.pools.get_mut(engine) else {
-            return self.ended(attempt, engine, Outcome::ConnectFailed);
+            return self.push_ended(attempt, engine, Outcome::ConnectFailed);
         };
         while let Some(id) = pool.idle.pop() {
-            if self.sessions.get(id).is_some_and(|s| !s.wire.peer_closing && !s.wire.read_closed) {
-                out.saw(Coverage::SessionReused);
-                return self.words.push_back(Word::Free(id, attempt));
+            if self
+                .sessions
+                .get(id)
+                .is_some_and(|session| !session.buffer.peer_closing && !session.buffer.read_closed)
+            {
+                out.record(Coverage::SessionReused);
+                return self.events.push_back(EngineEvent::SessionReady(id, attempt));
             }
         }
-        if pool.sessions >= self.most {
-            out.saw(Coverage::NoneFree);
-            debug!(query = attempt.query.0, engine = engine.0, "no session free");
-            return self.ended(attempt, engine, Outcome::Full);
+        if pool.sessions >= self.max_sessions {
+            out.record(Coverage::SessionLimitReached);
+            debug!(query = attempt.query.0, engine = engine.0, "session limit of the engine reached");
+            return self.push_ended(attempt, engine, Outcome::Full);
         }
         pool.waiting.push_back(attempt);
-        self.open(engine, out);
+        self.open_session(engine, out);
     }
 
-    fn ended(&mut self, attempt: AttemptId, engine: EngineId, outcome: Outcome) {
+    fn push_ended(&mut self, attempt: AttemptId, engine: EngineId, outcome: Outcome) {
         let report = LoadReport::default();
-        self.words.push_back(Word::Ended { attempt, engine, outcome, report, reason: None });
+        self.events.push_back(EngineEvent::Ended { attempt, engine, outcome, report, reason: None });
     }
 
-    /// Opens a session with an engine.
-    pub fn open(&mut self, engine: EngineId, out: &mut EffectQueue) {
+    pub fn open_session(&mut self, engine: EngineId, out: &mut EffectQueue) {
         let Some(pool) = self.pools.get_mut(engine) else { return };
         (pool.sessions, pool.connecting) = (pool.sessions + 1, pool.connecting + 1);
         let address = pool.address;
-        out.saw(Coverage::SessionOpened);
+        out.record(Coverage::SessionOpened);
         let id = self.sessions.open(engine, out);
-        if let Some(s) = self.sessions.get_mut(id) {
-            out.reset_timer(&mut s.timer, self.timing.connect.0, TimerEvent::Connect(id));
+        if let Some(session) = self.sessions.get_mut(id) {
+            out.reset_timer(&mut session.timer, self.timing.connect.0, TimerEvent::EngineConnectTimeout(id));
         }
         out.push(Effect::Connect(id, address));
     }
 
-    /// A session that was to come did not: the first that waits for one is told.
-    fn none_for_waiting(&mut self, engine: EngineId, outcome: Outcome) {
+    /// Fails the waiting probe and the first waiting attempt after a session could not be opened.
+    fn fail_waiting(&mut self, engine: EngineId, outcome: Outcome) {
         let Some(pool) = self.pools.get_mut(engine) else { return };
-        if std::mem::take(&mut pool.probing) {
-            self.words.push_back(Word::Probed(engine, outcome, LoadReport::default()));
+        if std::mem::take(&mut pool.is_probe_waiting) {
+            self.events.push_back(EngineEvent::ProbeEnded(engine, outcome, LoadReport::default()));
         }
         if pool.waiting.len() > pool.connecting {
             if let Some(attempt) = pool.waiting.pop_front() {
-                self.ended(attempt, engine, outcome);
+                self.push_ended(attempt, engine, outcome);
             }
         }
     }
 
-    /// Writes an attempt to a session that is there for it.
-    pub fn put(&mut self, id: ConnId, attempt: AttemptId, unit: &InHand, out: &mut EffectQueue) {
-        self.sessions.put(id, attempt, unit, out);
+    pub fn write_attempt(
+        &mut self,
+        id: ConnId,
+        attempt: AttemptId,
+        query: &InFlightQuery,
+        out: &mut EffectQueue,
+    ) {
+        self.sessions.write_attempt(id, attempt, query, out);
     }
 
-    /// A clean session takes the next that waits for one, or rests.
-    pub fn rest(&mut self, id: ConnId, out: &mut EffectQueue) {
-        let reused = self.plant == Some(FaultInjection::ReuseDuringCancel);
-        let Some(s) = self.sessions.get_mut(id).filter(|s| s.free(reused)) else { return };
-        out.cancel_timer(&mut s.timer);
-        s.idle_since = out.now;
-        let engine = s.engine;
-        let Some(pool) = self.pools.get_mut(engine) else { return self.drop(id, out) };
-        if std::mem::take(&mut pool.probing) {
-            return self.put_probe(id, out);
+    /// Gives an idle session to the next waiting probe or attempt, or returns it to the pool.
+    pub fn release_session(&mut self, id: ConnId, out: &mut EffectQueue) {
+        let ignore_cancel = self.fault == Some(FaultInjection::ReuseDuringCancel);
+        let Some(session) = self.sessions.get_mut(id).filter(|session| session.is_free(ignore_cancel)) else {
+            return;
+        };
+        out.cancel_timer(&mut session.timer);
+        session.idle_since = out.now;
+        let engine = session.engine;
+        let Some(pool) = self.pools.get_mut(engine) else { return self.close_session(id, out) };
+        if std::mem::take(&mut pool.is_probe_waiting) {
+            return self.write_probe(id, out);
         }
         if let Some(attempt) = pool.waiting.pop_front() {
-            return self.words.push_back(Word::Free(id, attempt));
+            return self.events.push_back(EngineEvent::SessionReady(id, attempt));
         }
-        if pool.up || self.plant == Some(FaultInjection::SendToDraining) {
+        if pool.is_up || self.fault == Some(FaultInjection::SendToDraining) {
             pool.idle.push(id);
         } else {
-            self.drop(id, out);
+            self.close_session(id, out);
         }
     }
 
-    /// A session is connected: its startup goes out.
     pub fn connected(&mut self, id: ConnId, out: &mut EffectQueue) {
-        if let Some(s) = self.sessions.get_mut(id) {
-            s.wire.flush(id, out);
+        if let Some(session) = self.sessions.get_mut(id) {
+            session.buffer.flush(id, out);
         }
     }
 
-    /// Reads a session on.
-    pub fn read(&mut self, id: ConnId, sink: Option<&mut BytesMut>, out: &mut EffectQueue) -> Progress {
-        match self.sessions.feed(id, sink, out) {
-            Fed::Dry => Progress::Done,
-            Fed::Full(client) => Progress::Full(client),
-            Fed::Lost(reason) => {
-                self.lost(id, Outcome::Reset, &reason, out);
-                Progress::Done
+    pub fn read(&mut self, id: ConnId, sink: Option<&mut BytesMut>, out: &mut EffectQueue) -> ReadProgress {
+        match self.sessions.read(id, sink, out) {
+            ReadOutcome::Incomplete => ReadProgress::Done,
+            ReadOutcome::OutputFull(client) => ReadProgress::OutputFull(client),
+            ReadOutcome::Lost(reason) => {
+                self.fail_session(id, Outcome::Reset, &reason, out);
+                ReadProgress::Done
             }
-            Fed::Heard(heard) => {
-                self.heard(id, heard, out);
-                Progress::More
+            ReadOutcome::Event(event) => {
+                self.handle_backend_event(id, event, out);
+                ReadProgress::MorePending
             }
         }
     }
 
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
-    fn heard(&mut self, id: ConnId, heard: Heard, out: &mut EffectQueue) {
-        let Some(s) = self.sessions.get_mut(id) else { return };
-        let engine = s.engine;
-        match heard {
+    fn handle_backend_event(&mut self, id: ConnId, event: Heard, out: &mut EffectQueue) {
+        let Some(session) = self.sessions.get_mut(id) else { return };
+        let engine = session.engine;
+        match event {
             Heard::Nothing => {}
             Heard::Started => {
                 if let Some(pool) = self.pools.get_mut(engine) {
                     pool.connecting = pool.connecting.saturating_sub(1);
                 }
-                self.rest(id, out);
+                self.release_session(id, out);
             }
             Heard::TurnedAway { state, message } => {
                 let outcome = if state.starts_with("53") { Outcome::Full } else { Outcome::ConnectFailed };
-                self.lost(id, outcome, &format!("{state} {message}"), out);
+                self.fail_session(id, outcome, &format!("{state} {message}"), out);
             }
-            Heard::Begins => match s.job {
+            Heard::Begins => match session.job {
                 Some(Job::Attempt { id: attempt, client: Some(client) }) => {
-                    self.words.push_back(Word::Begins(id, attempt, client));
+                    self.events.push_back(EngineEvent::AnswerReady(id, attempt, client));
                 }
-                _ => self.discard(id, out),
+                _ => self.discard_answer(id, out),
             },
             Heard::Note(note) => {
-                if let Some(Job::Attempt { id: attempt, .. }) = s.job {
-                    let note = match note {
+                if let Some(Job::Attempt { id: attempt, .. }) = session.job {
+                    let update = match note {
                         backend::Note::Progress(share) => AttemptUpdate::Progress(share),
                         backend::Note::Spills(mb) => AttemptUpdate::Spills(mb),
                         backend::Note::WaitsForMemory => AttemptUpdate::WaitsForMemory,
                         backend::Note::WaitsForLoad => AttemptUpdate::WaitsForLoad,
                     };
-                    self.words.push_back(Word::Noted(attempt, note));
+                    self.events.push_back(EngineEvent::AttemptUpdated(attempt, update));
                 }
             }
-            Heard::Served { errored, clean } => match s.job.take() {
+            Heard::Served { errored: has_query_error, clean: reusable } => match session.job.take() {
                 Some(Job::Attempt { id: attempt, client }) => {
-                    self.sessions.landed(attempt);
-                    self.words.push_back(Word::Served { session: id, attempt, client, errored, clean });
+                    self.sessions.release_attempt(attempt);
+                    self.events.push_back(EngineEvent::Served {
+                        session: id,
+                        attempt,
+                        client,
+                        has_query_error,
+                        reusable,
+                    });
                 }
                 job => {
                     if let Some(Job::Probe) = job {
-                        let report = report(s.backend.load());
-                        self.words.push_back(Word::Probed(engine, Outcome::Served, report));
+                        let report = load_report(session.backend.load());
+                        self.events.push_back(EngineEvent::ProbeEnded(engine, Outcome::Served, report));
                     }
-                    self.over(id, clean, out);
+                    self.finish_unit(id, reusable, out);
                 }
             },
-            Heard::Troubled { state, message, clean } => {
-                let begun = s.backend.begun();
-                let report = report(s.backend.load());
+            Heard::Troubled { state, message, clean: reusable } => {
+                let response_started = session.backend.begun();
+                let report = load_report(session.backend.load());
                 let outcome = match state.as_str() {
-                    "53300" | "57P03" if !begun => Outcome::Full,
+                    "53300" | "57P03" if !response_started => Outcome::Full,
                     backend::CANCELLED => Outcome::Cancelled,
                     _ => Outcome::Error,
                 };
-                out.saw(if outcome == Outcome::Full {
-                    Coverage::EngineRefused
+                out.record(if outcome == Outcome::Full {
+                    Coverage::AttemptRejectedByEngine
                 } else {
-                    Coverage::EngineErrored
+                    Coverage::AttemptFailedByEngine
                 });
-                match s.job.take() {
+                match session.job.take() {
                     Some(Job::Attempt { id: attempt, .. }) => {
-                        self.sessions.landed(attempt);
+                        self.sessions.release_attempt(attempt);
                         let reason = Some(format!("{state} {message}"));
-                        self.words.push_back(Word::Ended { attempt, engine, outcome, report, reason });
+                        self.events.push_back(EngineEvent::Ended {
+                            attempt,
+                            engine,
+                            outcome,
+                            report,
+                            reason,
+                        });
                     }
-                    Some(Job::Probe) => self.words.push_back(Word::Probed(engine, outcome, report)),
-                    Some(Job::Aside) | None => {}
+                    Some(Job::Probe) => {
+                        self.events.push_back(EngineEvent::ProbeEnded(engine, outcome, report))
+                    }
+                    Some(Job::Discarded) | None => {}
                 }
-                self.over(id, clean, out);
+                self.finish_unit(id, reusable, out);
             }
-            Heard::Dropped { clean } => {
-                let report = report(s.backend.load());
-                if let Some(Job::Attempt { id: attempt, .. }) = s.job.take() {
-                    self.sessions.landed(attempt);
+            Heard::Dropped { clean: reusable } => {
+                let report = load_report(session.backend.load());
+                if let Some(Job::Attempt { id: attempt, .. }) = session.job.take() {
+                    self.sessions.release_attempt(attempt);
                     let outcome = Outcome::Cancelled;
-                    self.words.push_back(Word::Ended { attempt, engine, outcome, report, reason: None });
+                    self.events.push_back(EngineEvent::Ended {
+                        attempt,
+                        engine,
+                        outcome,
+                        report,
+                        reason: None,
+                    });
                 }
-                self.over(id, clean, out);
+                self.finish_unit(id, reusable, out);
             }
         }
     }
 
-    /// An answer goes to its client from here on: what was held back goes first.
-    pub fn begin(&mut self, id: ConnId, sink: &mut BytesMut, out: &mut EffectQueue) {
+    /// Forwards an answer to its client from now on, beginning with the rows that were held back.
+    pub fn begin_answer(&mut self, id: ConnId, sink: &mut BytesMut, out: &mut EffectQueue) {
         let stall = self.timing.stall.0;
-        if let Some(s) = self.sessions.get_mut(id) {
-            s.backend.begin(sink);
-            out.reset_timer(&mut s.timer, stall, TimerEvent::Stall(id));
+        if let Some(session) = self.sessions.get_mut(id) {
+            session.backend.begin(sink);
+            out.reset_timer(&mut session.timer, stall, TimerEvent::AnswerStallCheck(id));
         }
     }
 
-    /// A unit is over: the session is kept if it is clean.
-    pub fn over(&mut self, id: ConnId, clean: bool, out: &mut EffectQueue) {
-        if let Some(s) = self.sessions.get_mut(id) {
-            out.cancel_timer(&mut s.timer);
+    /// Ends a unit. The session is kept if it is reusable.
+    pub fn finish_unit(&mut self, id: ConnId, reusable: bool, out: &mut EffectQueue) {
+        if let Some(session) = self.sessions.get_mut(id) {
+            out.cancel_timer(&mut session.timer);
         }
-        if clean {
-            self.rest(id, out);
+        if reusable {
+            self.release_session(id, out);
         } else {
-            out.saw(Coverage::Unclean);
-            self.drop(id, out);
+            out.record(Coverage::UncleanSessionClosed);
+            self.close_session(id, out);
         }
     }
 
-    /// A session broke, or never came about.
-    pub fn lost(&mut self, id: ConnId, outcome: Outcome, reason: &str, out: &mut EffectQueue) {
-        let Some(s) = self.sessions.get_mut(id) else { return };
-        let (engine, starting) = (s.engine, s.backend.starting());
-        let job = s.job;
-        // What the engine told before it went is more than that it went.
-        let outcome = match s.backend.last_words() {
+    /// Handles a session that was lost or could not be opened.
+    pub fn fail_session(&mut self, id: ConnId, outcome: Outcome, reason: &str, out: &mut EffectQueue) {
+        let Some(session) = self.sessions.get_mut(id) else { return };
+        let (engine, starting) = (session.engine, session.backend.starting());
+        let job = session.job;
+        // An error that the engine sent before it closed the connection is more specific than the reset.
+        let outcome = match session.backend.last_words() {
             Some((state, _)) if outcome == Outcome::Reset && state != backend::CANCELLED => Outcome::Error,
             _ => outcome,
         };
-        let (amid_row, unsent) = (s.backend.amid_row(), s.unsent.is_some());
-        out.saw(match job {
-            _ if starting => Coverage::LostStarting,
-            None => Coverage::LostIdle,
-            _ if amid_row => Coverage::LostAmidRow,
-            _ if unsent => Coverage::LostUnsent,
-            _ => Coverage::LostRunning,
+        let (is_mid_row, unsent) = (session.backend.amid_row(), session.unsent.is_some());
+        out.record(match job {
+            _ if starting => Coverage::SessionLostStarting,
+            None => Coverage::SessionLostIdle,
+            _ if is_mid_row => Coverage::SessionLostDuringRow,
+            _ if unsent => Coverage::SessionLostUnsent,
+            _ => Coverage::SessionLostRunning,
         });
-        self.drop(id, out);
+        self.close_session(id, out);
         if starting {
-            debug!(engine = engine.0, reason, "no session");
+            debug!(engine = engine.0, reason, "engine session failed to start");
             let outcome = if outcome == Outcome::Full { Outcome::Full } else { Outcome::ConnectFailed };
-            return self.none_for_waiting(engine, outcome);
+            return self.fail_waiting(engine, outcome);
         }
         match job {
             Some(Job::Attempt { id: attempt, client }) => {
-                if let Some(client) = client.filter(|_| amid_row) {
-                    self.words.push_back(Word::Cut(client));
+                if let Some(client) = client.filter(|_| is_mid_row) {
+                    self.events.push_back(EngineEvent::RowInterrupted(client));
                 }
                 let (report, reason) = (LoadReport::default(), Some(reason.to_string()));
-                self.words.push_back(Word::Ended { attempt, engine, outcome, report, reason });
+                self.events.push_back(EngineEvent::Ended { attempt, engine, outcome, report, reason });
+            }
+            Some(Job::Probe) => {
+                self.events.push_back(EngineEvent::ProbeEnded(engine, outcome, LoadReport::default()))
             }
-            Some(Job::Probe) => self.words.push_back(Word::Probed(engine, outcome, LoadReport::default())),
-            Some(Job::Aside) | None => {}
+            Some(Job::Discarded) | None => {}
         }
     }
 
-    /// Its socket broke.
-    pub fn broken(&mut self, id: ConnId, writing: bool, reason: &str, out: &mut EffectQueue) {
-        let Some(s) = self.sessions.get(id) else { return };
-        let unsent = s.backend.starting() || (writing && s.unsent.is_some());
-        self.lost(id, if unsent { Outcome::ConnectFailed } else { Outcome::Reset }, reason, out);
+    /// Handles a broken connection.
+    pub fn handle_broken(&mut self, id: ConnId, writing: bool, reason: &str, out: &mut EffectQueue) {
+        let Some(session) = self.sessions.get(id) else { return };
+        let unsent = session.backend.starting() || (writing && session.unsent.is_some());
+        self.fail_session(id, if unsent { Outcome::ConnectFailed } else { Outcome::Reset }, reason, out);
     }
 
-    /// Bytes have gone to an engine.
-    pub fn wrote(&mut self, id: ConnId, n: usize) {
-        let Some(s) = self.sessions.get_mut(id) else { return };
-        s.wire.advance_written(n);
-        if s.unsent.is_some_and(|unsent| s.wire.output.len() < unsent) {
-            s.unsent = None;
+    pub fn bytes_written(&mut self, id: ConnId, count: usize) {
+        let Some(session) = self.sessions.get_mut(id) else { return };
+        session.buffer.advance_written(count);
+        if session.unsent.is_some_and(|unsent| session.buffer.output.len() < unsent) {
+            session.unsent = None;
         }
     }
 
-    /// Closes a session; whatever it did is not told.
-    fn drop(&mut self, id: ConnId, out: &mut EffectQueue) {
-        if let Some(s) = self.sessions.remove(id, out) {
-            self.pools.closed(s.engine, id, s.backend.starting());
+    /// Closes a session without reporting the outcome of its job.
+    fn close_session(&mut self, id: ConnId, out: &mut EffectQueue) {
+        if let Some(session) = self.sessions.remove(id, out) {
+            self.pools.remove_session(session.engine, id, session.backend.starting());
         }
     }
 
-    // --- withdrawing ---
+    // --- cancellation ---
 
-    /// Ends an attempt at its engine. While its answer is `wanted`, one that crosses the request still counts.
-    pub fn withdraw(&mut self, attempt: AttemptId, wanted: bool, out: &mut EffectQueue) {
-        let Some(id) = self.sessions.carrier(attempt) else {
-            out.saw(Coverage::WithdrawnWaiting);
-            return self.pools.forget(attempt);
+    /// Cancels an attempt. If its answer is `wanted`, one that arrives before the cancellation still
+    /// counts.
+    pub fn cancel_attempt(&mut self, attempt: AttemptId, wanted: bool, out: &mut EffectQueue) {
+        let Some(id) = self.sessions.session_of(attempt) else {
+            out.record(Coverage::WaitingAttemptCancelled);
+            return self.pools.remove_waiting(attempt);
         };
-        out.saw(Coverage::Withdrawn);
-        if let Some(s) = self.sessions.get_mut(id) {
-            s.backend.cancelling();
+        out.record(Coverage::AttemptCancelled);
+        if let Some(session) = self.sessions.get_mut(id) {
+            session.backend.cancelling();
         }
         if !wanted {
-            self.discard(id, out);
+            self.discard_answer(id, out);
         }
-        if self.heeded {
+        if self.cancellation {
             self.send_cancel(id, out);
         }
     }
 
-    /// A query has its final answer: whatever still comes for it goes to nobody, withdrawn or not.
-    pub fn detach(&mut self, query: QueryId, out: &mut EffectQueue) {
-        for id in self.sessions.carriers(query) {
-            self.discard(id, out);
+    /// Discards all further answers to a query that has its final answer.
+    pub fn detach_query(&mut self, query: QueryId, out: &mut EffectQueue) {
+        for id in self.sessions.sessions_of(query) {
+            self.discard_answer(id, out);
         }
     }
 
-    /// Nobody wants a session's answer any more.
-    pub fn discard(&mut self, id: ConnId, out: &mut EffectQueue) {
-        let patience = if self.heeded { self.timing.cancel.0 } else { ABANDON_UNHEEDED };
-        // What has not gone whole need not go at all: its engine never runs it, and sees the session end.
-        let attempt = |job: Option<Job>| matches!(job, Some(Job::Attempt { .. }));
-        if self.sessions.get(id).is_some_and(|s| attempt(s.job) && !s.wire.output.is_empty()) {
-            out.saw(Coverage::HalfWritten);
-            let unsent = self.sessions.get(id).is_some_and(|s| s.unsent.is_some());
+    /// Discards the rest of an answer.
+    pub fn discard_answer(&mut self, id: ConnId, out: &mut EffectQueue) {
+        let timeout = if self.cancellation { self.timing.cancel.0 } else { DISCARD_TIMEOUT_UNCANCELLED_US };
+        // An attempt that is not completely written need not be sent: the engine sees the connection close
+        // and does not run the query.
+        let is_attempt = |job: Option<Job>| matches!(job, Some(Job::Attempt { .. }));
+        if self
+            .sessions
+            .get(id)
+            .is_some_and(|session| is_attempt(session.job) && !session.buffer.output.is_empty())
+        {
+            out.record(Coverage::AttemptPartlyWritten);
+            let unsent = self.sessions.get(id).is_some_and(|session| session.unsent.is_some());
             let outcome = if unsent { Outcome::ConnectFailed } else { Outcome::Cancelled };
-            return self.lost(id, outcome, "given up before it was written", out);
+            return self.fail_session(id, outcome, "discarded before it was completely written", out);
         }
-        let client = self.sessions.discard(id, patience, out);
-        // What it was not let read while its client was slow is read now.
-        self.words.push_back(Word::Readable(id, client));
+        let client = self.sessions.discard(id, timeout, out);
+        // Input that was left unread while the client was slow is read now.
+        self.events.push_back(EngineEvent::SessionReadable(id, client));
     }
 
     fn send_cancel(&mut self, id: ConnId, out: &mut EffectQueue) {
-        let Some(s) = self.sessions.get_mut(id).filter(|s| !s.cancelling) else { return };
-        let Some(key) = s.backend.key() else { return };
-        let Some(to) = self.pools.get(s.engine).map(|p| p.address) else { return };
-        if self.cancels.begin(id, to, key, 2 * self.timing.connect.0, out) {
-            s.cancelling = true;
-            out.saw(Coverage::CancelSent);
+        let Some(session) = self.sessions.get_mut(id).filter(|session| !session.cancelling) else { return };
+        let Some(key) = session.backend.key() else { return };
+        let Some(address) = self.pools.get(session.engine).map(|pool| pool.address) else { return };
+        if self.cancel_requests.start(id, address, key, 2 * self.timing.connect.0, out) {
+            session.cancelling = true;
+            out.record(Coverage::CancelRequestSent);
         } else {
-            out.saw(Coverage::CancelsFull);
-            self.lost(id, Outcome::Cancelled, "too many requests to cancel", out);
+            out.record(Coverage::CancelRequestLimitReached);
+            self.fail_session(id, Outcome::Cancelled, "too many cancel requests in progress", out);
         }
     }
 
-    /// Connections that are held.
     pub fn connection_count(&self) -> usize {
-        self.sessions.len() + self.cancels.len()
+        self.sessions.len() + self.cancel_requests.len()
     }
 
-    /// The connections of requests to cancel.
-    pub fn cancels(&mut self) -> &mut Cancels {
-        &mut self.cancels
+    pub fn cancel_requests(&mut self) -> &mut CancelRequests {
+        &mut self.cancel_requests
     }
 
-    /// A request to cancel could not be handed in: the end of its session ends the query.
-    pub fn cancel_failed(&mut self, id: ConnId, out: &mut EffectQueue) {
-        if let Some(session) = self.cancels.over(id, false, out) {
-            out.saw(Coverage::CancelFailed);
-            self.lost(session, Outcome::Cancelled, "a request to cancel could not be handed in", out);
+    /// Handles a cancel request that could not be delivered. Closing the session ends the query instead.
+    pub fn handle_cancel_failed(&mut self, id: ConnId, out: &mut EffectQueue) {
+        if let Some(session_id) = self.cancel_requests.finish(id, false, out) {
+            out.record(Coverage::CancelRequestFailed);
+            self.fail_session(
+                session_id,
+                Outcome::Cancelled,
+                "a request to cancel could not be handed in",
+                out,
+            );
         }
     }
 
-    /// A request to cancel is over: its engine has closed the connection.
-    pub fn cancel_over(&mut self, id: ConnId, out: &mut EffectQueue) {
-        let leaks = self.plant == Some(FaultInjection::LeakCancelConnections);
-        let Some(session) = self.cancels.over(id, leaks, out) else { return };
-        if let Some(s) = self.sessions.get_mut(session) {
-            s.cancelling = false;
-            self.rest(session, out);
+    /// Handles a cancel request that the engine has finished by closing its connection.
+    pub fn handle_cancel_closed(&mut self, id: ConnId, out: &mut EffectQueue) {
+        let leak_connection = self.fault == Some(FaultInjection::LeakCancelConnections);
+        let Some(session_id) = self.cancel_requests.finish(id, leak_connection, out) else { return };
+        if let Some(session) = self.sessions.get_mut(session_id) {
+            session.cancelling = false;
+            self.release_session(session_id, out);
         }
     }
 
-    /// A request that was not taken may yet be, and would then end another query: the session is of no more use.
-    pub fn cancel_late(&mut self, id: ConnId, out: &mut EffectQueue) {
-        if let Some(session) = self.cancels.over(id, false, out) {
-            out.saw(Coverage::CancelLate);
-            self.lost(session, Outcome::Cancelled, "a request to cancel was not taken", out);
+    /// Handles a cancel request that timed out. It could still be processed and end another query, so the
+    /// session is closed.
+    pub fn handle_cancel_timeout(&mut self, id: ConnId, out: &mut EffectQueue) {
+        if let Some(session_id) = self.cancel_requests.finish(id, false, out) {
+            out.record(Coverage::CancelRequestTimeout);
+            self.fail_session(session_id, Outcome::Cancelled, "a request to cancel was not taken", out);
         }
     }
 
-    // --- time ---
+    // --- timeouts ---
 
-    /// An engine has not let us in in time.
-    pub fn connect_late(&mut self, id: ConnId, out: &mut EffectQueue) {
-        if self.sessions.get(id).is_some_and(|s| s.backend.starting()) {
-            out.saw(Coverage::ConnectLate);
-            self.lost(id, Outcome::ConnectFailed, "no session in time", out);
+    pub fn handle_connect_timeout(&mut self, id: ConnId, out: &mut EffectQueue) {
+        if self.sessions.get(id).is_some_and(|session| session.backend.starting()) {
+            out.record(Coverage::EngineConnectTimeout);
+            self.fail_session(id, Outcome::ConnectFailed, "no session in time", out);
         }
     }
 
-    /// Looks whether an engine that has begun an answer goes on; `paused` if it waits for its client.
-    pub fn stalled(&mut self, id: ConnId, paused: bool, out: &mut EffectQueue) {
+    /// Checks whether an engine continues the answer that it has begun. `paused` means that the client's
+    /// output buffer is full.
+    pub fn check_stall(&mut self, id: ConnId, paused: bool, out: &mut EffectQueue) {
         let stall = self.timing.stall.0;
-        let Some(s) = self.sessions.get_mut(id) else { return };
-        s.timer = None;
-        if s.client().is_none() {
+        let Some(session) = self.sessions.get_mut(id) else { return };
+        session.timer = None;
+        if session.client().is_none() {
             return;
         }
         if paused {
-            s.progress = out.now;
+            session.last_progress_at = out.now;
         }
-        if out.now - s.progress >= stall {
-            out.saw(Coverage::Stalled);
-            return self.lost(id, Outcome::TimedOut, "the engine sends nothing more", out);
+        if out.now - session.last_progress_at >= stall {
+            out.record(Coverage::AnswerStalled);
+            return self.fail_session(id, Outcome::TimedOut, "the engine stalled in its answer", out);
         }
-        s.timer = Some(out.set_timer_at(s.progress + stall, TimerEvent::Stall(id)));
+        session.timer =
+            Some(out.set_timer_at(session.last_progress_at + stall, TimerEvent::AnswerStallCheck(id)));
     }
 
-    /// An answer that nobody wants does not end.
-    pub fn abandon(&mut self, id: ConnId, out: &mut EffectQueue) {
-        out.saw(Coverage::Abandoned);
-        self.lost(id, Outcome::Cancelled, "an answer that nobody wants does not end", out);
+    pub fn handle_discard_timeout(&mut self, id: ConnId, out: &mut EffectQueue) {
+        out.record(Coverage::DiscardTimeout);
+        self.fail_session(id, Outcome::Cancelled, "an answer that nobody wants does not end", out);
     }
 
-    /// Closes sessions that were not used for long.
-    pub fn close_idle(&mut self, out: &mut EffectQueue) {
-        let before = out.now - self.timing.session_idle.0;
-        let resting = self.pools.iter().flat_map(|(_, p)| &p.idle).copied();
-        let old: Vec<ConnId> =
-            resting.filter(|id| self.sessions.get(*id).is_some_and(|s| s.idle_since < before)).collect();
-        for id in old {
-            out.saw(Coverage::IdleClosed);
-            self.drop(id, out);
+    pub fn close_idle_sessions(&mut self, out: &mut EffectQueue) {
+        let cutoff = out.now - self.timing.session_idle.0;
+        let idle = self.pools.iter().flat_map(|(_, pool)| &pool.idle).copied();
+        let expired: Vec<ConnId> = idle
+            .filter(|id| self.sessions.get(*id).is_some_and(|session| session.idle_since < cutoff))
+            .collect();
+        for id in expired {
+            out.record(Coverage::IdleSessionClosed);
+            self.close_session(id, out);
         }
     }
 
-    // --- beside queries ---
+    // --- probes and priorities ---
 
-    /// Asks an engine for its load.
+    /// Queries an engine's load.
     pub fn probe(&mut self, engine: EngineId, out: &mut EffectQueue) {
-        let most = self.most;
+        let max_sessions = self.max_sessions;
         let Some(pool) = self.pools.get_mut(engine) else { return };
         if let Some(id) = pool.idle.pop() {
-            return self.put_probe(id, out);
+            return self.write_probe(id, out);
         }
-        if pool.probing || pool.sessions >= most {
-            return self.words.push_back(Word::Probed(engine, Outcome::NeverSent, LoadReport::default()));
+        if pool.is_probe_waiting || pool.sessions >= max_sessions {
+            return self.events.push_back(EngineEvent::ProbeEnded(
+                engine,
+                Outcome::NeverSent,
+                LoadReport::default(),
+            ));
         }
-        pool.probing = true;
-        self.open(engine, out);
+        pool.is_probe_waiting = true;
+        self.open_session(engine, out);
     }
 
-    fn put_probe(&mut self, id: ConnId, out: &mut EffectQueue) {
-        if let Some(s) = self.sessions.get_mut(id) {
-            out.reset_timer(&mut s.timer, self.timing.probe.0, TimerEvent::Probe(id));
+    fn write_probe(&mut self, id: ConnId, out: &mut EffectQueue) {
+        if let Some(session) = self.sessions.get_mut(id) {
+            out.reset_timer(&mut session.timer, self.timing.probe.0, TimerEvent::ProbeTimeout(id));
         }
-        self.sessions.put_own(id, Job::Probe, "SHOW wheelfield.load", out);
+        self.sessions.write_statement(id, Job::Probe, "SHOW wheelfield.load", out);
     }
 
-    /// A probe did not come back in time.
-    pub fn probe_late(&mut self, id: ConnId, out: &mut EffectQueue) {
-        if self.sessions.get(id).is_some_and(|s| matches!(s.job, Some(Job::Probe))) {
-            self.lost(id, Outcome::TimedOut, "a probe without an answer", out);
+    pub fn handle_probe_timeout(&mut self, id: ConnId, out: &mut EffectQueue) {
+        if self.sessions.get(id).is_some_and(|session| matches!(session.job, Some(Job::Probe))) {
+            self.fail_session(id, Outcome::TimedOut, "probe timed out", out);
         }
     }
 
-    /// Changes the priority of what runs, by a second session.
-    pub fn set_terms(&mut self, attempt: AttemptId, terms: AttemptOptions, out: &mut EffectQueue) {
-        let Some(s) = self.sessions.carrier(attempt).and_then(|id| self.sessions.get(id)) else { return };
-        let Some((pid, _)) = s.backend.key() else { return };
-        let text = format!("SELECT wheelfield.set_priority({pid}, {})", terms.priority);
-        let Some(id) = self.pools.get_mut(s.engine).and_then(|p| p.idle.pop()) else { return };
-        out.saw(Coverage::TermsSet);
-        self.sessions.put_own(id, Job::Aside, &text, out);
+    /// Changes the priority of a running attempt, by a statement on a second session.
+    pub fn set_priority(&mut self, attempt: AttemptId, options: AttemptOptions, out: &mut EffectQueue) {
+        let Some(session) = self.sessions.session_of(attempt).and_then(|id| self.sessions.get(id)) else {
+            return;
+        };
+        let Some((pid, _)) = session.backend.key() else { return };
+        let statement = format!("SELECT wheelfield.set_priority({pid}, {})", options.priority);
+        let Some(id) = self.pools.get_mut(session.engine).and_then(|pool| pool.idle.pop()) else { return };
+        out.record(Coverage::PriorityChanged);
+        self.sessions.write_statement(id, Job::Discarded, &statement, out);
     }
 }
--- a/crates/pg-gateway/src/event.rs
+++ b/crates/pg-gateway/src/event.rs
@@ -1,4 +1,4 @@
-//! What a controller is told.
+//! The events that a gateway handles.
 
 use wheelfield_endpoints::News;
 use wheelfield_gossip::authentication::Keys;
@@ -7,7 +7,7 @@
 /// Something that happened outside the controller.
 #[derive(Clone, Debug)]
 pub enum GatewayEvent<'a> {
-    /// The process has started. Comes first, once.
+    /// The process has started. This is always the first event.
     Started,
     /// Something happened on a socket.
     Io(IoEvent<'a>),
@@ -17,6 +17,6 @@
     GossipKeys(Result<Keys, String>),
     /// A graceful shutdown was requested.
     ShutdownRequested,
-    /// The capture that is held in memory was requested.
+    /// Writing the in-memory capture was requested.
     CaptureRequested,
 }
--- a/crates/pg-gateway/src/fault_injection.rs
+++ b/crates/pg-gateway/src/fault_injection.rs
@@ -1,46 +1,48 @@
-//! Faults planted for judges and exploration to find. Without the feature `planted` there are none.
+//! Faults that can be injected to check that the test tools detect them. Only builds with the feature
+//! `planted` have them.
 
-/// A fault.
+/// An injected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultInjection {
-    /// Once-only queries are sent to a second engine too.
+    /// Queries that must not run twice are also sent to a second engine.
     DuplicateExecution,
-    /// Some answers never go out.
+    /// Some answers are never sent.
     LoseAnswer,
-    /// Queries are sent to engines that drain.
+    /// Queries are sent to draining engines.
     SendToDraining,
-    /// Queries are sent far more often than the budget allows.
+    /// Queries are retried far more often than the retry budget permits.
     ExceedRetryBudget,
-    /// The text of another client's query is sent in place of one's own.
+    /// Another client's query text is sent instead of the client's own.
     SwapQueryText,
-    /// Some refusals and failures are not written until something else happens: a lost wake-up.
+    /// Some rejections and failures are not written until another event occurs, as after a lost wakeup.
     LoseWakeup,
-    /// A session is used again while a request to cancel its last query is under way.
+    /// A session is reused while a cancel request for its last query is in progress.
     ReuseDuringCancel,
-    /// A client's cancel ends the query of another.
+    /// A client's cancel request ends another client's query.
     CancelOtherQuery,
-    /// Connections of requests to cancel are never closed.
+    /// Connections of cancel requests are never closed.
     LeakCancelConnections,
-    /// Some refusals and failures are told twice.
+    /// Some rejections and failures are sent twice.
     DuplicateError,
-    /// Now and then the last byte of what an engine sent is lost.
+    /// Occasionally the last byte received from an engine is dropped.
     TruncateInput,
-    /// Those that answer are taken for all there are.
+    /// Only the controllers that respond are counted.
     CountAliveOnly,
-    /// Two go by one number.
+    /// Two controllers use the same index.
     DuplicateIndex,
-    /// One that is said to be gone is taken for one that said goodbye.
+    /// A controller that was declared dead is treated as if it had left.
     TreatDeadAsLeft,
 }
 
-/// Those about what controllers believe of each other, which show where the roads between them have faults.
+/// The faults in the membership view of controllers, by name. They have an effect only when the network
+/// between the controllers fails.
 pub const FLEET_FAULT_INJECTIONS: [(&str, FaultInjection); 3] = [
     ("sink", FaultInjection::CountAliveOnly),
     ("number", FaultInjection::DuplicateIndex),
     ("goodbye", FaultInjection::TreatDeadAsLeft),
 ];
 
-/// Those that one controller shows, by name.
+/// The faults that a single controller exhibits, by name.
 pub const FAULT_INJECTIONS: [(&str, FaultInjection); 11] = [
     ("resend", FaultInjection::DuplicateExecution),
     ("lose", FaultInjection::LoseAnswer),
@@ -56,19 +58,19 @@
 ];
 
 impl FaultInjection {
-    /// The fault of a name.
+    /// Parses the name of a fault.
     ///
     /// # Errors
-    /// What is known, if the name is not; or that the build has none.
+    /// Returns the known names if the name is unknown, or a message that the build has no faults.
     pub fn parse(name: &str) -> Result<FaultInjection, String> {
         if !cfg!(feature = "planted") {
-            return Err("this build has no planted faults; build with --features planted".to_string());
+            return Err("this build has no fault injection; build with --features planted".to_string());
         }
         let all = || FAULT_INJECTIONS.iter().chain(&FLEET_FAULT_INJECTIONS);
-        let known = all().find(|(n, _)| *n == name).map(|(_, plant)| *plant);
+        let known = all().find(|(known_name, _)| *known_name == name).map(|(_, fault)| *fault);
         known.ok_or_else(|| {
-            let names: Vec<&str> = all().map(|(n, _)| *n).collect();
-            format!("no fault is named `{name}`; known: {}", names.join(", "))
+            let names: Vec<&str> = all().map(|(known_name, _)| *known_name).collect();
+            format!("unknown fault `{name}`; known: {}", names.join(", "))
         })
     }
 }
--- a/crates/pg-gateway/src/gateway.rs
+++ b/crates/pg-gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The door of a controller: what happened in, effects out.
+//! The public interface of the gateway: events in, effects out.
 
 use crate::bootstrap::PgGatewayOptions;
 use crate::clients;
@@ -6,7 +6,7 @@
 use crate::dispatcher::Dispatcher;
 use crate::event::GatewayEvent;
 use crate::fault_injection::FaultInjection;
-use crate::shutdown::Stop;
+use crate::shutdown::Shutdown;
 use crate::{cancels, engine_sessions, registry};
 use std::net::SocketAddr;
 use tracing::{info, warn};
@@ -17,150 +17,162 @@
 use wheelfield_sans_io::ConnectionBuffer;
 use wheelfield_sans_io::{ConnId, DatagramSocket, Effect, IoEvent, Listener, Protocol};
 
-/// A controller.
+/// A gateway for PostgreSQL clients and engines.
 pub struct PgGateway {
-    flow: Dispatcher,
+    dispatcher: Dispatcher,
 }
 
 impl PgGateway {
-    /// A controller that has not started.
+    /// Creates a gateway that has not started.
     pub fn new(config: Config, options: PgGatewayOptions) -> PgGateway {
-        PgGateway { flow: Dispatcher::new(config, options) }
+        PgGateway { dispatcher: Dispatcher::new(config, options) }
     }
 
-    /// The bytes of a connection.
-    fn wire(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
+    /// The buffers of a connection.
+    fn buffer(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
         match id.owner() {
-            clients::ROOM => self.flow.clients.wire(id),
-            engine_sessions::ROOM => self.flow.engines.sessions.wire(id),
-            cancels::ROOM => self.flow.engines.cancels().wire(id),
-            registry::ROOM => self.flow.call.wire(id),
-            _ => self.flow.admin.wire(id),
+            clients::CONNECTION_OWNER => self.dispatcher.clients.buffer(id),
+            engine_sessions::CONNECTION_OWNER => self.dispatcher.engines.sessions.buffer(id),
+            cancels::CONNECTION_OWNER => self.dispatcher.engines.cancel_requests().buffer(id),
+            registry::CONNECTION_OWNER => self.dispatcher.registry.buffer(id),
+            _ => self.dispatcher.admin.buffer(id),
         }
     }
 
-    /// Somebody has connected; none if there is no room, and the socket is to be closed. Read from it at once.
-    pub fn accept(&mut self, now: i64, door: Listener) -> Option<ConnId> {
-        self.flow.out.now = now;
-        match door {
+    /// Accepts a connection and returns its ID; it should be read at once. `None` means that there is no
+    /// capacity, and the socket is to be closed.
+    pub fn accept(&mut self, now: i64, listener: Listener) -> Option<ConnId> {
+        self.dispatcher.out.now = now;
+        match listener {
             Listener::Clients => {
-                let id = self.flow.clients.accept(&mut self.flow.out);
-                // It waited to be taken as the word to stop came: it is told, in place of a broken connection.
-                if self.flow.stop != Stop::Not {
-                    self.flow.clients.end(id, &mut self.flow.out);
+                let id = self.dispatcher.clients.accept(&mut self.dispatcher.out);
+                // The client was in the accept backlog when the shutdown began. It is sent an error rather
+                // than a reset.
+                if self.dispatcher.shutdown != Shutdown::Running {
+                    self.dispatcher.clients.shut_down(id, &mut self.dispatcher.out);
                 }
                 Some(id)
             }
-            Listener::Admin => self.flow.admin.accept(),
+            Listener::Admin => self.dispatcher.admin.accept(),
         }
     }
 
-    /// Bytes that may come on a connection now. After none, [`Effect::ResumeReading`] tells when some may.
+    /// How many bytes may be read from a connection now. After a zero, [`Effect::ResumeReading`] announces
+    /// that reading may continue.
     pub fn read_capacity(&mut self, id: ConnId) -> usize {
         match id.owner() {
-            clients::ROOM => self.flow.clients.room(id),
-            engine_sessions::ROOM => self.flow.engines.sessions.room(id),
-            cancels::ROOM => self.flow.engines.cancels().room(id),
-            registry::ROOM => self.flow.call.room(id),
-            _ => self.flow.admin.room(id),
+            clients::CONNECTION_OWNER => self.dispatcher.clients.read_capacity(id),
+            engine_sessions::CONNECTION_OWNER => self.dispatcher.engines.sessions.read_capacity(id),
+            cancels::CONNECTION_OWNER => self.dispatcher.engines.cancel_requests().read_capacity(id),
+            registry::CONNECTION_OWNER => self.dispatcher.registry.read_capacity(id),
+            _ => self.dispatcher.admin.read_capacity(id),
         }
     }
 
-    /// What is to go on a connection.
+    /// The bytes to write to a connection.
     pub fn output(&mut self, id: ConnId) -> &[u8] {
-        self.wire(id).map_or(&[], |w| &w.output)
+        self.buffer(id).map_or(&[], |buffer| &buffer.output)
     }
 
-    /// So much of it has gone.
-    pub fn bytes_written(&mut self, now: i64, id: ConnId, n: usize) {
-        self.flow.out.now = now;
+    /// Handles that this many bytes were written.
+    pub fn bytes_written(&mut self, now: i64, id: ConnId, count: usize) {
+        self.dispatcher.out.now = now;
         match id.owner() {
-            clients::ROOM => {
-                let (go_on, done) = self.flow.clients.wrote(id, n, &mut self.flow.out);
-                self.flow.readable.extend(go_on);
-                if done {
-                    self.flow.client_gone(id);
+            clients::CONNECTION_OWNER => {
+                let (resumed_session, is_done) =
+                    self.dispatcher.clients.bytes_written(id, count, &mut self.dispatcher.out);
+                self.dispatcher.readable_sessions.extend(resumed_session);
+                if is_done {
+                    self.dispatcher.disconnect_client(id);
                 }
             }
-            engine_sessions::ROOM => self.flow.engines.wrote(id, n),
-            cancels::ROOM => {
-                self.flow.engines.cancels().wire(id).map(|w| w.advance_written(n));
+            engine_sessions::CONNECTION_OWNER => self.dispatcher.engines.bytes_written(id, count),
+            cancels::CONNECTION_OWNER => {
+                self.dispatcher
+                    .engines
+                    .cancel_requests()
+                    .buffer(id)
+                    .map(|buffer| buffer.advance_written(count));
             }
-            registry::ROOM => {
-                self.flow.call.wire(id).map(|w| w.advance_written(n));
+            registry::CONNECTION_OWNER => {
+                self.dispatcher.registry.buffer(id).map(|buffer| buffer.advance_written(count));
             }
-            _ => self.flow.admin.wrote(id, n, &mut self.flow.out),
+            _ => self.dispatcher.admin.bytes_written(id, count, &mut self.dispatcher.out),
         }
     }
 
-    /// When [`PgGateway::handle_timers`] is next wanted.
+    /// When [`PgGateway::handle_timers`] is to be called next.
     pub fn next_timer_at(&self) -> Option<i64> {
-        [self.flow.tape.decision_engine().next_timer_at().map(|t| t.0), self.flow.out.next_timer_at()]
-            .into_iter()
-            .flatten()
-            .min()
+        [
+            self.dispatcher.driver.decision_engine().next_timer_at().map(|t| t.0),
+            self.dispatcher.out.next_timer_at(),
+        ]
+        .into_iter()
+        .flatten()
+        .min()
     }
 
-    /// Lets the time pass, once all that happened until now is told.
+    /// Handles due timers. All earlier events must have been handled before.
     pub fn handle_timers(&mut self, now: i64) {
-        self.flow.out.now = now;
-        self.flow.settle();
-        self.flow.tape.handle_timers(now);
-        self.flow.settle();
-        while let Some(wake) = self.flow.out.pop_due_timer() {
-            self.flow.woken(wake);
-            self.flow.settle();
+        self.dispatcher.out.now = now;
+        self.dispatcher.process_pending();
+        self.dispatcher.driver.handle_timers(now);
+        self.dispatcher.process_pending();
+        while let Some(timer) = self.dispatcher.out.pop_due_timer() {
+            self.dispatcher.handle_timer(timer);
+            self.dispatcher.process_pending();
         }
     }
 
-    /// What is to be done outside, of all that happened since the last call; `into` is emptied first. Tell all that is known
-    /// to have happened before: a query whose client has left is not sent then.
-    pub fn take_effects(&mut self, into: &mut Vec<Effect>) {
-        self.flow.settle();
-        self.flow.out.take(into);
+    /// Replaces the contents of `effects` by the effects of all events since the last call. All known
+    /// events should be handled before, so that a query is not sent after its client has left.
+    pub fn take_effects(&mut self, effects: &mut Vec<Effect>) {
+        self.dispatcher.process_pending();
+        self.dispatcher.out.take(effects);
     }
 
-    /// What came to pass in it, by name, and how often since its start.
+    /// The name and count of each coverage point since the start.
     pub fn coverage(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
-        self.flow.out.seen()
+        self.dispatcher.out.coverage()
     }
 
-    /// Connections that it holds, in whatever state.
+    /// The number of open connections, in any state.
     pub fn connection_count(&self) -> usize {
-        self.flow.connection_count()
+        self.dispatcher.connection_count()
     }
 
-    /// The number by which [`News::Looked`] is to tell that the engine files were read from now on, if that is asked for.
+    /// The number of a new request to read the engine files, if there is one. [`News::Looked`] with this
+    /// number reports that they were read after the request.
     pub fn take_files_request(&mut self) -> Option<u64> {
-        self.flow.list_age.take_files_request()
+        self.dispatcher.list_age.take_files_request()
     }
 
     /// Handles an event. Its effects are taken by [`PgGateway::take_effects`].
     pub fn handle(&mut self, now: i64, event: GatewayEvent<'_>) {
-        self.flow.out.now = now;
+        self.dispatcher.out.now = now;
         match event {
-            GatewayEvent::Started => self.flow.started(),
+            GatewayEvent::Started => self.dispatcher.handle_start(),
             GatewayEvent::Io(event) => self.dispatch_io(now, event),
             GatewayEvent::EndpointFiles(news) => {
                 if let News::Looked(number) = news {
-                    self.flow.list_age.note_files_read(number);
+                    self.dispatcher.list_age.note_files_read(number);
                     return;
                 }
-                self.flow.out.saw(Coverage::FilesTaken);
-                let change = self.flow.sets.news(news, now);
-                self.flow.changed(change);
+                self.dispatcher.out.record(Coverage::EndpointFilesRead);
+                let change = self.dispatcher.endpoint_sets.update_from_files(news, now);
+                self.dispatcher.apply_change(change);
             }
             GatewayEvent::GossipKeys(keys) => {
-                if let Some(gossip) = &mut self.flow.gossip {
-                    gossip.keys(keys);
+                if let Some(gossip) = &mut self.dispatcher.gossip {
+                    gossip.update_keys(keys);
                 }
             }
             GatewayEvent::ShutdownRequested => self.start_draining(),
             GatewayEvent::CaptureRequested => {
-                if self.flow.tape.request_capture(now) {
-                    info!("the capture in memory is asked for");
+                if self.dispatcher.driver.request_capture(now) {
+                    info!("in-memory capture requested");
                 } else {
-                    warn!("a capture is asked for, and there is no [capture]");
+                    warn!("in-memory capture requested, but [capture] is not configured");
                 }
             }
         }
@@ -185,24 +197,28 @@
 
     fn connected(&mut self, id: ConnId) {
         match id.owner() {
-            engine_sessions::ROOM => self.flow.engines.connected(id, &mut self.flow.out),
-            cancels::ROOM => self.flow.engines.cancels().connected(id, &mut self.flow.out),
-            _ => self.flow.call.connected(id, &mut self.flow.out),
+            engine_sessions::CONNECTION_OWNER => {
+                self.dispatcher.engines.connected(id, &mut self.dispatcher.out)
+            }
+            cancels::CONNECTION_OWNER => {
+                self.dispatcher.engines.cancel_requests().connected(id, &mut self.dispatcher.out)
+            }
+            _ => self.dispatcher.registry.connected(id, &mut self.dispatcher.out),
         }
     }
 
-    /// The other side has closed, though bytes of it may not have been read yet.
+    /// Handles that the peer has closed the connection, although some input may still be unread.
     fn peer_closing(&mut self, id: ConnId) {
         match id.owner() {
-            clients::ROOM => {
-                if let Some(wire) = self.flow.clients.wire(id) {
-                    wire.peer_closing = true;
-                    self.flow.ready.push_back(id);
+            clients::CONNECTION_OWNER => {
+                if let Some(buffer) = self.dispatcher.clients.buffer(id) {
+                    buffer.peer_closing = true;
+                    self.dispatcher.ready_clients.push_back(id);
                 }
             }
-            engine_sessions::ROOM => {
-                if let Some(wire) = self.flow.engines.sessions.wire(id) {
-                    wire.peer_closing = true;
+            engine_sessions::CONNECTION_OWNER => {
+                if let Some(buffer) = self.dispatcher.engines.sessions.buffer(id) {
+                    buffer.peer_closing = true;
                 }
             }
             _ => {}
@@ -211,68 +227,84 @@
 
     fn connection_broken(&mut self, id: ConnId, writing: bool, reason: &str) {
         match id.owner() {
-            clients::ROOM => self.flow.client_gone(id),
-            engine_sessions::ROOM => self.flow.engines.broken(id, writing, reason, &mut self.flow.out),
-            cancels::ROOM => self.flow.engines.cancel_failed(id, &mut self.flow.out),
-            registry::ROOM => {
-                let told = self.flow.call.failed(reason, &mut self.flow.out);
-                self.flow.registry_told(told);
+            clients::CONNECTION_OWNER => self.dispatcher.disconnect_client(id),
+            engine_sessions::CONNECTION_OWNER => {
+                self.dispatcher.engines.handle_broken(id, writing, reason, &mut self.dispatcher.out)
+            }
+            cancels::CONNECTION_OWNER => {
+                self.dispatcher.engines.handle_cancel_failed(id, &mut self.dispatcher.out)
             }
-            _ => self.flow.admin.remove(id, &mut self.flow.out),
+            registry::CONNECTION_OWNER => {
+                let update = self.dispatcher.registry.handle_failure(reason, &mut self.dispatcher.out);
+                self.dispatcher.handle_registry_update(update);
+            }
+            _ => self.dispatcher.admin.remove(id, &mut self.dispatcher.out),
         }
     }
 
-    /// A load report of another controller arrived on the peers' socket.
+    /// Handles a datagram on the socket for load reports.
     fn peer_datagram(&mut self, now: i64, from: SocketAddr, datagram: &[u8]) {
-        let words = self.flow.peering.as_mut().and_then(|peering| peering.hear(from, datagram));
-        self.flow.out.saw(if words.is_some() { Coverage::WordsHeard } else { Coverage::WordsDropped });
-        if let Some(words) = words {
-            self.flow.tape.handle_input(now, Input::PeerReports(words));
+        let reports = self.dispatcher.peering.as_mut().and_then(|peering| peering.receive(from, datagram));
+        self.dispatcher.out.record(if reports.is_some() {
+            Coverage::LoadReportsReceived
+        } else {
+            Coverage::LoadReportsDropped
+        });
+        if let Some(reports) = reports {
+            self.dispatcher.driver.handle_input(now, Input::PeerReports(reports));
         }
     }
 
     fn gossip_datagram(&mut self, now: i64, from: SocketAddr, datagram: &[u8]) {
-        let gossip = self.flow.gossip.as_mut();
-        if let Some(words) = gossip.and_then(|gossip| gossip.hear(from, datagram, &mut self.flow.out)) {
-            self.flow.out.saw(Coverage::WordsHeard);
-            self.flow.tape.handle_input(now, Input::PeerReports(words));
+        let gossip = self.dispatcher.gossip.as_mut();
+        if let Some(reports) =
+            gossip.and_then(|gossip| gossip.receive(from, datagram, &mut self.dispatcher.out))
+        {
+            self.dispatcher.out.record(Coverage::LoadReportsReceived);
+            self.dispatcher.driver.handle_input(now, Input::PeerReports(reports));
         }
     }
 
     fn start_draining(&mut self) {
-        let clients = self.flow.clients.len();
-        let drain = self.flow.config.timing.drain.0;
-        if self.flow.stop.begin(clients, drain, &mut self.flow.out) {
-            self.flow.clients.end_idle(&mut self.flow.out);
+        let clients = self.dispatcher.clients.len();
+        let drain_timeout = self.dispatcher.config.timing.drain.0;
+        if self.dispatcher.shutdown.start(clients, drain_timeout, &mut self.dispatcher.out) {
+            self.dispatcher.clients.shut_down_idle(&mut self.dispatcher.out);
         }
     }
 
-    /// The controller ends: a goodbye to the others. Its recorder, to be ended too.
+    /// Ends the gateway: announces its departure to the other controllers and returns the recorder, which
+    /// must be closed too.
     pub fn end(&mut self, now: i64) -> Option<Recorder> {
-        self.flow.out.now = now;
-        if let Some(gossip) = &mut self.flow.gossip {
-            gossip.leave(&mut self.flow.out);
+        self.dispatcher.out.now = now;
+        if let Some(gossip) = &mut self.dispatcher.gossip {
+            gossip.leave(&mut self.dispatcher.out);
         }
-        self.flow.tape.take_recorder()
+        self.dispatcher.driver.take_recorder()
     }
 
     fn received(&mut self, id: ConnId, bytes: &[u8], ended: bool) {
-        let cut = id.owner() == engine_sessions::ROOM && self.flow.planted(FaultInjection::TruncateInput, 50);
-        let Some(wire) = self.wire(id) else { return };
-        wire.receive(if cut { &bytes[..bytes.len().saturating_sub(1)] } else { bytes });
-        wire.read_closed |= ended;
+        let truncate = id.owner() == engine_sessions::CONNECTION_OWNER
+            && self.dispatcher.should_inject(FaultInjection::TruncateInput, 50);
+        let Some(buffer) = self.buffer(id) else { return };
+        buffer.receive(if truncate { &bytes[..bytes.len().saturating_sub(1)] } else { bytes });
+        buffer.read_closed |= ended;
         match id.owner() {
-            clients::ROOM => self.flow.ready.push_back(id),
-            engine_sessions::ROOM => {
-                self.flow.readable.push_back(id);
+            clients::CONNECTION_OWNER => self.dispatcher.ready_clients.push_back(id),
+            engine_sessions::CONNECTION_OWNER => {
+                self.dispatcher.readable_sessions.push_back(id);
+            }
+            cancels::CONNECTION_OWNER if ended => {
+                self.dispatcher.engines.handle_cancel_closed(id, &mut self.dispatcher.out)
+            }
+            cancels::CONNECTION_OWNER => {
+                self.dispatcher.engines.cancel_requests().received(id, &mut self.dispatcher.out)
             }
-            cancels::ROOM if ended => self.flow.engines.cancel_over(id, &mut self.flow.out),
-            cancels::ROOM => self.flow.engines.cancels().received(id, &mut self.flow.out),
-            registry::ROOM => {
-                let told = self.flow.call.read(id, &mut self.flow.out);
-                self.flow.registry_told(told);
+            registry::CONNECTION_OWNER => {
+                let update = self.dispatcher.registry.read_response(id, &mut self.dispatcher.out);
+                self.dispatcher.handle_registry_update(update);
             }
-            _ => self.flow.operator(id),
+            _ => self.dispatcher.serve_admin(id),
         }
     }
 }
@@ -281,12 +313,12 @@
     fn handle_start(&mut self, now: i64) {
         self.handle(now, GatewayEvent::Started);
     }
-    fn accept(&mut self, now: i64, door: Listener) -> Option<ConnId> {
-        PgGateway::accept(self, now, door)
+    fn accept(&mut self, now: i64, listener: Listener) -> Option<ConnId> {
+        PgGateway::accept(self, now, listener)
     }
     fn begin_turn(&mut self, now: i64) {
-        self.flow.out.now = now;
-        self.flow.note_activity();
+        self.dispatcher.out.now = now;
+        self.dispatcher.note_activity();
     }
     fn handle_io(&mut self, now: i64, event: IoEvent<'_>) {
         self.handle(now, GatewayEvent::Io(event));
@@ -295,8 +327,8 @@
         self.handle(now, GatewayEvent::ShutdownRequested);
     }
     fn handle_listening_stopped(&mut self, now: i64) {
-        self.flow.out.now = now;
-        self.flow.out.mark_listening_stopped();
+        self.dispatcher.out.now = now;
+        self.dispatcher.out.mark_listening_stopped();
     }
     fn read_capacity(&mut self, id: ConnId) -> usize {
         PgGateway::read_capacity(self, id)
@@ -304,8 +336,8 @@
     fn output(&mut self, id: ConnId) -> &[u8] {
         PgGateway::output(self, id)
     }
-    fn bytes_written(&mut self, now: i64, id: ConnId, n: usize) {
-        PgGateway::bytes_written(self, now, id, n);
+    fn bytes_written(&mut self, now: i64, id: ConnId, count: usize) {
+        PgGateway::bytes_written(self, now, id, count);
     }
     fn next_timer_at(&self) -> Option<i64> {
         PgGateway::next_timer_at(self)
@@ -313,7 +345,7 @@
     fn handle_timers(&mut self, now: i64) {
         PgGateway::handle_timers(self, now);
     }
-    fn take_effects(&mut self, into: &mut Vec<Effect>) {
-        PgGateway::take_effects(self, into);
+    fn take_effects(&mut self, effects: &mut Vec<Effect>) {
+        PgGateway::take_effects(self, effects);
     }
 }
