--- a/crates/pg-gateway/src/gossip.rs
+++ b/crates/pg-gateway/src/gossip.rs
@@ -1,8 +1,9 @@
-//! Which controllers there are: sealed datagrams in and out, keys that change, and the number for the module.
+//! Gossip with the other controllers: authenticated datagrams, key changes, and the membership view for the
+//! driver.
 
 use crate::effect_queue::{DatagramSocket, Effect, EffectQueue};
 use crate::fault_injection::FaultInjection;
-use crate::metrics::Figure;
+use crate::metrics::Metric;
 use crate::peers::{decode_reports, encode_reports};
 use crate::timer_event::TimerEvent;
 use serde_json::{json, Value};
@@ -21,76 +22,77 @@
 };
 use wheelfield_sans_io::TimerKey;
 
-/// Bytes that stand about words in a datagram, at most: ceilings are of what crosses the network.
-const ABOUT_WORDS: usize = MAX_DATAGRAM_BYTES - MAX_MESSAGE_BYTES;
+/// Maximum overhead of a message in a datagram. The rate limits apply to bytes on the network.
+const MESSAGE_OVERHEAD_BYTES: usize = MAX_DATAGRAM_BYTES - MAX_MESSAGE_BYTES;
 
-/// The gossip of a controller.
+/// The gossip node of a controller.
 pub(crate) struct Gossip {
-    own: SocketAddr,
+    own_address: SocketAddr,
     node: Node,
     keys: Keys,
     authenticator: Authenticator,
     verifier: Verifier,
     timer: Option<TimerKey>,
-    told: (u32, u32),
-    /// More than half of those that count answered, when it was last looked.
+    reported: (u32, u32),
+    /// Whether more than half of the counted controllers responded at the last check.
     quorum: bool,
-    period: i64,
-    /// Datagrams that did not open.
-    dropped: u64,
-    /// Packets that were too long for a datagram.
-    unsent: u64,
-    words: Option<MessageLimiter>,
-    /// Datagrams of words that were taken, and that were not.
-    heard: u64,
-    untaken: u64,
-    plant: Option<FaultInjection>,
+    probe_interval: i64,
+    /// Datagrams that failed authentication or verification.
+    datagrams_rejected: u64,
+    /// Packets that did not fit in a datagram.
+    packets_oversized: u64,
+    message_limiter: Option<MessageLimiter>,
+    /// Load report messages that were accepted, and that were not.
+    messages_accepted: u64,
+    messages_rejected: u64,
+    fault: Option<FaultInjection>,
 }
 
 impl Gossip {
-    /// `own` is where this one is reached; `now` the time of its start.
+    /// `own_address` is where other controllers reach this one; `now` is the time of its start, which is
+    /// its incarnation.
     pub fn new(
         config: &Config,
-        own: SocketAddr,
+        own_address: SocketAddr,
         keys: Keys,
         seed: u64,
         now: i64,
-        plant: Option<FaultInjection>,
+        fault: Option<FaultInjection>,
     ) -> Option<Gossip> {
-        let g = config.gossip.as_ref()?;
+        let gossip = config.gossip.as_ref()?;
         let (count, index) = (config.settings.gateway_count as u32, config.settings.gateway_index as u32);
-        let limits = MembershipConfig {
-            probe_period: g.probe_interval.0,
-            probe_timeout: g.probe_interval.0 * 3 / 10,
-            eviction: if g.quorum_evicts { EvictionPolicy::Quorum } else { EvictionPolicy::Operator },
-            dead_retention: g.evict_after.0,
-            settling_time: g.startup_grace.0,
-            sync_interval: g.probe_interval.0.saturating_mul(15),
+        let membership_config = MembershipConfig {
+            probe_period: gossip.probe_interval.0,
+            probe_timeout: gossip.probe_interval.0 * 3 / 10,
+            eviction: if gossip.quorum_evicts { EvictionPolicy::Quorum } else { EvictionPolicy::Operator },
+            dead_retention: gossip.evict_after.0,
+            settling_time: gossip.startup_grace.0,
+            sync_interval: gossip.probe_interval.0.saturating_mul(15),
             expected_members: count as usize,
             ..MembershipConfig::default()
         };
         Some(Gossip {
-            own,
-            node: Node::new(own, now as u64, g.seeds.clone(), limits, seed, now),
+            own_address,
+            node: Node::new(own_address, now as u64, gossip.seeds.clone(), membership_config, seed, now),
             keys,
-            authenticator: Authenticator::new(own, now as u64),
+            authenticator: Authenticator::new(own_address, now as u64),
             verifier: Verifier::default(),
             timer: None,
-            told: (count, index),
+            reported: (count, index),
             quorum: true,
-            period: g.probe_interval.0,
-            dropped: 0,
-            unsent: 0,
-            words: g.message_limits.map(|limits| {
+            probe_interval: gossip.probe_interval.0,
+            datagrams_rejected: 0,
+            packets_oversized: 0,
+            message_limiter: gossip.message_limits.map(|limits| {
                 let rates = RateLimits {
                     per_member: limits.bytes_per_second_to_each,
                     total: limits.bytes_per_second_to_all,
                 };
                 MessageLimiter::new(rates, now)
             }),
-            heard: 0,
-            untaken: 0,
-            plant,
+            messages_accepted: 0,
+            messages_rejected: 0,
+            fault,
         })
     }
 
@@ -98,133 +100,148 @@
         for (to, packet) in packets {
             match self.authenticator.authenticate(&packet, &self.keys) {
                 Some(datagram) => out.push(Effect::Send(DatagramSocket::Gossip, to, datagram)),
-                None => self.unsent += 1,
+                None => self.packets_oversized += 1,
             }
         }
     }
 
-    /// Logs what became of members: on whose word, so that a wrong one can be followed to where it began.
-    fn log_news(&mut self) {
+    /// Logs membership changes with the member that reported them, so that a wrong report can be traced to
+    /// its origin.
+    fn log_membership_events(&mut self) {
         for MembershipEvent { member, change, source: by } in self.node.take_events() {
             match change {
-                MembershipChange::Joined => debug!(%member, %by, "member: new"),
+                MembershipChange::Joined => debug!(%member, %by, "member: joined"),
                 MembershipChange::Suspected => debug!(%member, %by, "member: suspected"),
                 MembershipChange::Refuted => debug!(%member, %by, "member: denied"),
                 MembershipChange::DeclaredDead => info!(%member, %by, "member: given up"),
                 MembershipChange::Rejoined => info!(%member, %by, "member: back"),
                 MembershipChange::Left => info!(%member, %by, "member: left"),
-                MembershipChange::Evicted => info!(%member, %by, "member: forgotten by a quorum"),
-                // Once is a clock that was set back.
+                MembershipChange::Evicted => info!(%member, %by, "member: evicted by a quorum"),
+                // A single occurrence means that the clock was set back.
                 MembershipChange::Superseded if self.node.counters().superseded > 1 => {
                     warn!(%member, %by, "another process runs under this one's address; end one of them");
                 }
                 MembershipChange::Superseded => {
-                    info!(%member, %by, "a process of this address had a later start")
+                    info!(%member, %by, "a later incarnation of this controller's address was seen")
                 }
             }
         }
     }
 
-    /// Does what is due, and asks to be woken for the next.
-    pub fn tend(&mut self, out: &mut EffectQueue) {
+    /// Runs the due protocol steps and sets the timer for the next ones.
+    pub fn tick(&mut self, out: &mut EffectQueue) {
         let mut packets = Vec::new();
         if self.node.next_tick_at() <= out.now {
             self.node.tick(out.now, &mut packets);
         }
-        self.log_news();
-        if let Some(words) = &mut self.words {
+        self.log_membership_events();
+        if let Some(limiter) = &mut self.message_limiter {
             let node = &self.node;
-            words.retain_members(|m| node.is_counted(m));
+            limiter.retain_members(|member| node.is_counted(member));
         }
         self.send(packets, out);
-        let after = (self.node.next_tick_at() - out.now).max(1_000);
-        out.reset_timer(&mut self.timer, after, TimerEvent::Gossip);
+        let delay = (self.node.next_tick_at() - out.now).max(1_000);
+        out.reset_timer(&mut self.timer, delay, TimerEvent::Gossip);
     }
 
-    /// Tells words to all that answer, as far as the ceilings allow.
-    pub fn tell(&mut self, told: &[PeerLoadReport], out: &mut EffectQueue) {
-        let Some(words) = &mut self.words else { return };
-        // Who never told of its view is of a build that reads no words.
-        let reads = |a: &MemberStatus| a.record.state == MemberState::Alive && a.view_tag.is_some();
-        let members: Vec<SocketAddr> =
-            self.node.member_statuses(out.now).filter(reads).map(|a| a.record.member).collect();
-        for (_, part) in encode_reports(told, MAX_MESSAGE_BYTES) {
-            let whom = words.select_recipients(out.now, part.len() + ABOUT_WORDS, &members);
-            if whom.is_empty() {
+    /// Sends load reports to all live members, as far as the rate limits permit.
+    pub fn send_reports(&mut self, reports: &[PeerLoadReport], out: &mut EffectQueue) {
+        let Some(limiter) = &mut self.message_limiter else { return };
+        // A member that has never sent a view tag runs a version that does not understand load reports.
+        let understands_reports =
+            |member: &MemberStatus| member.record.state == MemberState::Alive && member.view_tag.is_some();
+        let members: Vec<SocketAddr> = self
+            .node
+            .member_statuses(out.now)
+            .filter(understands_reports)
+            .map(|member| member.record.member)
+            .collect();
+        for (_, payload) in encode_reports(reports, MAX_MESSAGE_BYTES) {
+            let recipients =
+                limiter.select_recipients(out.now, payload.len() + MESSAGE_OVERHEAD_BYTES, &members);
+            if recipients.is_empty() {
                 continue;
             }
-            // One number for all: each hears it once.
-            let Some(datagram) = self.authenticator.authenticate_message(&part, &self.keys) else { continue };
-            whom.into_iter()
+            // All recipients get the same datagram, since each one tracks its sequence number separately.
+            let Some(datagram) = self.authenticator.authenticate_message(&payload, &self.keys) else {
+                continue;
+            };
+            recipients
+                .into_iter()
                 .for_each(|to| out.push(Effect::Send(DatagramSocket::Gossip, to, datagram.clone())));
         }
     }
 
-    /// Words came: what they tell, if they are taken.
-    fn listen(
+    /// Handles a load report message. Returns its reports if it is accepted.
+    fn receive_message(
         &mut self,
         from: SocketAddr,
         datagram: &[u8],
         out: &mut EffectQueue,
     ) -> Option<Vec<PeerLoadReport>> {
         match self.verifier.verify_message(from, datagram, &self.keys) {
-            Ok(VerifiedMessage { id, payload: part }) => {
-                let known = self.node.is_counted(&from);
-                let words = self.words.as_mut().filter(|_| known);
-                let taken = words.is_some_and(|w| w.accept(out.now, from, id, datagram.len()).is_ok());
-                let told = taken.then(|| decode_reports(part)).flatten();
-                *(if told.is_some() { &mut self.heard } else { &mut self.untaken }) += 1;
-                told
+            Ok(VerifiedMessage { id, payload }) => {
+                let is_counted = self.node.is_counted(&from);
+                let limiter = self.message_limiter.as_mut().filter(|_| is_counted);
+                let accepted =
+                    limiter.is_some_and(|limiter| limiter.accept(out.now, from, id, datagram.len()).is_ok());
+                let reports = accepted.then(|| decode_reports(payload)).flatten();
+                *(if reports.is_some() {
+                    &mut self.messages_accepted
+                } else {
+                    &mut self.messages_rejected
+                }) += 1;
+                reports
             }
             Err(why) => {
-                self.dropped(from, why, out);
+                self.reject_datagram(from, why, out);
                 None
             }
         }
     }
 
-    fn dropped(&mut self, from: SocketAddr, why: VerificationError, out: &mut EffectQueue) {
-        self.dropped += 1;
-        debug!(%from, %why, "gossip dropped");
-        // Its seal was good: one answer for one datagram is no flood.
+    fn reject_datagram(&mut self, from: SocketAddr, why: VerificationError, out: &mut EffectQueue) {
+        self.datagrams_rejected += 1;
+        debug!(%from, %why, "gossip datagram rejected");
+        // The datagram was authentic, and one reply to each such datagram cannot amplify traffic.
         if let VerificationError::StaleIncarnation(start) = why {
             let packet = self.node.incarnation_notice(from, start);
             self.send(vec![(from, packet)], out);
         }
     }
 
-    /// A datagram came; words of others, if it was that.
-    pub fn hear(
+    /// Handles a datagram. Returns the load reports if it contains any.
+    pub fn receive(
         &mut self,
         from: SocketAddr,
         datagram: &[u8],
         out: &mut EffectQueue,
     ) -> Option<Vec<PeerLoadReport>> {
         if is_message(datagram) {
-            return self.listen(from, datagram, out);
+            return self.receive_message(from, datagram, out);
         }
         match self.verifier.verify(from, datagram, &self.keys) {
             Ok(mut packet) => {
-                if self.plant == Some(FaultInjection::TreatDeadAsLeft) {
-                    let gone = packet.records.iter_mut().filter(|r| r.state == MemberState::Dead);
-                    gone.for_each(|r| r.state = MemberState::Left);
+                if self.fault == Some(FaultInjection::TreatDeadAsLeft) {
+                    let dead = packet.records.iter_mut().filter(|record| record.state == MemberState::Dead);
+                    dead.for_each(|record| record.state = MemberState::Left);
                 }
                 let mut packets = Vec::new();
                 self.node.receive(out.now, from, &packet, &mut packets);
-                self.log_news();
+                self.log_membership_events();
                 self.authenticator.advance_incarnation(self.node.incarnation());
                 self.send(packets, out);
             }
-            Err(why) => self.dropped(from, why, out),
+            Err(why) => self.reject_datagram(from, why, out),
         }
         None
     }
 
-    /// The file of the keys was read.
-    pub fn keys(&mut self, news: Result<Keys, String>) {
-        match news {
+    /// Handles that the key file was read.
+    pub fn update_keys(&mut self, keys: Result<Keys, String>) {
+        match keys {
             Ok(keys) => {
-                info!("new keys for the gossip");
+                info!("gossip keys replaced");
                 self.keys = keys;
             }
             Err(fault) => warn!(fault, "the keys can't be read; those at hand stay"),
@@ -233,63 +250,70 @@
 
     fn view(&self) -> View {
         let view = self.node.view();
-        match self.plant {
+        match self.fault {
             Some(FaultInjection::CountAliveOnly) => View { count: view.alive, ..view },
             Some(FaultInjection::DuplicateIndex) => View { index: view.index.saturating_sub(1), ..view },
             _ => view,
         }
     }
 
-    /// The number of controllers and which of them this is, if the module was told otherwise.
-    pub fn news(&mut self) -> Option<(u32, u32)> {
+    /// The number of controllers and the index of this one, if they differ from what was last reported to
+    /// the driver.
+    pub fn take_view_change(&mut self) -> Option<(u32, u32)> {
         let View { count, index, alive, is_settled: settled, has_quorum: quorum, tag } = self.view();
         if quorum != std::mem::replace(&mut self.quorum, quorum) {
             match quorum {
-                true => info!(count, alive, "more than half of the controllers answer again"),
+                true => info!(count, alive, "more than half of the controllers respond again"),
                 false => warn!(count, alive, "half of the controllers or more are silent; they count on"),
             }
         }
-        let fresh = (count as u32, index as u32);
-        if fresh == self.told {
+        let current = (count as u32, index as u32);
+        if current == self.reported {
             return None;
         }
-        self.told = fresh;
+        self.reported = current;
         info!(count, index, alive, settled, quorum, view = tag.version, "controllers");
-        Some(fresh)
+        Some(current)
     }
 
-    /// Says goodbye, so that nobody waits for this one.
+    /// Announces that this controller leaves, so that the others need not detect it.
     pub fn leave(&mut self, out: &mut EffectQueue) {
         let mut packets = Vec::new();
         self.node.leave(&mut packets);
         self.send(packets, out);
     }
 
-    /// Who this one is, of whom its view consists, and how all others stand with it; times in milliseconds.
+    /// This controller, its membership view and the state of all members. Times are in milliseconds.
     pub fn status(&self, now: i64) -> Value {
         let View { count, index, alive, is_settled: settled, has_quorum: quorum, tag } = self.view();
         let digest = |tag: ViewTag| format!("{:016x}", tag.digest);
         let members: Vec<Value> = self
             .node
             .member_statuses(now)
-            .map(|a| {
+            .map(|member| {
                 json!({
-                    "member": a.record.member.to_string(), "standing": word(a.record.state), "counts": a.is_counted,
-                    "start": a.record.incarnation, "denials": a.record.refutations, "since_ms": a.record.state_age_ms,
-                    "silent_ms": a.last_heard_at.map(|at| (now - at) / 1_000), "digest": a.view_tag.map(digest),
+                    "member": member.record.member.to_string(),
+                    "standing": state_name(member.record.state),
+                    "counts": member.is_counted,
+                    "start": member.record.incarnation,
+                    "denials": member.record.refutations,
+                    "since_ms": member.record.state_age_ms,
+                    "silent_ms": member.last_heard_at.map(|at| (now - at) / 1_000),
+                    "digest": member.view_tag.map(digest),
                 })
             })
             .collect();
         json!({
-            "own": self.own.to_string(), "start": self.node.incarnation(), "period_ms": self.period / 1_000,
+            "own": self.own_address.to_string(), "start": self.node.incarnation(),
+            "period_ms": self.probe_interval / 1_000,
             "count": count, "index": index, "alive": alive, "settled": settled, "quorum": quorum,
             "number": tag.version, "digest": digest(tag), "apart_ms": self.node.diverged_for(now) / 1_000,
             "members": members,
         })
     }
 
-    /// Figures, with what they mean.
-    pub fn figures(&self, now: i64) -> [Figure; 21] {
+    /// The metrics of the gossip protocol.
+    pub fn metrics(&self, now: i64) -> [Metric; 21] {
         let (view, counters) = (self.view(), self.node.counters());
         [
             ("gossip_count", "Controllers acted on.", view.count as u64),
@@ -319,26 +343,30 @@
                 "Words of a death or goodbye that own ears disprove.",
                 counters.uncorroborated,
             ),
-            ("words_heard", "Datagrams of words of others that were taken.", self.heard),
+            ("words_heard", "Datagrams of words of others that were taken.", self.messages_accepted),
             ("gossip_crowded", "Members not taken, as there were too many.", counters.rejected_at_capacity),
             (
                 "gossip_dropped",
                 "Datagrams that did not open: another key, a stranger, old ones.",
-                self.dropped,
+                self.datagrams_rejected,
             ),
             (
                 "words_unsent",
                 "Datagrams of words that a ceiling held back.",
-                self.words.as_ref().map_or(0, |w| w.suppressed),
+                self.message_limiter.as_ref().map_or(0, |limiter| limiter.suppressed),
+            ),
+            (
+                "words_untaken",
+                "Datagrams of words that were old, too many, or no member's.",
+                self.messages_rejected,
             ),
-            ("words_untaken", "Datagrams of words that were old, too many, or no member's.", self.untaken),
-            ("gossip_unsent", "Packets that were too long for a datagram.", self.unsent),
+            ("gossip_unsent", "Packets that were too long for a datagram.", self.packets_oversized),
         ]
     }
 }
 
-fn word(standing: MemberState) -> &'static str {
-    match standing {
+fn state_name(state: MemberState) -> &'static str {
+    match state {
         MemberState::Alive => "alive",
         MemberState::Suspect => "suspect",
         MemberState::Dead => "gone",
--- a/crates/pg-gateway/src/in_flight.rs
+++ b/crates/pg-gateway/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! The queries in hand: whose they are, and what goes to an engine for them.
+//! The queries in flight: their clients, and the messages to send to an engine.
 
 use bytes::Bytes;
 use std::collections::BTreeMap;
@@ -7,60 +7,60 @@
 use wheelfield_pg::client::Unit;
 use wheelfield_sans_io::ConnId;
 
-/// A query in hand.
+/// A query in flight.
 #[derive(Debug)]
-pub(crate) struct InHand {
-    /// Who waits for it.
+pub(crate) struct InFlightQuery {
+    /// The client that waits for the answer.
     pub client: ConnId,
-    /// What goes to an engine, for as long as it may have to go again.
+    /// The messages for the engine, kept for as long as the query may be retried.
     pub unit: Unit,
-    /// The parts of an open batch that came later.
-    pub more: Vec<(Bytes, Vec<bool>)>,
-    pub sealed: bool,
-    pub terms: AttemptOptions,
-    /// Its name in logs.
+    /// The later parts of an open batch, and for each part which completion messages to suppress.
+    pub continuations: Vec<(Bytes, Vec<bool>)>,
+    pub is_complete: bool,
+    pub options: AttemptOptions,
+    /// The ID of the query in logs.
     pub label: String,
     pub class: usize,
-    pub since: i64,
+    pub accepted_at: i64,
 }
 
-impl InHand {
-    /// Bytes of the parts that came later.
-    pub fn held(&self) -> usize {
-        self.more.iter().map(|(frames, _)| frames.len()).sum()
+impl InFlightQuery {
+    /// Total size of the later parts.
+    pub fn continuation_bytes(&self) -> usize {
+        self.continuations.iter().map(|(frames, _)| frames.len()).sum()
     }
 }
 
-/// All queries whose answer is owed. As many as the driver holds at most.
+/// All queries without a final answer. The driver limits their number.
 #[derive(Debug, Default)]
 pub(crate) struct InFlightQueries {
-    by_query: BTreeMap<QueryId, InHand>,
+    by_query: BTreeMap<QueryId, InFlightQuery>,
 }
 
 impl InFlightQueries {
-    pub fn put(&mut self, query: QueryId, unit: InHand) {
-        self.by_query.insert(query, unit);
+    pub fn insert(&mut self, query: QueryId, in_flight: InFlightQuery) {
+        self.by_query.insert(query, in_flight);
     }
 
-    pub fn get(&self, query: QueryId) -> Option<&InHand> {
+    pub fn get(&self, query: QueryId) -> Option<&InFlightQuery> {
         self.by_query.get(&query)
     }
 
-    pub fn get_mut(&mut self, query: QueryId) -> Option<&mut InHand> {
+    pub fn get_mut(&mut self, query: QueryId) -> Option<&mut InFlightQuery> {
         self.by_query.get_mut(&query)
     }
 
-    /// The answer of a query is told, or nobody is owed one.
-    pub fn take(&mut self, query: QueryId) -> Option<InHand> {
+    /// Removes a query that was answered or abandoned.
+    pub fn remove(&mut self, query: QueryId) -> Option<InFlightQuery> {
         self.by_query.remove(&query)
     }
 
-    /// A query in hand that is not this one.
-    pub fn another(&self, query: QueryId) -> Option<QueryId> {
+    /// Any query in flight other than this one.
+    pub fn other_than(&self, query: QueryId) -> Option<QueryId> {
         self.by_query.keys().find(|q| **q != query).copied()
     }
 
     pub fn label(&self, query: QueryId) -> &str {
-        self.get(query).map_or("", |u| u.label.as_str())
+        self.get(query).map_or("", |query| query.label.as_str())
     }
 }
--- a/crates/pg-gateway/src/injected_faults.rs
+++ b/crates/pg-gateway/src/injected_faults.rs
@@ -1,4 +1,4 @@
-//! Faults that are planted for a judge to find: what must not be sent is sent.
+//! Implementation of the injected faults of the dispatcher.
 
 use crate::dispatcher::Dispatcher;
 use crate::effect_queue::EffectQueue;
@@ -11,38 +11,45 @@
 use wheelfield_pg::front;
 use wheelfield_sans_io::ConnId;
 
-/// Sends a unit to engines that should not have it, as an attempt of it starts. How often it did.
-pub(crate) fn send_more(
-    plant: FaultInjection,
-    once: bool,
+/// Sends a unit to further engines that must not receive it, when an attempt of it starts. Returns how many
+/// copies were sent.
+pub(crate) fn send_extra_attempts(
+    fault: FaultInjection,
+    at_most_once: bool,
     (attempt, engine): (AttemptId, EngineId),
-    units: &InFlightQueries,
+    queries: &InFlightQueries,
     engines: &mut Engines,
     out: &mut EffectQueue,
 ) -> u64 {
-    let wanted = match plant {
-        FaultInjection::DuplicateExecution if once => 1,
-        FaultInjection::ExceedRetryBudget if !once => 2,
+    let extra_count = match fault {
+        FaultInjection::DuplicateExecution if at_most_once => 1,
+        FaultInjection::ExceedRetryBudget if !at_most_once => 2,
         FaultInjection::SendToDraining => 1,
         _ => return 0,
     };
     let others: Vec<EngineId> = engines
         .pools
         .iter()
-        .filter(|(e, p)| if plant == FaultInjection::SendToDraining { !p.up } else { p.up && *e != engine })
-        .map(|(e, _)| e)
-        .take(wanted)
+        .filter(|(id, pool)| {
+            if fault == FaultInjection::SendToDraining {
+                !pool.is_up
+            } else {
+                pool.is_up && *id != engine
+            }
+        })
+        .map(|(id, _)| id)
+        .take(extra_count)
         .collect();
     let mut sent = 0;
     for other in others {
-        let Some(id) = engines.pools.get_mut(other).and_then(|p| p.idle.pop()) else {
-            engines.open(other, out);
+        let Some(id) = engines.pools.get_mut(other).and_then(|pool| pool.idle.pop()) else {
+            engines.open_session(other, out);
             continue;
         };
-        let Some(unit) = units.get(attempt.query) else { return sent };
-        // A batch has no text of its own to be sent a second time.
-        if let Ok(text) = front::query_text(&unit.unit.frames) {
-            engines.sessions.put_own(id, Job::Aside, text, out);
+        let Some(in_flight) = queries.get(attempt.query) else { return sent };
+        // A batch has no query text that could be sent again.
+        if let Ok(text) = front::query_text(&in_flight.unit.frames) {
+            engines.sessions.write_statement(id, Job::Discarded, text, out);
             sent += 1;
         }
     }
@@ -50,31 +57,43 @@
 }
 
 impl Dispatcher {
-    pub fn plant_at(&mut self, attempt: AttemptId, engine: EngineId) {
-        let (Some(plant), Some(unit)) = (self.plant, self.units.get(attempt.query)) else { return };
-        let once = self.config.settings.classes[unit.class].semantics == ExecutionSemantics::AtMostOnce;
-        let of = (attempt, engine);
-        self.planted += send_more(plant, once, of, &self.units, &mut self.engines, &mut self.out);
+    pub fn inject_extra_attempts(&mut self, attempt: AttemptId, engine: EngineId) {
+        let (Some(fault), Some(in_flight)) = (self.fault, self.queries.get(attempt.query)) else { return };
+        let at_most_once =
+            self.config.settings.classes[in_flight.class].semantics == ExecutionSemantics::AtMostOnce;
+        let attempt = (attempt, engine);
+        self.faults_injected += send_extra_attempts(
+            fault,
+            at_most_once,
+            attempt,
+            &self.queries,
+            &mut self.engines,
+            &mut self.out,
+        );
     }
 
-    /// Whose query a cancel ends in place of the one that was meant.
-    pub fn stranger(&mut self, query: QueryId) -> Option<(ConnId, QueryId)> {
-        let other =
-            self.planted(FaultInjection::CancelOtherQuery, 1).then(|| self.units.another(query)).flatten()?;
-        Some((self.units.get(other)?.client, other))
+    /// The query that a cancel request ends instead of its target.
+    pub fn wrong_cancel_target(&mut self, query: QueryId) -> Option<(ConnId, QueryId)> {
+        let other = self
+            .should_inject(FaultInjection::CancelOtherQuery, 1)
+            .then(|| self.queries.other_than(query))
+            .flatten()?;
+        Some((self.queries.get(other)?.client, other))
     }
 
-    /// Whose text is sent in place of a query's own.
-    pub fn swapped(&mut self, query: QueryId) -> Option<QueryId> {
-        self.planted(FaultInjection::SwapQueryText, 20).then(|| self.units.another(query)).flatten()
+    /// The query whose text is sent instead of that of `query`.
+    pub fn swapped_query(&mut self, query: QueryId) -> Option<QueryId> {
+        self.should_inject(FaultInjection::SwapQueryText, 20)
+            .then(|| self.queries.other_than(query))
+            .flatten()
     }
 
-    /// Whether a fault strikes now, as one time in so many.
-    pub fn planted(&mut self, plant: FaultInjection, of: u64) -> bool {
-        if self.plant != Some(plant) {
+    /// Whether to inject a fault now, which happens once in every `one_in` opportunities.
+    pub fn should_inject(&mut self, fault: FaultInjection, one_in: u64) -> bool {
+        if self.fault != Some(fault) {
             return false;
         }
-        self.planted += 1;
-        self.planted.is_multiple_of(of)
+        self.faults_injected += 1;
+        self.faults_injected.is_multiple_of(one_in)
     }
 }
--- a/crates/pg-gateway/src/lib.rs
+++ b/crates/pg-gateway/src/lib.rs
@@ -1,16 +1,17 @@
-//! A whole controller without system calls. What happened goes in, with the time; what is to be done comes out.
+//! A PostgreSQL gateway without I/O. Events go in with the current time, and effects come out.
 //!
-//! [`PgGateway`] is told by [`PgGateway::handle`] what its sockets, files and signals brought, and by [`PgGateway::handle_timers`] that time has
-//! passed; the [`Effect`]s that come of it are taken by [`PgGateway::take_effects`] and carried out by a shell: the controller's
-//! process on its sockets, or the laboratory in virtual time. The same happenings, times, seed and configuration give the
-//! same effects and the same bytes.
+//! [`PgGateway::handle`] handles events of sockets, files and signals, and [`PgGateway::handle_timers`]
+//! handles due timers. The caller takes the resulting [`Effect`]s by [`PgGateway::take_effects`] and
+//! executes them: the controller process does so on its sockets, and the test bed in virtual time. The same
+//! events, times, seed and configuration produce the same effects and the same bytes.
 //!
-//! Inside it is rooms, each a file and a type that knows of the others by number at most: [`clients`](self) and their
-//! sessions, the units in hand, the side of the engines with its pools, sessions and cancels, the registry, sets of
-//! engines, peers, gossip, admin, the end. A room takes what concerns it and gives words; only [`PgGateway`] knows all rooms.
+//! The components are separate modules: clients and their sessions, queries in flight, the engine side with
+//! its pools, sessions and cancel requests, the registry client, endpoint sets, load reports to and from
+//! peers, gossip, the admin pages and the shutdown. They refer to each other only by connection IDs; the
+//! dispatcher passes events and instructions between them.
 //!
-//! Nothing here decides where a query goes or whether it is tried again: that comes as instructions of the
-//! [`wheelfield_driver::Driver`]. Logs go through the `tracing` facade.
+//! This crate makes no routing or retry decisions: those are instructions of the
+//! [`wheelfield_driver::Driver`]. Logging uses the `tracing` facade.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -22,6 +23,7 @@
 mod dispatcher;
 mod effect_queue;
 mod endpoint_sets;
+mod engine_events;
 mod engine_sessions;
 mod engines;
 mod event;
@@ -32,13 +34,13 @@
 mod injected_faults;
 mod list_age;
 mod metrics;
-mod peer_load;
 mod peering;
 pub mod peers;
 mod pools;
 mod registry;
 pub mod route;
 mod shutdown;
+mod sql_errors;
 mod timer_event;
 
 pub use bootstrap::PgGatewayOptions;
--- a/crates/pg-gateway/src/list_age.rs
+++ b/crates/pg-gateway/src/list_age.rs
@@ -1,20 +1,22 @@
-//! Whether new queries wait for the list of engines.
+//! Whether new queries wait for a current engine list.
 //!
-//! The list of a registry that is polled is as old as the interval of the calls, as a rule, and engine files are read soon after they
-//! change. After the process was suspended what it knows is as much older, and nobody was asked meanwhile: new queries wait until the
-//! call that is made then has come to an end, and the files were read, for a bounded time. A registry that is watched tells of changes
-//! by itself, and what it told is read before the queries that came meanwhile.
+//! Normally a polled registry list is at most one polling interval old, and endpoint files are read soon
+//! after they change. After the process was suspended, both may be older by the length of the suspension.
+//! New queries then wait, for a limited time, until a new registry request has completed and the files were
+//! read again. A watched registry sends changes on its own, and these are read before the queries that
+//! arrived during the suspension.
 
 use wheelfield_config::{Config, Refresh};
 
-/// A process that serves takes a turn at least once a second, in microseconds.
+/// A running process completes a turn of its event loop at least once in this many microseconds.
 const TURN_INTERVAL_US: i64 = 1_000_000;
-/// One that took none for this much longer was suspended or starved.
+/// A process that is later than this, in microseconds, was suspended or starved.
 const MAX_LATENESS_US: i64 = 300_000;
-/// For how long new queries wait at most, in microseconds; after that they go by the last list.
+/// Maximum time that new queries wait, in microseconds. After that they use the last list.
 const MAX_WAIT_US: i64 = 1_000_000;
 
-/// The age of the list, as far as this process is the cause of it; times in microseconds.
+/// Tracks whether the engine list may be out of date because this process was inactive. Times are in
+/// microseconds.
 #[derive(Debug)]
 pub(crate) struct ListAge {
     polls_registry: bool,
@@ -23,14 +25,14 @@
     wait_until: i64,
     /// The number of the last request to read the files.
     files_request: u64,
-    /// It has not been handed on yet.
+    /// The request has not been passed on yet.
     is_files_request_new: bool,
-    /// It has not been answered yet.
+    /// The request has not been answered yet.
     awaits_files: bool,
 }
 
 impl ListAge {
-    /// That of a process that begins to serve.
+    /// The state of a process that has just started.
     pub fn new(config: &Config, now: i64) -> ListAge {
         let registry = config.registry.as_ref();
         ListAge {
@@ -44,13 +46,13 @@
         }
     }
 
-    /// Whether there is a registry that is polled.
+    /// Whether a polled registry is configured.
     pub fn polls_registry(&self) -> bool {
         self.polls_registry
     }
 
-    /// Notes that the process is active. Returns until when new queries wait at most, if it was not active for long: the registry is
-    /// to be called now, and the files read.
+    /// Notes that the process is active. After a longer inactivity, returns the time until which new
+    /// queries wait at most; the registry must then be queried and the files read.
     pub fn note_activity(&mut self, now: i64) -> Option<i64> {
         let inactive_us = now - self.last_active_at;
         self.last_active_at = now;
@@ -64,18 +66,18 @@
         Some(self.wait_until)
     }
 
-    /// The number of a request to read the files, once.
+    /// The number of a new request to read the files. Each request is returned once.
     pub fn take_files_request(&mut self) -> Option<u64> {
         let is_new = std::mem::take(&mut self.is_files_request_new);
         is_new.then_some(self.files_request)
     }
 
-    /// Notes that the files were read for the request of this number.
+    /// Notes that the files were read for the request with this number.
     pub fn note_files_read(&mut self, number: u64) {
         self.awaits_files &= number != self.files_request;
     }
 
-    /// Whether new queries wait, while a call of the registry is under way or not.
+    /// Whether new queries wait. `is_called` tells whether a registry request is in progress.
     pub fn is_awaited(&self, now: i64, is_called: bool) -> bool {
         now < self.wait_until && (self.awaits_files || (self.polls_registry && is_called))
     }
--- a/crates/pg-gateway/src/metrics.rs
+++ b/crates/pg-gateway/src/metrics.rs
@@ -1,43 +1,43 @@
-//! What is held and was counted, as operators read it.
+//! The metrics and the status page for operators.
 
 use crate::clients::Clients;
 use crate::endpoint_sets::EndpointSets;
 use crate::engines::Engines;
 use crate::gossip::Gossip;
 use crate::peering::Peering;
-use crate::registry::Call;
+use crate::registry::RegistryClient;
 use serde_json::{json, Map, Value};
 use std::fmt::Write as _;
 use wheelfield_recorder::RecordingDriver;
 
-/// A figure: its name, what it means, and how much.
-pub(crate) type Figure = (&'static str, &'static str, u64);
+/// A metric: its name, help text and value.
+pub(crate) type Metric = (&'static str, &'static str, u64);
 
-/// The rooms that are looked into.
-pub(crate) struct Look<'a> {
+/// The components whose metrics are read.
+pub(crate) struct MetricsSnapshot<'a> {
     pub now: i64,
-    pub tape: &'a RecordingDriver,
+    pub driver: &'a RecordingDriver,
     pub clients: &'a Clients,
     pub engines: &'a Engines,
-    pub sets: &'a EndpointSets,
-    pub call: &'a Call,
+    pub endpoint_sets: &'a EndpointSets,
+    pub registry: &'a RegistryClient,
     pub peering: Option<&'a Peering>,
     pub gossip: Option<&'a Gossip>,
-    pub cancels: u64,
+    pub cancel_requests: u64,
     pub hints_ignored: u64,
-    /// Answered, and lost.
-    pub probes: (u64, u64),
+    /// Answered probes, and failed probes.
+    pub probe_counts: (u64, u64),
 }
 
-impl Look<'_> {
-    /// All figures, in the order they are told.
-    fn figures(&self) -> Vec<Figure> {
-        let driver = self.tape.decision_engine().driver();
-        let d = driver.map(|d| d.counters()).unwrap_or_default();
-        let held = driver.map_or(0, |d| d.queries_held() as u64);
-        let capture = self.tape.capture_state();
-        let c = self.clients.counts;
-        let lists = self.sets.counts;
+impl MetricsSnapshot<'_> {
+    /// All metrics, in the order of the output.
+    fn metrics(&self) -> Vec<Metric> {
+        let driver = self.driver.decision_engine().driver();
+        let queries = driver.map(|driver| driver.counters()).unwrap_or_default();
+        let queries_held = driver.map_or(0, |driver| driver.queries_held() as u64);
+        let capture = self.driver.capture_state();
+        let clients = self.clients.counters;
+        let lists = self.endpoint_sets.counters;
         let mut all = vec![
             ("capture_recorded", "Records of the capture that were taken.", capture.recorded),
             ("capture_lost", "Records that were not.", capture.lost),
@@ -47,60 +47,60 @@
             ("capture_held", "Records that wait to be written.", capture.held),
             ("clients", "Clients connected.", self.clients.len() as u64),
             ("engine_sessions", "Connections with engines.", self.engines.sessions.len() as u64),
-            ("queries_held", "Queries without a final answer.", held),
-            ("list_version", "Version of the engines in force.", self.sets.engines().version()),
-            ("clients_accepted", "Clients that connected.", c.accepted),
-            ("clients_turned_away", "Clients beyond the limit.", c.turned_away),
-            ("clients_malformed", "Clients closed as what they sent can't be read.", c.malformed),
-            ("queries_taken", "Queries taken.", d.accepted),
-            ("queries_served", "Queries served.", d.served),
-            ("queries_refused", "Queries refused: trying again is harmless.", d.rejected),
-            ("queries_failed", "Queries failed: that promises nothing.", d.failed),
-            ("queries_departed", "Queries whose client left.", d.abandoned),
-            ("queries_crowded", "Queries refused as too many are held.", d.over_capacity),
-            ("attempts", "Attempts at engines.", d.attempts),
-            ("attempts_further", "Of these, not the query's first.", d.retries),
-            ("endings_late", "Attempts that ended after their query was answered.", d.late_endings),
-            ("cancels", "Cancels sent.", self.cancels),
+            ("queries_held", "Queries without a final answer.", queries_held),
+            ("list_version", "Version of the engines in force.", self.endpoint_sets.engines().version()),
+            ("clients_accepted", "Clients that connected.", clients.accepted),
+            ("clients_turned_away", "Clients beyond the limit.", clients.rejected),
+            ("clients_malformed", "Clients closed as what they sent can't be read.", clients.protocol_errors),
+            ("queries_taken", "Queries taken.", queries.accepted),
+            ("queries_served", "Queries served.", queries.served),
+            ("queries_refused", "Queries refused: trying again is harmless.", queries.rejected),
+            ("queries_failed", "Queries failed: that promises nothing.", queries.failed),
+            ("queries_departed", "Queries whose client left.", queries.abandoned),
+            ("queries_crowded", "Queries refused as too many are held.", queries.over_capacity),
+            ("attempts", "Attempts at engines.", queries.attempts),
+            ("attempts_further", "Of these, not the query's first.", queries.retries),
+            ("endings_late", "Attempts that ended after their query was answered.", queries.late_endings),
+            ("cancels", "Cancels sent.", self.cancel_requests),
             ("hints_ignored", "Hints of clients that can't be read.", self.hints_ignored),
             (
                 "messages_dropped",
                 "Words of other controllers that were garbled, old or a stranger's.",
-                self.peering.map_or(0, |p| p.dropped),
+                self.peering.map_or(0, |peering| peering.dropped),
             ),
-            ("lists_refused", "Engine lists refused.", lists.refused),
+            ("lists_refused", "Engine lists refused.", lists.rejected),
             ("lists_held", "Engine lists held for a second look.", lists.held),
-            ("lists_not_kept", "Engine lists that could not be kept on the disk.", lists.not_kept),
-            ("probes_answered", "Probes answered.", self.probes.0),
-            ("probes_lost", "Probes without an answer.", self.probes.1),
+            ("lists_not_kept", "Engine lists that could not be kept on the disk.", lists.not_saved),
+            ("probes_answered", "Probes answered.", self.probe_counts.0),
+            ("probes_lost", "Probes without an answer.", self.probe_counts.1),
         ];
         if let Some(gossip) = self.gossip {
-            all.extend(gossip.figures(self.now));
+            all.extend(gossip.metrics(self.now));
         }
         all
     }
 
-    /// A line each.
-    pub fn metrics(&self) -> String {
+    /// The metrics in the Prometheus text format.
+    pub fn render_metrics(&self) -> String {
         let mut out = String::new();
-        for (name, help, value) in self.figures() {
+        for (name, help, value) in self.metrics() {
             let _ = writeln!(out, "# HELP wheelfield_{name} {help}");
             let _ = writeln!(out, "wheelfield_{name} {value}");
         }
         out
     }
 
-    /// The page for people and scripts.
-    pub fn status(&self) -> String {
-        let figures: Map<String, Value> =
-            self.figures().into_iter().map(|(name, _, value)| (name.to_string(), json!(value))).collect();
-        let engine = |k: &wheelfield_endpoints::Known| {
-            let status = wheelfield_endpoints::word(k.entry.status);
-            json!({"id": k.name, "address": k.address.to_string(), "status": status})
+    /// The status page, as JSON.
+    pub fn render_status(&self) -> String {
+        let metrics: Map<String, Value> =
+            self.metrics().into_iter().map(|(name, _, value)| (name.to_string(), json!(value))).collect();
+        let engine = |known: &wheelfield_endpoints::Known| {
+            let status = wheelfield_endpoints::word(known.entry.status);
+            json!({"id": known.name, "address": known.address.to_string(), "status": status})
         };
-        let engines: Vec<Value> = self.sets.engines().known().values().map(engine).collect();
-        let (listed, members) = (!self.call.silent, self.sets.status());
-        let mut page = json!({"figures": figures, "engines": engines, "listed": listed, "members": members});
+        let engines: Vec<Value> = self.endpoint_sets.engines().known().values().map(engine).collect();
+        let (listed, members) = (!self.registry.is_unavailable, self.endpoint_sets.status());
+        let mut page = json!({"figures": metrics, "engines": engines, "listed": listed, "members": members});
         if let Some(gossip) = self.gossip {
             page["gossip"] = gossip.status(self.now);
         }
--- a/crates/pg-gateway/src/pools.rs
+++ b/crates/pg-gateway/src/pools.rs
@@ -1,4 +1,4 @@
-//! Which sessions with an engine rest, and who waits for one.
+//! The idle sessions of each engine, and the attempts that wait for a session.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -10,39 +10,39 @@
 #[derive(Debug)]
 pub(crate) struct Pool {
     pub address: SocketAddr,
-    pub up: bool,
-    /// Clean ones, the last used first.
+    pub is_up: bool,
+    /// Idle sessions, used last in first out.
     pub idle: Vec<ConnId>,
-    /// Sessions in all, at most as configured.
+    /// Total number of sessions; limited by the configuration.
     pub sessions: usize,
     pub connecting: usize,
-    /// Attempts that wait for a session; each has one connecting.
+    /// Attempts that wait for a session. A session is being opened for each of them.
     pub waiting: VecDeque<AttemptId>,
     /// A probe waits for a session.
-    pub probing: bool,
+    pub is_probe_waiting: bool,
 }
 
 /// The pools of all engines that were ever listed.
 #[derive(Debug, Default)]
 pub(crate) struct Pools {
-    all: BTreeMap<EngineId, Pool>,
+    by_engine: BTreeMap<EngineId, Pool>,
 }
 
 impl Pools {
-    /// An engine as it is listed now. The sessions that rest and are to be closed.
-    pub fn listed(&mut self, engine: EngineId, address: SocketAddr, up: bool) -> Vec<ConnId> {
-        let pool = self.all.entry(engine).or_insert_with(|| Pool {
+    /// Applies an entry of the engine list. Returns the idle sessions to close.
+    pub fn set_engine(&mut self, engine: EngineId, address: SocketAddr, is_up: bool) -> Vec<ConnId> {
+        let pool = self.by_engine.entry(engine).or_insert_with(|| Pool {
             address,
-            up,
+            is_up,
             idle: Vec::new(),
             sessions: 0,
             connecting: 0,
             waiting: VecDeque::new(),
-            probing: false,
+            is_probe_waiting: false,
         });
-        let moved = std::mem::replace(&mut pool.address, address) != address;
-        pool.up = up;
-        if moved || !up {
+        let address_changed = std::mem::replace(&mut pool.address, address) != address;
+        pool.is_up = is_up;
+        if address_changed || !is_up {
             std::mem::take(&mut pool.idle)
         } else {
             Vec::new()
@@ -50,30 +50,30 @@
     }
 
     pub fn get(&self, engine: EngineId) -> Option<&Pool> {
-        self.all.get(&engine)
+        self.by_engine.get(&engine)
     }
 
     pub fn get_mut(&mut self, engine: EngineId) -> Option<&mut Pool> {
-        self.all.get_mut(&engine)
+        self.by_engine.get_mut(&engine)
     }
 
     pub fn iter(&self) -> impl Iterator<Item = (EngineId, &Pool)> {
-        self.all.iter().map(|(engine, pool)| (*engine, pool))
+        self.by_engine.iter().map(|(engine, pool)| (*engine, pool))
     }
 
-    /// An attempt waits for a session no more.
-    pub fn forget(&mut self, attempt: AttemptId) {
-        for pool in self.all.values_mut() {
-            pool.waiting.retain(|a| *a != attempt);
+    /// Removes an attempt that no longer waits for a session.
+    pub fn remove_waiting(&mut self, attempt: AttemptId) {
+        for pool in self.by_engine.values_mut() {
+            pool.waiting.retain(|waiting| *waiting != attempt);
         }
     }
 
-    /// A session is closed.
-    pub fn closed(&mut self, engine: EngineId, id: ConnId, starting: bool) {
-        if let Some(pool) = self.all.get_mut(&engine) {
+    /// Removes a closed session.
+    pub fn remove_session(&mut self, engine: EngineId, id: ConnId, starting: bool) {
+        if let Some(pool) = self.by_engine.get_mut(&engine) {
             pool.sessions = pool.sessions.saturating_sub(1);
             pool.connecting -= usize::from(starting && pool.connecting > 0);
-            pool.idle.retain(|i| *i != id);
+            pool.idle.retain(|idle| *idle != id);
         }
     }
 }
--- a/crates/pg-gateway/src/registry.rs
+++ b/crates/pg-gateway/src/registry.rs
@@ -1,4 +1,5 @@
-//! The call to the registry that keeps the engine list: asked again and again, or waiting there for a change.
+//! The HTTP client of the registry, which provides the engine list: polls it, or waits for changes by long
+//! polling.
 
 use crate::effect_queue::{Effect, EffectQueue};
 use crate::timer_event::TimerEvent;
@@ -8,154 +9,158 @@
 use wheelfield_sans_io::ConnectionBuffer;
 use wheelfield_sans_io::{http, ConnId, ConnectionTable, TimerKey};
 
-pub(crate) const ROOM: u8 = 4;
-/// A call that waits at the registry is answered after so long, changed or not.
-const WATCH_MS: i64 = 20_000;
-/// Until the answer to a call must be there, beyond what it waits.
-const PATIENCE: i64 = 2_000_000;
+pub(crate) const CONNECTION_OWNER: u8 = 4;
+/// How long the registry holds a long-polling request before it responds without a change.
+const WATCH_WAIT_MS: i64 = 20_000;
+/// Time limit for a response, in addition to the waiting time of a long-polling request.
+const RESPONSE_TIMEOUT_US: i64 = 2_000_000;
 
-/// What came of a call.
-pub(crate) enum Told {
-    /// A list, as it was sent.
+/// The result of a request.
+pub(crate) enum RegistryUpdate {
+    /// The body of an engine list.
     List(Bytes),
-    /// None could be had.
+    /// No list is available.
     Unavailable,
 }
 
-/// The call to the registry.
+/// The registry client.
 #[derive(Debug)]
-pub(crate) struct Call {
-    at: Option<Registry>,
-    index: u64,
-    /// At most one connection.
-    wires: ConnectionTable<ConnectionBuffer>,
-    id: Option<ConnId>,
+pub(crate) struct RegistryClient {
+    registry: Option<Registry>,
+    gateway_index: u64,
+    /// Contains at most one connection.
+    connections: ConnectionTable<ConnectionBuffer>,
+    connection: Option<ConnId>,
     connected: bool,
-    /// A call has neither been answered nor failed yet.
-    waiting: bool,
+    /// A request is in progress.
+    awaiting_response: bool,
     timer: Option<TimerKey>,
-    /// It could not be had, and that was told.
-    pub silent: bool,
-    /// The module asks again in its own time.
-    subscribes: bool,
+    /// The last request failed, which has been logged.
+    pub is_unavailable: bool,
+    /// The driver requests the lists, so failed requests are not repeated here.
+    driver_requests_lists: bool,
 }
 
-impl Call {
-    pub fn new(config: &Config) -> Call {
-        Call {
-            at: config.registry,
-            index: config.settings.gateway_index as u64,
-            wires: ConnectionTable::new(ROOM),
-            id: None,
+impl RegistryClient {
+    pub fn new(config: &Config) -> RegistryClient {
+        RegistryClient {
+            registry: config.registry,
+            gateway_index: config.settings.gateway_index as u64,
+            connections: ConnectionTable::new(CONNECTION_OWNER),
+            connection: None,
             connected: false,
-            waiting: false,
+            awaiting_response: false,
             timer: None,
-            silent: false,
-            subscribes: config.settings.subscribe,
+            is_unavailable: false,
+            driver_requests_lists: config.settings.subscribe,
         }
     }
 
-    /// Connections that are held.
+    /// The number of open connections.
     pub fn connection_count(&self) -> usize {
-        self.wires.len()
+        self.connections.len()
     }
 
-    pub fn wire(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
-        self.wires.get_mut(id)
+    pub fn buffer(&mut self, id: ConnId) -> Option<&mut ConnectionBuffer> {
+        self.connections.get_mut(id)
     }
 
-    pub fn room(&mut self, id: ConnId) -> usize {
-        self.wires.get_mut(id).map_or(0, |w| w.read_capacity(wheelfield_endpoints::LONGEST))
+    pub fn read_capacity(&mut self, id: ConnId) -> usize {
+        self.connections.get_mut(id).map_or(0, |buffer| buffer.read_capacity(wheelfield_endpoints::LONGEST))
     }
 
-    /// Whether a call is under way.
-    pub fn waiting(&self) -> bool {
-        self.waiting
+    /// Whether a request is in progress.
+    pub fn is_awaiting_response(&self) -> bool {
+        self.awaiting_response
     }
 
-    /// Asks anew: what a call that is under way brings may be of long ago.
-    pub fn ask_anew(&mut self, version: u64, out: &mut EffectQueue) {
-        if let Some(id) = self.id.take_if(|_| self.waiting) {
-            self.wires.remove(id);
+    /// Starts a new request and aborts one in progress, since its response may be out of date.
+    pub fn restart_request(&mut self, version: u64, out: &mut EffectQueue) {
+        if let Some(id) = self.connection.take_if(|_| self.awaiting_response) {
+            self.connections.remove(id);
             out.push(Effect::Close(id));
         }
-        self.ask(version, out);
+        self.request_list(version, out);
     }
 
-    /// Asks for a list newer than this version; on the connection at hand, or a new one.
-    pub fn ask(&mut self, version: u64, out: &mut EffectQueue) {
-        let Some(at) = self.at else { return };
-        self.waiting = true;
-        let id = match self.id {
+    /// Requests a list newer than this version, on the open connection or a new one.
+    pub fn request_list(&mut self, version: u64, out: &mut EffectQueue) {
+        let Some(registry) = self.registry else { return };
+        self.awaiting_response = true;
+        let id = match self.connection {
             Some(id) => id,
             None => {
-                let id = self.wires.insert(ConnectionBuffer::default());
-                (self.id, self.connected) = (Some(id), false);
-                out.push(Effect::Connect(id, at.address));
+                let id = self.connections.insert(ConnectionBuffer::default());
+                (self.connection, self.connected) = (Some(id), false);
+                out.push(Effect::Connect(id, registry.address));
                 id
             }
         };
-        let wait = if at.refresh == Refresh::Watch { WATCH_MS } else { 0 };
-        let path = format!("/engines?since={version}&wait_ms={wait}&who={}", self.index);
-        if let Some(wire) = self.wires.get_mut(id) {
-            http::write_request("GET", &path, b"", &mut wire.output);
+        let wait_ms = if registry.refresh == Refresh::Watch { WATCH_WAIT_MS } else { 0 };
+        let path = format!("/engines?since={version}&wait_ms={wait_ms}&who={}", self.gateway_index);
+        if let Some(buffer) = self.connections.get_mut(id) {
+            http::write_request("GET", &path, b"", &mut buffer.output);
             if self.connected {
-                wire.flush(id, out);
+                buffer.flush(id, out);
             }
         }
-        out.reset_timer(&mut self.timer, wait * 1000 + PATIENCE, TimerEvent::Registry);
+        out.reset_timer(&mut self.timer, wait_ms * 1000 + RESPONSE_TIMEOUT_US, TimerEvent::RegistryRequest);
     }
 
     pub fn connected(&mut self, id: ConnId, out: &mut EffectQueue) {
-        if let Some(wire) = self.wires.get_mut(id) {
+        if let Some(buffer) = self.connections.get_mut(id) {
             self.connected = true;
-            wire.flush(id, out);
+            buffer.flush(id, out);
         }
     }
 
-    /// Something came, or will come no more. Ask again while there is word.
-    pub fn read(&mut self, id: ConnId, out: &mut EffectQueue) -> Option<Told> {
-        let wire = self.wires.get_mut(id)?;
-        let response = match http::take_response(&mut wire.input, wheelfield_endpoints::LONGEST) {
+    /// Reads a response once it is complete. Fails the request if the connection was closed before.
+    pub fn read_response(&mut self, id: ConnId, out: &mut EffectQueue) -> Option<RegistryUpdate> {
+        let buffer = self.connections.get_mut(id)?;
+        let response = match http::take_response(&mut buffer.input, wheelfield_endpoints::LONGEST) {
             Ok(Some(response)) => response,
-            Ok(None) if wire.read_closed => return self.failed("the registry closed the connection", out),
+            Ok(None) if buffer.read_closed => {
+                return self.handle_failure("the registry closed the connection", out)
+            }
             Ok(None) => {
-                wire.resume_reading(id, wheelfield_endpoints::LONGEST, out);
+                buffer.resume_reading(id, wheelfield_endpoints::LONGEST, out);
                 return None;
             }
-            Err(fault) => return self.failed(&fault.to_string(), out),
+            Err(error) => return self.handle_failure(&error.to_string(), out),
         };
         if response.status != 200 {
-            return self.failed(&format!("the registry answers {}", response.status), out);
+            return self
+                .handle_failure(&format!("the registry responded with status {}", response.status), out);
         }
-        (self.silent, self.waiting) = (false, false);
-        // A call that waits there comes next; a registry that does not let it wait is not asked more often than this.
-        let after = match self.at.map(|r| (r.refresh, r.poll_interval.0)) {
-            Some((Refresh::Poll, every)) => every,
+        (self.is_unavailable, self.awaiting_response) = (false, false);
+        // A long-polling request is repeated after this delay, which limits the rate if the registry
+        // responds at once.
+        let delay = match self.registry.map(|registry| (registry.refresh, registry.poll_interval.0)) {
+            Some((Refresh::Poll, poll_interval)) => poll_interval,
             _ => 1_000,
         };
-        out.reset_timer(&mut self.timer, after, TimerEvent::Registry);
-        Some(Told::List(response.body))
+        out.reset_timer(&mut self.timer, delay, TimerEvent::RegistryRequest);
+        Some(RegistryUpdate::List(response.body))
     }
 
-    /// A call failed.
-    pub fn failed(&mut self, reason: &str, out: &mut EffectQueue) -> Option<Told> {
-        self.waiting = false;
-        if let Some(id) = self.id.take() {
-            self.wires.remove(id);
+    /// Handles a failed request.
+    pub fn handle_failure(&mut self, reason: &str, out: &mut EffectQueue) -> Option<RegistryUpdate> {
+        self.awaiting_response = false;
+        if let Some(id) = self.connection.take() {
+            self.connections.remove(id);
             out.push(Effect::Close(id));
         }
-        if std::mem::replace(&mut self.silent, true) {
+        if std::mem::replace(&mut self.is_unavailable, true) {
             debug!(reason, "the engine list could not be had");
         } else {
             warn!(reason, "the engine list could not be had; the last one stays");
         }
-        if self.subscribes {
+        if self.driver_requests_lists {
             out.cancel_timer(&mut self.timer);
-            return Some(Told::Unavailable);
+            return Some(RegistryUpdate::Unavailable);
         }
-        let every = self.at.map_or(1_000_000, |r| r.poll_interval.0);
-        out.reset_timer(&mut self.timer, every, TimerEvent::Registry);
+        let poll_interval = self.registry.map_or(1_000_000, |registry| registry.poll_interval.0);
+        out.reset_timer(&mut self.timer, poll_interval, TimerEvent::RegistryRequest);
         None
     }
 }
--- a/crates/pg-gateway/src/route.rs
+++ b/crates/pg-gateway/src/route.rs
@@ -1,4 +1,4 @@
-//! From what a query says of itself to what the module is told of it. No decision: a class, an estimate, a time.
+//! Maps a query's hints, user and text to what the policy needs to know: its class, deadline and estimates.
 
 use wheelfield::interface::Micros;
 use wheelfield_config::Config;
@@ -6,68 +6,87 @@
 use wheelfield_pg::client::{Identity, Unit};
 use wheelfield_pg::sql::Hints;
 
-/// Longest key that keeps an order, in bytes; a longer one is cut.
-const LONGEST_KEY: usize = 256;
+/// Maximum length of an ordering key, in bytes; longer keys are truncated.
+const MAX_KEY_BYTES: usize = 256;
 
-/// What a query's hints came to.
+/// A query as it is submitted to the driver.
 #[derive(Debug, PartialEq)]
-pub struct Routed {
-    /// What the driver is handed.
+pub struct RoutedQuery {
+    /// The arrival that is submitted to the driver.
     pub arrival: Arrival,
-    /// When the client gives up.
-    pub gives_up: Micros,
-    /// Hints that were unknown or ill-formed.
-    pub ignored: u32,
+    /// When the client stops waiting.
+    pub client_deadline: Micros,
+    /// Number of hints that were unknown or malformed.
+    pub ignored_hints: u32,
 }
 
-/// The class of a query: its own hint, the first selector that matches, or the default. Descriptions have their own.
-fn class_of(config: &Config, who: &Identity, unit: &Unit, hints: &Hints<'_>, ignored: &mut u32) -> usize {
+/// The class of a query: given by its hint, by the first matching selector, or by default. Queries that
+/// only describe a statement have a class of their own.
+fn class_of(
+    config: &Config,
+    identity: &Identity,
+    unit: &Unit,
+    hints: &Hints<'_>,
+    ignored_hints: &mut u32,
+) -> usize {
     let route = &config.route;
     if unit.describes {
         return route.describe_class;
     }
     if let Some(name) = &hints.class {
-        // The last class has no name of its own.
+        // The last class is the one for descriptions, which cannot be selected by name.
         match config.names.classes[..route.describe_class].iter().position(|n| n == name.as_ref()) {
             Some(class) => return class,
-            None => *ignored += 1,
+            None => *ignored_hints += 1,
         }
     }
-    let matches = |wanted: &Option<String>, is: &str| wanted.as_deref().is_none_or(|w| w == is);
-    let selected = route.selectors.iter().find(|s| {
-        matches(&s.user, &who.user)
-            && matches(&s.database, &who.database)
-            && matches(&s.application, &who.application)
-            && s.pattern.as_ref().is_none_or(|p| p.is_match(unit.text()))
+    let matches = |expected: &Option<String>, actual: &str| {
+        expected.as_deref().is_none_or(|expected| expected == actual)
+    };
+    let selected = route.selectors.iter().find(|selector| {
+        matches(&selector.user, &identity.user)
+            && matches(&selector.database, &identity.database)
+            && matches(&selector.application, &identity.application)
+            && selector.pattern.as_ref().is_none_or(|p| p.is_match(unit.text()))
     });
-    selected.map_or(route.default_class, |s| s.class)
+    selected.map_or(route.default_class, |selector| selector.class)
 }
 
-/// What the module is told of a unit.
-pub fn route(config: &Config, now: Micros, who: &Identity, unit: &Unit, hints: &Hints<'_>) -> Routed {
-    let mut ignored = hints.ignored;
-    let class = class_of(config, who, unit, hints, &mut ignored);
+/// Builds the arrival of a unit.
+pub fn route(
+    config: &Config,
+    now: Micros,
+    identity: &Identity,
+    unit: &Unit,
+    hints: &Hints<'_>,
+) -> RoutedQuery {
+    let mut ignored_hints = hints.ignored;
+    let class = class_of(config, identity, unit, hints, &mut ignored_hints);
     let settings = &config.settings.classes[class];
-    let patience = hints.due_ms.map_or(settings.deadline, |ms| Micros((ms.min(1e10) * 1e3) as i64));
-    let gives_up = now + patience.min(settings.deadline);
+    let time_limit = hints.due_ms.map_or(settings.deadline, |ms| Micros((ms.min(1e10) * 1e3) as i64));
+    let client_deadline = now + time_limit.min(settings.deadline);
     let mut key = hints.key.as_ref().filter(|_| settings.ordered_by_key).map(|k| k.to_string());
-    if let Some(key) = key.as_mut().filter(|k| k.len() > LONGEST_KEY) {
-        let mut end = LONGEST_KEY;
+    if let Some(key) = key.as_mut().filter(|k| k.len() > MAX_KEY_BYTES) {
+        let mut end = MAX_KEY_BYTES;
         while !key.is_char_boundary(end) {
             end -= 1;
         }
         key.truncate(end);
     }
-    // A description says of its statement what that will cost, not of itself.
-    let runs = !unit.describes;
+    // The cost hints apply to executing the statement, not to describing it.
+    let is_executed = !unit.describes;
     let arrival = Arrival {
         class,
-        tenant: config.names.tenants.iter().position(|t| *t == who.user),
+        tenant: config.names.tenants.iter().position(|t| *t == identity.user),
         key,
-        deadline: gives_up - config.timing.answer_margin,
-        work_hint: if runs { hints.work_ms.filter(|ms| *ms > 0.0).map(|ms| ms / 1e3) } else { Some(1e-3) },
-        memory_hint: hints.memory_mb.filter(|mb| runs && *mb > 0.0),
+        deadline: client_deadline - config.timing.answer_margin,
+        work_hint: if is_executed {
+            hints.work_ms.filter(|ms| *ms > 0.0).map(|ms| ms / 1e3)
+        } else {
+            Some(1e-3)
+        },
+        memory_hint: hints.memory_mb.filter(|mb| is_executed && *mb > 0.0),
         tables: hints.tables.unwrap_or(0),
     };
-    Routed { arrival, gives_up, ignored }
+    RoutedQuery { arrival, client_deadline, ignored_hints }
 }
--- a/crates/pg-gateway/src/shutdown.rs
+++ b/crates/pg-gateway/src/shutdown.rs
@@ -1,43 +1,43 @@
-//! The end of a controller: no new clients, what is held is answered, then all is over.
+//! Graceful shutdown: accepts no new clients, answers the queries in flight, and stops.
 
 use crate::effect_queue::{Effect, EffectQueue};
 use crate::timer_event::TimerEvent;
 use tracing::{info, warn};
 
-/// How far the end has come.
+/// The progress of a shutdown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Stop {
-    /// It serves.
+pub(crate) enum Shutdown {
+    /// No shutdown was requested.
     #[default]
-    Not,
-    /// Clients have so long to finish.
-    Stopping,
-    /// All is over.
+    Running,
+    /// Clients may finish until the drain timeout.
+    Draining,
+    /// The gateway has stopped.
     Stopped,
 }
 
-impl Stop {
-    /// A stop was asked for; true if it is the first time.
-    pub fn begin(&mut self, clients: usize, drain: i64, out: &mut EffectQueue) -> bool {
-        if *self != Stop::Not {
+impl Shutdown {
+    /// Starts the shutdown. Returns whether this is the first request.
+    pub fn start(&mut self, clients: usize, drain_timeout: i64, out: &mut EffectQueue) -> bool {
+        if *self != Shutdown::Running {
             return false;
         }
-        *self = Stop::Stopping;
-        info!(clients, "stopping");
+        *self = Shutdown::Draining;
+        info!(clients, "shutdown started; draining clients");
         out.push(Effect::StopListening);
-        out.set_timer_after(drain, TimerEvent::Stop);
+        out.set_timer_after(drain_timeout, TimerEvent::DrainTimeout);
         true
     }
 
-    /// Clients had their time.
-    pub fn late(&mut self, clients: usize, out: &mut EffectQueue) {
-        warn!(clients, "clients that did not finish in time are closed");
-        self.over(out);
+    /// Stops although some clients have not finished.
+    pub fn handle_drain_timeout(&mut self, clients: usize, out: &mut EffectQueue) {
+        warn!(clients, "drain timeout expired; closing the remaining clients");
+        self.finish(out);
     }
 
-    /// Nothing is left to be answered.
-    pub fn over(&mut self, out: &mut EffectQueue) {
-        if std::mem::replace(self, Stop::Stopped) != Stop::Stopped {
+    /// Stops once no client is left.
+    pub fn finish(&mut self, out: &mut EffectQueue) {
+        if std::mem::replace(self, Shutdown::Stopped) != Shutdown::Stopped {
             out.push(Effect::Stopped);
         }
     }
--- a/crates/pg-gateway/src/peer_load.rs
+++ b/crates/pg-gateway/src/sql_errors.rs
@@ -1,42 +1,42 @@
-//! What clients are told where no engine answers them.
+//! The SQL errors that the gateway itself sends to clients.
 
 use wheelfield::interface::Micros;
 use wheelfield_driver::Answer;
 use wheelfield_pg::back::Trouble;
 
-/// Too many queries are held.
-pub(crate) fn crowded() -> Trouble {
+/// The limit of queries in flight is reached.
+pub(crate) fn too_many_queries() -> Trouble {
     Trouble::error("53300", "the controller holds as many queries as it may")
         .detail("retry_after_ms=1000")
         .hint("nothing of it ran; come back in a second")
 }
 
-/// A batch grew beyond what may be held.
-pub(crate) fn too_long() -> Trouble {
+/// An open batch exceeds the limit.
+pub(crate) fn batch_too_long() -> Trouble {
     Trouble::error("54000", "a batch longer than a controller may hold").hint("send a Sync more often")
 }
 
-/// The client asked for it.
+/// The client cancelled the query.
 pub(crate) fn cancelled() -> Trouble {
     Trouble::error("57014", "canceling statement due to user request")
 }
 
-/// Milliseconds of an advice, rounded up.
-pub(crate) fn advice_ms(after: Micros) -> i64 {
-    (after.0 + 999) / 1000
+/// A retry delay in milliseconds, rounded up.
+pub(crate) fn retry_after_ms(delay: Micros) -> i64 {
+    (delay.0 + 999) / 1000
 }
 
-/// A final answer of the driver.
-pub(crate) fn of(answer: Answer) -> Trouble {
+/// The error for a final answer of the driver.
+pub(crate) fn for_answer(answer: Answer) -> Trouble {
     match answer {
         Answer::Rejected { retry_after } => {
-            let ms = advice_ms(retry_after);
-            let trouble = Trouble::error("53300", "refused: the engines are full");
-            if ms > 0 {
-                let hint = format!("trying again is harmless; come back in {ms} ms");
-                trouble.detail(format!("retry_after_ms={ms}")).hint(hint)
+            let delay_ms = retry_after_ms(retry_after);
+            let error = Trouble::error("53300", "refused: the engines are full");
+            if delay_ms > 0 {
+                let hint = format!("trying again is harmless; come back in {delay_ms} ms");
+                error.detail(format!("retry_after_ms={delay_ms}")).hint(hint)
             } else {
-                trouble.hint("trying again is harmless")
+                error.hint("trying again is harmless")
             }
         }
         Answer::Failed { may_have_run: true } => {
--- a/crates/pg-gateway/src/timer_event.rs
+++ b/crates/pg-gateway/src/timer_event.rs
@@ -1,32 +1,32 @@
-//! What a timer is for.
+//! The purposes of timers.
 
 use wheelfield_sans_io::ConnId;
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TimerEvent {
-    /// The gossip has something due.
+    /// The next gossip protocol step is due.
     Gossip,
-    /// A client must have introduced itself.
-    Startup(ConnId),
-    /// A client takes nothing of its answer.
-    Reader(ConnId),
-    /// An engine must have let us in.
-    Connect(ConnId),
-    /// An engine that has begun an answer must go on.
-    Stall(ConnId),
-    /// A session whose answer nobody wants must have come clean.
-    Abandon(ConnId),
-    /// A request to cancel must have been taken.
-    Cancel(ConnId),
-    /// A probe must have come back.
-    Probe(ConnId),
-    /// The registry is asked again.
-    Registry,
-    /// New queries wait no longer for the registry.
-    ListWaitOver,
-    /// Once a second: idle sessions, age of what was heard, captures.
-    Sweep,
-    /// Clients had their time to finish.
-    Stop,
+    /// A client must have sent its startup packet.
+    ClientStartupTimeout(ConnId),
+    /// A client must have read some of its answer.
+    ClientReadTimeout(ConnId),
+    /// An engine session must have started.
+    EngineConnectTimeout(ConnId),
+    /// An engine must have continued the answer that it has begun.
+    AnswerStallCheck(ConnId),
+    /// A discarded answer must have ended.
+    DiscardTimeout(ConnId),
+    /// A cancel request must have been processed.
+    CancelRequestTimeout(ConnId),
+    /// A probe must have been answered.
+    ProbeTimeout(ConnId),
+    /// The next registry request is due.
+    RegistryRequest,
+    /// New queries no longer wait for the engine list.
+    EngineListWaitTimeout,
+    /// Periodic closing of idle sessions, check of the registry age, and capture maintenance.
+    Maintenance,
+    /// Clients must have finished during a shutdown.
+    DrainTimeout,
 }
