--- a/crates/pg-gateway/tests/common/mod.rs
+++ b/crates/pg-gateway/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A gate and one stand-in engine wired to each other without a network, and clients that speak by the byte.
+//! A test harness: a gateway and one emulated engine that are connected without a network, and clients that
+//! send raw bytes.
 #![allow(dead_code)]
 
 use bytes::{BufMut as _, BytesMut};
@@ -39,227 +40,230 @@
 zone = "a"
 "#;
 
-/// Something told, to be told again.
+/// A recorded call to the gateway, which can be replayed.
 #[derive(Clone, Debug)]
 pub enum Step {
     Accept,
-    Started,
+    Start,
     Connected(ConnId),
     Received(ConnId, Vec<u8>),
-    Ended(ConnId),
-    Broken(ConnId),
-    Wrote(ConnId, usize),
-    /// It was asked how much may come: that it was too little is remembered.
-    Room(ConnId),
-    Due,
-    Stop,
-    Effects,
+    PeerClosed(ConnId),
+    ConnectionBroken(ConnId),
+    BytesWritten(ConnId, usize),
+    /// A query of the read capacity. It is replayed too, since the gateway remembers that reading is
+    /// paused.
+    ReadCapacity(ConnId),
+    Timers,
+    Shutdown,
+    TakeEffects,
 }
 
-pub struct Wired {
-    pub gate: PgGateway,
-    pub stand: Stand,
+pub struct Harness {
+    pub gateway: PgGateway,
+    pub engine: Stand,
     pub now: i64,
-    /// Bytes go in parts of so many at most.
-    pub part: usize,
+    /// Maximum number of bytes of a read or write.
+    pub chunk_size: usize,
     pub steps: Vec<(i64, Step)>,
-    /// What was written, by connection.
+    /// What was written to each client.
     pub written: HashMap<ConnId, Vec<u8>>,
     pub effects: Vec<String>,
     pub closed: Vec<ConnId>,
     pub stopped: bool,
-    /// So many wait in the backlog, and are taken as listening ends; and who they were.
+    /// Number of clients in the accept backlog, which are accepted when listening ends, and their
+    /// connections.
     pub backlog: usize,
-    pub taken_late: Vec<ConnId>,
-    engine_of: HashMap<ConnId, ConnId>,
-    gate_of: HashMap<ConnId, ConnId>,
+    pub accepted_late: Vec<ConnId>,
+    engine_connections: HashMap<ConnId, ConnId>,
+    gateway_connections: HashMap<ConnId, ConnId>,
 }
 
-pub fn gate(now: i64) -> PgGateway {
+pub fn new_gateway(now: i64) -> PgGateway {
     let config = wheelfield_config::parse("test", CONFIG).unwrap_or_else(|fault| panic!("{fault}"));
-    let mind = Box::new(Driver::new(config.settings.clone(), 1, DriverLimits::default()));
-    let start = PgGatewayOptions {
+    let driver = Box::new(Driver::new(config.settings.clone(), 1, DriverLimits::default()));
+    let options = PgGatewayOptions {
         now,
         seed: 1,
         cancel_key_seed: [7; 32],
-        decision_engine: mind,
+        decision_engine: driver,
         recorder: None,
         peer_address: None,
         gossip: None,
         fault: None,
     };
-    PgGateway::new(config, start)
+    PgGateway::new(config, options)
 }
 
-impl Wired {
-    pub fn new(part: usize) -> Wired {
+impl Harness {
+    pub fn new(chunk_size: usize) -> Harness {
         let now = 1_000_000;
-        let hosted = Setup::plain(1).engines.remove(0);
-        let mut wired = Wired {
-            gate: gate(now),
-            stand: Stand::new(hosted, now, 1),
+        let hosted_engine = Setup::plain(1).engines.remove(0);
+        let mut harness = Harness {
+            gateway: new_gateway(now),
+            engine: Stand::new(hosted_engine, now, 1),
             now,
-            part,
+            chunk_size,
             steps: Vec::new(),
             written: HashMap::new(),
             effects: Vec::new(),
             closed: Vec::new(),
             stopped: false,
             backlog: 0,
-            taken_late: Vec::new(),
-            engine_of: HashMap::new(),
-            gate_of: HashMap::new(),
+            accepted_late: Vec::new(),
+            engine_connections: HashMap::new(),
+            gateway_connections: HashMap::new(),
         };
-        wired.tell(Step::Started);
-        wired.settle();
-        wired
+        harness.apply_step(Step::Start);
+        harness.run_until_idle();
+        harness
     }
 
-    /// Tells a step, and keeps it.
-    pub fn tell(&mut self, step: Step) -> Option<ConnId> {
+    /// Executes a step and records it.
+    pub fn apply_step(&mut self, step: Step) -> Option<ConnId> {
         self.steps.push((self.now, step.clone()));
-        apply(&mut self.gate, self.now, &step)
+        apply(&mut self.gateway, self.now, &step)
     }
 
-    fn room(&mut self, id: ConnId) -> usize {
-        self.steps.push((self.now, Step::Room(id)));
-        self.gate.read_capacity(id)
+    fn read_capacity(&mut self, id: ConnId) -> usize {
+        self.steps.push((self.now, Step::ReadCapacity(id)));
+        self.gateway.read_capacity(id)
     }
 
     pub fn client(&mut self) -> ConnId {
-        let id = self.tell(Step::Accept).expect("accepted");
-        self.settle();
+        let id = self.apply_step(Step::Accept).expect("accepted");
+        self.run_until_idle();
         id
     }
 
-    /// A client that has introduced itself.
-    pub fn started(&mut self) -> ConnId {
+    /// A client that has sent its startup packet.
+    pub fn started_client(&mut self) -> ConnId {
         let id = self.client();
-        self.say(id, &startup());
+        self.send(id, &startup());
         id
     }
 
-    /// A client sends bytes, in parts.
-    pub fn say(&mut self, id: ConnId, bytes: &[u8]) {
-        for part in bytes.chunks(self.part) {
-            assert!(self.room(id) >= part.len(), "no room");
-            self.tell(Step::Received(id, part.to_vec()));
-            self.settle();
+    /// Sends bytes from a client, in chunks.
+    pub fn send(&mut self, id: ConnId, bytes: &[u8]) {
+        for chunk in bytes.chunks(self.chunk_size) {
+            assert!(self.read_capacity(id) >= chunk.len(), "not enough read capacity");
+            self.apply_step(Step::Received(id, chunk.to_vec()));
+            self.run_until_idle();
         }
     }
 
-    pub fn heard(&self, id: ConnId) -> Vec<u8> {
+    pub fn received(&self, id: ConnId) -> Vec<u8> {
         self.written.get(&id).cloned().unwrap_or_default()
     }
 
-    /// Lets all that is wanted be done, on both sides.
-    pub fn settle(&mut self) {
-        let (mut effects, mut doing) = (Vec::new(), Vec::new());
+    /// Executes all effects of the gateway and all actions of the engine.
+    pub fn run_until_idle(&mut self) {
+        let (mut effects, mut actions) = (Vec::new(), Vec::new());
         for _ in 0..100_000 {
-            self.steps.push((self.now, Step::Effects));
-            self.gate.take_effects(&mut effects);
-            self.stand.doings(&mut doing);
-            if effects.is_empty() && doing.is_empty() {
+            self.steps.push((self.now, Step::TakeEffects));
+            self.gateway.take_effects(&mut effects);
+            self.engine.doings(&mut actions);
+            if effects.is_empty() && actions.is_empty() {
                 return;
             }
             for effect in effects.drain(..) {
                 self.effects.push(format!("{effect:?}"));
-                // Nothing more is done from here on.
+                // A stopped gateway executes nothing more.
                 if self.stopped {
                     continue;
                 }
                 match effect {
                     Effect::Connect(id, _) => {
-                        let there = self.stand.accept();
-                        self.engine_of.insert(id, there);
-                        self.gate_of.insert(there, id);
-                        self.tell(Step::Connected(id));
+                        let engine_connection = self.engine.accept();
+                        self.engine_connections.insert(id, engine_connection);
+                        self.gateway_connections.insert(engine_connection, id);
+                        self.apply_step(Step::Connected(id));
                     }
                     Effect::Write(id) => self.write(id),
                     Effect::Close(id) => {
                         self.closed.push(id);
-                        if let Some(there) = self.engine_of.remove(&id) {
-                            self.gate_of.remove(&there);
-                            self.stand.gone(there, self.now);
+                        if let Some(engine_connection) = self.engine_connections.remove(&id) {
+                            self.gateway_connections.remove(&engine_connection);
+                            self.engine.gone(engine_connection, self.now);
                         }
                     }
                     Effect::StopListening => {
                         for _ in 0..std::mem::take(&mut self.backlog) {
-                            let id = self.tell(Step::Accept).expect("accepted");
-                            self.taken_late.push(id);
+                            let id = self.apply_step(Step::Accept).expect("accepted");
+                            self.accepted_late.push(id);
                         }
-                        self.gate.handle_listening_stopped(self.now);
+                        self.gateway.handle_listening_stopped(self.now);
                     }
                     Effect::Stopped => self.stopped = true,
                     _ => {}
                 }
             }
-            for what in doing.drain(..) {
-                match what {
-                    Do::Write(there) => self.answer(there),
-                    Do::Close(there, _) => {
-                        if let Some(id) = self.gate_of.remove(&there) {
-                            self.engine_of.remove(&id);
-                            self.tell(Step::Ended(id));
+            for action in actions.drain(..) {
+                match action {
+                    Do::Write(engine_connection) => self.read_engine(engine_connection),
+                    Do::Close(engine_connection, _) => {
+                        if let Some(id) = self.gateway_connections.remove(&engine_connection) {
+                            self.engine_connections.remove(&id);
+                            self.apply_step(Step::PeerClosed(id));
                         }
                     }
                     _ => {}
                 }
             }
         }
-        panic!("it does not settle");
+        panic!("the gateway and the engine do not become idle");
     }
 
     fn write(&mut self, id: ConnId) {
         loop {
-            let n = self.gate.output(id).len().min(self.part);
-            if n == 0 {
+            let count = self.gateway.output(id).len().min(self.chunk_size);
+            if count == 0 {
                 return;
             }
-            let bytes = self.gate.output(id)[..n].to_vec();
-            self.tell(Step::Wrote(id, n));
-            match self.engine_of.get(&id) {
-                Some(there) => self.stand.receive(*there, &bytes, self.now),
+            let bytes = self.gateway.output(id)[..count].to_vec();
+            self.apply_step(Step::BytesWritten(id, count));
+            match self.engine_connections.get(&id) {
+                Some(engine_connection) => self.engine.receive(*engine_connection, &bytes, self.now),
                 None => self.written.entry(id).or_default().extend(bytes),
             }
         }
     }
 
-    fn answer(&mut self, there: ConnId) {
-        let Some(id) = self.gate_of.get(&there).copied() else { return };
+    fn read_engine(&mut self, engine_connection: ConnId) {
+        let Some(id) = self.gateway_connections.get(&engine_connection).copied() else { return };
         loop {
-            let n = self.stand.output(there).len().min(self.part).min(self.room(id));
-            if n == 0 {
+            let count =
+                self.engine.output(engine_connection).len().min(self.chunk_size).min(self.read_capacity(id));
+            if count == 0 {
                 return;
             }
-            let bytes = self.stand.output(there)[..n].to_vec();
-            self.stand.wrote(there, n, self.now);
-            self.tell(Step::Received(id, bytes));
+            let bytes = self.engine.output(engine_connection)[..count].to_vec();
+            self.engine.wrote(engine_connection, count, self.now);
+            self.apply_step(Step::Received(id, bytes));
         }
     }
 
-    /// Lets time pass, in steps of a millisecond at most.
-    pub fn pass(&mut self, us: i64) {
+    /// Advances the time to each due timer.
+    pub fn advance(&mut self, us: i64) {
         let end = self.now + us;
         while self.now < end {
-            let next = [self.gate.next_timer_at(), self.stand.next()].into_iter().flatten().min();
+            let next = [self.gateway.next_timer_at(), self.engine.next()].into_iter().flatten().min();
             self.now = next.unwrap_or(end).clamp(self.now + 1, end);
-            self.stand.advance(self.now);
-            self.tell(Step::Due);
-            self.settle();
+            self.engine.advance(self.now);
+            self.apply_step(Step::Timers);
+            self.run_until_idle();
         }
     }
 }
 
-/// Tells a step to a gate.
-pub fn apply(gate: &mut PgGateway, now: i64, step: &Step) -> Option<ConnId> {
+/// Executes a step on a gateway.
+pub fn apply(gateway: &mut PgGateway, now: i64, step: &Step) -> Option<ConnId> {
     match step {
-        Step::Accept => return gate.accept(now, Listener::Clients),
-        Step::Started => gate.handle(now, GatewayEvent::Started),
-        Step::Connected(id) => gate.handle(now, GatewayEvent::Io(IoEvent::Connected(*id))),
-        Step::Received(id, bytes) => gate.handle(now, GatewayEvent::Io(IoEvent::Received(*id, bytes))),
-        Step::Ended(id) => gate.handle(now, GatewayEvent::Io(IoEvent::Ended(*id))),
-        Step::Broken(id) => gate.handle(
+        Step::Accept => return gateway.accept(now, Listener::Clients),
+        Step::Start => gateway.handle(now, GatewayEvent::Started),
+        Step::Connected(id) => gateway.handle(now, GatewayEvent::Io(IoEvent::Connected(*id))),
+        Step::Received(id, bytes) => gateway.handle(now, GatewayEvent::Io(IoEvent::Received(*id, bytes))),
+        Step::PeerClosed(id) => gateway.handle(now, GatewayEvent::Io(IoEvent::Ended(*id))),
+        Step::ConnectionBroken(id) => gateway.handle(
             now,
             GatewayEvent::Io(IoEvent::Broken {
                 id: *id,
@@ -268,13 +272,13 @@
                 reason: "reset",
             }),
         ),
-        Step::Wrote(id, n) => gate.bytes_written(now, *id, *n),
-        Step::Room(id) => {
-            gate.read_capacity(*id);
+        Step::BytesWritten(id, count) => gateway.bytes_written(now, *id, *count),
+        Step::ReadCapacity(id) => {
+            gateway.read_capacity(*id);
         }
-        Step::Due => gate.handle_timers(now),
-        Step::Stop => gate.handle(now, GatewayEvent::ShutdownRequested),
-        Step::Effects => {}
+        Step::Timers => gateway.handle_timers(now),
+        Step::Shutdown => gateway.handle(now, GatewayEvent::ShutdownRequested),
+        Step::TakeEffects => {}
     }
     None
 }
@@ -291,7 +295,7 @@
     out.to_vec()
 }
 
-/// A message of the extended protocol.
+/// A message of the extended query protocol.
 pub fn message(tag: u8, body: &[u8]) -> Vec<u8> {
     let mut out = BytesMut::new();
     out.put_u8(tag);
@@ -300,20 +304,20 @@
     out.to_vec()
 }
 
-/// Parse, Bind and Execute of a text, without a Sync.
+/// Parse, Bind and Execute messages for a statement, without a Sync.
 pub fn execute(text: &str) -> Vec<u8> {
     let parse = [&b"\0"[..], text.as_bytes(), b"\0\0\0"].concat();
     let all = [message(b'P', &parse), message(b'B', &[0; 8]), message(b'E', &[0; 5])];
     all.concat()
 }
 
-/// The types of the messages of an answer, after the startup's.
-pub fn types(bytes: &[u8]) -> String {
-    let (mut rest, mut out) = (bytes, String::new());
+/// The types of the messages in an answer.
+pub fn message_types(bytes: &[u8]) -> String {
+    let (mut rest, mut types) = (bytes, String::new());
     while rest.len() >= 5 {
         let length = u32::from_be_bytes([rest[1], rest[2], rest[3], rest[4]]) as usize;
-        out.push(rest[0] as char);
+        types.push(rest[0] as char);
         rest = rest.get(1 + length..).unwrap_or(&[]);
     }
-    out
+    types
 }
