--- a/crates/controller/tests/executor_list_age.rs
+++ b/crates/controller/tests/executor_list_age.rs
@@ -116,7 +116,7 @@
         .expect("set");
     client.asks("look", 2);
     until("a write that failed", || {
-        faults.injected(Call::WriteConnected).expect("set") > 0
+        faults.injected_count(Call::WriteConnected).expect("set") > 0
     });
     (program, client)
 }
@@ -305,7 +305,7 @@
         .expect("set");
     let program = Program::spawn_with_faults(&pair.config(&names), &faults);
     until("a bind that failed", || {
-        faults.injected(Call::Bind).expect("set") > 0
+        faults.injected_count(Call::Bind).expect("set") > 0
     });
     names.has(2, &pair.after(Leaves::Drains));
     let told_at = Instant::now() + TOLD_WITHIN;
@@ -355,7 +355,7 @@
     let told_at = names.told_at(2).expect("told");
     sleep(Duration::from_millis(700));
     faults.succeed(Call::ReceiveDatagram).expect("set");
-    let failed = faults.injected(Call::ReceiveDatagram).expect("set");
+    let failed = faults.injected_count(Call::ReceiveDatagram).expect("set");
     // Every five milliseconds, and what traffic adds.
     assert!((1..1_000).contains(&failed), "{failed} failing calls");
     pair.assert_nothing_past_the_grace(told_at, "unreadable answers");
--- a/crates/controller/tests/system_faults.rs
+++ b/crates/controller/tests/system_faults.rs
@@ -42,7 +42,7 @@
 }
 
 fn injected(faults: &FaultControl, call: Call) -> u64 {
-    faults.injected(call).expect("a control file")
+    faults.injected_count(call).expect("a control file")
 }
 
 #[test]
@@ -300,7 +300,7 @@
     let faults = no_faults();
     let right = queries_to_the_newcomer(&faults, unix_ms(), Duration::ZERO);
     faults
-        .put_wall_clock_ahead(Duration::from_secs(3_600))
+        .set_wall_clock_ahead(Duration::from_secs(3_600))
         .expect("set");
     let ahead = queries_to_the_newcomer(&faults, unix_ms(), Duration::ZERO);
     assert!(right < 20, "by the right clock: {right} of 400");
@@ -314,7 +314,7 @@
 fn slow_start_ends_in_its_time_though_the_wall_clock_is_behind() {
     let faults = no_faults();
     faults
-        .put_wall_clock_behind(Duration::from_secs(3_600))
+        .set_wall_clock_behind(Duration::from_secs(3_600))
         .expect("set");
     let served = queries_to_the_newcomer(&faults, unix_ms(), Duration::from_millis(3_500));
     assert!(served > 40, "{served} of 400 after slow start");
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -137,7 +137,7 @@
     ///
     /// # Errors
     /// If the control file cannot be read.
-    pub fn injected(&self, call: Call) -> io::Result<u64> {
+    pub fn injected_count(&self, call: Call) -> io::Result<u64> {
         let mut bytes = [0; SLOT_BYTES as usize];
         self.control()
             .read_exact_at(&mut bytes, (slot_of(call) + 2) * SLOT_BYTES)?;
@@ -157,7 +157,7 @@
     ///
     /// # Errors
     /// If the control file cannot be written.
-    pub fn put_wall_clock_ahead(&self, by: Duration) -> io::Result<()> {
+    pub fn set_wall_clock_ahead(&self, by: Duration) -> io::Result<()> {
         self.set(WALL_SHIFT, nanoseconds(by))
     }
 
@@ -165,7 +165,7 @@
     ///
     /// # Errors
     /// If the control file cannot be written.
-    pub fn put_wall_clock_behind(&self, by: Duration) -> io::Result<()> {
+    pub fn set_wall_clock_behind(&self, by: Duration) -> io::Result<()> {
         self.set(WALL_SHIFT, -nanoseconds(by))
     }
 
--- a/crates/soak/src/cluster/faults.rs
+++ b/crates/soak/src/cluster/faults.rs
@@ -222,9 +222,9 @@
 fn step_wall_clock(controller: &Controller, seconds: i64) -> Result<()> {
     let by = Duration::from_secs(seconds.unsigned_abs());
     if seconds < 0 {
-        controller.faults.put_wall_clock_behind(by)?;
+        controller.faults.set_wall_clock_behind(by)?;
     } else {
-        controller.faults.put_wall_clock_ahead(by)?;
+        controller.faults.set_wall_clock_ahead(by)?;
     }
     Ok(())
 }
