--- a/crates/controller/tests/common/mod.rs
+++ b/crates/controller/tests/common/mod.rs
@@ -17,23 +17,23 @@
 use wheelfield_pg::{back, frame, front};
 
 /// What is awaited must come within this; no verdict rests on how soon.
-pub const SOON: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Stand-ins in a thread.
 pub struct Engines {
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
-    pub told: Value,
+    pub addresses: Value,
     log: std::path::PathBuf,
     _dir: tempfile::TempDir,
 }
 
 impl Engines {
     pub fn start(n: usize) -> Engines {
-        Engines::with(Setup::plain(n))
+        Engines::with_setup(Setup::plain(n))
     }
 
-    pub fn with(setup: Setup) -> Engines {
+    pub fn with_setup(setup: Setup) -> Engines {
         let dir = tempfile::tempdir().expect("a folder");
         let log = dir.path().join("log");
         let stop = Arc::new(AtomicBool::new(false));
@@ -44,22 +44,24 @@
             sender.send(host.addresses()).expect("the test waits");
             host.serve(&flag).expect("serves");
         });
-        let told = receiver.recv_timeout(SOON).expect("the engines start");
+        let addresses = receiver
+            .recv_timeout(WAIT_TIMEOUT)
+            .expect("the engines start");
         Engines {
             stop,
             thread: Some(thread),
-            told,
+            addresses,
             log,
             _dir: dir,
         }
     }
 
     pub fn address(&self, name: &str) -> String {
-        self.told[name].as_str().expect("told").to_string()
+        self.addresses[name].as_str().expect("told").to_string()
     }
 
-    pub fn list(&self) -> String {
-        let engines = self.told["engines"].as_array().expect("told");
+    pub fn config_entries(&self) -> String {
+        let engines = self.addresses["engines"].as_array().expect("told");
         let one = |e: &Value| {
             format!(
                 "[[engines]]\nid = {}\naddress = {}\nkind = \"std\"\nzone = \"a\"\n",
@@ -69,7 +71,7 @@
         engines.iter().map(one).collect()
     }
 
-    pub fn fault(&self, engine: usize, kind: &str, value: f64) {
+    pub fn inject_fault(&self, engine: usize, kind: &str, value: f64) {
         let (status, body) = http(
             &self.address("control"),
             "POST",
@@ -83,7 +85,7 @@
         serde_json::from_str(&body).expect("JSON")
     }
 
-    pub fn in_hand(&self) -> u64 {
+    pub fn running_queries(&self) -> u64 {
         let state = self.state();
         state["engines"]
             .as_array()
@@ -94,13 +96,15 @@
     }
 
     /// The first line of an event of a query, awaited: the log is written at the end of a turn.
-    pub fn first(&self, event: &str, query: &str) -> Value {
-        await_that("a line of the log", || !self.log(event, query).is_empty());
-        self.log(event, query).remove(0)
+    pub fn first_log_entry(&self, event: &str, query: &str) -> Value {
+        wait_until("a line of the log", || {
+            !self.log_entries(event, query).is_empty()
+        });
+        self.log_entries(event, query).remove(0)
     }
 
     /// The log's lines of an event, of one query or of all.
-    pub fn log(&self, event: &str, query: &str) -> Vec<Value> {
+    pub fn log_entries(&self, event: &str, query: &str) -> Vec<Value> {
         let text = std::fs::read_to_string(&self.log).expect("a log");
         // The last line may be half written.
         let lines = text
@@ -127,13 +131,13 @@
     pub admin: String,
     pub peers: Option<String>,
     pub gossip: Option<String>,
-    stop: UnixStream,
-    keep: UnixStream,
+    shutdown_signal: UnixStream,
+    capture_signal: UnixStream,
     thread: Option<JoinHandle<()>>,
 }
 
-pub const HEAD: &str = "listen = \"127.0.0.1:0\"\nadmin = \"127.0.0.1:0\"\n";
-pub const BODY: &str = r#"
+pub const LISTEN_CONFIG: &str = "listen = \"127.0.0.1:0\"\nadmin = \"127.0.0.1:0\"\n";
+pub const BASE_CONFIG: &str = r#"
 [fleet]
 zones = ["a"]
 [[fleet.kinds]]
@@ -157,38 +161,47 @@
 "#;
 
 impl Controller {
-    pub fn start(text: &str) -> Controller {
+    pub fn start(config_text: &str) -> Controller {
         let config =
-            wheelfield_config::parse("test", text).unwrap_or_else(|fault| panic!("{fault}"));
-        let (stop, heard) = UnixStream::pair().expect("a pair");
-        let (keep, wanted) = UnixStream::pair().expect("a pair");
+            wheelfield_config::parse("test", config_text).unwrap_or_else(|fault| panic!("{fault}"));
+        let (shutdown_signal, shutdown_receiver) = UnixStream::pair().expect("a pair");
+        let (capture_signal, capture_receiver) = UnixStream::pair().expect("a pair");
         let (sender, receiver) = channel();
         let thread = std::thread::spawn(move || {
             let mut controller = PostgresController::open(config, 7, None).expect("sockets");
-            controller.shut_down_on(heard).expect("a stream");
-            controller.write_capture_on(wanted).expect("a stream");
+            controller
+                .shut_down_on(shutdown_receiver)
+                .expect("a stream");
+            controller
+                .write_capture_on(capture_receiver)
+                .expect("a stream");
             sender.send(controller.addresses()).expect("the test waits");
             controller.run().expect("runs");
         });
-        let told = receiver.recv_timeout(SOON).expect("the controller starts");
-        let text = |name: &str| told[name].as_str().map(str::to_string);
+        let addresses = receiver
+            .recv_timeout(WAIT_TIMEOUT)
+            .expect("the controller starts");
+        let text = |name: &str| addresses[name].as_str().map(str::to_string);
         Controller {
             address: text("listen").expect("told").parse().expect("an address"),
             admin: text("admin").expect("told"),
             peers: text("peers"),
             gossip: text("gossip"),
-            stop,
-            keep,
+            shutdown_signal,
+            capture_signal,
             thread: Some(thread),
         }
     }
 
     /// A controller on these engines, with more of a configuration.
-    pub fn on(engines: &Engines, more: &str) -> Controller {
-        Controller::start(&format!("{HEAD}{BODY}{more}\n{}", engines.list()))
+    pub fn with_engines(engines: &Engines, more: &str) -> Controller {
+        Controller::start(&format!(
+            "{LISTEN_CONFIG}{BASE_CONFIG}{more}\n{}",
+            engines.config_entries()
+        ))
     }
 
-    pub fn figure(&self, name: &str) -> u64 {
+    pub fn status_value(&self, name: &str) -> u64 {
         let (_, body) = http(&self.admin, "GET", "/status");
         let status: Value = serde_json::from_str(&body).expect("JSON");
         status["figures"][name]
@@ -197,18 +210,18 @@
     }
 
     /// Waits until a figure is so.
-    pub fn await_figure(&self, name: &str, is: impl Fn(u64) -> bool) {
-        await_that(name, || is(self.figure(name)));
+    pub fn wait_for_status(&self, name: &str, is: impl Fn(u64) -> bool) {
+        wait_until(name, || is(self.status_value(name)));
     }
 
     /// As on SIGTERM.
-    pub fn ask_to_stop(&mut self) {
-        self.stop.write_all(b"x").expect("it listens");
+    pub fn request_shutdown(&mut self) {
+        self.shutdown_signal.write_all(b"x").expect("it listens");
     }
 
     /// As on SIGUSR1.
-    pub fn ask_for_capture(&mut self) {
-        self.keep.write_all(b"x").expect("it listens");
+    pub fn request_capture(&mut self) {
+        self.capture_signal.write_all(b"x").expect("it listens");
     }
 
     pub fn join(&mut self) {
@@ -219,7 +232,7 @@
             .expect("it ends well");
     }
 
-    pub fn library(&self) -> postgres::Client {
+    pub fn postgres_client(&self) -> postgres::Client {
         let config = format!(
             "host=127.0.0.1 port={} user=me dbname=lab",
             self.address.port()
@@ -227,22 +240,22 @@
         postgres::Client::connect(&config, postgres::NoTls).expect("a real client connects")
     }
 
-    pub fn raw(&self) -> Raw {
-        Raw::connect(self.address)
+    pub fn raw_client(&self) -> RawClient {
+        RawClient::connect(self.address)
     }
 }
 
 impl Drop for Controller {
     fn drop(&mut self) {
-        let _ = self.stop.write_all(b"x");
+        let _ = self.shutdown_signal.write_all(b"x");
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-pub fn await_that(what: &str, is: impl Fn() -> bool) {
-    let until = Instant::now() + SOON;
+pub fn wait_until(what: &str, is: impl Fn() -> bool) {
+    let until = Instant::now() + WAIT_TIMEOUT;
     while !is() {
         assert!(Instant::now() < until, "did not come: {what}");
         std::thread::sleep(Duration::from_millis(2));
@@ -251,7 +264,9 @@
 
 pub fn http(address: &str, method: &str, path: &str) -> (u16, String) {
     let mut stream = TcpStream::connect(address).expect("it listens");
-    stream.set_read_timeout(Some(SOON)).expect("a socket");
+    stream
+        .set_read_timeout(Some(WAIT_TIMEOUT))
+        .expect("a socket");
     let mut out = BytesMut::new();
     wheelfield_net::http::write_request(method, path, b"", &mut out);
     stream.write_all(&out).expect("it reads");
@@ -267,30 +282,32 @@
 }
 
 /// A client that speaks by the byte.
-pub struct Raw {
+pub struct RawClient {
     pub stream: TcpStream,
     input: BytesMut,
-    pub pid: i32,
-    pub key: bytes::Bytes,
+    pub process_id: i32,
+    pub cancel_key: bytes::Bytes,
 }
 
-impl Raw {
-    pub fn connect(address: SocketAddr) -> Raw {
+impl RawClient {
+    pub fn connect(address: SocketAddr) -> RawClient {
         let stream = TcpStream::connect(address).expect("it listens");
-        stream.set_read_timeout(Some(SOON)).expect("a socket");
-        let mut raw = Raw {
+        stream
+            .set_read_timeout(Some(WAIT_TIMEOUT))
+            .expect("a socket");
+        let mut raw = RawClient {
             stream,
             input: BytesMut::new(),
-            pid: 0,
-            key: bytes::Bytes::new(),
+            process_id: 0,
+            cancel_key: bytes::Bytes::new(),
         };
         let mut out = BytesMut::new();
         front::put_startup(&[("user", "raw"), ("database", "lab")], &mut out);
         raw.send(&out);
         loop {
-            let (tag, message) = raw.next();
+            let (tag, message) = raw.read_message();
             match tag {
-                b'K' => (raw.pid, raw.key) = back::key_of(&message).expect("a key"),
+                b'K' => (raw.process_id, raw.cancel_key) = back::key_of(&message).expect("a key"),
                 b'Z' => return raw,
                 b'E' => panic!("not let in: {:?}", back::trouble(&message)),
                 _ => {}
@@ -308,7 +325,7 @@
         self.send(&out);
     }
 
-    pub fn read(&mut self) -> Option<(u8, bytes::Bytes)> {
+    pub fn try_read_message(&mut self) -> Option<(u8, bytes::Bytes)> {
         loop {
             if let Some(message) = frame::take(&mut self.input, usize::MAX).expect("well-formed") {
                 return Some(message);
@@ -321,15 +338,15 @@
         }
     }
 
-    pub fn next(&mut self) -> (u8, bytes::Bytes) {
-        self.read().expect("a message, not the end")
+    pub fn read_message(&mut self) -> (u8, bytes::Bytes) {
+        self.try_read_message().expect("a message, not the end")
     }
 
     /// All up to `ReadyForQuery`: the types, and the SQLSTATE of an error.
-    pub fn answer(&mut self) -> (String, String) {
+    pub fn read_answer(&mut self) -> (String, String) {
         let (mut tags, mut state) = (String::new(), String::new());
         loop {
-            let (tag, message) = self.next();
+            let (tag, message) = self.read_message();
             match tag {
                 b'Z' => return (tags, state),
                 b'E' => state = back::trouble(&message).expect("fields").0,
@@ -342,7 +359,7 @@
 
     pub fn cancel(&self) {
         let mut out = BytesMut::new();
-        front::put_cancel(self.pid, &self.key, &mut out);
+        front::put_cancel(self.process_id, &self.cancel_key, &mut out);
         let mut stream =
             TcpStream::connect(self.stream.peer_addr().expect("connected")).expect("it listens");
         stream.write_all(&out).expect("it reads");
@@ -350,15 +367,15 @@
         let _ = stream.read(&mut [0; 8]);
     }
 
-    pub fn parse(name: &str, sql: &str, out: &mut BytesMut) {
-        message(
+    pub fn put_parse(name: &str, sql: &str, out: &mut BytesMut) {
+        put_message(
             b'P',
             &[name.as_bytes(), b"\0", sql.as_bytes(), b"\0\0\0"].concat(),
             out,
         );
     }
-    pub fn bind(portal: &str, statement: &str, out: &mut BytesMut) {
-        message(
+    pub fn put_bind(portal: &str, statement: &str, out: &mut BytesMut) {
+        put_message(
             b'B',
             &[
                 portal.as_bytes(),
@@ -370,19 +387,19 @@
             out,
         );
     }
-    pub fn execute(portal: &str, max: i32, out: &mut BytesMut) {
-        message(
+    pub fn put_execute(portal: &str, max: i32, out: &mut BytesMut) {
+        put_message(
             b'E',
             &[portal.as_bytes(), b"\0", &max.to_be_bytes()].concat(),
             out,
         );
     }
-    pub fn bare(tag: u8, out: &mut BytesMut) {
-        message(tag, b"", out);
+    pub fn put_empty_message(tag: u8, out: &mut BytesMut) {
+        put_message(tag, b"", out);
     }
 }
 
-fn message(tag: u8, body: &[u8], out: &mut BytesMut) {
+fn put_message(tag: u8, body: &[u8], out: &mut BytesMut) {
     out.put_u8(tag);
     out.put_i32(body.len() as i32 + 4);
     out.put_slice(body);
--- a/crates/controller/tests/engine_files.rs
+++ b/crates/controller/tests/engine_files.rs
@@ -2,13 +2,13 @@
 
 mod common;
 
-use common::{http, Controller, Engines, BODY, HEAD};
+use common::{http, Controller, Engines, BASE_CONFIG, LISTEN_CONFIG};
 use serde_json::Value;
 use std::path::Path;
 
 /// Some of the stand-ins, as a file.
 fn file(engines: &Engines, version: u64, which: &[(usize, &str)]) -> String {
-    let all = engines.told["engines"].as_array().expect("told");
+    let all = engines.addresses["engines"].as_array().expect("told");
     let one = |(n, more): &(usize, &str)| {
         let (id, address) = (&all[*n]["id"], &all[*n]["address"]);
         format!(
@@ -35,26 +35,26 @@
 
 /// How often each engine was sent something.
 fn received(engines: &Engines) -> Vec<u64> {
-    let all = engines.told["engines"].as_array().expect("told");
-    let log = engines.log("received", "");
+    let all = engines.addresses["engines"].as_array().expect("told");
+    let log = engines.log_entries("received", "");
     let of = |e: &Value| log.iter().filter(|l| l["engine"] == e["id"]).count() as u64;
     all.iter().map(of).collect()
 }
 
 /// The same, once so many are in the log, which is written behind the answers.
 fn received_of(engines: &Engines, total: u64) -> Vec<u64> {
-    common::await_that("the log", || received(engines).iter().sum::<u64>() >= total);
+    common::wait_until("the log", || received(engines).iter().sum::<u64>() >= total);
     received(engines)
 }
 
 fn on(path: &Path, more: &str) -> Controller {
     Controller::start(&format!(
-        "{HEAD}{BODY}[members]\nfiles = [{path:?}]\nsettle = \"20ms\"\npoll = \"100ms\"\n{more}"
+        "{LISTEN_CONFIG}{BASE_CONFIG}[members]\nfiles = [{path:?}]\nsettle = \"20ms\"\npoll = \"100ms\"\n{more}"
     ))
 }
 
 fn ask(controller: &Controller, n: usize) {
-    let mut client = controller.library();
+    let mut client = controller.postgres_client();
     for _ in 0..n {
         client
             .simple_query("select 1 /*class='fast'*/")
@@ -80,7 +80,7 @@
         &path,
         &file(&engines, 2, &[(0, ""), (1, ""), (2, ""), (3, "")]),
     );
-    controller.await_figure("list_version", |v| v == 2);
+    controller.wait_for_status("list_version", |v| v == 2);
     // A torn file, an old one, an empty one and one in the wrong unit: all refused, all told by their place.
     let good = file(&engines, 3, &[(2, ""), (3, "")]);
     for (n, bad) in [
@@ -93,7 +93,7 @@
     .enumerate()
     {
         std::fs::write(&path, bad).expect("written in place");
-        controller.await_figure("lists_refused", |r| r == n as u64 + 1);
+        controller.wait_for_status("lists_refused", |r| r == n as u64 + 1);
         let told = members(&controller);
         assert!(
             told["fault"]
@@ -101,7 +101,7 @@
                 .is_some_and(|f| f.contains("engines.toml:")),
             "{told}"
         );
-        assert_eq!(controller.figure("list_version"), 2);
+        assert_eq!(controller.status_value("list_version"), 2);
     }
     // One drained and one gone leaves half: nothing goes to those from now on.
     put(
@@ -112,7 +112,7 @@
             &[(0, "status = \"draining\"\n"), (2, ""), (3, "")],
         ),
     );
-    controller.await_figure("list_version", |v| v == 3);
+    controller.wait_for_status("list_version", |v| v == 3);
     assert_eq!(members(&controller)["fault"], Value::Null);
     ask(&controller, 40);
     let after = received_of(&engines, 70);
@@ -135,14 +135,14 @@
     put(&path, &file(&engines, 9, &[(0, ""), (1, "")]));
     let keeps = format!("last_good = {last:?}\n");
     let mut controller = on(&path, &keeps);
-    controller.await_figure("list_version", |v| v == 9);
-    controller.ask_to_stop();
+    controller.wait_for_status("list_version", |v| v == 9);
+    controller.request_shutdown();
     controller.join();
     std::fs::write(&path, "version = ").expect("torn");
     let controller = on(&path, &keeps);
     ask(&controller, 5);
-    assert_eq!(controller.figure("list_version"), 9);
-    controller.await_figure("lists_refused", |r| r == 1);
+    assert_eq!(controller.status_value("list_version"), 9);
+    controller.wait_for_status("lists_refused", |r| r == 1);
 }
 
 #[test]
@@ -164,11 +164,11 @@
                 .any(|c| c.as_str().is_some_and(|c| c.contains("Unlisted")))
         })
     };
-    common::await_that("the registry to be heard", contradicts);
+    common::wait_until("the registry to be heard", contradicts);
     ask(&controller, 30);
     assert_eq!(received_of(&engines, 30)[2], 0);
     // It drains one that the file has up: the drain counts.
-    let name = engines.told["engines"][0]["id"]
+    let name = engines.addresses["engines"][0]["id"]
         .as_str()
         .expect("told")
         .to_string();
@@ -180,7 +180,7 @@
             .to_string()
             .contains("draining")
     };
-    common::await_that("the drain to be heard", drains);
+    common::wait_until("the drain to be heard", drains);
     let before = received_of(&engines, 30);
     ask(&controller, 20);
     assert_eq!(received_of(&engines, 50)[0], before[0]);
--- a/crates/controller/tests/gossip.rs
+++ b/crates/controller/tests/gossip.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Controller, Engines, BODY, HEAD};
+use common::{Controller, Engines, BASE_CONFIG, LISTEN_CONFIG};
 use std::collections::BTreeSet;
 use std::net::UdpSocket;
 use std::path::Path;
@@ -12,9 +12,9 @@
 
 fn one(engines: &Engines, keys: &Path, seed: Option<&str>, expect: u32) -> Controller {
     let seeds = seed.map_or(String::new(), |s| format!("{s:?}"));
-    let list = engines.list();
+    let list = engines.config_entries();
     let text = format!(
-        "{HEAD}{BODY}[controller]\ncount = {expect}\nindex = 0\n[gossip]\nlisten = \"127.0.0.1:0\"\nseeds = [{seeds}]\n\
+        "{LISTEN_CONFIG}{BASE_CONFIG}[controller]\ncount = {expect}\nindex = 0\n[gossip]\nlisten = \"127.0.0.1:0\"\nseeds = [{seeds}]\n\
          keys = {keys:?}\nperiod = \"50ms\"\nsettle = \"200ms\"\nhold = \"30s\"\n{list}"
     );
     Controller::start(&text)
@@ -32,9 +32,9 @@
         .map(|_| one(&engines, &keys, Some(&seed), 1))
         .collect();
     for c in others.iter().chain([&first]) {
-        c.await_figure("gossip_count", |n| n == 4);
+        c.wait_for_status("gossip_count", |n| n == 4);
     }
-    let index = |c: &Controller| c.figure("gossip_index");
+    let index = |c: &Controller| c.status_value("gossip_index");
     let numbers: BTreeSet<u64> = others.iter().chain([&first]).map(index).collect();
     assert_eq!(
         numbers,
@@ -43,20 +43,20 @@
     );
     // One says goodbye: nobody waits for it.
     if let Some(mut gone) = others.pop() {
-        gone.ask_to_stop();
+        gone.request_shutdown();
         gone.join();
     }
     for c in others.iter().chain([&first]) {
-        c.await_figure("gossip_count", |n| n == 3);
-        assert_eq!(c.figure("gossip_given_up"), 0);
+        c.wait_for_status("gossip_count", |n| n == 3);
+        assert_eq!(c.status_value("gossip_given_up"), 0);
     }
     // A stranger is heard by nobody.
     let stranger = UdpSocket::bind("127.0.0.1:0").expect("a socket");
     stranger
         .send_to(b"WFG1\x07 let me in, I am number four of you", &seed)
         .expect("sent");
-    first.await_figure("gossip_dropped", |n| n == 1);
-    assert_eq!(first.figure("gossip_count"), 3);
+    first.wait_for_status("gossip_dropped", |n| n == 1);
+    assert_eq!(first.status_value("gossip_count"), 3);
 }
 
 #[test]
@@ -76,13 +76,13 @@
     }
     assert_eq!(
         (
-            controller.figure("gossip_count"),
-            controller.figure("gossip_settled")
+            controller.status_value("gossip_count"),
+            controller.status_value("gossip_settled")
         ),
         (12, 0)
     );
     controller
-        .library()
+        .postgres_client()
         .simple_query("select 1")
         .expect("served all the while");
 }
@@ -95,18 +95,18 @@
     let keys = dir.path().join("keys");
     std::fs::write(&keys, KEY).expect("written");
     let engines = Engines::start(2);
-    let body = BODY.replace("bills = true", "bills = true\nreports = \"probe\"");
+    let body = BASE_CONFIG.replace("bills = true", "bills = true\nreports = \"probe\"");
     let body = body.replace(
         "cancel = true",
         "cancel = true\nmessages = true\nprobes = true",
     );
     let one = |seed: &str| {
         let (list, gossip) = (
-            engines.list(),
+            engines.config_entries(),
             "listen = \"127.0.0.1:0\"\nperiod = \"50ms\"\nsettle = \"200ms\"",
         );
         let text = format!(
-            "{HEAD}{body}[controller]\ncount = 1\nindex = 0\n[peers]\nmost = \"20KB\"\n\
+            "{LISTEN_CONFIG}{body}[controller]\ncount = 1\nindex = 0\n[peers]\nmost = \"20KB\"\n\
              [gossip]\n{gossip}\nseeds = [{seed}]\nkeys = {keys:?}\n{list}"
         );
         Controller::start(&text)
@@ -115,15 +115,18 @@
     let seed = first.gossip.clone().expect("told");
     assert_eq!(first.peers, None, "no socket of their own");
     let others = [one(&format!("{seed:?}")), one(&format!("{seed:?}"))];
-    let client = std::cell::RefCell::new(first.library());
+    let client = std::cell::RefCell::new(first.postgres_client());
     for c in others.iter().chain([&first]) {
         // Engines that have work tell of it.
-        common::await_that("words", || {
+        common::wait_until("words", || {
             let served = client.borrow_mut().simple_query("select 1").is_ok();
-            served && c.figure("words_heard") >= 3
+            served && c.status_value("words_heard") >= 3
         });
         assert_eq!(
-            (c.figure("words_unsent"), c.figure("gossip_dropped")),
+            (
+                c.status_value("words_unsent"),
+                c.status_value("gossip_dropped")
+            ),
             (0, 0)
         );
     }
@@ -146,5 +149,5 @@
             &seed,
         )
         .expect("sent");
-    first.await_figure("words_untaken", |n| n >= 1);
+    first.wait_for_status("words_untaken", |n| n >= 1);
 }
--- a/crates/controller/tests/memory.rs
+++ b/crates/controller/tests/memory.rs
@@ -7,24 +7,24 @@
 #[test]
 fn a_reader_that_stops_reading_holds_up_nobody_and_no_memory() {
     let engines = Engines::start(1);
-    let controller = Controller::on(&engines, "");
-    let mut slow = controller.raw();
+    let controller = Controller::with_engines(&engines, "");
+    let mut slow = controller.raw_client();
     // A gigabyte of rows, made as they are read.
     slow.query("select * from t /*rows='1000000',row_bytes='1000'*/");
-    while slow.next().0 != b'D' {}
+    while slow.read_message().0 != b'D' {}
     let before = resident();
     for _ in 0..200 {
-        let mut other = controller.raw();
+        let mut other = controller.raw_client();
         other.query("select 1");
-        assert_eq!(other.answer().0, "TDC");
+        assert_eq!(other.read_answer().0, "TDC");
     }
     let grown = resident().saturating_sub(before);
     assert!(grown < 64 << 20, "{grown} bytes more while nobody read");
-    assert_eq!(controller.figure("queries_held"), 1);
+    assert_eq!(controller.status_value("queries_held"), 1);
     // It reads on, and the rest comes.
     let mut rows = 1;
     loop {
-        match slow.next().0 {
+        match slow.read_message().0 {
             b'D' => rows += 1,
             b'Z' => break,
             _ => {}
--- a/crates/controller/tests/suspended_postgres.rs
+++ b/crates/controller/tests/suspended_postgres.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use bytes::BytesMut;
-use common::{await_that, http, Engines, Raw, BODY, HEAD};
+use common::{http, wait_until, Engines, RawClient, BASE_CONFIG, LISTEN_CONFIG};
 use serde_json::Value;
 use std::io::{BufRead as _, BufReader, Write as _};
 use std::net::{SocketAddr, TcpListener};
@@ -43,7 +43,7 @@
         BufReader::new(stdout).read_line(&mut line).expect("a line");
         let told: Value = serde_json::from_str(&line).expect("JSON");
         let [address, admin] = ["listen", "admin"].map(|name| told[name].as_str().expect("told"));
-        await_that("a list of engines", || {
+        wait_until("a list of engines", || {
             let (_, status) = http(admin, "GET", "/status");
             let status: Value = serde_json::from_str(&status).expect("JSON");
             status["figures"]["list_version"].as_u64() > Some(0)
@@ -64,7 +64,7 @@
     fn suspend(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
-        await_that("the suspension", || {
+        wait_until("the suspension", || {
             let stat = std::fs::read_to_string(&stat).expect("Linux");
             let state = stat.rsplit(") ").next();
             state.is_some_and(|state| state.starts_with('T'))
@@ -110,22 +110,26 @@
     endpoints: &str,
     drain: impl FnOnce(),
 ) -> usize {
-    let program = Program::start(&format!("{HEAD}{BODY}{endpoints}"));
-    let mut clients: Vec<Raw> = (0..CLIENTS)
-        .map(|_| Raw::connect(program.address))
+    let program = Program::start(&format!("{LISTEN_CONFIG}{BASE_CONFIG}{endpoints}"));
+    let mut clients: Vec<RawClient> = (0..CLIENTS)
+        .map(|_| RawClient::connect(program.address))
         .collect();
     // All engines have sessions that rest, and are known.
     for _ in 0..4 {
         clients.iter_mut().for_each(|client| client.query(QUERY));
-        clients.iter_mut().for_each(|client| drop(client.answer()));
+        clients
+            .iter_mut()
+            .for_each(|client| drop(client.read_answer()));
     }
-    let first = engines.told["engines"][0]["id"].clone();
+    let first = engines.addresses["engines"][0]["id"].clone();
     let received = || {
-        let lines = engines.log("received", "");
+        let lines = engines.log_entries("received", "");
         lines.iter().filter(|line| line["engine"] == first).count()
     };
     let await_received = |count| {
-        await_that("the log", || engines.log("received", "").len() == count);
+        wait_until("the log", || {
+            engines.log_entries("received", "").len() == count
+        });
     };
     await_received(4 * CLIENTS);
     let before = received();
@@ -136,7 +140,7 @@
     std::thread::sleep(SUSPENDED);
     program.signal("-CONT");
     for client in &mut clients {
-        let (tags, state) = client.answer();
+        let (tags, state) = client.read_answer();
         assert!(tags.starts_with('T'), "{tags} {state}");
     }
     await_received(5 * CLIENTS);
@@ -148,12 +152,14 @@
     let engines = Engines::start(ENGINES);
     let registry = engines.address("registry");
     let endpoints = format!("[registry]\naddress = {registry:?}\nmode = {mode:?}\n");
-    received_by_the_drained_engine(&engines, &endpoints, || engines.fault(1, "drain", 1.0))
+    received_by_the_drained_engine(&engines, &endpoints, || {
+        engines.inject_fault(1, "drain", 1.0)
+    })
 }
 
 /// An engine file in which the first engine has this status.
 fn engine_file(engines: &Engines, version: u64, status: &str) -> String {
-    let list = engines.list();
+    let list = engines.config_entries();
     let first = list.replacen(
         "[[engines]]\n",
         &format!("[[engines]]\nstatus = {status:?}\n"),
@@ -203,11 +209,13 @@
     let is_silent = Arc::new(AtomicBool::new(false));
     let registry = registry_with(list, is_silent.clone());
     let registry = format!("[registry]\naddress = \"{registry}\"\nmode = \"poll\"\n");
-    let program = Program::start(&format!("{HEAD}{BODY}{registry}"));
-    let mut clients: Vec<Raw> = (0..3).map(|_| Raw::connect(program.address)).collect();
+    let program = Program::start(&format!("{LISTEN_CONFIG}{BASE_CONFIG}{registry}"));
+    let mut clients: Vec<RawClient> = (0..3)
+        .map(|_| RawClient::connect(program.address))
+        .collect();
     for client in &mut clients {
         client.query(QUERY);
-        assert!(client.answer().0.starts_with('T'));
+        assert!(client.read_answer().0.starts_with('T'));
     }
     program.suspend();
     is_silent.store(true, Ordering::SeqCst);
@@ -217,9 +225,9 @@
     let resumed_at = Instant::now();
     program.signal("-CONT");
     for client in &mut clients {
-        let (tags, state) = client.answer();
+        let (tags, state) = client.read_answer();
         assert!(tags.starts_with('T'), "{tags} {state}");
         assert!(resumed_at.elapsed() >= Duration::from_millis(900));
     }
-    await_that("the log", || engines.log("received", "").len() == 5);
+    wait_until("the log", || engines.log_entries("received", "").len() == 5);
 }
