--- a/crates/controller/src/bind.rs
+++ b/crates/controller/src/bind.rs
@@ -1,4 +1,4 @@
-//! Binds the sockets of a controller.
+//! Binding of a controller's listening and datagram sockets.
 
 use crate::error::ControllerError;
 use mio::net::{TcpListener, UdpSocket};
@@ -8,7 +8,7 @@
 /// Binds a listening socket.
 ///
 /// # Errors
-/// [`ControllerError::Listen`].
+/// Returns [`ControllerError::Listen`] if the socket cannot be bound.
 pub(crate) fn bind_listener(
     address: SocketAddr,
     backlog: u32,
@@ -16,10 +16,10 @@
     listen(address, backlog).map_err(|source| ControllerError::Listen { address, source })
 }
 
-/// Binds a datagram socket; `purpose` says in an error what it was to receive.
+/// Binds a datagram socket. `purpose` names in an error message what the socket receives.
 ///
 /// # Errors
-/// [`ControllerError::DatagramSocket`].
+/// Returns [`ControllerError::DatagramSocket`] if the socket cannot be bound.
 pub(crate) fn bind_datagram_socket(
     address: SocketAddr,
     purpose: &'static str,
--- a/crates/controller/src/capture.rs
+++ b/crates/controller/src/capture.rs
@@ -1,4 +1,4 @@
-//! Starts the capture of the driver's inputs and answers, on disk or in memory.
+//! Startup of the capture, which records the driver's inputs and answers on disk or in memory.
 
 use crate::error::ControllerError;
 use wheelfield::interface::Micros;
@@ -6,10 +6,11 @@
 use wheelfield_config::Config;
 use wheelfield_driver::{Driver, DriverLimits};
 
-/// Starts the capture that a configuration asks for; `None` if it asks for none. `now` is in microseconds.
+/// Starts the capture that a configuration asks for. Returns `None` if the configuration has no capture. `now` is in
+/// microseconds.
 ///
 /// # Errors
-/// [`ControllerError::Capture`].
+/// Returns [`ControllerError::Capture`] if the capture file cannot be written.
 pub(crate) fn start_recorder(
     config: &Config,
     seed: u64,
--- a/crates/controller/src/endpoint_files.rs
+++ b/crates/controller/src/endpoint_files.rs
@@ -1,4 +1,4 @@
-//! Starts the watcher of the engine files.
+//! Startup of the watcher of the engine files.
 
 use crate::error::ControllerError;
 use std::os::unix::net::UnixStream;
@@ -9,11 +9,11 @@
 use wheelfield_endpoints_cli::{Watch, Watching};
 use wheelfield_net::Clock;
 
-/// Starts to watch the engine files of a configuration; `None` if it names none. A byte on the stream says that the watcher
-/// has something to receive.
+/// Starts watching the engine files of a configuration. Returns `None` if the configuration names no files. A byte on the
+/// returned stream means that the watcher has an update to receive.
 ///
 /// # Errors
-/// [`ControllerError::WatchEngineFiles`], or an error of the system for the stream.
+/// Returns [`ControllerError::WatchEngineFiles`], or [`ControllerError::Io`] if the stream cannot be created.
 pub(crate) fn watch_endpoint_files(
     config: &Config,
     clock: Clock,
--- a/crates/controller/src/error.rs
+++ b/crates/controller/src/error.rs
@@ -1,4 +1,4 @@
-//! What can keep a controller from starting or running.
+//! Errors of the start and operation of a controller.
 
 use std::error::Error;
 use std::fmt::Write as _;
@@ -8,80 +8,81 @@
 use wheelfield_gossip::authentication::KeyFileError;
 use wheelfield_platform::BootstrapError;
 
-/// Why a controller cannot start or go on.
+/// An error that prevents a controller from starting or continuing.
 #[derive(Debug, thiserror::Error)]
 pub enum ControllerError {
     /// A listening socket cannot be bound.
     #[error("cannot listen on {address}")]
     Listen {
-        /// Where it was to listen.
+        /// The address of the socket.
         address: SocketAddr,
-        /// Why not.
+        /// The error of the system.
         source: io::Error,
     },
     /// A datagram socket cannot be bound.
     #[error("cannot listen for {purpose} on {address}")]
     DatagramSocket {
-        /// What it was to receive.
+        /// What the socket receives.
         purpose: &'static str,
-        /// Where it was to listen.
+        /// The address of the socket.
         address: SocketAddr,
-        /// Why not.
+        /// The error of the system.
         source: io::Error,
     },
-    /// The controller listens no longer.
-    #[error("no longer listening")]
+    /// The controller has closed its listening socket for clients.
+    #[error("the listener for clients is closed")]
     NotListening,
     /// A file cannot be opened or read.
     #[error("cannot read {}", path.display())]
     ReadFile {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why not.
+        /// The error of the system.
         source: io::Error,
     },
-    /// The platform's configuration is invalid.
+    /// The configuration of the platform is invalid.
     #[error("{}", path.display())]
     Configuration {
-        /// Its file.
+        /// The path of the configuration file.
         path: PathBuf,
-        /// What is wrong.
+        /// The first problem found in the configuration.
         source: BootstrapError,
     },
-    /// The file of the gossip keys is invalid.
-    #[error("{}: {fault}", path.display())]
+    /// The gossip key file is invalid.
+    #[error("{}: {error}", path.display())]
     GossipKeys {
-        /// The file.
+        /// The path of the key file.
         path: PathBuf,
-        /// What is wrong; it shows no key.
-        fault: KeyFileError,
+        /// The problem. Its message contains no key.
+        error: KeyFileError,
     },
-    /// No capture can be written.
+    /// The capture cannot be written.
     #[error("cannot write the capture {}", path.display())]
     Capture {
-        /// Its file.
+        /// The path of the capture file.
         path: PathBuf,
-        /// Why not.
+        /// The error of the system.
         source: io::Error,
     },
     /// The engine files cannot be watched.
     #[error("cannot watch the engine files")]
     WatchEngineFiles {
-        /// Why not.
+        /// The error of the system.
         source: io::Error,
     },
-    /// Any other call to the system failed.
+    /// Another system call failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// Errors of Linux that say that the system, or the process, lacks something now: EAGAIN, ENOMEM, ENFILE, EMFILE, ENOSPC (of watches),
-/// EADDRINUSE, EADDRNOTAVAIL, ENOBUFS; and EINTR, EIO.
-const PASSING_ERRORS: [i32; 10] = [4, 5, 11, 12, 23, 24, 28, 98, 99, 105];
+/// Linux error numbers that are transient. EAGAIN, ENOMEM, ENFILE, EMFILE, ENOSPC (from file watches), EADDRINUSE,
+/// EADDRNOTAVAIL and ENOBUFS mean that a resource of the system or the process is exhausted; EINTR and EIO may also
+/// disappear with a retry.
+const TRANSIENT_ERRNOS: [i32; 10] = [4, 5, 11, 12, 23, 24, 28, 98, 99, 105];
 
 impl ControllerError {
-    /// Whether the same step may succeed a moment later.
-    pub(crate) fn may_pass(&self) -> bool {
+    /// Returns whether the failed operation may succeed if it is retried a moment later.
+    pub(crate) fn is_transient(&self) -> bool {
         let source = match self {
             ControllerError::Listen { source, .. }
             | ControllerError::DatagramSocket { source, .. }
@@ -91,10 +92,10 @@
         };
         source
             .raw_os_error()
-            .is_some_and(|number| PASSING_ERRORS.contains(&number))
+            .is_some_and(|number| TRANSIENT_ERRNOS.contains(&number))
     }
 
-    /// For a file that cannot be read: turns the system's error into one that names it.
+    /// Returns a function that adds the path of the file to the error of a failed read.
     pub(crate) fn read_file(path: &Path) -> impl FnOnce(io::Error) -> ControllerError + '_ {
         |source| ControllerError::ReadFile {
             path: path.to_path_buf(),
@@ -103,7 +104,7 @@
     }
 }
 
-/// An error and its causes on one line, separated by colons.
+/// Formats an error and its causes on one line, separated by colons.
 pub(crate) fn error_chain(error: &dyn Error) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
--- a/crates/controller/src/event_loop/acceptor.rs
+++ b/crates/controller/src/event_loop/acceptor.rs
@@ -1,6 +1,6 @@
-//! Listening sockets: accepts connections in bounded batches.
+//! Listening sockets, from which connections are accepted in bounded batches.
 
-use super::{ConnectionSockets, IoContext, Remaining, LISTENER_TOKENS};
+use super::{ConnectionSockets, IoContext, Remaining, FIRST_LISTENER_TOKEN};
 use mio::net::TcpListener;
 use mio::{Interest, Registry, Token};
 use std::io::{self, ErrorKind};
@@ -8,29 +8,31 @@
 use tracing::warn;
 use wheelfield_sans_io::Listener;
 
-/// Connections accepted in one batch; the rest waits for the next turn.
-const ACCEPTS_PER_BATCH: usize = 256;
-/// Delay until the next accept after the system had no descriptor or memory for one, in microseconds.
+/// Maximum number of connections accepted in one batch. The next iteration of the event loop accepts the rest.
+const MAX_ACCEPTS_PER_BATCH: usize = 256;
+/// Delay before the next accept after one failed for lack of a descriptor or memory, in microseconds.
 const ACCEPT_RETRY_DELAY_US: i64 = 50_000;
-/// The same while listening ends, when the connections that wait have little time left, in microseconds.
-const ACCEPT_RETRY_DELAY_AT_END_US: i64 = 5_000;
-/// Maximum time for which the end of listening waits for an accept that succeeds, in microseconds: no client waits longer.
-const MAX_END_US: i64 = 10_000_000;
+/// The same delay while the listener closes, in microseconds. It is shorter because the connections in the backlog have
+/// little time left.
+const ACCEPT_RETRY_DELAY_WHILE_CLOSING_US: i64 = 5_000;
+/// Maximum time for which a closing listener waits until its backlog is empty, in microseconds. No client waits longer.
+const MAX_CLOSE_DELAY_US: i64 = 10_000_000;
 
-/// A listening socket and when to accept from it next.
+/// A listening socket and the time of its next accept. Times are in microseconds.
 pub(super) struct Acceptor {
     socket: TcpListener,
     listener: Listener,
-    /// When to accept without a further event of the poll, which reports a backlog only once.
+    /// When to accept without a further event of the edge-triggered poll, which reports a backlog only once.
     accept_at: Option<i64>,
-    /// Since when accepts have failed, in microseconds; that was logged. What waits may have come since then.
+    /// Since when accepts have failed; the first failure was logged. The connections in the backlog may have arrived since
+    /// then.
     failing_since: Option<i64>,
-    /// When its end was asked for, in microseconds.
-    ending_since: Option<i64>,
+    /// When the close was requested.
+    closing_since: Option<i64>,
 }
 
 impl Acceptor {
-    /// Registers a listening socket with the poll.
+    /// Registers a listening socket with the poll registry.
     pub fn register(
         listener: Listener,
         mut socket: TcpListener,
@@ -42,36 +44,36 @@
             listener,
             accept_at: None,
             failing_since: None,
-            ending_since: None,
+            closing_since: None,
         })
     }
 
-    /// Which listener of the controller this is.
+    /// Returns which listener of the controller this is.
     pub fn listener(&self) -> Listener {
         self.listener
     }
 
-    /// The token of its events.
+    /// Returns the token of the socket's events.
     pub fn token(&self) -> Token {
         token_of(self.listener)
     }
 
-    /// The address it listens on.
+    /// Returns the address that the socket listens on.
     pub fn local_address(&self) -> Option<SocketAddr> {
         self.socket.local_addr().ok()
     }
 
-    /// When to accept next; `None` until the poll reports a connection.
+    /// Returns when to accept next, or `None` until the poll reports a connection.
     pub fn accept_at(&self) -> Option<i64> {
         self.accept_at
     }
 
-    /// Has connections accepted in the turn of `now`.
+    /// Schedules an accept for the current iteration of the event loop.
     pub fn schedule_accept(&mut self, now: i64) {
         self.accept_at = Some(now);
     }
 
-    /// Accepts one batch of the connections that wait.
+    /// Accepts one batch of connections from the backlog.
     pub fn accept_batch(
         &mut self,
         connections: &mut ConnectionSockets,
@@ -79,7 +81,7 @@
     ) -> Remaining {
         self.accept_at = None;
         let waiting_since = self.failing_since.unwrap_or(io.now);
-        io.with_arrivals_since(waiting_since, |io| self.accept_up_to_batch(connections, io))
+        io.with_earliest_arrival(waiting_since, |io| self.accept_up_to_batch(connections, io))
     }
 
     fn accept_up_to_batch(
@@ -88,7 +90,7 @@
         io: &mut IoContext<'_>,
     ) -> Remaining {
         let mut accepted = 0;
-        for _ in 0..ACCEPTS_PER_BATCH {
+        for _ in 0..MAX_ACCEPTS_PER_BATCH {
             match self.socket.accept() {
                 Ok((stream, _)) => {
                     accepted += 1;
@@ -100,8 +102,8 @@
                     self.failing_since = None;
                     return Remaining::Nothing;
                 }
-                Err(error) if is_of_one_connection(error.kind()) => {
-                    self.note_failure(&error, io.now);
+                Err(error) if affects_single_connection(error.kind()) => {
+                    self.record_failure(&error, io.now);
                 }
                 Err(error) => {
                     self.retry_later(&error, io.now);
@@ -109,7 +111,7 @@
                 }
             }
         }
-        // The poll reports the backlog only once, so the next turn accepts without an event.
+        // The poll reports the backlog only once, so the next iteration accepts without an event.
         self.accept_at = match accepted {
             0 => Some(io.now + self.retry_delay()),
             _ => Some(io.now),
@@ -117,44 +119,46 @@
         Remaining::Possibly
     }
 
-    /// Has it end once all that wait are accepted. Closing a socket resets the connections that the system has already completed
-    /// for it, so none of them may be left in the backlog; only the system's word that there are none counts.
-    pub fn begin_end(&mut self, now: i64) {
-        self.ending_since = self.ending_since.or(Some(now));
+    /// Begins to close the listener, which stays open until its backlog is empty. Closing a listening socket resets the
+    /// established connections in its backlog, so all of them must be accepted first; the backlog counts as empty only once
+    /// an accept reports that it would block.
+    pub fn begin_close(&mut self, now: i64) {
+        self.closing_since = self.closing_since.or(Some(now));
         self.accept_at = Some(now);
     }
 
-    /// Whether it is to end, and all that waited were accepted, as its last batch says.
-    pub fn may_end(&self, last_batch: Remaining, now: i64) -> bool {
-        let Some(since) = self.ending_since else {
+    /// Returns whether the listener is closing and can be removed, because its last batch emptied the backlog or the maximum
+    /// delay has passed.
+    pub fn can_close(&self, last_batch: Remaining, now: i64) -> bool {
+        let Some(since) = self.closing_since else {
             return false;
         };
-        let is_overdue = now - since > MAX_END_US;
+        let is_overdue = now - since > MAX_CLOSE_DELAY_US;
         if is_overdue {
             warn!(listener = ?self.listener, "listening ends with connections that were not accepted");
         }
         last_batch == Remaining::Nothing || is_overdue
     }
 
-    /// Removes the socket from the poll.
+    /// Removes the socket from the poll registry.
     pub fn deregister(&mut self, registry: &Registry) {
         let _ = registry.deregister(&mut self.socket);
     }
 
-    /// Leaves the waiting connections in the backlog for a moment, as the system has no descriptors or memory for them.
+    /// Leaves the connections in the backlog and schedules a later accept, because the system is out of descriptors or memory.
     fn retry_later(&mut self, error: &io::Error, now: i64) {
-        self.note_failure(error, now);
+        self.record_failure(error, now);
         self.accept_at = Some(now + self.retry_delay());
     }
 
     fn retry_delay(&self) -> i64 {
-        match self.ending_since {
-            Some(_) => ACCEPT_RETRY_DELAY_AT_END_US,
+        match self.closing_since {
+            Some(_) => ACCEPT_RETRY_DELAY_WHILE_CLOSING_US,
             None => ACCEPT_RETRY_DELAY_US,
         }
     }
 
-    fn note_failure(&mut self, error: &io::Error, now: i64) {
+    fn record_failure(&mut self, error: &io::Error, now: i64) {
         if self.failing_since.is_none() {
             warn!(%error, listener = ?self.listener, "accept failed; retrying");
             self.failing_since = Some(now);
@@ -162,9 +166,9 @@
     }
 }
 
-/// Whether an error of an accept concerns one connection alone, such as an error of the network that is pending on it. The next
-/// accept is for the next connection.
-fn is_of_one_connection(kind: ErrorKind) -> bool {
+/// Returns whether an error of an accept affects only one connection, such as a network error that is pending on it. The
+/// next accept then takes the next connection.
+fn affects_single_connection(kind: ErrorKind) -> bool {
     matches!(
         kind,
         ErrorKind::ConnectionAborted
@@ -176,5 +180,5 @@
 }
 
 fn token_of(listener: Listener) -> Token {
-    Token(LISTENER_TOKENS + listener as usize)
+    Token(FIRST_LISTENER_TOKEN + listener as usize)
 }
--- a/crates/controller/src/event_loop/connections.rs
+++ b/crates/controller/src/event_loop/connections.rs
@@ -1,4 +1,5 @@
-//! The sockets of a controller's connections: reads and writes as far as both the controller and the peer can take more.
+//! The sockets of a controller's connections. Data is read as long as the controller has capacity for it, and written as
+//! long as the peer accepts it.
 
 use super::IoContext;
 use mio::net::TcpStream;
@@ -8,54 +9,54 @@
 use wheelfield_net::{is_transient, Socket};
 use wheelfield_sans_io::{BreakCause, ConnId, IoEvent};
 
-/// Owners of connections within a controller ([`ConnId::owner`]).
+/// Maximum number of components of a controller that own connections ([`ConnId::owner`]).
 const MAX_OWNERS: usize = 8;
-/// Bytes read at a time, by whichever connection.
+/// Size of the read buffer that all connections share.
 const READ_BUFFER_BYTES: usize = 64 << 10;
-/// Delay until a call is repeated for which the system lacked memory, in microseconds.
+/// Delay before a call is retried that failed for lack of memory, in microseconds.
 const RETRY_DELAY_US: i64 = 5_000;
 
-/// A connection in its slot.
+/// An open connection.
 struct Connection {
     id: ConnId,
     socket: Socket,
-    /// Since when reads have failed for the moment, in microseconds: what comes after them may have arrived since then.
-    reads_fail_since: Option<i64>,
+    /// Since when reads have failed with transient errors, in microseconds. The data read next may have arrived since then.
+    read_failing_since: Option<i64>,
 }
 
-/// All connections, by owner and slot. Their number is bounded by the controller, which gives out the slots.
+/// All connections, by owner and slot. The controller assigns the slots and thereby limits their number.
 pub(super) struct ConnectionSockets {
     by_owner: [Vec<Option<Connection>>; MAX_OWNERS],
     read_buffer: Vec<u8>,
-    /// Connections whose last call failed for the moment, each once.
-    to_retry: Vec<ConnId>,
-    /// When these calls are repeated; the poll reports nothing of it.
+    /// Connections whose last call failed with a transient error, without duplicates.
+    pending_retries: Vec<ConnId>,
+    /// When to retry these calls. The poll does not report this.
     retry_at: Option<i64>,
 }
 
 impl ConnectionSockets {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new() -> ConnectionSockets {
         ConnectionSockets {
             by_owner: Default::default(),
             read_buffer: vec![0; READ_BUFFER_BYTES],
-            to_retry: Vec::new(),
+            pending_retries: Vec::new(),
             retry_at: None,
         }
     }
 
-    /// When [`ConnectionSockets::retry`] is to be called.
+    /// Returns when to call [`ConnectionSockets::retry`].
     pub fn retry_at(&self) -> Option<i64> {
         self.retry_at
     }
 
-    /// Repeats the calls that failed for the moment, if that is due.
+    /// Retries the calls that failed with transient errors, if their retry is due.
     pub fn retry(&mut self, io: &mut IoContext<'_>) {
         if self.retry_at.is_none_or(|at| at > io.now) {
             return;
         }
         self.retry_at = None;
-        for id in std::mem::take(&mut self.to_retry) {
+        for id in std::mem::take(&mut self.pending_retries) {
             let Some(socket) = self.get_mut(id) else {
                 continue;
             };
@@ -69,13 +70,13 @@
     }
 
     fn schedule_retry(&mut self, id: ConnId, now: i64) {
-        if !self.to_retry.contains(&id) {
-            self.to_retry.push(id);
+        if !self.pending_retries.contains(&id) {
+            self.pending_retries.push(id);
         }
         self.retry_at = self.retry_at.or(Some(now + RETRY_DELAY_US));
     }
 
-    /// Adds a connection that was accepted, and reads what it has sent already.
+    /// Adds an accepted connection and reads the data that has already arrived on it.
     pub fn add_accepted(&mut self, id: ConnId, stream: TcpStream, io: &mut IoContext<'_>) {
         let socket = Socket::from_accepted(stream, io.registry, token_of(id));
         if !socket.is_registered() {
@@ -85,15 +86,15 @@
         self.read(id, io);
     }
 
-    /// Begins to connect.
+    /// Starts to connect to an address.
     pub fn connect(&mut self, id: ConnId, address: SocketAddr, io: &mut IoContext<'_>) {
         match Socket::connect(address, io.registry, token_of(id)) {
             Ok(socket) => self.insert(id, socket),
-            Err(error) => notify_broken(id, Direction::Connecting, &error, io),
+            Err(error) => notify_failed(id, Operation::Connecting, &error, io),
         }
     }
 
-    /// Handles an event of the poll for a connection; one that is closed meanwhile is ignored.
+    /// Handles an event of the poll for a connection. The event is ignored if the connection has been closed meanwhile.
     pub fn handle_event(&mut self, event: &mio::event::Event, io: &mut IoContext<'_>) {
         let id = ConnId::from_u64(event.token().0 as u64);
         let Some(socket) = self.get_mut(id) else {
@@ -105,7 +106,7 @@
             match socket.check_connected() {
                 Ok(true) => io.protocol.handle_io(io.now, IoEvent::Connected(id)),
                 Ok(false) => return,
-                Err(error) => return notify_broken(id, Direction::Connecting, &error, io),
+                Err(error) => return notify_failed(id, Operation::Connecting, &error, io),
             }
         }
         if self
@@ -118,7 +119,7 @@
         self.write(id, io);
     }
 
-    /// Reads what has arrived, as far as the controller has capacity for it.
+    /// Reads the data that has arrived, as long as the controller has capacity for it.
     pub fn read(&mut self, id: ConnId, io: &mut IoContext<'_>) {
         loop {
             if !self.get_mut(id).is_some_and(|socket| socket.is_readable()) {
@@ -138,23 +139,25 @@
                 Ok(0) if has_ended => io.protocol.handle_io(io.now, IoEvent::Ended(id)),
                 Ok(0) => {}
                 Ok(length) => {
-                    let failed_since = connection.reads_fail_since.take().unwrap_or(io.now);
+                    let failed_since = connection.read_failing_since.take().unwrap_or(io.now);
                     let event = IoEvent::Received(id, &buffer[..length]);
-                    io.with_arrivals_since(failed_since, |io| io.protocol.handle_io(io.now, event));
+                    io.with_earliest_arrival(failed_since, |io| {
+                        io.protocol.handle_io(io.now, event)
+                    });
                 }
                 Err(error) if is_transient(&error) => {
-                    connection.reads_fail_since.get_or_insert(io.now);
+                    connection.read_failing_since.get_or_insert(io.now);
                     self.schedule_retry(id, io.now);
                     self.read_buffer = buffer;
                     return;
                 }
-                Err(error) => notify_broken(id, Direction::Reading, &error, io),
+                Err(error) => notify_failed(id, Operation::Reading, &error, io),
             }
             self.read_buffer = buffer;
         }
     }
 
-    /// Writes the output of the controller, as far as the peer takes it.
+    /// Writes the output of the controller, as long as the peer accepts it.
     pub fn write(&mut self, id: ConnId, io: &mut IoContext<'_>) {
         loop {
             let Some(socket) = self.get_mut(id).filter(|socket| socket.is_writable()) else {
@@ -167,7 +170,7 @@
                 Ok(0) => return,
                 Ok(length) => io.protocol.bytes_written(io.now, id, length),
                 Err(error) if is_transient(&error) => return self.schedule_retry(id, io.now),
-                Err(error) => return notify_broken(id, Direction::Writing, &error, io),
+                Err(error) => return notify_failed(id, Operation::Writing, &error, io),
             }
         }
     }
@@ -176,13 +179,14 @@
     pub fn close(&mut self, id: ConnId, registry: &Registry) {
         let slots = self.by_owner.get_mut(usize::from(id.owner()));
         let slot = slots.and_then(|slots| slots.get_mut(id.slot()));
-        if let Some(connection) = slot.and_then(|slot| slot.take_if(|held| held.id == id)) {
+        if let Some(connection) = slot.and_then(|slot| slot.take_if(|entry| entry.id == id)) {
             connection.socket.close(registry);
         }
     }
 
     fn get_mut(&mut self, id: ConnId) -> Option<&mut Socket> {
-        self.connection_mut(id).map(|held| &mut held.socket)
+        self.connection_mut(id)
+            .map(|connection| &mut connection.socket)
     }
 
     fn connection_mut(&mut self, id: ConnId) -> Option<&mut Connection> {
@@ -190,7 +194,7 @@
             .by_owner
             .get_mut(usize::from(id.owner()))?
             .get_mut(id.slot())?;
-        slot.as_mut().filter(|held| held.id == id)
+        slot.as_mut().filter(|connection| connection.id == id)
     }
 
     fn insert(&mut self, id: ConnId, socket: Socket) {
@@ -198,28 +202,29 @@
         if slots.len() <= id.slot() {
             slots.resize_with(id.slot() + 1, || None);
         }
-        // Closes the connection that had this slot, if that is still to be done: many may be replaced in one turn.
+        // Drops, and thereby closes, the slot's previous connection if it is still open: several connections may use a slot
+        // within one iteration.
         slots[id.slot()] = Some(Connection {
             id,
             socket,
-            reads_fail_since: None,
+            read_failing_since: None,
         });
     }
 }
 
-/// What a connection was doing when it broke.
+/// The operation during which a connection failed.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Direction {
+enum Operation {
     Reading,
     Writing,
     Connecting,
 }
 
-impl Direction {
-    /// What an error of the system means in this direction. An established connection breaks; a connect fails at the other side,
-    /// on the way, or here.
-    fn cause(self, error: &io::Error) -> BreakCause {
-        if self != Direction::Connecting {
+impl Operation {
+    /// Returns the cause that an error of the system stands for. An established connection is lost; a connect is refused by
+    /// the peer, fails on the network, or fails on this host.
+    fn failure_cause(self, error: &io::Error) -> BreakCause {
+        if self != Operation::Connecting {
             return BreakCause::Broken;
         }
         match error.kind() {
@@ -237,11 +242,11 @@
     Token(id.as_u64() as usize)
 }
 
-fn notify_broken(id: ConnId, direction: Direction, error: &io::Error, io: &mut IoContext<'_>) {
+fn notify_failed(id: ConnId, operation: Operation, error: &io::Error, io: &mut IoContext<'_>) {
     let event = IoEvent::Broken {
         id,
-        writing: direction != Direction::Reading,
-        cause: direction.cause(error),
+        writing: operation != Operation::Reading,
+        cause: operation.failure_cause(error),
         reason: &error.to_string(),
     };
     io.protocol.handle_io(io.now, event);
--- a/crates/controller/src/event_loop/datagrams.rs
+++ b/crates/controller/src/event_loop/datagrams.rs
@@ -1,6 +1,6 @@
-//! Datagram sockets: receives in bounded batches, sends without retry.
+//! Datagram sockets: they receive in bounded batches and send without retries.
 
-use super::{IoContext, DATAGRAM_TOKENS};
+use super::{IoContext, FIRST_DATAGRAM_TOKEN};
 use mio::net::UdpSocket;
 use mio::{Interest, Registry, Token};
 use std::io::{self, ErrorKind};
@@ -8,14 +8,15 @@
 use wheelfield_net::is_transient;
 use wheelfield_sans_io::{DatagramSocket, IoEvent};
 
-/// Datagrams received in one turn.
-const DATAGRAMS_PER_TURN: usize = 512;
-/// Bytes of the longest datagram that UDP carries, and of any answer of a name service.
+/// Maximum number of datagrams received from a socket in one iteration of the event loop.
+const MAX_DATAGRAMS_PER_ITERATION: usize = 512;
+/// Maximum size of a UDP datagram, and thus of a response of the name service.
 const MAX_DATAGRAM_BYTES: usize = 64 << 10;
 
-/// Errors in one turn after which the socket is left alone for a moment: each may be that of another datagram.
-const ERRORS_PER_TURN: usize = 16;
-/// Delay until datagrams are received again after errors, in microseconds.
+/// Number of receive errors in one iteration after which receiving is delayed. Fewer errors do not delay it, since each may
+/// concern a different datagram.
+const MAX_ERRORS_PER_ITERATION: usize = 16;
+/// Delay before datagrams are received again after errors, in microseconds.
 const RETRY_DELAY_US: i64 = 5_000;
 
 /// A datagram socket of the controller.
@@ -23,14 +24,14 @@
     name: DatagramSocket,
     socket: UdpSocket,
     buffer: Vec<u8>,
-    /// Datagrams may wait of which the poll does not report again.
+    /// Datagrams may be queued that the edge-triggered poll will not report again.
     is_pending: bool,
-    /// When datagrams are received again after errors; the poll reports nothing of it.
+    /// When to receive again after errors. The poll does not report this.
     retry_at: Option<i64>,
 }
 
 impl DatagramPort {
-    /// Registers a datagram socket with the poll.
+    /// Registers a datagram socket with the poll registry.
     pub fn register(
         name: DatagramSocket,
         mut socket: UdpSocket,
@@ -46,37 +47,37 @@
         })
     }
 
-    /// Whether datagrams may wait of which the poll does not report again.
+    /// Returns whether datagrams may be queued that the poll will not report again.
     pub fn is_pending(&self) -> bool {
         self.is_pending
     }
 
-    /// When [`DatagramPort::receive_pending`] is to be called, if errors put it off.
+    /// Returns when to call [`DatagramPort::receive_pending`], if errors have delayed receiving.
     pub fn retry_at(&self) -> Option<i64> {
         self.retry_at
     }
 
-    /// Which datagram socket of the controller this is.
+    /// Returns which datagram socket of the controller this is.
     pub fn name(&self) -> DatagramSocket {
         self.name
     }
 
-    /// The token of its events.
+    /// Returns the token of the socket's events.
     pub fn token(&self) -> Token {
         token_of(self.name)
     }
 
-    /// The address it is bound to.
+    /// Returns the address that the socket is bound to.
     pub fn local_address(&self) -> Option<SocketAddr> {
         self.socket.local_addr().ok()
     }
 
-    /// Sends a datagram; whether that could be done. One that cannot be sent now is lost, as any datagram may be.
+    /// Sends a datagram and returns whether the system accepted it. There is no retry, since datagrams may be lost anyway.
     pub fn send(&self, datagram: &[u8], address: SocketAddr) -> bool {
         self.socket.send_to(datagram, address).is_ok()
     }
 
-    /// Receives the datagrams that an earlier turn left, if it is time.
+    /// Receives datagrams that an earlier iteration left in the socket, or retries after errors once the delay has passed.
     pub fn receive_pending(&mut self, io: &mut IoContext<'_>) {
         let is_retry_due = self.retry_at.is_some_and(|at| at <= io.now);
         if self.is_pending || is_retry_due {
@@ -84,12 +85,12 @@
         }
     }
 
-    /// Receives the datagrams that wait, up to the limit of one turn.
+    /// Receives the queued datagrams, up to the limit of one iteration.
     pub fn receive(&mut self, io: &mut IoContext<'_>) {
         self.is_pending = true;
         self.retry_at = None;
         let mut errors = 0;
-        for _ in 0..DATAGRAMS_PER_TURN {
+        for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
             match self.socket.recv_from(&mut self.buffer) {
                 Ok((length, from)) => {
                     let event = IoEvent::Datagram(self.name, from, &self.buffer[..length]);
@@ -100,20 +101,21 @@
                     return;
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                // An earlier datagram that reached no receiver shows as an error of this socket; the next call goes on behind it.
-                Err(e) if !is_transient(&e) && errors < ERRORS_PER_TURN => errors += 1,
-                Err(_) => return self.put_off(io.now),
+                // An undeliverable datagram that was sent earlier is reported as an error of the socket here. The next call
+                // receives the next datagram.
+                Err(e) if !is_transient(&e) && errors < MAX_ERRORS_PER_ITERATION => errors += 1,
+                Err(_) => return self.delay_receive(io.now),
             }
         }
     }
 
-    /// Leaves the socket alone for a moment: calls that fail for want of memory would fail again at once.
-    fn put_off(&mut self, now: i64) {
+    /// Delays receiving, because a call that failed for lack of memory would fail again immediately.
+    fn delay_receive(&mut self, now: i64) {
         self.is_pending = false;
         self.retry_at = Some(now + RETRY_DELAY_US);
     }
 }
 
 fn token_of(name: DatagramSocket) -> Token {
-    Token(DATAGRAM_TOKENS + name as usize)
+    Token(FIRST_DATAGRAM_TOKEN + name as usize)
 }
--- a/crates/controller/src/event_loop/mod.rs
+++ b/crates/controller/src/event_loop/mod.rs
@@ -1,5 +1,5 @@
-//! The event loop around a sans-I/O controller, whichever protocol it speaks: sockets, datagrams, signals and time go
-//! in as events; the effects that the controller returns are carried out. One thread on mio.
+//! The event loop that runs a sans-I/O controller, independent of its protocol. The loop passes socket data, datagrams,
+//! signals and the time to the controller as events and applies the effects that it returns. It runs in one thread, on mio.
 
 mod acceptor;
 mod connections;
@@ -13,7 +13,7 @@
 use acceptor::Acceptor;
 use connections::ConnectionSockets;
 use datagrams::DatagramPort;
-use lateness::Lateness;
+use lateness::LatenessDetector;
 use mio::net::{TcpListener, UdpSocket};
 use mio::{Events, Poll, Registry, Token};
 use polling::{poll_until_current, EventSource};
@@ -25,115 +25,115 @@
 use wheelfield_net::Clock;
 use wheelfield_sans_io::{DatagramSocket, Effect, Listener, Protocol};
 
-/// Events taken from the system in one poll.
-const EVENTS_PER_POLL: usize = 256;
-/// Rounds of effects before the sockets are polled again: a long answer takes one round for each 64 kB and must not hold
-/// up the other connections.
-const EFFECT_ROUNDS: usize = 16;
-/// How long a poll waits when no timer is set.
+/// Maximum number of events that one poll returns.
+const MAX_EVENTS_PER_POLL: usize = 256;
+/// Maximum number of rounds of effects before the sockets are polled again. A long answer takes one round for each 64 kB
+/// and must not delay the other connections.
+const MAX_EFFECT_ROUNDS: usize = 16;
+/// Timeout of a poll when no timer is set.
 const IDLE_POLL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// First token of the listeners, the datagram sockets and the wake-up streams. Tokens of connections are far above, as
-/// [`wheelfield_sans_io::ConnId`] is at least 2 to the power of 61.
-const LISTENER_TOKENS: usize = 0;
-const DATAGRAM_TOKENS: usize = 8;
-const WAKEUP_TOKENS: usize = 16;
+/// The first tokens of the listeners, the datagram sockets and the wake-up streams. The tokens of connections are far higher,
+/// because a [`wheelfield_sans_io::ConnId`] is at least 2 to the power of 61.
+const FIRST_LISTENER_TOKEN: usize = 0;
+const FIRST_DATAGRAM_TOKEN: usize = 8;
+const FIRST_WAKEUP_TOKEN: usize = 16;
 
-/// Called with the controller and the time, in microseconds.
+/// A callback that receives the controller and the time in microseconds.
 pub(crate) type Handler<P> = Box<dyn FnMut(&mut P, i64)>;
 
-/// Whether more may be pending than was handled.
+/// Whether events or other work may be pending after a bounded batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Remaining {
     Nothing,
     Possibly,
 }
 
-/// What handling a socket needs: where it is registered, who is notified, and the time in microseconds.
+/// The context for handling a socket. Times are in microseconds.
 struct IoContext<'a> {
     registry: &'a Registry,
     protocol: &'a mut dyn Protocol,
     now: i64,
-    /// The earliest time at which what is reported in this turn can have arrived.
-    arrivals_since: i64,
+    /// The earliest time at which the events reported in this iteration can have arrived.
+    earliest_arrival: i64,
 }
 
 impl IoContext<'_> {
-    /// Does something that may find what has arrived since a time, earlier than what else is reported in this turn.
-    fn with_arrivals_since<T>(&mut self, since: i64, act: impl FnOnce(&mut Self) -> T) -> T {
-        let outer = self.arrivals_since;
-        self.arrivals_since = outer.min(since);
-        self.protocol.note_arrivals_since(self.arrivals_since);
+    /// Runs `act`, which may report events that arrived since a time earlier than that of the iteration's other events.
+    fn with_earliest_arrival<T>(&mut self, since: i64, act: impl FnOnce(&mut Self) -> T) -> T {
+        let outer = self.earliest_arrival;
+        self.earliest_arrival = outer.min(since);
+        self.protocol.note_arrivals_since(self.earliest_arrival);
         let result = act(self);
-        self.arrivals_since = outer;
+        self.earliest_arrival = outer;
         self.protocol.note_arrivals_since(outer);
         result
     }
 }
 
-/// A controller on its sockets.
+/// An event loop with the controller and the sockets that it serves. Times are in microseconds.
 pub(crate) struct EventLoop<P> {
-    /// The controller.
+    /// The sans-I/O controller.
     pub protocol: P,
-    /// The clock of this process.
+    /// The monotonic clock of this process.
     pub clock: Clock,
-    /// The time of this turn of the loop, in microseconds.
+    /// The time of the current iteration.
     pub now: i64,
     poll: Poll,
-    lateness: Lateness,
-    /// The earliest time at which what is reported in this turn can have arrived.
-    arrivals_since: i64,
+    lateness: LatenessDetector,
+    /// The earliest time at which the events reported in this iteration can have arrived.
+    earliest_arrival: i64,
     events: Events,
     connections: ConnectionSockets,
     acceptors: Vec<Acceptor>,
     datagram_ports: Vec<DatagramPort>,
     wakeups: Vec<Wakeup<P>>,
-    turn_handlers: Vec<Handler<P>>,
+    iteration_handlers: Vec<Handler<P>>,
     effects: Vec<Effect>,
-    /// The last turn was put off, as it had become late before anything was done in it.
-    is_put_off: bool,
+    /// The timers and effects of the last iteration were deferred, because it had become late before it got to them.
+    is_deferred: bool,
     stopped: bool,
 }
 
 impl<P: Protocol> EventLoop<P> {
-    /// An event loop without sockets, at the time `now` of the clock.
+    /// Creates an event loop without sockets. `now` is the current time of the clock.
     ///
     /// # Errors
-    /// If the system gives no poll.
+    /// Returns an error if the system cannot create a poll instance.
     pub fn new(clock: Clock, now: i64, protocol: P) -> io::Result<EventLoop<P>> {
         Ok(EventLoop {
             protocol,
             clock,
             now,
             poll: Poll::new()?,
-            lateness: Lateness::new(now),
-            arrivals_since: now,
-            events: Events::with_capacity(EVENTS_PER_POLL),
+            lateness: LatenessDetector::new(now),
+            earliest_arrival: now,
+            events: Events::with_capacity(MAX_EVENTS_PER_POLL),
             connections: ConnectionSockets::new(),
             acceptors: Vec::new(),
             datagram_ports: Vec::new(),
             wakeups: Vec::new(),
-            turn_handlers: Vec::new(),
+            iteration_handlers: Vec::new(),
             effects: Vec::new(),
-            is_put_off: false,
+            is_deferred: false,
             stopped: false,
         })
     }
 
-    /// Accepts connections from a listening socket.
+    /// Adds a listening socket, whose connections the loop accepts.
     ///
     /// # Errors
-    /// If the socket cannot be registered.
+    /// Returns an error if the socket cannot be registered.
     pub fn add_listener(&mut self, listener: Listener, socket: TcpListener) -> io::Result<()> {
         self.acceptors
             .push(Acceptor::register(listener, socket, self.poll.registry())?);
         Ok(())
     }
 
-    /// Receives and sends datagrams on a socket.
+    /// Adds a socket for receiving and sending datagrams.
     ///
     /// # Errors
-    /// If the socket cannot be registered.
+    /// Returns an error if the socket cannot be registered.
     pub fn add_datagram_socket(
         &mut self,
         name: DatagramSocket,
@@ -144,12 +144,12 @@
         Ok(())
     }
 
-    /// Calls `handler` whenever bytes arrive on a stream: once for all that wait there.
+    /// Adds a stream and a handler that is called whenever bytes arrive on it, once for all pending bytes.
     ///
     /// # Errors
-    /// If the stream cannot be registered.
+    /// Returns an error if the stream cannot be registered.
     pub fn add_wakeup(&mut self, stream: UnixStream, handler: Handler<P>) -> io::Result<()> {
-        let token = Token(WAKEUP_TOKENS + self.wakeups.len());
+        let token = Token(FIRST_WAKEUP_TOKEN + self.wakeups.len());
         self.wakeups.push(Wakeup::register(
             stream,
             handler,
@@ -159,12 +159,12 @@
         Ok(())
     }
 
-    /// Calls `handler` in each turn of the loop.
-    pub fn add_turn_handler(&mut self, handler: Handler<P>) {
-        self.turn_handlers.push(handler);
+    /// Adds a handler that is called in each iteration of the loop.
+    pub fn add_iteration_handler(&mut self, handler: Handler<P>) {
+        self.iteration_handlers.push(handler);
     }
 
-    /// The address of a listener; `None` if it is not or no longer open.
+    /// Returns the address of a listener, or `None` if it is not open.
     pub fn listener_address(&self, listener: Listener) -> Option<SocketAddr> {
         self.acceptors
             .iter()
@@ -172,7 +172,7 @@
             .local_address()
     }
 
-    /// The address of a datagram socket.
+    /// Returns the address of a datagram socket, or `None` if there is no such socket.
     pub fn datagram_address(&self, name: DatagramSocket) -> Option<SocketAddr> {
         self.datagram_ports
             .iter()
@@ -180,13 +180,13 @@
             .local_address()
     }
 
-    /// Serves until the controller has stopped.
+    /// Runs the loop until the controller has stopped.
     ///
     /// # Errors
-    /// If polling fails. A fault of one connection ends that connection only.
+    /// Returns an error if polling fails. An error of a connection closes only that connection.
     pub fn run(&mut self) -> io::Result<()> {
         while !self.stopped {
-            let timeout = match self.is_put_off {
+            let timeout = match self.is_deferred {
                 true => Duration::ZERO,
                 false => self.apply_effects_until_poll(),
             };
@@ -195,25 +195,25 @@
             self.receive_pending();
             self.retry_connections();
             self.accept_pending();
-            for handler in &mut self.turn_handlers {
+            for handler in &mut self.iteration_handlers {
                 handler(&mut self.protocol, self.now);
             }
-            self.is_put_off = !self.is_put_off && self.has_become_late();
-            if !self.is_put_off {
+            self.is_deferred = !self.is_deferred && self.is_iteration_late();
+            if !self.is_deferred {
                 self.protocol.handle_timers(self.now);
             }
         }
         Ok(())
     }
 
-    /// Whether the process was suspended since the clock was read for this turn. Acting by that time would send attempts with time
-    /// that their clients no longer have, and for clients that have left meanwhile; so the turn is put off, once, and what has come
-    /// is read first.
-    fn has_become_late(&self) -> bool {
+    /// Returns whether the process was suspended since the clock was read for this iteration. Decisions by that reading would
+    /// give attempts more time than their clients still have, and would send queries of clients that have left meanwhile.
+    /// Therefore the timers and effects of such an iteration are deferred once, until the events that arrived are read.
+    fn is_iteration_late(&self) -> bool {
         lateness::is_late(self.now, self.clock.now())
     }
 
-    /// Carries out the effects that wait; for how long to poll then.
+    /// Applies the pending effects and returns the timeout of the poll that follows.
     fn apply_effects_until_poll(&mut self) -> Duration {
         let remaining = self.apply_effects();
         let has_datagrams = self.datagram_ports.iter().any(DatagramPort::is_pending);
@@ -224,12 +224,12 @@
         }
     }
 
-    /// Carries out the effects that remain when the loop has ended.
+    /// Applies the effects that remain after the loop has ended.
     pub fn apply_last_effects(&mut self) {
         self.apply_effects();
     }
 
-    /// Time until the next timer, accept or repeated call is due.
+    /// Returns the time until the next timer, accept or retry is due.
     fn poll_timeout(&self) -> Duration {
         let accepts = self.acceptors.iter().filter_map(Acceptor::accept_at);
         let retry = self.connections.retry_at();
@@ -245,67 +245,67 @@
         next.map_or(IDLE_POLL_TIMEOUT, |at| self.clock.until(at))
     }
 
-    /// Receives datagrams that an earlier turn left.
+    /// Receives the datagrams that an earlier iteration left in the sockets.
     fn receive_pending(&mut self) {
         let mut io = IoContext {
             registry: self.poll.registry(),
             protocol: &mut self.protocol,
             now: self.now,
-            arrivals_since: self.arrivals_since,
+            earliest_arrival: self.earliest_arrival,
         };
         for port in &mut self.datagram_ports {
             port.receive_pending(&mut io);
         }
     }
 
-    /// Repeats calls on connections that failed for the moment.
+    /// Retries calls on connections that failed with transient errors.
     fn retry_connections(&mut self) {
         let mut io = IoContext {
             registry: self.poll.registry(),
             protocol: &mut self.protocol,
             now: self.now,
-            arrivals_since: self.arrivals_since,
+            earliest_arrival: self.earliest_arrival,
         };
         self.connections.retry(&mut io);
     }
 
-    /// Accepts from the listeners where connections may wait. It comes after all events of the turn, since a connection
-    /// that makes place for a new one may have closed among them.
+    /// Accepts from the listeners whose backlog may hold connections. This follows all events of the iteration, since these
+    /// may include the end of a connection that makes room for a new one.
     fn accept_pending(&mut self) {
         let mut io = IoContext {
             registry: self.poll.registry(),
             protocol: &mut self.protocol,
             now: self.now,
-            arrivals_since: self.arrivals_since,
+            earliest_arrival: self.earliest_arrival,
         };
         self.acceptors.retain_mut(|acceptor| {
             if acceptor.accept_at().is_none_or(|at| at > io.now) {
                 return true;
             }
             let remaining = acceptor.accept_batch(&mut self.connections, &mut io);
-            let ends = acceptor.may_end(remaining, io.now);
-            if ends {
+            let can_close = acceptor.can_close(remaining, io.now);
+            if can_close {
                 acceptor.deregister(io.registry);
                 io.protocol.handle_listening_stopped(io.now);
             }
-            !ends
+            !can_close
         });
     }
 
-    /// Carries out effects, up to the rounds of one turn.
+    /// Applies effects, up to the maximum number of rounds of one iteration.
     fn apply_effects(&mut self) -> Remaining {
-        for _ in 0..EFFECT_ROUNDS {
+        for _ in 0..MAX_EFFECT_ROUNDS {
             let mut effects = std::mem::take(&mut self.effects);
             self.protocol.take_effects(&mut effects);
             let finished = effects.is_empty();
             let mut became_late = false;
             for effect in effects.drain(..) {
-                became_late |= self.take_back_if_stale(&effect);
+                became_late |= self.withdraw_if_stale(&effect);
                 self.apply_effect(effect);
             }
             self.effects = effects;
             if became_late {
-                // What has come meanwhile is read before anything more is decided.
+                // Read the events that arrived meanwhile before more decisions are made.
                 return Remaining::Possibly;
             }
             if finished {
@@ -315,8 +315,9 @@
         Remaining::Possibly
     }
 
-    /// Has the controller take back what it is about to write, if the process was suspended since that was decided. Whether it was.
-    fn take_back_if_stale(&mut self, effect: &Effect) -> bool {
+    /// If the process was suspended since the controller decided what to write, lets the controller withdraw that output.
+    /// Returns whether the output was stale.
+    fn withdraw_if_stale(&mut self, effect: &Effect) -> bool {
         let Effect::Write(id) = effect else {
             return false;
         };
@@ -333,7 +334,7 @@
             registry: self.poll.registry(),
             protocol: &mut self.protocol,
             now: self.now,
-            arrivals_since: self.arrivals_since,
+            earliest_arrival: self.earliest_arrival,
         };
         match effect {
             Effect::Connect(id, address) => self.connections.connect(id, address, &mut io),
@@ -351,26 +352,26 @@
         }
     }
 
-    /// Has the listener for clients end, as soon as the clients that wait already are accepted.
+    /// Begins to close the listener for clients, which happens once the connections in its backlog are accepted.
     fn stop_listening(&mut self) {
         let mut acceptors = self.acceptors.iter_mut();
         match acceptors.find(|acceptor| acceptor.listener() == Listener::Clients) {
-            Some(acceptor) => acceptor.begin_end(self.now),
+            Some(acceptor) => acceptor.begin_close(self.now),
             None => self.protocol.handle_listening_stopped(self.now),
         }
         self.accept_pending();
     }
 
-    /// Hands an event of the poll to the socket that it belongs to.
+    /// Dispatches an event of the poll to the socket that it belongs to.
     fn dispatch_event(&mut self, event: &mio::event::Event) {
         let token = event.token();
         let mut io = IoContext {
             registry: self.poll.registry(),
             protocol: &mut self.protocol,
             now: self.now,
-            arrivals_since: self.arrivals_since,
+            earliest_arrival: self.earliest_arrival,
         };
-        if token.0 >= WAKEUP_TOKENS + self.wakeups.len() {
+        if token.0 >= FIRST_WAKEUP_TOKEN + self.wakeups.len() {
             self.connections.handle_event(event, &mut io);
         } else if let Some(acceptor) = self.acceptors.iter_mut().find(|a| a.token() == token) {
             acceptor.schedule_accept(self.now);
@@ -378,7 +379,7 @@
             port.receive(&mut io);
         } else if let Some(wakeup) = token
             .0
-            .checked_sub(WAKEUP_TOKENS)
+            .checked_sub(FIRST_WAKEUP_TOKEN)
             .and_then(|n| self.wakeups.get_mut(n))
         {
             wakeup.handle(&mut self.protocol, self.now);
@@ -389,7 +390,7 @@
 impl<P: Protocol> EventSource for EventLoop<P> {
     fn poll(&mut self, timeout: Duration) -> io::Result<Remaining> {
         self.poll.poll(&mut self.events, Some(timeout))?;
-        let is_full = self.events.iter().count() >= EVENTS_PER_POLL;
+        let is_full = self.events.iter().count() >= MAX_EVENTS_PER_POLL;
         Ok(if is_full {
             Remaining::Possibly
         } else {
@@ -405,7 +406,7 @@
         self.now = now;
         self.protocol.begin_turn(now);
         if let Some(since) = self.lateness.end_poll(now) {
-            self.arrivals_since = since;
+            self.earliest_arrival = since;
             self.protocol.note_arrivals_since(since);
         }
         let events = std::mem::replace(&mut self.events, Events::with_capacity(0));
--- a/crates/controller/src/event_loop/polling.rs
+++ b/crates/controller/src/event_loop/polling.rs
@@ -1,36 +1,37 @@
-//! Polling for events so that all events up to a time are handled before the timers of that time.
+//! Polling that handles all events up to a point in time before the timers due at that time fire.
 
 use super::Remaining;
 use std::io::{self, ErrorKind};
 use std::time::Duration;
 
-/// Polls in one turn of the loop, at most.
-const MAX_POLLS_PER_TURN: usize = 64;
+/// Maximum number of polls in one iteration of the event loop.
+const MAX_POLLS_PER_ITERATION: usize = 64;
 
-/// Where events come from, with the clock that orders them against timers. Times are in microseconds.
+/// A source of events and the clock that orders them relative to timers. Times are in microseconds.
 pub(super) trait EventSource {
-    /// Waits for events, up to `timeout`, and keeps those that have come for [`EventSource::dispatch`].
+    /// Waits up to `timeout` for events and keeps those that arrived for [`EventSource::dispatch`].
     fn poll(&mut self, timeout: Duration) -> io::Result<Remaining>;
-    /// The time.
+    /// Returns the current time.
     fn read_clock(&mut self) -> i64;
-    /// Handles the events of the last poll, as of a time.
+    /// Handles the events of the last poll as of the time `now`.
     fn dispatch(&mut self, now: i64);
-    /// Whether a timer is due at a time.
+    /// Returns whether a timer is due at the time `now`.
     fn is_timer_due(&self, now: i64) -> bool;
 }
 
 /// Polls, waiting up to `timeout`, until all events before the returned time are handled.
 ///
-/// A process that is suspended between its poll and its look at the clock would find timers due without having seen the
-/// events that came before them; so when a timer is due, it polls once more, by the time read before that poll.
+/// If the process is suspended between a poll and the reading of the clock, timers appear due although events that arrived
+/// before them have not been read yet. Therefore, when a timer is due, this function polls once more without waiting and
+/// uses the time that was read before that poll.
 pub(super) fn poll_until_current(
     source: &mut impl EventSource,
     mut timeout: Duration,
 ) -> io::Result<i64> {
     let mut clock_before_poll = None;
-    for _ in 0..MAX_POLLS_PER_TURN {
+    for _ in 0..MAX_POLLS_PER_ITERATION {
         let remaining = match source.poll(std::mem::take(&mut timeout)) {
-            // Nothing is known of the events meanwhile: a process that was suspended and resumed comes here.
+            // An interrupted poll reports no events, so poll again. A process that is suspended and resumed gets here.
             Err(e) if e.kind() == ErrorKind::Interrupted => continue,
             result => result?,
         };
--- a/crates/controller/src/event_loop/tests.rs
+++ b/crates/controller/src/event_loop/tests.rs
@@ -1,23 +1,24 @@
-//! Tests of the order of events and timers under suspension of the process.
+//! Tests of the order of events and timers when the process is suspended.
 
-use super::lateness::Lateness;
+use super::lateness::LatenessDetector;
 use super::polling::{poll_until_current, EventSource};
 use super::Remaining;
 use std::io::{self, ErrorKind};
 use std::time::Duration;
 
-/// When the timer is due, in microseconds.
+/// Time at which the timer is due, in microseconds.
 const TIMER_AT: i64 = 1_000;
 
 /// A process whose clock jumps by `suspended_us` when it is read for the `suspended_at_read`-th time, as if the process
-/// had been suspended just before, while the events of that time happen.
+/// had been suspended just before. The events of the skipped time have happened by then.
 struct SuspendedProcess {
     now: i64,
     clock_reads: usize,
     suspended_at_read: usize,
     suspended_us: i64,
-    /// Times of the events to come, and of those polled.
+    /// Times of the events that have not been polled yet.
     pending: Vec<i64>,
+    /// Times of the events that have been polled.
     polled: Vec<i64>,
     interrupted: bool,
     events_per_poll: usize,
@@ -60,7 +61,7 @@
 }
 
 #[test]
-fn events_before_a_due_timer_are_polled_first_wherever_the_process_was_suspended() {
+fn events_before_a_due_timer_are_polled_first_wherever_the_process_is_suspended() {
     let cases = (0..4usize).flat_map(|at| {
         [
             (at, false, 300),
@@ -81,7 +82,8 @@
             events_per_poll,
         };
         for _ in 0..9 {
-            let now = poll_until_current(&mut process, Duration::from_micros(500)).expect("polled");
+            let now = poll_until_current(&mut process, Duration::from_micros(500))
+                .expect("polling should succeed");
             let missed = process.pending.iter().filter(|at| **at <= now).count();
             assert_eq!(
                 missed, 0,
@@ -93,25 +95,25 @@
 }
 
 #[test]
-fn what_a_late_turn_finds_may_have_arrived_since_the_turn_before() {
+fn events_of_a_late_iteration_may_have_arrived_since_the_previous_poll() {
     let timeout = Duration::from_millis(100);
-    let mut lateness = Lateness::new(0);
-    let mut turn = |begins: i64, ends: i64| {
-        lateness.begin_poll(begins, timeout);
-        lateness.end_poll(ends)
+    let mut lateness = LatenessDetector::new(0);
+    let mut poll = |started_at: i64, ended_at: i64| {
+        lateness.begin_poll(started_at, timeout);
+        lateness.end_poll(ended_at)
     };
-    assert_eq!(turn(1_000, 90_000), Some(90_000), "in time");
-    // Suspended in the poll; what came meanwhile may show in the next one only.
-    assert_eq!(turn(91_000, 2_000_000), Some(90_000));
-    assert_eq!(turn(2_001_000, 2_002_000), Some(90_000));
-    assert_eq!(turn(2_003_000, 2_100_000), Some(2_100_000));
-    // Busy, or suspended, between two polls.
-    assert_eq!(turn(2_900_000, 2_901_000), Some(2_100_000));
-    assert_eq!(turn(2_902_000, 2_903_000), Some(2_100_000));
-    assert_eq!(turn(2_904_000, 2_905_000), Some(2_905_000));
+    assert_eq!(poll(1_000, 90_000), Some(90_000), "a poll in time");
+    // Suspended during a poll: events that arrived meanwhile may be reported only by the next poll.
+    assert_eq!(poll(91_000, 2_000_000), Some(90_000));
+    assert_eq!(poll(2_001_000, 2_002_000), Some(90_000));
+    assert_eq!(poll(2_003_000, 2_100_000), Some(2_100_000));
+    // Busy or suspended between two polls.
+    assert_eq!(poll(2_900_000, 2_901_000), Some(2_100_000));
+    assert_eq!(poll(2_902_000, 2_903_000), Some(2_100_000));
+    assert_eq!(poll(2_904_000, 2_905_000), Some(2_905_000));
     assert_eq!(
         lateness.end_poll(2_906_000),
         None,
-        "polled again in one turn"
+        "a second poll of the same iteration"
     );
 }
--- a/crates/controller/src/event_loop/wakeup.rs
+++ b/crates/controller/src/event_loop/wakeup.rs
@@ -1,21 +1,21 @@
-//! Streams by which signal handlers and other threads wake the event loop.
+//! Streams through which signal handlers and other threads wake the event loop.
 
 use super::Handler;
 use mio::net::UnixStream;
 use mio::{Interest, Registry, Token};
 use std::io::{self, Read as _};
 
-/// Bytes of a wake-up stream that are discarded in one read.
-const DISCARD_BYTES: usize = 64;
+/// Size of the buffer into which the bytes of a wake-up stream are read to be discarded.
+const DISCARD_BUFFER_BYTES: usize = 64;
 
-/// A stream whose bytes have a handler called; what they are does not matter.
+/// A stream that calls a handler when bytes arrive. The content of the bytes is ignored.
 pub(super) struct Wakeup<P> {
     stream: UnixStream,
     handler: Handler<P>,
 }
 
 impl<P> Wakeup<P> {
-    /// Registers a stream with the poll.
+    /// Registers a stream with the poll registry.
     pub fn register(
         stream: std::os::unix::net::UnixStream,
         handler: Handler<P>,
@@ -28,9 +28,9 @@
         Ok(Wakeup { stream, handler })
     }
 
-    /// Discards the bytes that wait and calls the handler once.
+    /// Discards all pending bytes and calls the handler once.
     pub fn handle(&mut self, protocol: &mut P, now: i64) {
-        let mut bytes = [0; DISCARD_BYTES];
+        let mut bytes = [0; DISCARD_BUFFER_BYTES];
         while matches!(self.stream.read(&mut bytes), Ok(n) if n > 0) {}
         (self.handler)(protocol, now);
     }
--- a/crates/controller/src/gossip_keys.rs
+++ b/crates/controller/src/gossip_keys.rs
@@ -1,4 +1,4 @@
-//! Watches the file of the gossip keys. A thread of its own reads it from time to time, as a disk may hang.
+//! Watcher of the gossip key file. A separate thread polls the file, because a read from a disk may block.
 
 use crate::error::{error_chain, ControllerError};
 use std::path::{Path, PathBuf};
@@ -6,19 +6,19 @@
 use std::time::Duration;
 use wheelfield_gossip::authentication::Keys;
 
-/// Time between two reads of the file.
+/// Interval between two reads of the file.
 const POLL_INTERVAL: Duration = Duration::from_secs(5);
-/// Bytes read of the file, at most.
+/// Maximum number of bytes read from the file.
 const MAX_FILE_BYTES: u64 = 64 << 10;
-/// Updates that wait to be received, at most; with more, the thread waits.
+/// Maximum number of updates in the channel; the thread blocks while the channel is full.
 const MAX_PENDING_UPDATES: usize = 4;
 
-/// Changed keys, or why they can't be read.
+/// Changed keys, or the error that prevents reading them.
 pub(crate) type KeysUpdate = Result<Keys, String>;
 
-/// Watches the file until it is dropped.
+/// Watches the key file until the watcher is dropped.
 pub(crate) struct KeysWatcher {
-    /// Each change of the file, and each new reason why it can't be read.
+    /// Receives each change of the file, and each error that differs from the one before.
     pub updates: Receiver<KeysUpdate>,
     _stop: Sender<()>,
 }
@@ -27,7 +27,7 @@
     /// Reads the keys and starts a thread that watches the file.
     ///
     /// # Errors
-    /// If they can't be read, or the thread can't be started.
+    /// Returns an error if the keys cannot be read or the thread cannot be started.
     pub fn start(path: &Path) -> Result<(Keys, KeysWatcher), ControllerError> {
         let (text, keys) = read_keys(path)?;
         let (sender, updates) = sync_channel(MAX_PENDING_UPDATES);
@@ -52,14 +52,14 @@
     let mut text = String::new();
     let file = std::fs::File::open(path).map_err(ControllerError::read_file(path))?;
     file.take(MAX_FILE_BYTES).read_to_string(&mut text)?;
-    let keys = Keys::read(&text).map_err(|fault| ControllerError::GossipKeys {
+    let keys = Keys::read(&text).map_err(|error| ControllerError::GossipKeys {
         path: path.to_path_buf(),
-        fault,
+        error,
     })?;
     Ok((text, keys))
 }
 
-/// Reads the file from time to time and sends what differs from the last read, until stopped.
+/// Polls the file and sends the keys or the error whenever it differs from the last one, until `stopped` is disconnected.
 fn watch_file(
     path: &Path,
     mut last_text: String,
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,8 +1,8 @@
-//! The running controller: an event loop around a sans-I/O controller.
+//! The controller process: an event loop that runs a sans-I/O controller on real sockets.
 //!
-//! That is [`wheelfield_pg_gateway::PgGateway`] for PostgreSQL clients ([`postgres`]) and
-//! [`wheelfield_platform::Platform`] on the operators' platform ([`platform`]). The event loop hands it the events of
-//! sockets, files and signals, and carries out the effects that it returns. One thread, one loop on mio.
+//! The sans-I/O controller is [`wheelfield_pg_gateway::PgGateway`] for PostgreSQL clients ([`postgres`]) and
+//! [`wheelfield_platform::Platform`] on the operators' platform ([`platform`]). A single-threaded event loop on mio
+//! passes it the events of sockets, files and signals, and applies the effects that it returns.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -1,5 +1,5 @@
-//! `wheelfield-controller`: admits the queries of clients and routes them to engines, by PostgreSQL's protocol or by that of
-//! the operators' platform.
+//! `wheelfield-controller`: admits the queries of clients and routes them to engines. It speaks either the PostgreSQL
+//! protocol or the protocols of the operators' platform.
 
 use anyhow::{anyhow, Context, Result};
 use clap::{Parser, Subcommand, ValueEnum};
@@ -12,22 +12,22 @@
 use tracing_appender::non_blocking::{NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 use wheelfield_config::Config;
-use wheelfield_controller::platform::{self, Launch, PlatformController};
+use wheelfield_controller::platform::{self, LoadedConfig, PlatformController};
 use wheelfield_controller::postgres::PostgresController;
 use wheelfield_controller::startup::Startup;
 use wheelfield_pg_gateway::fault_injection::FaultInjection;
 use wheelfield_platform::InjectedFault;
 
-/// Log lines that wait to be written, at most; more are lost.
+/// Maximum number of log lines that are buffered for writing. Further lines are dropped.
 const MAX_BUFFERED_LOG_LINES: usize = 4_096;
-/// Exit code of bad use, and of a configuration that can't be used.
-const EXIT_UNUSABLE: u8 = 2;
+/// Exit code for invalid arguments or an invalid configuration.
+const EXIT_INVALID_USAGE: u8 = 2;
 
 /// Admits queries of PostgreSQL clients and routes them to a pool of engines.
 ///
-/// One line of JSON on standard output says where it listens; logs go to standard error. On SIGTERM or SIGINT it takes
-/// no new clients, answers the queries it has, and ends with 0. Exit codes: 0 good, 1 failed while running, 2 bad use or a
-/// configuration that can't be used.
+/// Prints one line of JSON with its listening addresses to standard output and logs to standard error. On SIGTERM or
+/// SIGINT it accepts no new clients, answers the queries that it has accepted, and exits with 0. Exit codes: 0 success,
+/// 1 failure while running, 2 invalid arguments or configuration.
 #[derive(Parser)]
 #[command(
     name = "wheelfield-controller",
@@ -38,52 +38,53 @@
 struct Args {
     #[command(subcommand)]
     command: Option<Command>,
-    /// The configuration, as TOML.
+    /// Path of the configuration file, in TOML.
     #[arg(long, value_name = "FILE", required = true)]
     config: Option<PathBuf>,
-    /// Only check the configuration.
+    /// Check the configuration and exit.
     #[arg(long)]
     check: bool,
-    /// Listens here in place of what the configuration says.
+    /// Listening address for clients, which overrides that of the configuration.
     #[arg(long, value_name = "ADDR")]
     listen: Option<SocketAddr>,
-    /// Seed of the random generator; the same inputs and seed give the same decisions.
+    /// Seed of the random number generator. The same inputs and seed produce the same decisions.
     #[arg(long, value_name = "N")]
     seed: Option<u64>,
     #[command(flatten)]
     logs: LogArgs,
-    /// A fault for the invariant checker to find, in builds that have them.
+    /// Fault to inject, which the invariant checker must detect. Available only with the feature `planted`.
     #[arg(long = "plant", value_name = "FAULT", hide = true, value_parser = FaultInjection::parse)]
     fault: Option<FaultInjection>,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serves on the operators' platform: HTTP clients, executors' lines, names by DNS. Nothing is written but logs.
+    /// Serves on the operators' platform: HTTP clients, executors with a line-based protocol, and discovery by DNS. Writes
+    /// nothing but logs.
     ///
-    /// SIGHUP reads the configuration again, for another name service. On SIGTERM or SIGINT it serves clients that still come,
-    /// answers the queries it has, and ends with 0.
+    /// SIGHUP reloads the configuration, to switch to another name service. On SIGTERM or SIGINT it still serves clients
+    /// that connect, answers the queries that it has accepted, and exits with 0.
     Platform {
-        /// The configuration, as JSON; without it the file that LB_CONFIG names.
+        /// Path of the configuration file, in JSON. Defaults to the path in the environment variable LB_CONFIG.
         #[arg(long, value_name = "FILE")]
         config: Option<PathBuf>,
-        /// Only check the configuration.
+        /// Check the configuration and exit.
         #[arg(long)]
         check: bool,
         #[command(flatten)]
         logs: LogArgs,
-        /// A fault for the soak to find, in builds that have them.
-        #[arg(long, value_name = "FAULT", hide = true, value_parser = InjectedFault::parse)]
-        plant: Option<InjectedFault>,
+        /// Fault to inject, which the soak test must detect. Available only with the feature `planted`.
+        #[arg(long = "plant", value_name = "FAULT", hide = true, value_parser = InjectedFault::parse)]
+        fault: Option<InjectedFault>,
     },
 }
 
 #[derive(clap::Args)]
 struct LogArgs {
-    /// How logs are written.
+    /// Format of the log lines.
     #[arg(long, value_enum, default_value_t = LogFormat::Text)]
     log_format: LogFormat,
-    /// What is logged: error, warn, info, debug, or targets as in `wheelfield_pg_gateway=debug`.
+    /// Log level (error, warn, info or debug), or levels by target such as `wheelfield_pg_gateway=debug`.
     #[arg(long, value_name = "LEVEL", default_value = "info")]
     log: String,
 }
@@ -101,70 +102,70 @@
             config,
             check,
             logs,
-            plant,
-        }) => platform_command(config.clone(), *check, logs, *plant),
+            fault,
+        }) => platform_command(config.clone(), *check, logs, *fault),
         None => postgres_command(&args),
     }
 }
 
-/// Serves PostgreSQL clients, or only checks the configuration.
+/// Serves PostgreSQL clients, or only checks the configuration if `--check` is given.
 fn postgres_command(args: &Args) -> ExitCode {
     let config = match load_config(args) {
         Ok(config) => config,
-        Err(error) => return exit_unusable(&error),
+        Err(error) => return exit_invalid_usage(&error),
     };
     if args.check {
         return ExitCode::SUCCESS;
     }
     match start_logging(&args.logs) {
         Ok(_guard) => exit_code(run_postgres(config, args)),
-        Err(error) => exit_unusable(&error),
+        Err(error) => exit_invalid_usage(&error),
     }
 }
 
-/// Serves on the operators' platform, or only checks the configuration.
+/// Serves on the operators' platform, or only checks the configuration if `check` is set.
 fn platform_command(
     config: Option<PathBuf>,
     check: bool,
     logs: &LogArgs,
-    plant: Option<InjectedFault>,
+    fault: Option<InjectedFault>,
 ) -> ExitCode {
     let path = config.or_else(|| std::env::var_os("LB_CONFIG").map(PathBuf::from));
     let Some(path) = path else {
-        return exit_unusable(&anyhow!(
-            "no configuration: give --config FILE, or LB_CONFIG"
+        return exit_invalid_usage(&anyhow!(
+            "no configuration file; pass --config FILE or set LB_CONFIG"
         ));
     };
     if check {
-        return match platform::load(&path) {
+        return match platform::load_config(&path) {
             Ok(_) => ExitCode::SUCCESS,
-            Err(error) => exit_unusable(&error.into()),
+            Err(error) => exit_invalid_usage(&error.into()),
         };
     }
-    // Signals may come from the very beginning, and must not end the process by default.
+    // Handlers are installed first, because the default action of a signal would kill the process during its start.
     let signals = match PlatformSignals::install() {
         Ok(signals) => signals,
         Err(error) => return exit_code(Err(error)),
     };
     let _guard = match start_logging(logs) {
         Ok(guard) => guard,
-        Err(error) => return exit_unusable(&error),
+        Err(error) => return exit_invalid_usage(&error),
     };
-    let mut startup = match Startup::begin(&signals.shutdown) {
+    let mut startup = match Startup::new(&signals.shutdown) {
         Ok(startup) => startup,
         Err(error) => return exit_code(Err(error.into())),
     };
-    match startup.step(|| platform::load(&path)) {
-        Ok(Some(launch)) => {
-            let opened = open_platform(&launch, &signals, &mut startup);
-            exit_code(opened.and_then(|controller| run_platform(controller, plant)))
+    match startup.retry(|| platform::load_config(&path)) {
+        Ok(Some(loaded)) => {
+            let opened = open_platform(&loaded, &signals, &mut startup);
+            exit_code(opened.and_then(|controller| run_platform(controller, fault)))
         }
         Ok(None) => ExitCode::SUCCESS,
-        Err(error) => exit_unusable(&error.into()),
+        Err(error) => exit_invalid_usage(&error.into()),
     }
 }
 
-/// The signals that a controller on the platform obeys, as streams on which a byte arrives with each.
+/// The signals that a controller on the platform handles. Each signal writes a byte to its stream.
 struct PlatformSignals {
     shutdown: UnixStream,
     reload: UnixStream,
@@ -194,11 +195,12 @@
     Ok(config)
 }
 
-/// Starts to write logs, until the guard is dropped. A full pipe costs log lines, never queries.
+/// Starts logging, which lasts until the guard is dropped. If standard error blocks, log lines are dropped and queries are
+/// not delayed.
 fn start_logging(logs: &LogArgs) -> Result<WorkerGuard> {
     let filter = EnvFilter::try_new(&logs.log).map_err(|_| {
         anyhow!(
-            "--log {} is no level; known: error, warn, info, debug",
+            "invalid --log `{}`; expected error, warn, info, debug or target=level",
             logs.log
         )
     })?;
@@ -233,38 +235,39 @@
     Ok(())
 }
 
-/// Opens the sockets of a controller; none if a shutdown was requested meanwhile.
+/// Opens the sockets of a controller. Returns `None` if a shutdown was requested meanwhile.
 fn open_platform(
-    launch: &Launch,
+    loaded: &LoadedConfig,
     signals: &PlatformSignals,
     startup: &mut Startup,
 ) -> Result<Option<PlatformController>> {
-    Ok(startup.step(|| {
-        let mut controller = PlatformController::open(launch)?;
+    Ok(startup.retry(|| {
+        let mut controller = PlatformController::open(loaded)?;
         controller.shut_down_on(signals.shutdown.try_clone()?)?;
         controller.reload_on(signals.reload.try_clone()?)?;
         Ok(controller)
     })?)
 }
 
-/// Runs a controller, if there is one. A fault can be planted in builds that have them alone; others refuse its name.
+/// Runs a controller, if there is one. Faults can be injected only in builds with the feature `planted`; other builds reject
+/// their names when the arguments are parsed.
 #[cfg_attr(not(feature = "planted"), expect(unused_variables))]
 fn run_platform(
     controller: Option<PlatformController>,
-    plant: Option<InjectedFault>,
+    injected_fault: Option<InjectedFault>,
 ) -> Result<()> {
     let Some(mut controller) = controller else {
         return Ok(());
     };
     #[cfg(feature = "planted")]
-    if let Some(fault) = plant {
-        controller.plant(fault);
+    if let Some(fault) = injected_fault {
+        controller.inject_fault(fault);
     }
     Ok(controller.run()?)
 }
 
-/// A stream on which a byte arrives with each of these signals. It is made before the sockets open: whoever finds them open
-/// may send a signal, which must not end the process by default.
+/// Returns a stream to which each of these signals writes a byte. Call this before the sockets are opened: another process
+/// that finds them open may send a signal, whose default action would kill this process.
 fn signal_stream(signals: &[i32]) -> Result<UnixStream> {
     let (receiver, sender) = UnixStream::pair()?;
     for signal in signals {
@@ -273,13 +276,13 @@
     Ok(receiver)
 }
 
-/// Exit code of bad use, or of a configuration that can't be used.
-fn exit_unusable(error: &anyhow::Error) -> ExitCode {
+/// Prints an error in the arguments or the configuration and returns the exit code for it.
+fn exit_invalid_usage(error: &anyhow::Error) -> ExitCode {
     eprintln!("wheelfield-controller: {error:#}");
-    ExitCode::from(EXIT_UNUSABLE)
+    ExitCode::from(EXIT_INVALID_USAGE)
 }
 
-/// Exit code of a controller that ran.
+/// Returns the exit code of a controller that ran, after printing its error if it failed.
 fn exit_code(result: Result<()>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/controller/src/platform.rs
+++ b/crates/controller/src/platform.rs
@@ -1,5 +1,5 @@
-//! The controller on the operators' platform: [`Platform`] on its sockets. It listens for clients and for other controllers,
-//! and writes no file.
+//! The controller on the operators' platform: runs [`Platform`] on real sockets. It listens for clients and for other
+//! controllers, and writes no file.
 
 use crate::bind::{bind_datagram_socket, bind_listener};
 use crate::error::{error_chain, ControllerError};
@@ -14,23 +14,25 @@
 use wheelfield_platform::{BootstrapConfig, BootstrapError, Platform};
 use wheelfield_sans_io::{DatagramSocket, Listener, Protocol};
 
-/// Connections that wait to be accepted, at most.
+/// Maximum number of connections in the backlog of the listening socket.
 const BACKLOG: u32 = 1_024;
-/// A new configuration that can't be used is read again after this delay, in microseconds.
+/// Delay before a failed reload of the configuration is retried for the first time, in microseconds. It doubles with each
+/// failure.
 const RELOAD_RETRY_DELAY_US: i64 = 50_000;
-/// The longest such delay: it doubles with each failure.
+/// Maximum delay between two tries of a reload, in microseconds.
 const MAX_RELOAD_RETRY_DELAY_US: i64 = 1_000_000;
 
-/// A configuration, the file that it was read from, and when: the list of executors in it is that old.
-pub struct Launch {
+/// A configuration with the file that it was read from and the time when it was read, which determines the age of the
+/// configured list of executors.
+pub struct LoadedConfig {
     config: BootstrapConfig,
     config_file: PathBuf,
     clock: Clock,
-    /// By the clock, in microseconds.
+    /// When the file was read, by `clock`, in microseconds.
     read_at: i64,
 }
 
-/// A controller on the platform, on its sockets.
+/// A controller on the operators' platform with its sockets.
 pub struct PlatformController {
     event_loop: EventLoop<Platform>,
     config_file: PathBuf,
@@ -39,13 +41,13 @@
 /// Reads a configuration.
 ///
 /// # Errors
-/// [`ControllerError::ReadFile`] or [`ControllerError::Configuration`].
-pub fn load(config_file: &Path) -> Result<Launch, ControllerError> {
+/// Returns [`ControllerError::ReadFile`] if the file cannot be read, or [`ControllerError::Configuration`] if it is invalid.
+pub fn load_config(config_file: &Path) -> Result<LoadedConfig, ControllerError> {
     let clock = Clock::start();
     let read_at = clock.now();
     let text = read_file(config_file)?;
     let config = BootstrapConfig::parse(&text).map_err(configuration_error(config_file))?;
-    Ok(Launch {
+    Ok(LoadedConfig {
         config,
         config_file: config_file.to_path_buf(),
         clock,
@@ -54,21 +56,23 @@
 }
 
 impl PlatformController {
-    /// Opens the sockets of a configuration, which may be read again from its file later.
+    /// Opens the sockets that a configuration names. The path of the file is kept for reloads.
     ///
     /// # Errors
-    /// [`ControllerError`], if a socket can't be had.
-    pub fn open(launch: &Launch) -> Result<PlatformController, ControllerError> {
-        let config = &launch.config;
+    /// Returns [`ControllerError`] if a socket cannot be opened.
+    pub fn open(loaded: &LoadedConfig) -> Result<PlatformController, ControllerError> {
+        let config = &loaded.config;
         let clients = bind_listener(config.listen, BACKLOG)?;
         let peers = config
             .peer_listen
-            .map(|at| bind_datagram_socket(at, "messages"))
+            .map(|at| bind_datagram_socket(at, "peer messages"))
             .transpose()?;
-        let discovery =
-            bind_datagram_socket(SocketAddr::new(config.listen.ip(), 0), "the name service")?;
-        let platform = Platform::new(config.clone(), launch.read_at);
-        let mut event_loop = EventLoop::new(launch.clock, launch.clock.now(), platform)?;
+        let discovery = bind_datagram_socket(
+            SocketAddr::new(config.listen.ip(), 0),
+            "name service responses",
+        )?;
+        let platform = Platform::new(config.clone(), loaded.read_at);
+        let mut event_loop = EventLoop::new(loaded.clock, loaded.clock.now(), platform)?;
         event_loop.add_listener(Listener::Clients, clients)?;
         event_loop.add_datagram_socket(DatagramSocket::Discovery, discovery)?;
         if let Some(peers) = peers {
@@ -76,26 +80,26 @@
         }
         Ok(PlatformController {
             event_loop,
-            config_file: launch.config_file.clone(),
+            config_file: loaded.config_file.clone(),
         })
     }
 
-    /// Plants a fault for the soak to find.
+    /// Injects a fault that the soak test must detect.
     #[cfg(feature = "planted")]
-    pub fn plant(&mut self, fault: wheelfield_platform::InjectedFault) {
+    pub fn inject_fault(&mut self, fault: wheelfield_platform::InjectedFault) {
         self.event_loop.protocol.inject_fault(fault);
     }
 
-    /// Where clients connect; `None` once it listens no longer.
+    /// Returns the address on which the controller accepts clients, or `None` once the listener is closed.
     pub fn address(&self) -> Option<SocketAddr> {
         self.event_loop.listener_address(Listener::Clients)
     }
 
-    /// A byte on this stream begins a graceful shutdown: the controller serves clients that do not know of it yet, answers
-    /// the queries it has, and ends.
+    /// Begins a graceful shutdown when a byte arrives on this stream. The controller still serves clients that do not know of
+    /// the shutdown yet, answers the queries that it has accepted, and stops.
     ///
     /// # Errors
-    /// If the stream cannot be registered.
+    /// Returns an error if the stream cannot be registered.
     pub fn shut_down_on(&mut self, signal: UnixStream) -> Result<(), ControllerError> {
         Ok(self.event_loop.add_wakeup(
             signal,
@@ -103,29 +107,29 @@
         )?)
     }
 
-    /// Each byte on this stream has the configuration read again. One that can't be used changes nothing and is read again
-    /// until it can: it may be half written or unreadable for a while, and no further signal may come.
+    /// Reloads the configuration whenever a byte arrives on this stream. An invalid configuration changes nothing and is read
+    /// again until it is valid: the file may be half written or unreadable for a while, and no further signal may follow.
     ///
     /// # Errors
-    /// If the stream cannot be registered.
+    /// Returns an error if the stream cannot be registered.
     pub fn reload_on(&mut self, signal: UnixStream) -> Result<(), ControllerError> {
         let config_file = self.config_file.clone();
         let pending: Rc<Cell<Option<Reload>>> = Rc::default();
         let requested = pending.clone();
         self.event_loop
-            .add_turn_handler(Box::new(move |platform, now| {
+            .add_iteration_handler(Box::new(move |platform, now| {
                 if let Some(reload) = pending.get().filter(|reload| reload.next_attempt_at <= now) {
                     pending.set(reload.attempt(&config_file, platform, now));
                 }
             }));
-        let request = move |_: &mut Platform, now| requested.set(Some(Reload::requested_at(now)));
+        let request = move |_: &mut Platform, now| requested.set(Some(Reload::new(now)));
         Ok(self.event_loop.add_wakeup(signal, Box::new(request))?)
     }
 
-    /// Serves until a shutdown was requested and all is answered.
+    /// Serves until a shutdown was requested and all accepted queries are answered.
     ///
     /// # Errors
-    /// If polling fails. A fault of one connection ends that connection only.
+    /// Returns an error if polling fails. An error of a connection closes only that connection.
     pub fn run(&mut self) -> Result<(), ControllerError> {
         info!(listen = ?self.address(), "started");
         self.event_loop.protocol.handle_start(self.event_loop.now);
@@ -135,17 +139,17 @@
     }
 }
 
-/// A reload of the configuration that was requested. Times are in microseconds.
+/// A requested reload of the configuration. Times are in microseconds.
 #[derive(Clone, Copy)]
 struct Reload {
     next_attempt_at: i64,
-    /// Delay after the next failure.
+    /// Delay before the retry that follows the next failure.
     retry_delay: i64,
     failure_logged: bool,
 }
 
 impl Reload {
-    fn requested_at(now: i64) -> Reload {
+    fn new(now: i64) -> Reload {
         Reload {
             next_attempt_at: now,
             retry_delay: RELOAD_RETRY_DELAY_US,
@@ -153,8 +157,8 @@
         }
     }
 
-    /// Reads the configuration and uses its name service. Returns the retry, if there is to be one; the first failure is
-    /// logged.
+    /// Reads the configuration and switches to its name service. If that fails, returns the reload with the time of its next
+    /// try. Only the first failure is logged.
     fn attempt(self, config_file: &Path, platform: &mut Platform, now: i64) -> Option<Reload> {
         match read_resolver(config_file) {
             Ok(resolver) => {
--- a/crates/controller/src/postgres.rs
+++ b/crates/controller/src/postgres.rs
@@ -1,4 +1,4 @@
-//! The controller for PostgreSQL clients: [`PgGateway`] on its sockets, with its files, keys and capture.
+//! The controller for PostgreSQL clients: runs [`PgGateway`] on real sockets, with its engine files, gossip keys and capture.
 
 use crate::bind::{bind_datagram_socket, bind_listener};
 use crate::capture::start_recorder;
@@ -22,16 +22,16 @@
 use wheelfield_pg_gateway::{GatewayEvent, PgGateway, Start};
 use wheelfield_sans_io::{DatagramSocket, Listener, Protocol};
 
-/// How long the start waits for a first set of engine files.
+/// Maximum time for which the startup waits for the first set of endpoints from the engine files.
 const FIRST_ENDPOINT_SET_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A controller for PostgreSQL clients on its sockets.
+/// A controller for PostgreSQL clients with its sockets.
 pub struct PostgresController {
     event_loop: EventLoop<PgGateway>,
     endpoint_files: Option<Rc<Watching>>,
 }
 
-/// The sockets of a configuration.
+/// The sockets that a configuration names.
 struct Sockets {
     clients: TcpListener,
     admin: Option<TcpListener>,
@@ -39,20 +39,21 @@
     gossip: Option<GossipSocket>,
 }
 
-/// The socket of the gossip, and what goes with it.
+/// The gossip socket, its advertised address and its keys.
 struct GossipSocket {
     socket: UdpSocket,
-    /// Where the other controllers reach it.
+    /// The address at which the other controllers reach this one.
     advertised_address: SocketAddr,
     keys: Keys,
     keys_watcher: KeysWatcher,
 }
 
 impl PostgresController {
-    /// Opens the sockets of a configuration. The same seed and inputs give the same decisions.
+    /// Opens the sockets that a configuration names and creates the gateway. The same seed and inputs produce the same
+    /// decisions.
     ///
     /// # Errors
-    /// [`ControllerError`], if a socket, a file or a thread can't be had.
+    /// Returns [`ControllerError`] if a socket or file cannot be opened or a thread cannot be started.
     pub fn open(
         config: Config,
         seed: u64,
@@ -72,7 +73,7 @@
             .map(|g| (g.advertised_address, g.keys.clone()));
         let gateway = start_gateway(config, seed, now, peers, gossip, fault)?;
         let mut event_loop = EventLoop::new(clock, now, gateway)?;
-        sockets.add_to(&mut event_loop)?;
+        sockets.register_with(&mut event_loop)?;
         let endpoint_files = match endpoint_files {
             Some((watcher, wakeup)) => {
                 Some(receive_endpoint_files(&mut event_loop, watcher, wakeup)?)
@@ -85,17 +86,17 @@
         })
     }
 
-    /// Where clients connect.
+    /// Returns the address on which the controller accepts clients.
     ///
     /// # Errors
-    /// [`ControllerError::NotListening`], once it listens no longer.
+    /// Returns [`ControllerError::NotListening`] once the listener is closed.
     pub fn address(&self) -> Result<SocketAddr, ControllerError> {
         self.event_loop
             .listener_address(Listener::Clients)
             .ok_or(ControllerError::NotListening)
     }
 
-    /// Where everything listens, for whoever started the process.
+    /// Returns the addresses of all sockets as JSON, for the parent process.
     pub fn addresses(&self) -> serde_json::Value {
         let listener = |name| {
             self.event_loop
@@ -115,21 +116,21 @@
         })
     }
 
-    /// A byte on this stream begins a graceful shutdown: the controller accepts no new clients, answers the queries it has,
-    /// and ends.
+    /// Begins a graceful shutdown when a byte arrives on this stream. The controller accepts no new clients, answers the
+    /// queries that it has accepted, and stops.
     ///
     /// # Errors
-    /// If the stream cannot be registered.
+    /// Returns an error if the stream cannot be registered.
     pub fn shut_down_on(&mut self, signal: UnixStream) -> Result<(), ControllerError> {
         Ok(self
             .event_loop
             .add_wakeup(signal, Box::new(|gateway, now| gateway.begin_shutdown(now)))?)
     }
 
-    /// Each byte on this stream has the capture that is held in memory written to disk.
+    /// Writes the in-memory capture to disk whenever a byte arrives on this stream.
     ///
     /// # Errors
-    /// If the stream cannot be registered.
+    /// Returns an error if the stream cannot be registered.
     pub fn write_capture_on(&mut self, signal: UnixStream) -> Result<(), ControllerError> {
         let write_capture =
             |gateway: &mut PgGateway, now| gateway.handle(now, GatewayEvent::CaptureRequested);
@@ -138,13 +139,13 @@
             .add_wakeup(signal, Box::new(write_capture))?)
     }
 
-    /// Serves until a shutdown was requested and all is answered.
+    /// Serves until a shutdown was requested and all accepted queries are answered.
     ///
     /// # Errors
-    /// If polling fails. A fault of one connection ends that connection only.
+    /// Returns an error if polling fails. An error of a connection closes only that connection.
     pub fn run(&mut self) -> Result<(), ControllerError> {
         self.event_loop.protocol.handle_start(self.event_loop.now);
-        self.await_first_endpoint_set();
+        self.wait_for_first_endpoint_set();
         self.event_loop.run()?;
         let now = self.event_loop.now;
         let recorder = self.event_loop.protocol.end(now);
@@ -161,8 +162,8 @@
         Ok(())
     }
 
-    /// Waits for the first set of the engine files, up to a limit.
-    fn await_first_endpoint_set(&mut self) {
+    /// Waits up to [`FIRST_ENDPOINT_SET_TIMEOUT`] for the first set of endpoints from the engine files.
+    fn wait_for_first_endpoint_set(&mut self) {
         let Some(watcher) = &self.endpoint_files else {
             return;
         };
@@ -175,13 +176,13 @@
                     .protocol
                     .handle(now, GatewayEvent::EndpointFiles(update));
             }
-            None => warn!("no endpoint set available; starting without"),
+            None => warn!("no endpoint set read from the engine files yet; starting without one"),
         }
     }
 }
 
 impl Sockets {
-    /// Binds the sockets of a configuration.
+    /// Binds the sockets that a configuration names.
     fn bind(config: &Config) -> Result<Sockets, ControllerError> {
         let backlog = config.limits.backlog;
         Ok(Sockets {
@@ -193,14 +194,14 @@
             peers: config
                 .peers
                 .as_ref()
-                .map(|p| bind_datagram_socket(p.listen, "messages"))
+                .map(|p| bind_datagram_socket(p.listen, "peer messages"))
                 .transpose()?,
             gossip: GossipSocket::bind(config)?,
         })
     }
 
-    /// Hands the sockets to an event loop.
-    fn add_to(self, event_loop: &mut EventLoop<PgGateway>) -> Result<(), ControllerError> {
+    /// Registers the sockets with an event loop.
+    fn register_with(self, event_loop: &mut EventLoop<PgGateway>) -> Result<(), ControllerError> {
         event_loop.add_listener(Listener::Clients, self.clients)?;
         if let Some(socket) = self.admin {
             event_loop.add_listener(Listener::Admin, socket)?;
@@ -215,7 +216,7 @@
         }) = self.gossip
         {
             event_loop.add_datagram_socket(DatagramSocket::Gossip, socket)?;
-            event_loop.add_turn_handler(Box::new(move |gateway, now| {
+            event_loop.add_iteration_handler(Box::new(move |gateway, now| {
                 while let Ok(update) = keys_watcher.updates.try_recv() {
                     gateway.handle(now, GatewayEvent::GossipKeys(update));
                 }
@@ -226,7 +227,7 @@
 }
 
 impl GossipSocket {
-    /// Reads the keys and binds the socket; `None` without gossip in the configuration.
+    /// Reads the keys and binds the socket. Returns `None` if the configuration has no gossip.
     fn bind(config: &Config) -> Result<Option<GossipSocket>, ControllerError> {
         let Some(gossip) = &config.gossip else {
             return Ok(None);
@@ -243,7 +244,7 @@
     }
 }
 
-/// Makes the gateway with its driver and, where asked for, its capture.
+/// Creates the gateway with its driver and, if the configuration asks for one, its capture.
 fn start_gateway(
     config: Config,
     seed: u64,
@@ -271,23 +272,23 @@
     Ok(PgGateway::new(config, start))
 }
 
-/// Hands what the watcher of the engine files receives to the gateway, woken by a byte on `wakeup`.
+/// Passes the updates of the engine file watcher to the gateway. A byte on `wakeup` means that an update is available.
 fn receive_endpoint_files(
     event_loop: &mut EventLoop<PgGateway>,
     watcher: Watching,
     wakeup: UnixStream,
 ) -> Result<Rc<Watching>, ControllerError> {
     let watcher = Rc::new(watcher);
-    let (receiver, reader) = (watcher.clone(), watcher.clone());
-    event_loop.add_turn_handler(Box::new(move |gateway, _| {
+    let (update_watcher, request_watcher) = (watcher.clone(), watcher.clone());
+    event_loop.add_iteration_handler(Box::new(move |gateway, _| {
         if let Some(number) = gateway.take_files_request() {
-            reader.look_and_report(number);
+            request_watcher.look_and_report(number);
         }
     }));
     event_loop.add_wakeup(
         wakeup,
         Box::new(move |gateway, now| {
-            while let Ok(update) = receiver.news.try_recv() {
+            while let Ok(update) = update_watcher.news.try_recv() {
                 gateway.handle(now, GatewayEvent::EndpointFiles(update));
             }
         }),
--- a/crates/controller/src/startup.rs
+++ b/crates/controller/src/startup.rs
@@ -1,4 +1,4 @@
-//! The start of a controller while the system lacks something for a moment: ports, descriptors or memory.
+//! Retries of the startup of a controller while the system is temporarily out of ports, descriptors or memory.
 
 use crate::error::ControllerError;
 use std::io::Read as _;
@@ -6,49 +6,49 @@
 use std::time::{Duration, Instant};
 use tracing::warn;
 
-/// Time for which steps of the start are repeated: controllers have 30 s until they must be ready.
+/// Time for which operations are retried. A controller must be ready within 30 s of its start.
 const MAX_RETRY_TIME: Duration = Duration::from_secs(25);
-/// Delay until a step is repeated.
+/// Delay between two tries of an operation.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Repeats steps of the start until they succeed, as long as their failure may pass.
+/// Retries the operations of the startup as long as their errors are transient.
 #[derive(Debug)]
 pub struct Startup {
-    give_up_at: Instant,
+    retry_until: Instant,
     shutdown: UnixStream,
 }
 
 impl Startup {
-    /// Begins a start that a byte on `shutdown` ends.
+    /// Begins the startup. A byte on `shutdown` aborts it.
     ///
     /// # Errors
-    /// If the stream cannot be used.
-    pub fn begin(shutdown: &UnixStream) -> Result<Startup, ControllerError> {
+    /// Returns an error if the stream cannot be duplicated or made non-blocking.
+    pub fn new(shutdown: &UnixStream) -> Result<Startup, ControllerError> {
         let shutdown = shutdown.try_clone()?;
         shutdown.set_nonblocking(true)?;
         Ok(Startup {
-            give_up_at: Instant::now() + MAX_RETRY_TIME,
+            retry_until: Instant::now() + MAX_RETRY_TIME,
             shutdown,
         })
     }
 
-    /// Takes a step, again while its failure may pass; `None` if a shutdown is requested meanwhile.
+    /// Runs an operation, and again while its error is transient. Returns `None` if a shutdown is requested meanwhile.
     ///
     /// # Errors
-    /// That of the step, if it does not pass in time.
-    pub fn step<T>(
+    /// Returns the error of the operation if it is permanent or persists until the time for retries is over.
+    pub fn retry<T>(
         &mut self,
-        mut step: impl FnMut() -> Result<T, ControllerError>,
+        mut operation: impl FnMut() -> Result<T, ControllerError>,
     ) -> Result<Option<T>, ControllerError> {
-        let mut is_logged = false;
+        let mut failure_logged = false;
         loop {
-            match step() {
+            match operation() {
                 Ok(result) => return Ok(Some(result)),
-                Err(error) if !error.may_pass() || Instant::now() >= self.give_up_at => {
+                Err(error) if !error.is_transient() || Instant::now() >= self.retry_until => {
                     return Err(error)
                 }
                 Err(error) => {
-                    if !std::mem::replace(&mut is_logged, true) {
+                    if !std::mem::replace(&mut failure_logged, true) {
                         let error = crate::error::error_chain(&error);
                         warn!(error, "start failed for now; retrying");
                     }
