--- a/crates/controller/tests/common/mod.rs
+++ b/crates/controller/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A controller and stand-in engines, each in a thread of this process, and a client that speaks by the byte.
+//! A controller and emulated engines, each in a thread of the test process, and a raw client of the PostgreSQL protocol.
 #![allow(dead_code)]
 
 use bytes::{BufMut, BytesMut};
@@ -16,33 +16,34 @@
 use wheelfield_engine_emulator::setup::Setup;
 use wheelfield_pg::{back, frame, front};
 
-/// What is awaited must come within this; no verdict rests on how soon.
+/// Maximum time to wait for a condition. It only bounds the test: no assertion depends on how soon the condition holds.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Stand-ins in a thread.
+/// Emulated engines, with their registry and control server, in a thread.
 pub struct Engines {
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
+    /// The addresses of the control server and the registry, and the list of engines, as JSON.
     pub addresses: Value,
     log: std::path::PathBuf,
     _dir: tempfile::TempDir,
 }
 
 impl Engines {
-    pub fn start(n: usize) -> Engines {
-        Engines::with_setup(Setup::plain(n))
+    pub fn start(count: usize) -> Engines {
+        Engines::with_setup(Setup::plain(count))
     }
 
     pub fn with_setup(setup: Setup) -> Engines {
-        let dir = tempfile::tempdir().expect("a folder");
+        let dir = tempfile::tempdir().expect("create a temporary directory");
         let log = dir.path().join("log");
         let stop = Arc::new(AtomicBool::new(false));
         let (sender, receiver) = channel();
         let (flag, path) = (stop.clone(), log.clone());
         let thread = std::thread::spawn(move || {
-            let mut host = Host::open(setup, Some(&path), 1).expect("sockets");
-            sender.send(host.addresses()).expect("the test waits");
-            host.serve(&flag).expect("serves");
+            let mut host = Host::open(setup, Some(&path), 1).expect("open the sockets");
+            sender.send(host.addresses()).expect("the receiver is open");
+            host.serve(&flag).expect("serve until stopped");
         });
         let addresses = receiver
             .recv_timeout(WAIT_TIMEOUT)
@@ -57,18 +58,19 @@
     }
 
     pub fn address(&self, name: &str) -> String {
-        self.addresses[name].as_str().expect("told").to_string()
+        self.addresses[name].as_str().expect("a string").to_string()
     }
 
+    /// Returns the entries that list the engines in a controller's configuration.
     pub fn config_entries(&self) -> String {
-        let engines = self.addresses["engines"].as_array().expect("told");
-        let one = |e: &Value| {
+        let engines = self.addresses["engines"].as_array().expect("an array");
+        let entry = |e: &Value| {
             format!(
                 "[[engines]]\nid = {}\naddress = {}\nkind = \"std\"\nzone = \"a\"\n",
                 e["id"], e["address"]
             )
         };
-        engines.iter().map(one).collect()
+        engines.iter().map(entry).collect()
     }
 
     pub fn inject_fault(&self, engine: usize, kind: &str, value: f64) {
@@ -82,31 +84,33 @@
 
     pub fn state(&self) -> Value {
         let (_, body) = http(&self.address("control"), "GET", "/state");
-        serde_json::from_str(&body).expect("JSON")
+        serde_json::from_str(&body).expect("valid JSON")
     }
 
+    /// Returns how many queries the engines are executing.
     pub fn running_queries(&self) -> u64 {
         let state = self.state();
         state["engines"]
             .as_array()
-            .expect("a list")
+            .expect("an array")
             .iter()
             .filter_map(|e| e["in_hand"].as_u64())
             .sum()
     }
 
-    /// The first line of an event of a query, awaited: the log is written at the end of a turn.
+    /// Returns the first log entry of an event of a query. Waits for it, since the engines write their log only at the end
+    /// of each iteration of their event loop.
     pub fn first_log_entry(&self, event: &str, query: &str) -> Value {
-        wait_until("a line of the log", || {
+        wait_until("an entry in the engine log", || {
             !self.log_entries(event, query).is_empty()
         });
         self.log_entries(event, query).remove(0)
     }
 
-    /// The log's lines of an event, of one query or of all.
+    /// Returns the log entries of an event, of one query or, with an empty `query`, of all.
     pub fn log_entries(&self, event: &str, query: &str) -> Vec<Value> {
-        let text = std::fs::read_to_string(&self.log).expect("a log");
-        // The last line may be half written.
+        let text = std::fs::read_to_string(&self.log).expect("read the engine log");
+        // Skips the last line if it is half written.
         let lines = text
             .lines()
             .filter_map(|l| serde_json::from_str::<Value>(l).ok());
@@ -125,7 +129,7 @@
     }
 }
 
-/// A controller in a thread.
+/// A controller in a thread of the test process.
 pub struct Controller {
     pub address: SocketAddr,
     pub admin: String,
@@ -163,28 +167,35 @@
 impl Controller {
     pub fn start(config_text: &str) -> Controller {
         let config =
-            wheelfield_config::parse("test", config_text).unwrap_or_else(|fault| panic!("{fault}"));
-        let (shutdown_signal, shutdown_receiver) = UnixStream::pair().expect("a pair");
-        let (capture_signal, capture_receiver) = UnixStream::pair().expect("a pair");
+            wheelfield_config::parse("test", config_text).unwrap_or_else(|error| panic!("{error}"));
+        let (shutdown_signal, shutdown_receiver) =
+            UnixStream::pair().expect("create a socket pair");
+        let (capture_signal, capture_receiver) = UnixStream::pair().expect("create a socket pair");
         let (sender, receiver) = channel();
         let thread = std::thread::spawn(move || {
-            let mut controller = PostgresController::open(config, 7, None).expect("sockets");
+            let mut controller =
+                PostgresController::open(config, 7, None).expect("open the sockets");
             controller
                 .shut_down_on(shutdown_receiver)
-                .expect("a stream");
+                .expect("register the stream");
             controller
                 .write_capture_on(capture_receiver)
-                .expect("a stream");
-            sender.send(controller.addresses()).expect("the test waits");
-            controller.run().expect("runs");
+                .expect("register the stream");
+            sender
+                .send(controller.addresses())
+                .expect("the receiver is open");
+            controller.run().expect("run the controller");
         });
         let addresses = receiver
             .recv_timeout(WAIT_TIMEOUT)
             .expect("the controller starts");
         let text = |name: &str| addresses[name].as_str().map(str::to_string);
         Controller {
-            address: text("listen").expect("told").parse().expect("an address"),
-            admin: text("admin").expect("told"),
+            address: text("listen")
+                .expect("an address")
+                .parse()
+                .expect("a valid address"),
+            admin: text("admin").expect("an address"),
             peers: text("peers"),
             gossip: text("gossip"),
             shutdown_signal,
@@ -193,35 +204,40 @@
         }
     }
 
-    /// A controller on these engines, with more of a configuration.
-    pub fn with_engines(engines: &Engines, more: &str) -> Controller {
+    /// Starts a controller that routes to these engines, with additional configuration text.
+    pub fn with_engines(engines: &Engines, extra_config: &str) -> Controller {
         Controller::start(&format!(
-            "{LISTEN_CONFIG}{BASE_CONFIG}{more}\n{}",
+            "{LISTEN_CONFIG}{BASE_CONFIG}{extra_config}\n{}",
             engines.config_entries()
         ))
     }
 
+    /// Returns a value of the `/status` page by its name.
     pub fn status_value(&self, name: &str) -> u64 {
         let (_, body) = http(&self.admin, "GET", "/status");
-        let status: Value = serde_json::from_str(&body).expect("JSON");
+        let status: Value = serde_json::from_str(&body).expect("valid JSON");
         status["figures"][name]
             .as_u64()
-            .unwrap_or_else(|| panic!("no figure {name}: {body}"))
+            .unwrap_or_else(|| panic!("no value {name} in the status: {body}"))
     }
 
-    /// Waits until a figure is so.
-    pub fn wait_for_status(&self, name: &str, is: impl Fn(u64) -> bool) {
-        wait_until(name, || is(self.status_value(name)));
+    /// Waits until a status value meets a condition.
+    pub fn wait_for_status(&self, name: &str, condition: impl Fn(u64) -> bool) {
+        wait_until(name, || condition(self.status_value(name)));
     }
 
-    /// As on SIGTERM.
+    /// Requests a graceful shutdown, as SIGTERM does.
     pub fn request_shutdown(&mut self) {
-        self.shutdown_signal.write_all(b"x").expect("it listens");
+        self.shutdown_signal
+            .write_all(b"x")
+            .expect("write to the signal stream");
     }
 
-    /// As on SIGUSR1.
+    /// Requests that the in-memory capture is written, as SIGUSR1 does.
     pub fn request_capture(&mut self) {
-        self.capture_signal.write_all(b"x").expect("it listens");
+        self.capture_signal
+            .write_all(b"x")
+            .expect("write to the signal stream");
     }
 
     pub fn join(&mut self) {
@@ -229,15 +245,16 @@
             .take()
             .expect("not joined yet")
             .join()
-            .expect("it ends well");
+            .expect("the controller does not panic");
     }
 
+    /// Connects a client of the `postgres` crate.
     pub fn postgres_client(&self) -> postgres::Client {
         let config = format!(
             "host=127.0.0.1 port={} user=me dbname=lab",
             self.address.port()
         );
-        postgres::Client::connect(&config, postgres::NoTls).expect("a real client connects")
+        postgres::Client::connect(&config, postgres::NoTls).expect("connect the client")
     }
 
     pub fn raw_client(&self) -> RawClient {
@@ -254,34 +271,44 @@
     }
 }
 
-pub fn wait_until(what: &str, is: impl Fn() -> bool) {
-    let until = Instant::now() + WAIT_TIMEOUT;
-    while !is() {
-        assert!(Instant::now() < until, "did not come: {what}");
+/// Polls until a condition holds; panics with its description after [`WAIT_TIMEOUT`].
+pub fn wait_until(description: &str, condition: impl Fn() -> bool) {
+    let timeout_at = Instant::now() + WAIT_TIMEOUT;
+    while !condition() {
+        assert!(
+            Instant::now() < timeout_at,
+            "timed out waiting for {description}"
+        );
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
+/// Sends an HTTP request with an empty body; returns the status and the body of the response.
 pub fn http(address: &str, method: &str, path: &str) -> (u16, String) {
-    let mut stream = TcpStream::connect(address).expect("it listens");
+    let mut stream = TcpStream::connect(address).expect("connect");
     stream
         .set_read_timeout(Some(WAIT_TIMEOUT))
-        .expect("a socket");
+        .expect("set the read timeout");
     let mut out = BytesMut::new();
     wheelfield_net::http::write_request(method, path, b"", &mut out);
-    stream.write_all(&out).expect("it reads");
-    let (mut input, mut part) = (BytesMut::new(), [0; 16 << 10]);
+    stream.write_all(&out).expect("write to the connection");
+    let (mut input, mut buffer) = (BytesMut::new(), [0; 16 << 10]);
     loop {
-        let n = stream.read(&mut part).expect("it answers");
-        assert!(n > 0, "closed without an answer");
-        input.extend_from_slice(&part[..n]);
-        if let Some(r) = wheelfield_net::http::take_response(&mut input, 1 << 20).expect("HTTP") {
-            return (r.status, String::from_utf8_lossy(&r.body).into_owned());
+        let n = stream.read(&mut buffer).expect("read the response");
+        assert!(n > 0, "connection closed without a response");
+        input.extend_from_slice(&buffer[..n]);
+        if let Some(response) =
+            wheelfield_net::http::take_response(&mut input, 1 << 20).expect("valid HTTP response")
+        {
+            return (
+                response.status,
+                String::from_utf8_lossy(&response.body).into_owned(),
+            );
         }
     }
 }
 
-/// A client that speaks by the byte.
+/// A client that sends and receives single messages of the PostgreSQL protocol.
 pub struct RawClient {
     pub stream: TcpStream,
     input: BytesMut,
@@ -291,10 +318,10 @@
 
 impl RawClient {
     pub fn connect(address: SocketAddr) -> RawClient {
-        let stream = TcpStream::connect(address).expect("it listens");
+        let stream = TcpStream::connect(address).expect("connect");
         stream
             .set_read_timeout(Some(WAIT_TIMEOUT))
-            .expect("a socket");
+            .expect("set the read timeout");
         let mut raw = RawClient {
             stream,
             input: BytesMut::new(),
@@ -307,49 +334,61 @@
         loop {
             let (tag, message) = raw.read_message();
             match tag {
-                b'K' => (raw.process_id, raw.cancel_key) = back::key_of(&message).expect("a key"),
+                b'K' => {
+                    (raw.process_id, raw.cancel_key) =
+                        back::key_of(&message).expect("valid key data")
+                }
                 b'Z' => return raw,
-                b'E' => panic!("not let in: {:?}", back::trouble(&message)),
+                b'E' => panic!("connection rejected: {:?}", back::trouble(&message)),
                 _ => {}
             }
         }
     }
 
     pub fn send(&mut self, bytes: &[u8]) {
-        self.stream.write_all(bytes).expect("it reads");
+        self.stream
+            .write_all(bytes)
+            .expect("write to the connection");
     }
 
+    /// Sends a `Query` message without waiting for the answer.
     pub fn query(&mut self, text: &str) {
         let mut out = BytesMut::new();
         front::put_query(text, &mut out);
         self.send(&out);
     }
 
+    /// Reads the next message, its type and body; `None` if the connection is closed or a read fails.
     pub fn try_read_message(&mut self) -> Option<(u8, bytes::Bytes)> {
         loop {
-            if let Some(message) = frame::take(&mut self.input, usize::MAX).expect("well-formed") {
+            if let Some(message) =
+                frame::take(&mut self.input, usize::MAX).expect("a well-formed message")
+            {
                 return Some(message);
             }
-            let mut part = [0; 64 << 10];
-            match self.stream.read(&mut part) {
+            let mut buffer = [0; 64 << 10];
+            match self.stream.read(&mut buffer) {
                 Ok(0) | Err(_) => return None,
-                Ok(n) => self.input.extend_from_slice(&part[..n]),
+                Ok(n) => self.input.extend_from_slice(&buffer[..n]),
             }
         }
     }
 
+    /// Reads the next message, its type and body.
     pub fn read_message(&mut self) -> (u8, bytes::Bytes) {
-        self.try_read_message().expect("a message, not the end")
+        self.try_read_message()
+            .expect("a message before the end of the stream")
     }
 
-    /// All up to `ReadyForQuery`: the types, and the SQLSTATE of an error.
+    /// Reads all messages up to `ReadyForQuery`. Returns their types, with consecutive rows as one `D`, and the SQLSTATE of
+    /// an error.
     pub fn read_answer(&mut self) -> (String, String) {
-        let (mut tags, mut state) = (String::new(), String::new());
+        let (mut tags, mut sqlstate) = (String::new(), String::new());
         loop {
             let (tag, message) = self.read_message();
             match tag {
-                b'Z' => return (tags, state),
-                b'E' => state = back::trouble(&message).expect("fields").0,
+                b'Z' => return (tags, sqlstate),
+                b'E' => sqlstate = back::trouble(&message).expect("error fields").0,
                 b'D' if tags.ends_with('D') => continue,
                 _ => {}
             }
@@ -357,16 +396,18 @@
         }
     }
 
+    /// Sends a request to cancel the running query, over a connection of its own.
     pub fn cancel(&self) {
         let mut out = BytesMut::new();
         front::put_cancel(self.process_id, &self.cancel_key, &mut out);
-        let mut stream =
-            TcpStream::connect(self.stream.peer_addr().expect("connected")).expect("it listens");
-        stream.write_all(&out).expect("it reads");
-        // The connection is closed once the request was taken.
+        let mut stream = TcpStream::connect(self.stream.peer_addr().expect("the peer address"))
+            .expect("connect");
+        stream.write_all(&out).expect("write to the connection");
+        // The controller closes the connection once it has processed the request.
         let _ = stream.read(&mut [0; 8]);
     }
 
+    /// Appends a `Parse` message to `out`.
     pub fn put_parse(name: &str, sql: &str, out: &mut BytesMut) {
         put_message(
             b'P',
@@ -374,6 +415,7 @@
             out,
         );
     }
+    /// Appends a `Bind` message without parameters to `out`.
     pub fn put_bind(portal: &str, statement: &str, out: &mut BytesMut) {
         put_message(
             b'B',
@@ -387,13 +429,15 @@
             out,
         );
     }
-    pub fn put_execute(portal: &str, max: i32, out: &mut BytesMut) {
+    /// Appends an `Execute` message to `out`; `max_rows` 0 means all rows.
+    pub fn put_execute(portal: &str, max_rows: i32, out: &mut BytesMut) {
         put_message(
             b'E',
-            &[portal.as_bytes(), b"\0", &max.to_be_bytes()].concat(),
+            &[portal.as_bytes(), b"\0", &max_rows.to_be_bytes()].concat(),
             out,
         );
     }
+    /// Appends a message without a body to `out`.
     pub fn put_empty_message(tag: u8, out: &mut BytesMut) {
         put_message(tag, b"", out);
     }
--- a/crates/controller/tests/deploy.rs
+++ b/crates/controller/tests/deploy.rs
@@ -1,35 +1,36 @@
-//! The form in which the platform starts a controller: `run` becomes one process, linked dynamically; `build` takes what the lock
-//! file says and no more than `run` and `sim` need.
+//! Checks of `deploy/balancer.toml`, by which the platform starts a controller. `run` must exec a single, dynamically linked
+//! program, and `build` must respect the lock file and build only the programs of `run` and `sim`.
 
 use object::read::elf::{FileHeader, ProgramHeader};
 use object::{elf, Endianness};
 use std::path::{Path, PathBuf};
 
-const DEPLOY: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/balancer.toml");
+const DEPLOY_FILE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/balancer.toml");
 
-/// The program that a line of the deploy file becomes; a line that leaves a shell or anything else around it names none.
-fn becomes(line: &str) -> Option<&str> {
-    let rest = line.strip_prefix("exec ")?;
-    let shell = |c: char| "&;|<>()$`\\\"'*?[]{}#~\n".contains(c);
-    if rest.contains(shell) {
+/// Returns the program that replaces the shell when it runs a command line of the deploy file, or `None` if the line is not a
+/// plain `exec` and would leave a shell or another process running.
+fn exec_program(command_line: &str) -> Option<&str> {
+    let rest = command_line.strip_prefix("exec ")?;
+    let is_shell_syntax = |c: char| "&;|<>()$`\\\"'*?[]{}#~\n".contains(c);
+    if rest.contains(is_shell_syntax) {
         return None;
     }
     rest.split_whitespace().next()
 }
 
-/// The interpreter that a program asks the system for; one that is linked statically asks for none, and nothing can be loaded
-/// into it.
-fn interpreter(program: &[u8]) -> Option<&[u8]> {
+/// Returns the ELF interpreter (dynamic linker) that a program requests. A statically linked program requests none, and no
+/// library can be preloaded into it.
+fn elf_interpreter(program: &[u8]) -> Option<&[u8]> {
     let header = elf::FileHeader64::<Endianness>::parse(program).ok()?;
     let endian = header.endian().ok()?;
-    let parts = header.program_headers(endian, program).ok()?;
-    parts
+    let segments = header.program_headers(endian, program).ok()?;
+    segments
         .iter()
-        .find_map(|p| p.interpreter(endian, program).ok().flatten())
+        .find_map(|segment| segment.interpreter(endian, program).ok().flatten())
 }
 
-/// The packages that a build line asks for.
-fn packages(build: &str) -> Vec<&str> {
+/// Returns the packages that a `cargo build` command line selects with `-p`.
+fn selected_packages(build: &str) -> Vec<&str> {
     let words: Vec<&str> = build.split_whitespace().collect();
     words
         .windows(2)
@@ -38,49 +39,50 @@
         .collect()
 }
 
-fn line(name: &str) -> String {
-    let text = std::fs::read_to_string(DEPLOY).expect("the deploy file");
-    let file: toml::Table = text.parse().expect("TOML");
-    file[name].as_str().expect("a line").to_owned()
+/// Returns a command line of the deploy file by its key.
+fn deploy_command(key: &str) -> String {
+    let text = std::fs::read_to_string(DEPLOY_FILE).expect("read the deploy file");
+    let file: toml::Table = text.parse().expect("valid TOML");
+    file[key].as_str().expect("a string").to_owned()
 }
 
 #[test]
-fn run_becomes_one_process_that_is_linked_dynamically() {
-    let run = line("run");
-    let program = Path::new(becomes(&run).expect("`run` is one exec")).to_owned();
+fn run_executes_a_single_dynamically_linked_program() {
+    let run = deploy_command("run");
+    let program = Path::new(exec_program(&run).expect("`run` is a plain exec")).to_owned();
     let built = PathBuf::from(env!("CARGO_BIN_EXE_wheelfield-controller"));
     assert_eq!(
         program.file_name(),
         built.file_name(),
         "`run` names this program"
     );
-    let bytes = std::fs::read(built).expect("built");
-    let asks = interpreter(&bytes).expect("an interpreter");
+    let bytes = std::fs::read(built).expect("read the program");
+    let interpreter = elf_interpreter(&bytes).expect("an ELF interpreter");
     assert!(
-        asks.starts_with(b"/lib"),
+        interpreter.starts_with(b"/lib"),
         "{:?}",
-        String::from_utf8_lossy(asks)
+        String::from_utf8_lossy(interpreter)
     );
 }
 
 #[test]
-fn build_takes_the_lock_file_and_the_programs_of_run_and_sim_alone() {
-    let build = line("build");
+fn build_uses_the_lock_file_and_builds_only_the_programs_of_run_and_sim() {
+    let build = deploy_command("build");
     assert!(
         build.starts_with("cargo build --release --locked "),
         "{build}"
     );
-    let (run, sim) = (line("run"), line("sim"));
-    let named = [&run, &sim].map(|l| {
-        becomes(l)
-            .expect("one exec")
+    let (run, sim) = (deploy_command("run"), deploy_command("sim"));
+    let programs = [&run, &sim].map(|command_line| {
+        exec_program(command_line)
+            .expect("a plain exec")
             .trim_start_matches("target/release/")
     });
-    assert_eq!(packages(&build), named);
+    assert_eq!(selected_packages(&build), programs);
 }
 
 #[test]
-fn what_breaks_the_form_is_found() {
+fn shell_syntax_static_linking_and_scripts_are_detected() {
     let lines = [
         "target/release/x",
         "exec a & exec b",
@@ -90,14 +92,15 @@
         "sh a",
         "exec ",
     ];
-    for broken in lines {
-        assert_eq!(becomes(broken), None, "{broken}");
+    for line in lines {
+        assert_eq!(exec_program(line), None, "{line}");
     }
-    let mut bytes = std::fs::read(env!("CARGO_BIN_EXE_wheelfield-controller")).expect("built");
-    assert!(interpreter(&bytes).is_some());
-    // The kind of each part, after which the interpreter is no longer named: as in a program that is linked statically.
+    let mut bytes =
+        std::fs::read(env!("CARGO_BIN_EXE_wheelfield-controller")).expect("read the program");
+    assert!(elf_interpreter(&bytes).is_some());
+    // Changes the type of the interpreter segment, so that the program looks statically linked.
     let (start, size) = (
-        u64::from_le_bytes(bytes[32..40].try_into().expect("eight")) as usize,
+        u64::from_le_bytes(bytes[32..40].try_into().expect("8 bytes")) as usize,
         56,
     );
     let count = usize::from(u16::from_le_bytes([bytes[56], bytes[57]]));
@@ -106,6 +109,6 @@
             bytes[at] = elf::PT_NOTE as u8;
         }
     }
-    assert_eq!(interpreter(&bytes), None);
-    assert_eq!(interpreter(b"#!/bin/sh\n"), None, "a script");
+    assert_eq!(elf_interpreter(&bytes), None);
+    assert_eq!(elf_interpreter(b"#!/bin/sh\n"), None, "a script");
 }
--- a/crates/controller/tests/engine_files.rs
+++ b/crates/controller/tests/engine_files.rs
@@ -1,4 +1,5 @@
-//! Engine files under a running controller: changes act whole, bad ones not at all, and what is told of them.
+//! Changes of the engine files of a running controller: valid files are applied completely, invalid files not at all, and
+//! the status page reports the problems.
 
 mod common;
 
@@ -6,182 +7,194 @@
 use serde_json::Value;
 use std::path::Path;
 
-/// Some of the stand-ins, as a file.
-fn file(engines: &Engines, version: u64, which: &[(usize, &str)]) -> String {
-    let all = engines.addresses["engines"].as_array().expect("told");
-    let one = |(n, more): &(usize, &str)| {
+/// Returns the text of an engine file that lists some of the emulated engines, each by its position and with extra lines.
+fn engine_file(engines: &Engines, version: u64, listed: &[(usize, &str)]) -> String {
+    let all = engines.addresses["engines"].as_array().expect("an array");
+    let entry = |(n, extra): &(usize, &str)| {
         let (id, address) = (&all[*n]["id"], &all[*n]["address"]);
         format!(
-            "\n[[engines]]\nid = {id}\naddress = {address}\nzone = \"a\"\nkind = \"std\"\n{more}"
+            "\n[[engines]]\nid = {id}\naddress = {address}\nzone = \"a\"\nkind = \"std\"\n{extra}"
         )
     };
-    let count = which.len();
+    let count = listed.len();
     format!(
         "version = {version}\n{}\n[end]\nengines = {count}\n",
-        which.iter().map(one).collect::<String>()
+        listed.iter().map(entry).collect::<String>()
     )
 }
 
-fn put(path: &Path, text: &str) {
-    let beside = path.with_extension("new");
-    std::fs::write(&beside, text).expect("written");
-    std::fs::rename(&beside, path).expect("renamed");
+/// Replaces a file atomically.
+fn replace_file(path: &Path, text: &str) {
+    let temporary = path.with_extension("new");
+    std::fs::write(&temporary, text).expect("write the file");
+    std::fs::rename(&temporary, path).expect("rename the file");
 }
 
-fn members(controller: &Controller) -> Value {
+/// Returns the part of the status page that describes the engine files.
+fn members_status(controller: &Controller) -> Value {
     let (_, body) = http(&controller.admin, "GET", "/status");
-    serde_json::from_str::<Value>(&body).expect("JSON")["members"].clone()
+    serde_json::from_str::<Value>(&body).expect("valid JSON")["members"].clone()
 }
 
-/// How often each engine was sent something.
-fn received(engines: &Engines) -> Vec<u64> {
-    let all = engines.addresses["engines"].as_array().expect("told");
-    let log = engines.log_entries("received", "");
-    let of = |e: &Value| log.iter().filter(|l| l["engine"] == e["id"]).count() as u64;
-    all.iter().map(of).collect()
+/// Returns how many queries each engine has received.
+fn received_counts(engines: &Engines) -> Vec<u64> {
+    let all = engines.addresses["engines"].as_array().expect("an array");
+    let entries = engines.log_entries("received", "");
+    let count_of = |e: &Value| entries.iter().filter(|l| l["engine"] == e["id"]).count() as u64;
+    all.iter().map(count_of).collect()
 }
 
-/// The same, once so many are in the log, which is written behind the answers.
-fn received_of(engines: &Engines, total: u64) -> Vec<u64> {
-    common::wait_until("the log", || received(engines).iter().sum::<u64>() >= total);
-    received(engines)
+/// Waits until the engines have logged `total` received queries and returns how many each has received. The wait is needed
+/// because the log is written after the answers are sent.
+fn wait_for_received(engines: &Engines, total: u64) -> Vec<u64> {
+    common::wait_until("the received queries in the engine log", || {
+        received_counts(engines).iter().sum::<u64>() >= total
+    });
+    received_counts(engines)
 }
 
-fn on(path: &Path, more: &str) -> Controller {
+/// Starts a controller that reads this engine file, with additional configuration text.
+fn start_controller(path: &Path, extra_config: &str) -> Controller {
     Controller::start(&format!(
-        "{LISTEN_CONFIG}{BASE_CONFIG}[members]\nfiles = [{path:?}]\nsettle = \"20ms\"\npoll = \"100ms\"\n{more}"
+        "{LISTEN_CONFIG}{BASE_CONFIG}[members]\nfiles = [{path:?}]\nsettle = \"20ms\"\npoll = \"100ms\"\n{extra_config}"
     ))
 }
 
-fn ask(controller: &Controller, n: usize) {
+/// Runs `count` queries, one after the other.
+fn run_queries(controller: &Controller, count: usize) {
     let mut client = controller.postgres_client();
-    for _ in 0..n {
+    for _ in 0..count {
         client
             .simple_query("select 1 /*class='fast'*/")
-            .expect("served");
+            .expect("the query succeeds");
     }
 }
 
 #[test]
-fn engines_come_and_go_by_the_file_and_a_bad_one_changes_nothing() {
-    let dir = tempfile::tempdir().expect("a directory");
+fn valid_files_add_and_remove_engines_and_invalid_files_change_nothing() {
+    let dir = tempfile::tempdir().expect("create a temporary directory");
     let path = dir.path().join("engines.toml");
     let engines = Engines::start(4);
-    put(&path, &file(&engines, 1, &[(0, ""), (1, "")]));
-    let controller = on(&path, "");
-    ask(&controller, 30);
-    let before = received_of(&engines, 30);
+    replace_file(&path, &engine_file(&engines, 1, &[(0, ""), (1, "")]));
+    let controller = start_controller(&path, "");
+    run_queries(&controller, 30);
+    let before = wait_for_received(&engines, 30);
     assert!(
         before[0] + before[1] == 30 && before[2] + before[3] == 0,
         "{before:?}"
     );
-    // Two more.
-    put(
+    // Two engines are added.
+    replace_file(
         &path,
-        &file(&engines, 2, &[(0, ""), (1, ""), (2, ""), (3, "")]),
+        &engine_file(&engines, 2, &[(0, ""), (1, ""), (2, ""), (3, "")]),
     );
     controller.wait_for_status("list_version", |v| v == 2);
-    // A torn file, an old one, an empty one and one in the wrong unit: all refused, all told by their place.
-    let good = file(&engines, 3, &[(2, ""), (3, "")]);
-    for (n, bad) in [
-        good[..good.len() - 9].to_string(),
-        file(&engines, 1, &[(2, ""), (3, "")]),
-        file(&engines, 3, &[]),
-        file(&engines, 3, &[(2, "cores = \"8000m\"\n"), (3, "")]),
+    // A truncated file, an old version, an empty list and a wrong unit are rejected, and each error names the file.
+    let valid = engine_file(&engines, 3, &[(2, ""), (3, "")]);
+    for (n, invalid) in [
+        valid[..valid.len() - 9].to_string(),
+        engine_file(&engines, 1, &[(2, ""), (3, "")]),
+        engine_file(&engines, 3, &[]),
+        engine_file(&engines, 3, &[(2, "cores = \"8000m\"\n"), (3, "")]),
     ]
     .into_iter()
     .enumerate()
     {
-        std::fs::write(&path, bad).expect("written in place");
+        // Overwrites the file in place, without a rename.
+        std::fs::write(&path, invalid).expect("write the file");
         controller.wait_for_status("lists_refused", |r| r == n as u64 + 1);
-        let told = members(&controller);
+        let members = members_status(&controller);
         assert!(
-            told["fault"]
+            members["fault"]
                 .as_str()
                 .is_some_and(|f| f.contains("engines.toml:")),
-            "{told}"
+            "{members}"
         );
         assert_eq!(controller.status_value("list_version"), 2);
     }
-    // One drained and one gone leaves half: nothing goes to those from now on.
-    put(
+    // One engine is draining and one is removed: neither receives queries any more.
+    replace_file(
         &path,
-        &file(
+        &engine_file(
             &engines,
             3,
             &[(0, "status = \"draining\"\n"), (2, ""), (3, "")],
         ),
     );
     controller.wait_for_status("list_version", |v| v == 3);
-    assert_eq!(members(&controller)["fault"], Value::Null);
-    ask(&controller, 40);
-    let after = received_of(&engines, 70);
+    assert_eq!(members_status(&controller)["fault"], Value::Null);
+    run_queries(&controller, 40);
+    let after = wait_for_received(&engines, 70);
     assert_eq!(
         (after[0], after[1]),
         (before[0], before[1]),
-        "drained and gone"
+        "queries received by the draining and the removed engine"
     );
     assert_eq!(after[2] + after[3], before[2] + before[3] + 40);
 }
 
 #[test]
-fn without_a_good_file_the_kept_set_serves_and_its_age_is_told() {
-    let dir = tempfile::tempdir().expect("a directory");
-    let (path, last) = (
+fn without_a_valid_file_the_last_valid_set_is_used() {
+    let dir = tempfile::tempdir().expect("create a temporary directory");
+    let (path, last_good) = (
         dir.path().join("engines.toml"),
         dir.path().join("last.toml"),
     );
     let engines = Engines::start(2);
-    put(&path, &file(&engines, 9, &[(0, ""), (1, "")]));
-    let keeps = format!("last_good = {last:?}\n");
-    let mut controller = on(&path, &keeps);
+    replace_file(&path, &engine_file(&engines, 9, &[(0, ""), (1, "")]));
+    let last_good_config = format!("last_good = {last_good:?}\n");
+    let mut controller = start_controller(&path, &last_good_config);
     controller.wait_for_status("list_version", |v| v == 9);
     controller.request_shutdown();
     controller.join();
-    std::fs::write(&path, "version = ").expect("torn");
-    let controller = on(&path, &keeps);
-    ask(&controller, 5);
+    // A truncated file.
+    std::fs::write(&path, "version = ").expect("write the file");
+    let controller = start_controller(&path, &last_good_config);
+    run_queries(&controller, 5);
     assert_eq!(controller.status_value("list_version"), 9);
     controller.wait_for_status("lists_refused", |r| r == 1);
 }
 
 #[test]
-fn a_file_and_a_registry_together() {
-    let dir = tempfile::tempdir().expect("a directory");
+fn contradictions_between_the_file_and_the_registry_are_reported() {
+    let dir = tempfile::tempdir().expect("create a temporary directory");
     let path = dir.path().join("engines.toml");
     let engines = Engines::start(3);
-    put(&path, &file(&engines, 5, &[(0, ""), (1, "")]));
+    replace_file(&path, &engine_file(&engines, 5, &[(0, ""), (1, "")]));
     let registry = engines.address("registry");
-    let controller = on(
+    let controller = start_controller(
         &path,
         &format!("[registry]\naddress = {registry:?}\nmode = \"poll\"\nevery = \"20ms\"\n"),
     );
-    // The registry names a third, which the file does not: it is told, and gets nothing.
-    let contradicts = || {
-        let told = members(&controller);
-        told["contradictions"].as_array().is_some_and(|c| {
-            c.iter()
-                .any(|c| c.as_str().is_some_and(|c| c.contains("Unlisted")))
-        })
+    // The registry lists a third engine that the file does not list: it is reported and receives no queries.
+    let unlisted_is_reported = || {
+        let members = members_status(&controller);
+        members["contradictions"]
+            .as_array()
+            .is_some_and(|contradictions| {
+                contradictions
+                    .iter()
+                    .any(|c| c.as_str().is_some_and(|c| c.contains("Unlisted")))
+            })
     };
-    common::wait_until("the registry to be heard", contradicts);
-    ask(&controller, 30);
-    assert_eq!(received_of(&engines, 30)[2], 0);
-    // It drains one that the file has up: the drain counts.
+    common::wait_until("a report of the unlisted engine", unlisted_is_reported);
+    run_queries(&controller, 30);
+    assert_eq!(wait_for_received(&engines, 30)[2], 0);
+    // The registry reports as draining an engine that is up in the file: it is treated as draining.
     let name = engines.addresses["engines"][0]["id"]
         .as_str()
-        .expect("told")
+        .expect("a string")
         .to_string();
     let fault = format!("/fault?engine={name}&kind=drain&value=1");
     let (status, body) = http(&engines.address("control"), "POST", &fault);
     assert_eq!(status, 200, "{body}");
-    let drains = || {
-        members(&controller)["contradictions"]
+    let drain_is_reported = || {
+        members_status(&controller)["contradictions"]
             .to_string()
             .contains("draining")
     };
-    common::wait_until("the drain to be heard", drains);
-    let before = received_of(&engines, 30);
-    ask(&controller, 20);
-    assert_eq!(received_of(&engines, 50)[0], before[0]);
+    common::wait_until("a report of the draining engine", drain_is_reported);
+    let before = wait_for_received(&engines, 30);
+    run_queries(&controller, 20);
+    assert_eq!(wait_for_received(&engines, 50)[0], before[0]);
 }
--- a/crates/controller/tests/gossip.rs
+++ b/crates/controller/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! Controllers that find out how many they are, on real sockets.
+//! Membership of several controllers by gossip, on real sockets.
 
 mod common;
 
@@ -10,69 +10,73 @@
 
 const KEY: &str = "7 0123456789abcdef0123456789abcdef\n";
 
-fn one(engines: &Engines, keys: &Path, seed: Option<&str>, expect: u32) -> Controller {
+/// Starts a controller that gossips from `seed` and is configured with `count` controllers.
+fn start_controller(engines: &Engines, keys: &Path, seed: Option<&str>, count: u32) -> Controller {
     let seeds = seed.map_or(String::new(), |s| format!("{s:?}"));
-    let list = engines.config_entries();
+    let engine_entries = engines.config_entries();
     let text = format!(
-        "{LISTEN_CONFIG}{BASE_CONFIG}[controller]\ncount = {expect}\nindex = 0\n[gossip]\nlisten = \"127.0.0.1:0\"\nseeds = [{seeds}]\n\
-         keys = {keys:?}\nperiod = \"50ms\"\nsettle = \"200ms\"\nhold = \"30s\"\n{list}"
+        "{LISTEN_CONFIG}{BASE_CONFIG}[controller]\ncount = {count}\nindex = 0\n[gossip]\nlisten = \"127.0.0.1:0\"\nseeds = [{seeds}]\n\
+         keys = {keys:?}\nperiod = \"50ms\"\nsettle = \"200ms\"\nhold = \"30s\"\n{engine_entries}"
     );
     Controller::start(&text)
 }
 
 #[test]
-fn controllers_count_each_other_and_tell_their_modules() {
-    let dir = tempfile::tempdir().expect("a directory");
+fn controllers_agree_on_their_number_and_get_distinct_indices() {
+    let dir = tempfile::tempdir().expect("create a temporary directory");
     let keys = dir.path().join("keys");
-    std::fs::write(&keys, KEY).expect("written");
+    std::fs::write(&keys, KEY).expect("write the file");
     let engines = Engines::start(1);
-    let first = one(&engines, &keys, None, 1);
-    let seed = first.gossip.clone().expect("told");
+    let first = start_controller(&engines, &keys, None, 1);
+    let seed = first.gossip.clone().expect("a gossip address");
     let mut others: Vec<Controller> = (0..3)
-        .map(|_| one(&engines, &keys, Some(&seed), 1))
+        .map(|_| start_controller(&engines, &keys, Some(&seed), 1))
         .collect();
     for c in others.iter().chain([&first]) {
         c.wait_for_status("gossip_count", |n| n == 4);
     }
     let index = |c: &Controller| c.status_value("gossip_index");
-    let numbers: BTreeSet<u64> = others.iter().chain([&first]).map(index).collect();
+    let indices: BTreeSet<u64> = others.iter().chain([&first]).map(index).collect();
     assert_eq!(
-        numbers,
+        indices,
         BTreeSet::from([0, 1, 2, 3]),
-        "each has one of its own"
+        "each controller has its own index"
     );
-    // One says goodbye: nobody waits for it.
-    if let Some(mut gone) = others.pop() {
-        gone.request_shutdown();
-        gone.join();
+    // A controller that shuts down leaves the membership at once, without being declared dead.
+    if let Some(mut leaving) = others.pop() {
+        leaving.request_shutdown();
+        leaving.join();
     }
     for c in others.iter().chain([&first]) {
         c.wait_for_status("gossip_count", |n| n == 3);
         assert_eq!(c.status_value("gossip_given_up"), 0);
     }
-    // A stranger is heard by nobody.
-    let stranger = UdpSocket::bind("127.0.0.1:0").expect("a socket");
-    stranger
+    // A datagram from a sender without the key is dropped.
+    let unauthenticated = UdpSocket::bind("127.0.0.1:0").expect("bind a socket");
+    unauthenticated
         .send_to(b"WFG1\x07 let me in, I am number four of you", &seed)
-        .expect("sent");
+        .expect("send");
     first.wait_for_status("gossip_dropped", |n| n == 1);
     assert_eq!(first.status_value("gossip_count"), 3);
 }
 
 #[test]
-fn one_that_hears_nobody_goes_by_what_it_was_told() {
-    let dir = tempfile::tempdir().expect("a directory");
+fn a_controller_without_responding_seeds_uses_the_configured_count() {
+    let dir = tempfile::tempdir().expect("create a temporary directory");
     let keys = dir.path().join("keys");
-    std::fs::write(&keys, KEY).expect("written");
+    std::fs::write(&keys, KEY).expect("write the file");
     let engines = Engines::start(1);
-    // Whoever sits there answers nothing.
-    let mute = UdpSocket::bind("127.0.0.1:0").expect("a socket");
-    let seed = mute.local_addr().expect("bound").to_string();
-    let controller = one(&engines, &keys, Some(&seed), 12);
-    // It asks again and again, and takes that for no answer.
+    // The seed never responds.
+    let silent_seed = UdpSocket::bind("127.0.0.1:0").expect("bind a socket");
+    let seed = silent_seed
+        .local_addr()
+        .expect("the local address")
+        .to_string();
+    let controller = start_controller(&engines, &keys, Some(&seed), 12);
+    // The controller keeps sending to the seed and does not treat its silence as a settled membership.
     let mut buffer = [0; 1500];
     for _ in 0..12 {
-        mute.recv(&mut buffer).expect("asked");
+        silent_seed.recv(&mut buffer).expect("receive a datagram");
     }
     assert_eq!(
         (
@@ -84,41 +88,48 @@
     controller
         .postgres_client()
         .simple_query("select 1")
-        .expect("served all the while");
+        .expect("the query succeeds meanwhile");
 }
 
-/// Words ride on the membership: nobody names an address, and who is no member is not heard.
+/// Load reports are sent to the members that gossip has found, without configured addresses or a socket for them. Reports from
+/// senders that are not members are ignored.
 #[test]
-fn controllers_that_find_each_other_tell_each_other_of_engines() {
+fn controllers_share_load_reports_with_gossip_members_only() {
     use wheelfield::interface::{EngineId, LoadReport, PeerLoadReport};
-    let dir = tempfile::tempdir().expect("a directory");
+    let dir = tempfile::tempdir().expect("create a temporary directory");
     let keys = dir.path().join("keys");
-    std::fs::write(&keys, KEY).expect("written");
+    std::fs::write(&keys, KEY).expect("write the file");
     let engines = Engines::start(2);
     let body = BASE_CONFIG.replace("bills = true", "bills = true\nreports = \"probe\"");
     let body = body.replace(
         "cancel = true",
         "cancel = true\nmessages = true\nprobes = true",
     );
-    let one = |seed: &str| {
-        let (list, gossip) = (
+    let start_sharing_controller = |seed: &str| {
+        let (engine_entries, gossip) = (
             engines.config_entries(),
             "listen = \"127.0.0.1:0\"\nperiod = \"50ms\"\nsettle = \"200ms\"",
         );
         let text = format!(
             "{LISTEN_CONFIG}{body}[controller]\ncount = 1\nindex = 0\n[peers]\nmost = \"20KB\"\n\
-             [gossip]\n{gossip}\nseeds = [{seed}]\nkeys = {keys:?}\n{list}"
+             [gossip]\n{gossip}\nseeds = [{seed}]\nkeys = {keys:?}\n{engine_entries}"
         );
         Controller::start(&text)
     };
-    let first = one("");
-    let seed = first.gossip.clone().expect("told");
-    assert_eq!(first.peers, None, "no socket of their own");
-    let others = [one(&format!("{seed:?}")), one(&format!("{seed:?}"))];
+    let first = start_sharing_controller("");
+    let seed = first.gossip.clone().expect("a gossip address");
+    assert_eq!(
+        first.peers, None,
+        "load reports need no socket of their own"
+    );
+    let others = [
+        start_sharing_controller(&format!("{seed:?}")),
+        start_sharing_controller(&format!("{seed:?}")),
+    ];
     let client = std::cell::RefCell::new(first.postgres_client());
     for c in others.iter().chain([&first]) {
-        // Engines that have work tell of it.
-        common::wait_until("words", || {
+        // Engines report their load once they have executed queries.
+        common::wait_until("load reports", || {
             let served = client.borrow_mut().simple_query("select 1").is_ok();
             served && c.status_value("words_heard") >= 3
         });
@@ -130,24 +141,25 @@
             (0, 0)
         );
     }
-    // A holder of the key that is no member.
-    let stranger = UdpSocket::bind("127.0.0.1:0").expect("a socket");
-    let mut authenticator = Authenticator::new(stranger.local_addr().expect("bound"), 1);
-    let words = [PeerLoadReport {
+    // A sender that has the key but is not a member.
+    let non_member = UdpSocket::bind("127.0.0.1:0").expect("bind a socket");
+    let mut authenticator =
+        Authenticator::new(non_member.local_addr().expect("the local address"), 1);
+    let reports = [PeerLoadReport {
         engine: EngineId(1),
         report: LoadReport::default(),
     }];
-    let part = wheelfield_pg_gateway::peers::written(&words, 100)
+    let message = wheelfield_pg_gateway::peers::written(&reports, 100)
         .remove(0)
         .1;
-    let held = Keys::read(KEY).expect("keys");
-    stranger
+    let parsed_keys = Keys::read(KEY).expect("valid keys");
+    non_member
         .send_to(
             &authenticator
-                .authenticate_message(&part, &held)
-                .expect("short"),
+                .authenticate_message(&message, &parsed_keys)
+                .expect("a message within the size limit"),
             &seed,
         )
-        .expect("sent");
+        .expect("send");
     first.wait_for_status("words_untaken", |n| n >= 1);
 }
--- a/crates/controller/tests/memory.rs
+++ b/crates/controller/tests/memory.rs
@@ -1,27 +1,30 @@
-//! What a slow reader costs. A process of its own, as it looks at the memory of all.
+//! Memory use while a client does not read. The test has a binary of its own because it measures the memory of the process.
 
 mod common;
 
 use common::{Controller, Engines};
 
 #[test]
-fn a_reader_that_stops_reading_holds_up_nobody_and_no_memory() {
+fn a_client_that_stops_reading_delays_no_others_and_does_not_grow_memory() {
     let engines = Engines::start(1);
     let controller = Controller::with_engines(&engines, "");
     let mut slow = controller.raw_client();
-    // A gigabyte of rows, made as they are read.
+    // A gigabyte of rows, which the engine generates as they are read.
     slow.query("select * from t /*rows='1000000',row_bytes='1000'*/");
     while slow.read_message().0 != b'D' {}
-    let before = resident();
+    let before = resident_bytes();
     for _ in 0..200 {
         let mut other = controller.raw_client();
         other.query("select 1");
         assert_eq!(other.read_answer().0, "TDC");
     }
-    let grown = resident().saturating_sub(before);
-    assert!(grown < 64 << 20, "{grown} bytes more while nobody read");
+    let growth = resident_bytes().saturating_sub(before);
+    assert!(
+        growth < 64 << 20,
+        "memory grew by {growth} bytes while the client did not read"
+    );
     assert_eq!(controller.status_value("queries_held"), 1);
-    // It reads on, and the rest comes.
+    // The client resumes reading and receives the remaining rows.
     let mut rows = 1;
     loop {
         match slow.read_message().0 {
@@ -31,12 +34,13 @@
         }
     }
     assert_eq!(rows, 1_000_000);
-    let grown = resident().saturating_sub(before);
-    assert!(grown < 64 << 20, "{grown} bytes more in all");
+    let growth = resident_bytes().saturating_sub(before);
+    assert!(growth < 64 << 20, "memory grew by {growth} bytes in total");
 }
 
-fn resident() -> u64 {
-    let text = std::fs::read_to_string("/proc/self/statm").expect("Linux");
+/// Returns the resident memory of this process.
+fn resident_bytes() -> u64 {
+    let text = std::fs::read_to_string("/proc/self/statm").expect("read /proc/self/statm");
     let pages: u64 = text
         .split_whitespace()
         .nth(1)
--- a/crates/controller/tests/on_call_messages.rs
+++ b/crates/controller/tests/on_call_messages.rs
@@ -1,15 +1,15 @@
-//! Every message that `docs/on-call.md` quotes stands in the sources, so that operators can search for it.
+//! Checks that every message quoted in `docs/on-call.md` occurs in the sources, so that operators can search for it.
 //!
-//! Taken as messages are the double-quoted texts in the first column of its tables, and everywhere the quoted texts that
-//! follow the word "log". A lone `N` in a quote stands for a number, `...` for anything.
+//! The messages are the double-quoted texts in the first column of the page's tables, and the quoted texts that follow the
+//! word "log" anywhere on the page. A separate `N` in a message stands for a number, and `...` for any text.
 
 use std::path::{Path, PathBuf};
 
 const ROOT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
-/// Messages that the page quotes at least; fewer are a fault of the extraction.
+/// Minimum number of messages on the page. Fewer mean that the extraction does not work.
 const MIN_MESSAGES: usize = 20;
 
-/// The messages that a page quotes, with the number of the line.
+/// Returns the messages that a page quotes, with their line numbers.
 fn quoted_messages(page: &str) -> Vec<(usize, &str)> {
     let mut messages = Vec::new();
     for (index, line) in page.lines().enumerate() {
@@ -24,12 +24,12 @@
     messages
 }
 
-/// All double-quoted parts of a text.
+/// Returns all double-quoted parts of a text.
 fn double_quoted(text: &str) -> Vec<&str> {
     text.split('"').skip(1).step_by(2).collect()
 }
 
-/// The quotes behind the word "log", or "log has no"; with `or` more of them follow.
+/// Returns the quoted texts that follow the words "log" or "log has no", including further ones joined by "or".
 fn quotes_after_log(line: &str) -> Vec<&str> {
     let mut quotes = Vec::new();
     for (at, _) in line.match_indices("log ") {
@@ -49,21 +49,24 @@
     quotes
 }
 
-/// A quote that a text begins with, in either kind of quotation mark, and what follows it.
+/// Splits off a quoted text, in double quotes or backticks, from the beginning of a text. Returns it and the rest.
 fn leading_quote(text: &str) -> Option<(&str, &str)> {
     let mark = text.chars().next().filter(|c| matches!(c, '"' | '`'))?;
     text[1..].split_once(mark)
 }
 
-/// A part of a message that must stand in the sources as it is, or a gap between two such parts.
+/// A part of a message: literal text or a wildcard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Part<'a> {
+    /// Text that occurs in the sources literally.
     Text(&'a str),
-    /// A placeholder of a format string.
+    /// A number, which is a placeholder of a format string in the sources.
     Number,
+    /// Any text.
     Anything,
 }
 
+/// Splits a message into literal text and wildcards.
 fn parts(message: &str) -> Vec<Part<'_>> {
     let mut parts = Vec::new();
     let (mut start, mut at) = (0, 0);
@@ -73,22 +76,22 @@
             .chars()
             .next_back()
             .is_none_or(|c| !c.is_alphanumeric());
-        let is_lone_n = rest.starts_with('N')
+        let is_number_wildcard = rest.starts_with('N')
             && is_word_start
             && rest[1..]
                 .chars()
                 .next()
                 .is_none_or(|c| !c.is_alphanumeric());
-        let gap = match rest {
-            _ if is_lone_n => Some((Part::Number, 1)),
+        let wildcard = match rest {
+            _ if is_number_wildcard => Some((Part::Number, 1)),
             _ if rest.starts_with("...") => Some((Part::Anything, 3)),
             _ => None,
         };
-        let step = gap.map_or_else(
+        let step = wildcard.map_or_else(
             || rest.chars().next().map_or(1, char::len_utf8),
             |(_, length)| length,
         );
-        if let Some((part, _)) = gap {
+        if let Some((part, _)) = wildcard {
             parts.extend((start < at).then(|| Part::Text(&message[start..at])));
             parts.push(part);
             start = at + step;
@@ -99,7 +102,7 @@
     parts
 }
 
-/// Whether a text begins with these parts.
+/// Returns whether a text begins with these parts.
 fn begins_with(text: &str, parts: &[Part<'_>]) -> bool {
     match parts.split_first() {
         None | Some((Part::Anything, _)) => true,
@@ -113,7 +116,7 @@
     }
 }
 
-/// Whether a message stands in a source without its comments.
+/// Returns whether a message occurs in a source whose comments have been removed.
 fn contains(source: &str, message: &str) -> bool {
     let parts = parts(message);
     let Some(Part::Text(first)) = parts.first() else {
@@ -124,7 +127,7 @@
         .any(|(at, _)| begins_with(&source[at..], &parts))
 }
 
-/// A source without the lines that are comments, and with the string literals that go over several lines in one.
+/// Removes the comment lines from a source and joins string literals that a backslash continues on the next line.
 fn without_comments(source: &str) -> String {
     let mut text = String::new();
     for line in source
@@ -143,7 +146,7 @@
     text
 }
 
-/// The Rust sources of all crates, without tests.
+/// Returns the Rust sources of all crates without their tests and comments.
 fn sources() -> Vec<String> {
     let mut folders: Vec<PathBuf> = list(&Path::new(ROOT).join("crates"));
     folders
@@ -155,7 +158,7 @@
             if path.is_dir() {
                 folders.push(path);
             } else if path.extension().is_some_and(|e| e == "rs") && !path.ends_with("tests.rs") {
-                let source = std::fs::read_to_string(&path).expect("a source");
+                let source = std::fs::read_to_string(&path).expect("read the source");
                 sources.push(without_comments(&source));
             }
         }
@@ -166,13 +169,14 @@
 fn list(folder: &Path) -> Vec<PathBuf> {
     let entries = std::fs::read_dir(folder).into_iter().flatten();
     entries
-        .map(|entry| entry.expect("an entry").path())
+        .map(|entry| entry.expect("a directory entry").path())
         .collect()
 }
 
 #[test]
-fn messages_quoted_on_the_page_stand_in_the_sources() {
-    let page = std::fs::read_to_string(Path::new(ROOT).join("docs/on-call.md")).expect("the page");
+fn messages_quoted_on_the_page_occur_in_the_sources() {
+    let page =
+        std::fs::read_to_string(Path::new(ROOT).join("docs/on-call.md")).expect("read the page");
     let messages = quoted_messages(&page);
     assert!(
         messages.len() >= MIN_MESSAGES,
@@ -186,12 +190,12 @@
         .collect();
     assert!(
         missing.is_empty(),
-        "quoted in docs/on-call.md (line, message) and in no source: {missing:#?}"
+        "messages in docs/on-call.md (line, message) that occur in no source: {missing:#?}"
     );
 }
 
 #[test]
-fn quotes_are_extracted_after_the_word_log_and_from_the_first_column() {
+fn messages_are_extracted_after_the_word_log_and_from_the_first_column() {
     let page = "| log \"a b\" or `c` seen, \"d\" | x \"not this\" | log `e: f` names it |\ncatalog \"no\"\nlog has no `g`";
     assert_eq!(
         quoted_messages(page),
@@ -200,12 +204,15 @@
 }
 
 #[test]
-fn a_message_is_found_with_its_placeholders_and_not_in_comments() {
+fn messages_match_placeholders_of_format_strings_and_ignore_comments() {
     let source = without_comments(
         "// only said here\nlog(format!(\"silent with {} queries of {count} \\\n    left over\"));\n",
     );
     assert!(contains(&source, "silent with N queries of N left over"));
     assert!(contains(&source, "silent with ..."));
-    assert!(!contains(&source, "silent with N calls"), "a wrong message");
+    assert!(
+        !contains(&source, "silent with N calls"),
+        "a message that does not occur"
+    );
     assert!(!contains(&source, "only said here"), "a comment");
 }
--- a/crates/controller/tests/platform.rs
+++ b/crates/controller/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The built program in the form that the platform runs it: HTTP clients, stand-in executors and name services on loopback.
+//! Tests of the built program as the platform runs it, with HTTP clients, emulated executors and name services on loopback.
 
 mod rig;
 use rig::*;
@@ -8,21 +8,23 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// An executor that answers each request with its own name, and spoils the first answer to a statement that asks for it.
-fn executor(name: &'static str) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = listener.local_addr().expect("bound");
-    let spoilt = Arc::new(AtomicBool::new(false));
+/// Starts an executor that answers each request with its own name. Its first response to a statement that begins with `spoil`
+/// is malformed: it announces a length of 3 GB.
+fn start_executor(name: &'static str) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a socket");
+    let address = listener.local_addr().expect("the local address");
+    let has_spoiled = Arc::new(AtomicBool::new(false));
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let spoilt = spoilt.clone();
-            std::thread::spawn(move || serve(name, stream, &spoilt));
+            let has_spoiled = has_spoiled.clone();
+            std::thread::spawn(move || serve_connection(name, stream, &has_spoiled));
         }
     });
-    at
+    address
 }
 
-fn serve(name: &str, stream: TcpStream, spoilt: &AtomicBool) -> Option<()> {
+/// Serves one connection of an executor until it is closed.
+fn serve_connection(name: &str, stream: TcpStream, has_spoiled: &AtomicBool) -> Option<()> {
     stream.set_nodelay(true).ok()?;
     let mut writer = stream.try_clone().ok()?;
     let mut reader = BufReader::new(stream);
@@ -35,7 +37,7 @@
         };
         let mut statement = vec![0; length.parse::<usize>().ok()? + 2];
         reader.read_exact(&mut statement).ok()?;
-        let spoil = statement.starts_with(b"spoil") && !spoilt.swap(true, Ordering::SeqCst);
+        let spoil = statement.starts_with(b"spoil") && !has_spoiled.swap(true, Ordering::SeqCst);
         let row = format!("{name}\t1\tx\n");
         let length = if spoil { 3_000_000_000 } else { row.len() };
         let answer = format!("{id} HIT pages=1,cost=1.0,meter=util:0.1 {length}\r\n{row}\r\n");
@@ -43,12 +45,17 @@
     }
 }
 
-/// A name service that loses every other answer, and lists one executor at an event.
-fn name_service(name: &'static str, at: SocketAddr, serial: u32) -> (SocketAddr, Arc<AtomicU64>) {
-    let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let address = socket.local_addr().expect("bound");
-    let asked = Arc::new(AtomicU64::new(0));
-    let count = asked.clone();
+/// Starts a name service that lists one executor and does not respond to every other query, beginning with the first. Returns
+/// its address and the number of queries it has received.
+fn start_lossy_name_service(
+    name: &'static str,
+    executor: SocketAddr,
+    serial: u32,
+) -> (SocketAddr, Arc<AtomicU64>) {
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("bind a socket");
+    let address = socket.local_addr().expect("the local address");
+    let query_count = Arc::new(AtomicU64::new(0));
+    let count = query_count.clone();
     std::thread::spawn(move || {
         let mut buffer = [0; 2048];
         while let Ok((n, from)) = socket.recv_from(&mut buffer) {
@@ -58,24 +65,23 @@
             let Ok(question) = hickory_proto::op::Message::from_vec(&buffer[..n]) else {
                 continue;
             };
-            let answer = list(&question, serial, &[(name, at, false)]);
-            let _ = socket.send_to(&answer.to_vec().expect("bytes"), from);
+            let answer = list(&question, serial, &[(name, executor, false)]);
+            let _ = socket.send_to(&answer.to_vec().expect("encode the message"), from);
         }
     });
-    (address, asked)
+    (address, query_count)
 }
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one long case")]
-fn the_program_serves_the_platform_through_spoilt_answers_lost_names_a_new_configuration_and_a_stop(
-) {
-    let (first, second) = (executor("e1"), executor("e2"));
-    let (old, asked) = name_service("e1", first, 1);
-    let (new, _) = name_service("e2", second, 2);
+fn the_program_survives_malformed_responses_lost_datagrams_a_reload_and_a_graceful_shutdown() {
+    let (first, second) = (start_executor("e1"), start_executor("e2"));
+    let (old_resolver, old_query_count) = start_lossy_name_service("e1", first, 1);
+    let (new_resolver, _) = start_lossy_name_service("e2", second, 2);
     let listen = free();
-    let mut program = Program::start(&config(listen, &[("e1", first)], old));
+    let mut program = Program::start(&config(listen, &[("e1", first)], old_resolver));
 
-    // Calm queries on one connection; then one whose first answer is spoilt.
+    // Ordinary queries on one connection, then one whose first response is malformed.
     let mut stream = Client::connect(listen);
     let mut n = 0;
     let mut ask = |client: &mut Client, statement: &str| {
@@ -84,56 +90,61 @@
         client.answer()
     };
     for _ in 0..50 {
-        let (status, body) = ask(&mut stream, "SELECT 1").expect("answered");
+        let (status, body) = ask(&mut stream, "SELECT 1").expect("a response");
         assert_eq!(
             (status, body.as_str()),
             (200, "{\"batch\":[[\"e1\",\"1\",\"x\"]]}")
         );
     }
-    assert_eq!(ask(&mut stream, "spoil").expect("answered").0, 200);
+    assert_eq!(ask(&mut stream, "spoil").expect("a response").0, 200);
 
-    // 5,000 connections that ask once, or say nothing, and go.
+    // 5,000 connections that close after one query or without any.
     let before = program.held();
-    for round in 0..5_000u64 {
-        let mut s = Client::connect(listen);
-        if round % 10 == 0 {
-            assert_eq!(ask(&mut s, "SELECT 2").expect("answered").0, 200);
+    for connection in 0..5_000u64 {
+        let mut client = Client::connect(listen);
+        if connection % 10 == 0 {
+            assert_eq!(ask(&mut client, "SELECT 2").expect("a response").0, 200);
         }
     }
-    until("descriptors as before", || program.held().0 <= before.0 + 2);
-    let grown = program.held().1.saturating_sub(before.1) * 4096;
-    assert!(grown < 8 << 20, "{grown} bytes more than before");
+    until("the descriptors of closed connections are freed", || {
+        program.held().0 <= before.0 + 2
+    });
+    let growth = program.held().1.saturating_sub(before.1) * 4096;
+    assert!(growth < 8 << 20, "memory grew by {growth} bytes");
 
-    // Answers of the name service are lost, and it is asked again; then another one takes its place.
-    until("asked again", || asked.load(Ordering::SeqCst) >= 3);
-    std::fs::write(&program.file, "{").expect("written");
+    // Responses of the name service are lost and the query is repeated. Then a reload switches to another name service, after
+    // a reload of an incomplete configuration.
+    until("the name service is queried again", || {
+        old_query_count.load(Ordering::SeqCst) >= 3
+    });
+    std::fs::write(&program.file, "{").expect("write the file");
     program.signal("-HUP");
-    let moved = config(listen, &[("e1", first)], new).to_string();
-    std::fs::write(&program.file, moved).expect("written");
+    let new_config = config(listen, &[("e1", first)], new_resolver).to_string();
+    std::fs::write(&program.file, new_config).expect("write the file");
     program.signal("-HUP");
-    until("the other name service", || {
+    until("the executor of the new name service answers", || {
         ask(&mut stream, "SELECT 3")
             .is_ok_and(|(status, body)| status == 200 && body.contains("e2"))
     });
 
-    // Asked to stop under load: all that is taken is answered, and it ends by itself.
+    // A shutdown under load: all queries are answered, and the program exits by itself.
     let unanswered = Arc::new(Mutex::new(Vec::new()));
     program.signal("-TERM");
-    let crowd: Vec<_> = (0..8u64)
-        .map(|c| {
+    let clients: Vec<_> = (0..8u64)
+        .map(|client_index| {
             let unanswered = unanswered.clone();
             std::thread::spawn(move || {
                 let mut served = 0u64;
                 for n in 0..20u64 {
-                    let told = Client::try_connect(listen).and_then(|mut s| {
-                        s.says(&post("look", (c + 1) << 40 | n, "SELECT 4"));
-                        s.answer()
+                    let response = Client::try_connect(listen).and_then(|mut client| {
+                        client.says(&post("look", (client_index + 1) << 40 | n, "SELECT 4"));
+                        client.answer()
                     });
-                    match told {
+                    match response {
                         Ok((200, _)) => served += 1,
                         other => unanswered
                             .lock()
-                            .expect("no panic")
+                            .expect("no thread panicked")
                             .push(format!("{other:?}")),
                     }
                 }
@@ -141,34 +152,37 @@
             })
         })
         .collect();
-    let served: u64 = crowd.into_iter().map(|c| c.join().expect("no panic")).sum();
+    let served: u64 = clients
+        .into_iter()
+        .map(|client| client.join().expect("no thread panicked"))
+        .sum();
     assert_eq!(
-        (served, &*unanswered.lock().expect("no panic")),
+        (served, &*unanswered.lock().expect("no thread panicked")),
         (160, &Vec::<String>::new())
     );
     assert_eq!(program.ended().code(), Some(0));
 }
 
 #[test]
-fn a_configuration_that_cannot_be_used_is_told_and_ends_with_2() {
-    let dir = tempfile::tempdir().expect("a folder");
+fn an_invalid_or_missing_configuration_exits_with_2() {
+    let dir = tempfile::tempdir().expect("create a temporary directory");
     let file = dir.path().join("config.json");
     for text in ["{", "{\"name\": 1}"] {
-        std::fs::write(&file, text).expect("written");
+        std::fs::write(&file, text).expect("write the file");
         let mut command = Command::new(env!("CARGO_BIN_EXE_wheelfield-controller"));
-        let told = command
+        let output = command
             .args(["platform", "--check", "--config"])
             .arg(&file)
             .output()
-            .expect("runs");
-        assert_eq!(told.status.code(), Some(2));
-        assert!(String::from_utf8_lossy(&told.stderr).contains("config.json"));
+            .expect("run the program");
+        assert_eq!(output.status.code(), Some(2));
+        assert!(String::from_utf8_lossy(&output.stderr).contains("config.json"));
     }
     let mut command = Command::new(env!("CARGO_BIN_EXE_wheelfield-controller"));
-    let told = command
+    let output = command
         .arg("platform")
         .env_remove("LB_CONFIG")
         .output()
-        .expect("runs");
-    assert_eq!(told.status.code(), Some(2));
+        .expect("run the program");
+    assert_eq!(output.status.code(), Some(2));
 }
