--- a/crates/fault-shim/build.rs
+++ b/crates/fault-shim/build.rs
@@ -1,4 +1,4 @@
-//! Builds the preloaded library from its C source with the system's compiler.
+//! Compiles the preloaded library from its C source with the C compiler of the system.
 
 use std::path::PathBuf;
 use std::process::Command;
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,8 +1,9 @@
-//! Faults of the operating system for a process under test: calls that fail, short reads and writes, and a wall clock that
-//! is stepped.
+//! Injection of operating system faults into a process under test: failing system calls, short reads and writes, and steps of
+//! the wall clock.
 //!
-//! [`library_path`] names a small C library to be preloaded (`LD_PRELOAD`) into the process. It obeys a [`FaultControl`], a
-//! file that both sides share, so that faults begin and end while the process runs. Nothing outside that process changes.
+//! [`library_path`] names a small C library that is preloaded (`LD_PRELOAD`) into the process. A [`FaultControl`] controls it
+//! through a file that both processes share, so that faults can begin and end while the process runs. Other processes
+//! are not affected.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -14,18 +15,18 @@
 use std::time::Duration;
 use tempfile::NamedTempFile;
 
-/// Layout of the control file, as in `shim/fault_shim.c`.
+// Layout of the control file, which must match `shim/fault_shim.c`.
 const SLOTS: u64 = 128;
 const SLOT_BYTES: u64 = 8;
-const WALL_SHIFT: u64 = 0;
+const WALL_CLOCK_OFFSET: u64 = 0;
 const READ_LIMIT: u64 = 1;
 const WRITE_LIMIT: u64 = 2;
 const FIRST_CALL: u64 = 8;
 const SLOTS_PER_CALL: u64 = 3;
-/// Every call fails.
+/// A rate at which every call fails, in calls per thousand.
 pub const ALWAYS: u32 = 1_000;
 
-/// A kind of system call, in the order of the library.
+/// A kind of system call. The order must match the enum of the library.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
     /// `accept`, `accept4`.
@@ -36,17 +37,17 @@
     Bind,
     /// `connect`.
     Connect,
-    /// `epoll_ctl`, but for removals.
+    /// `epoll_ctl`, except removals.
     Register,
     /// `epoll_wait`.
     Wait,
     /// `recv` and `read` on accepted connections.
     ReadAccepted,
-    /// `recv` and `read` on connections opened by the process.
+    /// `recv` and `read` on connections that the process opened.
     ReadConnected,
     /// `send` and `write` on accepted connections.
     WriteAccepted,
-    /// `send` and `write` on connections opened by the process.
+    /// `send` and `write` on connections that the process opened.
     WriteConnected,
     /// `sendto`.
     SendDatagram,
@@ -56,58 +57,58 @@
     Open,
 }
 
-/// An error that a call returns, as Linux numbers it.
+/// An error that a call returns, with its number on Linux.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Errno {
-    /// Interrupted by a signal.
+    /// `EINTR`: interrupted by a signal.
     Interrupted = 4,
-    /// An error of the device.
+    /// `EIO`: an error of the device.
     InputOutput = 5,
-    /// No memory.
+    /// `ENOMEM`: no memory is available.
     NoMemory = 12,
-    /// The system has no descriptor left.
+    /// `ENFILE`: the system is out of file descriptors.
     FileTableOverflow = 23,
-    /// The process has no descriptor left.
+    /// `EMFILE`: the process is out of file descriptors.
     TooManyFiles = 24,
-    /// The address is in use.
+    /// `EADDRINUSE`: the address is in use.
     AddressInUse = 98,
-    /// No local port is left.
+    /// `EADDRNOTAVAIL`: no local port is available.
     AddressNotAvailable = 99,
-    /// No route.
+    /// `ENETUNREACH`: there is no route to the network.
     NetworkUnreachable = 101,
-    /// A connection was aborted before it was accepted.
+    /// `ECONNABORTED`: a connection was aborted before it was accepted.
     ConnectionAborted = 103,
-    /// No buffer space.
+    /// `ENOBUFS`: no buffer space is available.
     NoBufferSpace = 105,
-    /// The other side did not answer.
+    /// `ETIMEDOUT`: the peer did not respond.
     TimedOut = 110,
-    /// The host cannot be reached.
+    /// `EHOSTUNREACH`: there is no route to the host.
     HostUnreachable = 113,
 }
 
-/// The file of the library to be preloaded.
+/// Returns the path of the library to preload.
 pub fn library_path() -> &'static Path {
     Path::new(env!("WHEELFIELD_FAULT_SHIM"))
 }
 
-/// The faults of one process, which may be changed while it runs.
+/// Controls the faults of one process, also while it runs.
 #[derive(Debug)]
 pub struct FaultControl {
     file: NamedTempFile,
 }
 
 impl FaultControl {
-    /// Controls no faults yet.
+    /// Creates a control file without faults.
     ///
     /// # Errors
-    /// If the control file cannot be written.
+    /// Returns an error if the control file cannot be written.
     pub fn new() -> io::Result<FaultControl> {
         let file = NamedTempFile::new()?;
         file.as_file().set_len(SLOTS * SLOT_BYTES)?;
         Ok(FaultControl { file })
     }
 
-    /// The environment that a process is to be started with.
+    /// Returns the environment variables with which the process under test must be started.
     pub fn environment(&self) -> [(&'static str, OsString); 2] {
         [
             ("LD_PRELOAD", library_path().into()),
@@ -115,66 +116,66 @@
         ]
     }
 
-    /// From now on, `per_mille` of a thousand calls of a kind fail with an error.
+    /// Makes calls of a kind fail with an error, `per_mille` of a thousand on average.
     ///
     /// # Errors
-    /// If the control file cannot be written.
+    /// Returns an error if the control file cannot be written.
     pub fn fail(&self, call: Call, errno: Errno, per_mille: u32) -> io::Result<()> {
-        let first = slot_of(call);
-        self.set(first + 1, i64::from(per_mille))?;
-        self.set(first, errno as i64)
+        let first_slot = slot_of(call);
+        self.write_slot(first_slot + 1, i64::from(per_mille))?;
+        self.write_slot(first_slot, errno as i64)
     }
 
-    /// From now on, calls of a kind do not fail.
+    /// Ends the failures of calls of a kind.
     ///
     /// # Errors
-    /// If the control file cannot be written.
+    /// Returns an error if the control file cannot be written.
     pub fn succeed(&self, call: Call) -> io::Result<()> {
-        self.set(slot_of(call), 0)
+        self.write_slot(slot_of(call), 0)
     }
 
-    /// How many calls of a kind have failed by injection.
+    /// Returns the number of failures that were injected into calls of a kind.
     ///
     /// # Errors
-    /// If the control file cannot be read.
+    /// Returns an error if the control file cannot be read.
     pub fn injected_count(&self, call: Call) -> io::Result<u64> {
         let mut bytes = [0; SLOT_BYTES as usize];
-        self.control()
+        self.control_file()
             .read_exact_at(&mut bytes, (slot_of(call) + 2) * SLOT_BYTES)?;
         Ok(u64::from_ne_bytes(bytes))
     }
 
-    /// From now on, reads of connections return and writes take so many bytes at most; `None` for no limit.
+    /// Limits the number of bytes that a read from a connection returns and a write to one accepts. `None` removes the limit.
     ///
     /// # Errors
-    /// If the control file cannot be written.
+    /// Returns an error if the control file cannot be written.
     pub fn limit_transfers(&self, read: Option<u32>, write: Option<u32>) -> io::Result<()> {
-        self.set(READ_LIMIT, read.map_or(0, i64::from))?;
-        self.set(WRITE_LIMIT, write.map_or(0, i64::from))
+        self.write_slot(READ_LIMIT, read.map_or(0, i64::from))?;
+        self.write_slot(WRITE_LIMIT, write.map_or(0, i64::from))
     }
 
-    /// Steps the wall clock to so much ahead of the true time.
+    /// Steps the wall clock of the process to `by` ahead of the actual time.
     ///
     /// # Errors
-    /// If the control file cannot be written.
+    /// Returns an error if the control file cannot be written.
     pub fn set_wall_clock_ahead(&self, by: Duration) -> io::Result<()> {
-        self.set(WALL_SHIFT, nanoseconds(by))
+        self.write_slot(WALL_CLOCK_OFFSET, nanoseconds(by))
     }
 
-    /// Steps the wall clock to so much behind the true time.
+    /// Steps the wall clock of the process to `by` behind the actual time.
     ///
     /// # Errors
-    /// If the control file cannot be written.
+    /// Returns an error if the control file cannot be written.
     pub fn set_wall_clock_behind(&self, by: Duration) -> io::Result<()> {
-        self.set(WALL_SHIFT, -nanoseconds(by))
+        self.write_slot(WALL_CLOCK_OFFSET, -nanoseconds(by))
     }
 
-    fn control(&self) -> &File {
+    fn control_file(&self) -> &File {
         self.file.as_file()
     }
 
-    fn set(&self, slot: u64, value: i64) -> io::Result<()> {
-        self.control()
+    fn write_slot(&self, slot: u64, value: i64) -> io::Result<()> {
+        self.control_file()
             .write_all_at(&value.to_ne_bytes(), slot * SLOT_BYTES)
     }
 }
