--- a/crates/controller/tests/gossip.rs
+++ b/crates/controller/tests/gossip.rs
@@ -105,7 +105,7 @@
         "cancel = true",
         "cancel = true\nmessages = true\nprobes = true",
     );
-    let start_sharing_controller = |seed: &str| {
+    let start = |seed: &str| {
         let (engine_entries, gossip) = (
             engines.config_entries(),
             "listen = \"127.0.0.1:0\"\nperiod = \"50ms\"\nsettle = \"200ms\"",
@@ -116,16 +116,10 @@
         );
         Controller::start(&text)
     };
-    let first = start_sharing_controller("");
+    let first = start("");
     let seed = first.gossip.clone().expect("a gossip address");
-    assert_eq!(
-        first.peers, None,
-        "load reports need no socket of their own"
-    );
-    let others = [
-        start_sharing_controller(&format!("{seed:?}")),
-        start_sharing_controller(&format!("{seed:?}")),
-    ];
+    assert_eq!(first.peers, None, "no socket for load reports");
+    let others = [start(&format!("{seed:?}")), start(&format!("{seed:?}"))];
     let client = std::cell::RefCell::new(first.postgres_client());
     for c in others.iter().chain([&first]) {
         // Engines report their load once they have executed queries.
@@ -143,8 +137,7 @@
     }
     // A sender that has the key but is not a member.
     let non_member = UdpSocket::bind("127.0.0.1:0").expect("bind a socket");
-    let mut authenticator =
-        Authenticator::new(non_member.local_addr().expect("the local address"), 1);
+    let mut authenticator = Authenticator::new(non_member.local_addr().expect("an address"), 1);
     let reports = [PeerLoadReport {
         engine: EngineId(1),
         report: LoadReport::default(),
