--- a/crates/controller/tests/endings.rs
+++ b/crates/controller/tests/endings.rs
@@ -7,40 +7,48 @@
 use rig::*;
 use std::time::Duration;
 
-const EVERY_WAY: [Leaves; 3] = [Leaves::Closes, Leaves::Breaks, Leaves::ClosesItsSide];
+const EVERY_WAY: [Disconnect; 3] = [
+    Disconnect::Close,
+    Disconnect::Reset,
+    Disconnect::ShutdownWrite,
+];
 
 /// The next request that an executor reads on this connection is the one of a client that stayed: whatever was to go there before
 /// has not gone.
-fn only_who_stayed(program: &Program, conn: &mut Conn, what: &str) {
+fn only_who_stayed(program: &Program, conn: &mut ExecutorConnection, what: &str) {
     let mut stays = Client::connect(program.listen);
-    stays.asks("look", 999);
-    let request = conn.request();
+    stays.send_query("look", 999);
+    let request = conn.expect_request();
     assert_eq!(
         request.id,
-        id(999),
+        request_id(999),
         "sent on for a client that had left: {what}"
     );
-    conn.says(&hit(&request.id, "e1"));
-    assert_eq!(stays.status(), 200, "{what}");
+    conn.send(&hit_response(&request.id, "e1"));
+    assert_eq!(stays.read_status(), 200, "{what}");
 }
 
 #[test]
 fn nothing_goes_for_a_client_that_left_before_it_was_taken() {
     for how in EVERY_WAY {
-        let (executor, names) = (Executor::new(), ServingNames::new(1, &[]));
-        let program = Program::start(&config(free(), &[("e1", executor.at)], names.at));
+        let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
+        let program = Program::start(&config(
+            unused_address(),
+            &[("e1", executor.address)],
+            name_service.address,
+        ));
         // A connection rests at the executor: what is to go there goes at once.
         let mut before = Client::connect(program.listen);
-        before.asks("look", 1);
-        let mut conn = executor.take();
-        let request = conn.request();
-        conn.says(&hit(&request.id, "e1"));
-        assert_eq!(before.status(), 200);
-        program.halt();
+        before.send_query("look", 1);
+        let mut conn = executor.accept();
+        let request = conn.expect_request();
+        conn.send(&hit_response(&request.id, "e1"));
+        assert_eq!(before.read_status(), 200);
+        program.suspend();
         let mut leaver = Client::connect(program.listen);
-        leaver.asks("look", 2);
-        let _still_there = leaver.leaves(how);
-        program.go_on();
+        leaver.send_query("look", 2);
+        let _still_there = leaver.disconnect(how);
+        program.resume();
         only_who_stayed(&program, &mut conn, &format!("{how:?}"));
     }
 }
@@ -51,22 +59,26 @@
         .into_iter()
         .flat_map(|how| [(how, true), (how, false)])
     {
-        let names = ServingNames::new(1, &[]);
-        let (executor, door) = Executor::with_full_door();
-        let program = Program::start(&config(free(), &[("e1", executor.at)], names.at));
+        let name_service = AutomaticNameService::new(1, &[]);
+        let (executor, backlog) = Executor::with_full_backlog();
+        let program = Program::start(&config(
+            unused_address(),
+            &[("e1", executor.address)],
+            name_service.address,
+        ));
         let mut leaver = Client::connect(program.listen);
-        leaver.asks("look", 1);
-        program.await_connecting(executor.at);
-        program.halt();
+        leaver.send_query("look", 1);
+        program.wait_for_connect(executor.address);
+        program.suspend();
         let (mut conn, _still_there);
         if left_first {
-            _still_there = leaver.leaves(how);
-            conn = door.opens(&executor);
+            _still_there = leaver.disconnect(how);
+            conn = backlog.free_and_accept(&executor);
         } else {
-            conn = door.opens(&executor);
-            _still_there = leaver.leaves(how);
+            conn = backlog.free_and_accept(&executor);
+            _still_there = leaver.disconnect(how);
         }
-        program.go_on();
+        program.resume();
         only_who_stayed(
             &program,
             &mut conn,
@@ -78,27 +90,35 @@
 /// More happens in one turn than is heard at a time, and the departure last.
 #[test]
 fn a_departure_is_heard_before_anything_goes_however_much_lies_before_it() {
-    let names = ServingNames::new(1, &[]);
-    let (executor, door) = Executor::with_full_door();
-    let mut config = config(free(), &[("e1", executor.at)], names.at);
+    let name_service = AutomaticNameService::new(1, &[]);
+    let (executor, backlog) = Executor::with_full_backlog();
+    let mut config = config(
+        unused_address(),
+        &[("e1", executor.address)],
+        name_service.address,
+    );
     config["limits"]["sockets"] = 1_024.into();
     let program = Program::start(&config);
     let mut crowd: Vec<Client> = (0..400).map(|_| Client::connect(program.listen)).collect();
     crowd
         .iter_mut()
-        .for_each(|c| c.says("GET /health HTTP/1.1\r\n\r\n"));
-    crowd.iter_mut().for_each(|c| assert_eq!(c.status(), 200));
+        .for_each(|c| c.send("GET /health HTTP/1.1\r\n\r\n"));
+    crowd
+        .iter_mut()
+        .for_each(|c| assert_eq!(c.read_status(), 200));
     let mut leaver = Client::connect(program.listen);
-    leaver.asks("look", 1);
-    program.await_connecting(executor.at);
-    program.halt();
-    let mut conn = door.opens(&executor);
+    leaver.send_query("look", 1);
+    program.wait_for_connect(executor.address);
+    program.suspend();
+    let mut conn = backlog.free_and_accept(&executor);
+    crowd
+        .iter_mut()
+        .for_each(|c| c.send("GET /health HTTP/1.1\r\n\r\n"));
+    let _ = leaver.disconnect(Disconnect::Close);
+    program.resume();
     crowd
         .iter_mut()
-        .for_each(|c| c.says("GET /health HTTP/1.1\r\n\r\n"));
-    let _ = leaver.leaves(Leaves::Closes);
-    program.go_on();
-    crowd.iter_mut().for_each(|c| assert_eq!(c.status(), 200));
+        .for_each(|c| assert_eq!(c.read_status(), 200));
     only_who_stayed(&program, &mut conn, "behind four hundred others");
 }
 
@@ -106,41 +126,46 @@
 /// client has left.
 #[test]
 fn a_departure_is_heard_before_timers_that_came_due_while_the_process_stood_still() {
-    let (executor, names) = (Executor::new(), ServingNames::new(1, &[]));
-    let mut config = config(free(), &[("e1", executor.at)], names.at);
+    let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
+    let mut config = config(
+        unused_address(),
+        &[("e1", executor.address)],
+        name_service.address,
+    );
     config["settings"]["grades"][1]["in_order"] = true.into();
     config["settings"]["safety"]["order_pause_us"] = 600_000.into();
     let program = Program::start(&config);
     // Two connections rest, the second was used last.
-    let mut two: Vec<(Client, Conn)> = Vec::new();
+    let mut two: Vec<(Client, ExecutorConnection)> = Vec::new();
     for n in 1..=2 {
         let mut client = Client::connect(program.listen);
-        client.asks("look", n);
-        let mut conn = executor.take();
-        assert_eq!(conn.request().id, id(n));
+        client.send_query("look", n);
+        let mut conn = executor.accept();
+        assert_eq!(conn.expect_request().id, request_id(n));
         two.push((client, conn));
     }
     for (n, (client, conn)) in two.iter_mut().enumerate() {
-        conn.says(&hit(&id(n as u64 + 1), "e1"));
-        assert_eq!(client.status(), 200);
+        conn.send(&hit_response(&request_id(n as u64 + 1), "e1"));
+        assert_eq!(client.read_status(), 200);
     }
     let (_, mut second) = two.remove(1);
     let (_, mut first) = two.remove(0);
-    let keyed = |n| post("load", n, "SELECT 1").replace("X-Timeout", "X-Object: k\r\nX-Timeout");
+    let keyed =
+        |n| query_request("load", n, "SELECT 1").replace("X-Timeout", "X-Object: k\r\nX-Timeout");
     let mut ahead = Client::connect(program.listen);
-    ahead.says(&keyed(3));
-    assert_eq!(second.request().id, id(3));
+    ahead.send(&keyed(3));
+    assert_eq!(second.expect_request().id, request_id(3));
     let mut leaver = Client::connect(program.listen);
-    leaver.says(&keyed(4));
+    leaver.send(&keyed(4));
     assert_eq!(program.health(), Some(200), "heard behind it");
     // What ran may run on: the key rests, and the next one waits for a timer.
-    second.breaks();
-    assert_eq!(ahead.status(), 500);
-    program.halt();
-    let _ = leaver.leaves(Leaves::Closes);
+    second.reset();
+    assert_eq!(ahead.read_status(), 500);
+    program.suspend();
+    let _ = leaver.disconnect(Disconnect::Close);
     // Until its clock has passed the timer.
     std::thread::sleep(Duration::from_millis(900));
-    program.go_on();
+    program.resume();
     only_who_stayed(&program, &mut first, "as its turn came");
 }
 
@@ -148,15 +173,19 @@
 #[test]
 fn a_departure_behind_bytes_that_are_not_read_is_heard() {
     for how in EVERY_WAY {
-        let names = ServingNames::new(1, &[]);
-        let (executor, door) = Executor::with_full_door();
-        let program = Program::start(&config(free(), &[("e1", executor.at)], names.at));
+        let name_service = AutomaticNameService::new(1, &[]);
+        let (executor, backlog) = Executor::with_full_backlog();
+        let program = Program::start(&config(
+            unused_address(),
+            &[("e1", executor.address)],
+            name_service.address,
+        ));
         let mut leaver = Client::connect(program.listen);
-        leaver.asks("look", 1);
-        leaver.says(&"x".repeat(30_000));
-        program.await_connecting(executor.at);
-        let _still_there = leaver.leaves(how);
-        let mut conn = door.opens(&executor);
+        leaver.send_query("look", 1);
+        leaver.send(&"x".repeat(30_000));
+        program.wait_for_connect(executor.address);
+        let _still_there = leaver.disconnect(how);
+        let mut conn = backlog.free_and_accept(&executor);
         only_who_stayed(&program, &mut conn, &format!("{how:?}"));
     }
 }
@@ -165,30 +194,34 @@
 #[test]
 fn those_who_wait_to_be_taken_as_the_listener_closes_are_answered() {
     for _ in 0..20 {
-        let names = ServingNames::new(1, &[]);
-        let mut config = config(free(), &[("e1", Executor::new().serves("e1"))], names.at);
+        let name_service = AutomaticNameService::new(1, &[]);
+        let mut config = config(
+            unused_address(),
+            &[("e1", Executor::new().spawn_server("e1"))],
+            name_service.address,
+        );
         config["limits"]["sockets"] = 2_048.into();
         let mut program = Program::start(&config);
         program.signal("-TERM");
-        until("the word heard", || program.health() != Some(200));
-        program.halt();
+        wait_until("the word heard", || program.health() != Some(200));
+        program.suspend();
         let wait: Vec<_> = (0..600)
             .map_while(|_| Client::try_connect(program.listen).ok())
             .collect();
         if wait.len() < 600 {
             // This machine was too slow: the listener had closed before it could be stopped.
-            program.go_on();
+            program.resume();
             continue;
         }
         let mut wait = wait;
         wait.iter_mut()
-            .for_each(|c| c.says("GET /health HTTP/1.1\r\n\r\n"));
+            .for_each(|c| c.send("GET /health HTTP/1.1\r\n\r\n"));
         // Until its clock has passed the end of listening.
         std::thread::sleep(Duration::from_millis(900));
-        program.go_on();
-        let told: Vec<u16> = wait.iter_mut().map(Client::status).collect();
+        program.resume();
+        let told: Vec<u16> = wait.iter_mut().map(Client::read_status).collect();
         assert_eq!(told.iter().filter(|s| **s == 503).count(), 600, "{told:?}");
-        assert_eq!(program.ended().code(), Some(0));
+        assert_eq!(program.wait_for_exit().code(), Some(0));
         return;
     }
     panic!("this machine is too slow to stop the program in time");
@@ -198,80 +231,91 @@
 #[test]
 fn a_stop_right_after_the_start_ends_it_as_ever() {
     for _ in 0..10 {
-        let names = ServingNames::new(1, &[]);
+        let name_service = AutomaticNameService::new(1, &[]);
         let mut program = Program::spawn(&config(
-            free(),
-            &[("e1", Executor::new().serves("e1"))],
-            names.at,
+            unused_address(),
+            &[("e1", Executor::new().spawn_server("e1"))],
+            name_service.address,
         ));
         let mut client = None;
-        until("it listens", || {
+        wait_until("it listens", || {
             client = Client::try_connect(program.listen).ok();
             client.is_some()
         });
         program.signal("-TERM");
         let mut client = client.expect("taken");
-        client.asks("load", 1);
-        assert_eq!(client.status(), 200);
-        assert_eq!(program.ended().code(), Some(0));
+        client.send_query("load", 1);
+        assert_eq!(client.read_status(), 200);
+        assert_eq!(program.wait_for_exit().code(), Some(0));
     }
 }
 
 /// The client takes nothing of a long answer until the controller listens no more.
 #[test]
 fn an_answer_that_is_not_taken_yet_as_the_controller_ends_is_told_whole() {
-    let (executor, names) = (Executor::new(), ServingNames::new(1, &[]));
-    let mut program = Program::start(&config(free(), &[("e1", executor.at)], names.at));
-    let mut client = Client::with_little_room(program.listen);
-    client.asks("load", 1);
-    let mut conn = executor.take();
-    assert_eq!(conn.request().id, id(1));
+    let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
+    let mut program = Program::start(&config(
+        unused_address(),
+        &[("e1", executor.address)],
+        name_service.address,
+    ));
+    let mut client = Client::with_small_receive_buffer(program.listen);
+    client.send_query("load", 1);
+    let mut conn = executor.accept();
+    assert_eq!(conn.expect_request().id, request_id(1));
     // Eight pages of 5,900 bytes.
     let page = format!("{}\tb\tc\n", "a".repeat(55)).repeat(98);
-    conn.says(&format!(
+    conn.send(&format!(
         "{} HIT pages=8,cost=1.0 {}\r\n{page}\r\n",
-        id(1),
+        request_id(1),
         page.len()
     ));
     for n in 1..8 {
-        assert_eq!(conn.line(), Some(format!("FETCH {} {n}", id(1))));
-        conn.says(&format!(
+        assert_eq!(
+            conn.next_line(),
+            Some(format!("FETCH {} {n}", request_id(1)))
+        );
+        conn.send(&format!(
             "{} PART page={n} {}\r\n{page}\r\n",
-            id(1),
+            request_id(1),
             page.len()
         ));
     }
-    assert_eq!(conn.line(), Some(format!("END {}", id(1))));
+    assert_eq!(conn.next_line(), Some(format!("END {}", request_id(1))));
     program.signal("-TERM");
-    program.await_closed_door();
-    let (status, body) = client.answer().expect("whole");
+    program.wait_until_listener_closed();
+    let (status, body) = client.read_response().expect("whole");
     assert_eq!((status, body.matches("\"b\"").count()), (200, 8 * 98));
-    assert_eq!(program.ended().code(), Some(0));
+    assert_eq!(program.wait_for_exit().code(), Some(0));
 }
 
 /// Who rests is closed as the controller ends; a call that crosses that comes again, on a new connection.
 #[test]
 fn a_call_that_crosses_the_end_of_its_connection_at_the_stop_is_served_on_another() {
     for _ in 0..20 {
-        let names = ServingNames::new(1, &[]);
-        let served = Executor::new().serves("e1");
-        let mut program = Program::start(&config(free(), &[("e1", served)], names.at));
+        let name_service = AutomaticNameService::new(1, &[]);
+        let served = Executor::new().spawn_server("e1");
+        let mut program = Program::start(&config(
+            unused_address(),
+            &[("e1", served)],
+            name_service.address,
+        ));
         let mut rests = Client::connect(program.listen);
-        rests.asks("load", 1);
-        assert_eq!(rests.status(), 200);
+        rests.send_query("load", 1);
+        assert_eq!(rests.read_status(), 200);
         program.signal("-TERM");
-        assert_eq!(rests.status(), 0, "closed, and nothing said");
-        program.halt();
+        assert_eq!(rests.read_status(), 0, "closed, and nothing said");
+        program.suspend();
         let Ok(mut again) = Client::try_connect(program.listen) else {
             // This machine was too slow: the listener had closed before it could be stopped.
-            program.go_on();
-            assert_eq!(program.ended().code(), Some(0));
+            program.resume();
+            assert_eq!(program.wait_for_exit().code(), Some(0));
             continue;
         };
-        again.asks("load", 2);
-        program.go_on();
-        assert_eq!(again.status(), 200);
-        assert_eq!(program.ended().code(), Some(0));
+        again.send_query("load", 2);
+        program.resume();
+        assert_eq!(again.read_status(), 200);
+        assert_eq!(program.wait_for_exit().code(), Some(0));
         return;
     }
     panic!("nobody was taken after the end of who rested");
@@ -279,32 +323,36 @@
 
 #[test]
 fn half_a_call_as_the_listener_closes_is_waited_for_and_served() {
-    let names = ServingNames::new(1, &[]);
+    let name_service = AutomaticNameService::new(1, &[]);
     let mut program = Program::start(&config(
-        free(),
-        &[("e1", Executor::new().serves("e1"))],
-        names.at,
+        unused_address(),
+        &[("e1", Executor::new().spawn_server("e1"))],
+        name_service.address,
     ));
     let mut slow = Client::connect(program.listen);
-    let call = post("look", 1, "SELECT 1");
+    let call = query_request("look", 1, "SELECT 1");
     program.signal("-TERM");
-    until("the word heard", || program.health() != Some(200));
-    slow.says(&call[..60]);
-    program.await_closed_door();
-    slow.says(&call[60..]);
-    assert_eq!(slow.status(), 200);
-    assert_eq!(program.ended().code(), Some(0));
+    wait_until("the word heard", || program.health() != Some(200));
+    slow.send(&call[..60]);
+    program.wait_until_listener_closed();
+    slow.send(&call[60..]);
+    assert_eq!(slow.read_status(), 200);
+    assert_eq!(program.wait_for_exit().code(), Some(0));
 }
 
 /// All 16 places for clients are taken by some who were served, and rest.
-fn full_of_those_who_rest(names: &ServingNames) -> (Program, Vec<Client>) {
-    let mut config = config(free(), &[("e1", Executor::new().serves("e1"))], names.at);
+fn full_of_those_who_rest(name_service: &AutomaticNameService) -> (Program, Vec<Client>) {
+    let mut config = config(
+        unused_address(),
+        &[("e1", Executor::new().spawn_server("e1"))],
+        name_service.address,
+    );
     config["limits"]["sockets"] = 64.into();
     let program = Program::start(&config);
     let served = |n| {
         let mut client = Client::connect(program.listen);
-        client.asks("load", n);
-        assert_eq!(client.status(), 200);
+        client.send_query("load", n);
+        assert_eq!(client.read_status(), 200);
         client
     };
     let resting = (0..16).map(served).collect();
@@ -314,17 +362,21 @@
 /// A new client finds all places taken, and who rests for longest has asked just now.
 #[test]
 fn whoever_has_asked_is_not_closed_for_a_new_one() {
-    let names = ServingNames::new(1, &[]);
-    let (program, mut resting) = full_of_those_who_rest(&names);
+    let name_service = AutomaticNameService::new(1, &[]);
+    let (program, mut resting) = full_of_those_who_rest(&name_service);
     for round in 0..4 {
-        program.halt();
+        program.suspend();
         let mut new = Client::connect(program.listen);
-        new.asks("look", 200 + round);
+        new.send_query("look", 200 + round);
         // The one that rests for longest asks now, behind or before the new one.
         let mut oldest = resting.remove(0);
-        oldest.asks("look", 100 + round);
-        program.go_on();
-        assert_eq!((oldest.status(), new.status()), (200, 200), "round {round}");
+        oldest.send_query("look", 100 + round);
+        program.resume();
+        assert_eq!(
+            (oldest.read_status(), new.read_status()),
+            (200, 200),
+            "round {round}"
+        );
         resting.extend([oldest, new]);
         resting.remove(0);
     }
@@ -334,26 +386,26 @@
 /// stands still, and their time has passed as it goes on.
 #[test]
 fn a_call_that_has_come_as_its_clients_time_ends_is_served() {
-    let names = ServingNames::new(1, &[]);
+    let name_service = AutomaticNameService::new(1, &[]);
     let program = Program::start(&config(
-        free(),
-        &[("e1", Executor::new().serves("e1"))],
-        names.at,
+        unused_address(),
+        &[("e1", Executor::new().spawn_server("e1"))],
+        name_service.address,
     ));
     let (mut silent, mut slow) = (
         Client::connect(program.listen),
         Client::connect(program.listen),
     );
-    let call = post("load", 2, "SELECT 1");
-    slow.says(&call[..60]);
+    let call = query_request("load", 2, "SELECT 1");
+    slow.send(&call[..60]);
     assert_eq!(program.health(), Some(200), "heard behind them");
-    program.halt();
+    program.suspend();
     // Until its clock has passed their time.
     std::thread::sleep(Duration::from_millis(2_300));
-    silent.asks("load", 1);
-    slow.says(&call[60..]);
-    program.go_on();
-    let told = [silent.answer(), slow.answer()];
+    silent.send_query("load", 1);
+    slow.send(&call[60..]);
+    program.resume();
+    let told = [silent.read_response(), slow.read_response()];
     assert!(
         told.iter()
             .all(|t| t.as_ref().is_ok_and(|(status, _)| *status == 200)),
@@ -364,64 +416,64 @@
 /// Who rests for longest is closed for a new one, and asks in that moment: the call comes again, under its id, on a new connection.
 #[test]
 fn a_call_that_crosses_the_end_of_a_connection_closed_for_a_new_one_is_served_as_it_comes_again() {
-    let names = ServingNames::new(1, &[]);
-    let (program, mut resting) = full_of_those_who_rest(&names);
+    let name_service = AutomaticNameService::new(1, &[]);
+    let (program, mut resting) = full_of_those_who_rest(&name_service);
     let mut new = Client::connect(program.listen);
-    new.asks("load", 100);
-    assert_eq!(new.status(), 200);
+    new.send_query("load", 100);
+    assert_eq!(new.read_status(), 200);
     // It is closed by now, and does not know.
     let mut oldest = resting.remove(0);
-    oldest.asks("load", 101);
-    assert_eq!(oldest.status(), 0, "closed without an answer");
+    oldest.send_query("load", 101);
+    assert_eq!(oldest.read_status(), 0, "closed without an answer");
     let mut again = Client::connect(program.listen);
-    again.asks("load", 101);
-    assert_eq!(again.status(), 200);
+    again.send_query("load", 101);
+    assert_eq!(again.read_status(), 200);
 }
 
 /// All places are taken by some who keep their connections for good. Two come in one turn, and ask a moment later; one more comes as
 /// one of the others leaves.
 #[test]
 fn new_clients_are_not_closed_for_each_other_nor_anybody_where_one_has_left() {
-    let names = ServingNames::new(1, &[]);
-    let (program, mut keep) = full_of_those_who_rest(&names);
+    let name_service = AutomaticNameService::new(1, &[]);
+    let (program, mut keep) = full_of_those_who_rest(&name_service);
     // Longer than usual clients rest.
     std::thread::sleep(Duration::from_millis(4_200));
-    program.halt();
+    program.suspend();
     let (mut first, mut second) = (
         Client::connect(program.listen),
         Client::connect(program.listen),
     );
-    program.go_on();
+    program.resume();
     assert_eq!(
-        (keep.remove(0).status(), keep.remove(0).status()),
+        (keep.remove(0).read_status(), keep.remove(0).read_status()),
         (0, 0),
         "closed for them"
     );
-    first.asks("load", 100);
-    second.asks("load", 101);
-    assert_eq!((first.status(), second.status()), (200, 200));
-    program.halt();
+    first.send_query("load", 100);
+    second.send_query("load", 101);
+    assert_eq!((first.read_status(), second.read_status()), (200, 200));
+    program.suspend();
     drop(keep.pop());
     let mut third = Client::connect(program.listen);
-    program.go_on();
-    third.asks("load", 102);
-    assert_eq!(third.status(), 200);
+    program.resume();
+    third.send_query("load", 102);
+    assert_eq!(third.read_status(), 200);
     for (n, client) in keep.iter_mut().enumerate() {
-        client.asks("load", 200 + n as u64);
-        assert_eq!(client.status(), 200, "still there");
+        client.send_query("load", 200 + n as u64);
+        assert_eq!(client.read_status(), 200, "still there");
     }
 }
 
 /// A call that can't be used is told so and closed, and what its client still sends does not take the answer along.
 #[test]
 fn the_answer_to_a_call_that_cannot_be_used_outlives_what_comes_behind_it() {
-    let names = ServingNames::new(1, &[]);
+    let name_service = AutomaticNameService::new(1, &[]);
     let program = Program::start(&config(
-        free(),
-        &[("e1", Executor::new().serves("e1"))],
-        names.at,
+        unused_address(),
+        &[("e1", Executor::new().spawn_server("e1"))],
+        name_service.address,
     ));
-    let whole = post("load", 1, "SELECT 1");
+    let whole = query_request("load", 1, "SELECT 1");
     let bad = [
         (
             whole.replace("Content-Length: 8", "Content-Length: 60000000"),
@@ -443,64 +495,77 @@
     ];
     for (call, status) in &bad {
         let mut client = Client::connect(program.listen);
-        client.says(call);
+        client.send(call);
         // Calls of others, as it seems, and much of it.
-        client.says(&whole.replace("SELECT 1", "SELECT 2").repeat(5_000));
-        assert_eq!(client.status(), *status, "{}", &call[..call.len().min(200)]);
+        client.send(&whole.replace("SELECT 1", "SELECT 2").repeat(5_000));
+        assert_eq!(
+            client.read_status(),
+            *status,
+            "{}",
+            &call[..call.len().min(200)]
+        );
     }
     // Nothing of it went anywhere: the id is not known.
     let mut client = Client::connect(program.listen);
-    client.says(&whole);
-    assert_eq!(client.status(), 200);
+    client.send(&whole);
+    assert_eq!(client.read_status(), 200);
 }
 
 /// What may have run is known for as long as a flood of others takes that do no harm.
 #[test]
 fn a_flood_does_not_have_a_spent_id_run_again() {
-    let names = ServingNames::new(1, &[]);
+    let name_service = AutomaticNameService::new(1, &[]);
     let program = Program::start(&config(
-        free(),
-        &[("e1", Executor::new().serves("e1"))],
-        names.at,
+        unused_address(),
+        &[("e1", Executor::new().spawn_server("e1"))],
+        name_service.address,
     ));
     let mut client = Client::connect(program.listen);
-    client.asks("load", 1);
-    assert_eq!(client.status(), 200);
+    client.send_query("load", 1);
+    assert_eq!(client.read_status(), 200);
     for n in 0..8_300 {
-        client.asks("look", (1 << 32) + n);
-        assert_eq!(client.status(), 200);
+        client.send_query("look", (1 << 32) + n);
+        assert_eq!(client.read_status(), 200);
     }
-    client.asks("load", 1);
-    assert_eq!(client.status(), 409);
-    client.asks("look", 1 << 32);
-    assert_eq!(client.status(), 200, "the oldest harmless one is forgotten");
+    client.send_query("load", 1);
+    assert_eq!(client.read_status(), 409);
+    client.send_query("look", 1 << 32);
+    assert_eq!(
+        client.read_status(),
+        200,
+        "the oldest harmless one is forgotten"
+    );
 }
 
 /// As many are in hand as may be: one more is refused at once, the others have their answers.
 #[test]
 fn one_more_than_may_be_held_is_refused_at_once_and_costs_the_others_nothing() {
-    let (executor, names) = (Executor::new(), ServingNames::new(1, &[]));
-    let mut config = config(free(), &[("e1", executor.at)], names.at);
+    let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
+    let mut config = config(
+        unused_address(),
+        &[("e1", executor.address)],
+        name_service.address,
+    );
     config["settings"]["ceilings"]["most_held"] = 2.into();
     let program = Program::start(&config);
-    let mut held: Vec<(Client, Conn)> = Vec::new();
+    let mut held: Vec<(Client, ExecutorConnection)> = Vec::new();
     for n in 1..=2 {
         let mut client = Client::connect(program.listen);
-        client.asks("load", n);
-        let mut conn = executor.take();
-        assert_eq!(conn.request().id, id(n));
+        client.send_query("load", n);
+        let mut conn = executor.accept();
+        assert_eq!(conn.expect_request().id, request_id(n));
         held.push((client, conn));
     }
     let mut third = Client::connect(program.listen);
-    third.asks("load", 3);
-    assert_eq!(third.status(), 503);
+    third.send_query("load", 3);
+    assert_eq!(third.read_status(), 503);
     for (n, (client, conn)) in held.iter_mut().enumerate() {
-        conn.says(&hit(&id(n as u64 + 1), "e1"));
-        assert_eq!(client.status(), 200);
+        conn.send(&hit_response(&request_id(n as u64 + 1), "e1"));
+        assert_eq!(client.read_status(), 200);
     }
-    third.asks("load", 3);
-    held[1].1.answers(3, "e1");
-    assert_eq!(third.status(), 200, "it never ran, and may come again");
+    third.send_query("load", 3);
+    held[1].1.serve_query(3, "e1");
+    assert_eq!(third.read_status(), 200, "it never ran, and may come again");
 }
 
 /// Between the module's choice and the first byte the executor drains, is gone, or gives its address to another.
@@ -510,50 +575,58 @@
         .into_iter()
         .flat_map(|w| [(w, true), (w, false)])
     {
-        let names = NameService::new();
-        let (first, door) = Executor::with_full_door();
+        let name_service = NameService::new();
+        let (first, backlog) = Executor::with_full_backlog();
         let second = Executor::new();
-        let mut program = Program::start(&config(free(), &[("e1", first.at)], names.at));
+        let mut program = Program::start(&config(
+            unused_address(),
+            &[("e1", first.address)],
+            name_service.address,
+        ));
         let mut client = Client::connect(program.listen);
-        client.asks("load", 1);
-        program.await_connecting(first.at);
-        let question = names.asked_anew();
-        program.halt();
+        client.send_query("load", 1);
+        program.wait_for_connect(first.address);
+        let question = name_service.next_new_query();
+        program.suspend();
         let tell = || {
-            program.is_told(|| match what {
-                "drains" => names.tells(
+            program.deliver_datagram(|| match what {
+                "drains" => name_service.send_list(
                     &question,
                     2,
-                    &[("e1", first.at, true), ("e2", second.at, false)],
+                    &[("e1", first.address, true), ("e2", second.address, false)],
                 ),
-                "gone" => names.tells(&question, 2, &[("e2", second.at, false)]),
-                _ => names.tells(&question, 2, &[("e2", first.at, false)]),
+                "gone" => name_service.send_list(&question, 2, &[("e2", second.address, false)]),
+                _ => name_service.send_list(&question, 2, &[("e2", first.address, false)]),
             });
         };
         if told_first {
             tell();
         }
-        let mut conn = door.opens(&first);
+        let mut conn = backlog.free_and_accept(&first);
         if !told_first {
             tell();
         }
-        program.go_on();
+        program.resume();
         // Full: another connection to the same place comes up once there is room, as there is now.
         let mut other = if what == "moved" {
-            first.take()
+            first.accept()
         } else {
-            second.take()
+            second.accept()
         };
-        let request = other.request();
-        assert_eq!(request.id, id(1));
-        other.says(&hit(&request.id, "e2"));
-        let (status, body) = client.answer().expect("answered");
+        let request = other.expect_request();
+        assert_eq!(request.id, request_id(1));
+        other.send(&hit_response(&request.id, "e2"));
+        let (status, body) = client.read_response().expect("answered");
         assert_eq!(status, 200, "{what}");
         assert!(body.contains("e2"));
         drop(client);
         program.signal("-TERM");
-        assert_eq!(program.ended().code(), Some(0));
-        assert_eq!(conn.try_request(), None, "{what}, told first: {told_first}");
+        assert_eq!(program.wait_for_exit().code(), Some(0));
+        assert_eq!(
+            conn.next_request(),
+            None,
+            "{what}, told first: {told_first}"
+        );
     }
 }
 
@@ -561,95 +634,106 @@
 #[test]
 fn a_configuration_that_was_half_written_is_read_once_it_is_whole() {
     let (old, new) = (NameService::new(), NameService::new());
-    let executor = Executor::new().serves("e1");
-    let listen = free();
-    let program = Program::start(&config(listen, &[("e1", executor)], old.at));
-    let moved = config(listen, &[("e1", executor)], new.at).to_string();
-    std::fs::write(&program.file, &moved[..moved.len() / 2]).expect("written");
+    let executor = Executor::new().spawn_server("e1");
+    let listen = unused_address();
+    let program = Program::start(&config(listen, &[("e1", executor)], old.address));
+    let moved = config(listen, &[("e1", executor)], new.address).to_string();
+    std::fs::write(&program.config_file, &moved[..moved.len() / 2]).expect("written");
     program.signal("-HUP");
     // It has been read, and found to be of no use: the old one is asked on.
     for _ in 0..3 {
-        old.asked_anew();
+        old.next_new_query();
     }
-    std::fs::write(&program.file, &moved).expect("written");
-    new.asked();
+    std::fs::write(&program.config_file, &moved).expect("written");
+    new.next_query();
     assert_eq!(program.health(), Some(200));
 }
 
 /// Both signals, and each twice, are heard in one turn, with a query in hand.
 #[test]
 fn all_signals_at_once_lose_nothing() {
-    let (old, new) = (ServingNames::new(1, &[]), ServingNames::new(1, &[]));
+    let (old, new) = (
+        AutomaticNameService::new(1, &[]),
+        AutomaticNameService::new(1, &[]),
+    );
     let executor = Executor::new();
-    let listen = free();
-    let mut program = Program::start(&config(listen, &[("e1", executor.at)], old.at));
+    let listen = unused_address();
+    let mut program = Program::start(&config(listen, &[("e1", executor.address)], old.address));
     let mut client = Client::connect(listen);
-    client.asks("load", 1);
-    let mut conn = executor.take();
-    let request = conn.request();
-    program.halt();
+    client.send_query("load", 1);
+    let mut conn = executor.accept();
+    let request = conn.expect_request();
+    program.suspend();
     std::fs::write(
-        &program.file,
-        config(listen, &[("e1", executor.at)], new.at).to_string(),
+        &program.config_file,
+        config(listen, &[("e1", executor.address)], new.address).to_string(),
     )
     .expect("written");
     for signal in ["-TERM", "-HUP", "-TERM", "-HUP", "-INT"] {
         program.signal(signal);
     }
     let mut late = Client::connect(listen);
-    late.asks("load", 2);
-    program.go_on();
-    until("the new one is asked", || new.questions() > 0);
-    let mut another = executor.take();
-    let second = another.request();
-    program.await_closed_door();
-    assert!(!program.over(), "two are owed");
-    conn.says(&hit(&request.id, "e1"));
-    another.says(&hit(&second.id, "e1"));
-    assert_eq!((client.status(), late.status()), (200, 200));
-    assert_eq!(program.ended().code(), Some(0));
+    late.send_query("load", 2);
+    program.resume();
+    wait_until("the new one is asked", || new.query_count() > 0);
+    let mut another = executor.accept();
+    let second = another.expect_request();
+    program.wait_until_listener_closed();
+    assert!(!program.has_exited(), "two are owed");
+    conn.send(&hit_response(&request.id, "e1"));
+    another.send(&hit_response(&second.id, "e1"));
+    assert_eq!((client.read_status(), late.read_status()), (200, 200));
+    assert_eq!(program.wait_for_exit().code(), Some(0));
 }
 
 /// The end of a connection lies right behind the answer, in one read.
 #[test]
 fn an_answer_right_before_the_end_of_its_connection_counts() {
-    let (executor, names) = (Executor::new(), ServingNames::new(1, &[]));
-    let program = Program::start(&config(free(), &[("e1", executor.at)], names.at));
+    let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
+    let program = Program::start(&config(
+        unused_address(),
+        &[("e1", executor.address)],
+        name_service.address,
+    ));
     for breaks in [false, true] {
         let mut client = Client::connect(program.listen);
         let n = 1 + u64::from(breaks);
-        client.asks("load", n);
-        let mut conn = executor.take();
-        let request = conn.request();
-        program.halt();
+        client.send_query("load", n);
+        let mut conn = executor.accept();
+        let request = conn.expect_request();
+        program.suspend();
         if breaks {
             // Further pages are to be had: they are lost with the connection, and what has run does not run again.
-            conn.says(&hit(&request.id, "e1").replace("pages=1", "pages=2"));
+            conn.send(&hit_response(&request.id, "e1").replace("pages=1", "pages=2"));
         } else {
-            conn.says(&hit(&request.id, "e1"));
+            conn.send(&hit_response(&request.id, "e1"));
         }
         drop(conn);
-        program.go_on();
-        assert_eq!(client.status(), if breaks { 500 } else { 200 });
+        program.resume();
+        assert_eq!(client.read_status(), if breaks { 500 } else { 200 });
     }
 }
 
 /// A second answer comes late, on a connection that carries another query by then.
 #[test]
 fn a_second_answer_is_nobody_elses() {
-    let (executor, names) = (Executor::new(), ServingNames::new(1, &[]));
-    let program = Program::start(&config(free(), &[("e1", executor.at)], names.at));
+    let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
+    let program = Program::start(&config(
+        unused_address(),
+        &[("e1", executor.address)],
+        name_service.address,
+    ));
     let mut client = Client::connect(program.listen);
-    client.asks("load", 1);
-    let mut conn = executor.take();
-    let first = conn.request();
-    conn.says(&hit(&first.id, "first"));
-    assert_eq!(client.status(), 200);
-    client.asks("load", 2);
-    let second = conn.request();
-    conn.says(&hit(&first.id, "stray"));
-    conn.says(&hit(&second.id, "second"));
-    let (status, body) = client.answer().expect("answered");
+    client.send_query("load", 1);
+    let mut conn = executor.accept();
+    let first = conn.expect_request();
+    conn.send(&hit_response(&first.id, "first"));
+    assert_eq!(client.read_status(), 200);
+    client.send_query("load", 2);
+    let second = conn.expect_request();
+    conn.send(&hit_response(&first.id, "stray"));
+    conn.send(&hit_response(&second.id, "second"));
+    let (status, body) = client.read_response().expect("answered");
     assert_eq!(
         (status, body.as_str()),
         (200, "{\"batch\":[[\"second\",\"1\",\"x\"]]}")
@@ -659,25 +743,29 @@
 /// The executor answers nothing any more, also not as the controller is told to stop.
 #[test]
 fn who_waits_at_a_hung_executor_as_the_controller_stops_is_answered_in_time() {
-    let (executor, names) = (Executor::new(), ServingNames::new(1, &[]));
-    let mut program = Program::start(&config(free(), &[("e1", executor.at)], names.at));
-    let mut waiting: Vec<(Client, Conn)> = Vec::new();
+    let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
+    let mut program = Program::start(&config(
+        unused_address(),
+        &[("e1", executor.address)],
+        name_service.address,
+    ));
+    let mut waiting: Vec<(Client, ExecutorConnection)> = Vec::new();
     for (n, class) in ["look", "load"].into_iter().enumerate() {
         let mut client = Client::connect(program.listen);
-        client.says(&post(class, n as u64, "SELECT 1").replace("15000", "1200"));
-        let mut conn = executor.take();
-        let request = conn.request();
+        client.send(&query_request(class, n as u64, "SELECT 1").replace("15000", "1200"));
+        let mut conn = executor.accept();
+        let request = conn.expect_request();
         // The first of two pages: it hangs in the middle.
         if class == "load" {
-            conn.says(&hit(&request.id, "e1").replace("pages=1", "pages=2"));
+            conn.send(&hit_response(&request.id, "e1").replace("pages=1", "pages=2"));
         }
         waiting.push((client, conn));
     }
     program.signal("-TERM");
     let told: Vec<u16> = waiting
         .iter_mut()
-        .map(|(client, _)| client.status())
+        .map(|(client, _)| client.read_status())
         .collect();
     assert_eq!(told, [503, 500]);
-    assert_eq!(program.ended().code(), Some(0));
+    assert_eq!(program.wait_for_exit().code(), Some(0));
 }
--- a/crates/controller/tests/platform.rs
+++ b/crates/controller/tests/platform.rs
@@ -58,7 +58,7 @@
             let Ok(question) = hickory_proto::op::Message::from_vec(&buffer[..n]) else {
                 continue;
             };
-            let answer = list(&question, serial, &[(name, at, false)]);
+            let answer = dns_answer(&question, serial, &[(name, at, false)]);
             let _ = socket.send_to(&answer.to_vec().expect("bytes"), from);
         }
     });
@@ -72,7 +72,7 @@
     let (first, second) = (executor("e1"), executor("e2"));
     let (old, asked) = name_service("e1", first, 1);
     let (new, _) = name_service("e2", second, 2);
-    let listen = free();
+    let listen = unused_address();
     let mut program = Program::start(&config(listen, &[("e1", first)], old));
 
     // Calm queries on one connection; then one whose first answer is spoilt.
@@ -80,8 +80,8 @@
     let mut n = 0;
     let mut ask = |client: &mut Client, statement: &str| {
         n += 1;
-        client.says(&post("look", n, statement));
-        client.answer()
+        client.send(&query_request("look", n, statement));
+        client.read_response()
     };
     for _ in 0..50 {
         let (status, body) = ask(&mut stream, "SELECT 1").expect("answered");
@@ -93,25 +93,27 @@
     assert_eq!(ask(&mut stream, "spoil").expect("answered").0, 200);
 
     // 5,000 connections that ask once, or say nothing, and go.
-    let before = program.held();
+    let before = program.resource_usage();
     for round in 0..5_000u64 {
         let mut s = Client::connect(listen);
         if round % 10 == 0 {
             assert_eq!(ask(&mut s, "SELECT 2").expect("answered").0, 200);
         }
     }
-    until("descriptors as before", || program.held().0 <= before.0 + 2);
-    let grown = program.held().1.saturating_sub(before.1) * 4096;
+    wait_until("descriptors as before", || {
+        program.resource_usage().0 <= before.0 + 2
+    });
+    let grown = program.resource_usage().1.saturating_sub(before.1) * 4096;
     assert!(grown < 8 << 20, "{grown} bytes more than before");
 
     // Answers of the name service are lost, and it is asked again; then another one takes its place.
-    until("asked again", || asked.load(Ordering::SeqCst) >= 3);
-    std::fs::write(&program.file, "{").expect("written");
+    wait_until("asked again", || asked.load(Ordering::SeqCst) >= 3);
+    std::fs::write(&program.config_file, "{").expect("written");
     program.signal("-HUP");
     let moved = config(listen, &[("e1", first)], new).to_string();
-    std::fs::write(&program.file, moved).expect("written");
+    std::fs::write(&program.config_file, moved).expect("written");
     program.signal("-HUP");
-    until("the other name service", || {
+    wait_until("the other name service", || {
         ask(&mut stream, "SELECT 3")
             .is_ok_and(|(status, body)| status == 200 && body.contains("e2"))
     });
@@ -126,8 +128,8 @@
                 let mut served = 0u64;
                 for n in 0..20u64 {
                     let told = Client::try_connect(listen).and_then(|mut s| {
-                        s.says(&post("look", (c + 1) << 40 | n, "SELECT 4"));
-                        s.answer()
+                        s.send(&query_request("look", (c + 1) << 40 | n, "SELECT 4"));
+                        s.read_response()
                     });
                     match told {
                         Ok((200, _)) => served += 1,
@@ -146,7 +148,7 @@
         (served, &*unanswered.lock().expect("no panic")),
         (160, &Vec::<String>::new())
     );
-    assert_eq!(program.ended().code(), Some(0));
+    assert_eq!(program.wait_for_exit().code(), Some(0));
 }
 
 #[test]
--- a/crates/controller/tests/rig/mod.rs
+++ b/crates/controller/tests/rig/mod.rs
@@ -1,7 +1,8 @@
-//! The built program in the form that the platform runs it, with clients, executors and a name service on loopback that step
-//! only when a test says so.
+//! Runs the built program in platform mode, with clients, executors and a name service on loopback that act only when a test
+//! tells them to.
 //!
-//! To have several things heard in one turn of the program: [`Program::halt`], put them into the kernel, [`Program::go_on`].
+//! To have the program process several events in one turn of its event loop, suspend it with [`Program::suspend`], send
+//! everything, and continue it with [`Program::resume`].
 #![allow(dead_code)]
 
 mod serving;
@@ -20,37 +21,37 @@
 use std::time::{Duration, Instant};
 use wheelfield_fault_shim::FaultControl;
 
-/// What is awaited must come within this; no verdict rests on how soon.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Limit for every wait, so that a failing test ends. No assertion depends on how long a wait takes.
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Until something is so.
-pub fn until(what: &str, mut is: impl FnMut() -> bool) {
-    let begun = Instant::now();
-    while !is() {
-        assert!(begun.elapsed() < PATIENCE, "{what} did not come to pass");
+/// Waits until a condition holds; panics after [`TIMEOUT`].
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let started = Instant::now();
+    while !condition() {
+        assert!(started.elapsed() < TIMEOUT, "timed out waiting for {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// An address that nobody listens on yet, and that no other test is given: others may have the port from the system meanwhile, but not
-/// on this address.
-pub fn free() -> SocketAddr {
-    static GIVEN: AtomicU8 = AtomicU8::new(1);
+/// An address on which nothing listens, and which no other test uses. The kernel may give the port to another process in the
+/// meantime, but on a different IP address.
+pub fn unused_address() -> SocketAddr {
+    static NEXT_HOST: AtomicU8 = AtomicU8::new(1);
     let id = std::process::id();
     let part = |n: u32| 1 + (n % 250) as u8;
     let ip = Ipv4Addr::new(
         127,
         part(id),
         part(id / 250),
-        GIVEN.fetch_add(1, Ordering::SeqCst),
+        NEXT_HOST.fetch_add(1, Ordering::SeqCst),
     );
     TcpListener::bind((ip, 0))
         .and_then(|l| l.local_addr())
         .expect("a port")
 }
 
-/// A configuration with the classes `look` (may be repeated) and `load` (never runs twice), and these executors. Connects may take long:
-/// on a machine that is busy they do, and no verdict rests on it.
+/// A configuration with the classes `look` (idempotent) and `load` (must not run twice), and these executors. The connect timeout
+/// is long because connects are slow on a busy machine, and no test should fail for that.
 pub fn config(
     listen: SocketAddr,
     executors: &[(&str, SocketAddr)],
@@ -58,7 +59,7 @@
 ) -> serde_json::Value {
     let servers: Vec<serde_json::Value> = executors
         .iter()
-        .map(|(id, at)| serde_json::json!({"id": id, "addr": at, "zone": "z", "kind": "std", "cell": 0, "state": "ready"}))
+        .map(|(id, address)| serde_json::json!({"id": id, "addr": address, "zone": "z", "kind": "std", "cell": 0, "state": "ready"}))
         .collect();
     let class = |name: &str, effect: &str| {
         serde_json::json!({"name": name, "on_time_us": 500_000, "give_up_us": 20_000_000, "gain": 1.0, "effect": effect,
@@ -78,11 +79,11 @@
     })
 }
 
-/// The program; it ends with the test, by its id.
+/// The program under test. It is killed when this is dropped.
 pub struct Program {
     child: Child,
     pub listen: SocketAddr,
-    pub file: PathBuf,
+    pub config_file: PathBuf,
     dir: tempfile::TempDir,
 }
 
@@ -94,23 +95,23 @@
 }
 
 impl Program {
-    /// Starts it; it has answered that it takes clients.
+    /// Starts the program and waits until `/health` answers with status 200.
     pub fn start(config: &serde_json::Value) -> Program {
         let program = Program::spawn(config);
-        until("health", || {
+        wait_until("status 200 from /health", || {
             program.health().is_some_and(|status| status == 200)
         });
         program
     }
 
-    /// Starts it, and waits for nothing.
+    /// Starts the program without waiting until it is ready.
     pub fn spawn(config: &serde_json::Value) -> Program {
         let mut command = Command::new(env!("CARGO_BIN_EXE_wheelfield-controller"));
         command.args(["platform", "--log", "warn"]);
-        Program::spawn_by(command, config, false)
+        Program::spawn_command(command, config, false)
     }
 
-    /// As [`Program::start`], with this limit of open descriptors and its log kept for [`Program::log`].
+    /// Like [`Program::start`], with a limit of open file descriptors and with its log kept for [`Program::log`].
     pub fn start_with_descriptors(config: &serde_json::Value, limit: usize) -> Program {
         let mut command = Command::new("sh");
         command.args(["-c", "ulimit -n \"$1\" && exec \"$0\" platform --log warn"]);
@@ -118,74 +119,74 @@
             env!("CARGO_BIN_EXE_wheelfield-controller"),
             &limit.to_string(),
         ]);
-        let program = Program::spawn_by(command, config, true);
-        until("health", || {
+        let program = Program::spawn_command(command, config, true);
+        wait_until("status 200 from /health", || {
             program.health().is_some_and(|status| status == 200)
         });
         program
     }
 
-    /// As [`Program::start`], with the faults of a [`FaultControl`] and its log kept for [`Program::log`].
+    /// Like [`Program::start`], with the faults of a [`FaultControl`] and with its log kept for [`Program::log`].
     pub fn start_with_faults(config: &serde_json::Value, faults: &FaultControl) -> Program {
         let program = Program::spawn_with_faults(config, faults);
-        until("health", || {
+        wait_until("status 200 from /health", || {
             program.health().is_some_and(|status| status == 200)
         });
         program
     }
 
-    /// As [`Program::start_with_faults`], and waits for nothing.
+    /// Like [`Program::start_with_faults`], without waiting until the program is ready.
     pub fn spawn_with_faults(config: &serde_json::Value, faults: &FaultControl) -> Program {
         let mut command = Command::new(env!("CARGO_BIN_EXE_wheelfield-controller"));
         command.args(["platform", "--log", "info"]);
         command.envs(faults.environment());
-        Program::spawn_by(command, config, true)
+        Program::spawn_command(command, config, true)
     }
 
-    /// Starts it with a configuration file that exists already, and waits for nothing.
+    /// Starts the program with an existing configuration file, without waiting until it is ready.
     pub fn spawn_with_file(config: &serde_json::Value, file: &Path) -> Program {
         let mut command = Command::new(env!("CARGO_BIN_EXE_wheelfield-controller"));
         command.args(["platform", "--config"]).arg(file);
-        Program::spawn_by(command, config, true)
+        Program::spawn_command(command, config, true)
     }
 
-    fn spawn_by(mut command: Command, config: &serde_json::Value, keeps_log: bool) -> Program {
+    fn spawn_command(mut command: Command, config: &serde_json::Value, keep_log: bool) -> Program {
         let dir = tempfile::tempdir().expect("a folder");
-        let file = dir.path().join("config.json");
-        std::fs::write(&file, config.to_string()).expect("written");
+        let config_file = dir.path().join("config.json");
+        std::fs::write(&config_file, config.to_string()).expect("written");
         let listen = config["listen"]
             .as_str()
-            .and_then(|at| at.parse().ok())
+            .and_then(|address| address.parse().ok())
             .expect("an address");
-        if keeps_log {
+        if keep_log {
             command.stderr(std::fs::File::create(dir.path().join("log")).expect("a file"));
         }
         let child = command
-            .env("LB_CONFIG", &file)
+            .env("LB_CONFIG", &config_file)
             .stdin(Stdio::null())
             .spawn()
             .expect("the program");
         Program {
             child,
             listen,
-            file,
+            config_file,
             dir,
         }
     }
 
-    /// What it has logged since [`Program::start_with_descriptors`].
+    /// Everything that the program has logged. Only available if it was started by a function that keeps its log.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.dir.path().join("log")).expect("a file")
     }
 
-    /// What `/health` answers, if anything.
+    /// The status with which `/health` answers; `None` without an answer.
     pub fn health(&self) -> Option<u16> {
         let mut client = Client::try_connect(self.listen).ok()?;
-        client.says("GET /health HTTP/1.1\r\n\r\n");
-        client.answer().map(|(status, _)| status).ok()
+        client.send("GET /health HTTP/1.1\r\n\r\n");
+        client.read_response().map(|(status, _)| status).ok()
     }
 
-    /// Sends a signal, by the program's id.
+    /// Sends a signal to the program; `name` is an option of `kill`, such as `-TERM`.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill")
@@ -195,10 +196,10 @@
             .success());
     }
 
-    /// Has it stand still. What happens meanwhile is heard in one turn.
-    pub fn halt(&self) {
+    /// Suspends the program with SIGSTOP. It processes all events that arrive in the meantime in one turn of its event loop.
+    pub fn suspend(&self) {
         self.signal("-STOP");
-        until("standing still", || {
+        wait_until("the suspension", || {
             let stat =
                 std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("Linux");
             stat.rsplit(") ")
@@ -207,49 +208,54 @@
         });
     }
 
-    /// Has it go on, once all that was put into the kernel has arrived there: under load the system carries it over later than the
-    /// call that sent it returns.
-    pub fn go_on(&self) {
-        until("all has arrived", || self.has_all());
+    /// Continues the program once everything that was sent to it has reached its sockets. Under load, the kernel delivers data on
+    /// loopback only some time after the sending call has returned.
+    pub fn resume(&self) {
+        wait_until("the delivery of all data sent", || self.has_received_all());
         self.signal("-CONT");
     }
 
-    /// While it stands still, has `tell` send it a datagram, which has arrived then.
-    pub fn is_told(&self, tell: impl FnOnce()) {
-        let waiting = || rows(self, "udp").iter().map(|row| row.unread).sum::<u64>();
+    /// While the program is suspended, has `deliver` send a datagram to it, and waits until the datagram has arrived.
+    pub fn deliver_datagram(&self, deliver: impl FnOnce()) {
+        let waiting = || {
+            read_socket_table(self, "udp")
+                .iter()
+                .map(|row| row.unread_bytes)
+                .sum::<u64>()
+        };
         let before = waiting();
-        tell();
-        until("a datagram arrived", || waiting() > before);
+        deliver();
+        wait_until("a datagram", || waiting() > before);
     }
 
-    /// Whether nothing is on its way to it: each of its connections has another end that has sent all it had to, and each end that
-    /// is gone is known to be.
-    fn has_all(&self) -> bool {
-        let all = rows(self, "tcp");
-        let others: BTreeMap<(&str, &str), &Row> = all
+    /// Whether all data sent to the program has reached its sockets: the peer of each connection has no unsent data, and the
+    /// program's side knows of each peer that has closed.
+    fn has_received_all(&self) -> bool {
+        let all = read_socket_table(self, "tcp");
+        let by_endpoints: BTreeMap<(&str, &str), &SocketEntry> = all
             .iter()
             .map(|row| ((row.remote.as_str(), row.local.as_str()), row))
             .collect();
         all.iter()
-            .filter(|row| row.own)
+            .filter(|row| row.is_of_program)
             .all(|row| match row.state.as_str() {
-                // Established: the other end is there, and nothing of it is unsent or unheard.
-                "01" => others
+                // ESTABLISHED: the peer still exists and has no unacknowledged data.
+                "01" => by_endpoints
                     .get(&(row.local.as_str(), row.remote.as_str()))
-                    .is_some_and(|other| other.state == "01" && other.unsent == 0),
-                // Half taken.
+                    .is_some_and(|other| other.state == "01" && other.unsent_bytes == 0),
+                // SYN_RECV: the handshake is not complete.
                 "03" => false,
                 _ => true,
             })
     }
 
-    /// Descriptors open, and resident memory in pages.
-    pub fn held(&self) -> (usize, usize) {
-        let at = format!("/proc/{}", self.child.id());
-        let open = std::fs::read_dir(Path::new(&at).join("fd"))
+    /// Number of open descriptors, and resident memory in pages.
+    pub fn resource_usage(&self) -> (usize, usize) {
+        let proc_dir = format!("/proc/{}", self.child.id());
+        let open = std::fs::read_dir(Path::new(&proc_dir).join("fd"))
             .expect("Linux")
             .count();
-        let text = std::fs::read_to_string(Path::new(&at).join("statm")).expect("Linux");
+        let text = std::fs::read_to_string(Path::new(&proc_dir).join("statm")).expect("Linux");
         (
             open,
             text.split_whitespace()
@@ -259,59 +265,69 @@
         )
     }
 
-    /// How it ended by itself.
-    pub fn ended(&mut self) -> ExitStatus {
-        let begun = Instant::now();
+    /// Waits until the program exits by itself; its exit status.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        let started = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().expect("a child") {
                 return status;
             }
-            assert!(begun.elapsed() < PATIENCE, "it does not end");
+            assert!(started.elapsed() < TIMEOUT, "the program does not exit");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Whether it has ended.
-    pub fn over(&mut self) -> bool {
+    /// Whether the program has exited.
+    pub fn has_exited(&mut self) -> bool {
         self.child.try_wait().expect("a child").is_some()
     }
 
-    /// A connect to this address is under way.
-    pub fn await_connecting(&self, to: SocketAddr) {
-        self.await_all_connecting(to, 1);
+    /// Waits until a connect to this address is in progress.
+    pub fn wait_for_connect(&self, to: SocketAddr) {
+        self.wait_for_connects(to, 1);
     }
 
-    /// So many connects to this address are under way (SYN_SENT).
-    pub fn await_all_connecting(&self, to: SocketAddr, count: usize) {
+    /// Waits until `count` connects to this address are in progress (SYN_SENT).
+    pub fn wait_for_connects(&self, to: SocketAddr, count: usize) {
         let to = format!(":{:04X}", to.port());
-        let under_way = |row: &&Row| row.own && row.state == "02" && row.remote.ends_with(&to);
-        until("connects under way", || {
-            rows(self, "tcp").iter().filter(under_way).count() >= count
+        let is_connecting = |row: &&SocketEntry| {
+            row.is_of_program && row.state == "02" && row.remote.ends_with(&to)
+        };
+        wait_until("connects in progress", || {
+            read_socket_table(self, "tcp")
+                .iter()
+                .filter(is_connecting)
+                .count()
+                >= count
         });
     }
 
-    /// Nobody is taken any more.
-    pub fn await_closed_door(&self) {
-        until("a closed door", || TcpStream::connect(self.listen).is_err());
+    /// Waits until the program refuses new connections.
+    pub fn wait_until_listener_closed(&self) {
+        wait_until("the listener to close", || {
+            TcpStream::connect(self.listen).is_err()
+        });
     }
 }
 
-/// A socket of this machine, as the system lists it.
-struct Row {
+/// A socket as `/proc/net` lists it.
+struct SocketEntry {
     local: String,
     remote: String,
     state: String,
-    /// Bytes that the other end does not have yet, and that were not read yet.
-    unsent: u64,
-    unread: u64,
-    /// It is the program's, or waits to be taken by it.
-    own: bool,
+    /// Bytes in the send queue, and bytes in the receive queue.
+    unsent_bytes: u64,
+    unread_bytes: u64,
+    /// Whether the socket belongs to the program or waits in its accept queue.
+    is_of_program: bool,
 }
 
-/// All sockets of a protocol.
-fn rows(program: &Program, protocol: &str) -> Vec<Row> {
-    let at = PathBuf::from(format!("/proc/{}", program.child.id()));
-    let descriptors = std::fs::read_dir(at.join("fd")).expect("Linux").flatten();
+/// All sockets of a protocol in the network namespace of the program.
+fn read_socket_table(program: &Program, protocol: &str) -> Vec<SocketEntry> {
+    let proc_dir = PathBuf::from(format!("/proc/{}", program.child.id()));
+    let descriptors = std::fs::read_dir(proc_dir.join("fd"))
+        .expect("Linux")
+        .flatten();
     let inodes: BTreeSet<String> = descriptors
         .filter_map(|d| std::fs::read_link(d.path()).ok())
         .filter_map(|to| {
@@ -324,69 +340,70 @@
         })
         .collect();
     let listens = format!(":{:04X}", program.listen.port());
-    let table = std::fs::read_to_string(at.join("net").join(protocol)).expect("Linux");
+    let table = std::fs::read_to_string(proc_dir.join("net").join(protocol)).expect("Linux");
     let read = |line: &str| {
         let words: Vec<&str> = line.split_whitespace().collect();
         let [_, local, remote, state, queues, _, _, _, _, inode, ..] = words[..] else {
             return None;
         };
-        let (unsent, unread) = queues.split_once(':')?;
-        Some(Row {
+        let (unsent_bytes, unread_bytes) = queues.split_once(':')?;
+        Some(SocketEntry {
             local: local.to_string(),
             remote: remote.to_string(),
             state: state.to_string(),
-            unsent: u64::from_str_radix(unsent, 16).ok()?,
-            unread: u64::from_str_radix(unread, 16).ok()?,
-            own: inodes.contains(inode) || (protocol == "tcp" && local.ends_with(&listens)),
+            unsent_bytes: u64::from_str_radix(unsent_bytes, 16).ok()?,
+            unread_bytes: u64::from_str_radix(unread_bytes, 16).ok()?,
+            is_of_program: inodes.contains(inode)
+                || (protocol == "tcp" && local.ends_with(&listens)),
         })
     };
     table.lines().filter_map(read).collect()
 }
 
-/// A client.
+/// An HTTP client of the program.
 pub struct Client {
     stream: BufReader<TcpStream>,
 }
 
 impl Client {
     pub fn connect(to: SocketAddr) -> Client {
-        Client::try_connect(to).expect("taken")
+        Client::try_connect(to).expect("connected")
     }
 
-    /// One whose system takes little that it does not read.
-    pub fn with_little_room(to: SocketAddr) -> Client {
+    /// Connects with a small receive buffer, so that a response which the client does not read stays at the program.
+    pub fn with_small_receive_buffer(to: SocketAddr) -> Client {
         use socket2::{Domain, Protocol, Socket, Type};
         let socket =
             Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP)).expect("a socket");
         socket.set_recv_buffer_size(2_048).expect("a socket");
-        socket.connect(&to.into()).expect("taken");
-        Client::on(socket.into()).expect("a socket")
+        socket.connect(&to.into()).expect("connected");
+        Client::from_stream(socket.into()).expect("a socket")
     }
 
     pub fn try_connect(to: SocketAddr) -> std::io::Result<Client> {
-        Client::on(TcpStream::connect(to)?)
+        Client::from_stream(TcpStream::connect(to)?)
     }
 
-    fn on(stream: TcpStream) -> std::io::Result<Client> {
-        stream.set_read_timeout(Some(PATIENCE))?;
+    fn from_stream(stream: TcpStream) -> std::io::Result<Client> {
+        stream.set_read_timeout(Some(TIMEOUT))?;
         stream.set_nodelay(true)?;
         Ok(Client {
             stream: BufReader::new(stream),
         })
     }
 
-    /// Says something; whether it went out shows in what is answered.
-    pub fn says(&mut self, text: &str) {
+    /// Sends bytes. Errors are ignored: they show as a missing response.
+    pub fn send(&mut self, text: &str) {
         let _ = self.stream.get_mut().write_all(text.as_bytes());
     }
 
-    /// Asks for a query to be run, and reads nothing.
-    pub fn asks(&mut self, class: &str, n: u64) {
-        self.says(&post(class, n, "SELECT 1"));
+    /// Sends a query without reading its response.
+    pub fn send_query(&mut self, class: &str, n: u64) {
+        self.send(&query_request(class, n, "SELECT 1"));
     }
 
-    /// A whole answer: its status and body.
-    pub fn answer(&mut self) -> std::io::Result<(u16, String)> {
+    /// Reads a complete response: its status and body.
+    pub fn read_response(&mut self) -> std::io::Result<(u16, String)> {
         let (mut head, mut length) = (String::new(), 0);
         loop {
             let mut line = String::new();
@@ -411,21 +428,21 @@
         Ok((status, String::from_utf8_lossy(&body).into_owned()))
     }
 
-    /// The status of an answer; 0 if the connection ended without one.
-    pub fn status(&mut self) -> u16 {
-        self.answer().map_or(0, |(status, _)| status)
+    /// Reads a complete response and returns its status; 0 if the connection ends without one.
+    pub fn read_status(&mut self) -> u16 {
+        self.read_response().map_or(0, |(status, _)| status)
     }
 
-    /// Leaves in one of three ways: closes, breaks the connection, or says no more but goes on listening.
-    pub fn leaves(self, how: Leaves) -> Option<Client> {
+    /// Disconnects in one of three ways. A client that only shuts down its write side is returned, as it still reads.
+    pub fn disconnect(self, how: Disconnect) -> Option<Client> {
         match how {
-            Leaves::Closes => None,
-            Leaves::Breaks => {
+            Disconnect::Close => None,
+            Disconnect::Reset => {
                 let socket = socket2::SockRef::from(self.stream.get_ref());
                 socket.set_linger(Some(Duration::ZERO)).expect("a socket");
                 None
             }
-            Leaves::ClosesItsSide => {
+            Disconnect::ShutdownWrite => {
                 self.stream
                     .get_ref()
                     .shutdown(std::net::Shutdown::Write)
@@ -436,137 +453,146 @@
     }
 }
 
-/// How a client leaves.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Leaves {
-    Closes,
-    Breaks,
-    ClosesItsSide,
+pub enum Disconnect {
+    Close,
+    Reset,
+    /// Shuts down its sending side and still reads.
+    ShutdownWrite,
 }
 
-/// A call that runs a statement, of a client that waits for so many milliseconds.
-pub fn post_within(class: &str, n: u64, timeout_ms: u64) -> String {
-    post(class, n, "SELECT 1").replace("Timeout-Ms: 15000", &format!("Timeout-Ms: {timeout_ms}"))
+/// An HTTP request that runs a statement, with the timeout of its client in milliseconds.
+pub fn query_request_with_timeout(class: &str, n: u64, timeout_ms: u64) -> String {
+    query_request(class, n, "SELECT 1")
+        .replace("Timeout-Ms: 15000", &format!("Timeout-Ms: {timeout_ms}"))
 }
 
-/// A call that runs a statement.
-pub fn post(class: &str, n: u64, statement: &str) -> String {
+/// An HTTP request that runs a statement, with a timeout of 15 s.
+pub fn query_request(class: &str, n: u64, statement: &str) -> String {
     let length = statement.len();
     format!("POST /rpc/{class} HTTP/1.1\r\nX-Request-Id: {n:016x}\r\nX-Timeout-Ms: 15000\r\nContent-Length: {length}\r\n\r\n{statement}")
 }
 
-/// The id of a query as executors read it.
-pub fn id(n: u64) -> String {
+/// The request id of a query, in the form that is sent to executors.
+pub fn request_id(n: u64) -> String {
     format!("{n:016x}")
 }
 
-/// An executor that takes connections when told to.
+/// An executor that accepts connections only when a test tells it to.
 pub struct Executor {
     listener: TcpListener,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
 }
 
 impl Executor {
     pub fn new() -> Executor {
-        Executor::on(TcpListener::bind("127.0.0.1:0").expect("a port"))
+        Executor::from_listener(TcpListener::bind("127.0.0.1:0").expect("a port"))
     }
 
-    /// One whose door is full: a connect does not come up until [`Door::opens`].
-    pub fn with_full_door() -> (Executor, Door) {
+    /// An executor with a full accept queue: a connect to it stays in progress until [`FullBacklog::free_and_accept`].
+    pub fn with_full_backlog() -> (Executor, FullBacklog) {
         use socket2::{Domain, Protocol, Socket, Type};
         let socket =
             Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP)).expect("a socket");
         let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
         socket.bind(&any.into()).expect("a port");
         socket.listen(0).expect("listens");
-        let executor = Executor::on(socket.into());
-        let inside = TcpStream::connect(executor.at).expect("the one that has room");
-        (executor, Door { _inside: inside })
+        let executor = Executor::from_listener(socket.into());
+        let occupant = TcpStream::connect(executor.address)
+            .expect("the accept queue has room for one connection");
+        (
+            executor,
+            FullBacklog {
+                _occupant: occupant,
+            },
+        )
     }
 
-    fn on(listener: TcpListener) -> Executor {
-        // A connection that never comes is a failure, and does not hang the test.
+    fn from_listener(listener: TcpListener) -> Executor {
+        // With this timeout, a connection that never comes fails the test instead of hanging it.
         socket2::SockRef::from(&listener)
-            .set_read_timeout(Some(PATIENCE))
+            .set_read_timeout(Some(TIMEOUT))
             .expect("a socket");
-        let at = listener.local_addr().expect("bound");
-        Executor { listener, at }
+        let address = listener.local_addr().expect("bound");
+        Executor { listener, address }
     }
 
-    /// The next connection.
-    pub fn take(&self) -> Conn {
+    /// Accepts the next connection.
+    pub fn accept(&self) -> ExecutorConnection {
         let (stream, _) = self.listener.accept().expect("a connection");
-        Conn::new(stream)
+        ExecutorConnection::new(stream)
     }
 
-    /// Its door, which was opened, is full again.
-    pub fn fills(&self) -> Door {
-        Door {
-            _inside: TcpStream::connect(self.at).expect("the one that has room"),
+    /// Fills the accept queue again after it was freed.
+    pub fn fill_backlog(&self) -> FullBacklog {
+        FullBacklog {
+            _occupant: TcpStream::connect(self.address)
+                .expect("the accept queue has room for one connection"),
         }
     }
 
-    /// The next connection, however long it takes; none once that fails.
-    pub fn next(&self) -> Option<Conn> {
+    /// Accepts the next connection without a time limit; `None` once accepting fails.
+    pub fn accept_without_timeout(&self) -> Option<ExecutorConnection> {
         self.listener.set_nonblocking(false).ok()?;
         loop {
             match self.listener.accept() {
-                Ok((stream, _)) => return Some(Conn::new(stream)),
+                Ok((stream, _)) => return Some(ExecutorConnection::new(stream)),
                 Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {}
                 Err(_) => return None,
             }
         }
     }
 
-    /// The next connection, if it is here.
-    pub fn try_take(&self) -> Option<Conn> {
+    /// Accepts the next connection if there is one already.
+    pub fn try_accept(&self) -> Option<ExecutorConnection> {
         self.listener.set_nonblocking(true).expect("a socket");
         let taken = self.listener.accept().ok();
         self.listener.set_nonblocking(false).expect("a socket");
         let (stream, _) = taken?;
         stream.set_nonblocking(false).expect("a socket");
-        Some(Conn::new(stream))
+        Some(ExecutorConnection::new(stream))
     }
 
-    /// Answers each request on each connection with its own name, from now on and by itself.
-    pub fn serves(self, name: &'static str) -> SocketAddr {
+    /// Answers each request on each connection with the name of the executor, in background threads.
+    pub fn spawn_server(self, name: &'static str) -> SocketAddr {
         std::thread::spawn(move || {
             for stream in self.listener.incoming().flatten() {
                 std::thread::spawn(move || {
-                    let mut conn = Conn::new(stream);
-                    while let Some(request) = conn.try_request() {
-                        conn.says(&hit(&request.id, name));
+                    let mut conn = ExecutorConnection::new(stream);
+                    while let Some(request) = conn.next_request() {
+                        conn.send(&hit_response(&request.id, name));
                     }
                 });
             }
         });
-        self.at
+        self.address
     }
 }
 
-/// What fills the door of an executor.
-pub struct Door {
-    _inside: TcpStream,
+/// The connection that fills the accept queue of an executor.
+pub struct FullBacklog {
+    _occupant: TcpStream,
 }
 
-impl Door {
-    /// There is room: a connect under way comes up, and is the connection given.
-    pub fn opens(self, executor: &Executor) -> Conn {
-        let filler = executor.take();
-        let conn = executor.take();
+impl FullBacklog {
+    /// Frees the accept queue, so that a connect in progress completes, and accepts its connection.
+    pub fn free_and_accept(self, executor: &Executor) -> ExecutorConnection {
+        let filler = executor.accept();
+        let conn = executor.accept();
         drop(filler);
         conn
     }
 
-    /// There is room, long after: the connection that had come up by then, if any.
-    pub fn opens_late(self, executor: &Executor) -> Option<Conn> {
-        drop(executor.take());
-        executor.try_take()
+    /// Frees the accept queue; the connection that has already been established by then, if any.
+    pub fn free_and_try_accept(self, executor: &Executor) -> Option<ExecutorConnection> {
+        drop(executor.accept());
+        executor.try_accept()
     }
 }
 
-/// A good answer with one row.
-pub fn hit(id: &str, name: &str) -> String {
+/// A valid response of an executor, with one row.
+pub fn hit_response(id: &str, name: &str) -> String {
     let row = format!("{name}\t1\tx\n");
     format!(
         "{id} HIT pages=1,cost=1.0,meter=util:0.1 {}\r\n{row}\r\n",
@@ -574,7 +600,7 @@
     )
 }
 
-/// A request as an executor reads it.
+/// A request that an executor received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
     pub id: String,
@@ -582,29 +608,29 @@
     pub statement: String,
 }
 
-/// A connection at an executor.
-pub struct Conn {
+/// A connection accepted by an executor.
+pub struct ExecutorConnection {
     stream: TcpStream,
     reader: BufReader<TcpStream>,
 }
 
-impl Conn {
-    fn new(stream: TcpStream) -> Conn {
+impl ExecutorConnection {
+    fn new(stream: TcpStream) -> ExecutorConnection {
         stream.set_nodelay(true).expect("a socket");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
         let reader = BufReader::new(stream.try_clone().expect("a socket"));
-        Conn { stream, reader }
+        ExecutorConnection { stream, reader }
     }
 
-    /// The next line; none once the connection has ended.
-    pub fn line(&mut self) -> Option<String> {
+    /// Reads the next line; `None` once the connection has ended.
+    pub fn next_line(&mut self) -> Option<String> {
         let mut line = String::new();
         self.reader.read_line(&mut line).ok().filter(|n| *n > 0)?;
         Some(line.trim_end().to_string())
     }
 
-    /// Whether the other side has closed or broken it, whatever it said before.
-    pub fn ended(&mut self) -> bool {
+    /// Reads until the program closes or resets the connection; false if it does not within [`TIMEOUT`].
+    pub fn wait_for_close(&mut self) -> bool {
         use std::io::ErrorKind::{TimedOut, WouldBlock};
         let mut line = Vec::new();
         loop {
@@ -616,7 +642,7 @@
         }
     }
 
-    /// Whether the other side has closed or broken it by now; reads nothing.
+    /// Whether the program has closed or reset the connection already; consumes no data.
     pub fn is_closed(&self) -> bool {
         self.stream.set_nonblocking(true).expect("a socket");
         let seen = self.stream.peek(&mut [0]);
@@ -624,10 +650,10 @@
         seen.map_or_else(|e| e.kind() != std::io::ErrorKind::WouldBlock, |n| n == 0)
     }
 
-    /// The next request, other words left out; none once the connection has ended.
-    pub fn try_request(&mut self) -> Option<Request> {
+    /// Reads the next request and skips other messages; `None` once the connection has ended.
+    pub fn next_request(&mut self) -> Option<Request> {
         loop {
-            let line = self.line()?;
+            let line = self.next_line()?;
             let words: Vec<&str> = line.split_whitespace().collect();
             let ["REQ", id, fields, length] = words[..] else {
                 continue;
@@ -644,40 +670,40 @@
         }
     }
 
-    pub fn request(&mut self) -> Request {
-        self.try_request().expect("a request")
+    pub fn expect_request(&mut self) -> Request {
+        self.next_request().expect("a request")
     }
 
-    /// Reads the next request, which is this one, and answers it.
-    pub fn answers(&mut self, n: u64, name: &str) {
-        assert_eq!(self.request().id, id(n));
-        self.says(&hit(&id(n), name));
+    /// Reads the next request, which must be query `n`, and answers it.
+    pub fn serve_query(&mut self, n: u64, name: &str) {
+        assert_eq!(self.expect_request().id, request_id(n));
+        self.send(&hit_response(&request_id(n), name));
     }
 
-    pub fn says(&mut self, text: &str) {
+    pub fn send(&mut self, text: &str) {
         let _ = self.stream.write_all(text.as_bytes());
     }
 
-    /// Breaks the connection.
-    pub fn breaks(self) {
+    /// Resets the connection.
+    pub fn reset(self) {
         socket2::SockRef::from(&self.stream)
             .set_linger(Some(Duration::ZERO))
             .expect("a socket");
     }
 }
 
-/// A name service that answers when told to.
+/// A name service that answers only when a test tells it to.
 pub struct NameService {
     socket: UdpSocket,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
 }
 
-/// A question, and whose.
-pub struct Question(Message, SocketAddr);
+/// A query to a name service, and the address of its sender.
+pub struct DiscoveryQuery(Message, SocketAddr);
 
-impl Question {
-    /// The same, as if asked under another number.
-    pub fn under_another_number(mut self) -> Question {
+impl DiscoveryQuery {
+    /// The same query with a different DNS message id.
+    pub fn with_different_id(mut self) -> DiscoveryQuery {
         self.0.metadata.id ^= 0x5555;
         self
     }
@@ -686,51 +712,70 @@
 impl NameService {
     pub fn new() -> NameService {
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-        socket.set_read_timeout(Some(PATIENCE)).expect("a socket");
-        let at = socket.local_addr().expect("bound");
-        NameService { socket, at }
+        socket.set_read_timeout(Some(TIMEOUT)).expect("a socket");
+        let address = socket.local_addr().expect("bound");
+        NameService { socket, address }
     }
 
-    /// The next question.
-    pub fn asked(&self) -> Question {
+    /// Receives the next query.
+    pub fn next_query(&self) -> DiscoveryQuery {
         let mut buffer = [0; 2048];
-        let (n, from) = self.socket.recv_from(&mut buffer).expect("a question");
-        Question(Message::from_vec(&buffer[..n]).expect("a question"), from)
+        let (n, from) = self.socket.recv_from(&mut buffer).expect("a DNS query");
+        DiscoveryQuery(Message::from_vec(&buffer[..n]).expect("a DNS query"), from)
     }
 
-    /// Throws away what was asked until now, and gives the next question.
-    pub fn asked_anew(&self) -> Question {
+    /// Discards the queries received so far and waits for the next one.
+    pub fn next_new_query(&self) -> DiscoveryQuery {
         self.socket.set_nonblocking(true).expect("a socket");
         while self.socket.recv_from(&mut [0; 2048]).is_ok() {}
         self.socket.set_nonblocking(false).expect("a socket");
-        self.asked()
-    }
-
-    /// Tells the whole list as of an event: names, addresses, and whether each drains.
-    pub fn tells(&self, to: &Question, serial: u32, executors: &[(&str, SocketAddr, bool)]) {
-        let bytes = list(&to.0, serial, executors).to_vec().expect("bytes");
+        self.next_query()
+    }
+
+    /// Answers a query with a list of executors: for each its name, its address and whether it is draining.
+    pub fn send_list(
+        &self,
+        to: &DiscoveryQuery,
+        serial: u32,
+        executors: &[(&str, SocketAddr, bool)],
+    ) {
+        let bytes = dns_answer(&to.0, serial, executors)
+            .to_vec()
+            .expect("bytes");
         self.socket.send_to(&bytes, to.1).expect("sent");
     }
 }
 
 impl NameService {
-    /// The same, cut short on its way.
-    pub fn tells_cut(&self, to: &Question, serial: u32, executors: &[(&str, SocketAddr, bool)]) {
-        let bytes = list(&to.0, serial, executors).to_vec().expect("bytes");
+    /// Like [`NameService::send_list`], with the last bytes of the datagram missing.
+    pub fn send_truncated_list(
+        &self,
+        to: &DiscoveryQuery,
+        serial: u32,
+        executors: &[(&str, SocketAddr, bool)],
+    ) {
+        let bytes = dns_answer(&to.0, serial, executors)
+            .to_vec()
+            .expect("bytes");
         self.socket
             .send_to(&bytes[..bytes.len() - 9], to.1)
             .expect("sent");
     }
 }
 
-/// A list as the name service tells it.
-pub fn list(question: &Message, serial: u32, executors: &[(&str, SocketAddr, bool)]) -> Message {
-    let mut answer = Message::new(question.metadata.id, MessageType::Response, OpCode::Query);
-    let service = question.queries[0].name.clone();
-    answer.add_query(question.queries[0].clone());
-    for (name, at, drains) in executors {
+/// The answer of a name service to a query.
+pub fn dns_answer(query: &Message, serial: u32, executors: &[(&str, SocketAddr, bool)]) -> Message {
+    let mut answer = Message::new(query.metadata.id, MessageType::Response, OpCode::Query);
+    let service = query.queries[0].name.clone();
+    answer.add_query(query.queries[0].clone());
+    for (name, address, is_draining) in executors {
         let target = Name::from_ascii(format!("{name}.z.hosts.")).expect("a name");
-        let srv = RData::SRV(SRV::new(u16::from(*drains), 80, at.port(), target.clone()));
+        let srv = RData::SRV(SRV::new(
+            u16::from(*is_draining),
+            80,
+            address.port(),
+            target.clone(),
+        ));
         answer.add_answer(Record::from_rdata(service.clone(), 1, srv));
         answer.add_additional(Record::from_rdata(
             target.clone(),
--- a/crates/controller/tests/rig/serving.rs
+++ b/crates/controller/tests/rig/serving.rs
@@ -1,7 +1,7 @@
-//! Parts of the rig that act by themselves: a name service that answers what it is asked, executors that note what they get, and
-//! clients that keep asking.
+//! Parts of the rig that run in background threads: a name service that answers all queries, executors that record when requests
+//! arrive, and clients that send queries continuously.
 
-use super::{hit, list, Client, Conn, Executor};
+use super::{dns_answer, hit_response, Client, Executor, ExecutorConnection};
 use hickory_proto::op::Message;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -9,227 +9,227 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often threads look whether they are to do something else.
-const LOOK_INTERVAL: Duration = Duration::from_millis(2);
-/// Pause of a client between an answer and its next request.
+/// How often background threads check whether they have to stop or have something to send.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Pause of a client between a response and its next request.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(10);
-/// Clients that ask at the same time.
+/// Number of concurrent clients.
 const CLIENTS: u64 = 4;
 
-/// An executor as a list names it.
+/// An executor in the list of a name service.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListedExecutor {
     pub name: &'static str,
-    pub at: SocketAddr,
-    pub drains: bool,
+    pub address: SocketAddr,
+    pub is_draining: bool,
 }
 
-/// An executor that takes work.
-pub fn ready(name: &'static str, at: SocketAddr) -> Listed {
-    Listed {
+/// An executor that accepts new requests.
+pub fn ready(name: &'static str, address: SocketAddr) -> ListedExecutor {
+    ListedExecutor {
         name,
-        at,
-        drains: false,
+        address,
+        is_draining: false,
     }
 }
 
-/// An executor that drains.
-pub fn draining(name: &'static str, at: SocketAddr) -> Listed {
-    Listed {
+/// An executor that is draining.
+pub fn draining(name: &'static str, address: SocketAddr) -> ListedExecutor {
+    ListedExecutor {
         name,
-        at,
-        drains: true,
+        address,
+        is_draining: true,
     }
 }
 
-/// What a name service has to tell, and how.
-struct Telling {
+/// The list that a name service publishes, and how it answers.
+struct NameServiceState {
     serial: u32,
-    executors: Vec<Listed>,
+    executors: Vec<ListedExecutor>,
     delay: Duration,
-    /// Answers that are lost next.
-    to_lose: usize,
-    /// When each serial number was first sent.
-    told: Vec<(u32, Instant)>,
-    questions: usize,
+    /// Number of the next answers that are dropped.
+    answers_to_drop: usize,
+    /// The serial number and the time of each answer sent.
+    sent: Vec<(u32, Instant)>,
+    queries: usize,
 }
 
-/// A name service that answers by itself.
-pub struct ServingNames {
-    pub at: SocketAddr,
-    telling: Arc<Mutex<Telling>>,
-    has_ended: Arc<AtomicBool>,
+/// A name service that answers queries in a background thread.
+pub struct AutomaticNameService {
+    pub address: SocketAddr,
+    state: Arc<Mutex<NameServiceState>>,
+    stop: Arc<AtomicBool>,
 }
 
-impl ServingNames {
-    /// One that answers at once with this list.
-    pub fn new(serial: u32, executors: &[Listed]) -> ServingNames {
+impl AutomaticNameService {
+    /// A name service that answers with this list, without delay.
+    pub fn new(serial: u32, executors: &[ListedExecutor]) -> AutomaticNameService {
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-        let at = socket.local_addr().expect("bound");
-        let telling = Arc::new(Mutex::new(Telling {
+        let address = socket.local_addr().expect("bound");
+        let state = Arc::new(Mutex::new(NameServiceState {
             serial,
             executors: executors.to_vec(),
             delay: Duration::ZERO,
-            to_lose: 0,
-            told: Vec::new(),
-            questions: 0,
+            answers_to_drop: 0,
+            sent: Vec::new(),
+            queries: 0,
         }));
-        let has_ended = Arc::new(AtomicBool::new(false));
-        let (for_thread, ends) = (telling.clone(), has_ended.clone());
-        thread::spawn(move || answer_questions(&socket, &for_thread, &ends));
-        ServingNames {
-            at,
-            telling,
-            has_ended,
+        let stop = Arc::new(AtomicBool::new(false));
+        let (thread_state, thread_stop) = (state.clone(), stop.clone());
+        thread::spawn(move || answer_queries(&socket, &thread_state, &thread_stop));
+        AutomaticNameService {
+            address,
+            state,
+            stop,
         }
     }
 
-    fn telling(&self) -> MutexGuard<'_, Telling> {
-        self.telling.lock().expect("a name service")
+    fn state(&self) -> MutexGuard<'_, NameServiceState> {
+        self.state.lock().expect("a name service")
     }
 
-    /// From now on it has this list.
-    pub fn has(&self, serial: u32, executors: &[Listed]) {
-        let mut telling = self.telling();
-        telling.serial = serial;
-        telling.executors = executors.to_vec();
+    /// Publishes this list from now on.
+    pub fn set_list(&self, serial: u32, executors: &[ListedExecutor]) {
+        let mut state = self.state();
+        state.serial = serial;
+        state.executors = executors.to_vec();
     }
 
-    /// From now on its answers take so long.
-    pub fn takes(&self, delay: Duration) {
-        self.telling().delay = delay;
+    /// Delays answers by this time from now on.
+    pub fn set_answer_delay(&self, delay: Duration) {
+        self.state().delay = delay;
     }
 
-    /// Its next answers are lost.
-    pub fn loses(&self, answers: usize) {
-        self.telling().to_lose = answers;
+    /// Drops the next answers.
+    pub fn drop_answers(&self, answers: usize) {
+        self.state().answers_to_drop = answers;
     }
 
-    /// How often it was asked.
-    pub fn questions(&self) -> usize {
-        self.telling().questions
+    /// Number of queries received.
+    pub fn query_count(&self) -> usize {
+        self.state().queries
     }
 
-    /// When a list at least as new was first sent.
-    pub fn told_at(&self, serial: u32) -> Option<Instant> {
-        let telling = self.telling();
-        let mut told = telling.told.iter();
-        told.find(|(number, _)| *number >= serial)
-            .map(|(_, at)| *at)
+    /// When a list with this serial number or a higher one was first sent.
+    pub fn first_sent_at(&self, serial: u32) -> Option<Instant> {
+        let state = self.state();
+        let mut sent = state.sent.iter();
+        sent.find(|(number, _)| *number >= serial)
+            .map(|(_, sent_at)| *sent_at)
     }
 }
 
-impl Drop for ServingNames {
+impl Drop for AutomaticNameService {
     fn drop(&mut self) {
-        self.has_ended.store(true, Ordering::SeqCst);
+        self.stop.store(true, Ordering::SeqCst);
     }
 }
 
-fn answer_questions(socket: &UdpSocket, telling: &Mutex<Telling>, has_ended: &AtomicBool) {
+fn answer_queries(socket: &UdpSocket, state: &Mutex<NameServiceState>, stop: &AtomicBool) {
     socket
-        .set_read_timeout(Some(LOOK_INTERVAL))
+        .set_read_timeout(Some(POLL_INTERVAL))
         .expect("a socket");
     let mut pending: Vec<(Instant, SocketAddr, u32, Vec<u8>)> = Vec::new();
     let mut buffer = [0; 2_048];
-    while !has_ended.load(Ordering::SeqCst) {
+    while !stop.load(Ordering::SeqCst) {
         if let Ok((length, from)) = socket.recv_from(&mut buffer) {
-            let question = Message::from_vec(&buffer[..length]).expect("a question");
-            let mut telling = telling.lock().expect("a name service");
-            telling.questions += 1;
-            if telling.to_lose > 0 {
-                telling.to_lose -= 1;
+            let query = Message::from_vec(&buffer[..length]).expect("a DNS query");
+            let mut state = state.lock().expect("a name service");
+            state.queries += 1;
+            if state.answers_to_drop > 0 {
+                state.answers_to_drop -= 1;
             } else {
-                let executors: Vec<_> = telling
+                let executors: Vec<_> = state
                     .executors
                     .iter()
-                    .map(|e| (e.name, e.at, e.drains))
+                    .map(|e| (e.name, e.address, e.is_draining))
                     .collect();
-                let bytes = list(&question, telling.serial, &executors).to_vec();
-                let due = Instant::now() + telling.delay;
-                pending.push((due, from, telling.serial, bytes.expect("bytes")));
+                let bytes = dns_answer(&query, state.serial, &executors).to_vec();
+                let due = Instant::now() + state.delay;
+                pending.push((due, from, state.serial, bytes.expect("bytes")));
             }
         }
         let now = Instant::now();
         for (_, to, serial, bytes) in pending.extract_if(.., |(due, ..)| *due <= now) {
             socket.send_to(&bytes, to).expect("sent");
-            telling
+            state
                 .lock()
                 .expect("a name service")
-                .told
+                .sent
                 .push((serial, Instant::now()));
         }
     }
 }
 
-/// An executor that serves everything and notes when each request came.
-pub struct NotingExecutor {
-    pub at: SocketAddr,
+/// An executor that serves all requests and records when each one arrived.
+pub struct RecordingExecutor {
+    pub address: SocketAddr,
     received: Arc<Mutex<Vec<Instant>>>,
 }
 
-impl NotingExecutor {
-    pub fn new(name: &'static str) -> NotingExecutor {
+impl RecordingExecutor {
+    pub fn new(name: &'static str) -> RecordingExecutor {
         let executor = Executor::new();
-        let at = executor.at;
+        let address = executor.address;
         let received: Arc<Mutex<Vec<Instant>>> = Arc::default();
-        let notes = received.clone();
+        let thread_received = received.clone();
         thread::spawn(move || {
-            while let Some(conn) = executor.next() {
-                let notes = notes.clone();
-                thread::spawn(move || serve(conn, name, &notes));
+            while let Some(conn) = executor.accept_without_timeout() {
+                let thread_received = thread_received.clone();
+                thread::spawn(move || serve(conn, name, &thread_received));
             }
         });
-        NotingExecutor { at, received }
+        RecordingExecutor { address, received }
     }
 
-    /// Requests that came after a moment.
+    /// Number of requests that arrived after `moment`.
     pub fn received_after(&self, moment: Instant) -> usize {
         let received = self.received.lock().expect("an executor");
         received.iter().filter(|at| **at > moment).count()
     }
 }
 
-fn serve(mut conn: Conn, name: &str, notes: &Mutex<Vec<Instant>>) {
-    while let Some(request) = conn.try_request() {
-        notes.lock().expect("an executor").push(Instant::now());
-        conn.says(&hit(&request.id, name));
+fn serve(mut conn: ExecutorConnection, name: &str, received: &Mutex<Vec<Instant>>) {
+    while let Some(request) = conn.next_request() {
+        received.lock().expect("an executor").push(Instant::now());
+        conn.send(&hit_response(&request.id, name));
     }
 }
 
-/// Clients that ask one request after the other, each on its own connection.
+/// Clients that send one request after another, each on a connection of its own, until this is dropped.
 pub struct Traffic {
-    has_ended: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     clients: Vec<thread::JoinHandle<()>>,
 }
 
 impl Traffic {
-    pub fn begin(to: SocketAddr) -> Traffic {
-        let has_ended = Arc::new(AtomicBool::new(false));
+    pub fn start(to: SocketAddr) -> Traffic {
+        let stop = Arc::new(AtomicBool::new(false));
         let last_id = Arc::new(AtomicU64::new(1_000));
         let clients = (0..CLIENTS)
             .map(|_| {
-                let (ends, last_id) = (has_ended.clone(), last_id.clone());
-                thread::spawn(move || ask_on_and_on(to, &last_id, &ends))
+                let (thread_stop, last_id) = (stop.clone(), last_id.clone());
+                thread::spawn(move || send_queries(to, &last_id, &thread_stop))
             })
             .collect();
-        Traffic { has_ended, clients }
+        Traffic { stop, clients }
     }
 }
 
 impl Drop for Traffic {
     fn drop(&mut self) {
-        self.has_ended.store(true, Ordering::SeqCst);
+        self.stop.store(true, Ordering::SeqCst);
         for client in self.clients.drain(..) {
             let _ = client.join();
         }
     }
 }
 
-fn ask_on_and_on(to: SocketAddr, last_id: &AtomicU64, has_ended: &AtomicBool) {
+fn send_queries(to: SocketAddr, last_id: &AtomicU64, stop: &AtomicBool) {
     let mut client = Client::connect(to);
-    while !has_ended.load(Ordering::SeqCst) {
-        client.asks("look", last_id.fetch_add(1, Ordering::SeqCst) + 1);
-        if client.status() == 0 {
+    while !stop.load(Ordering::SeqCst) {
+        client.send_query("look", last_id.fetch_add(1, Ordering::SeqCst) + 1);
+        if client.read_status() == 0 {
             return;
         }
         thread::sleep(REQUEST_INTERVAL);
--- a/crates/controller/tests/standing_terms.rs
+++ b/crates/controller/tests/standing_terms.rs
@@ -14,28 +14,35 @@
 const ANSWERED_WITHIN: Duration = Duration::from_millis(3_600);
 
 /// A program with one executor and an idle connection between them, which takes the next request.
-fn with_idle_connection(executor: &Executor, names: SocketAddr) -> (Program, Client, Conn) {
-    let program = Program::start(&config(free(), &[("e1", executor.at)], names));
+fn with_idle_connection(
+    executor: &Executor,
+    name_service: SocketAddr,
+) -> (Program, Client, ExecutorConnection) {
+    let program = Program::start(&config(
+        unused_address(),
+        &[("e1", executor.address)],
+        name_service,
+    ));
     let mut client = Client::connect(program.listen);
-    client.asks("look", 900);
-    let mut conn = executor.take();
-    conn.answers(900, "e1");
-    assert_eq!(client.status(), 200);
+    client.send_query("look", 900);
+    let mut conn = executor.accept();
+    conn.serve_query(900, "e1");
+    assert_eq!(client.read_status(), 200);
     (program, client, conn)
 }
 
 /// The next request at the executor is one sent now: nothing else was forwarded before it.
-fn next_forwarded_is(client: &mut Client, conn: &mut Conn, n: u64, case: &str) {
-    client.asks("look", n);
-    let request = conn.request();
-    assert_eq!(request.id, id(n), "forwarded before it: {case}");
-    conn.says(&hit(&request.id, "e1"));
-    assert_eq!(client.status(), 200, "{case}");
+fn next_forwarded_is(client: &mut Client, conn: &mut ExecutorConnection, n: u64, case: &str) {
+    client.send_query("look", n);
+    let request = conn.expect_request();
+    assert_eq!(request.id, request_id(n), "forwarded before it: {case}");
+    conn.send(&hit_response(&request.id, "e1"));
+    assert_eq!(client.read_status(), 200, "{case}");
 }
 
 fn pipelined(from: u64) -> String {
     (from..from + PIPELINED)
-        .map(|n| post("look", n, "SELECT 1"))
+        .map(|n| query_request("look", n, "SELECT 1"))
         .collect()
 }
 
@@ -72,8 +79,12 @@
 /// Idle clients take every place, and more come at once than there are descriptors.
 #[test]
 fn idle_clients_that_come_at_once_do_not_use_up_the_descriptors() {
-    let names = ServingNames::new(1, &[]);
-    let mut config = config(free(), &[("e1", Executor::new().serves("e1"))], names.at);
+    let name_service = AutomaticNameService::new(1, &[]);
+    let mut config = config(
+        unused_address(),
+        &[("e1", Executor::new().spawn_server("e1"))],
+        name_service.address,
+    );
     config["limits"]["sockets"] = 64.into();
     let mut program = Program::start_with_descriptors(&config, 64);
     let mut idle: Vec<Client> = (0..16).map(|_| Client::connect(program.listen)).collect();
@@ -82,14 +93,14 @@
         Some(200),
         "they were accepted before this one"
     );
-    program.halt();
+    program.suspend();
     idle.extend((0..100).map(|_| Client::connect(program.listen)));
-    program.go_on();
+    program.resume();
     let mut client = Client::connect(program.listen);
-    client.asks("load", 1);
-    assert_eq!(client.status(), 200);
+    client.send_query("load", 1);
+    assert_eq!(client.read_status(), 200);
     program.signal("-TERM");
-    assert_eq!(program.ended().code(), Some(0));
+    assert_eq!(program.wait_for_exit().code(), Some(0));
     // A machine that is slow to connect them all leaves the program halted for so long that its list is too old.
     let log = program.log();
     let unexpected = log
@@ -100,24 +111,24 @@
 
 #[test]
 fn pipelined_requests_are_answered_in_order_and_none_is_forwarded_once_their_client_left() {
-    let (executor, names) = (Executor::new(), ServingNames::new(1, &[]));
-    let (program, mut client, mut conn) = with_idle_connection(&executor, names.at);
-    client.says(&pipelined(1));
+    let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
+    let (program, mut client, mut conn) = with_idle_connection(&executor, name_service.address);
+    client.send(&pipelined(1));
     for n in 1..=PIPELINED {
-        conn.answers(n, &format!("row{n}"));
-        let (status, body) = client.answer().expect("answered");
+        conn.serve_query(n, &format!("row{n}"));
+        let (status, body) = client.read_response().expect("answered");
         assert_eq!(
             (status, body),
             (200, format!("{{\"batch\":[[\"row{n}\",\"1\",\"x\"]]}}"))
         );
     }
-    for (how, first) in [(Leaves::Closes, 2_000), (Leaves::Breaks, 3_000)] {
+    for (how, first) in [(Disconnect::Close, 2_000), (Disconnect::Reset, 3_000)] {
         // It leaves right behind its last byte.
-        program.halt();
+        program.suspend();
         let mut leaver = Client::connect(program.listen);
-        leaver.says(&pipelined(first));
-        leaver.leaves(how);
-        program.go_on();
+        leaver.send(&pipelined(first));
+        leaver.disconnect(how);
+        program.resume();
         next_forwarded_is(
             &mut client,
             &mut conn,
@@ -126,10 +137,14 @@
         );
         // It leaves while its first request is at the executor.
         let mut leaver = Client::connect(program.listen);
-        leaver.says(&pipelined(first));
-        assert_eq!(conn.request().id, id(first));
-        leaver.leaves(how);
-        assert_eq!(conn.line(), Some(format!("STOP {}", id(first))), "{how:?}");
+        leaver.send(&pipelined(first));
+        assert_eq!(conn.expect_request().id, request_id(first));
+        leaver.disconnect(how);
+        assert_eq!(
+            conn.next_line(),
+            Some(format!("STOP {}", request_id(first))),
+            "{how:?}"
+        );
         next_forwarded_is(
             &mut client,
             &mut conn,
@@ -138,7 +153,7 @@
         );
     }
     assert!(
-        executor.try_take().is_none(),
+        executor.try_accept().is_none(),
         "all of it went on one connection"
     );
 }
@@ -151,36 +166,36 @@
         .flat_map(|e| [(e, true), (e, false)])
     {
         let case = format!("{end}, left first: {left_first}");
-        let (executor, names) = (Executor::new(), ServingNames::new(1, &[]));
-        let (program, mut client, mut conn) = with_idle_connection(&executor, names.at);
+        let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
+        let (program, mut client, mut conn) = with_idle_connection(&executor, name_service.address);
         let mut leaver = Client::connect(program.listen);
-        leaver.asks("look", 1);
-        assert_eq!(conn.request().id, id(1));
-        program.halt();
+        leaver.send_query("look", 1);
+        assert_eq!(conn.expect_request().id, request_id(1));
+        program.suspend();
         let mut leaver = Some(leaver);
         if left_first {
             leaver.take();
         }
         let conn = if end == "reset" {
-            conn.breaks();
+            conn.reset();
             None
         } else {
-            conn.says(&format!("{} {end} - 0\r\n\r\n", id(1)));
+            conn.send(&format!("{} {end} - 0\r\n\r\n", request_id(1)));
             Some(conn)
         };
         drop(leaver);
-        program.go_on();
+        program.resume();
         // Longer than any backoff of the program, and than the 0.1 s after which an attempt counts as late.
         std::thread::sleep(Duration::from_millis(500));
-        client.asks("look", 901);
-        let mut conn = conn.unwrap_or_else(|| executor.take());
+        client.send_query("look", 901);
+        let mut conn = conn.unwrap_or_else(|| executor.accept());
         assert_eq!(
-            conn.request().id,
-            id(901),
+            conn.expect_request().id,
+            request_id(901),
             "forwarded after its client had left: {case}"
         );
-        conn.says(&hit(&id(901), "e1"));
-        assert_eq!(client.status(), 200, "{case}");
+        conn.send(&hit_response(&request_id(901), "e1"));
+        assert_eq!(client.read_status(), 200, "{case}");
     }
 }
 
@@ -189,38 +204,40 @@
 #[test]
 fn nothing_is_forwarded_from_a_connection_that_closes_and_unread_bytes_do_not_cost_its_last_answer()
 {
-    let (executor, names) = (Executor::new(), ServingNames::new(1, &[]));
-    let (program, mut client, mut conn) = with_idle_connection(&executor, names.at);
-    let mut closes = Client::with_little_room(program.listen);
-    closes
-        .says(&post("look", 1, "SELECT 1").replace("X-Timeout", "Connection: close\r\nX-Timeout"));
-    assert_eq!(conn.request().id, id(1));
-    program.halt();
-    closes.says(&pipelined(100).repeat(4));
-    program.go_on();
+    let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
+    let (program, mut client, mut conn) = with_idle_connection(&executor, name_service.address);
+    let mut closes = Client::with_small_receive_buffer(program.listen);
+    closes.send(
+        &query_request("look", 1, "SELECT 1")
+            .replace("X-Timeout", "Connection: close\r\nX-Timeout"),
+    );
+    assert_eq!(conn.expect_request().id, request_id(1));
+    program.suspend();
+    closes.send(&pipelined(100).repeat(4));
+    program.resume();
     let page = format!("{}\tb\tc\n", "a".repeat(55)).repeat(98);
-    conn.says(&format!(
+    conn.send(&format!(
         "{} HIT pages=8,cost=1.0 {}\r\n{page}\r\n",
-        id(1),
+        request_id(1),
         page.len()
     ));
     for n in 1..8 {
-        conn.says(&format!(
+        conn.send(&format!(
             "{} PART page={n} {}\r\n{page}\r\n",
-            id(1),
+            request_id(1),
             page.len()
         ));
     }
     while conn
-        .line()
-        .is_some_and(|line| line != format!("END {}", id(1)))
+        .next_line()
+        .is_some_and(|line| line != format!("END {}", request_id(1)))
     {}
     assert_eq!(
         program.health(),
         Some(200),
         "the answer was written before this one"
     );
-    let (status, body) = closes.answer().expect("a whole answer");
+    let (status, body) = closes.read_response().expect("a whole answer");
     assert_eq!((status, body.matches("\"b\"").count()), (200, 8 * 98));
     next_forwarded_is(
         &mut client,
@@ -234,32 +251,36 @@
 #[test]
 fn a_request_that_arrives_on_an_idle_connection_as_the_shutdown_closes_it_is_served() {
     for _ in 0..20 {
-        let names = ServingNames::new(1, &[]);
-        let served = Executor::new().serves("e1");
-        let mut program = Program::start(&config(free(), &[("e1", served)], names.at));
+        let name_service = AutomaticNameService::new(1, &[]);
+        let served = Executor::new().spawn_server("e1");
+        let mut program = Program::start(&config(
+            unused_address(),
+            &[("e1", served)],
+            name_service.address,
+        ));
         let mut idle = Client::connect(program.listen);
-        idle.asks("load", 1);
-        assert_eq!(idle.status(), 200);
+        idle.send_query("load", 1);
+        assert_eq!(idle.read_status(), 200);
         let signalled = Instant::now();
         program.signal("-TERM");
-        until("the signal taken", || program.health() != Some(200));
-        program.halt();
+        wait_until("the signal taken", || program.health() != Some(200));
+        program.suspend();
         if signalled.elapsed() >= Duration::from_millis(700) {
             // Too slow a machine: the program may have closed the connection before it was halted.
-            program.go_on();
+            program.resume();
             continue;
         }
-        idle.asks("load", 2);
+        idle.send_query("load", 2);
         // Until the program's clock has passed the close.
         std::thread::sleep(Duration::from_millis(1_000));
-        program.go_on();
-        let status = idle.status();
+        program.resume();
+        let status = idle.read_status();
         if status == 503 && signalled.elapsed() >= ANSWERED_WITHIN {
             // Halted for longer than the shutdown may take, it answers what is left at once.
             continue;
         }
         assert_eq!(status, 200);
-        assert_eq!(program.ended().code(), Some(0));
+        assert_eq!(program.wait_for_exit().code(), Some(0));
         return;
     }
     panic!("this machine is too slow to halt the program in time");
@@ -268,37 +289,38 @@
 /// Cut short, or coming byte by byte without end: given up long before the deadline, its connection closed.
 #[test]
 fn an_answer_that_is_cut_short_or_trickles_without_end_is_given_up() {
-    let page = |n: u64| format!("{} HIT pages=1 5000\r\na\tb\tc\n", id(n));
+    let page = |n: u64| format!("{} HIT pages=1 5000\r\na\tb\tc\n", request_id(n));
     for (case, trickles) in [
         ("half a line", false),
         ("half a page", false),
         ("byte by byte", true),
     ] {
         for class in ["load", "look"] {
-            let (executor, names) = (Executor::new(), ServingNames::new(1, &[]));
-            let (_program, mut client, mut conn) = with_idle_connection(&executor, names.at);
-            client.asks(class, 1);
-            assert_eq!(conn.request().id, id(1));
-            conn.says(if case == "half a line" { "0000000" } else { "" });
-            conn.says(&if case == "half a line" {
+            let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
+            let (_program, mut client, mut conn) =
+                with_idle_connection(&executor, name_service.address);
+            client.send_query(class, 1);
+            assert_eq!(conn.expect_request().id, request_id(1));
+            conn.send(if case == "half a line" { "0000000" } else { "" });
+            conn.send(&if case == "half a line" {
                 String::new()
             } else {
                 page(1)
             });
             let trickle = std::thread::spawn(move || {
-                let mut rest = PATIENCE.as_millis() / 50;
+                let mut rest = TIMEOUT.as_millis() / 50;
                 while trickles && rest > 0 && !conn.is_closed() {
                     rest -= 1;
-                    conn.says("a");
+                    conn.send("a");
                     std::thread::sleep(Duration::from_millis(50));
                 }
-                conn.ended()
+                conn.wait_for_close()
             });
             if class == "look" {
-                executor.take().answers(1, "e1");
+                executor.accept().serve_query(1, "e1");
             }
             assert_eq!(
-                client.status(),
+                client.read_status(),
                 if class == "look" { 200 } else { 500 },
                 "{case}"
             );
@@ -313,16 +335,20 @@
 /// Longer than idle connections and unread answers are kept; the client waits for longer still.
 #[test]
 fn an_answer_that_comes_after_its_executor_hung_for_16_s_under_a_long_deadline_is_served() {
-    let (executor, names) = (Executor::new(), ServingNames::new(1, &[]));
-    let mut config = config(free(), &[("e1", executor.at)], names.at);
+    let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
+    let mut config = config(
+        unused_address(),
+        &[("e1", executor.address)],
+        name_service.address,
+    );
     config["settings"]["ceilings"]["conn_idle_us"] = 2_000_000.into();
     let program = Program::start(&config);
     let mut client = Client::connect(program.listen);
-    client.says(&post("load", 1, "SELECT 1").replace("15000", "60000"));
-    let mut conn = executor.take();
-    assert_eq!(conn.request().id, id(1));
+    client.send(&query_request("load", 1, "SELECT 1").replace("15000", "60000"));
+    let mut conn = executor.accept();
+    assert_eq!(conn.expect_request().id, request_id(1));
     std::thread::sleep(Duration::from_secs(16));
-    conn.says(&hit(&id(1), "late"));
-    let (status, body) = client.answer().expect("answered");
+    conn.send(&hit_response(&request_id(1), "late"));
+    let (status, body) = client.read_response().expect("answered");
     assert!(status == 200 && body.contains("late"), "{status} {body}");
 }
--- a/crates/controller/tests/suspended_process.rs
+++ b/crates/controller/tests/suspended_process.rs
@@ -22,49 +22,60 @@
 fn the_deadline_of_an_attempt_counts_the_time_for_which_the_process_was_suspended() {
     for on_known_connection in [false, true] {
         let executor = Executor::new();
-        let names = ServingNames::new(1, &[ready("e1", executor.at)]);
-        let program = Program::start(&config(free(), &[("e1", executor.at)], names.at));
+        let name_service = AutomaticNameService::new(1, &[ready("e1", executor.address)]);
+        let program = Program::start(&config(
+            unused_address(),
+            &[("e1", executor.address)],
+            name_service.address,
+        ));
         let mut known = Client::connect(program.listen);
-        known.says("GET /health HTTP/1.1\r\n\r\n");
-        assert_eq!(known.status(), 200);
-        program.halt();
+        known.send("GET /health HTTP/1.1\r\n\r\n");
+        assert_eq!(known.read_status(), 200);
+        program.suspend();
         let mut client = match on_known_connection {
             true => known,
             false => Client::connect(program.listen),
         };
-        client.says(&post_within("load", 1, TIMEOUT_MS));
+        client.send(&query_request_with_timeout("load", 1, TIMEOUT_MS));
         std::thread::sleep(Duration::from_millis(SUSPENDED_MS));
-        program.go_on();
-        let mut conn = executor.take();
-        let request = conn.request();
+        program.resume();
+        let mut conn = executor.accept();
+        let request = conn.expect_request();
         let limit = limit_of(&request);
         assert!(
             limit <= TIMEOUT_MS - SUSPENDED_MS + SLACK_MS,
             "limit {limit} ms, on a known connection: {on_known_connection}"
         );
-        conn.says(&hit(&request.id, "e1"));
-        assert_eq!(client.status(), 200);
+        conn.send(&hit_response(&request.id, "e1"));
+        assert_eq!(client.read_status(), 200);
     }
 }
 
 #[test]
 fn the_deadline_of_a_pipelined_request_counts_from_its_arrival() {
-    let (executor, names) = (Executor::new(), ServingNames::new(1, &[]));
-    let program = Program::start(&config(free(), &[("e1", executor.at)], names.at));
+    let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
+    let program = Program::start(&config(
+        unused_address(),
+        &[("e1", executor.address)],
+        name_service.address,
+    ));
     let mut client = Client::connect(program.listen);
-    client.says(&(post("look", 1, "SELECT 1") + &post_within("load", 2, TIMEOUT_MS)));
-    let mut conn = executor.take();
-    let first = conn.request();
+    client.send(
+        &(query_request("look", 1, "SELECT 1")
+            + &query_request_with_timeout("load", 2, TIMEOUT_MS)),
+    );
+    let mut conn = executor.accept();
+    let first = conn.expect_request();
     std::thread::sleep(Duration::from_millis(SUSPENDED_MS));
-    conn.says(&hit(&first.id, "e1"));
-    let second = conn.request();
+    conn.send(&hit_response(&first.id, "e1"));
+    let second = conn.expect_request();
     let limit = limit_of(&second);
     assert!(
         limit <= TIMEOUT_MS - SUSPENDED_MS + SLACK_MS,
         "limit {limit} ms"
     );
-    conn.says(&hit(&second.id, "e1"));
-    assert_eq!((client.status(), client.status()), (200, 200));
+    conn.send(&hit_response(&second.id, "e1"));
+    assert_eq!((client.read_status(), client.read_status()), (200, 200));
 }
 
 /// Connections that can't be accepted, registered or read for a while, each with a request that has come.
@@ -76,24 +87,28 @@
         (Call::Accept, Errno::ConnectionAborted, SUSPENDED_MS),
         (Call::ReadAccepted, Errno::NoMemory, 1_500),
     ] {
-        let (executor, names) = (Executor::new(), ServingNames::new(1, &[]));
+        let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
         let faults = FaultControl::new().expect("a control file");
-        let config = config(free(), &[("e1", executor.at)], names.at);
+        let config = config(
+            unused_address(),
+            &[("e1", executor.address)],
+            name_service.address,
+        );
         let program = Program::start_with_faults(&config, &faults);
         faults.fail(call, errno, ALWAYS).expect("set");
         let mut client = Client::connect(program.listen);
-        client.says(&post_within("load", 1, TIMEOUT_MS));
+        client.send(&query_request_with_timeout("load", 1, TIMEOUT_MS));
         std::thread::sleep(Duration::from_millis(failing_ms));
         faults.succeed(call).expect("set");
-        let mut conn = executor.take();
-        let request = conn.request();
+        let mut conn = executor.accept();
+        let request = conn.expect_request();
         let limit = limit_of(&request);
         assert!(
             limit <= TIMEOUT_MS - failing_ms + SLACK_MS,
             "limit {limit} ms: {call:?} {errno:?}"
         );
-        conn.says(&hit(&request.id, "e1"));
-        assert_eq!(client.status(), 200);
+        conn.send(&hit_response(&request.id, "e1"));
+        assert_eq!(client.read_status(), 200);
     }
 }
 
@@ -101,27 +116,31 @@
 #[test]
 fn the_deadline_of_an_attempt_counts_the_time_for_which_it_could_not_be_written() {
     const UNWRITABLE_MS: u64 = 1_200;
-    let (executor, names) = (Executor::new(), ServingNames::new(1, &[]));
+    let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
     let faults = FaultControl::new().expect("a control file");
-    let config = config(free(), &[("e1", executor.at)], names.at);
+    let config = config(
+        unused_address(),
+        &[("e1", executor.address)],
+        name_service.address,
+    );
     let program = Program::start_with_faults(&config, &faults);
     let mut client = Client::connect(program.listen);
-    client.asks("look", 1);
-    let mut conn = executor.take();
-    conn.answers(1, "e1");
-    assert_eq!(client.status(), 200);
+    client.send_query("look", 1);
+    let mut conn = executor.accept();
+    conn.serve_query(1, "e1");
+    assert_eq!(client.read_status(), 200);
     faults
         .fail(Call::WriteConnected, Errno::NoBufferSpace, ALWAYS)
         .expect("set");
-    client.says(&post_within("load", 2, TIMEOUT_MS));
+    client.send(&query_request_with_timeout("load", 2, TIMEOUT_MS));
     std::thread::sleep(Duration::from_millis(UNWRITABLE_MS));
     faults.succeed(Call::WriteConnected).expect("set");
-    let request = conn.request();
+    let request = conn.expect_request();
     let limit = limit_of(&request);
     assert!(
         limit <= TIMEOUT_MS - UNWRITABLE_MS + SLACK_MS,
         "limit {limit} ms"
     );
-    conn.says(&hit(&request.id, "e1"));
-    assert_eq!(client.status(), 200);
+    conn.send(&hit_response(&request.id, "e1"));
+    assert_eq!(client.read_status(), 200);
 }
--- a/crates/controller/tests/system_faults.rs
+++ b/crates/controller/tests/system_faults.rs
@@ -17,9 +17,12 @@
 
 /// A program with one executor that serves everything.
 fn serving_program(faults: &FaultControl) -> Program {
-    let names = ServingNames::new(1, &[]);
-    let executor = Executor::new().serves("e1");
-    Program::start_with_faults(&config(free(), &[("e1", executor)], names.at), faults)
+    let name_service = AutomaticNameService::new(1, &[]);
+    let executor = Executor::new().spawn_server("e1");
+    Program::start_with_faults(
+        &config(unused_address(), &[("e1", executor)], name_service.address),
+        faults,
+    )
 }
 
 /// Clients that have connected and sent a request each.
@@ -27,14 +30,14 @@
     (first..first + CLIENTS)
         .map(|n| {
             let mut client = Client::connect(program.listen);
-            client.asks("look", n);
+            client.send_query("look", n);
             client
         })
         .collect()
 }
 
 fn assert_all_served(clients: &mut [Client], case: &str) {
-    let statuses: Vec<u16> = clients.iter_mut().map(Client::status).collect();
+    let statuses: Vec<u16> = clients.iter_mut().map(Client::read_status).collect();
     assert!(
         statuses.iter().all(|status| *status == 200),
         "{case}: {statuses:?}"
@@ -53,12 +56,12 @@
         .map(|_| Client::connect(program.listen))
         .collect();
     for (n, client) in (100..).zip(&mut clients) {
-        client.asks("look", n);
-        assert_eq!(client.status(), 200, "before the fault");
+        client.send_query("look", n);
+        assert_eq!(client.read_status(), 200, "before the fault");
     }
     faults.limit_transfers(Some(1), Some(1)).expect("set");
     for (n, client) in (200..).zip(&mut clients) {
-        client.asks("look", n);
+        client.send_query("look", n);
     }
     assert_all_served(&mut clients, "one byte at a time");
     assert_all_served(&mut clients_with_requests(&program, 300), "new connections");
@@ -79,7 +82,7 @@
             assert_all_served(&mut clients, "before the fault");
             faults.fail(call, errno, ALWAYS).expect("set");
             for (n, client) in (200..).zip(&mut clients) {
-                client.asks("load", n);
+                client.send_query("load", n);
             }
             std::thread::sleep(FAULT_TIME);
             faults.succeed(call).expect("set");
@@ -98,7 +101,7 @@
         .fail(Call::Register, Errno::NoMemory, ALWAYS)
         .expect("set");
     let mut clients = clients_with_requests(&program, 200);
-    until("registrations that failed", || {
+    wait_until("registrations that failed", || {
         injected(&faults, Call::Register) >= CLIENTS
     });
     std::thread::sleep(FAULT_TIME);
@@ -115,11 +118,15 @@
         .fail(Call::Register, Errno::NoMemory, ALWAYS)
         .expect("set");
     let mut client = Client::connect(program.listen);
-    until("a registration that failed", || {
+    wait_until("a registration that failed", || {
         injected(&faults, Call::Register) > 1
     });
-    client.says("GET /health HTTP/1.1\r\n\r\n");
-    assert_eq!(client.status(), 200, "answered although not registered");
+    client.send("GET /health HTTP/1.1\r\n\r\n");
+    assert_eq!(
+        client.read_status(),
+        200,
+        "answered although not registered"
+    );
     faults.succeed(Call::Register).expect("set");
     assert_all_served(&mut clients_with_requests(&program, 100), "afterwards");
 }
@@ -142,7 +149,7 @@
         faults.succeed(Call::Accept).expect("set");
         assert_all_served(&mut clients, &format!("{errno:?}"));
         assert!(injected(&faults, Call::Accept) > 0);
-        assert_eq!(program.ended().code(), Some(0), "{errno:?}");
+        assert_eq!(program.wait_for_exit().code(), Some(0), "{errno:?}");
     }
 }
 
@@ -157,17 +164,17 @@
         (Call::Register, Errno::NoMemory),
         (Call::Open, Errno::FileTableOverflow),
     ] {
-        let names = ServingNames::new(1, &[]);
-        let executor = Executor::new().serves("e1");
+        let name_service = AutomaticNameService::new(1, &[]);
+        let executor = Executor::new().spawn_server("e1");
         let faults = no_faults();
         faults.fail(call, errno, ALWAYS).expect("set");
-        let config = config(free(), &[("e1", executor)], names.at);
+        let config = config(unused_address(), &[("e1", executor)], name_service.address);
         let mut program = Program::spawn_with_faults(&config, &faults);
-        until("a call that failed", || injected(&faults, call) > 0);
+        wait_until("a call that failed", || injected(&faults, call) > 0);
         std::thread::sleep(FAULT_TIME);
         faults.succeed(call).expect("set");
-        until("health", || {
-            assert!(!program.over(), "it ended: {call:?} {errno:?}");
+        wait_until("health", || {
+            assert!(!program.has_exited(), "it ended: {call:?} {errno:?}");
             program.health() == Some(200)
         });
     }
@@ -182,19 +189,19 @@
         (Call::Socket, Errno::FileTableOverflow),
         (Call::Register, Errno::NoMemory),
     ] {
-        let (faults, names) = (no_faults(), ServingNames::new(1, &[]));
-        let executor = Executor::new().serves("e1");
-        let config = config(free(), &[("e1", executor)], names.at);
+        let (faults, name_service) = (no_faults(), AutomaticNameService::new(1, &[]));
+        let executor = Executor::new().spawn_server("e1");
+        let config = config(unused_address(), &[("e1", executor)], name_service.address);
         let program = Program::start_with_faults(&config, &faults);
         let mut client = Client::connect(program.listen);
         assert_eq!(program.health(), Some(200), "it has accepted that client");
         let before = injected(&faults, call);
         faults.fail(call, errno, ALWAYS).expect("set");
-        client.asks("load", 1);
-        until("a connect that failed", || injected(&faults, call) > before);
+        client.send_query("load", 1);
+        wait_until("a connect that failed", || injected(&faults, call) > before);
         std::thread::sleep(FAULT_TIME);
         faults.succeed(call).expect("set");
-        assert_eq!(client.status(), 200, "{call:?} {errno:?}");
+        assert_eq!(client.read_status(), 200, "{call:?} {errno:?}");
         // An executor that is taken for restarted is ejected, or gets one query at a time.
         let mut clients = clients_with_requests(&program, 100);
         assert_all_served(&mut clients, &format!("after {call:?} {errno:?}"));
@@ -204,25 +211,32 @@
 #[test]
 fn a_reload_is_retried_for_as_long_as_its_file_cannot_be_used() {
     let (faults, first, second) = (no_faults(), NameService::new(), NameService::new());
-    let mut config = config(free(), &[("e1", Executor::new().serves("e1"))], first.at);
+    let mut config = config(
+        unused_address(),
+        &[("e1", Executor::new().spawn_server("e1"))],
+        first.address,
+    );
     let program = Program::start_with_faults(&config, &faults);
     faults
         .fail(Call::Open, Errno::InputOutput, ALWAYS)
         .expect("set");
-    config["resolver"] = second.at.to_string().into();
-    std::fs::write(&program.file, config.to_string()).expect("written");
+    config["resolver"] = second.address.to_string().into();
+    std::fs::write(&program.config_file, config.to_string()).expect("written");
     program.signal("-HUP");
     // Longer than the 4 s for which it was retried once.
     std::thread::sleep(Duration::from_millis(4_500));
     faults.succeed(Call::Open).expect("set");
-    second.asked();
+    second.next_query();
 }
 
 /// The configuration is read from a pipe, so that the signal comes while the program is still reading it.
 #[test]
 fn a_signal_while_the_configuration_is_read_does_not_end_the_start() {
-    let (names, executor) = (ServingNames::new(1, &[]), Executor::new().serves("e1"));
-    let config = config(free(), &[("e1", executor)], names.at);
+    let (name_service, executor) = (
+        AutomaticNameService::new(1, &[]),
+        Executor::new().spawn_server("e1"),
+    );
+    let config = config(unused_address(), &[("e1", executor)], name_service.address);
     let dir = tempfile::tempdir().expect("a folder");
     let (pipe, file) = (dir.path().join("config"), dir.path().join("file"));
     assert!(std::process::Command::new("mkfifo")
@@ -242,40 +256,48 @@
     std::fs::rename(&file, &pipe).expect("renamed");
     let _ = writer.write_all(config.to_string().as_bytes());
     drop(writer);
-    until("health", || {
-        assert!(!program.over(), "the signal ended it");
+    wait_until("health", || {
+        assert!(!program.has_exited(), "the signal ended it");
         program.health() == Some(200)
     });
 }
 
 #[test]
 fn a_list_of_hundreds_of_executors_counts() {
-    let (names, faults) = (NameService::new(), no_faults());
-    let (first, second) = (Executor::new().serves("e1"), Executor::new().serves("e2"));
-    let program = Program::start_with_faults(&config(free(), &[("e1", first)], names.at), &faults);
+    let (name_service, faults) = (NameService::new(), no_faults());
+    let (first, second) = (
+        Executor::new().spawn_server("e1"),
+        Executor::new().spawn_server("e2"),
+    );
+    let program = Program::start_with_faults(
+        &config(unused_address(), &[("e1", first)], name_service.address),
+        &faults,
+    );
     let others: Vec<String> = (0..300).map(|n| format!("s-{n:08x}")).collect();
     let mut executors: Vec<(&str, std::net::SocketAddr, bool)> = others
         .iter()
         .map(|name| (name.as_str(), first, true))
         .collect();
     executors.push(("e2", second, false));
-    names.tells(&names.asked_anew(), 2, &executors);
+    name_service.send_list(&name_service.next_new_query(), 2, &executors);
     let mut n = 1_000;
-    until("the new list counts", || {
+    wait_until("the new list counts", || {
         n += 1;
         let mut client = Client::connect(program.listen);
-        client.asks("look", n);
-        client.answer().is_ok_and(|(_, body)| body.contains("e2"))
+        client.send_query("look", n);
+        client
+            .read_response()
+            .is_ok_and(|(_, body)| body.contains("e2"))
     });
 }
 
 /// What an executor in slow start gets of 400 queries beside three warm ones.
 fn queries_to_the_newcomer(faults: &FaultControl, started_ms: u128, wait: Duration) -> usize {
-    let names = ServingNames::new(1, &[]);
+    let name_service = AutomaticNameService::new(1, &[]);
     let executors: Vec<(&str, std::net::SocketAddr)> = ["e1", "e2", "e3", "new"]
-        .map(|name| (name, Executor::new().serves(name)))
+        .map(|name| (name, Executor::new().spawn_server(name)))
         .to_vec();
-    let mut config = config(free(), &executors, names.at);
+    let mut config = config(unused_address(), &executors, name_service.address);
     config["known"]["cmds"][0]["nodes"]["servers"][3]["started_ms"] = (started_ms as u64).into();
     config["settings"]["safety"] = serde_json::json!({"cold_from": 0.05, "ramp_time_us": 3_000_000,
         "tip_multiple": 2.5, "fall_us": 1_000_000});
@@ -284,8 +306,8 @@
     let mut client = Client::connect(program.listen);
     (1..=400)
         .filter(|n| {
-            client.asks("look", *n);
-            client.answer().expect("answered").1.contains("new")
+            client.send_query("look", *n);
+            client.read_response().expect("answered").1.contains("new")
         })
         .count()
 }
