--- a/crates/platform/tests/clients.rs
+++ b/crates/platform/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Responses to clients: valid requests, each kind of invalid request, disconnects and the shutdown.
+//! HTTP clients of the controller: valid requests, each kind of invalid request, disconnects, timeouts and eviction.
 
 mod common;
 use common::*;
@@ -9,11 +9,11 @@
     let mut harness = Harness::new(1);
     let client = harness.connect_client();
     // The request arrives in pieces.
-    for piece in query_request("look", &request_id(1), "X-Need-Mb: 96\r\nX-Retry: 1\r\n")
+    for chunk in query_request("look", &request_id(1), "X-Need-Mb: 96\r\nX-Retry: 1\r\n")
         .as_bytes()
         .chunks(7)
     {
-        harness.receive_bytes(client, piece);
+        harness.receive_bytes(client, chunk);
     }
     let executor = harness.complete_connects()[0];
     let request = harness.take_written(executor);
@@ -39,7 +39,7 @@
         harness.take_written(executor),
         format!("FETCH {0} 1\r\nFETCH {0} 2\r\n", request_id(1))
     );
-    // Pages arrive in any order, and one of them twice.
+    // Pages arrive out of order, and one of them twice.
     for page in [2, 1, 1] {
         harness.receive(
             executor,
@@ -76,10 +76,10 @@
         ],
         256,
     );
-    let mut settings: serde_json::Value = serde_json::from_str(&text).expect("JSON");
-    settings["settings"]["grades"][1]["in_order"] = true.into();
-    settings["settings"]["safety"]["order_pause_us"] = 300_000.into();
-    let mut harness = Harness::with_config(&settings.to_string());
+    let mut json: serde_json::Value = serde_json::from_str(&text).expect("JSON");
+    json["settings"]["grades"][1]["in_order"] = true.into();
+    json["settings"]["safety"]["order_pause_us"] = 300_000.into();
+    let mut harness = Harness::with_config(&json.to_string());
     let first = harness.connect_client();
     harness.receive(
         first,
@@ -92,7 +92,7 @@
     let executor = harness.complete_connects()[0];
     let request = harness.take_written(executor);
     assert!(request.contains(",nonce=a5/+=9 35\r\n"), "{request}");
-    // A second query of the same key waits for its turn; one of another key does not.
+    // A second query with the same key waits for the first one; a query with another key does not.
     let second = harness.connect_client();
     harness.receive(
         second,
@@ -105,11 +105,11 @@
         other,
         &query_request("load", &request_id(3), "X-Object: rel-8\r\n"),
     );
-    let elsewhere = harness.complete_connects()[0];
+    let other_executor = harness.complete_connects()[0];
     assert!(harness
-        .take_written(elsewhere)
+        .take_written(other_executor)
         .starts_with(&format!("REQ {} ", request_id(3))));
-    // A query whose client disconnects while it waits for its turn is never sent.
+    // A query whose client disconnects while it waits for an earlier query of its key is never sent.
     let third = harness.connect_client();
     harness.receive(
         third,
@@ -123,7 +123,9 @@
     harness.advance(600_000);
     assert_eq!(status(&harness.take_written(first)), 200);
     harness.complete_connects();
-    let (_, request) = harness.take_request().expect("its turn has come");
+    let (_, request) = harness
+        .take_request()
+        .expect("the next query of the key was sent");
     assert!(
         request.starts_with(&format!("REQ {} ", request_id(4))),
         "{request}"
@@ -181,7 +183,8 @@
     ]
 }
 
-/// Invalid requests after which nothing can be parsed and the connection is closed, and the status of their response.
+/// Invalid requests after which the stream cannot be parsed any further, so that the connection is closed, and the status of their
+/// response.
 fn requests_with_invalid_framing() -> Vec<(String, u16)> {
     let valid = query_request("look", &request_id(1), "");
     let with = |part: &str, replacement: &str| valid.replace(part, replacement);
@@ -220,7 +223,7 @@
     ]
 }
 
-/// Sends an invalid request by a new client, and checks its response.
+/// Sends an invalid request from a new client and checks its response.
 fn send_invalid_request(
     harness: &mut Harness,
     request: &str,
@@ -252,7 +255,7 @@
         let mut harness = Harness::new(1);
         let (client, response) = send_invalid_request(&mut harness, &request, expected_status);
         assert!(response.contains("Connection: close"), "{request}");
-        // Bytes that follow are not parsed as a request, and the connection is closed.
+        // Later bytes are not parsed as a request, and the connection is closed.
         harness.receive(client, &query_request("look", &request_id(9), ""));
         harness.advance(1_000_000);
         assert!(
@@ -271,9 +274,9 @@
         "SELECT a, b, c FROM sales_17.orders",
         "SELECT x, y, z FROM sales_17.orders",
     ] {
-        let call = query_request("load", &request_id(1), "")
+        let request = query_request("load", &request_id(1), "")
             .replace("SELECT a, b, c FROM sales_17.orders", statement);
-        harness.receive(other, &call);
+        harness.receive(other, &request);
         assert_eq!(status(&harness.take_written(other)), 409);
     }
     harness.receive(
@@ -299,36 +302,38 @@
         &format!("{} HIT pages=1 6\r\na\t1\tx\n\r\n", request_id(1)),
     );
     assert!(harness.closed.contains(&client) && harness.take_written(client).is_empty());
-    let half = harness.connect_client();
-    harness.receive(half, &query_request("look", &request_id(2), "")[..150]);
-    harness.handle_io(IoEvent::Ended(half));
-    assert!(harness.closed.contains(&half) && harness.take_written(executor).is_empty());
+    let partial = harness.connect_client();
+    harness.receive(partial, &query_request("look", &request_id(2), "")[..150]);
+    harness.handle_io(IoEvent::Ended(partial));
+    assert!(harness.closed.contains(&partial) && harness.take_written(executor).is_empty());
 }
 
 #[test]
-fn silent_and_slow_clients_are_closed_and_active_ones_are_kept() {
+fn clients_without_a_complete_request_are_closed_and_active_ones_are_kept() {
     let mut harness = Harness::new(1);
-    let (usual, executor, _) = harness.forward_query("look", &request_id(1));
+    let (active, executor, _) = harness.forward_query("look", &request_id(1));
     harness.receive(
         executor,
         &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)),
     );
-    assert_eq!(status(&harness.take_written(usual)), 200);
+    assert_eq!(status(&harness.take_written(active)), 200);
     let (silent, slow) = (harness.connect_client(), harness.connect_client());
     harness.receive(slow, "POST /rpc/look HTTP/1.1\r\n");
     harness.advance(2_800_000);
-    assert!(harness.closed.contains(&silent) && !harness.closed.contains(&usual));
+    assert!(harness.closed.contains(&silent) && !harness.closed.contains(&active));
     assert_eq!(status(&harness.take_written(slow)), 408);
-    // Clients without a request are evicted before one that has sent a request.
-    let crowd: Vec<_> = (0..600)
+    // When connections run out, clients that never sent a request are evicted before one that has.
+    let new_clients: Vec<_> = (0..600)
         .map(|_| {
             harness.now += 100;
             harness.connect_client()
         })
         .collect();
-    assert!(!harness.closed.contains(&usual));
-    assert!(harness.closed.contains(&crowd[0]) && !harness.closed.contains(&crowd[599]));
-    harness.receive(usual, &query_request("look", &request_id(2), ""));
+    assert!(!harness.closed.contains(&active));
+    assert!(
+        harness.closed.contains(&new_clients[0]) && !harness.closed.contains(&new_clients[599])
+    );
+    harness.receive(active, &query_request("look", &request_id(2), ""));
     assert!(harness.take_written(executor).starts_with("REQ "));
 }
 
@@ -339,7 +344,7 @@
         let (client, _, _) = harness.forward_query(class, &request_id(1));
         harness.advance(1_995_000);
         let answer = harness.take_written(client);
-        // A query that may have run is rejected only if it is idempotent.
+        // "Try later" invites the client to repeat the query, which is safe after a possible execution only if it is idempotent.
         assert_eq!(
             status(&answer),
             if class == "look" { 503 } else { 500 },
@@ -350,7 +355,7 @@
 }
 
 #[test]
-fn many_idempotent_queries_do_not_displace_the_id_of_another_query() {
+fn many_idempotent_queries_do_not_evict_the_id_of_an_at_most_once_query() {
     let mut harness = Harness::new(1);
     let (client, executor, _) = harness.forward_query("load", &request_id(1));
     harness.receive(
@@ -383,48 +388,56 @@
     harness.handle_io(IoEvent::Closing(waiting));
     harness.handle_io(IoEvent::Closing(running));
     harness.advance(100_000);
-    let fresh = harness.complete_connects()[0];
+    let connected = harness.complete_connects()[0];
     harness.advance(400_000);
-    assert!(harness.take_written(fresh).is_empty());
+    assert!(harness.take_written(connected).is_empty());
     assert_eq!(
         harness.take_written(executor),
         format!("STOP {}\r\n", request_id(1))
     );
-    let left = harness.platform.abandonment_counts();
+    let abandoned = harness.platform.abandonment_counts();
     assert_eq!(
-        (left.waiting, left.forwarded, left.forwarded_late),
+        (
+            abandoned.waiting,
+            abandoned.forwarded,
+            abandoned.forwarded_late
+        ),
         (1, 0, 0)
     );
 }
 
-/// The client that has been idle the longest is closed for a new one just as it sends a request, and repeats it under its id.
+/// The client that has been idle longest is evicted for a new client at the moment it sends a request. It repeats the request with
+/// the same id on a new connection.
 #[test]
-fn a_request_that_crosses_the_close_of_its_connection_is_served_when_repeated() {
+fn a_request_sent_while_its_connection_is_evicted_is_served_when_repeated() {
     let mut harness = Harness::with_config(&config(vec![executor_entry("e1", 1, "ready")], 64));
-    let (resting, executor, _) = harness.forward_query("load", &request_id(1));
+    let (idle, executor, _) = harness.forward_query("load", &request_id(1));
     harness.receive(
         executor,
         &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)),
     );
-    assert_eq!(status(&harness.take_written(resting)), 200);
+    assert_eq!(status(&harness.take_written(idle)), 200);
     harness.now += 1_000;
     // All other clients have a query in flight.
     for n in 2..18 {
         let client = harness.connect_client();
         harness.receive(client, &query_request("look", &request_id(n), ""));
     }
-    assert!(harness.closed.contains(&resting));
-    harness.receive(resting, &query_request("load", &request_id(99), ""));
+    assert!(harness.closed.contains(&idle));
+    harness.receive(idle, &query_request("load", &request_id(99), ""));
     for _ in 2..18 {
         harness.complete_connects();
-        while let Some((conn, _)) = harness.take_request() {
+        while let Some((connection, _)) = harness.take_request() {
             (2..18).for_each(|n| {
-                harness.receive(conn, &format!("{} HIT pages=1 0\r\n\r\n", request_id(n)))
+                harness.receive(
+                    connection,
+                    &format!("{} HIT pages=1 0\r\n\r\n", request_id(n)),
+                )
             });
         }
     }
-    let again = harness.connect_client();
-    harness.receive(again, &query_request("load", &request_id(99), ""));
+    let reconnected = harness.connect_client();
+    harness.receive(reconnected, &query_request("load", &request_id(99), ""));
     harness.complete_connects();
     let (_, request) = harness.take_request().expect("sent to an executor");
     assert!(
@@ -433,12 +446,12 @@
     );
 }
 
-/// A disconnect, and a timer that would dispatch the query, in the same turn.
+/// A client disconnects in the same turn of the event loop in which a timer would dispatch its query.
 #[test]
 fn a_disconnect_is_handled_before_timers_due_in_the_same_turn() {
-    for (what, due_after) in [
+    for (case, due_after) in [
         ("a connect that times out", 250_000),
-        ("the delay after a reset", 20_000),
+        ("the retry delay after a reset", 20_000),
     ] {
         let mut harness = Harness::new(1);
         let client = harness.connect_client();
@@ -454,7 +467,7 @@
             });
             assert!(
                 harness.connects.is_empty(),
-                "the executor may not know of the reset yet"
+                "the executor may not have noticed the reset yet"
             );
         } else {
             assert_eq!(harness.connects.len(), 1);
@@ -467,20 +480,21 @@
         harness.run_effects();
         harness
             .connects
-            .retain(|(conn, _)| !harness.closed.contains(conn));
+            .retain(|(connection, _)| !harness.closed.contains(connection));
         harness.complete_connects();
         harness.advance(500_000);
         harness.complete_connects();
-        assert!(harness.take_request().is_none(), "{what}");
-        assert_eq!(harness.platform.abandonment_counts().waiting, 1, "{what}");
+        assert!(harness.take_request().is_none(), "{case}");
+        assert_eq!(harness.platform.abandonment_counts().waiting, 1, "{case}");
     }
 }
 
-/// All connections are taken by clients that keep them: new clients without a request yet are not evicted for each other.
+/// All client connections are taken by clients that keep them open. New clients that have not sent a request yet must not evict each
+/// other.
 #[test]
 fn new_clients_have_time_to_send_a_request_when_all_connections_are_taken() {
     let mut harness = Harness::with_config(&config(vec![executor_entry("e1", 1, "ready")], 64));
-    let keepers: Vec<ConnId> = (0..16)
+    let idle_clients: Vec<ConnId> = (0..16)
         .map(|n| {
             let client = harness.connect_client();
             harness.receive(client, "GET /health HTTP/1.1\r\n\r\n");
@@ -490,22 +504,22 @@
         })
         .collect();
     harness.advance(3_500_000);
-    // Eight have been idle for longer than usual clients and are evicted first, then the clients without a request.
+    // The first eight clients have exceeded the idle timeout and are evicted first, then clients that have not sent a request yet.
     let (first, second) = (harness.connect_client(), harness.connect_client());
-    assert_eq!(harness.closed, keepers[..2]);
+    assert_eq!(harness.closed, idle_clients[..2]);
     let more: Vec<ConnId> = (0..6).map(|_| harness.connect_client()).collect();
-    assert_eq!(harness.closed, keepers[..8]);
+    assert_eq!(harness.closed, idle_clients[..8]);
     harness.receive(second, &query_request("look", &request_id(1), ""));
     harness.complete_connects();
     let (executor, _) = harness.take_request().expect("forwarded");
     let one_more = harness.connect_client();
     assert_eq!(harness.closed[8..], [first]);
-    // A client that has disconnected is evicted first of all.
+    // A client that has already disconnected is evicted before any other.
     harness
         .platform
-        .handle_io(harness.now, IoEvent::Ended(keepers[15]));
+        .handle_io(harness.now, IoEvent::Ended(idle_clients[15]));
     let last = harness.connect_client();
-    assert_eq!(harness.closed[9..], [keepers[15]]);
+    assert_eq!(harness.closed[9..], [idle_clients[15]]);
     assert!([&more[..], &[one_more, last]]
         .concat()
         .iter()
@@ -518,7 +532,7 @@
 }
 
 #[test]
-fn the_counters_are_published_with_violations_by_guard() {
+fn metrics_include_counters_and_violations_by_guard() {
     let mut harness = Harness::new(1);
     let (client, executor, _) = harness.forward_query("look", &request_id(1));
     harness.receive(
@@ -527,12 +541,12 @@
     );
     assert_eq!(status(&harness.take_written(client)), 200);
     harness.receive(client, "GET /metrics HTTP/1.1\r\n\r\n");
-    let page = harness.take_written(client);
-    assert_eq!(status(&page), 200);
+    let metrics = harness.take_written(client);
+    assert_eq!(status(&metrics), 200);
     for guard in ["sending", "repeating", "closing", "starting"] {
         let line = format!("wheelfield_invariant_violations_total{{guard=\"{guard}\"}} 0\n");
-        assert!(page.contains(&line), "{line} in {page}");
+        assert!(metrics.contains(&line), "{line} in {metrics}");
     }
-    assert!(page.contains("wheelfield_queries_total{result=\"served\"} 1\n"));
+    assert!(metrics.contains("wheelfield_queries_total{result=\"served\"} 1\n"));
     assert_eq!(harness.platform.violation_counts().total(), 0);
 }
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A harness around a controller without sockets: scripted clients, executors and a name service.
+//! A test harness that drives the controller without sockets: tests script the clients, the executors and the name service.
 #![allow(dead_code)]
 
 use hickory_proto::op::{Message, MessageType, OpCode, Query, ResponseCode};
@@ -11,14 +11,14 @@
 
 pub const RESOLVER: &str = "127.9.0.1:1053";
 
-/// The controller, and the effects that it has asked for.
+/// The controller under test, and the effects that it has requested.
 pub struct Harness {
     pub platform: Platform,
-    /// The time in microseconds.
+    /// The current time in microseconds.
     pub now: i64,
-    /// Bytes written to each connection and not taken yet.
+    /// Bytes written to each connection that the test has not taken yet.
     pub written: BTreeMap<ConnId, Vec<u8>>,
-    /// Connects that are neither completed nor refused.
+    /// Connects in progress: neither completed nor refused.
     pub connects: Vec<(ConnId, SocketAddr)>,
     /// The address of each connection to an executor.
     pub addresses: BTreeMap<ConnId, SocketAddr>,
@@ -28,23 +28,23 @@
     pub datagrams: Vec<(DatagramSocket, SocketAddr, Vec<u8>)>,
     /// Whether the controller accepts clients.
     pub listening: bool,
-    /// Whether the controller has ended.
+    /// Whether the controller has finished its shutdown.
     pub stopped: bool,
-    /// Requests of clients that are accepted as listening ends.
+    /// Requests of clients in the accept queue, which the controller accepts when it stops listening.
     pub backlog: Vec<String>,
-    /// The connections of these clients.
+    /// The connections of the clients accepted from `backlog`.
     pub accepted_late: Vec<ConnId>,
-    /// Maximum number of bytes taken by each write; `None` for all.
+    /// Maximum number of bytes that each write accepts; `None` for no limit.
     pub write_limit: Option<usize>,
 }
 
-/// An executor of a configuration, by its name and the last byte of its address.
+/// A configuration entry for an executor; `last` is the last byte of its address.
 pub fn executor_entry(name: &str, last: u8, state: &str) -> serde_json::Value {
     serde_json::json!({"id": name, "addr": format!("127.1.0.{last}:6565"), "zone": "z", "kind": "std", "cell": 0,
         "state": state, "weight": 8.0, "started_ms": 0})
 }
 
-/// A configuration with the classes `look` (idempotent) and `load` (at most once).
+/// A configuration with the classes `look` (idempotent) and `load` (at most once), for this number of sockets.
 pub fn config(servers: Vec<serde_json::Value>, sockets: usize) -> String {
     let class = |name: &str, effect: &str| {
         serde_json::json!({"name": name, "on_time_us": 500_000, "give_up_us": 3_000_000, "gain": 1.0, "late_value": 0.0,
@@ -74,7 +74,7 @@
 }
 
 impl Harness {
-    /// A controller with so many executors, named e1, e2 and so on.
+    /// A controller with this number of executors, named e1, e2 and so on.
     pub fn new(executors: u8) -> Harness {
         let servers = (1..=executors)
             .map(|n| executor_entry(&format!("e{n}"), n, "ready"))
@@ -82,7 +82,7 @@
         Harness::with_config(&config(servers, 256))
     }
 
-    /// A controller with this configuration.
+    /// A controller with this configuration, which has been started.
     pub fn with_config(config: &str) -> Harness {
         let config = BootstrapConfig::parse(config).expect("valid");
         let now = 1_000_000_000;
@@ -105,7 +105,7 @@
         harness
     }
 
-    /// Carries out all effects.
+    /// Executes the requested effects until there are no more.
     pub fn run_effects(&mut self) {
         let mut effects = Vec::new();
         loop {
@@ -127,21 +127,21 @@
                     }
                     Effect::ResumeReading(_) => {}
                     Effect::Close(id) => self.closed.push(id),
-                    Effect::Send(port, to, bytes) => self.datagrams.push((port, to, bytes)),
+                    Effect::Send(socket, to, bytes) => self.datagrams.push((socket, to, bytes)),
                     Effect::StopListening => {
-                        for call in std::mem::take(&mut self.backlog) {
+                        for request in std::mem::take(&mut self.backlog) {
                             let id = self
                                 .platform
                                 .accept(self.now, Listener::Clients)
                                 .expect("capacity");
                             self.platform
-                                .handle_io(self.now, IoEvent::Received(id, call.as_bytes()));
+                                .handle_io(self.now, IoEvent::Received(id, request.as_bytes()));
                             self.accepted_late.push(id);
                         }
                         self.listening = false;
                         self.platform.handle_listening_stopped(self.now);
                     }
-                    // Later effects are not carried out.
+                    // Effects requested after the controller has stopped are ignored.
                     _ if self.stopped => {}
                     Effect::Stopped => self.stopped = true,
                 }
@@ -149,27 +149,27 @@
         }
     }
 
-    /// Advances the time by so many microseconds, with all timers at their time.
+    /// Advances the clock by `micros` and runs each timer when it is due.
     pub fn advance(&mut self, micros: i64) {
         let until = self.now + micros;
         loop {
-            let due = self.platform.next_timer_at().filter(|at| *at <= until);
-            self.now = due.unwrap_or(until).max(self.now);
+            let next_due = self.platform.next_timer_at().filter(|at| *at <= until);
+            self.now = next_due.unwrap_or(until).max(self.now);
             self.platform.handle_timers(self.now);
             self.run_effects();
-            if due.is_none() {
+            if next_due.is_none() {
                 return;
             }
         }
     }
 
-    /// Passes an event to the controller and carries out the effects.
+    /// Passes an event to the controller and executes the resulting effects.
     pub fn handle_io(&mut self, event: IoEvent<'_>) {
         self.platform.handle_io(self.now, event);
         self.run_effects();
     }
 
-    /// Connects a client.
+    /// Connects a new client.
     pub fn connect_client(&mut self) -> ConnId {
         let id = self
             .platform
@@ -179,39 +179,41 @@
         id
     }
 
-    /// Has the controller receive text on a connection.
+    /// Delivers text to the controller on a connection.
     pub fn receive(&mut self, id: ConnId, text: &str) {
         self.receive_bytes(id, text.as_bytes());
     }
 
-    /// Has the controller receive bytes on a connection.
+    /// Delivers bytes to the controller on a connection.
     pub fn receive_bytes(&mut self, id: ConnId, bytes: &[u8]) {
         self.handle_io(IoEvent::Received(id, bytes));
     }
 
-    /// Takes what was written to a connection since the last call.
+    /// Takes the text that was written to a connection since the last call.
     pub fn take_written(&mut self, id: ConnId) -> String {
         String::from_utf8(self.written.remove(&id).unwrap_or_default()).expect("text")
     }
 
-    /// Completes all connects; the connections that have come up.
+    /// Completes all connects in progress and returns their connections.
     pub fn complete_connects(&mut self) -> Vec<ConnId> {
-        let mut up = Vec::new();
+        let mut connected = Vec::new();
         while !self.connects.is_empty() {
             let (id, _) = self.connects.remove(0);
             self.handle_io(IoEvent::Connected(id));
-            up.push(id);
+            connected.push(id);
         }
-        up
+        connected
     }
 
-    /// Sends a query by a new client, and completes connects: the client, the connection to the executor that has the query, and
-    /// the request as written.
+    /// Sends a query from a new client and completes all connects. Returns the client, the connection to the executor that received
+    /// the query, and the request as written to it.
     pub fn forward_query(&mut self, class: &str, id: &str) -> (ConnId, ConnId, String) {
         let client = self.connect_client();
         self.receive(client, &query_request(class, id, ""));
         self.complete_connects();
-        let (executor, line) = self.take_request().expect("sent to an executor");
+        let (executor, line) = self
+            .take_request()
+            .expect("a request written to an executor");
         (client, executor, line)
     }
 
@@ -220,32 +222,32 @@
         self.addresses.get(&connection).copied()
     }
 
-    /// Waits for the next query of the name service: the datagram.
+    /// Advances the clock until the controller has queried the name service again, and returns the query.
     pub fn next_discovery_query(&mut self) -> Vec<u8> {
         self.datagrams.clear();
         self.advance(260_000);
         self.datagrams.last().expect("a query").2.clone()
     }
 
-    /// Has the controller receive an answer of the name service.
+    /// Delivers an answer of the name service to the controller.
     pub fn receive_discovery_answer(&mut self, answer: &Message) {
         let from = RESOLVER.parse().expect("an address");
         let bytes = answer.to_vec().expect("bytes");
         self.handle_io(IoEvent::Datagram(DatagramSocket::Discovery, from, &bytes));
     }
 
-    /// Takes a request or cancellation that was written to an executor.
+    /// Takes a request or cancellation that was written to an executor, with the connection it was written to.
     pub fn take_request(&mut self) -> Option<(ConnId, String)> {
-        let conn = *self
+        let connection = *self
             .written
             .iter()
             .find(|(_, w)| w.starts_with(b"REQ ") || w.starts_with(b"STOP "))?
             .0;
-        Some((conn, self.take_written(conn)))
+        Some((connection, self.take_written(connection)))
     }
 }
 
-/// An HTTP request with a query; `more` holds further headers.
+/// An HTTP request for a query; `more` holds additional header lines.
 pub fn query_request(class: &str, id: &str, more: &str) -> String {
     let statement = "SELECT a, b, c FROM sales_17.orders";
     format!(
@@ -254,7 +256,7 @@
     )
 }
 
-/// A request id.
+/// The request id of query `n`.
 pub fn request_id(n: u64) -> String {
     format!("{n:016x}")
 }
@@ -268,12 +270,13 @@
         .unwrap_or(0)
 }
 
-/// An answer of the name service to a query: executors by name, last byte of the address and priority, with a serial number.
-pub fn dns_answer(question: &[u8], serial: u32, executors: &[(&str, u8, u16)]) -> Message {
-    let asked = Message::from_vec(question).expect("a question");
-    let mut answer = Message::new(asked.metadata.id, MessageType::Response, OpCode::Query);
+/// An answer of the name service to a query, with a serial number; each executor has a name, the last byte of its address and a
+/// priority (0: up, 1: draining).
+pub fn dns_answer(query_bytes: &[u8], serial: u32, executors: &[(&str, u8, u16)]) -> Message {
+    let request = Message::from_vec(query_bytes).expect("a DNS query");
+    let mut answer = Message::new(request.metadata.id, MessageType::Response, OpCode::Query);
     answer.metadata.response_code = ResponseCode::NoError;
-    let service = asked.queries[0].name.clone();
+    let service = request.queries[0].name.clone();
     answer.add_query(Query::query(service.clone(), RecordType::SRV));
     for (name, last, priority) in executors {
         let target = Name::from_ascii(format!("{name}.z.hosts.")).expect("a name");
@@ -284,8 +287,8 @@
             1,
             RData::A(A::new(127, 1, 0, *last)),
         ));
-        let texts = TXT::new(vec!["kind=std".into(), "cell=2".into(), "started=0".into()]);
-        answer.add_additional(Record::from_rdata(target, 1, RData::TXT(texts)));
+        let text = TXT::new(vec!["kind=std".into(), "cell=2".into(), "started=0".into()]);
+        answer.add_additional(Record::from_rdata(target, 1, RData::TXT(text)));
     }
     let zone = Name::from_ascii("mesh.local.").expect("a name");
     let soa = SOA::new(zone.clone(), zone.clone(), serial, 1, 1, 1, 1);
--- a/crates/platform/tests/crossings.rs
+++ b/crates/platform/tests/crossings.rs
@@ -1,4 +1,5 @@
-//! Rare events that cross: reloads, slow answers, moves, suspensions.
+//! Race conditions: events such as reloads, slow answers of the name service, address changes and suspensions of the process that
+//! coincide with other events.
 
 mod common;
 use common::*;
@@ -23,7 +24,7 @@
     ));
 }
 
-/// Address that the next query is forwarded to; `None` if it is rejected.
+/// The address to which query `n` is forwarded; `None` if it is rejected.
 fn forwarded_to(harness: &mut Harness, n: u64) -> Option<SocketAddr> {
     let client = harness.connect_client();
     harness.connects.clear();
@@ -32,19 +33,24 @@
 }
 
 fn last_query(harness: &Harness) -> Vec<u8> {
-    harness.datagrams.last().expect("a query").2.clone()
+    harness
+        .datagrams
+        .last()
+        .expect("a query to the name service")
+        .2
+        .clone()
 }
 
 #[test]
-fn an_answer_of_the_name_service_counts_though_it_takes_seconds() {
+fn an_answer_of_the_name_service_is_accepted_seconds_after_its_query() {
     for delay in [SECOND, 3 * SECOND, 6 * SECOND] {
         let mut harness = Harness::new(1);
-        let asked = harness.next_discovery_query();
+        let query = harness.next_discovery_query();
         harness.advance(delay);
         receive(
             &mut harness,
             RESOLVER,
-            &dns_answer(&asked, 9, &[("e9", 7, 0)]),
+            &dns_answer(&query, 9, &[("e9", 7, 0)]),
         );
         assert_eq!(
             forwarded_to(&mut harness, 1),
@@ -54,13 +60,13 @@
     }
 }
 
-/// Configurations that come faster than the name service answers, each with the same service or with two in turn.
+/// The configuration is reloaded more often than the name service answers, with the same name service or with two in alternation.
 #[test]
-fn answers_count_though_configurations_come_faster_than_they() {
+fn an_answer_is_accepted_despite_reloads_between_its_query_and_its_arrival() {
     let other = "127.9.0.3:1053";
     for resolvers in [[RESOLVER, RESOLVER], [other, RESOLVER]] {
         let mut harness = Harness::new(1);
-        let asked = harness.next_discovery_query();
+        let query = harness.next_discovery_query();
         for n in 0..12 {
             harness.advance(40_000);
             let resolver = address(resolvers[n % 2]);
@@ -70,7 +76,7 @@
         receive(
             &mut harness,
             RESOLVER,
-            &dns_answer(&asked, 9, &[("e9", 7, 0)]),
+            &dns_answer(&query, 9, &[("e9", 7, 0)]),
         );
         assert_eq!(
             forwarded_to(&mut harness, 1),
@@ -80,40 +86,41 @@
     }
 }
 
-/// A name service that lags behind the former one must not bring back what that one removed, and catches up within some
-/// seconds; one that counts by itself never does.
+/// After a reload, the new name service may lag behind the former one, and must not bring back executors that the former one
+/// removed. A lagging service catches up within seconds. A service with an independent serial number never does, so its lower serial
+/// numbers are accepted after that time.
 #[test]
-fn a_name_service_that_counts_from_lower_is_heard_once_it_cannot_be_one_that_lags() {
+fn lower_serial_numbers_of_a_new_name_service_are_accepted_once_it_cannot_be_lagging() {
     let mut harness = Harness::new(1);
     let other = "127.9.0.3:1053";
     harness.platform.use_resolver(harness.now, address(other));
     harness.run_effects();
-    let mut heard_after = None;
+    let mut accepted_after = None;
     for step in 0..60 {
-        let asked = last_query(&harness);
-        receive(&mut harness, other, &dns_answer(&asked, 1, &[("e8", 8, 0)]));
+        let query = last_query(&harness);
+        receive(&mut harness, other, &dns_answer(&query, 1, &[("e8", 8, 0)]));
         if forwarded_to(&mut harness, step) == Some(address("127.1.0.8:6565")) {
-            heard_after = Some(step);
+            accepted_after = Some(step);
             break;
         }
         harness.advance(SECOND / 2);
     }
-    let heard_after = heard_after.expect("heard within half a minute");
+    let accepted_after = accepted_after.expect("accepted within half a minute");
     assert!(
-        heard_after >= 10,
-        "it could still lag: {heard_after} half seconds"
+        accepted_after >= 10,
+        "the service could still be lagging: accepted after {accepted_after} half seconds"
     );
 }
 
 #[test]
-fn a_name_service_that_lags_brings_nothing_back() {
+fn a_lagging_name_service_does_not_restore_an_earlier_list() {
     let mut harness = Harness::new(1);
     let other = "127.9.0.3:1053";
     harness.platform.use_resolver(harness.now, address(other));
     harness.run_effects();
-    // Behind for 4 s, then level, in turn: it never brings an earlier list into force.
+    // The service alternates: 4 s behind, then 1 s up to date. Its earlier list must never be applied.
     for step in 0..60u64 {
-        let asked = last_query(&harness);
+        let query = last_query(&harness);
         let (serial, name, last) = if step % 10 < 8 {
             (1, "e8", 8)
         } else {
@@ -122,7 +129,7 @@
         receive(
             &mut harness,
             other,
-            &dns_answer(&asked, serial, &[(name, last, 0)]),
+            &dns_answer(&query, serial, &[(name, last, 0)]),
         );
         assert_ne!(
             forwarded_to(&mut harness, step),
@@ -133,19 +140,23 @@
 }
 
 #[test]
-fn nothing_is_written_to_the_former_address_of_an_executor_that_moved_during_a_connect() {
+fn nothing_is_written_to_the_former_address_of_an_executor_that_moves_during_a_connect() {
     let mut harness = Harness::new(1);
-    let asked = harness.next_discovery_query();
+    let query = harness.next_discovery_query();
     let client = harness.connect_client();
     harness.receive(client, &query_request("load", &request_id(1), ""));
     let (former, _) = harness.connects.remove(0);
     receive(
         &mut harness,
         RESOLVER,
-        &dns_answer(&asked, 9, &[("e1", 7, 0)]),
+        &dns_answer(&query, 9, &[("e1", 7, 0)]),
     );
     harness.handle_io(IoEvent::Connected(former));
-    assert_eq!(harness.take_written(former), "", "written where it was");
+    assert_eq!(
+        harness.take_written(former),
+        "",
+        "written to the former address"
+    );
     let (current, to) = harness.connects.remove(0);
     assert_eq!(to, address("127.1.0.7:6565"));
     harness.handle_io(IoEvent::Connected(current));
@@ -153,12 +164,12 @@
     assert_eq!(
         harness.platform.violation_counts().total(),
         0,
-        "a guard had to hold it back"
+        "an invariant check had to stop the write"
     );
 }
 
 #[test]
-fn listening_goes_on_after_idle_clients_are_closed_though_the_process_was_suspended() {
+fn the_listener_stays_open_after_idle_clients_are_closed_even_if_the_process_was_suspended() {
     let mut harness = Harness::new(1);
     let (idle, executor, _) = harness.forward_query("look", &request_id(1));
     harness.receive(
@@ -167,21 +178,24 @@
     );
     harness.platform.begin_shutdown(harness.now);
     harness.run_effects();
-    // Suspended for 2 s: the timers of both phases are due in one turn.
+    // The process is suspended for 2 s, so that the timers of both shutdown phases are due in one turn of the event loop.
     harness.now += 2 * SECOND;
     harness.platform.handle_timers(harness.now);
     harness.run_effects();
     assert!(harness.closed.contains(&idle));
-    assert!(harness.listening, "a request may cross that close");
+    assert!(
+        harness.listening,
+        "a client whose connection was closed may reconnect"
+    );
     harness.advance(150_000);
     assert!(!harness.listening);
 }
 
-/// Of 60 queries, how many go to an executor that a list adds beside another with this start time.
+/// A new list adds a second executor with this start time; returns how many of 60 queries are sent to it.
 fn queries_to_an_added_executor(started_ms: i64) -> usize {
     let mut harness = Harness::new(1);
-    let asked = harness.next_discovery_query();
-    let mut answer = dns_answer(&asked, 9, &[("e1", 1, 0), ("e2", 2, 0)]);
+    let query = harness.next_discovery_query();
+    let mut answer = dns_answer(&query, 9, &[("e1", 1, 0), ("e2", 2, 0)]);
     for record in &mut answer.additionals {
         if matches!(record.data, RData::TXT(_)) && record.name.to_string().starts_with("e2") {
             let started = format!("started={started_ms}");
@@ -197,32 +211,32 @@
             executor,
             &format!("{} HIT pages=1,cost=100.0 0\r\n\r\n", request_id(n)),
         );
-        let asked_at = harness.executor_address(executor);
-        count += usize::from(asked_at == Some(address("127.1.0.2:6565")));
+        let address_used = harness.executor_address(executor);
+        count += usize::from(address_used == Some(address("127.1.0.2:6565")));
     }
     count
 }
 
 #[test]
 fn slow_start_of_an_added_executor_does_not_depend_on_the_wall_clock() {
-    // The harness starts at second 1,000 of its clock, and the list comes 0.26 s later.
+    // The clock of the harness starts at 1,000 s, and the list arrives 0.26 s later.
     let now_ms = 1_000_000;
-    let right = queries_to_an_added_executor(now_ms + 200);
+    let correct = queries_to_an_added_executor(now_ms + 200);
     let hour_ms = 3_600_000;
     for (clock, started_ms) in [
         ("ahead", now_ms - hour_ms + 1),
         ("behind", now_ms + hour_ms),
     ] {
-        let wrong = queries_to_an_added_executor(started_ms.max(1));
+        let skewed = queries_to_an_added_executor(started_ms.max(1));
         assert!(
-            wrong.abs_diff(right) <= 3,
-            "wall clock {clock}: {wrong} of 60, {right} by the right clock"
+            skewed.abs_diff(correct) <= 3,
+            "wall clock {clock}: {skewed} of 60, {correct} with a correct clock"
         );
     }
 }
 
-/// A controller of a fleet, with one executor that has just started and whose connects take long.
-fn fleet_member(index: u32, count: u32) -> Harness {
+/// One of `count` controllers, with an executor that has just started and to which connects take long.
+fn controller_with_cold_executor(index: u32, count: u32) -> Harness {
     let mut executor = executor_entry("e1", 1, "ready");
     executor["started_ms"] = 1.into();
     let mut text: serde_json::Value =
@@ -230,7 +244,7 @@
     let settings = &mut text["settings"];
     settings["balancers"] = count.into();
     settings["me"] = index.into();
-    // Late answers are wanted too, so that nothing is given up while it waits for its connect.
+    // Late responses still have a value, so that no query is abandoned while it waits for a connection.
     settings["grades"][0]["late_value"] = 0.9.into();
     settings["ceilings"]["connect_timeout_us"] = (3 * SECOND).into();
     settings["family_info"]["tells_every_us"] = 0.into();
@@ -238,8 +252,8 @@
     Harness::with_config(&text.to_string())
 }
 
-fn send_burst(harness: &mut Harness, first: u64) {
-    for n in first..first + 12 {
+fn send_burst(harness: &mut Harness, first_id: u64) {
+    for n in first_id..first_id + 12 {
         let client = harness.connect_client();
         let request = query_request("look", &request_id(n), "")
             .replace("Cost-Ms: 100.0", "Cost-Ms: 250.0")
@@ -248,7 +262,7 @@
     }
 }
 
-/// Takes the requests that were written to the executor, and answers them; how many there were.
+/// Answers the requests that were written to the executor and returns their number.
 fn serve_requests(harness: &mut Harness) -> usize {
     let mut served = 0;
     while let Some((connection, text)) = harness.take_request() {
@@ -262,32 +276,35 @@
     served
 }
 
-/// A burst is sent to an executor in slow start within its budget, and its connects come up late, together; another burst comes
-/// as the budget of the next window allows it. Both must not be written within one window.
+/// Guards against an overload of an executor in slow start. Each controller dispatches a burst within the limit of the current
+/// window, but the connects complete late and all together, when the next window admits another burst. The two bursts must not both be
+/// written in one window.
 #[test]
-fn connects_that_come_up_together_do_not_add_up_at_an_executor_in_slow_start() {
+fn connects_that_complete_together_do_not_exceed_the_limit_of_an_executor_in_slow_start() {
     for count in [20, 40, 60] {
-        let mut fleet: Vec<Harness> = (0..count).map(|index| fleet_member(index, count)).collect();
+        let mut controllers: Vec<Harness> = (0..count)
+            .map(|index| controller_with_cold_executor(index, count))
+            .collect();
         let mut written = 0;
-        for harness in &mut fleet {
+        for harness in &mut controllers {
             harness.advance(SECOND / 2);
             send_burst(harness, 1);
             harness.advance(SECOND * 15 / 10);
             harness.complete_connects();
-            let late = serve_requests(harness);
-            assert!(late > 0, "of {count} controllers");
+            let first_burst = serve_requests(harness);
+            assert!(first_burst > 0, "of {count} controllers");
             harness.advance(SECOND / 10);
             send_burst(harness, 100);
             harness.complete_connects();
-            written += late + serve_requests(harness);
+            written += first_burst + serve_requests(harness);
         }
-        // 10 x (0.4 + 0.6 x 0.21) x 8 cores x 1.5 s / 0.25 s = 252 requests at 2.1 s, and a margin of 2 x root of 252 + 2.
+        // The limit at 2.1 s is 10 x (0.4 + 0.6 x 0.21) x 8 cores x 1.5 s / 0.25 s = 252 requests; the margin is 2 x sqrt(252) + 2.
         assert!(written <= 285, "{written} of {count} controllers");
     }
 }
 
-/// A harness with a client and a connection that is kept to its executor, on which nothing can be written for now.
-fn harness_that_writes_nothing() -> (Harness, ConnId, ConnId) {
+/// A harness with a new client and an idle connection to the executor, on which writes accept no bytes until `write_limit` is reset.
+fn harness_with_blocked_writes() -> (Harness, ConnId, ConnId) {
     let mut harness = Harness::new(1);
     let (first, executor, _) = harness.forward_query("look", &request_id(1));
     harness.receive(
@@ -300,11 +317,10 @@
     (harness, client, executor)
 }
 
-/// The process is suspended between the decision to write a request and the write itself.
+/// The process is suspended after a request was queued for writing and before the write.
 #[test]
-fn a_request_that_was_not_written_as_the_process_was_suspended_is_written_anew_with_the_time_left()
-{
-    let (mut harness, client, executor) = harness_that_writes_nothing();
+fn a_request_queued_before_a_suspension_is_written_afterwards_with_the_remaining_time_limit() {
+    let (mut harness, client, executor) = harness_with_blocked_writes();
     harness.receive(client, &query_request("load", &request_id(2), ""));
     harness.write_limit = None;
     harness.now += SECOND;
@@ -312,7 +328,10 @@
         .platform
         .take_back_stale_output(harness.now, executor);
     harness.run_effects();
-    assert!(!harness.closed.contains(&executor), "it can still be used");
+    assert!(
+        !harness.closed.contains(&executor),
+        "the connection can still be used"
+    );
     let request = harness.take_written(executor);
     assert_eq!(request.matches("REQ ").count(), 1, "{request}");
     let limit = request
@@ -322,10 +341,11 @@
     assert_eq!(limit, Some("980"), "{request}");
 }
 
-/// The process is suspended there until the client's time is up: it is neither written nor a fault of the guard's.
+/// The process is suspended at the same point until the client's timeout has passed. The request is not written, and this is not
+/// counted as an invariant violation.
 #[test]
-fn a_request_whose_time_is_up_as_it_is_to_be_written_anew_is_not_written() {
-    let (mut harness, client, executor) = harness_that_writes_nothing();
+fn a_request_queued_before_a_suspension_is_not_written_after_its_deadline() {
+    let (mut harness, client, executor) = harness_with_blocked_writes();
     let request = query_request("look", &request_id(2), "");
     harness.receive(
         client,
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Answers of the name service, valid and ignored.
+//! Answers of the name service: which lists are applied and which are ignored.
 
 mod common;
 use common::*;
@@ -10,12 +10,19 @@
     address.parse().expect("an address")
 }
 
-/// The next query, sent to the name service at `to`.
+/// Waits for the next query of the controller, which must go to the name service at `to`.
 fn next_query(harness: &mut Harness, to: &str) -> Vec<u8> {
     harness.datagrams.clear();
     harness.advance(260_000);
-    let (port, asked, bytes) = harness.datagrams.last().expect("a query").clone();
-    assert_eq!((port, asked), (DatagramSocket::Discovery, address(to)));
+    let (socket, destination, bytes) = harness
+        .datagrams
+        .last()
+        .expect("a query to the name service")
+        .clone();
+    assert_eq!(
+        (socket, destination),
+        (DatagramSocket::Discovery, address(to))
+    );
     bytes
 }
 
@@ -27,7 +34,7 @@
     ));
 }
 
-/// Address that the next query is forwarded to; `None` if it is rejected.
+/// The address to which query `n` is forwarded; `None` if it is rejected.
 fn forwarded_to(harness: &mut Harness, n: u64) -> Option<SocketAddr> {
     let client = harness.connect_client();
     harness.connects.clear();
@@ -40,11 +47,11 @@
     let mut harness = Harness::new(1);
     let (_, old, _) = harness.forward_query("look", &request_id(1));
     harness.receive(old, &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)));
-    let asked = next_query(&mut harness, RESOLVER);
+    let query = next_query(&mut harness, RESOLVER);
     receive(
         &mut harness,
         RESOLVER,
-        &dns_answer(&asked, 4, &[("e9", 1, 0)])
+        &dns_answer(&query, 4, &[("e9", 1, 0)])
             .to_vec()
             .expect("bytes"),
     );
@@ -57,11 +64,11 @@
         Some(address("127.1.0.1:6565"))
     );
     // A draining executor gets no new queries.
-    let asked = next_query(&mut harness, RESOLVER);
+    let query = next_query(&mut harness, RESOLVER);
     receive(
         &mut harness,
         RESOLVER,
-        &dns_answer(&asked, 5, &[("e9", 1, 1)])
+        &dns_answer(&query, 5, &[("e9", 1, 1)])
             .to_vec()
             .expect("bytes"),
     );
@@ -69,59 +76,60 @@
 }
 
 #[test]
-fn old_incomplete_and_unsolicited_answers_change_nothing() {
+fn old_incomplete_and_unsolicited_answers_are_ignored() {
     let mut harness = Harness::new(1);
-    let elsewhere = [("e9", 7, 0)];
-    let asked = next_query(&mut harness, RESOLVER);
-    let good = dns_answer(&asked, 9, &elsewhere);
+    let other_executors = [("e9", 7, 0)];
+    let query = next_query(&mut harness, RESOLVER);
+    let valid = dns_answer(&query, 9, &other_executors);
     let bytes = |m: &Message| m.to_vec().expect("bytes");
-    let changed = |change: &dyn Fn(&mut Message)| {
-        let mut m = good.clone();
+    let modified = |change: &dyn Fn(&mut Message)| {
+        let mut m = valid.clone();
         change(&mut m);
         bytes(&m)
     };
-    let bad: Vec<Vec<u8>> = vec![
-        bytes(&dns_answer(&asked, 3, &elsewhere)),
-        bytes(&dns_answer(&asked, 2, &elsewhere)),
-        changed(&|m| m.metadata.id ^= 1),
-        changed(&|m| m.metadata.truncation = true),
-        changed(&|m| m.metadata.response_code = ResponseCode::ServFail),
-        changed(&|m| m.queries.clear()),
-        changed(&|m| m.authorities.clear()),
-        changed(&|m| m.additionals.clear()),
-        asked.clone(),
+    let ignored: Vec<Vec<u8>> = vec![
+        bytes(&dns_answer(&query, 3, &other_executors)),
+        bytes(&dns_answer(&query, 2, &other_executors)),
+        modified(&|m| m.metadata.id ^= 1),
+        modified(&|m| m.metadata.truncation = true),
+        modified(&|m| m.metadata.response_code = ResponseCode::ServFail),
+        modified(&|m| m.queries.clear()),
+        modified(&|m| m.authorities.clear()),
+        modified(&|m| m.additionals.clear()),
+        query.clone(),
         Vec::new(),
         b"noise".to_vec(),
-        // A compressed name that points at itself.
-        [&asked[..12], &[0xc0, 12, 0, 33, 0, 1]].concat(),
+        // A compressed name whose pointer refers to itself.
+        [&query[..12], &[0xc0, 12, 0, 33, 0, 1]].concat(),
     ];
-    for answer in &bad {
+    for answer in &ignored {
         receive(&mut harness, RESOLVER, answer);
     }
-    let whole = bytes(&good);
-    for cut in 0..whole.len() {
-        receive(&mut harness, RESOLVER, &whole[..cut]);
+    let complete = bytes(&valid);
+    for length in 0..complete.len() {
+        receive(&mut harness, RESOLVER, &complete[..length]);
     }
-    receive(&mut harness, "127.9.0.2:1053", &whole);
+    receive(&mut harness, "127.9.0.2:1053", &complete);
     assert_eq!(
         forwarded_to(&mut harness, 1),
         Some(address("127.1.0.1:6565"))
     );
     // The unchanged answer is accepted.
-    receive(&mut harness, RESOLVER, &whole);
+    receive(&mut harness, RESOLVER, &complete);
     assert_eq!(
         forwarded_to(&mut harness, 2),
         Some(address("127.1.0.7:6565"))
     );
 }
 
-/// What the former service sent counts as told, whoever is asked by then; the new one may lag behind.
+/// Executors that the former name service reported as draining or removed must not be used after a reload, even if the new name
+/// service lags behind.
 #[test]
-fn after_a_reload_the_new_name_service_is_queried_at_once_and_answers_of_both_count_by_their_numbers(
-) {
+fn after_a_reload_the_new_name_service_is_queried_at_once_and_serial_numbers_order_answers_of_both()
+{
     const NEW: &str = "127.9.0.3:1053";
     let mut harness = Harness::new(1);
-    let asked = next_query(&mut harness, RESOLVER);
+    let former_query = next_query(&mut harness, RESOLVER);
     let list = |query: &[u8], serial, name, last| {
         let answer = dns_answer(query, serial, &[(name, last, 0)]);
         answer.to_vec().expect("bytes")
@@ -129,40 +137,48 @@
     harness.datagrams.clear();
     harness.platform.use_resolver(harness.now, address(NEW));
     harness.run_effects();
-    let (_, to, again) = harness.datagrams.last().expect("asked at once").clone();
+    let (_, to, new_query) = harness
+        .datagrams
+        .last()
+        .expect("a query sent at once")
+        .clone();
     assert_eq!(to, address(NEW));
-    // Neither the former service nor another may answer what the new one was asked, and nobody what nobody was asked.
-    receive(&mut harness, RESOLVER, &list(&again, 9, "e9", 7));
-    receive(&mut harness, "127.9.0.4:1053", &list(&asked, 9, "e9", 7));
-    receive(&mut harness, NEW, &list(&asked, 9, "e9", 7));
+    // An answer is accepted only from the service that was sent the query.
+    receive(&mut harness, RESOLVER, &list(&new_query, 9, "e9", 7));
+    receive(
+        &mut harness,
+        "127.9.0.4:1053",
+        &list(&former_query, 9, "e9", 7),
+    );
+    receive(&mut harness, NEW, &list(&former_query, 9, "e9", 7));
     assert_eq!(
         forwarded_to(&mut harness, 1),
         Some(address("127.1.0.1:6565"))
     );
-    receive(&mut harness, RESOLVER, &list(&asked, 9, "e9", 7));
+    receive(&mut harness, RESOLVER, &list(&former_query, 9, "e9", 7));
     assert_eq!(
         forwarded_to(&mut harness, 2),
         Some(address("127.1.0.7:6565"))
     );
-    // The serial number stays: the new service is heard once it has caught up.
+    // The highest serial number is kept: the list of the new service is applied once its serial number is higher.
     for serial in [3, 4, 8, 9] {
-        receive(&mut harness, NEW, &list(&again, serial, "e8", 8));
+        receive(&mut harness, NEW, &list(&new_query, serial, "e8", 8));
         assert_eq!(
             forwarded_to(&mut harness, 10 + u64::from(serial)),
             Some(address("127.1.0.7:6565")),
             "serial {serial}"
         );
     }
-    receive(&mut harness, NEW, &list(&again, 10, "e8", 8));
+    receive(&mut harness, NEW, &list(&new_query, 10, "e8", 8));
     assert_eq!(
         forwarded_to(&mut harness, 3),
         Some(address("127.1.0.8:6565"))
     );
 }
 
-/// A name service that counts by itself makes the numbers of the former one worth nothing.
+/// Once the lower serial numbers of a new name service are accepted, those of the former service cannot be compared with them.
 #[test]
-fn a_former_name_service_is_not_heard_any_more_once_the_new_one_counts_from_lower() {
+fn a_former_name_service_is_ignored_once_lower_serial_numbers_of_a_new_one_are_accepted() {
     const NEW: &str = "127.9.0.3:1053";
     let mut harness = Harness::new(1);
     harness.platform.use_resolver(harness.now, address(NEW));
@@ -174,23 +190,27 @@
     }
     let expected = Some(address("127.1.0.8:6565"));
     assert_eq!(forwarded_to(&mut harness, 1), expected);
-    let asked = next_query(&mut harness, NEW);
+    let last_query = next_query(&mut harness, NEW);
     harness
         .platform
         .use_resolver(harness.now, address(RESOLVER));
     harness.run_effects();
-    let answer = dns_answer(&asked, 9, &[("e9", 9, 0)]);
+    let answer = dns_answer(&last_query, 9, &[("e9", 9, 0)]);
     receive(&mut harness, RESOLVER, &answer.to_vec().expect("bytes"));
-    assert_eq!(forwarded_to(&mut harness, 2), expected, "not asked for");
+    assert_eq!(
+        forwarded_to(&mut harness, 2),
+        expected,
+        "an answer to a query that was sent to another service"
+    );
 }
 
-/// A former service has answered with the current number, and each of its answers began the ten seconds anew after which the new one's
-/// lower numbers count: twelve seconds on, its list was not in force yet.
+/// Regression test: lower serial numbers of a new name service are accepted after ten seconds. Late answers of the former service with
+/// the current serial number restarted that period, so that the list of the new service was not applied after twelve seconds.
 #[test]
-fn answers_of_a_former_name_service_do_not_put_off_a_new_one_that_counts_from_lower() {
+fn answers_of_a_former_name_service_do_not_delay_accepting_lower_serial_numbers_of_a_new_one() {
     const NEW: &str = "127.9.0.3:1053";
     let mut harness = Harness::new(1);
-    let former: Vec<Vec<u8>> = (0..12)
+    let former_queries: Vec<Vec<u8>> = (0..12)
         .map(|_| next_query(&mut harness, RESOLVER))
         .collect();
     harness.platform.use_resolver(harness.now, address(NEW));
@@ -199,8 +219,8 @@
         let query = next_query(&mut harness, NEW);
         let answer = dns_answer(&query, 1, &[("e8", 8, 0)]);
         receive(&mut harness, NEW, &answer.to_vec().expect("bytes"));
-        if let Some(asked) = former.get(turn / 4).filter(|_| turn % 4 == 0) {
-            let answer = dns_answer(asked, 3, &[("e1", 1, 0)]);
+        if let Some(former_query) = former_queries.get(turn / 4).filter(|_| turn % 4 == 0) {
+            let answer = dns_answer(former_query, 3, &[("e1", 1, 0)]);
             receive(&mut harness, RESOLVER, &answer.to_vec().expect("bytes"));
         }
         harness.advance(125_000);
@@ -209,41 +229,41 @@
     assert_eq!(forwarded_to(&mut harness, 1), expected);
 }
 
-/// Whichever record comes first.
+/// The order of the records in the answer does not matter.
 #[test]
-fn an_executor_that_stands_twice_in_a_list_takes_no_work_if_either_record_says_so() {
+fn an_executor_listed_twice_is_draining_if_either_record_says_so() {
     for priorities in [[0, 1], [1, 0]] {
         let mut harness = Harness::new(1);
-        let asked = next_query(&mut harness, RESOLVER);
+        let query = next_query(&mut harness, RESOLVER);
         let records = priorities.map(|priority| ("e1", 1, priority));
-        let answer = dns_answer(&asked, 4, &records);
+        let answer = dns_answer(&query, 4, &records);
         receive(&mut harness, RESOLVER, &answer.to_vec().expect("bytes"));
         assert_eq!(forwarded_to(&mut harness, 1), None, "{priorities:?}");
     }
 }
 
-/// It is the same number for the policy, whatever became of it before.
+/// The policy knows the executor by the same number as before it was removed.
 #[test]
-fn an_executor_that_was_gone_and_is_back_under_its_name_can_drain_again() {
+fn an_executor_that_was_removed_and_listed_again_can_drain_again() {
     let mut harness = Harness::new(1);
     let mut serial = 4;
-    let mut tell = |harness: &mut Harness, executors: &[(&str, u8, u16)]| {
-        let asked = next_query(harness, RESOLVER);
-        let answer = dns_answer(&asked, serial, executors);
+    let mut publish = |harness: &mut Harness, executors: &[(&str, u8, u16)]| {
+        let query = next_query(harness, RESOLVER);
+        let answer = dns_answer(&query, serial, executors);
         receive(harness, RESOLVER, &answer.to_vec().expect("bytes"));
         serial += 1;
     };
     for round in 0..3 {
-        tell(&mut harness, &[("e1", 1, 1)]);
-        assert_eq!(forwarded_to(&mut harness, 10 * round + 1), None, "drains");
-        tell(&mut harness, &[]);
-        assert_eq!(forwarded_to(&mut harness, 10 * round + 2), None, "gone");
-        // Its former address has another one now.
-        tell(&mut harness, &[("e2", 1, 1), ("e1", 3, 0)]);
+        publish(&mut harness, &[("e1", 1, 1)]);
+        assert_eq!(forwarded_to(&mut harness, 10 * round + 1), None, "draining");
+        publish(&mut harness, &[]);
+        assert_eq!(forwarded_to(&mut harness, 10 * round + 2), None, "removed");
+        // Another executor now has its former address.
+        publish(&mut harness, &[("e2", 1, 1), ("e1", 3, 0)]);
         assert_eq!(
             forwarded_to(&mut harness, 10 * round + 3),
             Some(address("127.1.0.3:6565")),
-            "back"
+            "listed again"
         );
     }
 }
--- a/crates/platform/tests/executors.rs
+++ b/crates/platform/tests/executors.rs
@@ -1,4 +1,4 @@
-//! Valid and invalid responses of executors, and connections to them that fail.
+//! Connections to executors: valid and invalid responses, cancellations, retries and failing connections.
 
 mod common;
 use common::*;
@@ -11,45 +11,45 @@
     )
 }
 
-/// Each invalid response closes its connection, and is never forwarded to the client.
+/// An invalid response is never forwarded to the client.
 #[test]
 fn an_invalid_response_closes_its_connection_and_an_idempotent_query_is_retried() {
-    let one = request_id(1);
-    let spoilt: &[String] = &[
+    let id = request_id(1);
+    let invalid: &[String] = &[
         "noise\r\n".into(),
         "\r\n".into(),
         "\n".into(),
-        format!("{one} HIT pages=1 6\na\t1\tx\n\r\n"),
-        format!("{one} HIT pages=1 3000000000\r\na\t1\tx\n"),
-        format!("{one} HIT pages=1 -6\r\na\t1\tx\n\r\n"),
-        format!("{one} HIT pages=1 5\r\na\t1\tx\n\r\n"),
-        format!("{one} HIT pages=1 7\r\na\t1\tx\n\r\n\r\n"),
-        format!("{one} HIT pages 6\r\na\t1\tx\n\r\n"),
-        format!("{one} HIT pages=0 6\r\na\t1\tx\n\r\n"),
-        format!("{one} HIT pages=1e9 6\r\na\t1\tx\n\r\n"),
-        format!("{one} HIT pages=1 4\r\na\t1\n\r\n"),
-        format!("{one} HIT pages=1 5\r\na\t1\tx\r\n"),
-        format!("{one} WHAT - 0\r\n\r\n"),
-        format!("{one} HIT {}", "x".repeat(2000)),
+        format!("{id} HIT pages=1 6\na\t1\tx\n\r\n"),
+        format!("{id} HIT pages=1 3000000000\r\na\t1\tx\n"),
+        format!("{id} HIT pages=1 -6\r\na\t1\tx\n\r\n"),
+        format!("{id} HIT pages=1 5\r\na\t1\tx\n\r\n"),
+        format!("{id} HIT pages=1 7\r\na\t1\tx\n\r\n\r\n"),
+        format!("{id} HIT pages 6\r\na\t1\tx\n\r\n"),
+        format!("{id} HIT pages=0 6\r\na\t1\tx\n\r\n"),
+        format!("{id} HIT pages=1e9 6\r\na\t1\tx\n\r\n"),
+        format!("{id} HIT pages=1 4\r\na\t1\n\r\n"),
+        format!("{id} HIT pages=1 5\r\na\t1\tx\r\n"),
+        format!("{id} WHAT - 0\r\n\r\n"),
+        format!("{id} HIT {}", "x".repeat(2000)),
     ];
-    for answer in spoilt {
+    for answer in invalid {
         for class in ["look", "load"] {
             let mut harness = Harness::new(1);
-            let (client, executor, _) = harness.forward_query(class, &one);
+            let (client, executor, _) = harness.forward_query(class, &id);
             harness.receive(executor, answer);
             assert!(harness.closed.contains(&executor), "{answer:?}");
             harness.advance(30_000);
-            let again = harness.complete_connects();
-            assert_eq!(again.len(), usize::from(class == "look"), "{answer:?}");
-            match again.first() {
+            let retries = harness.complete_connects();
+            assert_eq!(retries.len(), usize::from(class == "look"), "{answer:?}");
+            match retries.first() {
                 Some(other) => {
                     assert!(harness
                         .take_written(*other)
-                        .starts_with(&format!("REQ {one} ")));
+                        .starts_with(&format!("REQ {id} ")));
                     harness.receive(*other, &hit(1));
                     assert_eq!(status(&harness.take_written(client)), 200);
                 }
-                // It may have run, and must not run twice.
+                // The query may have run and must not run twice.
                 None => assert_eq!(status(&harness.take_written(client)), 500, "{answer:?}"),
             }
         }
@@ -58,10 +58,10 @@
 
 #[test]
 fn an_incomplete_response_is_abandoned_long_before_the_deadline() {
-    for begun in ["HIT pages=1 600\r\na\t1", "HIT pages=2 6\r\na\t1\tx\n\r\n"] {
+    for start in ["HIT pages=1 600\r\na\t1", "HIT pages=2 6\r\na\t1\tx\n\r\n"] {
         let mut harness = Harness::new(1);
         let (_, executor, _) = harness.forward_query("look", &request_id(1));
-        harness.receive(executor, &format!("{} {begun}", request_id(1)));
+        harness.receive(executor, &format!("{} {start}", request_id(1)));
         harness.advance(400_000);
         assert!(!harness.closed.contains(&executor));
         harness.advance(300_000);
@@ -94,12 +94,12 @@
 }
 
 #[test]
-fn queries_that_did_not_run_are_rejected_and_others_fail() {
+fn queries_that_did_not_run_are_rejected_and_failed_ones_get_an_error() {
     for (word, expected) in [("SHED", 503), ("LATE", 503), ("FAULT", 500)] {
         let mut harness = Harness::new(1);
         let (client, executor, _) = harness.forward_query("load", &request_id(1));
         harness.receive(executor, &format!("{} {word} - 0\r\n\r\n", request_id(1)));
-        // Rejected and late requests are retried a few times.
+        // Requests that were rejected or reached the executor too late are retried a few times.
         for _ in 0..3 {
             harness.advance(100_000);
             if harness.take_written(executor).contains("REQ ") {
@@ -112,54 +112,54 @@
 }
 
 #[test]
-fn a_refused_or_hung_connect_means_that_nothing_ran() {
-    for hangs in [false, true] {
+fn a_query_whose_connect_is_refused_or_times_out_may_be_retried_by_its_client() {
+    for times_out in [false, true] {
         let mut harness = Harness::new(1);
         let client = harness.connect_client();
         harness.receive(client, &query_request("load", &request_id(1), ""));
-        let (conn, _) = harness.connects.remove(0);
-        if hangs {
+        let (connection, _) = harness.connects.remove(0);
+        if times_out {
             harness.advance(240_000);
-            assert!(!harness.closed.contains(&conn));
+            assert!(!harness.closed.contains(&connection));
             harness.advance(20_000);
         } else {
             harness.handle_io(IoEvent::Broken {
-                id: conn,
+                id: connection,
                 writing: true,
                 cause: BreakCause::ConnectRefused,
                 reason: "refused",
             });
         }
-        assert!(harness.closed.contains(&conn));
+        assert!(harness.closed.contains(&connection));
         let answer = harness.take_written(client);
         assert!(answer.is_empty() || answer.contains("TryLater"), "{answer}");
     }
 }
 
-/// Regression test: a retry overtook the cancellation of the first attempt.
+/// Regression test: a retry was sent on another connection and overtook the cancellation of the first attempt.
 #[test]
 fn a_retry_at_the_same_executor_follows_the_cancellation() {
     let mut harness = Harness::new(1);
     let (_, spare, _) = harness.forward_query("look", &request_id(1));
     let (_, executor, _) = harness.forward_query("look", &request_id(2));
     assert_ne!(spare, executor);
-    // The other connection becomes idle, and would be preferred.
+    // The other connection becomes idle, and would be preferred for a new request.
     harness.advance(100_000);
     harness.receive(spare, &hit(1));
     harness.advance(600_000);
-    // Far behind its estimate, for which the policy retries it.
+    // The reported progress is far behind the estimate, so that the policy retries the query.
     harness.receive(
         executor,
         &format!("{} INFO tell=pct,v=0.01 0\r\n\r\n", request_id(2)),
     );
     harness.advance(300_000);
-    let said = harness.take_written(executor);
+    let written = harness.take_written(executor);
     assert!(
-        said.starts_with(&format!("STOP {0}\r\nREQ {0} ", request_id(2))),
-        "{said}"
+        written.starts_with(&format!("STOP {0}\r\nREQ {0} ", request_id(2))),
+        "{written}"
     );
     assert_eq!(harness.take_written(spare), "");
-    // Whichever of the two attempts this belongs to, the other one is cancelled.
+    // Both attempts have the same id, so the response may belong to either; the other attempt is cancelled.
     harness.receive(executor, &hit(2));
     assert_eq!(
         harness.take_written(executor),
@@ -167,21 +167,25 @@
     );
 }
 
-/// Regression test: executors whose connections broke as they came up were taken for dead, and then for restarted.
+/// Regression test: an executor whose connections failed as they were established was considered dead, and afterwards restarted.
 #[test]
-fn a_connection_that_breaks_as_it_comes_up_does_not_count_against_its_executor() {
+fn a_connection_lost_as_it_is_established_does_not_count_as_a_failure_of_its_executor() {
     let mut harness = Harness::new(1);
     let client = harness.connect_client();
     harness.receive(client, &query_request("load", &request_id(1), ""));
     for _ in 0..3 {
-        let (conn, _) = harness.connects.remove(0);
+        let (connection, _) = harness.connects.remove(0);
         harness.handle_io(IoEvent::Broken {
-            id: conn,
+            id: connection,
             writing: true,
             cause: BreakCause::Broken,
             reason: "reset",
         });
-        assert_eq!(harness.connects.len(), 1, "no other connection at once");
+        assert_eq!(
+            harness.connects.len(),
+            1,
+            "no connect to replace the lost one"
+        );
     }
     let executor = harness.complete_connects()[0];
     assert!(harness.take_written(executor).starts_with("REQ "));
@@ -189,18 +193,18 @@
     assert_eq!(status(&harness.take_written(client)), 200);
 }
 
-/// The request is written to the idle connection at once.
+/// The request is written to an idle connection at once, without another connect.
 #[test]
-fn an_attempt_whose_connection_breaks_as_it_comes_up_uses_an_idle_one() {
+fn an_attempt_whose_connection_is_lost_as_it_is_established_uses_an_idle_one() {
     let mut harness = Harness::new(1);
-    let (_, resting, _) = harness.forward_query("look", &request_id(1));
+    let (_, idle, _) = harness.forward_query("look", &request_id(1));
     let client = harness.connect_client();
     harness.receive(client, &query_request("look", &request_id(2), ""));
-    let (fresh, _) = harness.connects.remove(0);
-    harness.receive(resting, &hit(1));
-    harness.take_written(resting);
+    let (connecting, _) = harness.connects.remove(0);
+    harness.receive(idle, &hit(1));
+    harness.take_written(idle);
     harness.handle_io(IoEvent::Broken {
-        id: fresh,
+        id: connecting,
         writing: true,
         cause: BreakCause::Broken,
         reason: "reset",
@@ -208,16 +212,16 @@
     assert!(
         harness.connects.is_empty()
             && harness
-                .take_written(resting)
+                .take_written(idle)
                 .starts_with(&format!("REQ {} ", request_id(2)))
     );
 }
 
 #[test]
-fn a_request_written_completely_may_have_run_and_a_partial_one_has_not() {
-    for (whole, expected) in [(true, 500), (false, 503)] {
+fn a_completely_written_request_may_have_run_and_a_partly_written_one_has_not() {
+    for (complete, expected) in [(true, 500), (false, 503)] {
         let mut harness = Harness::new(1);
-        harness.write_limit = (!whole).then_some(30);
+        harness.write_limit = (!complete).then_some(30);
         let client = harness.connect_client();
         harness.receive(client, &query_request("load", &request_id(1), ""));
         let executor = harness.complete_connects()[0];
@@ -233,7 +237,7 @@
     }
 }
 
-/// The executor drains while the request is in the output of its connection.
+/// The executor starts to drain while the request is in the output buffer of its connection.
 #[test]
 fn an_attempt_cancelled_before_its_first_byte_is_never_sent() {
     let mut harness = Harness::new(1);
@@ -253,7 +257,7 @@
 }
 
 #[test]
-fn connections_are_shared_where_descriptors_are_short() {
+fn requests_share_connections_when_descriptors_are_scarce() {
     let mut harness = Harness::with_config(&config(vec![executor_entry("e1", 1, "ready")], 64));
     let mut open: Vec<ConnId> = Vec::new();
     for n in 1..=16 {
@@ -274,7 +278,7 @@
 }
 
 #[test]
-fn executors_and_connections_that_come_and_go_leave_nothing_behind() {
+fn resources_of_removed_executors_and_closed_connections_are_released() {
     let mut harness = Harness::new(1);
     for n in 0..300u64 {
         let query = harness.next_discovery_query();
@@ -291,21 +295,22 @@
     assert_eq!(harness.closed.len(), 299);
     assert!(
         harness.platform.resources_in_use() <= 2,
-        "{} held",
+        "{} in use",
         harness.platform.resources_in_use()
     );
 }
 
-/// Until the executor knows of the reset, it still has the query whose cancellation was not sent.
+/// The cancellation was not sent before the connection was reset. Until the executor notices the reset, it still runs the first
+/// attempt.
 #[test]
-fn a_retry_waits_where_the_cancellation_was_lost_with_its_connection() {
+fn a_retry_is_delayed_if_the_cancellation_was_lost_with_its_connection() {
     let mut harness = Harness::new(1);
     let (_, spare, _) = harness.forward_query("look", &request_id(1));
     let (_, executor, _) = harness.forward_query("look", &request_id(2));
     harness.advance(100_000);
     harness.receive(spare, &hit(1));
     harness.advance(600_000);
-    // From here on nothing is written: the cancellation and the retry stay in the output.
+    // Writes accept no bytes from here on, so that the cancellation and the retry stay in the output buffer.
     harness.write_limit = Some(0);
     harness.receive(
         executor,
@@ -322,7 +327,7 @@
     harness.advance(19_000);
     assert!(
         harness.take_written(spare).is_empty() && harness.connects.is_empty(),
-        "a second copy beside the first one"
+        "the retry must not run beside the first attempt"
     );
     harness.advance(2_000);
     assert!(harness
@@ -349,16 +354,16 @@
         harness.connects[0].1,
         "127.1.0.7:6565".parse().expect("an address")
     );
-    // Attempts at the former address may still end, and no more are sent there.
+    // Attempts at the former address may still complete, and no new ones are sent there.
     harness.receive(busy, &hit(2));
     assert_eq!(status(&harness.take_written(other)), 200);
     assert!(harness.closed.contains(&busy));
 }
 
-/// A retry within the deduplication window when it was launched is outside the window when its connection comes up.
+/// A retry is started within the deduplication window, and its connection is established only after the window has ended.
 #[test]
-fn a_repeat_whose_window_closed_while_its_connection_came_up_is_not_written() {
-    for (waits, written) in [(50_000, true), (150_000, false)] {
+fn a_retry_whose_deduplication_window_ended_during_its_connect_is_not_written() {
+    for (delay, is_written) in [(50_000, true), (150_000, false)] {
         let mut text: serde_json::Value =
             serde_json::from_str(&config(vec![executor_entry("e1", 1, "ready")], 256))
                 .expect("JSON");
@@ -375,18 +380,18 @@
         });
         harness.advance(20_000);
         assert_eq!(harness.connects.len(), 1, "not retried");
-        harness.advance(waits);
-        let again = harness.complete_connects()[0];
+        harness.advance(delay);
+        let retry_connection = harness.complete_connects()[0];
         assert_eq!(
             harness
-                .take_written(again)
+                .take_written(retry_connection)
                 .starts_with(&format!("REQ {} ", request_id(1))),
-            written
+            is_written
         );
-        // All executors deduplicate, so that the client may retry.
+        // Deduplication covers all executors, so the client may retry.
         assert_eq!(
             status(&harness.take_written(client)),
-            if written { 0 } else { 503 }
+            if is_written { 0 } else { 503 }
         );
     }
 }
--- a/crates/platform/tests/interleavings/main.rs
+++ b/crates/platform/tests/interleavings/main.rs
@@ -1,5 +1,6 @@
-//! Random interleavings of events: clients that disconnect, connections that break, draining executors, duplicate responses and a
-//! shutdown, several of them in one turn. The invariants are checked by what crossed the connections, and detect injected faults.
+//! Property tests with random interleavings of events: disconnecting clients, failing connections, draining executors, duplicate
+//! responses and a shutdown, several of them in one turn of the event loop. The invariants are checked against the data that crossed
+//! the connections. Injected faults show that they detect violations.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -15,7 +16,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn events_in_any_order_keep_the_invariants(scenario in scenario()) {
+    fn the_invariants_hold_for_events_in_any_order(scenario in scenario()) {
         let violations = Simulation::new(None).run(&scenario);
         prop_assert!(violations.is_empty(), "{violations:#?}");
     }
--- a/crates/platform/tests/interleavings/simulation.rs
+++ b/crates/platform/tests/interleavings/simulation.rs
@@ -1,5 +1,5 @@
-//! Plays a scenario against a controller without sockets, and records what crossed its connections as evidence for the
-//! invariants.
+//! Runs a scenario against a controller without sockets, and records the data that crosses its connections as evidence for the
+//! invariant checks.
 
 mod executor_side;
 
@@ -14,19 +14,19 @@
 
 /// Names of the classes, by number.
 const CLASSES: [&str; 2] = ["look", "load"];
-/// The class whose queries must not run twice.
+/// Index of the class whose queries must not run twice.
 const AT_MOST_ONCE: usize = 1;
 /// Number of executors.
 const EXECUTORS: u8 = 3;
 
-/// A fault that is injected to see whether the invariants detect it.
+/// A fault that is injected to verify that the invariant checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
     /// Disconnects of clients are reported at the end of a turn.
     DisconnectsLast,
     /// Answers of the name service are lost.
     DiscoveryLost,
-    /// The controller forgets the ids that were sent to executors.
+    /// The controller forgets the request ids that it has sent to executors.
     RecentIdsForgotten,
     /// The listener closes when the shutdown begins.
     ListenerClosedEarly,
@@ -37,7 +37,7 @@
     harness: Harness,
     fault: Option<InjectedFault>,
     queries: Vec<Asked>,
-    /// The query of each client, as an index of `queries`.
+    /// The query of each client, as an index into `queries`.
     clients: BTreeMap<ConnId, usize>,
     executor_connections: BTreeMap<ConnId, ExecutorConnection>,
     log: Vec<Line>,
@@ -59,7 +59,7 @@
     format!("e{number}")
 }
 
-/// The key at this index among those whose value fulfils a condition, counted round.
+/// Selects a key among those whose value satisfies a condition; `index` is taken modulo their number.
 fn choose<K: Copy + Ord, V>(
     map: &BTreeMap<K, V>,
     index: usize,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Plays a scenario and a shutdown after it, during which clients still send queries; the invariants that were violated.
+    /// Runs a scenario and then a shutdown during which clients still send queries. Returns the violations of invariants.
     pub fn run(mut self, scenario: &[Turn]) -> Vec<String> {
         let start = self.harness.now;
         self.advance(300_000);
@@ -158,11 +158,11 @@
         let forwarded_late = self.harness.platform.abandonment_counts().forwarded_late;
         if forwarded_late > 0 {
             violations.push(format!(
-                "{forwarded_late} sent for clients that had disconnected"
+                "{forwarded_late} requests sent for clients that had disconnected"
             ));
         }
         if !self.harness.stopped {
-            violations.push("the controller does not end".to_string());
+            violations.push("the controller does not stop".to_string());
         }
         violations
     }
@@ -187,7 +187,7 @@
         self.harness.platform.handle_io(self.harness.now, event);
     }
 
-    /// Logs an event at an executor; `delay` orders what is sent in a turn after all that is received in it.
+    /// Logs an event at an executor. A `delay` orders data sent in a turn after all data received in it.
     fn log_event(&mut self, delay: i64, event: &str, engine: &str, query: &str) {
         let (t, by) = (self.harness.now + delay, "wheelfield/0".to_string());
         let (event, engine, query) = (
@@ -249,7 +249,7 @@
         }
     }
 
-    /// Only a query that has run may not run again under its id.
+    /// Repeats an at-most-once query that was served. It must not run again with the same id.
     fn repeat_served_query(&mut self, index: usize) {
         let is_served =
             |query: &Asked| query.class == AT_MOST_ONCE && query.end == Some(End::Served);
@@ -331,7 +331,7 @@
         });
     }
 
-    /// Ends a turn: timers are handled, and effects carried out.
+    /// Ends a turn of the event loop: handles due timers and executes effects.
     fn end_turn(&mut self) {
         self.harness.platform.handle_timers(self.harness.now);
         self.process_effects();
@@ -341,7 +341,7 @@
         self.process_effects();
     }
 
-    /// Carries out effects, and has clients and executors receive what was written to them.
+    /// Executes effects and delivers written data to clients and executors.
     fn process_effects(&mut self) {
         self.harness.run_effects();
         for (id, address) in &self.harness.connects {
@@ -402,7 +402,7 @@
                 .platform
                 .next_timer_at()
                 .filter(|at| *at <= until);
-            // Each turn has a time of its own.
+            // Each turn has a distinct time.
             self.harness.now = due.unwrap_or(until).max(self.harness.now + 10);
             self.end_turn();
             if due.is_none() {
--- a/crates/platform/tests/interleavings/simulation/executor_side.rs
+++ b/crates/platform/tests/interleavings/simulation/executor_side.rs
@@ -1,4 +1,4 @@
-//! The executors and the name service of a simulation.
+//! Simulated executors and the simulated name service.
 
 use super::{choose, executor_name, InjectedFault, Simulation};
 use crate::common::*;
@@ -6,17 +6,17 @@
 use wheelfield_invariants::{Line, NotUp};
 use wheelfield_sans_io::{ConnId, DatagramSocket, IoEvent};
 
-/// A connection to an executor, as the executor sees it.
+/// The executor's side of a connection.
 pub(super) struct ExecutorConnection {
     pub engine: String,
-    /// Ids of the requests that it has.
+    /// Ids of the requests in progress on this connection.
     pub running: Vec<String>,
-    /// Bytes received that are not parsed yet.
+    /// Received bytes that have not been parsed yet.
     pub input: Vec<u8>,
 }
 
 impl Simulation {
-    /// The name service answers the latest query with the published statuses.
+    /// Answers the latest query to the name service with the published statuses.
     pub(super) fn publish_list(&mut self) {
         let mut datagrams = self.harness.datagrams.iter().rev();
         let latest = datagrams.find(|(socket, ..)| *socket == DatagramSocket::Discovery);
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Logs the executors that are not up.
+    /// Logs the published list: the executors that are not up.
     fn log_list(&mut self) {
         let mut not_up = Vec::new();
         for (number, status) in &self.statuses {
@@ -72,7 +72,7 @@
         });
     }
 
-    /// A connection to an executor has ended, and with it the requests on it.
+    /// Removes a connection that has ended, and the requests in progress on it.
     pub(super) fn drop_executor_connection(&mut self, id: ConnId) {
         let Some(connection) = self.executor_connections.remove(&id) else {
             return;
--- a/crates/platform/tests/interleavings/steps.rs
+++ b/crates/platform/tests/interleavings/steps.rs
@@ -1,29 +1,29 @@
-//! Scenarios: random sequences of events outside the controller.
+//! Random scenarios: sequences of events outside the controller.
 
 use proptest::prelude::*;
 
-/// What an executor answers to a request.
+/// How an executor responds to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExecutorReply {
-    /// It was served.
+    /// A result.
     Served,
-    /// It was served, and the executor closes the connection right after the response.
+    /// A result, after which the executor closes the connection.
     ServedThenClosed,
-    /// The executor is full.
+    /// A rejection, because the executor is full.
     Rejected,
-    /// It failed.
+    /// An error of the request.
     Failed,
-    /// Its time limit had passed.
+    /// A rejection, because the time limit of the request has passed.
     TooLate,
-    /// It was served, and the response is sent twice.
+    /// A result that is sent twice.
     ServedTwice,
-    /// It goes on.
+    /// A progress report; the request is still running.
     Progress,
-    /// It was served, but the response is invalid.
+    /// An invalid response, although the request has run.
     Invalid,
 }
 
-/// The replies to draw from; a plain success is the most frequent one.
+/// The replies to choose from; plain success is twice as likely as any other.
 const REPLIES: [ExecutorReply; 9] = [
     ExecutorReply::Served,
     ExecutorReply::Served,
@@ -44,7 +44,7 @@
     Removed,
 }
 
-/// The statuses to draw from.
+/// The statuses to choose from.
 const STATUSES: [ListedStatus; 3] = [
     ListedStatus::Up,
     ListedStatus::Draining,
@@ -58,12 +58,12 @@
     Reset,
 }
 
-/// An event outside the controller. Numbers named `index` choose among what there is at that time.
+/// An event outside the controller. A field `index` selects, modulo their number, one of the objects that exist at that time.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// A new client sends a query of this class.
+    /// A new client sends a query.
     SendQuery { class: usize, timeout_ms: i64 },
-    /// A new client repeats an at-most-once query that was served, under its id.
+    /// A new client repeats an at-most-once query that was served, with the same id.
     RepeatServedQuery { index: usize },
     /// A client that waits for its response disconnects.
     DisconnectClient { index: usize, how: Disconnect },
--- a/crates/platform/tests/list_age.rs
+++ b/crates/platform/tests/list_age.rs
@@ -1,4 +1,5 @@
-//! What a list that has become too old holds up, for how long, and how often the name service is asked; without sockets.
+//! Tests without sockets of a controller whose executor list is too old: which requests wait for the name service, for how long, and
+//! how often the controller queries it.
 
 mod common;
 use common::*;
@@ -6,10 +7,10 @@
 
 const MILLISECOND: i64 = 1_000;
 const SECOND: i64 = 1_000_000;
-/// For how long new requests wait at most.
+/// Maximum time that new requests wait for a current list.
 const MAX_HOLD: i64 = SECOND;
 
-/// A controller with a connection to its executor, suspended for three seconds just now.
+/// A controller whose process has just resumed after a suspension of three seconds.
 fn resumed_harness(executors: u8) -> Harness {
     let mut harness = Harness::new(executors);
     harness.advance(SECOND);
@@ -21,11 +22,11 @@
 fn last_query(harness: &Harness) -> Vec<u8> {
     let mut sent = harness.datagrams.iter().rev();
     let query = sent.find(|(socket, ..)| *socket == DatagramSocket::Discovery);
-    query.expect("a query").2.clone()
+    query.expect("a query to the name service").2.clone()
 }
 
-/// A client that sends a query and waits for so many milliseconds.
-fn ask(harness: &mut Harness, class: &str, n: u64, timeout_ms: u32) -> ConnId {
+/// Sends a query with this timeout from a new client.
+fn send_query(harness: &mut Harness, class: &str, n: u64, timeout_ms: u32) -> ConnId {
     let client = harness.connect_client();
     let request = query_request(class, &request_id(n), "");
     let timeout = format!("X-Timeout-Ms: {timeout_ms}");
@@ -38,17 +39,21 @@
 }
 
 #[test]
-fn requests_after_a_gap_wait_for_an_answer_to_a_query_sent_since() {
+fn requests_after_a_suspension_wait_for_an_answer_to_a_query_sent_since() {
     let mut harness = resumed_harness(2);
-    let client = ask(&mut harness, "look", 1, 2_000);
-    assert!(harness.connects.is_empty(), "it waits");
-    let asked = last_query(&harness);
+    let client = send_query(&mut harness, "look", 1, 2_000);
+    assert!(harness.connects.is_empty(), "the request must wait");
+    let query = last_query(&harness);
     harness.advance(20 * MILLISECOND);
-    harness.receive_discovery_answer(&dns_answer(&asked, 4, &[("e1", 1, 1), ("e2", 2, 0)]));
-    let up = harness.complete_connects();
-    let address = harness.executor_address(up[0]).expect("a connect");
+    harness.receive_discovery_answer(&dns_answer(&query, 4, &[("e1", 1, 1), ("e2", 2, 0)]));
+    let connections = harness.complete_connects();
+    let address = harness
+        .executor_address(connections[0])
+        .expect("a connection to an executor");
     assert_eq!(address.to_string(), "127.1.0.2:6565");
-    let (executor, _) = harness.take_request().expect("sent");
+    let (executor, _) = harness
+        .take_request()
+        .expect("a request written to an executor");
     harness.receive(
         executor,
         &format!("{} HIT pages=1 0\r\n\r\n", request_id(1)),
@@ -56,121 +61,134 @@
     assert_eq!(status_of(&mut harness, client), 200);
 }
 
-/// A confirmation ends the wait as a newer list does; an older one, or one that was asked for before, does not.
+/// An answer with the current list ends the wait, as a newer list does. An older list does not, nor does an answer to a query sent
+/// before the suspension.
 #[test]
-fn only_a_list_asked_for_since_the_gap_ends_the_wait() {
+fn only_an_answer_to_a_query_sent_since_the_suspension_ends_the_wait() {
     let mut harness = Harness::new(1);
-    let before = harness.next_discovery_query();
+    let query_before = harness.next_discovery_query();
     harness.advance(SECOND);
     harness.datagrams.clear();
     harness.now += 3 * SECOND;
-    ask(&mut harness, "look", 1, 2_000);
-    let since = last_query(&harness);
-    harness.receive_discovery_answer(&dns_answer(&before, 3, &[("e1", 1, 0)]));
-    assert!(harness.connects.is_empty(), "asked for before");
-    harness.receive_discovery_answer(&dns_answer(&since, 2, &[("e1", 1, 0)]));
-    assert!(harness.connects.is_empty(), "older");
-    harness.receive_discovery_answer(&dns_answer(&since, 3, &[("e1", 1, 0)]));
-    assert_eq!(harness.connects.len(), 1, "confirmed");
+    send_query(&mut harness, "look", 1, 2_000);
+    let query_since = last_query(&harness);
+    harness.receive_discovery_answer(&dns_answer(&query_before, 3, &[("e1", 1, 0)]));
+    assert!(harness.connects.is_empty(), "queried before the suspension");
+    harness.receive_discovery_answer(&dns_answer(&query_since, 2, &[("e1", 1, 0)]));
+    assert!(harness.connects.is_empty(), "an older list");
+    harness.receive_discovery_answer(&dns_answer(&query_since, 3, &[("e1", 1, 0)]));
+    assert_eq!(harness.connects.len(), 1, "the list is confirmed");
 }
 
-/// Discovery may be down for long.
+/// A long outage of the name service must not stop the controller from serving requests.
 #[test]
-fn requests_go_by_the_last_list_when_no_answer_comes_in_time() {
+fn requests_use_the_last_list_when_no_answer_arrives_in_time() {
     let mut harness = resumed_harness(1);
-    ask(&mut harness, "look", 1, 2_000);
+    send_query(&mut harness, "look", 1, 2_000);
     harness.advance(MAX_HOLD - MILLISECOND);
     assert!(harness.connects.is_empty());
     harness.advance(2 * MILLISECOND);
     assert_eq!(harness.connects.len(), 1);
-    ask(&mut harness, "look", 2, 2_000);
-    assert_eq!(harness.connects.len(), 2, "nothing waits any more");
+    send_query(&mut harness, "look", 2, 2_000);
+    assert_eq!(harness.connects.len(), 2, "no request waits any more");
 }
 
 #[test]
-fn a_request_with_less_time_than_the_wait_is_answered_within_it() {
+fn a_request_whose_timeout_is_shorter_than_the_wait_is_answered_in_time() {
     let mut harness = resumed_harness(1);
-    let client = ask(&mut harness, "load", 1, 100);
+    let client = send_query(&mut harness, "load", 1, 100);
     harness.advance(99 * MILLISECOND);
     assert_eq!(status_of(&mut harness, client), 503);
-    assert!(harness.connects.is_empty(), "it went nowhere");
-    // One whose time is up already is answered at once.
-    let client = ask(&mut harness, "load", 2, 1);
+    assert!(
+        harness.connects.is_empty(),
+        "the request was sent to an executor"
+    );
+    // A request whose deadline is almost reached is answered at once.
+    let client = send_query(&mut harness, "load", 2, 1);
     harness.advance(2 * MILLISECOND);
     assert_eq!(status_of(&mut harness, client), 503);
 }
 
 #[test]
-fn health_is_answered_and_departures_are_noticed_while_requests_wait() {
+fn health_checks_are_answered_and_disconnects_are_processed_while_requests_wait() {
     let mut harness = resumed_harness(1);
-    let leaving = ask(&mut harness, "load", 1, 2_000);
+    let disconnecting = send_query(&mut harness, "load", 1, 2_000);
     let health = harness.connect_client();
     harness.receive(health, "GET /health HTTP/1.1\r\n\r\n");
     assert_eq!(status_of(&mut harness, health), 200);
     harness.handle_io(wheelfield_sans_io::IoEvent::Broken {
-        id: leaving,
+        id: disconnecting,
         writing: false,
         cause: wheelfield_sans_io::BreakCause::Broken,
         reason: "reset",
     });
     harness.advance(2 * MAX_HOLD);
-    assert!(harness.connects.is_empty(), "its client has left");
+    assert!(
+        harness.connects.is_empty(),
+        "sent for a client that has disconnected"
+    );
 }
 
-/// The process may be killed soon after that: nobody is left without an answer.
+/// The process may be killed soon after the end of the shutdown, so every waiting request needs a response before it.
 #[test]
-fn requests_that_wait_are_answered_as_the_shutdown_ends() {
+fn waiting_requests_are_answered_before_the_shutdown_ends() {
     let mut harness = Harness::new(1);
     harness.advance(SECOND);
     harness.platform.begin_shutdown(harness.now);
     harness.run_effects();
-    // The longest deadline is 3 s: all is answered 3.6 s after the request to end.
+    // The longest deadline is 3 s, so that all requests are answered 3.6 s after the shutdown began.
     harness.advance(300 * MILLISECOND);
     harness.now += 3 * SECOND;
-    let client = ask(&mut harness, "load", 1, 2_000);
+    let client = send_query(&mut harness, "load", 1, 2_000);
     assert!(harness.connects.is_empty());
     harness.advance(310 * MILLISECOND);
     assert_eq!(status_of(&mut harness, client), 503);
-    assert!(harness.connects.is_empty(), "it went nowhere");
+    assert!(
+        harness.connects.is_empty(),
+        "the request was sent to an executor"
+    );
 }
 
-/// A list that is not a second old yet is good for the grace.
+/// A list that is less than a second old is still within the drain grace period.
 #[test]
-fn nothing_waits_after_a_short_gap_but_the_name_service_is_asked_at_once() {
+fn no_request_waits_after_a_short_suspension_but_the_name_service_is_queried_at_once() {
     let mut harness = Harness::new(1);
-    let asked = harness.next_discovery_query();
-    harness.receive_discovery_answer(&dns_answer(&asked, 3, &[("e1", 1, 0)]));
+    let query = harness.next_discovery_query();
+    harness.receive_discovery_answer(&dns_answer(&query, 3, &[("e1", 1, 0)]));
     harness.datagrams.clear();
     harness.now += 700 * MILLISECOND;
-    ask(&mut harness, "look", 1, 2_000);
+    send_query(&mut harness, "look", 1, 2_000);
     assert_eq!(harness.connects.len(), 1);
     last_query(&harness);
 }
 
-/// Some answers may be lost, and others slow.
+/// Frequent queries keep the wait short even if some answers are lost or slow.
 #[test]
-fn the_name_service_is_asked_forty_times_a_second_while_requests_wait() {
+fn the_name_service_is_queried_forty_times_a_second_while_requests_wait() {
     let mut harness = resumed_harness(1);
-    ask(&mut harness, "look", 1, 2_000);
-    let asked = queries_within(&mut harness, MAX_HOLD / 2);
-    assert!((18..=20).contains(&asked), "{asked} queries");
+    send_query(&mut harness, "look", 1, 2_000);
+    let queries = queries_within(&mut harness, MAX_HOLD / 2);
+    assert!((18..=20).contains(&queries), "{queries} queries");
     let query = last_query(&harness);
     harness.receive_discovery_answer(&dns_answer(&query, 3, &[("e1", 1, 0)]));
     assert!(queries_within(&mut harness, 240 * MILLISECOND) <= 1);
 }
 
-/// They may fail for as long as they like: requests wait for three seconds at most.
+/// While sending queries fails, requests wait longer than usual, but for three seconds at most.
 #[test]
-fn requests_wait_longer_while_queries_cannot_be_sent_but_not_for_good() {
+fn requests_wait_longer_while_queries_cannot_be_sent_but_not_forever() {
     let mut harness = resumed_harness(1);
-    let client = ask(&mut harness, "look", 1, 10_000);
+    let client = send_query(&mut harness, "look", 1, 10_000);
     for _ in 0..20 {
         harness
             .platform
             .handle_datagram_unsent(harness.now, DatagramSocket::Discovery);
         harness.advance(100 * MILLISECOND);
     }
-    assert!(harness.connects.is_empty(), "two seconds on");
+    assert!(
+        harness.connects.is_empty(),
+        "the request must still wait after two seconds"
+    );
     for _ in 0..11 {
         harness
             .platform
@@ -178,77 +196,85 @@
         harness.advance(100 * MILLISECOND);
     }
     assert_eq!(harness.connects.len(), 1);
-    assert_eq!(status_of(&mut harness, client), 0, "it is under way");
+    assert_eq!(
+        status_of(&mut harness, client),
+        0,
+        "the request is in progress"
+    );
 }
 
-/// A query that could not be sent long ago, before a silence of the name service, was taken for the beginning of what fails now: a list
-/// 20.5 s old then held up nothing, and a request went by it at once.
+/// Regression test: when sending a query failed, an earlier failure, long before, was taken for the start of the current outage. The
+/// wait then seemed to have ended already, and a request was sent at once by a list that was 20.5 s old.
 #[test]
-fn queries_that_cannot_be_sent_are_not_counted_from_a_failure_of_long_ago() {
+fn an_outage_of_sending_queries_does_not_start_with_an_unrelated_earlier_failure() {
     let mut harness = Harness::new(1);
-    let fail = |harness: &mut Harness| {
+    let fail_to_send = |harness: &mut Harness| {
         let now = harness.now;
         let platform = &mut harness.platform;
         platform.handle_datagram_unsent(now, DatagramSocket::Discovery);
     };
     harness.advance(SECOND / 2);
-    fail(&mut harness);
+    fail_to_send(&mut harness);
     harness.advance(20 * SECOND);
-    fail(&mut harness);
-    ask(&mut harness, "look", 1, 10_000);
-    assert!(harness.connects.is_empty(), "it waits");
-    // One now and then has no other request wait once the wait is over.
+    fail_to_send(&mut harness);
+    send_query(&mut harness, "look", 1, 10_000);
+    assert!(harness.connects.is_empty(), "the request must wait");
+    // Once the wait is over, occasional failures do not make later requests wait.
     for n in 2..20 {
         harness.advance(SECOND / 2);
-        fail(&mut harness);
-        ask(&mut harness, "look", n, 10_000);
+        fail_to_send(&mut harness);
+        send_query(&mut harness, "look", n, 10_000);
     }
     let connects = harness.connects.len();
     assert!(connects > 10, "{connects} connects for 19 requests");
 }
 
-/// A machine that is short of processor time has the process stand still for a moment again and again. Each time the wait began anew while
-/// the name service was silent, so that requests waited until their clients' time was up.
+/// Regression test: on a machine that is short of CPU time, the process stalls repeatedly. While the name service did not answer, each
+/// stall restarted the wait, so that requests waited until their deadlines.
 #[test]
-fn requests_of_a_starved_process_wait_a_second_at_most_for_a_silent_name_service() {
+fn requests_of_a_stalling_process_wait_at_most_a_second_for_an_unresponsive_name_service() {
     let mut harness = resumed_harness(1);
-    ask(&mut harness, "look", 1, 10_000);
+    send_query(&mut harness, "look", 1, 10_000);
     for _ in 0..2 {
         harness.advance(100 * MILLISECOND);
-        assert!(harness.connects.is_empty(), "it waits");
+        assert!(harness.connects.is_empty(), "the request must wait");
         harness.now += 400 * MILLISECOND;
     }
     harness.advance(100 * MILLISECOND);
     assert_eq!(harness.connects.len(), 1);
     harness.complete_connects();
-    let (executor, _) = harness.take_request().expect("sent");
+    let (executor, _) = harness
+        .take_request()
+        .expect("a request written to an executor");
     let answer = |n| format!("{} HIT pages=1 0\r\n\r\n", request_id(n));
     harness.receive(executor, &answer(1));
-    // Nor does it begin after the silence has lasted for long, unless the process stood still for longer than a list is good.
+    // A short stall after a long outage of the name service does not start another wait; a stall that exceeds the grace period does.
     harness.advance(5 * SECOND);
     harness.now += 400 * MILLISECOND;
-    ask(&mut harness, "look", 2, 10_000);
-    harness.take_request().expect("the silence is no gap");
+    send_query(&mut harness, "look", 2, 10_000);
+    harness
+        .take_request()
+        .expect("an outage of the name service is not a stall of the process");
     harness.receive(executor, &answer(2));
     harness.now += 1_100 * MILLISECOND;
-    ask(&mut harness, "look", 3, 10_000);
-    assert!(harness.take_request().is_none(), "it waits");
+    send_query(&mut harness, "look", 3, 10_000);
+    assert!(harness.take_request().is_none(), "the request must wait");
 }
 
-/// A list is good for the grace that the settings name.
+/// The drain grace period of the settings determines when a list is too old.
 #[test]
-fn a_shorter_grace_makes_a_list_too_old_sooner() {
+fn a_shorter_grace_period_makes_a_list_too_old_sooner() {
     let servers = vec![executor_entry("e1", 1, "ready")];
     let short =
         config(servers, 256).replace("\"drain_grace_us\":1000000", "\"drain_grace_us\":200000");
     let mut harness = Harness::with_config(&short);
     harness.advance(SECOND / 10);
     harness.now += 400 * MILLISECOND;
-    ask(&mut harness, "look", 1, 2_000);
-    assert!(harness.connects.is_empty(), "it waits");
+    send_query(&mut harness, "look", 1, 2_000);
+    assert!(harness.connects.is_empty(), "the request must wait");
 }
 
-/// Queries sent within a span, of which none is answered.
+/// Number of queries sent within a time span in which none is answered.
 fn queries_within(harness: &mut Harness, span: i64) -> usize {
     harness.datagrams.clear();
     harness.advance(span);
@@ -256,31 +282,34 @@
 }
 
 #[test]
-fn a_query_without_an_answer_is_repeated_soon_and_one_with_an_answer_at_the_usual_interval() {
+fn an_unanswered_query_is_repeated_soon_and_an_answered_one_at_the_regular_interval() {
     let mut harness = Harness::new(1);
     harness.receive_discovery_answer(&dns_answer(&last_query(&harness), 3, &[("e1", 1, 0)]));
     assert_eq!(queries_within(&mut harness, 249 * MILLISECOND), 0);
-    // 50, 100 and 125 ms behind the first.
+    // The intervals between repetitions are 50, 100 and 125 ms.
     assert_eq!(queries_within(&mut harness, 300 * MILLISECOND), 4);
-    assert!(queries_within(&mut harness, 4 * SECOND) <= 32, "8 a second");
+    assert!(
+        queries_within(&mut harness, 4 * SECOND) <= 32,
+        "at most 8 a second"
+    );
     for _ in 0..20 {
-        let asked = last_query(&harness);
-        harness.receive_discovery_answer(&dns_answer(&asked, 3, &[("e1", 1, 0)]));
+        let query = last_query(&harness);
+        harness.receive_discovery_answer(&dns_answer(&query, 3, &[("e1", 1, 0)]));
         assert!(queries_within(&mut harness, 251 * MILLISECOND) <= 1);
     }
 }
 
-/// It may be crowded: it is asked no more often than one that is quick.
+/// A slow name service may be overloaded, so it is not queried more often than a fast one.
 #[test]
-fn a_name_service_that_is_slow_is_asked_four_times_a_second() {
+fn a_slow_name_service_is_queried_four_times_a_second() {
     let mut harness = Harness::new(1);
-    let mut asked = vec![harness.next_discovery_query()];
+    let mut queries = vec![harness.next_discovery_query()];
     for _ in 0..4 {
         harness.datagrams.clear();
         harness.advance(SECOND);
-        let first = asked.remove(0);
+        let first = queries.remove(0);
         harness.receive_discovery_answer(&dns_answer(&first, 3, &[("e1", 1, 0)]));
-        asked.extend(harness.datagrams.iter().map(|(.., bytes)| bytes.clone()));
+        queries.extend(harness.datagrams.iter().map(|(.., bytes)| bytes.clone()));
     }
     assert!(queries_within(&mut harness, SECOND) <= 4);
 }
--- a/crates/platform/tests/settings.rs
+++ b/crates/platform/tests/settings.rs
@@ -1,13 +1,13 @@
-//! The settings: each key of the platform is read or ignored, as the table in `docs/platform.md` states.
+//! Settings of the platform: each key is read or ignored as the table in `docs/platform.md` states.
 
 mod common;
 use common::*;
 use serde_json::{json, Value};
 use wheelfield_platform::BootstrapConfig;
 
-const TABLE: &str = include_str!("../../../docs/platform.md");
+const DOCUMENTATION: &str = include_str!("../../../docs/platform.md");
 
-/// A configuration whose settings have all keys.
+/// A configuration whose settings contain every documented key.
 fn complete_config() -> Value {
     let mut file: Value =
         serde_json::from_str(&config(vec![executor_entry("e1", 1, "ready")], 256)).expect("JSON");
@@ -36,7 +36,7 @@
     file
 }
 
-/// A configuration as parsed, for comparison.
+/// The debug representation of a parsed configuration, for comparison.
 fn parsed(file: &Value) -> String {
     format!(
         "{:?}",
@@ -44,8 +44,8 @@
     )
 }
 
-/// Another valid value.
-fn changed(value: &Value) -> Value {
+/// A valid value that differs from `value`.
+fn different_value(value: &Value) -> Value {
     match value {
         Value::Bool(b) => json!(!b),
         Value::Number(n) if n.is_f64() => json!(n.as_f64().expect("a number") * 0.5 + 0.0625),
@@ -56,7 +56,7 @@
             Value::String(name) if name == "cpu_share" => json!(["pending"]),
             Value::String(_) => Value::Array(all.iter().cloned().chain([json!("more")]).collect()),
             first => Value::Array(
-                [changed(first)]
+                [different_value(first)]
                     .into_iter()
                     .chain(all[1..].iter().cloned())
                     .collect(),
@@ -71,35 +71,38 @@
             "a" => "b",
             _ => "another",
         }),
-        other => panic!("no value: {other}"),
+        other => panic!("not a settings value: {other}"),
     }
 }
 
 fn find_key<'a>(file: &'a mut Value, key: &str) -> &'a mut Value {
-    key.split('.').fold(&mut file["settings"], |at, part| {
+    key.split('.').fold(&mut file["settings"], |entry, part| {
         match part.strip_suffix("[]") {
-            Some(list) => &mut at[list][0],
-            None => &mut at[part],
+            Some(list) => &mut entry[list][0],
+            None => &mut entry[part],
         }
     })
 }
 
 #[test]
 fn each_settings_key_is_read_or_ignored_as_documented() {
-    let before = parsed(&complete_config());
+    let original = parsed(&complete_config());
     let mut keys = 0;
-    for row in TABLE.lines().filter(|l| {
+    for row in DOCUMENTATION.lines().filter(|l| {
         l.starts_with("| `") && (l.contains("` | read |") || l.contains("` | unused |"))
     }) {
         let key = row.split('`').nth(1).expect("a key");
         let mut file = complete_config();
-        let at = find_key(&mut file, key);
-        assert!(!at.is_null(), "{key} is no key of the page");
-        *at = changed(at);
-        assert_eq!(parsed(&file) != before, row.contains("| read |"), "{row}");
+        let entry = find_key(&mut file, key);
+        assert!(
+            !entry.is_null(),
+            "{key} is documented but not in the configuration"
+        );
+        *entry = different_value(entry);
+        assert_eq!(parsed(&file) != original, row.contains("| read |"), "{row}");
         keys += 1;
     }
-    // As many as the example has: none is missing in the table.
+    // The table documents every key of the configuration.
     fn leaves(value: &Value) -> usize {
         match value {
             Value::Object(all) => all.values().map(leaves).sum(),
@@ -150,7 +153,7 @@
 
 #[test]
 fn an_error_names_the_invalid_key() {
-    for (key, value, named) in [
+    for (key, value, expected_key) in [
         ("grades[].effect", json!("perhaps"), "effect"),
         ("grades[].name", json!(""), "grades"),
         ("grades", json!([]), "grades"),
@@ -170,10 +173,10 @@
         let mut file = complete_config();
         *find_key(&mut file, key) = value;
         let message = BootstrapConfig::parse(&file.to_string())
-            .expect_err("it can't be used")
+            .expect_err("an invalid configuration")
             .to_string();
         assert!(
-            message.contains(named) && message.lines().count() == 1,
+            message.contains(expected_key) && message.lines().count() == 1,
             "{key}: {message}"
         );
     }
--- a/crates/platform/tests/shutdown.rs
+++ b/crates/platform/tests/shutdown.rs
@@ -1,11 +1,11 @@
-//! The graceful shutdown: which clients are still served, and when the process ends.
+//! Graceful shutdown: which clients are still served, and when the controller stops.
 
 mod common;
 use common::*;
 use wheelfield_sans_io::{ConnId, Protocol};
 
 #[test]
-fn a_shutdown_fails_health_checks_and_serves_clients_that_do_not_know_of_it() {
+fn a_shutdown_fails_health_checks_and_still_serves_clients_that_have_not_noticed_it() {
     let mut harness = Harness::new(1);
     let probe = harness.connect_client();
     harness.receive(probe, "GET /health HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -37,8 +37,8 @@
     assert!(harness.stopped);
 }
 
-/// The process is killed 3 s after the grace period, or after the longest deadline where that is shorter: all queries are answered
-/// before, whatever their timeout.
+/// After the grace period, the process may be killed once 3 s, or the longest deadline if that is shorter, have passed. All queries
+/// must be answered before that, whatever their timeouts.
 #[test]
 fn queries_in_flight_are_answered_before_the_process_may_be_killed() {
     let long_query = |class: &str, n: u64| {
@@ -64,10 +64,10 @@
         for _ in 0..times {
             harness.advance(250_000);
             let running: Vec<_> = harness.written.keys().copied().collect();
-            for conn in running {
+            for connection in running {
                 for n in 1..=3 {
                     harness.receive(
-                        conn,
+                        connection,
                         &format!("{} INFO tell=pct,v=0.3 0\r\n\r\n", request_id(n)),
                     );
                 }
@@ -82,7 +82,7 @@
         waiting
             .iter()
             .all(|(client, _)| !harness.written.contains_key(client)),
-        "answered early"
+        "a query was answered too early"
     );
     harness.advance(190_000);
     for (client, expected) in waiting {
@@ -92,16 +92,16 @@
     assert!(
         executors
             .iter()
-            .all(|conn| harness.take_written(*conn).contains("STOP ")),
+            .all(|connection| harness.take_written(*connection).contains("STOP ")),
         "a cancellation is missing"
     );
     harness.advance(200_000);
     assert!(harness.stopped);
 }
 
-/// No other response is outstanding as listening ends: clients accepted from the backlog at that moment are answered all the same.
+/// When the listener closes, no response is outstanding. Clients accepted from the backlog at that moment must still be answered.
 #[test]
-fn clients_accepted_as_listening_ends_are_answered_before_the_process_ends() {
+fn clients_accepted_as_the_listener_closes_are_answered_before_the_controller_stops() {
     let mut harness = Harness::new(1);
     harness.backlog = vec![
         "GET /health HTTP/1.1\r\n\r\n".to_string(),
@@ -115,7 +115,7 @@
         "two responses are outstanding"
     );
     let [health_client, query_client] = harness.accepted_late[..] else {
-        panic!("two were accepted")
+        panic!("expected two accepted clients")
     };
     assert_eq!(status(&harness.take_written(health_client)), 503);
     let executor = harness.complete_connects()[0];
@@ -129,7 +129,7 @@
     assert!(harness.stopped);
 }
 
-/// A request that crosses the close of its idle connection during a shutdown is repeated on a new one.
+/// A client sends a request at the moment the shutdown closes its idle connection, and repeats it on a new connection.
 #[test]
 fn a_client_closed_at_shutdown_may_reconnect_and_has_time_to_send_its_request() {
     let mut harness = Harness::new(1);
@@ -159,7 +159,7 @@
     harness.advance(35_000);
     assert!(
         !harness.closed.contains(&late_client) && !harness.stopped,
-        "its request may be on its way"
+        "the request of this client may still arrive"
     );
     harness.receive(late_client, &query_request("look", &request_id(3), ""));
     assert!(harness.take_written(executor).starts_with("REQ "));
