--- a/crates/controller/tests/endings.rs
+++ b/crates/controller/tests/endings.rs
@@ -1,43 +1,43 @@
-//! What ends while something is still owed: connections, lists, clients, executors, the controller. Each test has the bad order
-//! happen every time, on real sockets.
+//! Race conditions when a client, a connection, an executor or the controller goes away while queries are in progress. Each test
+//! forces the unfavourable order of events every time, with the built program and real sockets.
 
-// The name services answer with the list that the program has: where they do not, a process that was suspended, or starved by the
-// machine's load, has new requests wait for a second.
+// Tests that suspend the program need a name service that answers. Without it, a process that was suspended, or stalled because the
+// machine is busy, holds new requests for a second.
 mod rig;
 use rig::*;
 use std::time::Duration;
 
-const EVERY_WAY: [Disconnect; 3] = [
+const DISCONNECTS: [Disconnect; 3] = [
     Disconnect::Close,
     Disconnect::Reset,
     Disconnect::ShutdownWrite,
 ];
 
-/// The next request that an executor reads on this connection is the one of a client that stayed: whatever was to go there before
-/// has not gone.
-fn only_who_stayed(program: &Program, conn: &mut ExecutorConnection, what: &str) {
-    let mut stays = Client::connect(program.listen);
-    stays.send_query("look", 999);
+/// Asserts that the next request on this executor connection is one of a new client, so that nothing was sent for the client that
+/// disconnected before.
+fn assert_nothing_was_sent_before(program: &Program, conn: &mut ExecutorConnection, case: &str) {
+    let mut client = Client::connect(program.listen);
+    client.send_query("look", 999);
     let request = conn.expect_request();
     assert_eq!(
         request.id,
         request_id(999),
-        "sent on for a client that had left: {what}"
+        "sent for a client that had disconnected: {case}"
     );
     conn.send(&hit_response(&request.id, "e1"));
-    assert_eq!(stays.read_status(), 200, "{what}");
+    assert_eq!(client.read_status(), 200, "{case}");
 }
 
 #[test]
-fn nothing_goes_for_a_client_that_left_before_it_was_taken() {
-    for how in EVERY_WAY {
+fn nothing_is_sent_for_a_client_that_disconnected_before_it_was_accepted() {
+    for how in DISCONNECTS {
         let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
         let program = Program::start(&config(
             unused_address(),
             &[("e1", executor.address)],
             name_service.address,
         ));
-        // A connection rests at the executor: what is to go there goes at once.
+        // With an idle connection to the executor, a request is written to it at once.
         let mut before = Client::connect(program.listen);
         before.send_query("look", 1);
         let mut conn = executor.accept();
@@ -45,17 +45,17 @@
         conn.send(&hit_response(&request.id, "e1"));
         assert_eq!(before.read_status(), 200);
         program.suspend();
-        let mut leaver = Client::connect(program.listen);
-        leaver.send_query("look", 2);
-        let _still_there = leaver.disconnect(how);
+        let mut disconnecting = Client::connect(program.listen);
+        disconnecting.send_query("look", 2);
+        let _half_closed = disconnecting.disconnect(how);
         program.resume();
-        only_who_stayed(&program, &mut conn, &format!("{how:?}"));
+        assert_nothing_was_sent_before(&program, &mut conn, &format!("{how:?}"));
     }
 }
 
 #[test]
-fn nothing_goes_for_a_client_that_left_while_a_connection_came_up_whichever_is_heard_first() {
-    for (how, left_first) in EVERY_WAY
+fn nothing_is_sent_for_a_client_that_disconnected_during_a_connect_in_either_order_of_events() {
+    for (how, disconnect_first) in DISCONNECTS
         .into_iter()
         .flat_map(|how| [(how, true), (how, false)])
     {
@@ -66,30 +66,30 @@
             &[("e1", executor.address)],
             name_service.address,
         ));
-        let mut leaver = Client::connect(program.listen);
-        leaver.send_query("look", 1);
+        let mut disconnecting = Client::connect(program.listen);
+        disconnecting.send_query("look", 1);
         program.wait_for_connect(executor.address);
         program.suspend();
-        let (mut conn, _still_there);
-        if left_first {
-            _still_there = leaver.disconnect(how);
+        let (mut conn, _half_closed);
+        if disconnect_first {
+            _half_closed = disconnecting.disconnect(how);
             conn = backlog.free_and_accept(&executor);
         } else {
             conn = backlog.free_and_accept(&executor);
-            _still_there = leaver.disconnect(how);
+            _half_closed = disconnecting.disconnect(how);
         }
         program.resume();
-        only_who_stayed(
+        assert_nothing_was_sent_before(
             &program,
             &mut conn,
-            &format!("{how:?}, left first: {left_first}"),
+            &format!("{how:?}, disconnect first: {disconnect_first}"),
         );
     }
 }
 
-/// More happens in one turn than is heard at a time, and the departure last.
+/// One turn of the event loop has more events than it reads at a time, and the disconnect is the last of them.
 #[test]
-fn a_departure_is_heard_before_anything_goes_however_much_lies_before_it() {
+fn a_disconnect_behind_many_other_events_is_processed_before_anything_is_sent() {
     let name_service = AutomaticNameService::new(1, &[]);
     let (executor, backlog) = Executor::with_full_backlog();
     let mut config = config(
@@ -99,33 +99,34 @@
     );
     config["limits"]["sockets"] = 1_024.into();
     let program = Program::start(&config);
-    let mut crowd: Vec<Client> = (0..400).map(|_| Client::connect(program.listen)).collect();
-    crowd
+    let mut other_clients: Vec<Client> =
+        (0..400).map(|_| Client::connect(program.listen)).collect();
+    other_clients
         .iter_mut()
         .for_each(|c| c.send("GET /health HTTP/1.1\r\n\r\n"));
-    crowd
+    other_clients
         .iter_mut()
         .for_each(|c| assert_eq!(c.read_status(), 200));
-    let mut leaver = Client::connect(program.listen);
-    leaver.send_query("look", 1);
+    let mut disconnecting = Client::connect(program.listen);
+    disconnecting.send_query("look", 1);
     program.wait_for_connect(executor.address);
     program.suspend();
     let mut conn = backlog.free_and_accept(&executor);
-    crowd
+    other_clients
         .iter_mut()
         .for_each(|c| c.send("GET /health HTTP/1.1\r\n\r\n"));
-    let _ = leaver.disconnect(Disconnect::Close);
+    let _ = disconnecting.disconnect(Disconnect::Close);
     program.resume();
-    crowd
+    other_clients
         .iter_mut()
         .for_each(|c| assert_eq!(c.read_status(), 200));
-    only_who_stayed(&program, &mut conn, "behind four hundred others");
+    assert_nothing_was_sent_before(&program, &mut conn, "after the events of 400 other clients");
 }
 
-/// A process that was stopped and goes on hears first, and only then looks at its timers: here the turn of a query comes whose
-/// client has left.
+/// A process that resumes after a suspension processes I/O events before its timers. Here, a timer would dispatch the query of a
+/// client that has disconnected in the meantime.
 #[test]
-fn a_departure_is_heard_before_timers_that_came_due_while_the_process_stood_still() {
+fn a_disconnect_is_processed_before_timers_that_became_due_during_a_suspension() {
     let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
     let mut config = config(
         unused_address(),
@@ -135,44 +136,48 @@
     config["settings"]["grades"][1]["in_order"] = true.into();
     config["settings"]["safety"]["order_pause_us"] = 600_000.into();
     let program = Program::start(&config);
-    // Two connections rest, the second was used last.
-    let mut two: Vec<(Client, ExecutorConnection)> = Vec::new();
+    // Two executor connections are idle; the second one was used last.
+    let mut pairs: Vec<(Client, ExecutorConnection)> = Vec::new();
     for n in 1..=2 {
         let mut client = Client::connect(program.listen);
         client.send_query("look", n);
         let mut conn = executor.accept();
         assert_eq!(conn.expect_request().id, request_id(n));
-        two.push((client, conn));
+        pairs.push((client, conn));
     }
-    for (n, (client, conn)) in two.iter_mut().enumerate() {
+    for (n, (client, conn)) in pairs.iter_mut().enumerate() {
         conn.send(&hit_response(&request_id(n as u64 + 1), "e1"));
         assert_eq!(client.read_status(), 200);
     }
-    let (_, mut second) = two.remove(1);
-    let (_, mut first) = two.remove(0);
-    let keyed =
+    let (_, mut second) = pairs.remove(1);
+    let (_, mut first) = pairs.remove(0);
+    let request_with_key =
         |n| query_request("load", n, "SELECT 1").replace("X-Timeout", "X-Object: k\r\nX-Timeout");
-    let mut ahead = Client::connect(program.listen);
-    ahead.send(&keyed(3));
+    let mut first_of_key = Client::connect(program.listen);
+    first_of_key.send(&request_with_key(3));
     assert_eq!(second.expect_request().id, request_id(3));
-    let mut leaver = Client::connect(program.listen);
-    leaver.send(&keyed(4));
-    assert_eq!(program.health(), Some(200), "heard behind it");
-    // What ran may run on: the key rests, and the next one waits for a timer.
+    let mut disconnecting = Client::connect(program.listen);
+    disconnecting.send(&request_with_key(4));
+    assert_eq!(
+        program.health(),
+        Some(200),
+        "it was read before this request"
+    );
+    // The first query may still be running, so the next query of the key waits for a timer.
     second.reset();
-    assert_eq!(ahead.read_status(), 500);
+    assert_eq!(first_of_key.read_status(), 500);
     program.suspend();
-    let _ = leaver.disconnect(Disconnect::Close);
-    // Until its clock has passed the timer.
+    let _ = disconnecting.disconnect(Disconnect::Close);
+    // The program must see that the timer is due when it resumes.
     std::thread::sleep(Duration::from_millis(900));
     program.resume();
-    only_who_stayed(&program, &mut first, "as its turn came");
+    assert_nothing_was_sent_before(&program, &mut first, "when the timer of its key was due");
 }
 
-/// The client has sent more than is read while its query is in hand, so that its end lies behind bytes that nobody reads.
+/// The client has sent more data than the program reads during a query, so that the end of the stream comes after unread bytes.
 #[test]
-fn a_departure_behind_bytes_that_are_not_read_is_heard() {
-    for how in EVERY_WAY {
+fn a_disconnect_behind_unread_bytes_is_detected() {
+    for how in DISCONNECTS {
         let name_service = AutomaticNameService::new(1, &[]);
         let (executor, backlog) = Executor::with_full_backlog();
         let program = Program::start(&config(
@@ -180,19 +185,19 @@
             &[("e1", executor.address)],
             name_service.address,
         ));
-        let mut leaver = Client::connect(program.listen);
-        leaver.send_query("look", 1);
-        leaver.send(&"x".repeat(30_000));
+        let mut disconnecting = Client::connect(program.listen);
+        disconnecting.send_query("look", 1);
+        disconnecting.send(&"x".repeat(30_000));
         program.wait_for_connect(executor.address);
-        let _still_there = leaver.disconnect(how);
+        let _half_closed = disconnecting.disconnect(how);
         let mut conn = backlog.free_and_accept(&executor);
-        only_who_stayed(&program, &mut conn, &format!("{how:?}"));
+        assert_nothing_was_sent_before(&program, &mut conn, &format!("{how:?}"));
     }
 }
 
-/// The listener closes 0.7 s after the word to stop; who was accepted by the system until then is owed an answer.
+/// The listener closes 0.7 s after the signal to stop. Clients whose connections the kernel has accepted by then must be answered.
 #[test]
-fn those_who_wait_to_be_taken_as_the_listener_closes_are_answered() {
+fn clients_in_the_accept_queue_as_the_listener_closes_are_answered() {
     for _ in 0..20 {
         let name_service = AutomaticNameService::new(1, &[]);
         let mut config = config(
@@ -203,33 +208,40 @@
         config["limits"]["sockets"] = 2_048.into();
         let mut program = Program::start(&config);
         program.signal("-TERM");
-        wait_until("the word heard", || program.health() != Some(200));
+        wait_until("the start of the shutdown", || {
+            program.health() != Some(200)
+        });
         program.suspend();
-        let wait: Vec<_> = (0..600)
+        let waiting: Vec<_> = (0..600)
             .map_while(|_| Client::try_connect(program.listen).ok())
             .collect();
-        if wait.len() < 600 {
-            // This machine was too slow: the listener had closed before it could be stopped.
+        if waiting.len() < 600 {
+            // This machine was too slow: the listener closed before the program was suspended.
             program.resume();
             continue;
         }
-        let mut wait = wait;
-        wait.iter_mut()
+        let mut waiting = waiting;
+        waiting
+            .iter_mut()
             .for_each(|c| c.send("GET /health HTTP/1.1\r\n\r\n"));
-        // Until its clock has passed the end of listening.
+        // The program must see that the time to stop listening has passed when it resumes.
         std::thread::sleep(Duration::from_millis(900));
         program.resume();
-        let told: Vec<u16> = wait.iter_mut().map(Client::read_status).collect();
-        assert_eq!(told.iter().filter(|s| **s == 503).count(), 600, "{told:?}");
+        let statuses: Vec<u16> = waiting.iter_mut().map(Client::read_status).collect();
+        assert_eq!(
+            statuses.iter().filter(|s| **s == 503).count(),
+            600,
+            "{statuses:?}"
+        );
         assert_eq!(program.wait_for_exit().code(), Some(0));
         return;
     }
-    panic!("this machine is too slow to stop the program in time");
+    panic!("this machine is too slow to suspend the program in time");
 }
 
-/// The word to stop comes as soon as anybody can know that it listens.
+/// The signal to stop arrives as soon as a client can connect.
 #[test]
-fn a_stop_right_after_the_start_ends_it_as_ever() {
+fn a_signal_right_after_the_start_causes_a_graceful_shutdown() {
     for _ in 0..10 {
         let name_service = AutomaticNameService::new(1, &[]);
         let mut program = Program::spawn(&config(
@@ -238,21 +250,21 @@
             name_service.address,
         ));
         let mut client = None;
-        wait_until("it listens", || {
+        wait_until("the listener", || {
             client = Client::try_connect(program.listen).ok();
             client.is_some()
         });
         program.signal("-TERM");
-        let mut client = client.expect("taken");
+        let mut client = client.expect("connected");
         client.send_query("load", 1);
         assert_eq!(client.read_status(), 200);
         assert_eq!(program.wait_for_exit().code(), Some(0));
     }
 }
 
-/// The client takes nothing of a long answer until the controller listens no more.
+/// The client reads nothing of a long response until the listener has closed.
 #[test]
-fn an_answer_that_is_not_taken_yet_as_the_controller_ends_is_told_whole() {
+fn a_response_that_the_client_has_not_read_at_the_shutdown_is_completed() {
     let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
     let mut program = Program::start(&config(
         unused_address(),
@@ -284,14 +296,14 @@
     assert_eq!(conn.next_line(), Some(format!("END {}", request_id(1))));
     program.signal("-TERM");
     program.wait_until_listener_closed();
-    let (status, body) = client.read_response().expect("whole");
+    let (status, body) = client.read_response().expect("a complete response");
     assert_eq!((status, body.matches("\"b\"").count()), (200, 8 * 98));
     assert_eq!(program.wait_for_exit().code(), Some(0));
 }
 
-/// Who rests is closed as the controller ends; a call that crosses that comes again, on a new connection.
+/// The shutdown closes idle connections. A client that sends a request at that moment repeats it on a new connection.
 #[test]
-fn a_call_that_crosses_the_end_of_its_connection_at_the_stop_is_served_on_another() {
+fn a_request_sent_as_the_shutdown_closes_its_connection_is_served_on_a_new_one() {
     for _ in 0..20 {
         let name_service = AutomaticNameService::new(1, &[]);
         let served = Executor::new().spawn_server("e1");
@@ -300,29 +312,29 @@
             &[("e1", served)],
             name_service.address,
         ));
-        let mut rests = Client::connect(program.listen);
-        rests.send_query("load", 1);
-        assert_eq!(rests.read_status(), 200);
+        let mut idle = Client::connect(program.listen);
+        idle.send_query("load", 1);
+        assert_eq!(idle.read_status(), 200);
         program.signal("-TERM");
-        assert_eq!(rests.read_status(), 0, "closed, and nothing said");
+        assert_eq!(idle.read_status(), 0, "closed without a response");
         program.suspend();
-        let Ok(mut again) = Client::try_connect(program.listen) else {
-            // This machine was too slow: the listener had closed before it could be stopped.
+        let Ok(mut reconnected) = Client::try_connect(program.listen) else {
+            // This machine was too slow: the listener closed before the program was suspended.
             program.resume();
             assert_eq!(program.wait_for_exit().code(), Some(0));
             continue;
         };
-        again.send_query("load", 2);
+        reconnected.send_query("load", 2);
         program.resume();
-        assert_eq!(again.read_status(), 200);
+        assert_eq!(reconnected.read_status(), 200);
         assert_eq!(program.wait_for_exit().code(), Some(0));
         return;
     }
-    panic!("nobody was taken after the end of who rested");
+    panic!("no client was accepted after the idle connection had been closed");
 }
 
 #[test]
-fn half_a_call_as_the_listener_closes_is_waited_for_and_served() {
+fn a_partial_request_as_the_listener_closes_is_awaited_and_served() {
     let name_service = AutomaticNameService::new(1, &[]);
     let mut program = Program::start(&config(
         unused_address(),
@@ -330,18 +342,20 @@
         name_service.address,
     ));
     let mut slow = Client::connect(program.listen);
-    let call = query_request("look", 1, "SELECT 1");
+    let request = query_request("look", 1, "SELECT 1");
     program.signal("-TERM");
-    wait_until("the word heard", || program.health() != Some(200));
-    slow.send(&call[..60]);
+    wait_until("the start of the shutdown", || {
+        program.health() != Some(200)
+    });
+    slow.send(&request[..60]);
     program.wait_until_listener_closed();
-    slow.send(&call[60..]);
+    slow.send(&request[60..]);
     assert_eq!(slow.read_status(), 200);
     assert_eq!(program.wait_for_exit().code(), Some(0));
 }
 
-/// All 16 places for clients are taken by some who were served, and rest.
-fn full_of_those_who_rest(name_service: &AutomaticNameService) -> (Program, Vec<Client>) {
+/// Starts a program whose limit of 16 client connections is reached by idle clients that have been served.
+fn start_with_idle_clients_at_limit(name_service: &AutomaticNameService) -> (Program, Vec<Client>) {
     let mut config = config(
         unused_address(),
         &[("e1", Executor::new().spawn_server("e1"))],
@@ -349,27 +363,27 @@
     );
     config["limits"]["sockets"] = 64.into();
     let program = Program::start(&config);
-    let served = |n| {
+    let serve_client = |n| {
         let mut client = Client::connect(program.listen);
         client.send_query("load", n);
         assert_eq!(client.read_status(), 200);
         client
     };
-    let resting = (0..16).map(served).collect();
-    (program, resting)
+    let idle_clients = (0..16).map(serve_client).collect();
+    (program, idle_clients)
 }
 
-/// A new client finds all places taken, and who rests for longest has asked just now.
+/// A new client connects at the limit, and the client that has been idle longest has just sent a request.
 #[test]
-fn whoever_has_asked_is_not_closed_for_a_new_one() {
+fn a_client_that_has_just_sent_a_request_is_not_evicted_for_a_new_one() {
     let name_service = AutomaticNameService::new(1, &[]);
-    let (program, mut resting) = full_of_those_who_rest(&name_service);
+    let (program, mut idle_clients) = start_with_idle_clients_at_limit(&name_service);
     for round in 0..4 {
         program.suspend();
         let mut new = Client::connect(program.listen);
         new.send_query("look", 200 + round);
-        // The one that rests for longest asks now, behind or before the new one.
-        let mut oldest = resting.remove(0);
+        // The client that has been idle longest sends a request at the same time.
+        let mut oldest = idle_clients.remove(0);
         oldest.send_query("look", 100 + round);
         program.resume();
         assert_eq!(
@@ -377,15 +391,15 @@
             (200, 200),
             "round {round}"
         );
-        resting.extend([oldest, new]);
-        resting.remove(0);
+        idle_clients.extend([oldest, new]);
+        idle_clients.remove(0);
     }
 }
 
-/// A client is closed as it says nothing for 2 s, another as its call does not go on for so long. Both go on while the process
-/// stands still, and their time has passed as it goes on.
+/// Clients are closed if they send nothing for 2 s, either after connecting or within a request. Here, both kinds send their data while
+/// the process is suspended, and their timeouts have passed when it resumes.
 #[test]
-fn a_call_that_has_come_as_its_clients_time_ends_is_served() {
+fn a_request_that_arrived_during_a_suspension_is_served_after_the_timeout_of_its_client() {
     let name_service = AutomaticNameService::new(1, &[]);
     let program = Program::start(&config(
         unused_address(),
@@ -396,47 +410,53 @@
         Client::connect(program.listen),
         Client::connect(program.listen),
     );
-    let call = query_request("load", 2, "SELECT 1");
-    slow.send(&call[..60]);
-    assert_eq!(program.health(), Some(200), "heard behind them");
+    let request = query_request("load", 2, "SELECT 1");
+    slow.send(&request[..60]);
+    assert_eq!(
+        program.health(),
+        Some(200),
+        "they were read before this request"
+    );
     program.suspend();
-    // Until its clock has passed their time.
+    // The program must see that both timeouts have passed when it resumes.
     std::thread::sleep(Duration::from_millis(2_300));
     silent.send_query("load", 1);
-    slow.send(&call[60..]);
+    slow.send(&request[60..]);
     program.resume();
-    let told = [silent.read_response(), slow.read_response()];
+    let responses = [silent.read_response(), slow.read_response()];
     assert!(
-        told.iter()
-            .all(|t| t.as_ref().is_ok_and(|(status, _)| *status == 200)),
-        "{told:?}"
+        responses
+            .iter()
+            .all(|response| response.as_ref().is_ok_and(|(status, _)| *status == 200)),
+        "{responses:?}"
     );
 }
 
-/// Who rests for longest is closed for a new one, and asks in that moment: the call comes again, under its id, on a new connection.
+/// The client that has been idle longest is evicted for a new client at the moment it sends a request. It repeats the request with
+/// the same id on a new connection.
 #[test]
-fn a_call_that_crosses_the_end_of_a_connection_closed_for_a_new_one_is_served_as_it_comes_again() {
+fn a_request_sent_as_its_connection_is_evicted_is_served_when_repeated() {
     let name_service = AutomaticNameService::new(1, &[]);
-    let (program, mut resting) = full_of_those_who_rest(&name_service);
+    let (program, mut idle_clients) = start_with_idle_clients_at_limit(&name_service);
     let mut new = Client::connect(program.listen);
     new.send_query("load", 100);
     assert_eq!(new.read_status(), 200);
-    // It is closed by now, and does not know.
-    let mut oldest = resting.remove(0);
+    // The program has closed this connection, and the client has not noticed it.
+    let mut oldest = idle_clients.remove(0);
     oldest.send_query("load", 101);
-    assert_eq!(oldest.read_status(), 0, "closed without an answer");
-    let mut again = Client::connect(program.listen);
-    again.send_query("load", 101);
-    assert_eq!(again.read_status(), 200);
+    assert_eq!(oldest.read_status(), 0, "closed without a response");
+    let mut reconnected = Client::connect(program.listen);
+    reconnected.send_query("load", 101);
+    assert_eq!(reconnected.read_status(), 200);
 }
 
-/// All places are taken by some who keep their connections for good. Two come in one turn, and ask a moment later; one more comes as
-/// one of the others leaves.
+/// The limit is reached by clients that keep their connections open. Two new clients connect in one turn of the event loop and send
+/// their requests later; another one connects as one of the old clients disconnects.
 #[test]
-fn new_clients_are_not_closed_for_each_other_nor_anybody_where_one_has_left() {
+fn new_clients_do_not_evict_each_other_and_a_disconnect_makes_an_eviction_unnecessary() {
     let name_service = AutomaticNameService::new(1, &[]);
-    let (program, mut keep) = full_of_those_who_rest(&name_service);
-    // Longer than usual clients rest.
+    let (program, mut idle_clients) = start_with_idle_clients_at_limit(&name_service);
+    // Longer than the idle timeout of clients.
     std::thread::sleep(Duration::from_millis(4_200));
     program.suspend();
     let (mut first, mut second) = (
@@ -445,75 +465,79 @@
     );
     program.resume();
     assert_eq!(
-        (keep.remove(0).read_status(), keep.remove(0).read_status()),
+        (
+            idle_clients.remove(0).read_status(),
+            idle_clients.remove(0).read_status()
+        ),
         (0, 0),
-        "closed for them"
+        "evicted for the new clients"
     );
     first.send_query("load", 100);
     second.send_query("load", 101);
     assert_eq!((first.read_status(), second.read_status()), (200, 200));
     program.suspend();
-    drop(keep.pop());
+    drop(idle_clients.pop());
     let mut third = Client::connect(program.listen);
     program.resume();
     third.send_query("load", 102);
     assert_eq!(third.read_status(), 200);
-    for (n, client) in keep.iter_mut().enumerate() {
+    for (n, client) in idle_clients.iter_mut().enumerate() {
         client.send_query("load", 200 + n as u64);
-        assert_eq!(client.read_status(), 200, "still there");
+        assert_eq!(client.read_status(), 200, "still connected");
     }
 }
 
-/// A call that can't be used is told so and closed, and what its client still sends does not take the answer along.
+/// The connection of an invalid request is closed after the response. Data that the client still sends must not destroy the response,
+/// as a reset would.
 #[test]
-fn the_answer_to_a_call_that_cannot_be_used_outlives_what_comes_behind_it() {
+fn the_response_to_an_invalid_request_is_delivered_despite_data_sent_after_it() {
     let name_service = AutomaticNameService::new(1, &[]);
     let program = Program::start(&config(
         unused_address(),
         &[("e1", Executor::new().spawn_server("e1"))],
         name_service.address,
     ));
-    let whole = query_request("load", 1, "SELECT 1");
-    let bad = [
+    let valid = query_request("load", 1, "SELECT 1");
+    let invalid = [
         (
-            whole.replace("Content-Length: 8", "Content-Length: 60000000"),
+            valid.replace("Content-Length: 8", "Content-Length: 60000000"),
             413,
         ),
         (
-            whole.replace(
+            valid.replace(
                 "Content-Length: 8",
                 "Content-Length: 8\r\nTransfer-Encoding: chunked",
             ),
             400,
         ),
         (
-            whole.replace("Content-Length: 8", "Transfer-Encoding: chunked"),
+            valid.replace("Content-Length: 8", "Transfer-Encoding: chunked"),
             411,
         ),
-        (whole.replace("HTTP/1.1", "nonsense"), 400),
-        (whole.replace("X-Timeout-Ms", &"X".repeat(20_000)), 431),
+        (valid.replace("HTTP/1.1", "nonsense"), 400),
+        (valid.replace("X-Timeout-Ms", &"X".repeat(20_000)), 431),
     ];
-    for (call, status) in &bad {
+    for (request, status) in &invalid {
         let mut client = Client::connect(program.listen);
-        client.send(call);
-        // Calls of others, as it seems, and much of it.
-        client.send(&whole.replace("SELECT 1", "SELECT 2").repeat(5_000));
+        client.send(request);
+        // A lot of data that looks like further requests.
+        client.send(&valid.replace("SELECT 1", "SELECT 2").repeat(5_000));
         assert_eq!(
             client.read_status(),
             *status,
             "{}",
-            &call[..call.len().min(200)]
+            &request[..request.len().min(200)]
         );
     }
-    // Nothing of it went anywhere: the id is not known.
+    // None of these requests was forwarded, so the id is still unused.
     let mut client = Client::connect(program.listen);
-    client.send(&whole);
+    client.send(&valid);
     assert_eq!(client.read_status(), 200);
 }
 
-/// What may have run is known for as long as a flood of others takes that do no harm.
+/// The ids of at-most-once queries that may have run are kept even when many idempotent queries follow.
 #[test]
-fn a_flood_does_not_have_a_spent_id_run_again() {
+fn a_flood_of_idempotent_queries_does_not_evict_the_id_of_an_at_most_once_query() {
     let name_service = AutomaticNameService::new(1, &[]);
     let program = Program::start(&config(
         unused_address(),
@@ -533,13 +557,13 @@
     assert_eq!(
         client.read_status(),
         200,
-        "the oldest harmless one is forgotten"
+        "the oldest id of an idempotent query is forgotten"
     );
 }
 
-/// As many are in hand as may be: one more is refused at once, the others have their answers.
+/// The maximum number of queries is in progress: another one is rejected at once, and the others are answered.
 #[test]
-fn one_more_than_may_be_held_is_refused_at_once_and_costs_the_others_nothing() {
+fn a_query_beyond_the_limit_is_rejected_at_once_without_an_effect_on_others() {
     let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
     let mut config = config(
         unused_address(),
@@ -548,32 +572,37 @@
     );
     config["settings"]["ceilings"]["most_held"] = 2.into();
     let program = Program::start(&config);
-    let mut held: Vec<(Client, ExecutorConnection)> = Vec::new();
+    let mut in_progress: Vec<(Client, ExecutorConnection)> = Vec::new();
     for n in 1..=2 {
         let mut client = Client::connect(program.listen);
         client.send_query("load", n);
         let mut conn = executor.accept();
         assert_eq!(conn.expect_request().id, request_id(n));
-        held.push((client, conn));
+        in_progress.push((client, conn));
     }
     let mut third = Client::connect(program.listen);
     third.send_query("load", 3);
     assert_eq!(third.read_status(), 503);
-    for (n, (client, conn)) in held.iter_mut().enumerate() {
+    for (n, (client, conn)) in in_progress.iter_mut().enumerate() {
         conn.send(&hit_response(&request_id(n as u64 + 1), "e1"));
         assert_eq!(client.read_status(), 200);
     }
     third.send_query("load", 3);
-    held[1].1.serve_query(3, "e1");
-    assert_eq!(third.read_status(), 200, "it never ran, and may come again");
+    in_progress[1].1.serve_query(3, "e1");
+    assert_eq!(
+        third.read_status(),
+        200,
+        "it did not run, so it may be repeated"
+    );
 }
 
-/// Between the module's choice and the first byte the executor drains, is gone, or gives its address to another.
+/// Between the choice of the executor and the first byte written, the executor starts to drain, is removed, or its address is assigned
+/// to another executor.
 #[test]
-fn nothing_goes_to_an_executor_that_was_told_to_drain_while_the_connection_came_up() {
-    for (what, told_first) in ["drains", "gone", "moved"]
+fn nothing_is_sent_to_an_executor_that_drains_is_removed_or_replaced_during_a_connect() {
+    for (case, list_first) in ["draining", "removed", "replaced"]
         .into_iter()
-        .flat_map(|w| [(w, true), (w, false)])
+        .flat_map(|case| [(case, true), (case, false)])
     {
         let name_service = NameService::new();
         let (first, backlog) = Executor::with_full_backlog();
@@ -586,29 +615,29 @@
         let mut client = Client::connect(program.listen);
         client.send_query("load", 1);
         program.wait_for_connect(first.address);
-        let question = name_service.next_new_query();
+        let query = name_service.next_new_query();
         program.suspend();
-        let tell = || {
-            program.deliver_datagram(|| match what {
-                "drains" => name_service.send_list(
-                    &question,
+        let publish = || {
+            program.deliver_datagram(|| match case {
+                "draining" => name_service.send_list(
+                    &query,
                     2,
                     &[("e1", first.address, true), ("e2", second.address, false)],
                 ),
-                "gone" => name_service.send_list(&question, 2, &[("e2", second.address, false)]),
-                _ => name_service.send_list(&question, 2, &[("e2", first.address, false)]),
+                "removed" => name_service.send_list(&query, 2, &[("e2", second.address, false)]),
+                _ => name_service.send_list(&query, 2, &[("e2", first.address, false)]),
             });
         };
-        if told_first {
-            tell();
+        if list_first {
+            publish();
         }
         let mut conn = backlog.free_and_accept(&first);
-        if !told_first {
-            tell();
+        if !list_first {
+            publish();
         }
         program.resume();
-        // Full: another connection to the same place comes up once there is room, as there is now.
-        let mut other = if what == "moved" {
+        // The accept queue has room now, so that another connect to the same address completes.
+        let mut other = if case == "replaced" {
             first.accept()
         } else {
             second.accept()
@@ -617,7 +646,7 @@
         assert_eq!(request.id, request_id(1));
         other.send(&hit_response(&request.id, "e2"));
         let (status, body) = client.read_response().expect("answered");
-        assert_eq!(status, 200, "{what}");
+        assert_eq!(status, 200, "{case}");
         assert!(body.contains("e2"));
         drop(client);
         program.signal("-TERM");
@@ -625,33 +654,33 @@
         assert_eq!(
             conn.next_request(),
             None,
-            "{what}, told first: {told_first}"
+            "{case}, list first: {list_first}"
         );
     }
 }
 
-/// The configuration is read while it is half written, and no further signal comes.
+/// The configuration file is read while it is partially written, and no further signal follows.
 #[test]
-fn a_configuration_that_was_half_written_is_read_once_it_is_whole() {
+fn a_partially_written_configuration_is_reloaded_once_it_is_complete() {
     let (old, new) = (NameService::new(), NameService::new());
     let executor = Executor::new().spawn_server("e1");
     let listen = unused_address();
     let program = Program::start(&config(listen, &[("e1", executor)], old.address));
-    let moved = config(listen, &[("e1", executor)], new.address).to_string();
-    std::fs::write(&program.config_file, &moved[..moved.len() / 2]).expect("written");
+    let new_config = config(listen, &[("e1", executor)], new.address).to_string();
+    std::fs::write(&program.config_file, &new_config[..new_config.len() / 2]).expect("written");
     program.signal("-HUP");
-    // It has been read, and found to be of no use: the old one is asked on.
+    // The program has rejected the incomplete file and still queries the old name service.
     for _ in 0..3 {
         old.next_new_query();
     }
-    std::fs::write(&program.config_file, &moved).expect("written");
+    std::fs::write(&program.config_file, &new_config).expect("written");
     new.next_query();
     assert_eq!(program.health(), Some(200));
 }
 
-/// Both signals, and each twice, are heard in one turn, with a query in hand.
+/// SIGTERM and SIGHUP, each twice, and SIGINT are processed in one turn of the event loop, with a query in progress.
 #[test]
-fn all_signals_at_once_lose_nothing() {
+fn simultaneous_signals_lose_no_query() {
     let (old, new) = (
         AutomaticNameService::new(1, &[]),
         AutomaticNameService::new(1, &[]),
@@ -675,48 +704,48 @@
     let mut late = Client::connect(listen);
     late.send_query("load", 2);
     program.resume();
-    wait_until("the new one is asked", || new.query_count() > 0);
+    wait_until("a query to the new name service", || new.query_count() > 0);
     let mut another = executor.accept();
     let second = another.expect_request();
     program.wait_until_listener_closed();
-    assert!(!program.has_exited(), "two are owed");
+    assert!(!program.has_exited(), "two responses are outstanding");
     conn.send(&hit_response(&request.id, "e1"));
     another.send(&hit_response(&second.id, "e1"));
     assert_eq!((client.read_status(), late.read_status()), (200, 200));
     assert_eq!(program.wait_for_exit().code(), Some(0));
 }
 
-/// The end of a connection lies right behind the answer, in one read.
+/// The program reads a response and the end of its connection at the same time.
 #[test]
-fn an_answer_right_before_the_end_of_its_connection_counts() {
+fn a_response_right_before_the_end_of_its_connection_is_accepted() {
     let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
     let program = Program::start(&config(
         unused_address(),
         &[("e1", executor.address)],
         name_service.address,
     ));
-    for breaks in [false, true] {
+    for lacks_pages in [false, true] {
         let mut client = Client::connect(program.listen);
-        let n = 1 + u64::from(breaks);
+        let n = 1 + u64::from(lacks_pages);
         client.send_query("load", n);
         let mut conn = executor.accept();
         let request = conn.expect_request();
         program.suspend();
-        if breaks {
-            // Further pages are to be had: they are lost with the connection, and what has run does not run again.
+        if lacks_pages {
+            // Further pages are lost with the connection, and the query has run, so it must not run again.
             conn.send(&hit_response(&request.id, "e1").replace("pages=1", "pages=2"));
         } else {
             conn.send(&hit_response(&request.id, "e1"));
         }
         drop(conn);
         program.resume();
-        assert_eq!(client.read_status(), if breaks { 500 } else { 200 });
+        assert_eq!(client.read_status(), if lacks_pages { 500 } else { 200 });
     }
 }
 
-/// A second answer comes late, on a connection that carries another query by then.
+/// A duplicate response arrives on a connection that carries another query by then.
 #[test]
-fn a_second_answer_is_nobody_elses() {
+fn a_duplicate_response_is_not_attributed_to_another_query() {
     let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
     let program = Program::start(&config(
         unused_address(),
@@ -731,7 +760,7 @@
     assert_eq!(client.read_status(), 200);
     client.send_query("load", 2);
     let second = conn.expect_request();
-    conn.send(&hit_response(&first.id, "stray"));
+    conn.send(&hit_response(&first.id, "duplicate"));
     conn.send(&hit_response(&second.id, "second"));
     let (status, body) = client.read_response().expect("answered");
     assert_eq!(
@@ -740,9 +769,9 @@
     );
 }
 
-/// The executor answers nothing any more, also not as the controller is told to stop.
+/// The executor has stopped responding before the controller receives the signal to stop.
 #[test]
-fn who_waits_at_a_hung_executor_as_the_controller_stops_is_answered_in_time() {
+fn clients_waiting_for_a_hung_executor_at_the_shutdown_are_answered_in_time() {
     let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
     let mut program = Program::start(&config(
         unused_address(),
@@ -755,17 +784,17 @@
         client.send(&query_request(class, n as u64, "SELECT 1").replace("15000", "1200"));
         let mut conn = executor.accept();
         let request = conn.expect_request();
-        // The first of two pages: it hangs in the middle.
+        // The executor sends the first of two pages and then hangs.
         if class == "load" {
             conn.send(&hit_response(&request.id, "e1").replace("pages=1", "pages=2"));
         }
         waiting.push((client, conn));
     }
     program.signal("-TERM");
-    let told: Vec<u16> = waiting
+    let statuses: Vec<u16> = waiting
         .iter_mut()
         .map(|(client, _)| client.read_status())
         .collect();
-    assert_eq!(told, [503, 500]);
+    assert_eq!(statuses, [503, 500]);
     assert_eq!(program.wait_for_exit().code(), Some(0));
 }
--- a/crates/controller/tests/endings_at_executors.rs
+++ b/crates/controller/tests/endings_at_executors.rs
@@ -1,13 +1,13 @@
-//! What ends at executors and in the list of them while something is still owed: each test has the bad order happen every time, on
-//! real sockets.
+//! Race conditions when connections to executors fail, or the list of executors changes, while queries are in progress. Each test
+//! forces the unfavourable order of events every time, with the built program and real sockets.
 
 mod rig;
 use rig::*;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// One client and one executor that know each other: a query was served, and its connection rests.
-fn acquainted(
+/// Starts a program with one executor and serves a query, which leaves an idle connection between them.
+fn start_with_idle_connection(
     executor: &Executor,
     name_service: SocketAddr,
 ) -> (Program, Client, ExecutorConnection) {
@@ -24,22 +24,25 @@
     (program, client, conn)
 }
 
-/// The executor closes a connection that rests in the moment in which a query is to go on it. Nothing of it went: it goes on another.
+/// The executor closes an idle connection at the moment a query is assigned to it. Nothing was sent yet, so the query is sent on
+/// another connection.
 #[test]
-fn a_query_that_crosses_the_end_of_a_resting_connection_goes_on_another_whichever_is_heard_first() {
-    for (breaks, asked_first) in [(false, true), (false, false), (true, true), (true, false)] {
+fn a_query_that_coincides_with_the_close_of_an_idle_connection_is_sent_on_another_in_either_order()
+{
+    for (is_reset, query_first) in [(false, true), (false, false), (true, true), (true, false)] {
         let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
-        let (program, mut client, conn) = acquainted(&executor, name_service.address);
+        let (program, mut client, conn) =
+            start_with_idle_connection(&executor, name_service.address);
         program.suspend();
-        if asked_first {
+        if query_first {
             client.send_query("load", 1);
         }
-        if breaks {
+        if is_reset {
             conn.reset();
         } else {
             drop(conn);
         }
-        if !asked_first {
+        if !query_first {
             client.send_query("load", 1);
         }
         program.resume();
@@ -47,17 +50,17 @@
         assert_eq!(
             client.read_status(),
             200,
-            "breaks: {breaks}, asked first: {asked_first}"
+            "reset: {is_reset}, query first: {query_first}"
         );
     }
 }
 
-/// The connection breaks under a request that has come whole: it may have run.
+/// The connection is reset after the executor has received a complete request, which may therefore have run.
 #[test]
-fn a_connection_that_breaks_under_a_request_fails_what_must_not_run_twice_and_the_rest_goes_again()
-{
+fn a_reset_after_a_complete_request_fails_an_at_most_once_query_and_retries_an_idempotent_one() {
     let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
-    let (_program, mut client, mut conn) = acquainted(&executor, name_service.address);
+    let (_program, mut client, mut conn) =
+        start_with_idle_connection(&executor, name_service.address);
     client.send_query("load", 1);
     assert_eq!(conn.expect_request().id, request_id(1));
     conn.reset();
@@ -68,26 +71,26 @@
     conn.reset();
     executor.accept().serve_query(2, "e1");
     assert_eq!(client.read_status(), 200);
-    // What failed does not run under its id again.
+    // A failed at-most-once query does not run again with the same id.
     client.send_query("load", 1);
     assert_eq!(client.read_status(), 409);
 }
 
-/// Nobody listens at one of two executors, or its connects hang: nothing of what was to go there has run.
+/// Connects to one of two executors are refused or time out. None of its queries has run, so the other executor gets them.
 #[test]
-fn what_finds_no_connection_goes_elsewhere() {
-    for hangs in [false, true] {
+fn queries_whose_connects_fail_are_sent_to_another_executor() {
+    for times_out in [false, true] {
         let name_service = AutomaticNameService::new(1, &[]);
         let second = Executor::new().spawn_server("e2");
         let (first, backlog) = Executor::with_full_backlog();
-        let at = if hangs {
+        let address = if times_out {
             first.address
         } else {
             unused_address()
         };
         let mut config = config(
             unused_address(),
-            &[("e1", at), ("e2", second)],
+            &[("e1", address), ("e2", second)],
             name_service.address,
         );
         config["settings"]["ceilings"]["connect_timeout_us"] = 1_000_000.into();
@@ -100,7 +103,7 @@
             let (status, body) = client.read_response().expect("answered");
             assert!(
                 (status, body.contains("e2")) == (200, true),
-                "hangs: {hangs}: {status} {body}"
+                "connects time out: {times_out}: {status} {body}"
             );
         }
         drop(program);
@@ -108,14 +111,14 @@
         assert_eq!(
             conn.as_mut().and_then(ExecutorConnection::next_request),
             None,
-            "hangs: {hangs}"
+            "connects time out: {times_out}"
         );
     }
 }
 
-/// A connection comes up and breaks in one turn, with a query that waits for it.
+/// A connection that a query waits for is established and reset in one turn of the event loop.
 #[test]
-fn a_connection_that_breaks_as_it_comes_up_costs_its_query_nothing() {
+fn a_query_whose_connection_is_reset_as_it_is_established_is_sent_on_another() {
     let name_service = AutomaticNameService::new(1, &[]);
     let (executor, backlog) = Executor::with_full_backlog();
     let program = Program::start(&config(
@@ -133,49 +136,51 @@
     assert_eq!(client.read_status(), 200);
 }
 
-/// Answers that can't be read, and that never end: their connection ends, and what must not run twice does not.
+/// Invalid and endless responses close their connection, and an at-most-once query does not run again.
 #[test]
-fn an_answer_that_cannot_be_read_or_does_not_end_is_over_at_once() {
+fn an_invalid_or_endless_response_closes_its_connection_at_once() {
     let endless = format!(
         "{} HIT pages=1 3000000000\r\n{}",
         request_id(1),
         "a\tb\tc\n".repeat(20_000)
     );
-    for noise in [
+    for response in [
         "\0\u{7}nothing at all\r\n".to_string(),
         "x".repeat(600_000),
         endless,
     ] {
         let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
-        let (_program, mut client, mut conn) = acquainted(&executor, name_service.address);
+        let (_program, mut client, mut conn) =
+            start_with_idle_connection(&executor, name_service.address);
         client.send_query("load", 1);
         assert_eq!(conn.expect_request().id, request_id(1));
-        conn.send(&noise);
+        conn.send(&response);
         assert_eq!(client.read_status(), 500);
         assert!(conn.wait_for_close());
         client.send_query("look", 1 << 20);
         let mut conn = executor.accept();
         assert_eq!(conn.expect_request().id, request_id(1 << 20));
-        conn.send(&noise);
+        conn.send(&response);
         executor.accept().serve_query(1 << 20, "e1");
         assert_eq!(client.read_status(), 200);
     }
 }
 
-/// The answer is there as the client's time ends: it is answered once, and what it asks next has its own answer.
+/// The response of the executor and the deadline of the query coincide. The client gets one response, and its next query gets its own.
 #[test]
-fn an_answer_that_comes_as_the_time_ends_is_told_once() {
+fn a_response_that_coincides_with_the_deadline_is_forwarded_once() {
     for class in ["look", "load"] {
         let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
-        let (program, mut client, mut conn) = acquainted(&executor, name_service.address);
+        let (program, mut client, mut conn) =
+            start_with_idle_connection(&executor, name_service.address);
         client.send(&query_request(class, 1, "SELECT 1").replace("15000", "500"));
         let request = conn.expect_request();
         program.suspend();
         conn.send(&hit_response(&request.id, "first"));
-        // Until its clock has passed the end of that time.
+        // The program must see that the deadline has passed when it resumes.
         std::thread::sleep(Duration::from_millis(700));
         program.resume();
-        // It was there before the process could know that the time had ended.
+        // The response arrived before the process could notice the deadline.
         let (status, body) = client.read_response().expect("answered");
         assert_eq!(
             (status, body.as_str()),
@@ -191,35 +196,39 @@
     }
 }
 
-/// Its client leaves: the executor is told, and an answer that crosses that word is nobody's.
+/// A client disconnects: its request is cancelled at the executor, and a response that crosses the cancellation is dropped.
 #[test]
-fn what_a_client_leaves_behind_at_an_executor_is_given_up() {
-    let ways = [
+fn a_request_of_a_disconnected_client_is_cancelled_at_its_executor() {
+    let disconnects = [
         Disconnect::Close,
         Disconnect::Reset,
         Disconnect::ShutdownWrite,
     ];
-    for (how, crosses) in ways.into_iter().flat_map(|how| [(how, false), (how, true)]) {
+    for (how, response_first) in disconnects
+        .into_iter()
+        .flat_map(|how| [(how, false), (how, true)])
+    {
         let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
-        let (program, mut client, mut conn) = acquainted(&executor, name_service.address);
-        let mut leaver = Client::connect(program.listen);
-        leaver.send_query("load", 1);
+        let (program, mut client, mut conn) =
+            start_with_idle_connection(&executor, name_service.address);
+        let mut disconnecting = Client::connect(program.listen);
+        disconnecting.send_query("load", 1);
         let request = conn.expect_request();
         program.suspend();
-        let _still_there = leaver.disconnect(how);
-        if crosses {
-            conn.send(&hit_response(&request.id, "stray"));
+        let _half_closed = disconnecting.disconnect(how);
+        if response_first {
+            conn.send(&hit_response(&request.id, "cancelled"));
         }
         program.resume();
-        if !crosses {
+        if !response_first {
             assert_eq!(
                 conn.next_line(),
                 Some(format!("STOP {}", request_id(1))),
                 "{how:?}"
             );
-            conn.send(&hit_response(&request.id, "stray"));
+            conn.send(&hit_response(&request.id, "cancelled"));
         }
-        // What had been served as the departure was heard needs no word; other requests are all that may come.
+        // A request that was served before the disconnect was processed is not cancelled. Only other requests may follow.
         client.send_query("load", 2);
         conn.serve_query(2, "second");
         let (status, body) = client.read_response().expect("answered");
@@ -231,86 +240,87 @@
     }
 }
 
-/// An executor moves under its name: nothing more goes to where it was, also not on a connection that rests there, and what it has
-/// in hand there still counts.
+/// The address of an executor changes. Nothing more is sent to the former address, not even on an idle connection, and responses to
+/// requests in progress there are still accepted.
 #[test]
-fn an_executor_that_moves_under_its_name_gets_no_more_where_it_was() {
+fn an_executor_whose_address_changes_gets_no_more_requests_at_the_former_one() {
     let (old, new, name_service) = (Executor::new(), Executor::new(), NameService::new());
-    let (program, mut client, mut first) = acquainted(&old, name_service.address);
-    let mut before = Client::connect(program.listen);
-    before.send_query("load", 1);
+    let (program, mut client, mut first) = start_with_idle_connection(&old, name_service.address);
+    let mut earlier = Client::connect(program.listen);
+    earlier.send_query("load", 1);
     assert_eq!(first.expect_request().id, request_id(1));
     client.send_query("load", 2);
     let mut second = old.accept();
     second.serve_query(2, "old");
     assert_eq!(client.read_status(), 200);
-    let question = name_service.next_new_query();
+    let query = name_service.next_new_query();
     program.suspend();
-    program
-        .deliver_datagram(|| name_service.send_list(&question, 2, &[("e1", new.address, false)]));
-    // The second connection rests.
+    program.deliver_datagram(|| name_service.send_list(&query, 2, &[("e1", new.address, false)]));
+    // The second connection is idle.
     client.send_query("load", 3);
     program.resume();
     new.accept().serve_query(3, "new");
     assert_eq!(client.read_status(), 200);
     assert!(second.wait_for_close());
     first.send(&hit_response(&request_id(1), "old"));
-    let (status, body) = before.read_response().expect("answered");
+    let (status, body) = earlier.read_response().expect("answered");
     assert!(status == 200 && body.contains("old"), "{status} {body}");
-    assert!(first.wait_for_close(), "once it carries nothing");
+    assert!(first.wait_for_close(), "closed after its last request");
 }
 
-/// What is old, cut short, to no question of ours, or of the name service before the new configuration changes nothing.
+/// A list is ignored if it is old, truncated, not an answer to a query of the program, or from a service that was not queried. After a
+/// reload, answers of the former name service are accepted only if they are newer.
 #[test]
-fn a_list_that_does_not_count_takes_nobody_away() {
+fn old_truncated_and_unsolicited_lists_remove_no_executor() {
     let (old, new, name_service) = (Executor::new(), NameService::new(), NameService::new());
-    let (program, mut client, mut conn) = acquainted(&old, name_service.address);
+    let (program, mut client, mut conn) = start_with_idle_connection(&old, name_service.address);
     let elsewhere: SocketAddr = unused_address();
-    let still_served = |client: &mut Client, conn: &mut ExecutorConnection, n: u64, what: &str| {
-        assert_eq!(program.health(), Some(200), "heard behind it");
-        client.send_query("load", n);
-        conn.serve_query(n, "e1");
-        assert_eq!(client.read_status(), 200, "{what}");
-    };
-    let question = name_service.next_new_query();
+    let assert_served_by_e1 =
+        |client: &mut Client, conn: &mut ExecutorConnection, n: u64, case: &str| {
+            assert_eq!(
+                program.health(),
+                Some(200),
+                "the list was read before this request"
+            );
+            client.send_query("load", n);
+            conn.serve_query(n, "e1");
+            assert_eq!(client.read_status(), 200, "{case}");
+        };
+    let query = name_service.next_new_query();
     program.suspend();
-    program.deliver_datagram(|| name_service.send_list(&question, 1, &[("e2", elsewhere, false)]));
+    program.deliver_datagram(|| name_service.send_list(&query, 1, &[("e2", elsewhere, false)]));
     program.deliver_datagram(|| {
-        name_service.send_truncated_list(&question, 2, &[("e2", elsewhere, false)])
+        name_service.send_truncated_list(&query, 2, &[("e2", elsewhere, false)])
     });
-    program.deliver_datagram(|| new.send_list(&question, 3, &[("e2", elsewhere, false)]));
+    program.deliver_datagram(|| new.send_list(&query, 3, &[("e2", elsewhere, false)]));
     program.deliver_datagram(|| {
-        name_service.send_list(
-            &question.with_different_id(),
-            4,
-            &[("e2", elsewhere, false)],
-        )
+        name_service.send_list(&query.with_different_id(), 4, &[("e2", elsewhere, false)])
     });
     program.resume();
-    still_served(
+    assert_served_by_e1(
         &mut client,
         &mut conn,
         1,
-        "old, cut, of a stranger, unasked",
+        "old, truncated, from another service, unsolicited",
     );
-    let before = name_service.next_new_query();
-    let moved = config(program.listen, &[("e1", old.address)], new.address).to_string();
-    std::fs::write(&program.config_file, moved).expect("written");
+    let earlier = name_service.next_new_query();
+    let new_config = config(program.listen, &[("e1", old.address)], new.address).to_string();
+    std::fs::write(&program.config_file, new_config).expect("written");
     program.signal("-HUP");
     new.next_query();
-    // What the one before was asked counts if it is newer, and not if it is older.
+    // An answer of the former service to an earlier query is accepted only if its list is newer; this one is not.
     program.suspend();
-    program.deliver_datagram(|| name_service.send_list(&before, 1, &[("e2", elsewhere, false)]));
+    program.deliver_datagram(|| name_service.send_list(&earlier, 1, &[("e2", elsewhere, false)]));
     program.resume();
-    still_served(&mut client, &mut conn, 2, "old, of the one before");
-    // The numbers carry on: the first list of the new one counts, and e1 drains in it.
+    assert_served_by_e1(&mut client, &mut conn, 2, "old, from the former service");
+    // Serial numbers continue across the reload: the next list of the new service is accepted, in which e1 is draining.
     let third = Executor::new();
     new.send_list(
         &new.next_new_query(),
         2,
         &[("e1", old.address, true), ("e3", third.address, false)],
     );
-    // It is heard before anything that comes after the next question.
+    // The program has processed the list once it sends the next query.
     new.next_new_query();
     new.next_query();
     client.send_query("load", 3);
@@ -318,33 +328,34 @@
     assert_eq!(client.read_status(), 200);
 }
 
-/// All places are taken by connections that come up for nobody any more: a query for another executor has one of them.
+/// At the descriptor limit, all executor connections are connects that no query needs any more. A query for another executor gets the
+/// place of one of them.
 #[test]
-fn a_connection_that_comes_up_for_nobody_makes_room_at_the_bound_of_descriptors() {
+fn a_connect_that_no_query_needs_is_closed_for_another_executor_at_the_descriptor_limit() {
     let name_service = NameService::new();
-    let (hangs, _backlog) = Executor::with_full_backlog();
+    let (hung, _backlog) = Executor::with_full_backlog();
     let second = Executor::new();
     let mut config = config(
         unused_address(),
-        &[("e1", hangs.address)],
+        &[("e1", hung.address)],
         name_service.address,
     );
     // 16 clients and 16 connections to executors.
     config["limits"]["sockets"] = 64.into();
     let program = Program::start(&config);
-    let mut leave: Vec<Client> = (0..16).map(|_| Client::connect(program.listen)).collect();
-    for (n, client) in leave.iter_mut().enumerate() {
+    let mut disconnecting: Vec<Client> = (0..16).map(|_| Client::connect(program.listen)).collect();
+    for (n, client) in disconnecting.iter_mut().enumerate() {
         client.send_query("look", n as u64);
     }
-    program.wait_for_connects(hangs.address, 16);
-    leave.clear();
-    let question = name_service.next_new_query();
+    program.wait_for_connects(hung.address, 16);
+    disconnecting.clear();
+    let query = name_service.next_new_query();
     name_service.send_list(
-        &question,
+        &query,
         2,
-        &[("e1", hangs.address, true), ("e2", second.address, false)],
+        &[("e1", hung.address, true), ("e2", second.address, false)],
     );
-    // Two more questions: all of that has been heard before the second.
+    // The program has processed all of this once it has sent two more queries.
     name_service.next_new_query();
     name_service.next_query();
     let mut client = Client::connect(program.listen);
@@ -353,10 +364,10 @@
     assert_eq!(client.read_status(), 200);
 }
 
-/// The window in which repeats of a query are dropped closes while the connection for its repeat comes up.
+/// The deduplication window of a query ends during the connect for its retry.
 #[test]
-fn a_repeat_whose_window_closed_while_its_connection_came_up_is_not_written() {
-    for closes in [false, true] {
+fn a_retry_whose_deduplication_window_ended_during_its_connect_is_not_written() {
+    for window_ends in [false, true] {
         let name_service = AutomaticNameService::new(1, &[]);
         let (executor, backlog) = Executor::with_full_backlog();
         let mut config = config(
@@ -367,7 +378,7 @@
         let load = &mut config["settings"]["grades"][1];
         load["effect"] = "by_key".into();
         load["dedup_scope"] = "all".into();
-        load["window_us"] = if closes { 1_000_000 } else { 12_000_000 }.into();
+        load["window_us"] = if window_ends { 1_000_000 } else { 12_000_000 }.into();
         let program = Program::start(&config);
         let mut client = Client::connect(program.listen);
         client.send_query("look", 900);
@@ -384,16 +395,16 @@
         first.reset();
         program.wait_for_connect(executor.address);
         program.suspend();
-        // Until its clock has passed the shorter window.
+        // The program must see that the shorter window has ended when it resumes.
         std::thread::sleep(Duration::from_millis(1_200));
         let mut second = backlog.free_and_accept(&executor);
         program.resume();
-        if !closes {
+        if !window_ends {
             second.serve_query(1, "e1");
         }
-        assert_eq!(client.read_status(), if closes { 503 } else { 200 });
+        assert_eq!(client.read_status(), if window_ends { 503 } else { 200 });
         client.send_query("look", 2);
         second.serve_query(2, "e1");
-        assert_eq!(client.read_status(), 200, "nothing else went there");
+        assert_eq!(client.read_status(), 200, "nothing else was sent there");
     }
 }
--- a/crates/controller/tests/executor_list_age.rs
+++ b/crates/controller/tests/executor_list_age.rs
@@ -1,8 +1,10 @@
-//! In pre-production, requests went to servers that drained or were gone, a few times, more than a second after the name service had
-//! told of it. The controller did not know how old its list was: an answer on its way across a reload was dropped ("unknown
-//! sender"), and 135 requests followed to a server that it named as draining; after three seconds of suspension 58 went by the list of
-//! before; eleven lost answers, asked for again four times a second, cost 62. So each thing that keeps the list from being asked
-//! for or heard is forced here, on the built program.
+//! Tests of the built program against sending requests by an outdated list of executors.
+//!
+//! The failure: requests were sent to executors that were draining or removed, more than a second after the name service had published
+//! the change, because the controller did not track the age of its list. An answer that arrived after a reload was dropped ("unknown
+//! sender"), and 135 requests followed to an executor that it listed as draining. After a suspension of three seconds, 58 requests
+//! were sent by the previous list. Eleven lost answers, with a query four times a second, led to 62 such requests. The tests force each
+//! condition that prevents the controller from querying the name service or from receiving its answers.
 
 mod rig;
 use rig::*;
@@ -10,29 +12,30 @@
 use std::time::{Duration, Instant};
 use wheelfield_fault_shim::{Call, Errno, FaultControl, ALWAYS};
 
-/// What happened counts as told after this time, whether it was heard or not.
+/// A change of the list counts as published after this time, whether or not the controller has received it.
 const PUBLICATION_DELAY: Duration = Duration::from_millis(1_500);
-/// The same, counted from the beginning of a silence of the name service.
-const PUBLICATION_DELAY_AFTER_SILENCE: Duration = Duration::from_millis(4_500);
-/// Time for which requests may go to an executor after its drain was told, with what sockets add.
-const GRACE: Duration = Duration::from_millis(1_050);
-/// What this test may see late.
+/// The same time, counted from the start of an outage of the name service.
+const PUBLICATION_DELAY_DURING_OUTAGE: Duration = Duration::from_millis(4_500);
+/// Time for which requests may still reach an executor after its drain was published: the grace period plus the delay of sockets.
+const DRAIN_GRACE: Duration = Duration::from_millis(1_050);
+/// Tolerance for delays in the test itself.
 const TIMING_SLACK: Duration = Duration::from_millis(100);
-/// For how long traffic is watched after the grace.
-const WATCHED: Duration = Duration::from_millis(700);
-/// For how long a process is suspended, and when the drain happens in that time.
-const SUSPENDED: Duration = Duration::from_millis(3_000);
+/// Time for which traffic is observed after the grace period.
+const OBSERVATION_TIME: Duration = Duration::from_millis(700);
+/// Duration of a suspension.
+const SUSPENSION: Duration = Duration::from_millis(3_000);
+/// Time from the start of a suspension to the drain.
 const DRAIN_DELAY: Duration = Duration::from_millis(200);
-/// How long the name service takes for its answers once a suspended process asks again.
+/// Delay of the answers of the name service after a suspension.
 const SLOW_ANSWER: Duration = Duration::from_millis(300);
 
-/// Two executors, of which the first drains or goes later, and whose list at first has both.
+/// Two executors that are both listed at first; one of them is drained or removed later.
 struct Pair {
     leaving: RecordingExecutor,
     staying: RecordingExecutor,
 }
 
-/// How an executor leaves the list.
+/// How an executor stops accepting requests.
 #[derive(Clone, Copy, Debug)]
 enum Departure {
     Drained,
@@ -47,14 +50,14 @@
         }
     }
 
-    fn before(&self) -> [ListedExecutor; 2] {
+    fn list_before(&self) -> [ListedExecutor; 2] {
         [
             ready("e1", self.leaving.address),
             ready("e2", self.staying.address),
         ]
     }
 
-    fn after(&self, departure: Departure) -> Vec<ListedExecutor> {
+    fn list_after(&self, departure: Departure) -> Vec<ListedExecutor> {
         let staying = ready("e2", self.staying.address);
         match departure {
             Departure::Drained => vec![draining("e1", self.leaving.address), staying],
@@ -67,18 +70,21 @@
         config(unused_address(), &known, name_service.address)
     }
 
-    /// Until the grace after this telling is over, and a little longer; then nothing has come after it at the executor that leaves.
+    /// Waits until after the grace period that follows the publication, and asserts that the leaving executor received no request after
+    /// that period.
     fn assert_nothing_sent_past_grace(&self, published_at: Instant, case: &str) {
-        let over_at = published_at + GRACE + TIMING_SLACK;
-        let watched_until = over_at + WATCHED;
-        sleep(watched_until.saturating_duration_since(Instant::now()));
-        wait_until("served", || self.staying.received_after(over_at) > 0);
-        let past = self.leaving.received_after(over_at);
-        assert_eq!(past, 0, "requests past the grace: {case}");
+        let grace_end = published_at + DRAIN_GRACE + TIMING_SLACK;
+        let observed_until = grace_end + OBSERVATION_TIME;
+        sleep(observed_until.saturating_duration_since(Instant::now()));
+        wait_until("a request to the remaining executor", || {
+            self.staying.received_after(grace_end) > 0
+        });
+        let late_requests = self.leaving.received_after(grace_end);
+        assert_eq!(late_requests, 0, "requests after the grace period: {case}");
     }
 }
 
-/// A program with requests, whose name service answers at once.
+/// A program under traffic, whose name service answers without delay.
 struct Serving {
     pair: Pair,
     name_service: AutomaticNameService,
@@ -87,10 +93,10 @@
 }
 
 impl Serving {
-    /// Starts it, and waits until it is under way.
+    /// Starts the program and its traffic, and waits until requests are served.
     fn start() -> Serving {
         let pair = Pair::new();
-        let name_service = AutomaticNameService::new(1, &pair.before());
+        let name_service = AutomaticNameService::new(1, &pair.list_before());
         let program = Program::start(&pair.config(&name_service));
         let traffic = Traffic::start(program.listen);
         sleep(Duration::from_millis(500));
@@ -103,8 +109,8 @@
     }
 }
 
-/// A program whose list has the leaving executor alone, and a client whose request to it can't be written.
-fn with_unwritten_request(
+/// Starts a program whose list contains only the leaving executor, and a client whose request to it cannot be written.
+fn start_with_unwritten_request(
     pair: &Pair,
     name_service: &AutomaticNameService,
     faults: &FaultControl,
@@ -117,12 +123,16 @@
     let program = Program::start_with_faults(&config, faults);
     let mut client = Client::connect(program.listen);
     client.send_query("look", 1);
-    assert_eq!(client.read_status(), 200, "a connection is kept");
+    assert_eq!(
+        client.read_status(),
+        200,
+        "a request that leaves an idle connection"
+    );
     faults
         .fail(Call::WriteConnected, Errno::NoBufferSpace, ALWAYS)
         .expect("set");
     client.send_query("look", 2);
-    wait_until("a write that failed", || {
+    wait_until("a failed write", || {
         faults.injected(Call::WriteConnected).expect("set") > 0
     });
     (program, client)
@@ -136,71 +146,86 @@
     program.signal("-HUP");
 }
 
-/// The new service may lag behind for four seconds; what the former one sent was told all the same.
+/// The new name service may lag behind for four seconds, but the answer of the former one has published the change.
 #[test]
-fn an_answer_of_the_former_name_service_that_crosses_a_reload_counts() {
+fn an_answer_of_the_former_name_service_that_arrives_after_a_reload_is_accepted() {
     for departure in [Departure::Drained, Departure::Removed] {
         let pair = Pair::new();
-        let former = AutomaticNameService::new(1, &pair.before());
-        let new = AutomaticNameService::new(1, &pair.before());
+        let former = AutomaticNameService::new(1, &pair.list_before());
+        let new = AutomaticNameService::new(1, &pair.list_before());
         let mut config = pair.config(&former);
         let program = Program::start(&config);
         let _traffic = Traffic::start(program.listen);
         former.set_answer_delay(Duration::from_millis(400));
-        former.set_list(2, &pair.after(departure));
-        let asked = former.query_count();
-        wait_until("a question", || former.query_count() > asked);
+        former.set_list(2, &pair.list_after(departure));
+        let queries_before = former.query_count();
+        wait_until("a query to the former name service", || {
+            former.query_count() > queries_before
+        });
         reload(&program, &mut config, &new);
-        wait_until("the new one is asked", || new.query_count() > 0);
+        wait_until("a query to the new name service", || new.query_count() > 0);
         assert!(
             former.first_sent_at(2).is_none(),
-            "the answer is on its way"
+            "the answer was sent before the reload"
         );
-        wait_until("told", || former.first_sent_at(2).is_some());
-        let published_at = former.first_sent_at(2).expect("told");
+        wait_until("the answer with the new list", || {
+            former.first_sent_at(2).is_some()
+        });
+        let published_at = former.first_sent_at(2).expect("an answer was sent");
         pair.assert_nothing_sent_past_grace(published_at, &format!("{departure:?}"));
     }
 }
 
-/// Each answers within the time to the next configuration but one, so that no answer comes while its service is the current one.
+/// Each answer takes longer than the interval between reloads, so that no answer arrives while its name service is the current one.
 #[test]
-fn a_series_of_configurations_keeps_no_answer_out() {
+fn frequent_reloads_do_not_suppress_answers() {
     let pair = Pair::new();
-    let services: Vec<AutomaticNameService> = (0..3)
-        .map(|_| AutomaticNameService::new(1, &pair.before()))
+    let name_services: Vec<AutomaticNameService> = (0..3)
+        .map(|_| AutomaticNameService::new(1, &pair.list_before()))
         .collect();
-    for name_service in &services {
+    for name_service in &name_services {
         name_service.set_answer_delay(Duration::from_millis(120));
     }
-    let mut config = pair.config(&services[0]);
+    let mut config = pair.config(&name_services[0]);
     let program = Program::start(&config);
     let _traffic = Traffic::start(program.listen);
-    for name_service in &services {
-        name_service.set_list(2, &pair.after(Departure::Drained));
+    for name_service in &name_services {
+        name_service.set_list(2, &pair.list_after(Departure::Drained));
     }
-    let began_at = Instant::now();
+    let started_at = Instant::now();
     for next in 1..30 {
-        reload(&program, &mut config, &services[next % services.len()]);
+        reload(
+            &program,
+            &mut config,
+            &name_services[next % name_services.len()],
+        );
         sleep(Duration::from_millis(100));
     }
-    let told = services
+    let first_sent = name_services
         .iter()
         .filter_map(|name_service| name_service.first_sent_at(2))
         .min();
-    let published_at = told.expect("told");
+    let published_at = first_sent.expect("an answer was sent");
+    assert!(
+        published_at < started_at + PUBLICATION_DELAY,
+        "the answer was sent after the reloads"
+    );
+    let grace_end = published_at + DRAIN_GRACE + TIMING_SLACK;
+    assert_eq!(
+        pair.leaving.received_after(grace_end),
+        0,
+        "requests after the grace period"
+    );
     assert!(
-        published_at < began_at + PUBLICATION_DELAY,
-        "told while it went on"
+        pair.staying.received_after(grace_end) > 0,
+        "a request to the remaining executor"
     );
-    let over_at = published_at + GRACE + TIMING_SLACK;
-    assert_eq!(pair.leaving.received_after(over_at), 0, "past the grace");
-    assert!(pair.staying.received_after(over_at) > 0, "served");
 }
 
-/// Nobody is asked while the process is suspended, so that nothing waits in the socket. What waits in those of the clients goes nowhere
-/// before the name service was asked.
+/// A suspended process sends no queries, so that its socket holds no answer when it resumes. The requests that clients have sent in the
+/// meantime must wait until the name service has been queried.
 #[test]
-fn a_process_that_was_suspended_asks_before_it_sends() {
+fn a_resumed_process_queries_the_name_service_before_it_sends_requests() {
     for departure in [Departure::Drained, Departure::Removed] {
         let Serving {
             pair,
@@ -211,17 +236,17 @@
         name_service.set_answer_delay(SLOW_ANSWER);
         program.suspend();
         sleep(DRAIN_DELAY);
-        name_service.set_list(2, &pair.after(departure));
+        name_service.set_list(2, &pair.list_after(departure));
         let published_at = Instant::now() + PUBLICATION_DELAY;
-        sleep(SUSPENDED - DRAIN_DELAY);
+        sleep(SUSPENSION - DRAIN_DELAY);
         program.resume();
         pair.assert_nothing_sent_past_grace(published_at, &format!("{departure:?}"));
     }
 }
 
-/// The answers to its first questions are lost, and those to the next take a while.
+/// The answers to the first queries after the suspension are lost, and later ones are delayed.
 #[test]
-fn a_process_that_was_suspended_asks_often_while_requests_wait() {
+fn a_resumed_process_repeats_its_queries_often_while_requests_wait() {
     let Serving {
         pair,
         name_service,
@@ -230,26 +255,26 @@
     } = Serving::start();
     name_service.set_answer_delay(SLOW_ANSWER);
     program.suspend();
-    name_service.set_list(2, &pair.after(Departure::Drained));
+    name_service.set_list(2, &pair.list_after(Departure::Drained));
     let published_at = Instant::now() + PUBLICATION_DELAY;
-    sleep(SUSPENDED);
+    sleep(SUSPENSION);
     name_service.drop_answers(4);
     program.resume();
     pair.assert_nothing_sent_past_grace(published_at, "four answers lost after a suspension");
 }
 
-/// A request that could not be written yet as the process was suspended.
+/// A request is still in the output buffer when the process is suspended.
 #[test]
-fn what_waits_in_the_output_of_a_suspended_process_is_not_written_by_the_list_of_before() {
+fn a_request_in_the_output_buffer_of_a_suspended_process_is_not_sent_by_the_old_list() {
     let pair = Pair::new();
     let name_service = AutomaticNameService::new(1, &[ready("e1", pair.leaving.address)]);
     let faults = FaultControl::new().expect("a control file");
-    let (program, mut client) = with_unwritten_request(&pair, &name_service, &faults);
+    let (program, mut client) = start_with_unwritten_request(&pair, &name_service, &faults);
     name_service.set_answer_delay(SLOW_ANSWER);
     program.suspend();
     faults.succeed(Call::WriteConnected).expect("set");
-    name_service.set_list(2, &pair.after(Departure::Drained));
-    sleep(SUSPENDED);
+    name_service.set_list(2, &pair.list_after(Departure::Drained));
+    sleep(SUSPENSION);
     let resumed_at = Instant::now();
     program.resume();
     assert_eq!(client.read_status(), 200);
@@ -257,11 +282,12 @@
     assert_eq!(pair.staying.received_after(resumed_at), 1);
 }
 
-/// Its questions can't be sent for a while after it was resumed, as the system lacks buffers: it is as if it were suspended longer.
+/// After the process resumes, its queries cannot be sent for a while for lack of buffer space. This must have the same effect as a
+/// longer suspension.
 #[test]
-fn a_process_that_cannot_ask_as_it_is_resumed_does_not_send_either() {
+fn a_resumed_process_that_cannot_query_the_name_service_sends_no_requests() {
     let pair = Pair::new();
-    let name_service = AutomaticNameService::new(1, &pair.before());
+    let name_service = AutomaticNameService::new(1, &pair.list_before());
     let faults = FaultControl::new().expect("a control file");
     let program = Program::start_with_faults(&pair.config(&name_service), &faults);
     let _traffic = Traffic::start(program.listen);
@@ -270,22 +296,22 @@
     faults
         .fail(Call::SendDatagram, Errno::NoBufferSpace, ALWAYS)
         .expect("set");
-    name_service.set_list(2, &pair.after(Departure::Drained));
+    name_service.set_list(2, &pair.list_after(Departure::Drained));
     let published_at = Instant::now() + PUBLICATION_DELAY;
-    sleep(SUSPENDED);
+    sleep(SUSPENSION);
     program.resume();
-    // Longer than the half second for which an answer is waited for.
+    // Longer than the second for which requests wait for an answer of the name service.
     sleep(Duration::from_millis(1_200));
     faults.succeed(Call::SendDatagram).expect("set");
-    pair.assert_nothing_sent_past_grace(published_at, "questions that can't be sent");
+    pair.assert_nothing_sent_past_grace(published_at, "queries that cannot be sent");
 }
 
-/// Asked to end, and suspended then: what came on open connections is answered, and goes to no executor that has left. That this is so
-/// before the process may be killed is tested without sockets.
+/// The process is suspended during its shutdown. Requests on open connections are answered, and none is sent to an executor that is
+/// draining. The tests without sockets check that this happens before the process may be killed.
 #[test]
-fn a_process_that_is_suspended_in_its_shutdown_asks_before_it_sends() {
+fn a_process_suspended_during_its_shutdown_queries_before_it_sends_requests() {
     let pair = Pair::new();
-    let name_service = AutomaticNameService::new(1, &pair.before());
+    let name_service = AutomaticNameService::new(1, &pair.list_before());
     let mut program = Program::start(&pair.config(&name_service));
     let mut clients: Vec<Client> = (0..8).map(|_| Client::connect(program.listen)).collect();
     for (n, client) in (1..).zip(&mut clients) {
@@ -298,8 +324,8 @@
     for (n, client) in (100..).zip(&mut clients) {
         client.send_query("look", n);
     }
-    name_service.set_list(2, &pair.after(Departure::Drained));
-    sleep(PUBLICATION_DELAY + GRACE + TIMING_SLACK);
+    name_service.set_list(2, &pair.list_after(Departure::Drained));
+    sleep(PUBLICATION_DELAY + DRAIN_GRACE + TIMING_SLACK);
     let resumed_at = Instant::now();
     program.resume();
     let statuses: Vec<u16> = clients.iter_mut().map(Client::read_status).collect();
@@ -309,89 +335,98 @@
     assert_eq!(program.wait_for_exit().code(), Some(0));
 }
 
-/// The configuration that it starts with is read seconds before it can listen.
+/// The program reads its configuration, with the initial list, seconds before it can open its listener.
 #[test]
-fn a_start_that_took_long_asks_before_it_sends() {
+fn a_program_with_a_slow_start_queries_before_it_sends_requests() {
     let pair = Pair::new();
-    let name_service = AutomaticNameService::new(1, &pair.before());
+    let name_service = AutomaticNameService::new(1, &pair.list_before());
     name_service.set_answer_delay(SLOW_ANSWER);
     let faults = FaultControl::new().expect("a control file");
     faults
         .fail(Call::Bind, Errno::AddressInUse, ALWAYS)
         .expect("set");
     let program = Program::spawn_with_faults(&pair.config(&name_service), &faults);
-    wait_until("a bind that failed", || {
+    wait_until("a failed bind", || {
         faults.injected(Call::Bind).expect("set") > 0
     });
-    name_service.set_list(2, &pair.after(Departure::Drained));
+    name_service.set_list(2, &pair.list_after(Departure::Drained));
     let published_at = Instant::now() + PUBLICATION_DELAY;
-    sleep(SUSPENDED);
+    sleep(SUSPENSION);
     faults.succeed(Call::Bind).expect("set");
-    wait_until("it listens", || Client::try_connect(program.listen).is_ok());
+    wait_until("the listener", || {
+        Client::try_connect(program.listen).is_ok()
+    });
     let _traffic = Traffic::start(program.listen);
     pair.assert_nothing_sent_past_grace(published_at, "a slow start");
 }
 
-/// At four polls a second, eleven lost ones would be all of the time until the end of the grace.
+/// With four queries a second, eleven lost answers would take all of the time until the end of the grace period.
 #[test]
-fn answers_that_are_lost_one_after_another_are_asked_for_again_soon() {
+fn queries_are_repeated_soon_when_consecutive_answers_are_lost() {
     let Serving {
         pair, name_service, ..
     } = &Serving::start();
     name_service.drop_answers(11);
-    name_service.set_list(2, &pair.after(Departure::Drained));
+    name_service.set_list(2, &pair.list_after(Departure::Drained));
     let published_at = Instant::now() + PUBLICATION_DELAY;
     pair.assert_nothing_sent_past_grace(published_at, "eleven answers lost");
 }
 
-/// What happened in the silence counts as told as soon as it ends, so that there is but the grace to hear of it.
+/// A change during an outage counts as published when the outage ends, so that only the grace period remains to receive it.
 #[test]
-fn answers_that_are_lost_after_a_silence_are_asked_for_again_soon() {
+fn queries_are_repeated_soon_when_answers_are_lost_after_an_outage() {
     let Serving {
         pair, name_service, ..
     } = &Serving::start();
     name_service.drop_answers(usize::MAX);
-    let published_at = Instant::now() + PUBLICATION_DELAY_AFTER_SILENCE;
+    let published_at = Instant::now() + PUBLICATION_DELAY_DURING_OUTAGE;
     sleep(Duration::from_millis(1_000));
-    name_service.set_list(2, &pair.after(Departure::Drained));
+    name_service.set_list(2, &pair.list_after(Departure::Drained));
     sleep(published_at.saturating_duration_since(Instant::now()));
     name_service.drop_answers(6);
-    pair.assert_nothing_sent_past_grace(published_at, "six answers lost after a silence");
+    pair.assert_nothing_sent_past_grace(published_at, "six answers lost after an outage");
 }
 
-/// Each failing call would be repeated at once, for as long as they fail.
+/// Guards against a busy loop: without a delay, each failing read would be repeated at once for as long as reads fail.
 #[test]
-fn answers_that_cannot_be_read_for_a_while_cost_no_processor_time_and_are_heard_after_it() {
+fn failing_reads_of_answers_cause_no_busy_loop_and_answers_are_read_afterwards() {
     let pair = Pair::new();
-    let name_service = AutomaticNameService::new(1, &pair.before());
+    let name_service = AutomaticNameService::new(1, &pair.list_before());
     let faults = FaultControl::new().expect("a control file");
     let program = Program::start_with_faults(&pair.config(&name_service), &faults);
     let _traffic = Traffic::start(program.listen);
     faults
         .fail(Call::ReceiveDatagram, Errno::NoMemory, ALWAYS)
         .expect("set");
-    name_service.set_list(2, &pair.after(Departure::Drained));
-    wait_until("told", || name_service.first_sent_at(2).is_some());
-    let published_at = name_service.first_sent_at(2).expect("told");
+    name_service.set_list(2, &pair.list_after(Departure::Drained));
+    wait_until("the answer with the new list", || {
+        name_service.first_sent_at(2).is_some()
+    });
+    let published_at = name_service.first_sent_at(2).expect("an answer was sent");
     sleep(Duration::from_millis(700));
     faults.succeed(Call::ReceiveDatagram).expect("set");
-    let failed = faults.injected(Call::ReceiveDatagram).expect("set");
-    // Every five milliseconds, and what traffic adds.
-    assert!((1..1_000).contains(&failed), "{failed} failing calls");
+    let failed_calls = faults.injected(Call::ReceiveDatagram).expect("set");
+    // One call every five milliseconds, and those that traffic triggers.
+    assert!(
+        (1..1_000).contains(&failed_calls),
+        "{failed_calls} failing calls"
+    );
     pair.assert_nothing_sent_past_grace(published_at, "unreadable answers");
 }
 
-/// A request that was decided before the list said so, and can be written only long after.
+/// A request is assigned to an executor before the list reports its drain, and can be written only long afterwards.
 #[test]
-fn what_could_not_be_written_before_a_drain_goes_elsewhere_after_it() {
+fn a_request_not_written_before_a_drain_is_sent_to_another_executor() {
     let pair = Pair::new();
     let name_service = AutomaticNameService::new(1, &[ready("e1", pair.leaving.address)]);
     let faults = FaultControl::new().expect("a control file");
-    let (_program, mut client) = with_unwritten_request(&pair, &name_service, &faults);
-    name_service.set_list(2, &pair.after(Departure::Drained));
-    wait_until("told", || name_service.first_sent_at(2).is_some());
-    let published_at = name_service.first_sent_at(2).expect("told");
-    sleep(GRACE + TIMING_SLACK);
+    let (_program, mut client) = start_with_unwritten_request(&pair, &name_service, &faults);
+    name_service.set_list(2, &pair.list_after(Departure::Drained));
+    wait_until("the answer with the new list", || {
+        name_service.first_sent_at(2).is_some()
+    });
+    let published_at = name_service.first_sent_at(2).expect("an answer was sent");
+    sleep(DRAIN_GRACE + TIMING_SLACK);
     faults.succeed(Call::WriteConnected).expect("set");
     assert_eq!(client.read_status(), 200);
     assert_eq!(pair.leaving.received_after(published_at), 0);
--- a/crates/controller/tests/standing_terms.rs
+++ b/crates/controller/tests/standing_terms.rs
@@ -1,5 +1,6 @@
-//! Terms of the operators' standing test that no other test forces: the built program with real connections. Each test drives the
-//! unfavourable order every time; no verdict rests on how fast this machine is. The table in `docs/platform.md` names the rest.
+//! Acceptance criteria of the operators that no other test covers, checked on the built program with real connections. Each test forces
+//! the unfavourable order of events every time, and no result depends on the speed of the machine. The table in `docs/platform.md`
+//! lists the tests of the other criteria.
 
 mod rig;
 use rig::*;
@@ -7,14 +8,14 @@
 use std::time::{Duration, Instant};
 use wheelfield_net::Socket;
 
-/// More pipelined requests than the program reads ahead of the one in progress.
+/// Number of pipelined requests: more than the program reads ahead of the one in progress.
 const PIPELINED: u64 = 60;
 
-/// A shutdown has answered all requests so long after its signal: the longest deadline of the settings, and 0.6 s.
+/// Time from the signal until a shutdown has answered all requests: the longest deadline of the settings plus 0.6 s.
 const ANSWERED_WITHIN: Duration = Duration::from_millis(3_600);
 
-/// A program with one executor and an idle connection between them, which takes the next request.
-fn with_idle_connection(
+/// Starts a program with one executor and an idle connection between them, which is used for the next request.
+fn start_with_idle_connection(
     executor: &Executor,
     name_service: SocketAddr,
 ) -> (Program, Client, ExecutorConnection) {
@@ -31,8 +32,13 @@
     (program, client, conn)
 }
 
-/// The next request at the executor is one sent now: nothing else was forwarded before it.
-fn next_forwarded_is(client: &mut Client, conn: &mut ExecutorConnection, n: u64, case: &str) {
+/// Asserts that the next request at the executor is one that this function sends, so that nothing was forwarded before it.
+fn assert_nothing_was_forwarded_before(
+    client: &mut Client,
+    conn: &mut ExecutorConnection,
+    n: u64,
+    case: &str,
+) {
     client.send_query("look", n);
     let request = conn.expect_request();
     assert_eq!(request.id, request_id(n), "forwarded before it: {case}");
@@ -40,8 +46,8 @@
     assert_eq!(client.read_status(), 200, "{case}");
 }
 
-fn pipelined(from: u64) -> String {
-    (from..from + PIPELINED)
+fn pipelined_requests(first: u64) -> String {
+    (first..first + PIPELINED)
         .map(|n| query_request("look", n, "SELECT 1"))
         .collect()
 }
@@ -54,11 +60,11 @@
     let (accepted, _) = listener.accept().expect("a connection");
     assert!(
         !accepted.nodelay().expect("an option"),
-        "not the system's default"
+        "nodelay is set by default"
     );
     assert!(
         !client.nodelay().expect("an option"),
-        "not the system's default"
+        "nodelay is set by default"
     );
     let poll = mio::Poll::new().expect("a poll");
     accepted.set_nonblocking(true).expect("a socket");
@@ -76,9 +82,9 @@
     }
 }
 
-/// Idle clients take every place, and more come at once than there are descriptors.
+/// Idle clients use all client connections, and more clients connect at once than there are descriptors.
 #[test]
-fn idle_clients_that_come_at_once_do_not_use_up_the_descriptors() {
+fn idle_clients_that_connect_at_once_do_not_exhaust_the_descriptors() {
     let name_service = AutomaticNameService::new(1, &[]);
     let mut config = config(
         unused_address(),
@@ -91,7 +97,7 @@
     assert_eq!(
         program.health(),
         Some(200),
-        "they were accepted before this one"
+        "the idle clients were accepted before this one"
     );
     program.suspend();
     idle.extend((0..100).map(|_| Client::connect(program.listen)));
@@ -101,19 +107,20 @@
     assert_eq!(client.read_status(), 200);
     program.signal("-TERM");
     assert_eq!(program.wait_for_exit().code(), Some(0));
-    // A machine that is slow to connect them all leaves the program halted for so long that its list is too old.
+    // On a slow machine, connecting all clients takes so long that the list of the suspended program becomes too old.
     let log = program.log();
     let unexpected = log
         .lines()
         .find(|line| !line.contains("executor list too old"));
-    assert_eq!(unexpected, None, "accepting failed for want of descriptors");
+    assert_eq!(unexpected, None, "accept failed for lack of descriptors");
 }
 
 #[test]
-fn pipelined_requests_are_answered_in_order_and_none_is_forwarded_once_their_client_left() {
+fn pipelined_requests_are_answered_in_order_and_none_is_forwarded_after_a_disconnect() {
     let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
-    let (program, mut client, mut conn) = with_idle_connection(&executor, name_service.address);
-    client.send(&pipelined(1));
+    let (program, mut client, mut conn) =
+        start_with_idle_connection(&executor, name_service.address);
+    client.send(&pipelined_requests(1));
     for n in 1..=PIPELINED {
         conn.serve_query(n, &format!("row{n}"));
         let (status, body) = client.read_response().expect("answered");
@@ -123,29 +130,29 @@
         );
     }
     for (how, first) in [(Disconnect::Close, 2_000), (Disconnect::Reset, 3_000)] {
-        // It leaves right behind its last byte.
+        // The client disconnects right after its last byte.
         program.suspend();
-        let mut leaver = Client::connect(program.listen);
-        leaver.send(&pipelined(first));
-        leaver.disconnect(how);
+        let mut disconnecting = Client::connect(program.listen);
+        disconnecting.send(&pipelined_requests(first));
+        disconnecting.disconnect(how);
         program.resume();
-        next_forwarded_is(
+        assert_nothing_was_forwarded_before(
             &mut client,
             &mut conn,
             first + 901,
             &format!("{how:?} at once"),
         );
-        // It leaves while its first request is at the executor.
-        let mut leaver = Client::connect(program.listen);
-        leaver.send(&pipelined(first));
+        // The client disconnects while its first request is at the executor.
+        let mut disconnecting = Client::connect(program.listen);
+        disconnecting.send(&pipelined_requests(first));
         assert_eq!(conn.expect_request().id, request_id(first));
-        leaver.disconnect(how);
+        disconnecting.disconnect(how);
         assert_eq!(
             conn.next_line(),
             Some(format!("STOP {}", request_id(first))),
             "{how:?}"
         );
-        next_forwarded_is(
+        assert_nothing_was_forwarded_before(
             &mut client,
             &mut conn,
             first + 902,
@@ -154,66 +161,68 @@
     }
     assert!(
         executor.try_accept().is_none(),
-        "all of it went on one connection"
+        "a second connection was opened"
     );
 }
 
-/// What would be reason for a retry comes in one turn with the client's departure, before or behind it.
+/// A failure that would cause a retry is processed in the same turn of the event loop as the disconnect of the client, before or after
+/// it.
 #[test]
-fn no_attempt_begins_once_the_client_has_left_whatever_becomes_of_the_last_one() {
-    for (end, left_first) in ["SHED", "FAULT", "reset"]
+fn no_attempt_starts_after_the_client_disconnected_however_the_last_one_ended() {
+    for (outcome, disconnect_first) in ["SHED", "FAULT", "reset"]
         .into_iter()
-        .flat_map(|e| [(e, true), (e, false)])
+        .flat_map(|outcome| [(outcome, true), (outcome, false)])
     {
-        let case = format!("{end}, left first: {left_first}");
+        let case = format!("{outcome}, disconnect first: {disconnect_first}");
         let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
-        let (program, mut client, mut conn) = with_idle_connection(&executor, name_service.address);
-        let mut leaver = Client::connect(program.listen);
-        leaver.send_query("look", 1);
+        let (program, mut client, mut conn) =
+            start_with_idle_connection(&executor, name_service.address);
+        let mut disconnecting = Client::connect(program.listen);
+        disconnecting.send_query("look", 1);
         assert_eq!(conn.expect_request().id, request_id(1));
         program.suspend();
-        let mut leaver = Some(leaver);
-        if left_first {
-            leaver.take();
+        let mut disconnecting = Some(disconnecting);
+        if disconnect_first {
+            disconnecting.take();
         }
-        let conn = if end == "reset" {
+        let conn = if outcome == "reset" {
             conn.reset();
             None
         } else {
-            conn.send(&format!("{} {end} - 0\r\n\r\n", request_id(1)));
+            conn.send(&format!("{} {outcome} - 0\r\n\r\n", request_id(1)));
             Some(conn)
         };
-        drop(leaver);
+        drop(disconnecting);
         program.resume();
-        // Longer than any backoff of the program, and than the 0.1 s after which an attempt counts as late.
+        // Longer than any retry delay of the program, and than the 0.1 s after which an attempt counts as late.
         std::thread::sleep(Duration::from_millis(500));
         client.send_query("look", 901);
         let mut conn = conn.unwrap_or_else(|| executor.accept());
         assert_eq!(
             conn.expect_request().id,
             request_id(901),
-            "forwarded after its client had left: {case}"
+            "forwarded after its client had disconnected: {case}"
         );
         conn.send(&hit_response(&request_id(901), "e1"));
         assert_eq!(client.read_status(), 200, "{case}");
     }
 }
 
-/// The client asked for the connection to be closed, sent more behind that than is read, and has not read its long answer as the
-/// connection closes: a reset would cost it the rest.
+/// The client requests the close of its connection, sends more data after that than the program reads, and has not read its long
+/// response when the connection closes. A reset would destroy the rest of the response.
 #[test]
-fn nothing_is_forwarded_from_a_connection_that_closes_and_unread_bytes_do_not_cost_its_last_answer()
-{
+fn a_closing_connection_forwards_no_requests_and_unread_bytes_do_not_destroy_its_last_response() {
     let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
-    let (program, mut client, mut conn) = with_idle_connection(&executor, name_service.address);
-    let mut closes = Client::with_small_receive_buffer(program.listen);
-    closes.send(
+    let (program, mut client, mut conn) =
+        start_with_idle_connection(&executor, name_service.address);
+    let mut closing = Client::with_small_receive_buffer(program.listen);
+    closing.send(
         &query_request("look", 1, "SELECT 1")
             .replace("X-Timeout", "Connection: close\r\nX-Timeout"),
     );
     assert_eq!(conn.expect_request().id, request_id(1));
     program.suspend();
-    closes.send(&pipelined(100).repeat(4));
+    closing.send(&pipelined_requests(100).repeat(4));
     program.resume();
     let page = format!("{}\tb\tc\n", "a".repeat(55)).repeat(98);
     conn.send(&format!(
@@ -235,19 +244,19 @@
     assert_eq!(
         program.health(),
         Some(200),
-        "the answer was written before this one"
+        "the response was written before this one"
     );
-    let (status, body) = closes.read_response().expect("a whole answer");
+    let (status, body) = closing.read_response().expect("a complete response");
     assert_eq!((status, body.matches("\"b\"").count()), (200, 8 * 98));
-    next_forwarded_is(
+    assert_nothing_was_forwarded_before(
         &mut client,
         &mut conn,
         901,
-        "behind the last request of a connection",
+        "after the last request of a connection",
     );
 }
 
-/// Idle connections are closed 0.7 s after SIGTERM. The request is there by then, unread.
+/// Idle connections are closed 0.7 s after SIGTERM. The request has arrived by then but has not been read.
 #[test]
 fn a_request_that_arrives_on_an_idle_connection_as_the_shutdown_closes_it_is_served() {
     for _ in 0..20 {
@@ -261,34 +270,37 @@
         let mut idle = Client::connect(program.listen);
         idle.send_query("load", 1);
         assert_eq!(idle.read_status(), 200);
-        let signalled = Instant::now();
+        let signalled_at = Instant::now();
         program.signal("-TERM");
-        wait_until("the signal taken", || program.health() != Some(200));
+        wait_until("the start of the shutdown", || {
+            program.health() != Some(200)
+        });
         program.suspend();
-        if signalled.elapsed() >= Duration::from_millis(700) {
-            // Too slow a machine: the program may have closed the connection before it was halted.
+        if signalled_at.elapsed() >= Duration::from_millis(700) {
+            // This machine was too slow: the program may have closed the connection before it was suspended.
             program.resume();
             continue;
         }
         idle.send_query("load", 2);
-        // Until the program's clock has passed the close.
+        // The program must see that the time to close idle connections has passed when it resumes.
         std::thread::sleep(Duration::from_millis(1_000));
         program.resume();
         let status = idle.read_status();
-        if status == 503 && signalled.elapsed() >= ANSWERED_WITHIN {
-            // Halted for longer than the shutdown may take, it answers what is left at once.
+        if status == 503 && signalled_at.elapsed() >= ANSWERED_WITHIN {
+            // The suspension lasted longer than a shutdown may take, so the program rejected the remaining requests at once.
             continue;
         }
         assert_eq!(status, 200);
         assert_eq!(program.wait_for_exit().code(), Some(0));
         return;
     }
-    panic!("this machine is too slow to halt the program in time");
+    panic!("this machine is too slow to suspend the program in time");
 }
 
-/// Cut short, or coming byte by byte without end: given up long before the deadline, its connection closed.
+/// A response that stops in the middle, or arrives byte by byte without an end, is abandoned long before the deadline, and its
+/// connection is closed.
 #[test]
-fn an_answer_that_is_cut_short_or_trickles_without_end_is_given_up() {
+fn a_truncated_or_trickling_response_is_abandoned() {
     let page = |n: u64| format!("{} HIT pages=1 5000\r\na\tb\tc\n", request_id(n));
     for (case, trickles) in [
         ("half a line", false),
@@ -298,7 +310,7 @@
         for class in ["load", "look"] {
             let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
             let (_program, mut client, mut conn) =
-                with_idle_connection(&executor, name_service.address);
+                start_with_idle_connection(&executor, name_service.address);
             client.send_query(class, 1);
             assert_eq!(conn.expect_request().id, request_id(1));
             conn.send(if case == "half a line" { "0000000" } else { "" });
@@ -307,10 +319,10 @@
             } else {
                 page(1)
             });
-            let trickle = std::thread::spawn(move || {
-                let mut rest = TIMEOUT.as_millis() / 50;
-                while trickles && rest > 0 && !conn.is_closed() {
-                    rest -= 1;
+            let sender = std::thread::spawn(move || {
+                let mut remaining = TIMEOUT.as_millis() / 50;
+                while trickles && remaining > 0 && !conn.is_closed() {
+                    remaining -= 1;
                     conn.send("a");
                     std::thread::sleep(Duration::from_millis(50));
                 }
@@ -325,16 +337,16 @@
                 "{case}"
             );
             assert!(
-                trickle.join().expect("no panic"),
-                "its connection is closed: {case}, {class}"
+                sender.join().expect("no panic"),
+                "the connection was not closed: {case}, {class}"
             );
         }
     }
 }
 
-/// Longer than idle connections and unread answers are kept; the client waits for longer still.
+/// The executor hangs for longer than idle connections and unread responses are kept, but not until the deadline.
 #[test]
-fn an_answer_that_comes_after_its_executor_hung_for_16_s_under_a_long_deadline_is_served() {
+fn a_response_of_an_executor_that_hung_for_16_s_is_forwarded_under_a_long_deadline() {
     let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
     let mut config = config(
         unused_address(),
--- a/crates/controller/tests/suspended_postgres.rs
+++ b/crates/controller/tests/suspended_postgres.rs
@@ -1,4 +1,4 @@
-//! The built program for PostgreSQL clients, suspended while an engine drains in a registry that it polls.
+//! The built program for PostgreSQL clients, suspended while an engine starts to drain in the registry or in an engine file.
 
 mod common;
 
@@ -14,11 +14,11 @@
 
 const CLIENTS: usize = 16;
 const ENGINES: usize = 4;
-/// Longer than the registry is polled, and than the list may be old by itself.
-const SUSPENDED: Duration = Duration::from_millis(2_500);
+/// Longer than the polling interval of the registry, and than the permitted age of the list.
+const SUSPENSION: Duration = Duration::from_millis(2_500);
 const QUERY: &str = "select 1 /*class='fast'*/";
 
-/// The built program; it is killed when this is dropped.
+/// The program under test. It is killed when this is dropped.
 struct Program {
     child: Child,
     address: SocketAddr,
@@ -26,7 +26,7 @@
 }
 
 impl Program {
-    /// Starts it, and waits until it has a list of engines.
+    /// Starts the program and waits until it has a list of engines.
     fn start(config: &str) -> Program {
         let folder = tempfile::tempdir().expect("a folder");
         let file = folder.path().join("controller.toml");
@@ -41,8 +41,9 @@
         let mut line = String::new();
         let stdout = child.stdout.take().expect("piped");
         BufReader::new(stdout).read_line(&mut line).expect("a line");
-        let told: Value = serde_json::from_str(&line).expect("JSON");
-        let [address, admin] = ["listen", "admin"].map(|name| told[name].as_str().expect("told"));
+        let addresses: Value = serde_json::from_str(&line).expect("JSON");
+        let [address, admin] = ["listen", "admin"]
+            .map(|name| addresses[name].as_str().expect("an address in the output"));
         await_that("a list of engines", || {
             let (_, status) = http(admin, "GET", "/status");
             let status: Value = serde_json::from_str(&status).expect("JSON");
@@ -79,18 +80,18 @@
     }
 }
 
-/// A registry that answers with the same list until it falls silent.
-fn registry_with(list: String, is_silent: Arc<AtomicBool>) -> SocketAddr {
+/// A registry that always answers with the same list, until it stops answering.
+fn registry_with(list: String, is_unresponsive: Arc<AtomicBool>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     std::thread::spawn(move || {
-        let mut silent = Vec::new();
+        let mut unanswered = Vec::new();
         for stream in listener.incoming() {
             let mut stream = stream.expect("a connection");
             let mut lines = BufReader::new(stream.try_clone().expect("a socket")).lines();
-            // A call ends with an empty line.
+            // A request ends with an empty line.
             while lines.any(|line| line.is_ok_and(|line| line.is_empty())) {
-                if is_silent.load(Ordering::SeqCst) {
+                if is_unresponsive.load(Ordering::SeqCst) {
                     break;
                 }
                 let mut out = BytesMut::new();
@@ -98,14 +99,15 @@
                 wheelfield_net::http::write_response(200, kind, list.as_bytes(), &mut out);
                 let _ = stream.write_all(&out);
             }
-            silent.push(stream);
+            unanswered.push(stream);
         }
     });
     address
 }
 
-/// Each client sends a query while the program is suspended and the first engine drains; what that engine gets of them.
-fn received_by_the_drained_engine(
+/// Each client sends a query while the program is suspended and the first engine starts to drain. Returns how many of these queries
+/// that engine receives.
+fn queries_received_by_drained_engine(
     engines: &Engines,
     endpoints: &str,
     drain: impl FnOnce(),
@@ -114,7 +116,7 @@
     let mut clients: Vec<Raw> = (0..CLIENTS)
         .map(|_| Raw::connect(program.address))
         .collect();
-    // All engines have sessions that rest, and are known.
+    // Afterwards, all engines are known and have idle sessions.
     for _ in 0..4 {
         clients.iter_mut().for_each(|client| client.query(QUERY));
         clients.iter_mut().for_each(|client| drop(client.answer()));
@@ -124,31 +126,33 @@
         let lines = engines.log("received", "");
         lines.iter().filter(|line| line["engine"] == first).count()
     };
-    let await_received = |count| {
-        await_that("the log", || engines.log("received", "").len() == count);
+    let wait_for_received = |count| {
+        await_that("the log of the engines", || {
+            engines.log("received", "").len() == count
+        });
     };
-    await_received(4 * CLIENTS);
+    wait_for_received(4 * CLIENTS);
     let before = received();
-    assert!(before > 0, "it has got some");
+    assert!(before > 0, "the first engine has received queries");
     program.suspend();
     drain();
     clients.iter_mut().for_each(|client| client.query(QUERY));
-    std::thread::sleep(SUSPENDED);
+    std::thread::sleep(SUSPENSION);
     program.signal("-CONT");
     for client in &mut clients {
         let (tags, state) = client.answer();
         assert!(tags.starts_with('T'), "{tags} {state}");
     }
-    await_received(5 * CLIENTS);
+    wait_for_received(5 * CLIENTS);
     received() - before
 }
 
-/// The same with a registry, called in a mode.
-fn received_with_a_registry(mode: &str) -> usize {
+/// The same with a registry that is queried in this mode.
+fn received_with_registry_mode(mode: &str) -> usize {
     let engines = Engines::start(ENGINES);
     let registry = engines.address("registry");
     let endpoints = format!("[registry]\naddress = {registry:?}\nmode = {mode:?}\n");
-    received_by_the_drained_engine(&engines, &endpoints, || engines.fault(1, "drain", 1.0))
+    queries_received_by_drained_engine(&engines, &endpoints, || engines.fault(1, "drain", 1.0))
 }
 
 /// An engine file in which the first engine has this status.
@@ -162,28 +166,29 @@
     format!("version = {version}\n{first}[end]\nengines = {ENGINES}\n")
 }
 
-/// What had come while the process was suspended went by the list of before: the registry was asked again only after that, and four or
-/// so of sixteen queries went to an engine that had drained for two seconds and a half.
+/// Regression test: queries that arrived during a suspension were dispatched by the old list, because the registry was polled only
+/// afterwards. About four of sixteen queries were sent to an engine that had been draining for 2.5 s.
 #[test]
-fn queries_after_a_suspension_wait_for_a_registry_that_is_polled() {
-    assert_eq!(received_with_a_registry("poll"), 0);
+fn queries_after_a_suspension_wait_for_a_polled_registry() {
+    assert_eq!(received_with_registry_mode("poll"), 0);
 }
 
-/// What it has to tell has come by then.
+/// The update from the registry has already arrived when the program resumes.
 #[test]
-fn a_registry_that_is_watched_is_heard_before_queries_after_a_suspension() {
-    assert_eq!(received_with_a_registry("watch"), 0);
+fn an_update_of_a_watched_registry_is_processed_before_queries_after_a_suspension() {
+    assert_eq!(received_with_registry_mode("watch"), 0);
 }
 
-/// What had come while the process was suspended went by the files of before: they are taken as new only once they stood still.
+/// Regression test: queries that arrived during a suspension were dispatched by the old engine files, because changed files are applied
+/// only after they have been stable for a while.
 #[test]
-fn queries_after_a_suspension_wait_for_engine_files_that_have_changed() {
+fn queries_after_a_suspension_wait_for_changed_engine_files() {
     let engines = Engines::start(ENGINES);
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("engines.toml");
     std::fs::write(&file, engine_file(&engines, 1, "up")).expect("written");
     let endpoints = format!("[members]\nfiles = [{file:?}]\n");
-    let received = received_by_the_drained_engine(&engines, &endpoints, || {
+    let received = queries_received_by_drained_engine(&engines, &endpoints, || {
         let new = file.with_extension("new");
         std::fs::write(&new, engine_file(&engines, 2, "draining")).expect("written");
         std::fs::rename(&new, &file).expect("renamed");
@@ -191,17 +196,17 @@
     assert_eq!(received, 0);
 }
 
-/// The registry may be away for long. A client that has left gets nothing sent.
+/// The registry may be unavailable for a long time. The query of a client that has disconnected is not sent.
 #[test]
-fn queries_wait_a_second_at_most_for_a_registry_that_is_silent() {
+fn queries_wait_at_most_a_second_for_an_unresponsive_registry() {
     let engines = Engines::start(ENGINES);
     let (_, list) = http(
         &engines.address("registry"),
         "GET",
         "/engines?since=0&wait_ms=0",
     );
-    let is_silent = Arc::new(AtomicBool::new(false));
-    let registry = registry_with(list, is_silent.clone());
+    let is_unresponsive = Arc::new(AtomicBool::new(false));
+    let registry = registry_with(list, is_unresponsive.clone());
     let registry = format!("[registry]\naddress = \"{registry}\"\nmode = \"poll\"\n");
     let program = Program::start(&format!("{HEAD}{BODY}{registry}"));
     let mut clients: Vec<Raw> = (0..3).map(|_| Raw::connect(program.address)).collect();
@@ -210,10 +215,10 @@
         assert!(client.answer().0.starts_with('T'));
     }
     program.suspend();
-    is_silent.store(true, Ordering::SeqCst);
+    is_unresponsive.store(true, Ordering::SeqCst);
     clients.iter_mut().for_each(|client| client.query(QUERY));
     drop(clients.pop());
-    std::thread::sleep(SUSPENDED);
+    std::thread::sleep(SUSPENSION);
     let resumed_at = Instant::now();
     program.signal("-CONT");
     for client in &mut clients {
@@ -221,5 +226,7 @@
         assert!(tags.starts_with('T'), "{tags} {state}");
         assert!(resumed_at.elapsed() >= Duration::from_millis(900));
     }
-    await_that("the log", || engines.log("received", "").len() == 5);
+    await_that("the log of the engines", || {
+        engines.log("received", "").len() == 5
+    });
 }
--- a/crates/controller/tests/suspended_process.rs
+++ b/crates/controller/tests/suspended_process.rs
@@ -1,15 +1,16 @@
-//! The built program when it is suspended (SIGSTOP, SIGCONT), or can't look, and time passes for its clients.
+//! The built program while it is suspended (SIGSTOP, SIGCONT) or cannot read or write, and the deadlines of its clients approach.
 
 mod rig;
 use rig::*;
 use std::time::Duration;
 use wheelfield_fault_shim::{Call, Errno, FaultControl, ALWAYS};
 
-/// How long a client waits, and for how long of that the process is suspended, in milliseconds.
+/// Timeout of a client in milliseconds.
 const TIMEOUT_MS: u64 = 8_000;
+/// Part of the timeout for which the process is suspended, in milliseconds.
 const SUSPENDED_MS: u64 = 2_500;
-/// The time that the deadline of an attempt may exceed what its client has left, in milliseconds.
-const SLACK_MS: u64 = 150;
+/// Tolerance by which the time limit of an attempt may exceed the remaining time of its client, in milliseconds.
+const TOLERANCE_MS: u64 = 150;
 
 fn limit_of(request: &Request) -> u64 {
     let field = |pair: &str| pair.strip_prefix("limit=").map(str::to_string);
@@ -17,10 +18,10 @@
     limit.and_then(|ms| ms.parse().ok()).expect("a limit")
 }
 
-/// On a new connection, which lies in the backlog meanwhile, and on one that the program knows.
+/// The request arrives during the suspension, on a new connection in the accept queue or on an established one.
 #[test]
 fn the_deadline_of_an_attempt_counts_the_time_for_which_the_process_was_suspended() {
-    for on_known_connection in [false, true] {
+    for on_established_connection in [false, true] {
         let executor = Executor::new();
         let name_service = AutomaticNameService::new(1, &[ready("e1", executor.address)]);
         let program = Program::start(&config(
@@ -28,12 +29,12 @@
             &[("e1", executor.address)],
             name_service.address,
         ));
-        let mut known = Client::connect(program.listen);
-        known.send("GET /health HTTP/1.1\r\n\r\n");
-        assert_eq!(known.read_status(), 200);
+        let mut established = Client::connect(program.listen);
+        established.send("GET /health HTTP/1.1\r\n\r\n");
+        assert_eq!(established.read_status(), 200);
         program.suspend();
-        let mut client = match on_known_connection {
-            true => known,
+        let mut client = match on_established_connection {
+            true => established,
             false => Client::connect(program.listen),
         };
         client.send(&query_request_with_timeout("load", 1, TIMEOUT_MS));
@@ -43,8 +44,8 @@
         let request = conn.expect_request();
         let limit = limit_of(&request);
         assert!(
-            limit <= TIMEOUT_MS - SUSPENDED_MS + SLACK_MS,
-            "limit {limit} ms, on a known connection: {on_known_connection}"
+            limit <= TIMEOUT_MS - SUSPENDED_MS + TOLERANCE_MS,
+            "limit {limit} ms, on an established connection: {on_established_connection}"
         );
         conn.send(&hit_response(&request.id, "e1"));
         assert_eq!(client.read_status(), 200);
@@ -71,17 +72,17 @@
     let second = conn.expect_request();
     let limit = limit_of(&second);
     assert!(
-        limit <= TIMEOUT_MS - SUSPENDED_MS + SLACK_MS,
+        limit <= TIMEOUT_MS - SUSPENDED_MS + TOLERANCE_MS,
         "limit {limit} ms"
     );
     conn.send(&hit_response(&second.id, "e1"));
     assert_eq!((client.read_status(), client.read_status()), (200, 200));
 }
 
-/// Connections that can't be accepted, registered or read for a while, each with a request that has come.
+/// A connection with a request cannot be accepted or read for a while.
 #[test]
 fn the_deadline_of_an_attempt_counts_the_time_for_which_its_request_could_not_be_read() {
-    // A connection on which nothing can be read for two seconds is closed, as any that sends nothing.
+    // A connection from which nothing can be read for two seconds is closed, like any connection that sends nothing.
     for (call, errno, failing_ms) in [
         (Call::Accept, Errno::TooManyFiles, SUSPENDED_MS),
         (Call::Accept, Errno::ConnectionAborted, SUSPENDED_MS),
@@ -104,7 +105,7 @@
         let request = conn.expect_request();
         let limit = limit_of(&request);
         assert!(
-            limit <= TIMEOUT_MS - failing_ms + SLACK_MS,
+            limit <= TIMEOUT_MS - failing_ms + TOLERANCE_MS,
             "limit {limit} ms: {call:?} {errno:?}"
         );
         conn.send(&hit_response(&request.id, "e1"));
@@ -112,7 +113,7 @@
     }
 }
 
-/// The request is decided at once, and lies in the output until the executor's connection takes it.
+/// The request is assigned to an executor at once and stays in the output buffer until its connection can be written.
 #[test]
 fn the_deadline_of_an_attempt_counts_the_time_for_which_it_could_not_be_written() {
     const UNWRITABLE_MS: u64 = 1_200;
@@ -138,7 +139,7 @@
     let request = conn.expect_request();
     let limit = limit_of(&request);
     assert!(
-        limit <= TIMEOUT_MS - UNWRITABLE_MS + SLACK_MS,
+        limit <= TIMEOUT_MS - UNWRITABLE_MS + TOLERANCE_MS,
         "limit {limit} ms"
     );
     conn.send(&hit_response(&request.id, "e1"));
--- a/crates/controller/tests/system_faults.rs
+++ b/crates/controller/tests/system_faults.rs
@@ -1,4 +1,4 @@
-//! The built program while calls to the system fail for a moment, return less than was asked for, or tell a wrong wall clock.
+//! The built program while system calls fail temporarily, transfer fewer bytes than requested, or return a wrong wall-clock time.
 
 mod rig;
 use rig::*;
@@ -6,16 +6,16 @@
 use std::time::{Duration, SystemTime};
 use wheelfield_fault_shim::{Call, Errno, FaultControl, ALWAYS};
 
-/// Clients that come during a fault.
+/// Number of clients that connect during a fault.
 const CLIENTS: u64 = 20;
-/// How long a fault lasts.
+/// Duration of a fault.
 const FAULT_TIME: Duration = Duration::from_millis(400);
 
 fn no_faults() -> FaultControl {
     FaultControl::new().expect("a control file")
 }
 
-/// A program with one executor that serves everything.
+/// A program with one executor that serves all requests.
 fn serving_program(faults: &FaultControl) -> Program {
     let name_service = AutomaticNameService::new(1, &[]);
     let executor = Executor::new().spawn_server("e1");
@@ -25,7 +25,7 @@
     )
 }
 
-/// Clients that have connected and sent a request each.
+/// Connects clients that each send a request.
 fn clients_with_requests(program: &Program, first: u64) -> Vec<Client> {
     (first..first + CLIENTS)
         .map(|n| {
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn requests_and_responses_are_whole_though_each_call_moves_one_byte() {
+fn requests_and_responses_are_complete_when_each_call_transfers_one_byte() {
     let faults = no_faults();
     let program = serving_program(&faults);
     let mut clients: Vec<Client> = (0..CLIENTS)
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn reads_and_writes_that_lack_memory_for_a_moment_break_no_connection() {
+fn temporary_lack_of_memory_in_reads_and_writes_closes_no_connection() {
     for call in [
         Call::ReadAccepted,
         Call::WriteAccepted,
@@ -93,23 +93,26 @@
 }
 
 #[test]
-fn an_accepted_connection_that_cannot_be_registered_yet_is_served() {
+fn an_accepted_connection_that_cannot_be_registered_for_a_while_is_served() {
     let faults = no_faults();
     let program = serving_program(&faults);
-    assert_all_served(&mut clients_with_requests(&program, 100), "before");
+    assert_all_served(
+        &mut clients_with_requests(&program, 100),
+        "before the fault",
+    );
     faults
         .fail(Call::Register, Errno::NoMemory, ALWAYS)
         .expect("set");
     let mut clients = clients_with_requests(&program, 200);
-    wait_until("registrations that failed", || {
+    wait_until("failed registrations", || {
         injected(&faults, Call::Register) >= CLIENTS
     });
     std::thread::sleep(FAULT_TIME);
     faults.succeed(Call::Register).expect("set");
-    assert_all_served(&mut clients, "registration failed");
+    assert_all_served(&mut clients, "after failed registrations");
 }
 
-/// Its request comes after it was accepted, when only a further read can find it.
+/// The request arrives after the connection was accepted. Without a registration, only another read can find it.
 #[test]
 fn a_request_on_a_connection_that_is_not_registered_yet_is_read_at_once() {
     let faults = no_faults();
@@ -118,7 +121,7 @@
         .fail(Call::Register, Errno::NoMemory, ALWAYS)
         .expect("set");
     let mut client = Client::connect(program.listen);
-    wait_until("a registration that failed", || {
+    wait_until("a failed registration", || {
         injected(&faults, Call::Register) > 1
     });
     client.send("GET /health HTTP/1.1\r\n\r\n");
@@ -128,11 +131,11 @@
         "answered although not registered"
     );
     faults.succeed(Call::Register).expect("set");
-    assert_all_served(&mut clients_with_requests(&program, 100), "afterwards");
+    assert_all_served(&mut clients_with_requests(&program, 100), "after the fault");
 }
 
 #[test]
-fn the_backlog_is_served_though_accept_fails_as_listening_ends() {
+fn the_backlog_is_served_if_accept_fails_before_the_listener_closes() {
     for errno in [
         Errno::FileTableOverflow,
         Errno::ConnectionAborted,
@@ -144,7 +147,7 @@
         faults.fail(Call::Accept, errno, ALWAYS).expect("set");
         program.signal("-TERM");
         let mut clients = clients_with_requests(&program, 100);
-        // Listening ends 0.8 s after the signal.
+        // The program stops listening 0.8 s after the signal.
         std::thread::sleep(Duration::from_millis(1_000));
         faults.succeed(Call::Accept).expect("set");
         assert_all_served(&mut clients, &format!("{errno:?}"));
@@ -154,7 +157,7 @@
 }
 
 #[test]
-fn a_start_outlasts_sockets_that_cannot_be_had_for_a_moment() {
+fn a_start_survives_temporary_failures_to_open_sockets_and_files() {
     for (call, errno) in [
         (Call::Bind, Errno::AddressInUse),
         (Call::Bind, Errno::AddressNotAvailable),
@@ -170,18 +173,21 @@
         faults.fail(call, errno, ALWAYS).expect("set");
         let config = config(unused_address(), &[("e1", executor)], name_service.address);
         let mut program = Program::spawn_with_faults(&config, &faults);
-        wait_until("a call that failed", || injected(&faults, call) > 0);
+        wait_until("a failed call", || injected(&faults, call) > 0);
         std::thread::sleep(FAULT_TIME);
         faults.succeed(call).expect("set");
-        wait_until("health", || {
-            assert!(!program.has_exited(), "it ended: {call:?} {errno:?}");
+        wait_until("status 200 from /health", || {
+            assert!(
+                !program.has_exited(),
+                "the program exited: {call:?} {errno:?}"
+            );
             program.health() == Some(200)
         });
     }
 }
 
 #[test]
-fn a_connect_that_fails_here_is_waited_out_and_not_blamed_on_the_executor() {
+fn a_connect_that_fails_locally_is_retried_and_not_attributed_to_the_executor() {
     for (call, errno) in [
         (Call::Connect, Errno::AddressNotAvailable),
         (Call::Connect, Errno::NetworkUnreachable),
@@ -194,22 +200,26 @@
         let config = config(unused_address(), &[("e1", executor)], name_service.address);
         let program = Program::start_with_faults(&config, &faults);
         let mut client = Client::connect(program.listen);
-        assert_eq!(program.health(), Some(200), "it has accepted that client");
+        assert_eq!(
+            program.health(),
+            Some(200),
+            "the program has accepted the client"
+        );
         let before = injected(&faults, call);
         faults.fail(call, errno, ALWAYS).expect("set");
         client.send_query("load", 1);
-        wait_until("a connect that failed", || injected(&faults, call) > before);
+        wait_until("a failed connect", || injected(&faults, call) > before);
         std::thread::sleep(FAULT_TIME);
         faults.succeed(call).expect("set");
         assert_eq!(client.read_status(), 200, "{call:?} {errno:?}");
-        // An executor that is taken for restarted is ejected, or gets one query at a time.
+        // An executor that is considered failed or restarted would be ejected, or would get one query at a time.
         let mut clients = clients_with_requests(&program, 100);
         assert_all_served(&mut clients, &format!("after {call:?} {errno:?}"));
     }
 }
 
 #[test]
-fn a_reload_is_retried_for_as_long_as_its_file_cannot_be_used() {
+fn a_reload_is_retried_for_as_long_as_its_file_cannot_be_read() {
     let (faults, first, second) = (no_faults(), NameService::new(), NameService::new());
     let mut config = config(
         unused_address(),
@@ -223,7 +233,7 @@
     config["resolver"] = second.address.to_string().into();
     std::fs::write(&program.config_file, config.to_string()).expect("written");
     program.signal("-HUP");
-    // Longer than the 4 s for which it was retried once.
+    // An earlier version stopped retrying after 4 s.
     std::thread::sleep(Duration::from_millis(4_500));
     faults.succeed(Call::Open).expect("set");
     second.next_query();
@@ -256,14 +266,14 @@
     std::fs::rename(&file, &pipe).expect("renamed");
     let _ = writer.write_all(config.to_string().as_bytes());
     drop(writer);
-    wait_until("health", || {
-        assert!(!program.has_exited(), "the signal ended it");
+    wait_until("status 200 from /health", || {
+        assert!(!program.has_exited(), "the signal terminated the program");
         program.health() == Some(200)
     });
 }
 
 #[test]
-fn a_list_of_hundreds_of_executors_counts() {
+fn a_list_of_hundreds_of_executors_is_accepted() {
     let (name_service, faults) = (NameService::new(), no_faults());
     let (first, second) = (
         Executor::new().spawn_server("e1"),
@@ -281,7 +291,7 @@
     executors.push(("e2", second, false));
     name_service.send_list(&name_service.next_new_query(), 2, &executors);
     let mut n = 1_000;
-    wait_until("the new list counts", || {
+    wait_until("a response of an executor in the new list", || {
         n += 1;
         let mut client = Client::connect(program.listen);
         client.send_query("look", n);
@@ -291,8 +301,8 @@
     });
 }
 
-/// What an executor in slow start gets of 400 queries beside three warm ones.
-fn queries_to_the_newcomer(faults: &FaultControl, started_ms: u128, wait: Duration) -> usize {
+/// Number of 400 queries that are sent to an executor in slow start beside three warm ones.
+fn queries_to_a_new_executor(faults: &FaultControl, started_ms: u128, wait: Duration) -> usize {
     let name_service = AutomaticNameService::new(1, &[]);
     let executors: Vec<(&str, std::net::SocketAddr)> = ["e1", "e2", "e3", "new"]
         .map(|name| (name, Executor::new().spawn_server(name)))
@@ -318,26 +328,26 @@
 }
 
 #[test]
-fn an_executor_that_just_started_is_in_slow_start_though_the_wall_clock_is_ahead() {
+fn an_executor_that_just_started_is_in_slow_start_if_the_wall_clock_is_ahead() {
     let faults = no_faults();
-    let right = queries_to_the_newcomer(&faults, unix_ms(), Duration::ZERO);
+    let correct = queries_to_a_new_executor(&faults, unix_ms(), Duration::ZERO);
     faults
         .put_wall_clock_ahead(Duration::from_secs(3_600))
         .expect("set");
-    let ahead = queries_to_the_newcomer(&faults, unix_ms(), Duration::ZERO);
-    assert!(right < 20, "by the right clock: {right} of 400");
+    let ahead = queries_to_a_new_executor(&faults, unix_ms(), Duration::ZERO);
+    assert!(correct < 20, "with a correct clock: {correct} of 400");
     assert!(
         ahead < 20,
-        "an hour ahead: {ahead} of 400, {right} by the right clock"
+        "an hour ahead: {ahead} of 400, {correct} with a correct clock"
     );
 }
 
 #[test]
-fn slow_start_ends_in_its_time_though_the_wall_clock_is_behind() {
+fn slow_start_ends_on_time_if_the_wall_clock_is_behind() {
     let faults = no_faults();
     faults
         .put_wall_clock_behind(Duration::from_secs(3_600))
         .expect("set");
-    let served = queries_to_the_newcomer(&faults, unix_ms(), Duration::from_millis(3_500));
+    let served = queries_to_a_new_executor(&faults, unix_ms(), Duration::from_millis(3_500));
     assert!(served > 40, "{served} of 400 after slow start");
 }
