--- a/crates/controller/tests/platform.rs
+++ b/crates/controller/tests/platform.rs
@@ -65,7 +65,7 @@
             let Ok(question) = hickory_proto::op::Message::from_vec(&buffer[..n]) else {
                 continue;
             };
-            let answer = list(&question, serial, &[(name, executor, false)]);
+            let answer = dns_answer(&question, serial, &[(name, executor, false)]);
             let _ = socket.send_to(&answer.to_vec().expect("encode the message"), from);
         }
     });
@@ -78,7 +78,7 @@
     let (first, second) = (start_executor("e1"), start_executor("e2"));
     let (old_resolver, old_query_count) = start_lossy_name_service("e1", first, 1);
     let (new_resolver, _) = start_lossy_name_service("e2", second, 2);
-    let listen = free();
+    let listen = unused_address();
     let mut program = Program::start(&config(listen, &[("e1", first)], old_resolver));
 
     // Ordinary queries on one connection, then one whose first response is malformed.
@@ -86,8 +86,8 @@
     let mut n = 0;
     let mut ask = |client: &mut Client, statement: &str| {
         n += 1;
-        client.says(&post("look", n, statement));
-        client.answer()
+        client.send(&query_request("look", n, statement));
+        client.read_response()
     };
     for _ in 0..50 {
         let (status, body) = ask(&mut stream, "SELECT 1").expect("a response");
@@ -99,30 +99,30 @@
     assert_eq!(ask(&mut stream, "spoil").expect("a response").0, 200);
 
     // 5,000 connections that close after one query or without any.
-    let before = program.held();
+    let before = program.resource_usage();
     for connection in 0..5_000u64 {
         let mut client = Client::connect(listen);
         if connection % 10 == 0 {
             assert_eq!(ask(&mut client, "SELECT 2").expect("a response").0, 200);
         }
     }
-    until("the descriptors of closed connections are freed", || {
-        program.held().0 <= before.0 + 2
+    wait_until("the descriptors of closed connections are freed", || {
+        program.resource_usage().0 <= before.0 + 2
     });
-    let growth = program.held().1.saturating_sub(before.1) * 4096;
+    let growth = program.resource_usage().1.saturating_sub(before.1) * 4096;
     assert!(growth < 8 << 20, "memory grew by {growth} bytes");
 
     // Responses of the name service are lost and the query is repeated. Then a reload switches to another name service, after
     // a reload of an incomplete configuration.
-    until("the name service is queried again", || {
+    wait_until("the name service is queried again", || {
         old_query_count.load(Ordering::SeqCst) >= 3
     });
-    std::fs::write(&program.file, "{").expect("write the file");
+    std::fs::write(&program.config_file, "{").expect("write the file");
     program.signal("-HUP");
     let new_config = config(listen, &[("e1", first)], new_resolver).to_string();
-    std::fs::write(&program.file, new_config).expect("write the file");
+    std::fs::write(&program.config_file, new_config).expect("write the file");
     program.signal("-HUP");
-    until("the executor of the new name service answers", || {
+    wait_until("the executor of the new name service answers", || {
         ask(&mut stream, "SELECT 3")
             .is_ok_and(|(status, body)| status == 200 && body.contains("e2"))
     });
@@ -137,8 +137,12 @@
                 let mut served = 0u64;
                 for n in 0..20u64 {
                     let response = Client::try_connect(listen).and_then(|mut client| {
-                        client.says(&post("look", (client_index + 1) << 40 | n, "SELECT 4"));
-                        client.answer()
+                        client.send(&query_request(
+                            "look",
+                            (client_index + 1) << 40 | n,
+                            "SELECT 4",
+                        ));
+                        client.read_response()
                     });
                     match response {
                         Ok((200, _)) => served += 1,
@@ -160,7 +164,7 @@
         (served, &*unanswered.lock().expect("no thread panicked")),
         (160, &Vec::<String>::new())
     );
-    assert_eq!(program.ended().code(), Some(0));
+    assert_eq!(program.wait_for_exit().code(), Some(0));
 }
 
 #[test]
--- a/crates/controller/tests/standing_terms.rs
+++ b/crates/controller/tests/standing_terms.rs
@@ -1,5 +1,6 @@
-//! Terms of the operators' standing test that no other test forces: the built program with real connections. Each test drives the
-//! unfavourable order every time; no verdict rests on how fast this machine is. The table in `docs/platform.md` names the rest.
+//! Acceptance criteria of the operators that no other test covers, checked on the built program with real connections. Each test forces
+//! the unfavourable order of events every time, and no result depends on the speed of the machine. The table in `docs/platform.md`
+//! lists the tests of the other criteria.
 
 mod rig;
 use rig::*;
@@ -7,35 +8,47 @@
 use std::time::{Duration, Instant};
 use wheelfield_net::Socket;
 
-/// More pipelined requests than the program reads ahead of the one in progress.
+/// Number of pipelined requests: more than the program reads ahead of the one in progress.
 const PIPELINED: u64 = 60;
 
-/// A shutdown has answered all requests so long after its signal: the longest deadline of the settings, and 0.6 s.
+/// Time from the signal until a shutdown has answered all requests: the longest deadline of the settings plus 0.6 s.
 const ANSWERED_WITHIN: Duration = Duration::from_millis(3_600);
 
-/// A program with one executor and an idle connection between them, which takes the next request.
-fn with_idle_connection(executor: &Executor, names: SocketAddr) -> (Program, Client, Conn) {
-    let program = Program::start(&config(free(), &[("e1", executor.at)], names));
+/// Starts a program with one executor and an idle connection between them, which is used for the next request.
+fn start_with_idle_connection(
+    executor: &Executor,
+    name_service: SocketAddr,
+) -> (Program, Client, ExecutorConnection) {
+    let program = Program::start(&config(
+        unused_address(),
+        &[("e1", executor.address)],
+        name_service,
+    ));
     let mut client = Client::connect(program.listen);
-    client.asks("look", 900);
-    let mut conn = executor.take();
-    conn.answers(900, "e1");
-    assert_eq!(client.status(), 200);
+    client.send_query("look", 900);
+    let mut conn = executor.accept();
+    conn.serve_query(900, "e1");
+    assert_eq!(client.read_status(), 200);
     (program, client, conn)
 }
 
-/// The next request at the executor is one sent now: nothing else was forwarded before it.
-fn next_forwarded_is(client: &mut Client, conn: &mut Conn, n: u64, case: &str) {
-    client.asks("look", n);
-    let request = conn.request();
-    assert_eq!(request.id, id(n), "forwarded before it: {case}");
-    conn.says(&hit(&request.id, "e1"));
-    assert_eq!(client.status(), 200, "{case}");
+/// Asserts that the next request at the executor is one that this function sends, so that nothing was forwarded before it.
+fn assert_nothing_was_forwarded_before(
+    client: &mut Client,
+    conn: &mut ExecutorConnection,
+    n: u64,
+    case: &str,
+) {
+    client.send_query("look", n);
+    let request = conn.expect_request();
+    assert_eq!(request.id, request_id(n), "forwarded before it: {case}");
+    conn.send(&hit_response(&request.id, "e1"));
+    assert_eq!(client.read_status(), 200, "{case}");
 }
 
-fn pipelined(from: u64) -> String {
-    (from..from + PIPELINED)
-        .map(|n| post("look", n, "SELECT 1"))
+fn pipelined_requests(first: u64) -> String {
+    (first..first + PIPELINED)
+        .map(|n| query_request("look", n, "SELECT 1"))
         .collect()
 }
 
@@ -47,11 +60,11 @@
     let (accepted, _) = listener.accept().expect("a connection");
     assert!(
         !accepted.nodelay().expect("an option"),
-        "not the system's default"
+        "nodelay is set by default"
     );
     assert!(
         !client.nodelay().expect("an option"),
-        "not the system's default"
+        "nodelay is set by default"
     );
     let poll = mio::Poll::new().expect("a poll");
     accepted.set_nonblocking(true).expect("a socket");
@@ -69,68 +82,77 @@
     }
 }
 
-/// Idle clients take every place, and more come at once than there are descriptors.
+/// Idle clients use all client connections, and more clients connect at once than there are descriptors.
 #[test]
-fn idle_clients_that_come_at_once_do_not_use_up_the_descriptors() {
-    let names = ServingNames::new(1, &[]);
-    let mut config = config(free(), &[("e1", Executor::new().serves("e1"))], names.at);
+fn idle_clients_that_connect_at_once_do_not_exhaust_the_descriptors() {
+    let name_service = AutomaticNameService::new(1, &[]);
+    let mut config = config(
+        unused_address(),
+        &[("e1", Executor::new().spawn_server("e1"))],
+        name_service.address,
+    );
     config["limits"]["sockets"] = 64.into();
     let mut program = Program::start_with_descriptors(&config, 64);
     let mut idle: Vec<Client> = (0..16).map(|_| Client::connect(program.listen)).collect();
     assert_eq!(
         program.health(),
         Some(200),
-        "they were accepted before this one"
+        "the idle clients were accepted before this one"
     );
-    program.halt();
+    program.suspend();
     idle.extend((0..100).map(|_| Client::connect(program.listen)));
-    program.go_on();
+    program.resume();
     let mut client = Client::connect(program.listen);
-    client.asks("load", 1);
-    assert_eq!(client.status(), 200);
+    client.send_query("load", 1);
+    assert_eq!(client.read_status(), 200);
     program.signal("-TERM");
-    assert_eq!(program.ended().code(), Some(0));
-    // A machine that is slow to connect them all leaves the program halted for so long that its list is too old.
+    assert_eq!(program.wait_for_exit().code(), Some(0));
+    // On a slow machine, connecting all clients takes so long that the list of the suspended program becomes too old.
     let log = program.log();
     let unexpected = log
         .lines()
         .find(|line| !line.contains("executor list too old"));
-    assert_eq!(unexpected, None, "accepting failed for want of descriptors");
+    assert_eq!(unexpected, None, "accept failed for lack of descriptors");
 }
 
 #[test]
-fn pipelined_requests_are_answered_in_order_and_none_is_forwarded_once_their_client_left() {
-    let (executor, names) = (Executor::new(), ServingNames::new(1, &[]));
-    let (program, mut client, mut conn) = with_idle_connection(&executor, names.at);
-    client.says(&pipelined(1));
+fn pipelined_requests_are_answered_in_order_and_none_is_forwarded_after_a_disconnect() {
+    let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
+    let (program, mut client, mut conn) =
+        start_with_idle_connection(&executor, name_service.address);
+    client.send(&pipelined_requests(1));
     for n in 1..=PIPELINED {
-        conn.answers(n, &format!("row{n}"));
-        let (status, body) = client.answer().expect("answered");
+        conn.serve_query(n, &format!("row{n}"));
+        let (status, body) = client.read_response().expect("answered");
         assert_eq!(
             (status, body),
             (200, format!("{{\"batch\":[[\"row{n}\",\"1\",\"x\"]]}}"))
         );
     }
-    for (how, first) in [(Leaves::Closes, 2_000), (Leaves::Breaks, 3_000)] {
-        // It leaves right behind its last byte.
-        program.halt();
-        let mut leaver = Client::connect(program.listen);
-        leaver.says(&pipelined(first));
-        leaver.leaves(how);
-        program.go_on();
-        next_forwarded_is(
+    for (how, first) in [(Disconnect::Close, 2_000), (Disconnect::Reset, 3_000)] {
+        // The client disconnects right after its last byte.
+        program.suspend();
+        let mut disconnecting = Client::connect(program.listen);
+        disconnecting.send(&pipelined_requests(first));
+        disconnecting.disconnect(how);
+        program.resume();
+        assert_nothing_was_forwarded_before(
             &mut client,
             &mut conn,
             first + 901,
             &format!("{how:?} at once"),
         );
-        // It leaves while its first request is at the executor.
-        let mut leaver = Client::connect(program.listen);
-        leaver.says(&pipelined(first));
-        assert_eq!(conn.request().id, id(first));
-        leaver.leaves(how);
-        assert_eq!(conn.line(), Some(format!("STOP {}", id(first))), "{how:?}");
-        next_forwarded_is(
+        // The client disconnects while its first request is at the executor.
+        let mut disconnecting = Client::connect(program.listen);
+        disconnecting.send(&pipelined_requests(first));
+        assert_eq!(conn.expect_request().id, request_id(first));
+        disconnecting.disconnect(how);
+        assert_eq!(
+            conn.next_line(),
+            Some(format!("STOP {}", request_id(first))),
+            "{how:?}"
+        );
+        assert_nothing_was_forwarded_before(
             &mut client,
             &mut conn,
             first + 902,
@@ -138,191 +160,207 @@
         );
     }
     assert!(
-        executor.try_take().is_none(),
-        "all of it went on one connection"
+        executor.try_accept().is_none(),
+        "a second connection was opened"
     );
 }
 
-/// What would be reason for a retry comes in one turn with the client's departure, before or behind it.
+/// A failure that would cause a retry is processed in the same turn of the event loop as the disconnect of the client, before or after
+/// it.
 #[test]
-fn no_attempt_begins_once_the_client_has_left_whatever_becomes_of_the_last_one() {
-    for (end, left_first) in ["SHED", "FAULT", "reset"]
+fn no_attempt_starts_after_the_client_disconnected_however_the_last_one_ended() {
+    for (outcome, disconnect_first) in ["SHED", "FAULT", "reset"]
         .into_iter()
-        .flat_map(|e| [(e, true), (e, false)])
+        .flat_map(|outcome| [(outcome, true), (outcome, false)])
     {
-        let case = format!("{end}, left first: {left_first}");
-        let (executor, names) = (Executor::new(), ServingNames::new(1, &[]));
-        let (program, mut client, mut conn) = with_idle_connection(&executor, names.at);
-        let mut leaver = Client::connect(program.listen);
-        leaver.asks("look", 1);
-        assert_eq!(conn.request().id, id(1));
-        program.halt();
-        let mut leaver = Some(leaver);
-        if left_first {
-            leaver.take();
+        let case = format!("{outcome}, disconnect first: {disconnect_first}");
+        let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
+        let (program, mut client, mut conn) =
+            start_with_idle_connection(&executor, name_service.address);
+        let mut disconnecting = Client::connect(program.listen);
+        disconnecting.send_query("look", 1);
+        assert_eq!(conn.expect_request().id, request_id(1));
+        program.suspend();
+        let mut disconnecting = Some(disconnecting);
+        if disconnect_first {
+            disconnecting.take();
         }
-        let conn = if end == "reset" {
-            conn.breaks();
+        let conn = if outcome == "reset" {
+            conn.reset();
             None
         } else {
-            conn.says(&format!("{} {end} - 0\r\n\r\n", id(1)));
+            conn.send(&format!("{} {outcome} - 0\r\n\r\n", request_id(1)));
             Some(conn)
         };
-        drop(leaver);
-        program.go_on();
-        // Longer than any backoff of the program, and than the 0.1 s after which an attempt counts as late.
+        drop(disconnecting);
+        program.resume();
+        // Longer than any retry delay of the program, and than the 0.1 s after which an attempt counts as late.
         std::thread::sleep(Duration::from_millis(500));
-        client.asks("look", 901);
-        let mut conn = conn.unwrap_or_else(|| executor.take());
+        client.send_query("look", 901);
+        let mut conn = conn.unwrap_or_else(|| executor.accept());
         assert_eq!(
-            conn.request().id,
-            id(901),
-            "forwarded after its client had left: {case}"
+            conn.expect_request().id,
+            request_id(901),
+            "forwarded after its client had disconnected: {case}"
         );
-        conn.says(&hit(&id(901), "e1"));
-        assert_eq!(client.status(), 200, "{case}");
+        conn.send(&hit_response(&request_id(901), "e1"));
+        assert_eq!(client.read_status(), 200, "{case}");
     }
 }
 
-/// The client asked for the connection to be closed, sent more behind that than is read, and has not read its long answer as the
-/// connection closes: a reset would cost it the rest.
+/// The client requests the close of its connection, sends more data after that than the program reads, and has not read its long
+/// response when the connection closes. A reset would destroy the rest of the response.
 #[test]
-fn nothing_is_forwarded_from_a_connection_that_closes_and_unread_bytes_do_not_cost_its_last_answer()
-{
-    let (executor, names) = (Executor::new(), ServingNames::new(1, &[]));
-    let (program, mut client, mut conn) = with_idle_connection(&executor, names.at);
-    let mut closes = Client::with_little_room(program.listen);
-    closes
-        .says(&post("look", 1, "SELECT 1").replace("X-Timeout", "Connection: close\r\nX-Timeout"));
-    assert_eq!(conn.request().id, id(1));
-    program.halt();
-    closes.says(&pipelined(100).repeat(4));
-    program.go_on();
+fn a_closing_connection_forwards_no_requests_and_unread_bytes_do_not_destroy_its_last_response() {
+    let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
+    let (program, mut client, mut conn) =
+        start_with_idle_connection(&executor, name_service.address);
+    let mut closing = Client::with_small_receive_buffer(program.listen);
+    closing.send(
+        &query_request("look", 1, "SELECT 1")
+            .replace("X-Timeout", "Connection: close\r\nX-Timeout"),
+    );
+    assert_eq!(conn.expect_request().id, request_id(1));
+    program.suspend();
+    closing.send(&pipelined_requests(100).repeat(4));
+    program.resume();
     let page = format!("{}\tb\tc\n", "a".repeat(55)).repeat(98);
-    conn.says(&format!(
+    conn.send(&format!(
         "{} HIT pages=8,cost=1.0 {}\r\n{page}\r\n",
-        id(1),
+        request_id(1),
         page.len()
     ));
     for n in 1..8 {
-        conn.says(&format!(
+        conn.send(&format!(
             "{} PART page={n} {}\r\n{page}\r\n",
-            id(1),
+            request_id(1),
             page.len()
         ));
     }
     while conn
-        .line()
-        .is_some_and(|line| line != format!("END {}", id(1)))
+        .next_line()
+        .is_some_and(|line| line != format!("END {}", request_id(1)))
     {}
     assert_eq!(
         program.health(),
         Some(200),
-        "the answer was written before this one"
+        "the response was written before this one"
     );
-    let (status, body) = closes.answer().expect("a whole answer");
+    let (status, body) = closing.read_response().expect("a complete response");
     assert_eq!((status, body.matches("\"b\"").count()), (200, 8 * 98));
-    next_forwarded_is(
+    assert_nothing_was_forwarded_before(
         &mut client,
         &mut conn,
         901,
-        "behind the last request of a connection",
+        "after the last request of a connection",
     );
 }
 
-/// Idle connections are closed 0.7 s after SIGTERM. The request is there by then, unread.
+/// Idle connections are closed 0.7 s after SIGTERM. The request has arrived by then but has not been read.
 #[test]
 fn a_request_that_arrives_on_an_idle_connection_as_the_shutdown_closes_it_is_served() {
     for _ in 0..20 {
-        let names = ServingNames::new(1, &[]);
-        let served = Executor::new().serves("e1");
-        let mut program = Program::start(&config(free(), &[("e1", served)], names.at));
+        let name_service = AutomaticNameService::new(1, &[]);
+        let served = Executor::new().spawn_server("e1");
+        let mut program = Program::start(&config(
+            unused_address(),
+            &[("e1", served)],
+            name_service.address,
+        ));
         let mut idle = Client::connect(program.listen);
-        idle.asks("load", 1);
-        assert_eq!(idle.status(), 200);
-        let signalled = Instant::now();
+        idle.send_query("load", 1);
+        assert_eq!(idle.read_status(), 200);
+        let signalled_at = Instant::now();
         program.signal("-TERM");
-        until("the signal taken", || program.health() != Some(200));
-        program.halt();
-        if signalled.elapsed() >= Duration::from_millis(700) {
-            // Too slow a machine: the program may have closed the connection before it was halted.
-            program.go_on();
+        wait_until("the start of the shutdown", || {
+            program.health() != Some(200)
+        });
+        program.suspend();
+        if signalled_at.elapsed() >= Duration::from_millis(700) {
+            // This machine was too slow: the program may have closed the connection before it was suspended.
+            program.resume();
             continue;
         }
-        idle.asks("load", 2);
-        // Until the program's clock has passed the close.
+        idle.send_query("load", 2);
+        // The program must see that the time to close idle connections has passed when it resumes.
         std::thread::sleep(Duration::from_millis(1_000));
-        program.go_on();
-        let status = idle.status();
-        if status == 503 && signalled.elapsed() >= ANSWERED_WITHIN {
-            // Halted for longer than the shutdown may take, it answers what is left at once.
+        program.resume();
+        let status = idle.read_status();
+        if status == 503 && signalled_at.elapsed() >= ANSWERED_WITHIN {
+            // The suspension lasted longer than a shutdown may take, so the program rejected the remaining requests at once.
             continue;
         }
         assert_eq!(status, 200);
-        assert_eq!(program.ended().code(), Some(0));
+        assert_eq!(program.wait_for_exit().code(), Some(0));
         return;
     }
-    panic!("this machine is too slow to halt the program in time");
+    panic!("this machine is too slow to suspend the program in time");
 }
 
-/// Cut short, or coming byte by byte without end: given up long before the deadline, its connection closed.
+/// A response that stops in the middle, or arrives byte by byte without an end, is abandoned long before the deadline, and its
+/// connection is closed.
 #[test]
-fn an_answer_that_is_cut_short_or_trickles_without_end_is_given_up() {
-    let page = |n: u64| format!("{} HIT pages=1 5000\r\na\tb\tc\n", id(n));
+fn a_truncated_or_trickling_response_is_abandoned() {
+    let page = |n: u64| format!("{} HIT pages=1 5000\r\na\tb\tc\n", request_id(n));
     for (case, trickles) in [
         ("half a line", false),
         ("half a page", false),
         ("byte by byte", true),
     ] {
         for class in ["load", "look"] {
-            let (executor, names) = (Executor::new(), ServingNames::new(1, &[]));
-            let (_program, mut client, mut conn) = with_idle_connection(&executor, names.at);
-            client.asks(class, 1);
-            assert_eq!(conn.request().id, id(1));
-            conn.says(if case == "half a line" { "0000000" } else { "" });
-            conn.says(&if case == "half a line" {
+            let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
+            let (_program, mut client, mut conn) =
+                start_with_idle_connection(&executor, name_service.address);
+            client.send_query(class, 1);
+            assert_eq!(conn.expect_request().id, request_id(1));
+            conn.send(if case == "half a line" { "0000000" } else { "" });
+            conn.send(&if case == "half a line" {
                 String::new()
             } else {
                 page(1)
             });
-            let trickle = std::thread::spawn(move || {
-                let mut rest = PATIENCE.as_millis() / 50;
-                while trickles && rest > 0 && !conn.is_closed() {
-                    rest -= 1;
-                    conn.says("a");
+            let sender = std::thread::spawn(move || {
+                let mut remaining = TIMEOUT.as_millis() / 50;
+                while trickles && remaining > 0 && !conn.is_closed() {
+                    remaining -= 1;
+                    conn.send("a");
                     std::thread::sleep(Duration::from_millis(50));
                 }
-                conn.ended()
+                conn.wait_for_close()
             });
             if class == "look" {
-                executor.take().answers(1, "e1");
+                executor.accept().serve_query(1, "e1");
             }
             assert_eq!(
-                client.status(),
+                client.read_status(),
                 if class == "look" { 200 } else { 500 },
                 "{case}"
             );
             assert!(
-                trickle.join().expect("no panic"),
-                "its connection is closed: {case}, {class}"
+                sender.join().expect("no panic"),
+                "the connection was not closed: {case}, {class}"
             );
         }
     }
 }
 
-/// Longer than idle connections and unread answers are kept; the client waits for longer still.
+/// The executor hangs for longer than idle connections and unread responses are kept, but not until the deadline.
 #[test]
-fn an_answer_that_comes_after_its_executor_hung_for_16_s_under_a_long_deadline_is_served() {
-    let (executor, names) = (Executor::new(), ServingNames::new(1, &[]));
-    let mut config = config(free(), &[("e1", executor.at)], names.at);
+fn a_response_of_an_executor_that_hung_for_16_s_is_forwarded_under_a_long_deadline() {
+    let (executor, name_service) = (Executor::new(), AutomaticNameService::new(1, &[]));
+    let mut config = config(
+        unused_address(),
+        &[("e1", executor.address)],
+        name_service.address,
+    );
     config["settings"]["ceilings"]["conn_idle_us"] = 2_000_000.into();
     let program = Program::start(&config);
     let mut client = Client::connect(program.listen);
-    client.says(&post("load", 1, "SELECT 1").replace("15000", "60000"));
-    let mut conn = executor.take();
-    assert_eq!(conn.request().id, id(1));
+    client.send(&query_request("load", 1, "SELECT 1").replace("15000", "60000"));
+    let mut conn = executor.accept();
+    assert_eq!(conn.expect_request().id, request_id(1));
     std::thread::sleep(Duration::from_secs(16));
-    conn.says(&hit(&id(1), "late"));
-    let (status, body) = client.answer().expect("answered");
+    conn.send(&hit_response(&request_id(1), "late"));
+    let (status, body) = client.read_response().expect("answered");
     assert!(status == 200 && body.contains("late"), "{status} {body}");
 }
