--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -120,9 +120,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerMessageLimits {
     /// Bytes a second to each controller.
-    pub bytes_per_second_to_each: u64,
+    pub bytes_per_second_per_peer: u64,
     /// Bytes a second to all controllers together.
-    pub bytes_per_second_to_all: u64,
+    pub total_bytes_per_second: u64,
 }
 
 /// The other controllers, where they are listed rather than found by gossip.
@@ -141,11 +141,11 @@
     pub listen: SocketAddr,
     /// The address where the others reach this controller, if addresses are translated on the way; `None` if it
     /// is `listen`. Its datagrams must arrive from there, and its index is the rank of this address.
-    pub advertise: Option<SocketAddr>,
+    pub advertised_address: Option<SocketAddr>,
     /// The members to contact first.
     pub seeds: Vec<SocketAddr>,
     /// The file with the encryption keys.
-    pub keys: PathBuf,
+    pub keys_file: PathBuf,
     /// The interval at which one member is probed.
     pub probe_interval: Micros,
     /// Whether a quorum (more than half of all members) may evict an unreachable member after `evict_after`.
@@ -165,7 +165,7 @@
     /// Files, directories, and patterns with `*` in their last part.
     pub files: Vec<PathBuf>,
     /// The file where the active endpoint set is persisted, for a start without a valid file.
-    pub last_good: Option<PathBuf>,
+    pub last_good_file: Option<PathBuf>,
     /// How long files must be unchanged before they are read.
     pub settle_time: Micros,
     /// The interval at which the files are read even if the system reports no change.
@@ -173,7 +173,7 @@
     /// The fraction of the capacity that a new set may remove without confirmation.
     pub max_lost_fraction: f64,
     /// How long a set that removes more is held before it is taken; `None` holds it until its file confirms it.
-    pub hold: Option<Micros>,
+    pub hold_duration: Option<Micros>,
     /// How long after its removal an id may return at another address.
     pub id_reuse_delay: Micros,
     /// The age beyond which the last answer of a registry used at the same time is ignored.
@@ -208,12 +208,12 @@
     pub span: Micros,
     /// Whether the ejection of an engine is a trigger.
     pub on_engine_ejected: bool,
-    /// The trigger fraction of queries rejected within `window`.
+    /// The trigger fraction of queries rejected within `rejection_window`.
     pub rejected_fraction: f64,
     /// The window over which rejected queries are counted.
-    pub window: Micros,
+    pub rejection_window: Micros,
     /// The trigger duration for which the controller made no progress.
-    pub stall: Micros,
+    pub stall_threshold: Micros,
     /// How long the recording continues after a trigger.
     pub record_after: Micros,
     /// How long after a trigger the next one is ignored.
@@ -224,21 +224,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Client connections; a further one gets an error and is closed.
-    pub clients: usize,
+    pub max_clients: usize,
     /// Queries in the controller; a further one is rejected.
-    pub queries: usize,
+    pub max_queries: usize,
     /// The size of a message of a client, in bytes; a longer one ends its connection.
-    pub message: usize,
+    pub max_message_bytes: usize,
     /// Prepared statements of a session.
-    pub statements: usize,
+    pub max_statements: usize,
     /// The size of the prepared statements of a session, and of a batch, in bytes.
-    pub prepared: usize,
+    pub max_prepared_bytes: usize,
     /// Bytes waiting to be sent to one client; above it, reading from the engine pauses.
-    pub buffer: usize,
+    pub max_buffered_bytes: usize,
     /// Sessions with one engine; an attempt that finds none free is treated as rejected by the engine.
-    pub sessions: usize,
+    pub max_engine_sessions: usize,
     /// Connections that wait to be accepted.
-    pub backlog: u32,
+    pub listen_backlog: u32,
 }
 
 /// Timeouts.
@@ -247,19 +247,19 @@
     /// How long before a query's deadline its final answer is sent.
     pub answer_margin: Micros,
     /// For connecting to an engine, including the login.
-    pub connect: Micros,
+    pub connect_timeout: Micros,
     /// For the startup message and login of a client.
-    pub startup: Micros,
+    pub startup_timeout: Micros,
     /// For further data from an engine that has begun an answer; after it, the engine is treated as lost.
-    pub stall: Micros,
+    pub answer_stall_timeout: Micros,
     /// For the confirmation of a cancelled attempt; after it, the attempt counts as ended.
-    pub cancel: Micros,
+    pub cancel_timeout: Micros,
     /// For an unused session with an engine, which is then closed.
-    pub session_idle: Micros,
+    pub session_idle_timeout: Micros,
     /// For clients to finish after a request to stop.
-    pub drain: Micros,
+    pub drain_timeout: Micros,
     /// For the answer to a probe.
-    pub probe: Micros,
+    pub probe_timeout: Micros,
 }
 
 /// The id of an engine, a hash of its name: the same at each controller.
--- a/crates/config/src/validate/capture.rs
+++ b/crates/config/src/validate/capture.rs
@@ -56,8 +56,8 @@
             DEFAULT_REJECTED_FRACTION,
             refusals_suggestion,
         )?,
-        window: source.time_or(triggers.window.as_ref(), seconds(10), "window")?,
-        stall: source.time_or(triggers.stall.as_ref(), seconds(1), "stall")?,
+        rejection_window: source.time_or(triggers.window.as_ref(), seconds(10), "window")?,
+        stall_threshold: source.time_or(triggers.stall.as_ref(), seconds(1), "stall")?,
         record_after: source.time_or(triggers.after.as_ref(), seconds(5), "after")?,
         cooldown: source.time_or(triggers.rest.as_ref(), seconds(300), "rest")?,
     })
--- a/crates/config/src/validate/endpoints.rs
+++ b/crates/config/src/validate/endpoints.rs
@@ -122,11 +122,11 @@
     )?;
     Ok(EndpointFiles {
         files: files.iter().map(|file| file.get_ref().into()).collect(),
-        last_good: section.last_good.as_ref().map(|file| file.get_ref().into()),
+        last_good_file: section.last_good.as_ref().map(|file| file.get_ref().into()),
         settle_time: source.time_or(section.settle.as_ref(), milliseconds(100), "settle")?,
         poll_interval: source.time_or(section.poll.as_ref(), seconds(5), "poll")?,
         max_lost_fraction,
-        hold: section
+        hold_duration: section
             .hold
             .as_ref()
             .map(|at| source.positive_time(at, "hold"))
--- a/crates/config/src/validate/gossip.rs
+++ b/crates/config/src/validate/gossip.rs
@@ -67,7 +67,7 @@
     }
     let gossip = Gossip {
         listen: source.loopback_address(&section.listen)?,
-        advertise: section
+        advertised_address: section
             .advertise
             .as_ref()
             .map(|at| source.loopback_address(at))
@@ -76,7 +76,7 @@
             .iter()
             .map(|at| source.loopback_address(at))
             .collect::<Checked<Vec<_>>>()?,
-        keys: section.keys.get_ref().into(),
+        keys_file: section.keys.get_ref().into(),
         probe_interval: source.time_or(section.period.as_ref(), seconds(1), "period")?,
         quorum_evicts: section.forget == schema::Forget::Quorum,
         evict_after: source.time_or(section.hold.as_ref(), seconds(600), "hold")?,
@@ -103,7 +103,9 @@
         let problem = "a member would be forgotten sooner than it can be missed";
         return Err(source.error(at, problem, "make `hold` many times `period`"));
     }
-    let has_no_port = gossip.advertise.is_some_and(|address| address.port() == 0);
+    let has_no_port = gossip
+        .advertised_address
+        .is_some_and(|address| address.port() == 0);
     if let Some(at) = section.advertise.as_ref().filter(|_| has_no_port) {
         let suggestion = "write where others reach this one";
         return Err(source.error(at, "an advertised address without a port", suggestion));
@@ -118,8 +120,8 @@
     let each = section.and_then(|peers| peers.most_each.as_ref());
     let all = section.and_then(|peers| peers.most.as_ref());
     Ok(PeerMessageLimits {
-        bytes_per_second_to_each: bytes_per_second(source, each, DEFAULT_BYTES_TO_EACH)?,
-        bytes_per_second_to_all: bytes_per_second(source, all, DEFAULT_BYTES_TO_ALL)?,
+        bytes_per_second_per_peer: bytes_per_second(source, each, DEFAULT_BYTES_TO_EACH)?,
+        total_bytes_per_second: bytes_per_second(source, all, DEFAULT_BYTES_TO_ALL)?,
     })
 }
 
--- a/crates/config/src/validate/limits.rs
+++ b/crates/config/src/validate/limits.rs
@@ -18,14 +18,14 @@
             .map_or(Ok(default), |at| size_from(source, at, min, key))
     };
     Ok(Limits {
-        clients: number(&limits.clients, 12_000, 1_000_000, "clients")? as usize,
-        queries: number(&limits.queries, 20_000, 1_000_000, "queries")? as usize,
-        message: size(&limits.message, 1 << 20, 1024, "message")?,
-        statements: number(&limits.statements, 256, 100_000, "statements")? as usize,
-        prepared: size(&limits.prepared, 4 << 20, 4096, "prepared")?,
-        buffer: size(&limits.buffer, 256 << 10, 4096, "buffer")?,
-        sessions: number(&limits.sessions, 200, 100_000, "sessions")? as usize,
-        backlog: number(&limits.backlog, 1024, 65_535, "backlog")?,
+        max_clients: number(&limits.clients, 12_000, 1_000_000, "clients")? as usize,
+        max_queries: number(&limits.queries, 20_000, 1_000_000, "queries")? as usize,
+        max_message_bytes: size(&limits.message, 1 << 20, 1024, "message")?,
+        max_statements: number(&limits.statements, 256, 100_000, "statements")? as usize,
+        max_prepared_bytes: size(&limits.prepared, 4 << 20, 4096, "prepared")?,
+        max_buffered_bytes: size(&limits.buffer, 256 << 10, 4096, "buffer")?,
+        max_engine_sessions: number(&limits.sessions, 200, 100_000, "sessions")? as usize,
+        listen_backlog: number(&limits.backlog, 1024, 65_535, "backlog")?,
     })
 }
 
--- a/crates/config/src/validate/timing.rs
+++ b/crates/config/src/validate/timing.rs
@@ -13,13 +13,13 @@
     };
     Ok(Timing {
         answer_margin: time(&timing.answer_margin, 50, "answer_margin")?,
-        connect: time(&timing.connect, 500, "connect")?,
-        startup: time(&timing.startup, 10_000, "startup")?,
-        stall: time(&timing.stall, 5_000, "stall")?,
-        cancel: time(&timing.withdraw, 250, "withdraw")?,
-        session_idle: time(&timing.session_idle, 30_000, "session_idle")?,
-        drain: time(&timing.drain, 30_000, "drain")?,
-        probe: time(&timing.probe, 250, "probe")?,
+        connect_timeout: time(&timing.connect, 500, "connect")?,
+        startup_timeout: time(&timing.startup, 10_000, "startup")?,
+        answer_stall_timeout: time(&timing.stall, 5_000, "stall")?,
+        cancel_timeout: time(&timing.withdraw, 250, "withdraw")?,
+        session_idle_timeout: time(&timing.session_idle, 30_000, "session_idle")?,
+        drain_timeout: time(&timing.drain, 30_000, "drain")?,
+        probe_timeout: time(&timing.probe, 250, "probe")?,
     })
 }
 
--- a/crates/config/tests/validation.rs
+++ b/crates/config/tests/validation.rs
@@ -282,7 +282,7 @@
         "mode = \"ring\"\nmemory = \"8MB\"\n[capture.triggers]\nrefusals = 0.5\nstall = \"2s\"";
     let ring = capture(more).and_then(|c| c.ring).expect("in memory");
     assert_eq!(
-        (ring.max_bytes, ring.rejected_fraction, ring.stall),
+        (ring.max_bytes, ring.rejected_fraction, ring.stall_threshold),
         (8 << 20, 0.5, Micros(2_000_000))
     );
     assert_eq!(
@@ -314,7 +314,7 @@
         parse("test.toml", &format!("{VALID}\n{gossip}"))
     };
     let taken = with("127.0.0.1:7946").expect("sound").gossip.expect("told");
-    assert_eq!(taken.advertise.map(|a| a.port()), Some(7946));
+    assert_eq!(taken.advertised_address.map(|a| a.port()), Some(7946));
     for bad in ["127.0.0.1:0", "nowhere"] {
         let error = with(bad).expect_err(bad).to_string();
         let line = VALID.lines().count() + 4;
--- a/crates/controller/src/capture.rs
+++ b/crates/controller/src/capture.rs
@@ -48,8 +48,8 @@
             let triggers = Triggers {
                 on_engine_ejected: ring.on_engine_ejected,
                 rejected_fraction: Some(ring.rejected_fraction),
-                window: ring.window,
-                stall: Some(ring.stall),
+                window: ring.rejection_window,
+                stall: Some(ring.stall_threshold),
                 record_after: ring.record_after,
                 cooldown: ring.cooldown,
             };
--- a/crates/controller/src/endpoint_files.rs
+++ b/crates/controller/src/endpoint_files.rs
@@ -24,7 +24,7 @@
     let policy = Policy {
         settle: endpoint_files.settle_time,
         most_lost: endpoint_files.max_lost_fraction,
-        hold: endpoint_files.hold,
+        hold: endpoint_files.hold_duration,
         reuse_after: endpoint_files.id_reuse_delay,
     };
     let names = Places {
@@ -37,7 +37,7 @@
         poll: endpoint_files.poll_interval,
         policy,
         names,
-        last_good: endpoint_files.last_good.clone(),
+        last_good: endpoint_files.last_good_file.clone(),
     };
     let (wakeup, notifier) = UnixStream::pair()?;
     notifier.set_nonblocking(true)?;
--- a/crates/controller/src/postgres.rs
+++ b/crates/controller/src/postgres.rs
@@ -183,7 +183,7 @@
 impl Sockets {
     /// Binds the sockets of a configuration.
     fn bind(config: &Config) -> Result<Sockets, ControllerError> {
-        let backlog = config.limits.backlog;
+        let backlog = config.limits.listen_backlog;
         Ok(Sockets {
             clients: bind_listener(config.listen, backlog)?,
             admin: config
@@ -231,9 +231,11 @@
         let Some(gossip) = &config.gossip else {
             return Ok(None);
         };
-        let (keys, keys_watcher) = KeysWatcher::start(&gossip.keys)?;
+        let (keys, keys_watcher) = KeysWatcher::start(&gossip.keys_file)?;
         let socket = bind_datagram_socket(gossip.listen, "gossip")?;
-        let advertised_address = gossip.advertise.map_or_else(|| socket.local_addr(), Ok)?;
+        let advertised_address = gossip
+            .advertised_address
+            .map_or_else(|| socket.local_addr(), Ok)?;
         Ok(Some(GossipSocket {
             socket,
             advertised_address,
@@ -253,8 +255,8 @@
     fault: Option<FaultInjection>,
 ) -> Result<PgGateway, ControllerError> {
     let limits = DriverLimits {
-        max_queries: config.limits.queries,
-        cancel_confirmation_timeout: config.timing.cancel,
+        max_queries: config.limits.max_queries,
+        cancel_confirmation_timeout: config.timing.cancel_timeout,
     };
     let driver = Driver::new(config.settings.clone(), seed, limits);
     let recorder = start_recorder(&config, seed, limits, &driver, now)?;
--- a/crates/pg-gateway/src/clients.rs
+++ b/crates/pg-gateway/src/clients.rs
@@ -92,14 +92,14 @@
             next_pid: 0,
             chance,
             limits: client::Limits {
-                message_bytes: l.message,
-                statements: l.statements,
-                stored_bytes: l.prepared,
+                message_bytes: l.max_message_bytes,
+                statements: l.max_statements,
+                stored_bytes: l.max_prepared_bytes,
             },
-            most: l.clients,
-            buffer: l.buffer,
-            startup: config.timing.startup.0,
-            patience: config.timing.stall.0 * READER_PATIENCE,
+            most: l.max_clients,
+            buffer: l.max_buffered_bytes,
+            startup: config.timing.startup_timeout.0,
+            patience: config.timing.answer_stall_timeout.0 * READER_PATIENCE,
             counts: Counts::default(),
         }
     }
--- a/crates/pg-gateway/src/dispatcher/queries.rs
+++ b/crates/pg-gateway/src/dispatcher/queries.rs
@@ -26,7 +26,7 @@
                     let Some(unit) = self.units.get_mut(query) else { continue };
                     unit.sealed |= sealed;
                     unit.more.push((frames, swallow));
-                    if unit.held() > self.config.limits.prepared {
+                    if unit.held() > self.config.limits.max_prepared_bytes {
                         self.out.saw(Coverage::UnitTooLong);
                         self.give_up(id, query, &peer_load::too_long());
                     }
--- a/crates/pg-gateway/src/engine_sessions.rs
+++ b/crates/pg-gateway/src/engine_sessions.rs
@@ -109,7 +109,7 @@
             database: config.database.clone(),
             label: format!("wheelfield/{}", s.gateway_index),
             termed: s.priorities || s.memory_grants,
-            buffer: config.limits.buffer,
+            buffer: config.limits.max_buffered_bytes,
         }
     }
 
--- a/crates/pg-gateway/src/engines.rs
+++ b/crates/pg-gateway/src/engines.rs
@@ -94,7 +94,7 @@
             pools: Pools::default(),
             cancels: Cancels::new(),
             words: VecDeque::new(),
-            most: config.limits.sessions,
+            most: config.limits.max_engine_sessions,
             heeded: config.settings.cancellation,
             timing: config.timing,
             plant: plant.filter(|_| cfg!(feature = "planted")),
@@ -148,7 +148,7 @@
         out.saw(Coverage::SessionOpened);
         let id = self.sessions.open(engine, out);
         if let Some(s) = self.sessions.get_mut(id) {
-            out.reset_timer(&mut s.timer, self.timing.connect.0, TimerEvent::Connect(id));
+            out.reset_timer(&mut s.timer, self.timing.connect_timeout.0, TimerEvent::Connect(id));
         }
         out.push(Effect::Connect(id, address));
     }
@@ -299,7 +299,7 @@
 
     /// An answer goes to its client from here on: what was held back goes first.
     pub fn begin(&mut self, id: ConnId, sink: &mut BytesMut, out: &mut EffectQueue) {
-        let stall = self.timing.stall.0;
+        let stall = self.timing.answer_stall_timeout.0;
         if let Some(s) = self.sessions.get_mut(id) {
             s.backend.start_response(sink);
             out.reset_timer(&mut s.timer, stall, TimerEvent::Stall(id));
@@ -408,7 +408,7 @@
 
     /// Nobody wants a session's answer any more.
     pub fn discard(&mut self, id: ConnId, out: &mut EffectQueue) {
-        let patience = if self.heeded { self.timing.cancel.0 } else { ABANDON_UNHEEDED };
+        let patience = if self.heeded { self.timing.cancel_timeout.0 } else { ABANDON_UNHEEDED };
         // What has not gone whole need not go at all: its engine never runs it, and sees the session end.
         let attempt = |job: Option<Job>| matches!(job, Some(Job::Attempt { .. }));
         if self.sessions.get(id).is_some_and(|s| attempt(s.job) && !s.wire.output.is_empty()) {
@@ -426,7 +426,7 @@
         let Some(s) = self.sessions.get_mut(id).filter(|s| !s.cancelling) else { return };
         let Some(key) = s.backend.key() else { return };
         let Some(to) = self.pools.get(s.engine).map(|p| p.address) else { return };
-        if self.cancels.begin(id, to, key, 2 * self.timing.connect.0, out) {
+        if self.cancels.begin(id, to, key, 2 * self.timing.connect_timeout.0, out) {
             s.cancelling = true;
             out.saw(Coverage::CancelSent);
         } else {
@@ -483,7 +483,7 @@
 
     /// Looks whether an engine that has begun an answer goes on; `paused` if it waits for its client.
     pub fn stalled(&mut self, id: ConnId, paused: bool, out: &mut EffectQueue) {
-        let stall = self.timing.stall.0;
+        let stall = self.timing.answer_stall_timeout.0;
         let Some(s) = self.sessions.get_mut(id) else { return };
         s.timer = None;
         if s.client().is_none() {
@@ -507,7 +507,7 @@
 
     /// Closes sessions that were not used for long.
     pub fn close_idle(&mut self, out: &mut EffectQueue) {
-        let before = out.now - self.timing.session_idle.0;
+        let before = out.now - self.timing.session_idle_timeout.0;
         let resting = self.pools.iter().flat_map(|(_, p)| &p.idle).copied();
         let old: Vec<ConnId> =
             resting.filter(|id| self.sessions.get(*id).is_some_and(|s| s.idle_since < before)).collect();
@@ -535,7 +535,7 @@
 
     fn put_probe(&mut self, id: ConnId, out: &mut EffectQueue) {
         if let Some(s) = self.sessions.get_mut(id) {
-            out.reset_timer(&mut s.timer, self.timing.probe.0, TimerEvent::Probe(id));
+            out.reset_timer(&mut s.timer, self.timing.probe_timeout.0, TimerEvent::Probe(id));
         }
         self.sessions.put_own(id, Job::Probe, "SHOW wheelfield.load", out);
     }
--- a/crates/pg-gateway/src/gateway.rs
+++ b/crates/pg-gateway/src/gateway.rs
@@ -243,7 +243,7 @@
 
     fn start_draining(&mut self) {
         let clients = self.flow.clients.len();
-        let drain = self.flow.config.timing.drain.0;
+        let drain = self.flow.config.timing.drain_timeout.0;
         if self.flow.stop.begin(clients, drain, &mut self.flow.out) {
             self.flow.clients.end_idle(&mut self.flow.out);
         }
--- a/crates/pg-gateway/src/gossip.rs
+++ b/crates/pg-gateway/src/gossip.rs
@@ -83,8 +83,8 @@
             unsent: 0,
             words: g.message_limits.map(|limits| {
                 let rates = RateLimits {
-                    per_member: limits.bytes_per_second_to_each,
-                    total: limits.bytes_per_second_to_all,
+                    per_member: limits.bytes_per_second_per_peer,
+                    total: limits.total_bytes_per_second,
                 };
                 MessageLimiter::new(rates, now)
             }),
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -168,8 +168,8 @@
 ) -> Result<Played, ConfigError> {
     let config = day.checked()?;
     let bounds = DriverLimits {
-        max_queries: config.limits.queries,
-        cancel_confirmation_timeout: config.timing.cancel,
+        max_queries: config.limits.max_queries,
+        cancel_confirmation_timeout: config.timing.cancel_timeout,
     };
     let minds = |settings: Settings, seed: u64| -> Box<dyn DecisionEngine> {
         match policy {
