--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -4,38 +4,36 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-/// A value with its place in the file.
-type At<T> = Spanned<T>;
-
 /// The whole file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct File {
-    pub listen: Option<At<String>>,
-    pub admin: Option<At<String>>,
+    pub listen: Option<Spanned<String>>,
+    pub admin: Option<Spanned<String>>,
     pub seed: Option<u64>,
     #[serde(default)]
     pub controller: Controller,
-    pub fleet: At<Fleet>,
-    pub classes: At<Vec<At<Class>>>,
+    pub fleet: Spanned<Fleet>,
+    pub classes: Spanned<Vec<Spanned<Class>>>,
     #[serde(default)]
-    pub tenants: Vec<At<Tenant>>,
+    pub tenants: Vec<Spanned<Tenant>>,
     #[serde(default)]
     pub signals: Signals,
-    #[serde(default)]
-    pub means: Means,
+    #[serde(default, rename = "means")]
+    pub mechanisms: Mechanisms,
     #[serde(default)]
     pub prices: Prices,
-    pub rules: Option<At<Rules>>,
+    pub rules: Option<Spanned<Rules>>,
     #[serde(default)]
     pub route: Route,
     #[serde(default)]
-    pub engines: Vec<At<Engine>>,
-    pub registry: Option<At<Registry>>,
-    pub members: Option<At<Members>>,
-    pub gossip: Option<At<Gossip>>,
-    pub peers: Option<At<Peers>>,
-    pub capture: Option<At<Capture>>,
+    pub engines: Vec<Spanned<Engine>>,
+    pub registry: Option<Spanned<Registry>>,
+    #[serde(rename = "members")]
+    pub endpoint_files: Option<Spanned<EndpointFiles>>,
+    pub gossip: Option<Spanned<Gossip>>,
+    pub peers: Option<Spanned<Peers>>,
+    pub capture: Option<Spanned<Capture>>,
     #[serde(default)]
     pub limits: Limits,
     #[serde(default)]
@@ -46,9 +44,9 @@
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Controller {
-    pub index: Option<At<u32>>,
-    pub count: Option<At<u32>>,
-    pub zone: Option<At<String>>,
+    pub index: Option<Spanned<u32>>,
+    pub count: Option<Spanned<u32>>,
+    pub zone: Option<Spanned<String>>,
     pub user: Option<String>,
     pub database: Option<String>,
 }
@@ -58,71 +56,83 @@
 #[serde(deny_unknown_fields)]
 pub(crate) struct Fleet {
     #[serde(default)]
-    pub zones: Vec<At<String>>,
-    pub kinds: At<Vec<At<Kind>>>,
-    pub most_grant: Option<At<f64>>,
-    pub when_short: Option<WhenShort>,
+    pub zones: Vec<Spanned<String>>,
+    #[serde(rename = "kinds")]
+    pub machine_kinds: Spanned<Vec<Spanned<MachineKind>>>,
+    #[serde(rename = "most_grant")]
+    pub max_grant_fraction: Option<Spanned<f64>>,
+    #[serde(rename = "when_short")]
+    pub on_memory_shortage: Option<MemoryShortage>,
 }
 
 /// What an engine does with a query when its memory is short.
 #[derive(Clone, Copy, Deserialize, PartialEq, Eq)]
-#[serde(rename_all = "lowercase")]
-pub(crate) enum WhenShort {
-    Wait,
+#[serde(rename_all = "lowercase", rename = "WhenShort")]
+pub(crate) enum MemoryShortage {
+    #[serde(rename = "wait")]
+    Queue,
     Shrink,
     Page,
 }
 
 /// `[[fleet.kinds]]`: a kind of machine.
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-pub(crate) struct Kind {
+#[serde(deny_unknown_fields, rename = "Kind")]
+pub(crate) struct MachineKind {
     pub name: String,
-    pub cores: At<f64>,
-    pub memory: At<Size>,
+    pub cores: Spanned<f64>,
+    pub memory: Spanned<Size>,
 }
 
 /// `[[classes]]`: a class of queries.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Class {
-    pub name: At<String>,
-    pub aim: At<Time>,
-    #[serde(default)]
-    pub aim_stretch: f64,
-    pub deadline: At<Time>,
-    pub worth: Option<f64>,
+    pub name: Spanned<String>,
+    #[serde(rename = "aim")]
+    pub latency_objective: Spanned<Time>,
+    #[serde(default, rename = "aim_stretch")]
+    pub latency_objective_stretch: f64,
+    pub deadline: Spanned<Time>,
+    #[serde(rename = "worth")]
+    pub value: Option<f64>,
+    #[serde(default, rename = "late_worth")]
+    pub late_value_fraction: f64,
+    #[serde(rename = "effect")]
+    pub semantics: ExecutionSemantics,
+    #[serde(rename = "dedup")]
+    pub deduplication_scope: Option<Spanned<DeduplicationScope>>,
+    #[serde(rename = "window")]
+    pub deduplication_window: Option<Spanned<Time>>,
+    #[serde(default, rename = "in_order")]
+    pub ordered_by_key: bool,
     #[serde(default)]
-    pub late_worth: f64,
-    pub effect: Effect,
-    pub dedup: Option<At<Dedup>>,
-    pub window: Option<At<Time>>,
+    pub kinds: Vec<Spanned<String>>,
     #[serde(default)]
-    pub in_order: bool,
-    #[serde(default)]
-    pub kinds: Vec<At<String>>,
-    #[serde(default)]
-    pub zones: Vec<At<String>>,
-    pub threads: Option<At<f64>>,
-    #[serde(default)]
-    pub load: bool,
+    pub zones: Vec<Spanned<String>>,
+    pub threads: Option<Spanned<f64>>,
+    #[serde(default, rename = "load")]
+    pub is_load: bool,
     #[serde(default)]
     pub waits_for_loads: bool,
 }
 
 /// What repeating a query of a class does.
 #[derive(Clone, Copy, Deserialize, PartialEq, Eq)]
-#[serde(rename_all = "snake_case")]
-pub(crate) enum Effect {
-    Repeatable,
-    ByKey,
-    Once,
+#[serde(rename_all = "snake_case", rename = "Effect")]
+pub(crate) enum ExecutionSemantics {
+    #[serde(rename = "repeatable")]
+    Idempotent,
+    #[serde(rename = "by_key")]
+    IdempotencyKey,
+    #[serde(rename = "once")]
+    AtMostOnce,
 }
 
 /// The engines among which repeats with the same key are dropped.
 #[derive(Clone, Copy, Deserialize, PartialEq, Eq)]
-#[serde(rename_all = "lowercase")]
-pub(crate) enum Dedup {
+#[serde(rename_all = "lowercase", rename = "Dedup")]
+pub(crate) enum DeduplicationScope {
     All,
     Zone,
     Cell,
@@ -132,14 +142,15 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Tenant {
-    pub name: At<String>,
-    pub allowance: f64,
+    pub name: Spanned<String>,
+    #[serde(rename = "allowance")]
+    pub rate: f64,
 }
 
 /// How load reports arrive.
 #[derive(Clone, Copy, Default, Deserialize, PartialEq, Eq)]
-#[serde(rename_all = "lowercase")]
-pub(crate) enum Reports {
+#[serde(rename_all = "lowercase", rename = "Reports")]
+pub(crate) enum LoadReports {
     #[default]
     Answers,
     Probe,
@@ -150,36 +161,44 @@
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Signals {
-    pub reports: Reports,
-    pub utilisation: Option<bool>,
-    pub notes_every: Option<Time>,
-    pub bills: bool,
+    #[serde(rename = "reports")]
+    pub load_reports: LoadReports,
+    #[serde(rename = "utilisation")]
+    pub reports_utilisation: Option<bool>,
+    #[serde(rename = "notes_every")]
+    pub progress_interval: Option<Time>,
+    #[serde(rename = "bills")]
+    pub reports_work: bool,
 }
 
 /// `[means]`: the mechanisms that the controller may use.
 #[derive(Deserialize)]
-#[serde(default, deny_unknown_fields)]
-pub(crate) struct Means {
-    pub cancel: bool,
-    pub grants: bool,
+#[serde(default, deny_unknown_fields, rename = "Means")]
+pub(crate) struct Mechanisms {
+    #[serde(rename = "cancel")]
+    pub cancellation: bool,
+    #[serde(rename = "grants")]
+    pub memory_grants: bool,
     pub priorities: bool,
     pub probes: bool,
-    pub messages: bool,
-    pub second_copies: bool,
+    #[serde(rename = "messages")]
+    pub peer_messages: bool,
+    #[serde(rename = "second_copies")]
+    pub hedged_requests: bool,
     pub max_attempts: u32,
     pub max_retry_after: Time,
     pub subscribe: bool,
 }
 
-impl Default for Means {
+impl Default for Mechanisms {
     fn default() -> Self {
-        Means {
-            cancel: true,
-            grants: false,
+        Mechanisms {
+            cancellation: true,
+            memory_grants: false,
             priorities: false,
             probes: false,
-            messages: false,
-            second_copies: false,
+            peer_messages: false,
+            hedged_requests: false,
             max_attempts: 4,
             max_retry_after: Time(wheelfield::interface::Micros(2_000_000)),
             subscribe: false,
@@ -200,58 +219,68 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Rules {
-    pub cold_from: Option<At<f64>>,
-    pub cold_for: Option<Time>,
-    pub fall_multiple: Option<At<f64>>,
-    pub fall_span: Option<Time>,
-    pub order_pause: Option<Time>,
-    pub budget: Option<Budget>,
+    #[serde(rename = "cold_from")]
+    pub slow_start_initial_fraction: Option<Spanned<f64>>,
+    #[serde(rename = "cold_for")]
+    pub slow_start_duration: Option<Time>,
+    #[serde(rename = "fall_multiple")]
+    pub overload_multiple: Option<Spanned<f64>>,
+    #[serde(rename = "fall_span")]
+    pub overload_window: Option<Time>,
+    #[serde(rename = "order_pause")]
+    pub key_cooldown: Option<Time>,
+    #[serde(rename = "budget")]
+    pub retry_budget: Option<RetryBudget>,
 }
 
 /// `budget` under `[rules]`: the retry budget.
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-pub(crate) struct Budget {
-    pub free: f64,
-    pub share: f64,
-    pub span: At<Time>,
+#[serde(deny_unknown_fields, rename = "Budget")]
+pub(crate) struct RetryBudget {
+    #[serde(rename = "free")]
+    pub guaranteed: f64,
+    #[serde(rename = "share")]
+    pub fraction: f64,
+    #[serde(rename = "span")]
+    pub window: Spanned<Time>,
 }
 
 /// `[route]`: how a query is assigned to a class.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Route {
-    pub default_class: Option<At<String>>,
-    pub select: Vec<At<Select>>,
+    pub default_class: Option<Spanned<String>>,
+    #[serde(rename = "select")]
+    pub selectors: Vec<Spanned<Selector>>,
 }
 
 /// `[[route.select]]`: conditions and the class that they assign.
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-pub(crate) struct Select {
+#[serde(deny_unknown_fields, rename = "Select")]
+pub(crate) struct Selector {
     pub user: Option<String>,
     pub database: Option<String>,
     pub application: Option<String>,
-    pub pattern: Option<At<String>>,
-    pub class: At<String>,
+    pub pattern: Option<Spanned<String>>,
+    pub class: Spanned<String>,
 }
 
 /// `[[engines]]`: an engine.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Engine {
-    pub id: At<String>,
-    pub address: At<String>,
-    pub zone: Option<At<String>>,
-    pub kind: At<String>,
+    pub id: Spanned<String>,
+    pub address: Spanned<String>,
+    pub zone: Option<Spanned<String>>,
+    pub kind: Spanned<String>,
     #[serde(default)]
     pub cell: i64,
 }
 
 /// How the endpoint list of a registry is kept up to date.
 #[derive(Clone, Copy, Default, Deserialize, PartialEq, Eq)]
-#[serde(rename_all = "lowercase")]
-pub(crate) enum Mode {
+#[serde(rename_all = "lowercase", rename = "Mode")]
+pub(crate) enum RefreshMode {
     #[default]
     Watch,
     Poll,
@@ -261,67 +290,78 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Registry {
-    pub address: At<String>,
-    #[serde(default)]
-    pub mode: Mode,
-    pub every: Option<Time>,
+    pub address: Spanned<String>,
+    #[serde(default, rename = "mode")]
+    pub refresh: RefreshMode,
+    #[serde(rename = "every")]
+    pub poll_interval: Option<Time>,
 }
 
 /// `[peers]`: the other controllers, and the limits of messages to them.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Peers {
-    pub listen: Option<At<String>>,
+    pub listen: Option<Spanned<String>>,
     #[serde(default)]
-    pub addresses: Vec<At<String>>,
-    pub most_each: Option<At<Size>>,
-    pub most: Option<At<Size>>,
+    pub addresses: Vec<Spanned<String>>,
+    #[serde(rename = "most_each")]
+    pub bytes_per_second_per_peer: Option<Spanned<Size>>,
+    #[serde(rename = "most")]
+    pub total_bytes_per_second: Option<Spanned<Size>>,
 }
 
 /// `[limits]`: limits on numbers and sizes.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Limits {
-    pub clients: Option<At<u32>>,
-    pub queries: Option<At<u32>>,
-    pub message: Option<At<Size>>,
-    pub statements: Option<At<u32>>,
-    pub prepared: Option<At<Size>>,
-    pub buffer: Option<At<Size>>,
-    pub sessions: Option<At<u32>>,
-    pub backlog: Option<At<u32>>,
+    pub clients: Option<Spanned<u32>>,
+    pub queries: Option<Spanned<u32>>,
+    pub message: Option<Spanned<Size>>,
+    pub statements: Option<Spanned<u32>>,
+    pub prepared: Option<Spanned<Size>>,
+    pub buffer: Option<Spanned<Size>>,
+    pub sessions: Option<Spanned<u32>>,
+    pub backlog: Option<Spanned<u32>>,
 }
 
 /// `[timing]`: timeouts.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Timing {
-    pub answer_margin: Option<At<Time>>,
-    pub connect: Option<At<Time>>,
-    pub startup: Option<At<Time>>,
-    pub stall: Option<At<Time>>,
-    pub withdraw: Option<At<Time>>,
-    pub session_idle: Option<At<Time>>,
-    pub drain: Option<At<Time>>,
-    pub probe: Option<At<Time>>,
+    pub answer_margin: Option<Spanned<Time>>,
+    pub connect: Option<Spanned<Time>>,
+    pub startup: Option<Spanned<Time>>,
+    pub stall: Option<Spanned<Time>>,
+    #[serde(rename = "withdraw")]
+    pub cancel: Option<Spanned<Time>>,
+    pub session_idle: Option<Spanned<Time>>,
+    pub drain: Option<Spanned<Time>>,
+    pub probe: Option<Spanned<Time>>,
 }
 
 /// `[capture]`: the recording of inputs and outputs.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Capture {
-    pub file: At<String>,
+    pub file: Spanned<String>,
     #[serde(default)]
     pub mode: CaptureMode,
-    pub memory: Option<At<Size>>,
-    pub span: Option<At<Time>>,
+    #[serde(rename = "memory")]
+    pub ring_bytes: Option<Spanned<Size>>,
+    #[serde(rename = "span")]
+    pub ring_span: Option<Spanned<Time>>,
     #[serde(default)]
     pub triggers: Triggers,
-    pub segment: Option<At<Size>>,
-    pub keep: Option<At<Size>>,
-    pub checkpoint: Option<At<Time>>,
-    pub sync: Option<At<Time>>,
-    pub queue: Option<At<u32>>,
+    #[serde(rename = "segment")]
+    pub segment_bytes: Option<Spanned<Size>>,
+    #[serde(rename = "keep")]
+    pub max_total_bytes: Option<Spanned<Size>>,
+    #[serde(rename = "checkpoint")]
+    pub checkpoint_interval: Option<Spanned<Time>>,
+    #[serde(rename = "sync")]
+    pub sync_interval: Option<Spanned<Time>>,
+    #[serde(rename = "queue")]
+    pub max_queued_blocks: Option<Spanned<u32>>,
 }
 
 /// Whether the capture is written at all times, not at all, or on a trigger.
@@ -338,48 +378,66 @@
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Triggers {
-    pub set_aside: Option<bool>,
-    pub refusals: Option<At<f64>>,
-    pub window: Option<At<Time>>,
-    pub stall: Option<At<Time>>,
-    pub after: Option<At<Time>>,
-    pub rest: Option<At<Time>>,
+    #[serde(rename = "set_aside")]
+    pub on_engine_ejected: Option<bool>,
+    #[serde(rename = "refusals")]
+    pub rejected_fraction: Option<Spanned<f64>>,
+    #[serde(rename = "window")]
+    pub rejection_window: Option<Spanned<Time>>,
+    #[serde(rename = "stall")]
+    pub stall_threshold: Option<Spanned<Time>>,
+    #[serde(rename = "after")]
+    pub record_after: Option<Spanned<Time>>,
+    #[serde(rename = "rest")]
+    pub cooldown: Option<Spanned<Time>>,
 }
 
 /// `[members]`: files that contain the endpoint list.
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-pub(crate) struct Members {
-    pub files: At<Vec<At<String>>>,
-    pub last_good: Option<At<String>>,
-    pub settle: Option<At<Time>>,
-    pub poll: Option<At<Time>>,
-    pub most_lost: Option<At<f64>>,
-    pub hold: Option<At<Time>>,
-    pub reuse_after: Option<At<Time>>,
-    pub registry_age: Option<At<Time>>,
+#[serde(deny_unknown_fields, rename = "Members")]
+pub(crate) struct EndpointFiles {
+    pub files: Spanned<Vec<Spanned<String>>>,
+    #[serde(rename = "last_good")]
+    pub last_good_file: Option<Spanned<String>>,
+    #[serde(rename = "settle")]
+    pub settle_time: Option<Spanned<Time>>,
+    #[serde(rename = "poll")]
+    pub poll_interval: Option<Spanned<Time>>,
+    #[serde(rename = "most_lost")]
+    pub max_lost_fraction: Option<Spanned<f64>>,
+    #[serde(rename = "hold")]
+    pub hold_duration: Option<Spanned<Time>>,
+    #[serde(rename = "reuse_after")]
+    pub id_reuse_delay: Option<Spanned<Time>>,
+    #[serde(rename = "registry_age")]
+    pub max_registry_age: Option<Spanned<Time>>,
 }
 
 /// `[gossip]`: how controllers find each other.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Gossip {
-    pub listen: At<String>,
-    pub advertise: Option<At<String>>,
+    pub listen: Spanned<String>,
+    #[serde(rename = "advertise")]
+    pub advertised_address: Option<Spanned<String>>,
     #[serde(default)]
-    pub seeds: Vec<At<String>>,
-    pub keys: At<String>,
-    pub period: Option<At<Time>>,
-    #[serde(default)]
-    pub forget: Forget,
-    pub hold: Option<At<Time>>,
-    pub settle: Option<At<Time>>,
+    pub seeds: Vec<Spanned<String>>,
+    #[serde(rename = "keys")]
+    pub keys_file: Spanned<String>,
+    #[serde(rename = "period")]
+    pub probe_interval: Option<Spanned<Time>>,
+    #[serde(default, rename = "forget")]
+    pub eviction: EvictionPolicy,
+    #[serde(rename = "hold")]
+    pub evict_after: Option<Spanned<Time>>,
+    #[serde(rename = "settle")]
+    pub startup_grace: Option<Spanned<Time>>,
 }
 
 /// Who may evict an unreachable member.
 #[derive(Clone, Copy, Default, Deserialize, PartialEq, Eq)]
-#[serde(rename_all = "lowercase")]
-pub(crate) enum Forget {
+#[serde(rename_all = "lowercase", rename = "Forget")]
+pub(crate) enum EvictionPolicy {
     #[default]
     Operator,
     Quorum,
--- a/crates/config/src/validate/capture.rs
+++ b/crates/config/src/validate/capture.rs
@@ -1,6 +1,6 @@
 //! `[capture]`: the recording of the driver's inputs and outputs.
 
-use super::source::{seconds, Checked, Source};
+use super::source::{seconds, ConfigResult, Source};
 use crate::model::{Capture, RingCapture};
 use crate::schema::{self, CaptureMode};
 use crate::units::Size;
@@ -8,13 +8,16 @@
 
 const MIN_BYTES: u64 = 1 << 20;
 const DEFAULT_SEGMENT_BYTES: u64 = 256 << 20;
-const DEFAULT_KEPT_BYTES: u64 = 4 << 30;
+const DEFAULT_MAX_TOTAL_BYTES: u64 = 4 << 30;
 const DEFAULT_RING_BYTES: u64 = 64 << 20;
 const DEFAULT_QUEUED_BLOCKS: usize = 64;
 const DEFAULT_REJECTED_FRACTION: f64 = 0.3;
 
 /// All keys are checked in each mode; the result is none where the capture is off.
-pub(super) fn validate(source: &Source<'_>, section: &schema::Capture) -> Checked<Option<Capture>> {
+pub(super) fn validate(
+    source: &Source<'_>,
+    section: &schema::Capture,
+) -> ConfigResult<Option<Capture>> {
     let file_name = section.file.get_ref();
     if !file_name.ends_with(".wfcap") {
         let problem = format!("a capture named `{file_name}`");
@@ -23,15 +26,23 @@
     let ring = validate_ring(source, section)?;
     let capture = Capture {
         file: file_name.into(),
-        segment_bytes: size_or(source, section.segment.as_ref(), DEFAULT_SEGMENT_BYTES)?,
-        max_total_bytes: size_or(source, section.keep.as_ref(), DEFAULT_KEPT_BYTES)?,
+        segment_bytes: size_or(
+            source,
+            section.segment_bytes.as_ref(),
+            DEFAULT_SEGMENT_BYTES,
+        )?,
+        max_total_bytes: size_or(
+            source,
+            section.max_total_bytes.as_ref(),
+            DEFAULT_MAX_TOTAL_BYTES,
+        )?,
         checkpoint_interval: source.time_or(
-            section.checkpoint.as_ref(),
+            section.checkpoint_interval.as_ref(),
             seconds(60),
             "checkpoint",
         )?,
-        sync_interval: source.time_or(section.sync.as_ref(), seconds(1), "sync")?,
-        max_queued_blocks: match &section.queue {
+        sync_interval: source.time_or(section.sync_interval.as_ref(), seconds(1), "sync")?,
+        max_queued_blocks: match &section.max_queued_blocks {
             Some(blocks) => (*blocks.get_ref()).clamp(2, 65_536) as usize,
             None => DEFAULT_QUEUED_BLOCKS,
         },
@@ -44,29 +55,37 @@
     Ok((section.mode != CaptureMode::Off).then_some(capture))
 }
 
-fn validate_ring(source: &Source<'_>, section: &schema::Capture) -> Checked<RingCapture> {
+fn validate_ring(source: &Source<'_>, section: &schema::Capture) -> ConfigResult<RingCapture> {
     let triggers = &section.triggers;
-    let refusals_suggestion = "write one from 0 to 1; 1 is never reached";
+    let rejected_fraction_suggestion = "write one from 0 to 1; 1 is never reached";
     Ok(RingCapture {
-        max_bytes: size_or(source, section.memory.as_ref(), DEFAULT_RING_BYTES)?,
-        span: source.time_or(section.span.as_ref(), seconds(600), "span")?,
-        on_engine_ejected: triggers.set_aside.unwrap_or(true),
+        max_bytes: size_or(source, section.ring_bytes.as_ref(), DEFAULT_RING_BYTES)?,
+        span: source.time_or(section.ring_span.as_ref(), seconds(600), "span")?,
+        on_engine_ejected: triggers.on_engine_ejected.unwrap_or(true),
         rejected_fraction: source.fraction_or(
-            triggers.refusals.as_ref(),
+            triggers.rejected_fraction.as_ref(),
             DEFAULT_REJECTED_FRACTION,
-            refusals_suggestion,
+            rejected_fraction_suggestion,
+        )?,
+        rejection_window: source.time_or(
+            triggers.rejection_window.as_ref(),
+            seconds(10),
+            "window",
         )?,
-        rejection_window: source.time_or(triggers.window.as_ref(), seconds(10), "window")?,
-        stall_threshold: source.time_or(triggers.stall.as_ref(), seconds(1), "stall")?,
-        record_after: source.time_or(triggers.after.as_ref(), seconds(5), "after")?,
-        cooldown: source.time_or(triggers.rest.as_ref(), seconds(300), "rest")?,
+        stall_threshold: source.time_or(triggers.stall_threshold.as_ref(), seconds(1), "stall")?,
+        record_after: source.time_or(triggers.record_after.as_ref(), seconds(5), "after")?,
+        cooldown: source.time_or(triggers.cooldown.as_ref(), seconds(300), "rest")?,
     })
 }
 
-fn size_or(source: &Source<'_>, at: Option<&Spanned<Size>>, default: u64) -> Checked<u64> {
-    match at {
+fn size_or(
+    source: &Source<'_>,
+    spanned: Option<&Spanned<Size>>,
+    default: u64,
+) -> ConfigResult<u64> {
+    match spanned {
         None => Ok(default),
-        Some(at) if at.get_ref().0 >= MIN_BYTES => Ok(at.get_ref().0),
-        Some(at) => Err(source.error(at, "under a megabyte", "write at least \"1MB\"")),
+        Some(spanned) if spanned.get_ref().0 >= MIN_BYTES => Ok(spanned.get_ref().0),
+        Some(spanned) => Err(source.error(spanned, "under a megabyte", "write at least \"1MB\"")),
     }
 }
--- a/crates/config/src/validate/classes.rs
+++ b/crates/config/src/validate/classes.rs
@@ -1,24 +1,24 @@
 //! `[[classes]]`: the classes of queries.
 
-use super::source::{seconds, Checked, Source};
+use super::source::{seconds, ConfigResult, Source};
 use crate::model::Names;
-use crate::schema::{self, Dedup, Effect};
+use crate::schema;
 use toml::Spanned;
 use wheelfield::interface::{Class, DeduplicationScope, ExecutionSemantics, Micros};
 
 /// Adds the names of the classes to `names`, and returns the classes in the order of the file.
 pub(super) fn validate(
     source: &Source<'_>,
-    at: &Spanned<Vec<Spanned<schema::Class>>>,
+    spanned: &Spanned<Vec<Spanned<schema::Class>>>,
     names: &mut Names,
-) -> Checked<Vec<Class>> {
+) -> ConfigResult<Vec<Class>> {
     let mut classes = Vec::new();
-    for class in at.get_ref() {
+    for class in spanned.get_ref() {
         source.add_unique_name(&mut names.classes, &class.get_ref().name, "class")?;
         classes.push(validate_class(source, class, names)?);
     }
     if classes.is_empty() {
-        return Err(source.error(at, "no class of query is named", "add [[classes]]"));
+        return Err(source.error(spanned, "no class of query is named", "add [[classes]]"));
     }
     Ok(classes)
 }
@@ -41,33 +41,37 @@
 
 fn validate_class(
     source: &Source<'_>,
-    at: &Spanned<schema::Class>,
+    spanned: &Spanned<schema::Class>,
     names: &Names,
-) -> Checked<Class> {
-    let class = at.get_ref();
-    let latency_objective = source.positive_time(&class.aim, "aim")?;
+) -> ConfigResult<Class> {
+    let class = spanned.get_ref();
+    let latency_objective = source.positive_time(&class.latency_objective, "aim")?;
     let deadline = source.positive_time(&class.deadline, "deadline")?;
     if latency_objective > deadline {
         let problem = format!(
             "class `{}` is wanted after its clients have given up",
             class.name.get_ref()
         );
-        return Err(source.error(&class.aim, problem, "make `aim` at most `deadline`"));
+        return Err(source.error(
+            &class.latency_objective,
+            problem,
+            "make `aim` at most `deadline`",
+        ));
     }
-    check_deduplication(source, at)?;
+    check_deduplication(source, spanned)?;
     Ok(Class {
         latency_objective,
-        latency_objective_stretch: class.aim_stretch.max(0.0),
+        latency_objective_stretch: class.latency_objective_stretch.max(0.0),
         deadline,
-        value: class.worth.unwrap_or(1.0).max(0.0),
-        late_value_fraction: class.late_worth.clamp(0.0, 1.0),
-        semantics: semantics(class.effect),
-        deduplication_scope: deduplication_scope(class.dedup.as_ref()),
+        value: class.value.unwrap_or(1.0).max(0.0),
+        late_value_fraction: class.late_value_fraction.clamp(0.0, 1.0),
+        semantics: semantics(class.semantics),
+        deduplication_scope: deduplication_scope(class.deduplication_scope.as_ref()),
         deduplication_window: class
-            .window
+            .deduplication_window
             .as_ref()
             .map_or(Micros(0), |window| window.get_ref().0),
-        ordered_by_key: class.in_order,
+        ordered_by_key: class.ordered_by_key,
         kinds: indexes_of_names(source, &names.kinds, &class.kinds, "kind")?,
         zones: indexes_of_names(source, &names.zones, &class.zones, "zone")?,
         no_engine_permitted: false,
@@ -75,30 +79,30 @@
             Some(threads) => source.number_in_range(threads, "threads", 1.0, 1024.0)?,
             None => 1.0,
         },
-        is_load: class.load,
+        is_load: class.is_load,
         waits_for_loads: class.waits_for_loads,
     })
 }
 
 /// `window` is required with an idempotency key; `dedup` and `window` are rejected without one.
-fn check_deduplication(source: &Source<'_>, at: &Spanned<schema::Class>) -> Checked<()> {
-    let class = at.get_ref();
-    let by_key = class.effect == Effect::ByKey;
-    if let Some(dedup) = class.dedup.as_ref().filter(|_| !by_key) {
+fn check_deduplication(source: &Source<'_>, spanned: &Spanned<schema::Class>) -> ConfigResult<()> {
+    let class = spanned.get_ref();
+    let by_key = class.semantics == schema::ExecutionSemantics::IdempotencyKey;
+    if let Some(scope) = class.deduplication_scope.as_ref().filter(|_| !by_key) {
         let suggestion = "remove `dedup`, or write effect = \"by_key\"";
         return Err(source.error(
-            dedup,
+            scope,
             "`dedup` goes with effect = \"by_key\" alone",
             suggestion,
         ));
     }
-    if by_key && class.window.is_none() {
+    if by_key && class.deduplication_window.is_none() {
         let name = class.name.get_ref();
         let problem =
             format!("class `{name}` is by key, but for how long repeats are dropped is not said");
-        return Err(source.error(at, problem, "add `window`, such as \"5s\""));
+        return Err(source.error(spanned, problem, "add `window`, such as \"5s\""));
     }
-    if let Some(window) = class.window.as_ref().filter(|_| !by_key) {
+    if let Some(window) = class.deduplication_window.as_ref().filter(|_| !by_key) {
         let suggestion = "remove `window`, or write effect = \"by_key\"";
         return Err(source.error(
             window,
@@ -109,19 +113,19 @@
     Ok(())
 }
 
-fn semantics(effect: Effect) -> ExecutionSemantics {
-    match effect {
-        Effect::Repeatable => ExecutionSemantics::Idempotent,
-        Effect::ByKey => ExecutionSemantics::IdempotencyKey,
-        Effect::Once => ExecutionSemantics::AtMostOnce,
+fn semantics(semantics: schema::ExecutionSemantics) -> ExecutionSemantics {
+    match semantics {
+        schema::ExecutionSemantics::Idempotent => ExecutionSemantics::Idempotent,
+        schema::ExecutionSemantics::IdempotencyKey => ExecutionSemantics::IdempotencyKey,
+        schema::ExecutionSemantics::AtMostOnce => ExecutionSemantics::AtMostOnce,
     }
 }
 
-fn deduplication_scope(dedup: Option<&Spanned<Dedup>>) -> DeduplicationScope {
-    match dedup.map(Spanned::get_ref) {
-        Some(Dedup::Zone) => DeduplicationScope::Zone,
-        Some(Dedup::Cell) => DeduplicationScope::Cell,
-        Some(Dedup::All) | None => DeduplicationScope::All,
+fn deduplication_scope(scope: Option<&Spanned<schema::DeduplicationScope>>) -> DeduplicationScope {
+    match scope.map(Spanned::get_ref) {
+        Some(schema::DeduplicationScope::Zone) => DeduplicationScope::Zone,
+        Some(schema::DeduplicationScope::Cell) => DeduplicationScope::Cell,
+        Some(schema::DeduplicationScope::All) | None => DeduplicationScope::All,
     }
 }
 
@@ -129,10 +133,10 @@
     source: &Source<'_>,
     names: &[String],
     wanted: &[Spanned<String>],
-    what: &str,
-) -> Checked<Vec<usize>> {
+    item: &str,
+) -> ConfigResult<Vec<usize>> {
     wanted
         .iter()
-        .map(|at| source.index_of_name(names, at, what))
+        .map(|spanned| source.index_of_name(names, spanned, item))
         .collect()
 }
--- a/crates/config/src/validate/controller.rs
+++ b/crates/config/src/validate/controller.rs
@@ -1,11 +1,11 @@
 //! `[controller]`: this controller's place among the others.
 
-use super::source::{Checked, Source};
+use super::source::{ConfigResult, Source};
 use crate::model::Names;
 use crate::schema;
 
 /// This controller's place among the others.
-pub(super) struct Position {
+pub(super) struct ControllerIdentity {
     /// Its number, from 0.
     pub index: u32,
     /// The number of controllers.
@@ -18,7 +18,7 @@
     source: &Source<'_>,
     controller: &schema::Controller,
     names: &Names,
-) -> Checked<Position> {
+) -> ConfigResult<ControllerIdentity> {
     let count = controller
         .count
         .as_ref()
@@ -27,19 +27,19 @@
         .index
         .as_ref()
         .map_or(0, |index| *index.get_ref());
-    if let Some(at) = controller.count.as_ref().filter(|_| count == 0) {
-        return Err(source.error(at, "no controller at all", "write at least 1"));
+    if let Some(spanned) = controller.count.as_ref().filter(|_| count == 0) {
+        return Err(source.error(spanned, "no controller at all", "write at least 1"));
     }
-    if let Some(at) = controller.index.as_ref().filter(|_| index >= count) {
+    if let Some(spanned) = controller.index.as_ref().filter(|_| index >= count) {
         let problem = format!("`index` is {index}, but `count` is {count}");
         let suggestion = "count controllers from 0, and tell in `count` how many there are";
-        return Err(source.error(at, problem, suggestion));
+        return Err(source.error(spanned, problem, suggestion));
     }
     let zone = controller
         .zone
         .as_ref()
         .map(|zone| source.index_of_name(&names.zones, zone, "zone"));
-    Ok(Position {
+    Ok(ControllerIdentity {
         index,
         count,
         zone: zone.transpose()?,
--- a/crates/config/src/validate/endpoints.rs
+++ b/crates/config/src/validate/endpoints.rs
@@ -1,6 +1,6 @@
 //! Where the engines are listed: `[[engines]]`, `[registry]` or `[members]`.
 
-use super::source::{milliseconds, seconds, Checked, Source};
+use super::source::{milliseconds, seconds, ConfigResult, Source};
 use crate::model::{EndpointFiles, EngineEndpoint, Names, Refresh, Registry};
 use crate::schema::{self, File};
 use std::collections::BTreeSet;
@@ -8,7 +8,7 @@
 use wheelfield::interface::Micros;
 
 const MIN_POLL_INTERVAL: Micros = milliseconds(1);
-const DEFAULT_MAX_LOST: f64 = 0.5;
+const DEFAULT_MAX_LOST_FRACTION: f64 = 0.5;
 
 /// The sources of the endpoint list.
 pub(super) struct Endpoints {
@@ -18,30 +18,30 @@
 }
 
 /// At least one source is needed, and engines in the file itself exclude the other two.
-pub(super) fn validate(source: &Source<'_>, file: &File, names: &Names) -> Checked<Endpoints> {
+pub(super) fn validate(source: &Source<'_>, file: &File, names: &Names) -> ConfigResult<Endpoints> {
     let engines = validate_engines(source, &file.engines, names)?;
     let registry = file
         .registry
         .as_ref()
-        .map(|at| validate_registry(source, at.get_ref()))
+        .map(|spanned| validate_registry(source, spanned.get_ref()))
         .transpose()?;
-    if let Some(at) = file.registry.as_ref().filter(|_| !engines.is_empty()) {
+    if let Some(spanned) = file.registry.as_ref().filter(|_| !engines.is_empty()) {
         let suggestion = "keep either [registry] or [[engines]]";
         return Err(source.error(
-            at,
+            spanned,
             "engines are named here and kept in a registry too",
             suggestion,
         ));
     }
     let files = file
-        .members
+        .endpoint_files
         .as_ref()
-        .map(|at| validate_files(source, at.get_ref()))
+        .map(|spanned| validate_files(source, spanned.get_ref()))
         .transpose()?;
-    if let Some(at) = file.members.as_ref().filter(|_| !engines.is_empty()) {
+    if let Some(spanned) = file.endpoint_files.as_ref().filter(|_| !engines.is_empty()) {
         let suggestion = "keep either [members] or [[engines]]";
         return Err(source.error(
-            at,
+            spanned,
             "engines are named here and kept in files too",
             suggestion,
         ));
@@ -65,7 +65,7 @@
     source: &Source<'_>,
     listed: &[Spanned<schema::Engine>],
     names: &Names,
-) -> Checked<Vec<EngineEndpoint>> {
+) -> ConfigResult<Vec<EngineEndpoint>> {
     let (mut engines, mut ids, mut addresses) = (Vec::new(), Vec::new(), BTreeSet::new());
     for engine in listed.iter().map(Spanned::get_ref) {
         source.add_unique_name(&mut ids, &engine.id, "engine")?;
@@ -88,21 +88,24 @@
     Ok(engines)
 }
 
-fn validate_registry(source: &Source<'_>, registry: &schema::Registry) -> Checked<Registry> {
+fn validate_registry(source: &Source<'_>, registry: &schema::Registry) -> ConfigResult<Registry> {
     Ok(Registry {
         address: source.loopback_address(&registry.address)?,
-        refresh: match registry.mode {
-            schema::Mode::Watch => Refresh::Watch,
-            schema::Mode::Poll => Refresh::Poll,
+        refresh: match registry.refresh {
+            schema::RefreshMode::Watch => Refresh::Watch,
+            schema::RefreshMode::Poll => Refresh::Poll,
         },
         poll_interval: registry
-            .every
+            .poll_interval
             .map_or(seconds(1), |interval| interval.0)
             .max(MIN_POLL_INTERVAL),
     })
 }
 
-fn validate_files(source: &Source<'_>, section: &schema::Members) -> Checked<EndpointFiles> {
+fn validate_files(
+    source: &Source<'_>,
+    section: &schema::EndpointFiles,
+) -> ConfigResult<EndpointFiles> {
     let files = section.files.get_ref();
     if files.is_empty() {
         return Err(source.error(
@@ -114,30 +117,33 @@
     for file in files {
         check_file_pattern(source, file)?;
     }
-    let max_lost_suggestion = "write one from 0 to 1";
+    let max_lost_fraction_suggestion = "write one from 0 to 1";
     let max_lost_fraction = source.fraction_or(
-        section.most_lost.as_ref(),
-        DEFAULT_MAX_LOST,
-        max_lost_suggestion,
+        section.max_lost_fraction.as_ref(),
+        DEFAULT_MAX_LOST_FRACTION,
+        max_lost_fraction_suggestion,
     )?;
     Ok(EndpointFiles {
         files: files.iter().map(|file| file.get_ref().into()).collect(),
-        last_good_file: section.last_good.as_ref().map(|file| file.get_ref().into()),
-        settle_time: source.time_or(section.settle.as_ref(), milliseconds(100), "settle")?,
-        poll_interval: source.time_or(section.poll.as_ref(), seconds(5), "poll")?,
+        last_good_file: section
+            .last_good_file
+            .as_ref()
+            .map(|file| file.get_ref().into()),
+        settle_time: source.time_or(section.settle_time.as_ref(), milliseconds(100), "settle")?,
+        poll_interval: source.time_or(section.poll_interval.as_ref(), seconds(5), "poll")?,
         max_lost_fraction,
         hold_duration: section
-            .hold
+            .hold_duration
             .as_ref()
-            .map(|at| source.positive_time(at, "hold"))
+            .map(|spanned| source.positive_time(spanned, "hold"))
             .transpose()?,
         id_reuse_delay: source.time_or(
-            section.reuse_after.as_ref(),
+            section.id_reuse_delay.as_ref(),
             seconds(600),
             "reuse_after",
         )?,
         max_registry_age: source.time_or(
-            section.registry_age.as_ref(),
+            section.max_registry_age.as_ref(),
             seconds(60),
             "registry_age",
         )?,
@@ -145,13 +151,13 @@
 }
 
 /// A `*` may stand in the last part of a path alone, and the last part may not be empty.
-fn check_file_pattern(source: &Source<'_>, at: &Spanned<String>) -> Checked<()> {
-    let path = at.get_ref();
+fn check_file_pattern(source: &Source<'_>, spanned: &Spanned<String>) -> ConfigResult<()> {
+    let path = spanned.get_ref();
     let (directory, name) = path.rsplit_once('/').unwrap_or(("", path));
     if directory.contains('*') || name.is_empty() {
         let problem = format!("`{path}` is no file, directory or pattern");
         return Err(source.error(
-            at,
+            spanned,
             problem,
             "write * in the last part alone, and no / at the end",
         ));
--- a/crates/config/src/validate/fleet.rs
+++ b/crates/config/src/validate/fleet.rs
@@ -1,6 +1,6 @@
 //! `[fleet]`: the zones and the kinds of machine.
 
-use super::source::{Checked, Source};
+use super::source::{ConfigResult, Source};
 use crate::model::Names;
 use crate::schema;
 use toml::Spanned;
@@ -10,7 +10,7 @@
 
 /// The size of each kind of machine, by the position of the kind.
 #[derive(Default)]
-pub(super) struct Machines {
+pub(super) struct MachineKinds {
     pub cores: Vec<f64>,
     pub memory_mb: Vec<f64>,
 }
@@ -20,40 +20,40 @@
     source: &Source<'_>,
     fleet: &schema::Fleet,
     names: &mut Names,
-) -> Checked<Machines> {
+) -> ConfigResult<MachineKinds> {
     for zone in &fleet.zones {
         source.add_unique_name(&mut names.zones, zone, "zone")?;
     }
-    let mut machines = Machines::default();
-    for kind in fleet.kinds.get_ref() {
-        add_kind(source, kind, names, &mut machines)?;
+    let mut machine_kinds = MachineKinds::default();
+    for kind in fleet.machine_kinds.get_ref() {
+        add_kind(source, kind, names, &mut machine_kinds)?;
     }
     if names.kinds.is_empty() {
         return Err(source.error(
-            &fleet.kinds,
+            &fleet.machine_kinds,
             "no kind of machine is named",
             "add [[fleet.kinds]]",
         ));
     }
-    Ok(machines)
+    Ok(machine_kinds)
 }
 
 fn add_kind(
     source: &Source<'_>,
-    at: &Spanned<schema::Kind>,
+    spanned: &Spanned<schema::MachineKind>,
     names: &mut Names,
-    machines: &mut Machines,
-) -> Checked<()> {
-    let kind = at.get_ref();
+    machine_kinds: &mut MachineKinds,
+) -> ConfigResult<()> {
+    let kind = spanned.get_ref();
     if names.kinds.contains(&kind.name) {
         return Err(source.error(
-            at,
+            spanned,
             format!("two kinds are named `{}`", kind.name),
             "rename one",
         ));
     }
     names.kinds.push(kind.name.clone());
-    machines
+    machine_kinds
         .cores
         .push(source.number_in_range(&kind.cores, "cores", 1.0, 1024.0)?);
     let memory_mb = kind.memory.get_ref().0 as f64 / BYTES_PER_MB;
@@ -61,6 +61,6 @@
         let problem = format!("an engine with {memory_mb} MB of memory");
         return Err(source.error(&kind.memory, problem, "write at least \"64MB\""));
     }
-    machines.memory_mb.push(memory_mb);
+    machine_kinds.memory_mb.push(memory_mb);
     Ok(())
 }
--- a/crates/config/src/validate/gossip.rs
+++ b/crates/config/src/validate/gossip.rs
@@ -1,6 +1,6 @@
 //! `[gossip]` and `[peers]`: how controllers find each other and exchange messages.
 
-use super::source::{milliseconds, seconds, Checked, Source};
+use super::source::{milliseconds, seconds, ConfigResult, Source};
 use crate::model::{Gossip, PeerMessageLimits, Peers};
 use crate::schema::{self, File};
 use crate::units::Size;
@@ -11,9 +11,9 @@
 const MAX_PEERS: usize = 4095;
 const MIN_PERIOD: Micros = milliseconds(10);
 /// A lower limit on messages, in bytes a second, would not let a single datagram pass.
-const MIN_MESSAGE_BYTES: u64 = 2_000;
-const DEFAULT_BYTES_TO_EACH: u64 = 16 << 10;
-const DEFAULT_BYTES_TO_ALL: u64 = 1 << 20;
+const MIN_BYTES_PER_SECOND: u64 = 2_000;
+const DEFAULT_BYTES_PER_PEER: u64 = 16 << 10;
+const DEFAULT_TOTAL_BYTES: u64 = 1 << 20;
 
 /// How messages between controllers are sent: with gossip, or to a fixed list of peers.
 pub(super) struct Messaging {
@@ -28,14 +28,16 @@
     source: &Source<'_>,
     file: &File,
     peer_messages: bool,
-) -> Checked<Messaging> {
+) -> ConfigResult<Messaging> {
     let message_limits = (file.gossip.is_some() && peer_messages)
         .then(|| validate_message_limits(source, file.peers.as_ref().map(Spanned::get_ref)))
         .transpose()?;
     // With gossip, messages arrive through it alone. The addresses under [peers] are not checked then: earlier
     // versions read them from the same file.
     let listed = file.peers.as_ref().filter(|_| file.gossip.is_none());
-    let peers = listed.map(|at| validate_peers(source, at)).transpose()?;
+    let peers = listed
+        .map(|spanned| validate_peers(source, spanned))
+        .transpose()?;
     if peer_messages && peers.is_none() && file.gossip.is_none() {
         let suggestion = "add [gossip] or [peers], or write messages = false under [means]";
         return Err(source.error(
@@ -55,7 +57,7 @@
     source: &Source<'_>,
     section: &schema::Gossip,
     message_limits: Option<PeerMessageLimits>,
-) -> Checked<Gossip> {
+) -> ConfigResult<Gossip> {
     let seeds = &section.seeds;
     if seeds.len() > MAX_SEEDS {
         let problem = format!("{} seeds", seeds.len());
@@ -68,47 +70,51 @@
     let gossip = Gossip {
         listen: source.loopback_address(&section.listen)?,
         advertised_address: section
-            .advertise
+            .advertised_address
             .as_ref()
-            .map(|at| source.loopback_address(at))
+            .map(|spanned| source.loopback_address(spanned))
             .transpose()?,
         seeds: seeds
             .iter()
-            .map(|at| source.loopback_address(at))
-            .collect::<Checked<Vec<_>>>()?,
-        keys_file: section.keys.get_ref().into(),
-        probe_interval: source.time_or(section.period.as_ref(), seconds(1), "period")?,
-        quorum_evicts: section.forget == schema::Forget::Quorum,
-        evict_after: source.time_or(section.hold.as_ref(), seconds(600), "hold")?,
-        startup_grace: source.time_or(section.settle.as_ref(), seconds(30), "settle")?,
+            .map(|spanned| source.loopback_address(spanned))
+            .collect::<ConfigResult<Vec<_>>>()?,
+        keys_file: section.keys_file.get_ref().into(),
+        probe_interval: source.time_or(section.probe_interval.as_ref(), seconds(1), "period")?,
+        quorum_evicts: section.eviction == schema::EvictionPolicy::Quorum,
+        evict_after: source.time_or(section.evict_after.as_ref(), seconds(600), "hold")?,
+        startup_grace: source.time_or(section.startup_grace.as_ref(), seconds(30), "settle")?,
         message_limits,
     };
     check_gossip(source, section, &gossip)?;
     Ok(gossip)
 }
 
-fn check_gossip(source: &Source<'_>, section: &schema::Gossip, gossip: &Gossip) -> Checked<()> {
-    if let Some(at) = section
-        .period
+fn check_gossip(
+    source: &Source<'_>,
+    section: &schema::Gossip,
+    gossip: &Gossip,
+) -> ConfigResult<()> {
+    if let Some(spanned) = section
+        .probe_interval
         .as_ref()
         .filter(|_| gossip.probe_interval < MIN_PERIOD)
     {
-        return Err(source.error(at, "a period under 10ms", "write one of 100ms to 10s"));
+        return Err(source.error(spanned, "a period under 10ms", "write one of 100ms to 10s"));
     }
-    if let Some(at) = section
-        .hold
+    if let Some(spanned) = section
+        .evict_after
         .as_ref()
         .filter(|_| gossip.evict_after < gossip.probe_interval + gossip.probe_interval)
     {
         let problem = "a member would be forgotten sooner than it can be missed";
-        return Err(source.error(at, problem, "make `hold` many times `period`"));
+        return Err(source.error(spanned, problem, "make `hold` many times `period`"));
     }
     let has_no_port = gossip
         .advertised_address
         .is_some_and(|address| address.port() == 0);
-    if let Some(at) = section.advertise.as_ref().filter(|_| has_no_port) {
+    if let Some(spanned) = section.advertised_address.as_ref().filter(|_| has_no_port) {
         let suggestion = "write where others reach this one";
-        return Err(source.error(at, "an advertised address without a port", suggestion));
+        return Err(source.error(spanned, "an advertised address without a port", suggestion));
     }
     Ok(())
 }
@@ -116,39 +122,45 @@
 fn validate_message_limits(
     source: &Source<'_>,
     section: Option<&schema::Peers>,
-) -> Checked<PeerMessageLimits> {
-    let each = section.and_then(|peers| peers.most_each.as_ref());
-    let all = section.and_then(|peers| peers.most.as_ref());
+) -> ConfigResult<PeerMessageLimits> {
+    let per_peer = section.and_then(|peers| peers.bytes_per_second_per_peer.as_ref());
+    let total = section.and_then(|peers| peers.total_bytes_per_second.as_ref());
     Ok(PeerMessageLimits {
-        bytes_per_second_per_peer: bytes_per_second(source, each, DEFAULT_BYTES_TO_EACH)?,
-        total_bytes_per_second: bytes_per_second(source, all, DEFAULT_BYTES_TO_ALL)?,
+        bytes_per_second_per_peer: bytes_per_second(source, per_peer, DEFAULT_BYTES_PER_PEER)?,
+        total_bytes_per_second: bytes_per_second(source, total, DEFAULT_TOTAL_BYTES)?,
     })
 }
 
-fn bytes_per_second(source: &Source<'_>, at: Option<&Spanned<Size>>, default: u64) -> Checked<u64> {
-    match at {
-        Some(at) if at.get_ref().0 < MIN_MESSAGE_BYTES => {
-            Err(source.error(at, "less than a datagram a second", "write 2KB or more"))
-        }
-        Some(at) => Ok(at.get_ref().0),
+fn bytes_per_second(
+    source: &Source<'_>,
+    spanned: Option<&Spanned<Size>>,
+    default: u64,
+) -> ConfigResult<u64> {
+    match spanned {
+        Some(spanned) if spanned.get_ref().0 < MIN_BYTES_PER_SECOND => Err(source.error(
+            spanned,
+            "less than a datagram a second",
+            "write 2KB or more",
+        )),
+        Some(spanned) => Ok(spanned.get_ref().0),
         None => Ok(default),
     }
 }
 
-fn validate_peers(source: &Source<'_>, at: &Spanned<schema::Peers>) -> Checked<Peers> {
-    let section = at.get_ref();
+fn validate_peers(source: &Source<'_>, spanned: &Spanned<schema::Peers>) -> ConfigResult<Peers> {
+    let section = spanned.get_ref();
     let Some(listen) = &section.listen else {
         let suggestion = "add `listen`, or find the others by [gossip]";
-        return Err(source.error(at, "no address to listen at", suggestion));
+        return Err(source.error(spanned, "no address to listen at", suggestion));
     };
     let addresses = section
         .addresses
         .iter()
-        .map(|at| source.loopback_address(at));
-    let addresses = addresses.collect::<Checked<Vec<_>>>()?;
+        .map(|spanned| source.loopback_address(spanned));
+    let addresses = addresses.collect::<ConfigResult<Vec<_>>>()?;
     if addresses.len() > MAX_PEERS {
         return Err(source.error(
-            at,
+            spanned,
             format!("{} peers", addresses.len()),
             "name at most 4095",
         ));
--- a/crates/config/src/validate/limits.rs
+++ b/crates/config/src/validate/limits.rs
@@ -1,6 +1,6 @@
 //! `[limits]`: limits on numbers and sizes.
 
-use super::source::{Checked, Source};
+use super::source::{ConfigResult, Source};
 use crate::model::Limits;
 use crate::schema;
 use crate::units::Size;
@@ -8,14 +8,16 @@
 
 const MAX_BYTES: u64 = 1 << 30;
 
-pub(super) fn validate(source: &Source<'_>, limits: &schema::Limits) -> Checked<Limits> {
-    let number = |at: &Option<Spanned<u32>>, default: u32, max: u32, key: &str| {
-        at.as_ref()
-            .map_or(Ok(default), |at| number_up_to(source, at, max, key))
+pub(super) fn validate(source: &Source<'_>, limits: &schema::Limits) -> ConfigResult<Limits> {
+    let number = |spanned: &Option<Spanned<u32>>, default: u32, max: u32, key: &str| {
+        spanned.as_ref().map_or(Ok(default), |spanned| {
+            number_up_to(source, spanned, max, key)
+        })
     };
-    let size = |at: &Option<Spanned<Size>>, default: usize, min: u64, key: &str| {
-        at.as_ref()
-            .map_or(Ok(default), |at| size_from(source, at, min, key))
+    let size = |spanned: &Option<Spanned<Size>>, default: usize, min: u64, key: &str| {
+        spanned
+            .as_ref()
+            .map_or(Ok(default), |spanned| size_from(source, spanned, min, key))
     };
     Ok(Limits {
         max_clients: number(&limits.clients, 12_000, 1_000_000, "clients")? as usize,
@@ -29,23 +31,33 @@
     })
 }
 
-fn number_up_to(source: &Source<'_>, at: &Spanned<u32>, max: u32, key: &str) -> Checked<u32> {
-    let number = *at.get_ref();
+fn number_up_to(
+    source: &Source<'_>,
+    spanned: &Spanned<u32>,
+    max: u32,
+    key: &str,
+) -> ConfigResult<u32> {
+    let number = *spanned.get_ref();
     if (1..=max).contains(&number) {
         return Ok(number);
     }
     Err(source.error(
-        at,
+        spanned,
         format!("`{key}` is {number}"),
         format!("write a number from 1 to {max}"),
     ))
 }
 
-fn size_from(source: &Source<'_>, at: &Spanned<Size>, min: u64, key: &str) -> Checked<usize> {
-    let bytes = at.get_ref().0;
+fn size_from(
+    source: &Source<'_>,
+    spanned: &Spanned<Size>,
+    min: u64,
+    key: &str,
+) -> ConfigResult<usize> {
+    let bytes = spanned.get_ref().0;
     if (min..=MAX_BYTES).contains(&bytes) {
         return Ok(bytes as usize);
     }
     let suggestion = format!("write a size from {min} bytes to 1GB");
-    Err(source.error(at, format!("`{key}` is {bytes} bytes"), suggestion))
+    Err(source.error(spanned, format!("`{key}` is {bytes} bytes"), suggestion))
 }
--- a/crates/config/src/validate/mod.rs
+++ b/crates/config/src/validate/mod.rs
@@ -17,7 +17,7 @@
 use crate::error::ConfigError;
 use crate::model::{Config, Names};
 use crate::schema::{self, File};
-use source::{Checked, Source};
+use source::{ConfigResult, Source};
 use std::net::SocketAddr;
 use toml::Spanned;
 use wheelfield::interface::Class;
@@ -36,13 +36,13 @@
         toml::from_str(text).map_err(|error| ConfigError::from_toml(name, text, &error))?;
     let source = Source { file: name, text };
     let mut names = Names::default();
-    let machines = fleet::validate(&source, file.fleet.get_ref(), &mut names)?;
+    let machine_kinds = fleet::validate(&source, file.fleet.get_ref(), &mut names)?;
     let mut classes = classes::validate(&source, &file.classes, &mut names)?;
     add_tenant_names(&source, &file.tenants, &mut names)?;
     let route = route::validate(&source, &file.route, &names, classes.len())?;
     add_describe_class(&mut classes, &mut names, route.default_class);
-    let position = controller::validate(&source, &file.controller, &names)?;
-    let settings = settings::validate(&source, &file, position, classes, machines)?;
+    let identity = controller::validate(&source, &file.controller, &names)?;
+    let settings = settings::validate(&source, &file, identity, classes, machine_kinds)?;
     let endpoints = endpoints::validate(&source, &file, &names)?;
     let messaging = gossip::validate_messaging(&source, &file, settings.peer_messages)?;
     let timing = timing::validate(&source, &file.timing)?;
@@ -53,12 +53,12 @@
     let gossip = file
         .gossip
         .as_ref()
-        .map(|at| gossip::validate(&source, at.get_ref(), message_limits))
+        .map(|spanned| gossip::validate(&source, spanned.get_ref(), message_limits))
         .transpose()?;
     let capture = file
         .capture
         .as_ref()
-        .map(|at| capture::validate(&source, at.get_ref()))
+        .map(|spanned| capture::validate(&source, spanned.get_ref()))
         .transpose()?;
     let login = |name: Option<String>| name.unwrap_or_else(|| DEFAULT_LOGIN.to_string());
     Ok(Config {
@@ -85,7 +85,7 @@
     source: &Source<'_>,
     tenants: &[Spanned<schema::Tenant>],
     names: &mut Names,
-) -> Checked<()> {
+) -> ConfigResult<()> {
     for tenant in tenants {
         source.add_unique_name(&mut names.tenants, &tenant.get_ref().name, "tenant")?;
     }
@@ -102,7 +102,9 @@
 
 fn optional_address(
     source: &Source<'_>,
-    at: Option<&Spanned<String>>,
-) -> Checked<Option<SocketAddr>> {
-    at.map(|at| source.loopback_address(at)).transpose()
+    spanned: Option<&Spanned<String>>,
+) -> ConfigResult<Option<SocketAddr>> {
+    spanned
+        .map(|spanned| source.loopback_address(spanned))
+        .transpose()
 }
--- a/crates/config/src/validate/route.rs
+++ b/crates/config/src/validate/route.rs
@@ -1,6 +1,6 @@
 //! `[route]`: how a query is assigned to a class.
 
-use super::source::{Checked, Source};
+use super::source::{ConfigResult, Source};
 use crate::model::{Names, Route, Selector};
 use crate::schema;
 use toml::Spanned;
@@ -14,49 +14,53 @@
     route: &schema::Route,
     names: &Names,
     describe_class: usize,
-) -> Checked<Route> {
+) -> ConfigResult<Route> {
     let default_class = match &route.default_class {
-        Some(at) => source.index_of_name(&names.classes, at, "class")?,
+        Some(spanned) => source.index_of_name(&names.classes, spanned, "class")?,
         None => 0,
     };
     let selectors = route
-        .select
+        .selectors
         .iter()
-        .map(|at| validate_selector(source, at, &names.classes));
+        .map(|spanned| validate_selector(source, spanned, &names.classes));
     Ok(Route {
         default_class,
         describe_class,
-        selectors: selectors.collect::<Checked<Vec<Selector>>>()?,
+        selectors: selectors.collect::<ConfigResult<Vec<Selector>>>()?,
     })
 }
 
 fn validate_selector(
     source: &Source<'_>,
-    at: &Spanned<schema::Select>,
+    spanned: &Spanned<schema::Selector>,
     classes: &[String],
-) -> Checked<Selector> {
-    let select = at.get_ref();
-    let named = [&select.user, &select.database, &select.application];
-    if named.iter().all(|name| name.is_none()) && select.pattern.is_none() {
+) -> ConfigResult<Selector> {
+    let selector = spanned.get_ref();
+    let session_conditions = [&selector.user, &selector.database, &selector.application];
+    if session_conditions
+        .iter()
+        .all(|condition| condition.is_none())
+        && selector.pattern.is_none()
+    {
         let suggestion =
             "name a user, a database, an application or a pattern, or use `default_class`";
-        return Err(source.error(at, "a selector that matches everything", suggestion));
+        return Err(source.error(spanned, "a selector that matches everything", suggestion));
     }
     Ok(Selector {
-        user: select.user.clone(),
-        database: select.database.clone(),
-        application: select.application.clone(),
-        pattern: select
+        user: selector.user.clone(),
+        database: selector.database.clone(),
+        application: selector.application.clone(),
+        pattern: selector
             .pattern
             .as_ref()
-            .map(|at| compile_pattern(source, at))
+            .map(|spanned| compile_pattern(source, spanned))
             .transpose()?,
-        class: source.index_of_name(classes, &select.class, "class")?,
+        class: source.index_of_name(classes, &selector.class, "class")?,
     })
 }
 
-fn compile_pattern(source: &Source<'_>, at: &Spanned<String>) -> Checked<regex::Regex> {
-    regex::RegexBuilder::new(at.get_ref())
+fn compile_pattern(source: &Source<'_>, spanned: &Spanned<String>) -> ConfigResult<regex::Regex> {
+    regex::RegexBuilder::new(spanned.get_ref())
         .size_limit(MAX_PATTERN_BYTES)
         .build()
         .map_err(|error| {
@@ -68,7 +72,7 @@
                 .trim()
                 .to_string();
             source.error(
-                at,
+                spanned,
                 format!("a pattern that can't be read: {last_line}"),
                 "write a regular expression",
             )
--- a/crates/config/src/validate/settings.rs
+++ b/crates/config/src/validate/settings.rs
@@ -1,9 +1,9 @@
 //! The settings of the decision core, collected from `[means]`, `[signals]`, `[prices]`, `[rules]` and `[fleet]`.
 
-use super::controller::Position;
-use super::fleet::Machines;
-use super::source::{Checked, Source};
-use crate::schema::{File, Reports, Rules, WhenShort};
+use super::controller::ControllerIdentity;
+use super::fleet::MachineKinds;
+use super::source::{ConfigResult, Source};
+use crate::schema::{File, LoadReports, MemoryShortage, Rules};
 use toml::Spanned;
 use wheelfield::interface::{Class, Micros, RetryBudget, Settings};
 
@@ -11,51 +11,51 @@
 pub(super) fn validate(
     source: &Source<'_>,
     file: &File,
-    position: Position,
+    identity: ControllerIdentity,
     classes: Vec<Class>,
-    machines: Machines,
-) -> Checked<Settings> {
+    machine_kinds: MachineKinds,
+) -> ConfigResult<Settings> {
     let retry_budget = retry_budget(source, file)?;
     let fleet = file.fleet.get_ref();
-    let max_grant_fraction = fleet.most_grant.as_ref();
-    let max_grant_fraction = max_grant_fraction.map_or(Ok(1.0), |at| {
-        source.number_in_range(at, "most_grant", 0.01, 1.0)
+    let max_grant_fraction = fleet.max_grant_fraction.as_ref();
+    let max_grant_fraction = max_grant_fraction.map_or(Ok(1.0), |spanned| {
+        source.number_in_range(spanned, "most_grant", 0.01, 1.0)
     })?;
     let recovery = recovery(source, file)?;
-    let (means, signals, prices) = (&file.means, &file.signals, &file.prices);
+    let (mechanisms, signals, prices) = (&file.mechanisms, &file.signals, &file.prices);
     let settings = Settings {
-        gateway_count: f64::from(position.count),
-        gateway_index: f64::from(position.index),
-        zone: position.zone,
+        gateway_count: f64::from(identity.count),
+        gateway_index: f64::from(identity.index),
+        zone: identity.zone,
         classes,
         tenant_rates: file
             .tenants
             .iter()
-            .map(|tenant| tenant.get_ref().allowance.max(0.0))
+            .map(|tenant| tenant.get_ref().rate.max(0.0))
             .collect(),
-        cores: machines.cores,
-        memory_mb: machines.memory_mb,
+        cores: machine_kinds.cores,
+        memory_mb: machine_kinds.memory_mb,
         max_grant_fraction,
-        queues_on_memory_shortage: fleet.when_short == Some(WhenShort::Wait),
-        pages_on_memory_shortage: fleet.when_short == Some(WhenShort::Page),
-        memory_grants: means.grants,
-        priorities: means.priorities,
-        reports_work: signals.bills,
-        progress_interval: signals.notes_every.unwrap_or_default().0,
-        cancellation: means.cancel,
-        peer_messages: means.messages,
+        queues_on_memory_shortage: fleet.on_memory_shortage == Some(MemoryShortage::Queue),
+        pages_on_memory_shortage: fleet.on_memory_shortage == Some(MemoryShortage::Page),
+        memory_grants: mechanisms.memory_grants,
+        priorities: mechanisms.priorities,
+        reports_work: signals.reports_work,
+        progress_interval: signals.progress_interval.unwrap_or_default().0,
+        cancellation: mechanisms.cancellation,
+        peer_messages: mechanisms.peer_messages,
         probe_price: prices.probe.max(0.0),
         message_price: prices.message.max(0.0),
-        probes: means.probes,
-        load_reports: signals.reports != Reports::None,
+        probes: mechanisms.probes,
+        load_reports: signals.load_reports != LoadReports::None,
         reports_utilisation: signals
-            .utilisation
-            .unwrap_or(signals.reports != Reports::None),
-        reports_by_probe: signals.reports == Reports::Probe,
-        subscribe: means.subscribe,
-        hedged_requests: means.second_copies,
-        max_attempts: means.max_attempts as usize,
-        max_retry_after: means.max_retry_after.0,
+            .reports_utilisation
+            .unwrap_or(signals.load_reports != LoadReports::None),
+        reports_by_probe: signals.load_reports == LoadReports::Probe,
+        subscribe: mechanisms.subscribe,
+        hedged_requests: mechanisms.hedged_requests,
+        max_attempts: mechanisms.max_attempts as usize,
+        max_retry_after: mechanisms.max_retry_after.0,
         cross_zone_price: prices.cross_zone.max(0.0),
         handshake_price: 0.0,
         connection_idle_timeout: Micros(0),
@@ -70,18 +70,18 @@
     Ok(settings)
 }
 
-fn retry_budget(source: &Source<'_>, file: &File) -> Checked<Option<RetryBudget>> {
+fn retry_budget(source: &Source<'_>, file: &File) -> ConfigResult<Option<RetryBudget>> {
     let Some(budget) = file
         .rules
         .as_ref()
-        .and_then(|rules| rules.get_ref().budget.as_ref())
+        .and_then(|rules| rules.get_ref().retry_budget.as_ref())
     else {
         return Ok(None);
     };
     Ok(Some(RetryBudget {
-        guaranteed: budget.free.max(0.0),
-        fraction: budget.share.max(0.0),
-        window: source.positive_time(&budget.span, "span")?,
+        guaranteed: budget.guaranteed.max(0.0),
+        fraction: budget.fraction.max(0.0),
+        window: source.positive_time(&budget.window, "span")?,
     }))
 }
 
@@ -94,7 +94,7 @@
     key_cooldown: Micros,
 }
 
-fn recovery(source: &Source<'_>, file: &File) -> Checked<Recovery> {
+fn recovery(source: &Source<'_>, file: &File) -> ConfigResult<Recovery> {
     let mut recovery = Recovery {
         slow_start_initial_fraction: 0.3,
         slow_start_duration: Micros(0),
@@ -105,19 +105,21 @@
     let Some(rules) = file.rules.as_ref().map(Spanned::get_ref) else {
         return Ok(recovery);
     };
-    if let Some(at) = &rules.cold_from {
-        recovery.slow_start_initial_fraction = source.number_in_range(at, "cold_from", 0.0, 1.0)?;
+    if let Some(spanned) = &rules.slow_start_initial_fraction {
+        recovery.slow_start_initial_fraction =
+            source.number_in_range(spanned, "cold_from", 0.0, 1.0)?;
     }
-    if let Some(at) = &rules.fall_multiple {
-        recovery.overload_multiple = source.number_in_range(at, "fall_multiple", 0.0, 100.0)?;
+    if let Some(spanned) = &rules.overload_multiple {
+        recovery.overload_multiple =
+            source.number_in_range(spanned, "fall_multiple", 0.0, 100.0)?;
     }
-    recovery.slow_start_duration = rules.cold_for.unwrap_or_default().0;
-    recovery.overload_window = rules.fall_span.unwrap_or_default().0;
-    recovery.key_cooldown = rules.order_pause.unwrap_or_default().0;
+    recovery.slow_start_duration = rules.slow_start_duration.unwrap_or_default().0;
+    recovery.overload_window = rules.overload_window.unwrap_or_default().0;
+    recovery.key_cooldown = rules.key_cooldown.unwrap_or_default().0;
     Ok(recovery)
 }
 
-fn check_consistency(source: &Source<'_>, file: &File, settings: &Settings) -> Checked<()> {
+fn check_consistency(source: &Source<'_>, file: &File, settings: &Settings) -> ConfigResult<()> {
     if let Some(rules) = &file.rules {
         check_overload_rules(source, rules, settings)?;
     }
@@ -139,7 +141,7 @@
     source: &Source<'_>,
     rules: &Spanned<Rules>,
     settings: &Settings,
-) -> Checked<()> {
+) -> ConfigResult<()> {
     let is_incomplete = settings.slow_start_duration.0 == 0 || settings.overload_window.0 == 0;
     if settings.overload_multiple > 0.0 && is_incomplete {
         let problem = "`fall_multiple` without `cold_for` and `fall_span` guards nothing";
--- a/crates/config/src/validate/source.rs
+++ b/crates/config/src/validate/source.rs
@@ -7,7 +7,7 @@
 use wheelfield::interface::Micros;
 
 /// The result of a check.
-pub(super) type Checked<T> = Result<T, ConfigError>;
+pub(super) type ConfigResult<T> = Result<T, ConfigError>;
 
 /// The name and the text of the file being validated, from which errors get their line and column.
 pub(super) struct Source<'a> {
@@ -19,47 +19,57 @@
     /// An error at the place of `at`: what is wrong, and how to correct it.
     pub fn error<T>(
         &self,
-        at: &Spanned<T>,
+        spanned: &Spanned<T>,
         problem: impl Into<String>,
         suggestion: impl Into<String>,
     ) -> ConfigError {
-        ConfigError::at(self.file, self.text, at.span().start, problem, suggestion)
+        ConfigError::at(
+            self.file,
+            self.text,
+            spanned.span().start,
+            problem,
+            suggestion,
+        )
     }
 
     /// A loopback address with its port. Others are rejected, as clients are not asked for a password.
-    pub fn loopback_address(&self, at: &Spanned<String>) -> Checked<SocketAddr> {
-        let address: SocketAddr = at.get_ref().parse().map_err(|_| {
+    pub fn loopback_address(&self, spanned: &Spanned<String>) -> ConfigResult<SocketAddr> {
+        let address: SocketAddr = spanned.get_ref().parse().map_err(|_| {
             let suggestion = "write an address and a port, such as \"127.0.0.1:6432\"";
-            self.error(at, format!("`{}` is no address", at.get_ref()), suggestion)
+            self.error(
+                spanned,
+                format!("`{}` is no address", spanned.get_ref()),
+                suggestion,
+            )
         })?;
         if !address.ip().is_loopback() {
             let problem = format!(
                 "`{address}` is not a loopback address, and nobody is asked for a password"
             );
-            return Err(self.error(at, problem, "use an address of 127.0.0.0/8"));
+            return Err(self.error(spanned, problem, "use an address of 127.0.0.0/8"));
         }
         Ok(address)
     }
 
-    /// The position of a name among the defined ones; `what` says what it names.
+    /// The position of a name among the defined ones; `item` says what it names.
     pub fn index_of_name(
         &self,
         names: &[String],
-        at: &Spanned<String>,
-        what: &str,
-    ) -> Checked<usize> {
+        spanned: &Spanned<String>,
+        item: &str,
+    ) -> ConfigResult<usize> {
         names
             .iter()
-            .position(|name| name == at.get_ref())
+            .position(|name| name == spanned.get_ref())
             .ok_or_else(|| {
                 let known = if names.is_empty() {
-                    format!("name the {what}s first")
+                    format!("name the {item}s first")
                 } else {
                     names.join(", ")
                 };
                 self.error(
-                    at,
-                    format!("no {what} is named `{}`", at.get_ref()),
+                    spanned,
+                    format!("no {item} is named `{}`", spanned.get_ref()),
                     format!("known: {known}"),
                 )
             })
@@ -69,17 +79,17 @@
     pub fn add_unique_name(
         &self,
         names: &mut Vec<String>,
-        at: &Spanned<String>,
-        what: &str,
-    ) -> Checked<()> {
-        let name = at.get_ref();
+        spanned: &Spanned<String>,
+        item: &str,
+    ) -> ConfigResult<()> {
+        let name = spanned.get_ref();
         if name.is_empty() {
-            return Err(self.error(at, format!("a {what} without a name"), "give it one"));
+            return Err(self.error(spanned, format!("a {item} without a name"), "give it one"));
         }
         if names.contains(name) {
             return Err(self.error(
-                at,
-                format!("the {what} `{name}` is named twice"),
+                spanned,
+                format!("the {item} `{name}` is named twice"),
                 "rename one",
             ));
         }
@@ -90,49 +100,57 @@
     /// A finite number from `low` to `high`.
     pub fn number_in_range(
         &self,
-        at: &Spanned<f64>,
+        spanned: &Spanned<f64>,
         key: &str,
-        low: f64,
-        high: f64,
-    ) -> Checked<f64> {
-        let number = *at.get_ref();
-        if number.is_finite() && (low..=high).contains(&number) {
+        min: f64,
+        max: f64,
+    ) -> ConfigResult<f64> {
+        let number = *spanned.get_ref();
+        if number.is_finite() && (min..=max).contains(&number) {
             return Ok(number);
         }
-        let suggestion = format!("write a number from {low} to {high}");
-        Err(self.error(at, format!("{key} is {number}"), suggestion))
+        let suggestion = format!("write a number from {min} to {max}");
+        Err(self.error(spanned, format!("{key} is {number}"), suggestion))
     }
 
     /// A fraction from 0 to 1, or `default` where the key is absent.
     pub fn fraction_or(
         &self,
-        at: Option<&Spanned<f64>>,
+        spanned: Option<&Spanned<f64>>,
         default: f64,
         suggestion: &str,
-    ) -> Checked<f64> {
-        match at {
+    ) -> ConfigResult<f64> {
+        match spanned {
             None => Ok(default),
-            Some(at) if (0.0..=1.0).contains(at.get_ref()) => Ok(*at.get_ref()),
-            Some(at) => Err(self.error(at, format!("{} is no share", at.get_ref()), suggestion)),
+            Some(spanned) if (0.0..=1.0).contains(spanned.get_ref()) => Ok(*spanned.get_ref()),
+            Some(spanned) => Err(self.error(
+                spanned,
+                format!("{} is no share", spanned.get_ref()),
+                suggestion,
+            )),
         }
     }
 
     /// A time above zero.
-    pub fn positive_time(&self, at: &Spanned<Time>, key: &str) -> Checked<Micros> {
-        match at.get_ref().0 {
+    pub fn positive_time(&self, spanned: &Spanned<Time>, key: &str) -> ConfigResult<Micros> {
+        match spanned.get_ref().0 {
             time if time.0 > 0 => Ok(time),
-            _ => Err(self.error(at, format!("{key} is no time at all"), "write one above 0")),
+            _ => Err(self.error(
+                spanned,
+                format!("{key} is no time at all"),
+                "write one above 0",
+            )),
         }
     }
 
     /// A time above zero, or `default` where the key is absent.
     pub fn time_or(
         &self,
-        at: Option<&Spanned<Time>>,
+        spanned: Option<&Spanned<Time>>,
         default: Micros,
         key: &str,
-    ) -> Checked<Micros> {
-        at.map_or(Ok(default), |at| self.positive_time(at, key))
+    ) -> ConfigResult<Micros> {
+        spanned.map_or(Ok(default), |spanned| self.positive_time(spanned, key))
     }
 }
 
--- a/crates/config/src/validate/timing.rs
+++ b/crates/config/src/validate/timing.rs
@@ -1,22 +1,22 @@
 //! `[timing]`: timeouts.
 
-use super::source::{milliseconds, Checked, Source};
+use super::source::{milliseconds, ConfigResult, Source};
 use crate::model::Timing;
 use crate::schema;
 use crate::units::Time;
 use toml::Spanned;
 use wheelfield::interface::Micros;
 
-pub(super) fn validate(source: &Source<'_>, timing: &schema::Timing) -> Checked<Timing> {
-    let time = |at: &Option<Spanned<Time>>, default_ms: i64, key: &str| {
-        source.time_or(at.as_ref(), milliseconds(default_ms), key)
+pub(super) fn validate(source: &Source<'_>, timing: &schema::Timing) -> ConfigResult<Timing> {
+    let time = |spanned: &Option<Spanned<Time>>, default_ms: i64, key: &str| {
+        source.time_or(spanned.as_ref(), milliseconds(default_ms), key)
     };
     Ok(Timing {
         answer_margin: time(&timing.answer_margin, 50, "answer_margin")?,
         connect_timeout: time(&timing.connect, 500, "connect")?,
         startup_timeout: time(&timing.startup, 10_000, "startup")?,
         answer_stall_timeout: time(&timing.stall, 5_000, "stall")?,
-        cancel_timeout: time(&timing.withdraw, 250, "withdraw")?,
+        cancel_timeout: time(&timing.cancel, 250, "withdraw")?,
         session_idle_timeout: time(&timing.session_idle, 30_000, "session_idle")?,
         drain_timeout: time(&timing.drain, 30_000, "drain")?,
         probe_timeout: time(&timing.probe, 250, "probe")?,
@@ -28,7 +28,7 @@
     source: &Source<'_>,
     classes: &[Spanned<schema::Class>],
     answer_margin: Micros,
-) -> Checked<()> {
+) -> ConfigResult<()> {
     let is_within_margin =
         |class: &&Spanned<schema::Class>| class.get_ref().deadline.get_ref().0 <= answer_margin;
     if let Some(class) = classes.iter().find(is_within_margin) {
