--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -79,9 +79,9 @@
         return format!("add `{}`", names.first().unwrap_or(&"it"));
     }
     if message.starts_with("invalid type") {
-        return "write the value as the reference page says".to_string();
+        return "write a value of the type in the configuration reference".to_string();
     }
-    "repair the TOML at this place".to_string()
+    "correct the TOML syntax here".to_string()
 }
 
 /// `names` are the unknown name and, after it, the known ones.
@@ -97,6 +97,6 @@
         .filter(|(score, _)| *score > MIN_SIMILARITY);
     match best {
         Some((_, name)) => format!("did you mean `{name}`?"),
-        None => format!("known here: {}", known.join(", ")),
+        None => format!("known names: {}", known.join(", ")),
     }
 }
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -6,8 +6,8 @@
 
 /// The longest time: about 30 years.
 const MAX_MICROS: f64 = 1e15;
-const TIME_FORMAT: &str = "write a number and us, ms, s, m or h, such as \"250ms\"";
-const SIZE_FORMAT: &str = "write a number and B, KB, MB or GB, such as \"64MB\"";
+const TIME_FORMAT: &str = "write a number with the unit us, ms, s, m or h, such as \"250ms\"";
+const SIZE_FORMAT: &str = "write a number with the unit B, KB, MB or GB, such as \"64MB\"";
 
 /// A time, written as `"250ms"`, `"1.5s"`, `"2m"`, `"100us"` or `"1h"`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -69,7 +69,10 @@
 pub fn parse_time(text: &str) -> Result<Time, UnitError> {
     let (number, unit) = split_unit(text);
     let Some(number) = number else {
-        return Err(UnitError::new(format!("`{text}` is no time"), TIME_FORMAT));
+        return Err(UnitError::new(
+            format!("`{text}` is not a time"),
+            TIME_FORMAT,
+        ));
     };
     let micros_per_unit = match unit {
         "us" => 1.0,
@@ -85,7 +88,7 @@
         }
         other => {
             return Err(UnitError::new(
-                format!("`{other}` is no unit of time"),
+                format!("`{other}` is not a unit of time"),
                 TIME_FORMAT,
             ))
         }
@@ -94,7 +97,7 @@
     if micros > MAX_MICROS {
         return Err(UnitError::new(
             format!("the time `{text}` is out of range"),
-            "at most 30 years",
+            "write a time of at most 30 years",
         ));
     }
     Ok(Time(Micros(micros.round() as i64)))
@@ -107,7 +110,10 @@
 pub fn parse_size(text: &str) -> Result<Size, UnitError> {
     let (number, unit) = split_unit(text);
     let Some(number) = number else {
-        return Err(UnitError::new(format!("`{text}` is no size"), SIZE_FORMAT));
+        return Err(UnitError::new(
+            format!("`{text}` is not a size"),
+            SIZE_FORMAT,
+        ));
     };
     let bytes_per_unit = match unit.to_ascii_uppercase().as_str() {
         "B" => 1.0,
@@ -123,7 +129,7 @@
         }
         _ => {
             return Err(UnitError::new(
-                format!("`{unit}` is no unit of size"),
+                format!("`{unit}` is not a unit of size"),
                 SIZE_FORMAT,
             ))
         }
--- a/crates/config/src/validate/capture.rs
+++ b/crates/config/src/validate/capture.rs
@@ -20,8 +20,12 @@
 ) -> ConfigResult<Option<Capture>> {
     let file_name = section.file.get_ref();
     if !file_name.ends_with(".wfcap") {
-        let problem = format!("a capture named `{file_name}`");
-        return Err(source.error(&section.file, problem, "let its name end in .wfcap"));
+        let problem = format!("the capture file `{file_name}` does not end in .wfcap");
+        return Err(source.error(
+            &section.file,
+            problem,
+            "use a file name that ends in .wfcap",
+        ));
     }
     let ring = validate_ring(source, section)?;
     let capture = Capture {
@@ -50,14 +54,14 @@
     };
     if capture.ring.is_none() && capture.max_total_bytes < capture.segment_bytes {
         let suggestion = "make `keep` at least `segment`";
-        return Err(source.error(&section.file, "`keep` is less than one file", suggestion));
+        return Err(source.error(&section.file, "`keep` is less than one segment", suggestion));
     }
     Ok((section.mode != CaptureMode::Off).then_some(capture))
 }
 
 fn validate_ring(source: &Source<'_>, section: &schema::Capture) -> ConfigResult<RingCapture> {
     let triggers = &section.triggers;
-    let rejected_fraction_suggestion = "write one from 0 to 1; 1 is never reached";
+    let rejected_fraction_suggestion = "write a fraction from 0 to 1; 1 disables this trigger";
     Ok(RingCapture {
         max_bytes: size_or(source, section.ring_bytes.as_ref(), DEFAULT_RING_BYTES)?,
         span: source.time_or(section.ring_span.as_ref(), seconds(600), "span")?,
@@ -86,6 +90,10 @@
     match spanned {
         None => Ok(default),
         Some(spanned) if spanned.get_ref().0 >= MIN_BYTES => Ok(spanned.get_ref().0),
-        Some(spanned) => Err(source.error(spanned, "under a megabyte", "write at least \"1MB\"")),
+        Some(spanned) => Err(source.error(
+            spanned,
+            "the size is under 1MB",
+            "write a size of at least \"1MB\"",
+        )),
     }
 }
--- a/crates/config/src/validate/classes.rs
+++ b/crates/config/src/validate/classes.rs
@@ -18,7 +18,7 @@
         classes.push(validate_class(source, class, names)?);
     }
     if classes.is_empty() {
-        return Err(source.error(spanned, "no class of query is named", "add [[classes]]"));
+        return Err(source.error(spanned, "no query class is defined", "add [[classes]]"));
     }
     Ok(classes)
 }
@@ -49,7 +49,7 @@
     let deadline = source.positive_time(&class.deadline, "deadline")?;
     if latency_objective > deadline {
         let problem = format!(
-            "class `{}` is wanted after its clients have given up",
+            "`aim` of class `{}` is longer than its `deadline`",
             class.name.get_ref()
         );
         return Err(source.error(
@@ -90,25 +90,18 @@
     let by_key = class.semantics == schema::ExecutionSemantics::IdempotencyKey;
     if let Some(scope) = class.deduplication_scope.as_ref().filter(|_| !by_key) {
         let suggestion = "remove `dedup`, or write effect = \"by_key\"";
-        return Err(source.error(
-            scope,
-            "`dedup` goes with effect = \"by_key\" alone",
-            suggestion,
-        ));
+        return Err(source.error(scope, "`dedup` requires effect = \"by_key\"", suggestion));
     }
     if by_key && class.deduplication_window.is_none() {
         let name = class.name.get_ref();
-        let problem =
-            format!("class `{name}` is by key, but for how long repeats are dropped is not said");
+        let problem = format!(
+            "class `{name}` has effect = \"by_key\", but no `window` in which repeats are dropped"
+        );
         return Err(source.error(spanned, problem, "add `window`, such as \"5s\""));
     }
     if let Some(window) = class.deduplication_window.as_ref().filter(|_| !by_key) {
         let suggestion = "remove `window`, or write effect = \"by_key\"";
-        return Err(source.error(
-            window,
-            "`window` goes with effect = \"by_key\" alone",
-            suggestion,
-        ));
+        return Err(source.error(window, "`window` requires effect = \"by_key\"", suggestion));
     }
     Ok(())
 }
--- a/crates/config/src/validate/controller.rs
+++ b/crates/config/src/validate/controller.rs
@@ -28,11 +28,11 @@
         .as_ref()
         .map_or(0, |index| *index.get_ref());
     if let Some(spanned) = controller.count.as_ref().filter(|_| count == 0) {
-        return Err(source.error(spanned, "no controller at all", "write at least 1"));
+        return Err(source.error(spanned, "`count` is 0", "write 1 or more"));
     }
     if let Some(spanned) = controller.index.as_ref().filter(|_| index >= count) {
         let problem = format!("`index` is {index}, but `count` is {count}");
-        let suggestion = "count controllers from 0, and tell in `count` how many there are";
+        let suggestion = "number the controllers from 0, and set `count` to how many there are";
         return Err(source.error(spanned, problem, suggestion));
     }
     let zone = controller
--- a/crates/config/src/validate/endpoints.rs
+++ b/crates/config/src/validate/endpoints.rs
@@ -29,7 +29,7 @@
         let suggestion = "keep either [registry] or [[engines]]";
         return Err(source.error(
             spanned,
-            "engines are named here and kept in a registry too",
+            "engines are listed both in this file and in a registry",
             suggestion,
         ));
     }
@@ -42,12 +42,12 @@
         let suggestion = "keep either [members] or [[engines]]";
         return Err(source.error(
             spanned,
-            "engines are named here and kept in files too",
+            "engines are listed both in this file and in engine files",
             suggestion,
         ));
     }
     if registry.is_none() && files.is_none() && engines.is_empty() {
-        let problem = "no engine, no file of engines and no registry is named";
+        let problem = "no engine, engine file or registry is configured";
         return Err(source.error(
             &file.fleet,
             problem,
@@ -110,14 +110,14 @@
     if files.is_empty() {
         return Err(source.error(
             &section.files,
-            "no file of engines is named",
-            "name one, or a pattern",
+            "no engine file is listed",
+            "list a file, a directory or a pattern",
         ));
     }
     for file in files {
         check_file_pattern(source, file)?;
     }
-    let max_lost_fraction_suggestion = "write one from 0 to 1";
+    let max_lost_fraction_suggestion = "write a fraction from 0 to 1";
     let max_lost_fraction = source.fraction_or(
         section.max_lost_fraction.as_ref(),
         DEFAULT_MAX_LOST_FRACTION,
@@ -155,11 +155,11 @@
     let path = spanned.get_ref();
     let (directory, name) = path.rsplit_once('/').unwrap_or(("", path));
     if directory.contains('*') || name.is_empty() {
-        let problem = format!("`{path}` is no file, directory or pattern");
+        let problem = format!("`{path}` is not a valid file, directory or pattern");
         return Err(source.error(
             spanned,
             problem,
-            "write * in the last part alone, and no / at the end",
+            "use * only in the last path component, and no / at the end",
         ));
     }
     Ok(())
--- a/crates/config/src/validate/fleet.rs
+++ b/crates/config/src/validate/fleet.rs
@@ -31,7 +31,7 @@
     if names.kinds.is_empty() {
         return Err(source.error(
             &fleet.machine_kinds,
-            "no kind of machine is named",
+            "no kind of machine is defined",
             "add [[fleet.kinds]]",
         ));
     }
@@ -49,7 +49,7 @@
         return Err(source.error(
             spanned,
             format!("two kinds are named `{}`", kind.name),
-            "rename one",
+            "rename one of them",
         ));
     }
     names.kinds.push(kind.name.clone());
@@ -58,8 +58,8 @@
         .push(source.number_in_range(&kind.cores, "cores", 1.0, 1024.0)?);
     let memory_mb = kind.memory.get_ref().0 as f64 / BYTES_PER_MB;
     if memory_mb < MIN_MEMORY_MB {
-        let problem = format!("an engine with {memory_mb} MB of memory");
-        return Err(source.error(&kind.memory, problem, "write at least \"64MB\""));
+        let problem = format!("{memory_mb} MB of memory is too little for an engine");
+        return Err(source.error(&kind.memory, problem, "write a size of at least \"64MB\""));
     }
     machine_kinds.memory_mb.push(memory_mb);
     Ok(())
--- a/crates/config/src/validate/gossip.rs
+++ b/crates/config/src/validate/gossip.rs
@@ -42,7 +42,7 @@
         let suggestion = "add [gossip] or [peers], or write messages = false under [means]";
         return Err(source.error(
             &file.fleet,
-            "controllers may send messages, but none is named",
+            "peer messages are enabled, but no other controller is configured",
             suggestion,
         ));
     }
@@ -60,11 +60,11 @@
 ) -> ConfigResult<Gossip> {
     let seeds = &section.seeds;
     if seeds.len() > MAX_SEEDS {
-        let problem = format!("{} seeds", seeds.len());
+        let problem = format!("{} gossip seeds are too many", seeds.len());
         return Err(source.error(
             &seeds[MAX_SEEDS],
             problem,
-            "name at most 64; they tell of the others",
+            "list at most 64; gossip discovers the other members",
         ));
     }
     let gossip = Gossip {
@@ -99,22 +99,26 @@
         .as_ref()
         .filter(|_| gossip.probe_interval < MIN_PERIOD)
     {
-        return Err(source.error(spanned, "a period under 10ms", "write one of 100ms to 10s"));
+        return Err(source.error(
+            spanned,
+            "`period` is under 10ms",
+            "write a time from 100ms to 10s",
+        ));
     }
     if let Some(spanned) = section
         .evict_after
         .as_ref()
         .filter(|_| gossip.evict_after < gossip.probe_interval + gossip.probe_interval)
     {
-        let problem = "a member would be forgotten sooner than it can be missed";
+        let problem = "a member could be evicted before its failure is detected";
         return Err(source.error(spanned, problem, "make `hold` many times `period`"));
     }
     let has_no_port = gossip
         .advertised_address
         .is_some_and(|address| address.port() == 0);
     if let Some(spanned) = section.advertised_address.as_ref().filter(|_| has_no_port) {
-        let suggestion = "write where others reach this one";
-        return Err(source.error(spanned, "an advertised address without a port", suggestion));
+        let suggestion = "write the address and port at which other controllers reach this one";
+        return Err(source.error(spanned, "the advertised address has no port", suggestion));
     }
     Ok(())
 }
@@ -139,7 +143,7 @@
     match spanned {
         Some(spanned) if spanned.get_ref().0 < MIN_BYTES_PER_SECOND => Err(source.error(
             spanned,
-            "less than a datagram a second",
+            "the limit is below one datagram a second",
             "write 2KB or more",
         )),
         Some(spanned) => Ok(spanned.get_ref().0),
@@ -150,8 +154,8 @@
 fn validate_peers(source: &Source<'_>, spanned: &Spanned<schema::Peers>) -> ConfigResult<Peers> {
     let section = spanned.get_ref();
     let Some(listen) = &section.listen else {
-        let suggestion = "add `listen`, or find the others by [gossip]";
-        return Err(source.error(spanned, "no address to listen at", suggestion));
+        let suggestion = "add `listen`, or configure [gossip] instead";
+        return Err(source.error(spanned, "[peers] has no `listen` address", suggestion));
     };
     let addresses = section
         .addresses
@@ -161,8 +165,8 @@
     if addresses.len() > MAX_PEERS {
         return Err(source.error(
             spanned,
-            format!("{} peers", addresses.len()),
-            "name at most 4095",
+            format!("{} peers are too many", addresses.len()),
+            "list at most 4095",
         ));
     }
     Ok(Peers {
--- a/crates/config/src/validate/route.rs
+++ b/crates/config/src/validate/route.rs
@@ -43,8 +43,12 @@
         && selector.pattern.is_none()
     {
         let suggestion =
-            "name a user, a database, an application or a pattern, or use `default_class`";
-        return Err(source.error(spanned, "a selector that matches everything", suggestion));
+            "add a user, a database, an application or a pattern, or use `default_class`";
+        return Err(source.error(
+            spanned,
+            "the selector has no condition and would match every query",
+            suggestion,
+        ));
     }
     Ok(Selector {
         user: selector.user.clone(),
@@ -73,8 +77,8 @@
                 .to_string();
             source.error(
                 spanned,
-                format!("a pattern that can't be read: {last_line}"),
-                "write a regular expression",
+                format!("the pattern is not a valid regular expression: {last_line}"),
+                "correct the regular expression",
             )
         })
 }
--- a/crates/config/src/validate/settings.rs
+++ b/crates/config/src/validate/settings.rs
@@ -125,12 +125,12 @@
     }
     let is_ordered = settings.classes.iter().any(|class| class.ordered_by_key);
     if is_ordered && settings.key_cooldown.0 == 0 {
-        let problem = "a class keeps order, but how long a key rests is not said";
+        let problem = "a class has `in_order`, but `order_pause` is not set";
         let suggestion = "add `order_pause` under [rules], such as \"2s\"";
         return Err(source.error(&file.classes, problem, suggestion));
     }
     if settings.reports_by_probe && !settings.probes {
-        let problem = "reports come by probe alone, but probes are not allowed";
+        let problem = "load reports arrive by probe only, but probes are not allowed";
         let suggestion = "write probes = true under [means], or reports = \"none\" under [signals]";
         return Err(source.error(&file.fleet, problem, suggestion));
     }
@@ -144,7 +144,7 @@
 ) -> ConfigResult<()> {
     let is_incomplete = settings.slow_start_duration.0 == 0 || settings.overload_window.0 == 0;
     if settings.overload_multiple > 0.0 && is_incomplete {
-        let problem = "`fall_multiple` without `cold_for` and `fall_span` guards nothing";
+        let problem = "`fall_multiple` has no effect without `cold_for` and `fall_span`";
         let suggestion = "add `cold_for` and `fall_span`, or remove `fall_multiple`";
         return Err(source.error(rules, problem, suggestion));
     }
--- a/crates/config/src/validate/source.rs
+++ b/crates/config/src/validate/source.rs
@@ -38,13 +38,13 @@
             let suggestion = "write an address and a port, such as \"127.0.0.1:6432\"";
             self.error(
                 spanned,
-                format!("`{}` is no address", spanned.get_ref()),
+                format!("`{}` is not an address and port", spanned.get_ref()),
                 suggestion,
             )
         })?;
         if !address.ip().is_loopback() {
             let problem = format!(
-                "`{address}` is not a loopback address, and nobody is asked for a password"
+                "`{address}` is not a loopback address, and connections are not password-protected"
             );
             return Err(self.error(spanned, problem, "use an address of 127.0.0.0/8"));
         }
@@ -63,7 +63,7 @@
             .position(|name| name == spanned.get_ref())
             .ok_or_else(|| {
                 let known = if names.is_empty() {
-                    format!("name the {item}s first")
+                    format!("none; define a {item} first")
                 } else {
                     names.join(", ")
                 };
@@ -84,13 +84,17 @@
     ) -> ConfigResult<()> {
         let name = spanned.get_ref();
         if name.is_empty() {
-            return Err(self.error(spanned, format!("a {item} without a name"), "give it one"));
+            return Err(self.error(
+                spanned,
+                format!("the name of a {item} is empty"),
+                "give it a name",
+            ));
         }
         if names.contains(name) {
             return Err(self.error(
                 spanned,
-                format!("the {item} `{name}` is named twice"),
-                "rename one",
+                format!("the {item} `{name}` is defined twice"),
+                "rename one of them",
             ));
         }
         names.push(name.clone());
@@ -125,7 +129,7 @@
             Some(spanned) if (0.0..=1.0).contains(spanned.get_ref()) => Ok(*spanned.get_ref()),
             Some(spanned) => Err(self.error(
                 spanned,
-                format!("{} is no share", spanned.get_ref()),
+                format!("{} is not a fraction", spanned.get_ref()),
                 suggestion,
             )),
         }
@@ -137,8 +141,8 @@
             time if time.0 > 0 => Ok(time),
             _ => Err(self.error(
                 spanned,
-                format!("{key} is no time at all"),
-                "write one above 0",
+                format!("`{key}` is not above zero"),
+                "write a time above 0",
             )),
         }
     }
--- a/crates/config/src/validate/timing.rs
+++ b/crates/config/src/validate/timing.rs
@@ -33,7 +33,7 @@
         |class: &&Spanned<schema::Class>| class.get_ref().deadline.get_ref().0 <= answer_margin;
     if let Some(class) = classes.iter().find(is_within_margin) {
         let name = class.get_ref().name.get_ref();
-        let problem = format!("`deadline` of class `{name}` is within `answer_margin`");
+        let problem = format!("`deadline` of class `{name}` is not longer than `answer_margin`");
         return Err(source.error(class, problem, "shorten `answer_margin` under [timing]"));
     }
     Ok(())
