--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,27 +1,27 @@
-//! The error of a configuration: what is wrong, where, and how to correct it.
+//! The error type for configurations: the problem, its location and a suggested correction.
 
 use crate::units::UnitError;
 
 /// The similarity, from 0 to 1, above which a known key is suggested for an unknown one.
 const MIN_SIMILARITY: f64 = 0.8;
 
-/// Something wrong with a configuration or another TOML file.
+/// An error in a configuration or another TOML file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}:{line}:{column}: {problem}; {suggestion}")]
 pub struct ConfigError {
-    /// The name of the file.
+    /// The name of the file, as given to the parser.
     pub file: String,
-    /// The line, from 1.
+    /// The line, counted from 1.
     pub line: usize,
-    /// The column, from 1.
+    /// The column in characters, counted from 1.
     pub column: usize,
-    /// What is wrong.
+    /// Description of the problem.
     pub problem: String,
-    /// How to correct it.
+    /// Suggested correction.
     pub suggestion: String,
 }
 
-/// The line and column, both from 1, of a byte offset in a text.
+/// Returns the line and column of a byte offset in a text. Both are counted from 1; the column is in characters.
 pub fn locate(text: &str, offset: usize) -> (usize, usize) {
     let mut offset = offset.min(text.len());
     while !text.is_char_boundary(offset) {
@@ -34,7 +34,7 @@
 }
 
 impl ConfigError {
-    /// An error at a byte offset in a text.
+    /// Creates an error at a byte offset in a text.
     pub fn at(
         file: &str,
         text: &str,
@@ -53,25 +53,25 @@
         }
     }
 
-    /// An error that the TOML reader found, with a suggestion derived from its message.
+    /// Converts an error of the TOML parser, and derives the suggestion from its message.
     pub fn from_toml(file: &str, text: &str, error: &toml::de::Error) -> ConfigError {
         let offset = error.span().map_or(0, |span| span.start);
         let message = error.message();
-        match UnitError::from_message(message) {
+        match UnitError::from_parser_message(message) {
             Some(unit) => ConfigError::at(file, text, offset, unit.problem, unit.suggestion),
             None => ConfigError::at(file, text, offset, message, suggestion_for(message)),
         }
     }
 }
 
-/// The parts of a message that stand between backticks.
-fn quoted(message: &str) -> Vec<&str> {
+/// Returns the parts of a message that are enclosed in backticks.
+fn backquoted_parts(message: &str) -> Vec<&str> {
     message.split('`').skip(1).step_by(2).collect()
 }
 
-/// How to correct what a message of the TOML reader reports.
+/// Returns a suggestion for an error message of the TOML parser.
 fn suggestion_for(message: &str) -> String {
-    let names = quoted(message);
+    let names = backquoted_parts(message);
     if message.starts_with("unknown field") || message.starts_with("unknown variant") {
         return suggest_known_name(&names);
     }
@@ -84,7 +84,8 @@
     "correct the TOML syntax here".to_string()
 }
 
-/// `names` are the unknown name and, after it, the known ones.
+/// Suggests the known name that is most similar to an unknown one, or lists the known names if none is similar.
+/// `names` contains the unknown name followed by the known ones.
 fn suggest_known_name(names: &[&str]) -> String {
     let Some((unknown, known)) = names.split_first() else {
         return "remove it".to_string();
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,8 @@
-//! The configuration of a controller: reads TOML and returns validated settings.
+//! Reads the TOML configuration of a controller and returns validated settings.
 //!
-//! Nothing is guessed. An unknown key, a time without a unit, a reference to an undefined name and two keys that
-//! contradict each other are each reported as a [`ConfigError`] with the file, the line, the column, what is wrong
-//! and how to correct it.
+//! Parsing is strict. An unknown key, a time without a unit, a reference to an undefined name and two keys that
+//! contradict each other are each reported as a [`ConfigError`], which contains the file, the line, the column, the
+//! problem and a suggested correction.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -1,105 +1,105 @@
-//! A validated configuration, as the controller uses it.
+//! The validated configuration that the controller uses.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use wheelfield::interface::{EngineId, Micros, Settings};
 
-/// A validated configuration.
+/// A validated controller configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The address where clients connect; with port 0 the system chooses the port.
+    /// The address on which clients connect. With port 0, the operating system chooses the port.
     pub listen: SocketAddr,
-    /// The address of the HTTP pages for health and metrics, if they are served.
+    /// The address of the HTTP server for health and metrics; `None` if it is disabled.
     pub admin: Option<SocketAddr>,
-    /// The seed of the decision core's random numbers; `None` takes one from the system.
+    /// The seed of the decision core's random number generator; `None` takes a seed from the operating system.
     pub seed: Option<u64>,
-    /// The user name for sessions with engines.
+    /// The user name with which the controller logs in to engines.
     pub user: String,
-    /// The database for sessions with engines.
+    /// The database that the controller opens at engines.
     pub database: String,
     /// The settings of the decision core.
     pub settings: Settings,
-    /// The names of classes, tenants, zones and kinds, which the settings refer to by position.
+    /// The names of classes, tenants, zones and kinds of machine. The settings refer to them by position.
     pub names: Names,
-    /// How a query is assigned to a class.
+    /// The rules that assign a query to a class.
     pub route: Route,
-    /// The engines listed in the configuration itself.
+    /// The engines listed in the configuration file itself.
     pub engines: Vec<EngineEndpoint>,
     /// The registry that serves the endpoint list, if there is one.
     pub registry: Option<Registry>,
     /// The files that contain the endpoint list, if there are any.
     pub endpoint_files: Option<EndpointFiles>,
-    /// The other controllers, where they are listed rather than found by gossip.
+    /// The other controllers, if they are listed in the file instead of discovered by gossip.
     pub peers: Option<Peers>,
-    /// The gossip with other controllers, if it is enabled.
+    /// The gossip protocol between controllers, if it is enabled.
     pub gossip: Option<Gossip>,
-    /// The recording of the driver's inputs and outputs, if it is enabled.
+    /// The recording of the driver's inputs and outputs; `None` if it is disabled.
     pub capture: Option<Capture>,
-    /// Limits on numbers and sizes.
+    /// Limits on counts and sizes.
     pub limits: Limits,
-    /// Timeouts.
+    /// Timeouts and the answer margin.
     pub timing: Timing,
 }
 
-/// Names by position.
+/// The names of configured entities. The position of a name in its list is the id used in [`Settings`].
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// Classes; the last is the class of descriptions, which the file does not define.
+    /// Names of the query classes. The last one is the class of describe requests, which is added automatically.
     pub classes: Vec<String>,
-    /// Tenants.
+    /// Names of the tenants.
     pub tenants: Vec<String>,
-    /// Zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
-    /// Kinds of machine.
+    /// Names of the kinds of machine.
     pub kinds: Vec<String>,
 }
 
-/// An engine and its address.
+/// An engine of the endpoint list, with its address and location.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineEndpoint {
     /// The name of the engine.
     pub name: String,
-    /// The address where it listens.
+    /// The address on which the engine listens.
     pub address: SocketAddr,
-    /// Its zone, by position; `usize::MAX` if it has none.
+    /// The position of its zone in [`Names::zones`]; `usize::MAX` if it has none.
     pub zone: usize,
-    /// Its kind of machine, by position.
+    /// The position of its kind of machine in [`Names::kinds`].
     pub kind: usize,
-    /// The cell that it belongs to.
+    /// The id of the cell that the engine belongs to.
     pub cell: i64,
 }
 
-/// How a query is assigned to a class: by its own hint, the hint of its session, the first selector that
-/// matches, or the default, in this order.
+/// The rules that assign a query to a class. The first of these that applies is used: the hint of the query, the
+/// hint of its session, the first matching selector, the default class.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// The class of queries that nothing else assigns.
+    /// The class of queries to which neither a hint nor a selector applies, by position.
     pub default_class: usize,
-    /// The class of descriptions, which run nothing at an engine.
+    /// The class of describe requests, which execute nothing at an engine, by position.
     pub describe_class: usize,
-    /// The selectors, in the order in which they are tried.
+    /// The selectors, in the order in which they are evaluated.
     pub selectors: Vec<Selector>,
 }
 
-/// A rule that assigns a class. It matches if each of its conditions does.
+/// A rule that assigns a class to the queries that meet all of its conditions.
 #[derive(Clone, Debug)]
 pub struct Selector {
-    /// The user name of the session.
+    /// The user name that the session must have.
     pub user: Option<String>,
-    /// The database of the session.
+    /// The database that the session must have.
     pub database: Option<String>,
-    /// The application name of the session.
+    /// The application name that the session must have.
     pub application: Option<String>,
-    /// A pattern to be found in the text of the query.
+    /// A regular expression that must match somewhere in the text of the query.
     pub pattern: Option<regex::Regex>,
-    /// The class of queries that match, by position.
+    /// The class that is assigned, by position.
     pub class: usize,
 }
 
-/// How the endpoint list of a registry is kept up to date.
+/// How the endpoint list is refreshed from a registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refresh {
-    /// A request waits at the registry until something changes.
+    /// Long polling: the registry answers a request when the list changes.
     Watch,
     /// The list is requested at a fixed interval.
     Poll,
@@ -108,164 +108,169 @@
 /// A registry that serves the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Registry {
-    /// The address where it listens.
+    /// The address on which the registry listens.
     pub address: SocketAddr,
-    /// How the list is kept up to date.
+    /// How the list is refreshed.
     pub refresh: Refresh,
-    /// The interval between two requests, and the delay after a failed one.
+    /// The interval between requests, and the delay after a failed request.
     pub poll_interval: Micros,
 }
 
-/// The limits of messages to other controllers that gossip carries.
+/// Rate limits of the messages that are sent to other controllers with gossip.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerMessageLimits {
-    /// Bytes a second to each controller.
+    /// Bytes per second to each controller.
     pub bytes_per_second_per_peer: u64,
-    /// Bytes a second to all controllers together.
+    /// Bytes per second to all controllers together.
     pub total_bytes_per_second: u64,
 }
 
-/// The other controllers, where they are listed rather than found by gossip.
+/// A fixed list of the other controllers, which is used instead of gossip.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peers {
-    /// The address where this controller listens for messages.
+    /// The address on which this controller receives messages.
     pub listen: SocketAddr,
-    /// The addresses of the others.
+    /// The addresses of the other controllers.
     pub addresses: Vec<SocketAddr>,
 }
 
-/// The gossip by which controllers find each other.
+/// Settings of the gossip protocol with which controllers discover each other.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Gossip {
-    /// The address where this controller listens; with port 0 the system chooses the port.
+    /// The address on which this controller receives gossip. With port 0, the operating system chooses the port.
     pub listen: SocketAddr,
-    /// The address where the others reach this controller, if addresses are translated on the way; `None` if it
-    /// is `listen`. Its datagrams must arrive from there, and its index is the rank of this address.
+    /// The address at which other controllers reach this one, if it differs from `listen` because of address
+    /// translation. The datagrams of this controller must arrive from this address, and the rank of the address among
+    /// those of all controllers is the index of this controller.
     pub advertised_address: Option<SocketAddr>,
-    /// The members to contact first.
+    /// The members to contact first when joining.
     pub seeds: Vec<SocketAddr>,
-    /// The file with the encryption keys.
+    /// The file with the authentication keys.
     pub keys_file: PathBuf,
-    /// The interval at which one member is probed.
+    /// The interval between probes; each probe goes to one member.
     pub probe_interval: Micros,
-    /// Whether a quorum (more than half of all members) may evict an unreachable member after `evict_after`.
-    /// Otherwise only an operator may.
+    /// Whether a quorum (more than half of all members) may evict an unreachable member after `evict_after`. If false,
+    /// only an operator may evict it.
     pub quorum_evicts: bool,
-    /// How long a member must be unreachable, at least, before a quorum may evict it.
+    /// The minimum time for which a member must be unreachable before a quorum may evict it.
     pub evict_after: Micros,
-    /// How long after the start at least `count` controllers are assumed.
+    /// The time after startup during which the number of controllers is assumed to be at least the configured `count`,
+    /// even if gossip has found fewer.
     pub startup_grace: Micros,
-    /// The limits of messages carried by gossip; `None` if controllers send no messages.
+    /// Rate limits of messages to other controllers; `None` if messages are disabled.
     pub message_limits: Option<PeerMessageLimits>,
 }
 
-/// Files that contain the endpoint list and are watched for changes.
+/// Engine files, which contain the endpoint list and are watched for changes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointFiles {
-    /// Files, directories, and patterns with `*` in their last part.
+    /// Files, directories, and patterns with `*` in their last path component.
     pub files: Vec<PathBuf>,
-    /// The file where the active endpoint set is persisted, for a start without a valid file.
+    /// The file to which the active endpoint set is saved. It is used at startup if no engine file is valid.
     pub last_good_file: Option<PathBuf>,
-    /// How long files must be unchanged before they are read.
+    /// The time for which files must be unchanged before they are read.
     pub settle_time: Micros,
-    /// The interval at which the files are read even if the system reports no change.
+    /// The interval at which the files are read even if the operating system reports no change.
     pub poll_interval: Micros,
-    /// The fraction of the capacity that a new set may remove without confirmation.
+    /// The maximum fraction of the capacity that a new endpoint set may remove without confirmation.
     pub max_lost_fraction: f64,
-    /// How long a set that removes more is held before it is taken; `None` holds it until its file confirms it.
+    /// The time after which an unconfirmed set that removes more than `max_lost_fraction` is applied anyway; `None`
+    /// holds it until its file confirms it.
     pub hold_duration: Option<Micros>,
-    /// How long after its removal an id may return at another address.
+    /// The time after the removal of an engine before its id may be reused at another address.
     pub id_reuse_delay: Micros,
-    /// The age beyond which the last answer of a registry used at the same time is ignored.
+    /// The maximum age of the last registry answer, where a registry is used together with the files. An older answer
+    /// is ignored.
     pub max_registry_age: Micros,
 }
 
-/// How a controller records the inputs and outputs of its driver.
+/// Settings for recording the inputs and outputs of the controller's driver.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Capture {
-    /// The first file; the names of later ones are derived from it.
+    /// The first capture file. The names of later files are derived from its name.
     pub file: PathBuf,
-    /// The size of a file, in bytes, at which the next one begins.
+    /// The size in bytes at which a file is closed and the next one begins.
     pub segment_bytes: u64,
-    /// The size of all files together, in bytes, above which the oldest is removed.
+    /// The total size of all files in bytes above which the oldest file is removed.
     pub max_total_bytes: u64,
-    /// The interval at which the whole state is written.
+    /// The interval between checkpoints, which contain the whole state.
     pub checkpoint_interval: Micros,
     /// The interval at which written data is synced to disk.
     pub sync_interval: Micros,
-    /// The blocks that may wait to be written; further ones are dropped.
+    /// The maximum number of blocks that wait to be written; further blocks are dropped.
     pub max_queued_blocks: usize,
-    /// Recording in memory, written on a trigger; `None` writes to the file at all times.
+    /// Settings for recording to a ring buffer in memory that is written to the file on a trigger; `None` writes to the
+    /// file continuously.
     pub ring: Option<RingCapture>,
 }
 
-/// A recording in memory, and the triggers that write it to the file.
+/// Settings of the ring buffer for recordings in memory, and of the triggers that write it to the file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RingCapture {
-    /// The size of the recording, in bytes.
+    /// The maximum size of the ring buffer in bytes.
     pub max_bytes: u64,
-    /// How far back the recording reaches, if its size allows it.
+    /// The duration that the ring buffer covers, if `max_bytes` allows it.
     pub span: Micros,
-    /// Whether the ejection of an engine is a trigger.
+    /// Whether the ejection of an engine triggers a write.
     pub on_engine_ejected: bool,
-    /// The trigger fraction of queries rejected within `rejection_window`.
+    /// The fraction of queries rejected within `rejection_window` above which a write is triggered.
     pub rejected_fraction: f64,
     /// The window over which rejected queries are counted.
     pub rejection_window: Micros,
-    /// The trigger duration for which the controller made no progress.
+    /// The time without progress of the controller after which a write is triggered.
     pub stall_threshold: Micros,
-    /// How long the recording continues after a trigger.
+    /// The time for which the recording continues after a trigger.
     pub record_after: Micros,
-    /// How long after a trigger the next one is ignored.
+    /// The time after a trigger in which further triggers are ignored.
     pub cooldown: Micros,
 }
 
-/// Limits on numbers and sizes.
+/// Limits on counts and sizes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Client connections; a further one gets an error and is closed.
+    /// Maximum number of client connections. A further connection gets an error and is closed.
     pub max_clients: usize,
-    /// Queries in the controller; a further one is rejected.
+    /// Maximum number of queries in the controller. A further query is rejected.
     pub max_queries: usize,
-    /// The size of a message of a client, in bytes; a longer one ends its connection.
+    /// Maximum size of a client message in bytes. A longer message closes the connection.
     pub max_message_bytes: usize,
-    /// Prepared statements of a session.
+    /// Maximum number of prepared statements per client session.
     pub max_statements: usize,
-    /// The size of the prepared statements of a session, and of a batch, in bytes.
+    /// Maximum total size in bytes of the prepared statements of a session, and also of the messages of one batch.
     pub max_prepared_bytes: usize,
-    /// Bytes waiting to be sent to one client; above it, reading from the engine pauses.
+    /// Bytes waiting to be sent to one client above which reading from the engine pauses.
     pub max_buffered_bytes: usize,
-    /// Sessions with one engine; an attempt that finds none free is treated as rejected by the engine.
+    /// Maximum number of sessions with one engine. An attempt that finds none free is treated as rejected by the engine.
     pub max_engine_sessions: usize,
-    /// Connections that wait to be accepted.
+    /// Maximum number of connections that wait to be accepted.
     pub listen_backlog: u32,
 }
 
-/// Timeouts.
+/// Timeouts and the answer margin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// How long before a query's deadline its final answer is sent.
+    /// The time before the deadline of a query at which its final answer is sent.
     pub answer_margin: Micros,
-    /// For connecting to an engine, including the login.
+    /// Timeout for connecting to an engine, including the login.
     pub connect_timeout: Micros,
-    /// For the startup message and login of a client.
+    /// Timeout for the startup message and the login of a client.
     pub startup_timeout: Micros,
-    /// For further data from an engine that has begun an answer; after it, the engine is treated as lost.
+    /// Timeout for further data from an engine that has begun an answer. When it expires, the engine is treated as lost.
     pub answer_stall_timeout: Micros,
-    /// For the confirmation of a cancelled attempt; after it, the attempt counts as ended.
+    /// Timeout for the confirmation of a cancelled attempt. When it expires, the attempt counts as ended.
     pub cancel_timeout: Micros,
-    /// For an unused session with an engine, which is then closed.
+    /// The idle time after which an unused session with an engine is closed.
     pub session_idle_timeout: Micros,
-    /// For clients to finish after a request to stop.
+    /// The time that clients have to finish after the controller is asked to stop.
     pub drain_timeout: Micros,
-    /// For the answer to a probe.
+    /// Timeout for the answer to a probe.
     pub probe_timeout: Micros,
 }
 
-/// The id of an engine, a hash of its name: the same at each controller.
+/// Returns the id of an engine: the FNV-1a hash of its name, so that all controllers compute the same id.
 pub fn engine_id(name: &str) -> EngineId {
     const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const FNV_PRIME: u64 = 0x0100_0000_01b3;
-    let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
-    EngineId(name.bytes().fold(FNV_OFFSET_BASIS, step))
+    let fnv_step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
+    EngineId(name.bytes().fold(FNV_OFFSET_BASIS, fnv_step))
 }
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -1,10 +1,13 @@
-//! The keys of the file as written, by section. A key that is not listed here is rejected.
+//! The sections and keys of the configuration file. Keys that are not defined here are rejected.
+//!
+//! Fields have the names of the model. A serde attribute pins the key of the file, and the type name in parser errors,
+//! where these differ.
 
 use crate::units::{Size, Time};
 use serde::Deserialize;
 use toml::Spanned;
 
-/// The whole file.
+/// The whole configuration file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct File {
@@ -40,7 +43,7 @@
     pub timing: Timing,
 }
 
-/// `[controller]`: this controller.
+/// `[controller]`: the identity of this controller, and its login at the engines.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Controller {
@@ -65,7 +68,7 @@
     pub on_memory_shortage: Option<MemoryShortage>,
 }
 
-/// What an engine does with a query when its memory is short.
+/// How an engine handles a query when it has too little free memory.
 #[derive(Clone, Copy, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase", rename = "WhenShort")]
 pub(crate) enum MemoryShortage {
@@ -117,7 +120,7 @@
     pub waits_for_loads: bool,
 }
 
-/// What repeating a query of a class does.
+/// Whether the queries of a class may be executed more than once.
 #[derive(Clone, Copy, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case", rename = "Effect")]
 pub(crate) enum ExecutionSemantics {
@@ -129,7 +132,7 @@
     AtMostOnce,
 }
 
-/// The engines among which repeats with the same key are dropped.
+/// The engines among which repeats with the same idempotency key are dropped.
 #[derive(Clone, Copy, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase", rename = "Dedup")]
 pub(crate) enum DeduplicationScope {
@@ -138,7 +141,7 @@
     Cell,
 }
 
-/// `[[tenants]]`: a tenant and its rate.
+/// `[[tenants]]`: a tenant, and its rate in queries per second over all controllers.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Tenant {
@@ -147,7 +150,7 @@
     pub rate: f64,
 }
 
-/// How load reports arrive.
+/// How the controller gets load reports: with answers, by probes, or not at all.
 #[derive(Clone, Copy, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase", rename = "Reports")]
 pub(crate) enum LoadReports {
@@ -157,7 +160,7 @@
     None,
 }
 
-/// `[signals]`: what engines report.
+/// `[signals]`: the information that engines report.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Signals {
@@ -171,7 +174,7 @@
     pub reports_work: bool,
 }
 
-/// `[means]`: the mechanisms that the controller may use.
+/// `[means]`: the optional mechanisms that the controller may use.
 #[derive(Deserialize)]
 #[serde(default, deny_unknown_fields, rename = "Means")]
 pub(crate) struct Mechanisms {
@@ -206,7 +209,7 @@
     }
 }
 
-/// `[prices]`: the costs of optional actions.
+/// `[prices]`: the costs of optional actions, which the decision core weighs against their benefit.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Prices {
@@ -215,7 +218,7 @@
     pub message: f64,
 }
 
-/// `[rules]`: slow start, overload, ordered keys and retries.
+/// `[rules]`: settings for slow start, overload, ordered keys and retries.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Rules {
@@ -233,7 +236,7 @@
     pub retry_budget: Option<RetryBudget>,
 }
 
-/// `budget` under `[rules]`: the retry budget.
+/// `budget` in `[rules]`: the retry budget.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, rename = "Budget")]
 pub(crate) struct RetryBudget {
@@ -245,7 +248,7 @@
     pub window: Spanned<Time>,
 }
 
-/// `[route]`: how a query is assigned to a class.
+/// `[route]`: the rules that assign a query to a class.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Route {
@@ -254,7 +257,7 @@
     pub selectors: Vec<Spanned<Selector>>,
 }
 
-/// `[[route.select]]`: conditions and the class that they assign.
+/// `[[route.select]]`: conditions, and the class of the queries that meet them.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, rename = "Select")]
 pub(crate) struct Selector {
@@ -265,7 +268,7 @@
     pub class: Spanned<String>,
 }
 
-/// `[[engines]]`: an engine.
+/// `[[engines]]`: an engine that is listed in the file itself.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Engine {
@@ -277,7 +280,7 @@
     pub cell: i64,
 }
 
-/// How the endpoint list of a registry is kept up to date.
+/// How the endpoint list is refreshed from a registry.
 #[derive(Clone, Copy, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase", rename = "Mode")]
 pub(crate) enum RefreshMode {
@@ -297,7 +300,7 @@
     pub poll_interval: Option<Time>,
 }
 
-/// `[peers]`: the other controllers, and the limits of messages to them.
+/// `[peers]`: the other controllers, and the rate limits of messages to them.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Peers {
@@ -310,7 +313,7 @@
     pub total_bytes_per_second: Option<Spanned<Size>>,
 }
 
-/// `[limits]`: limits on numbers and sizes.
+/// `[limits]`: limits on counts and sizes.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Limits {
@@ -324,7 +327,7 @@
     pub backlog: Option<Spanned<u32>>,
 }
 
-/// `[timing]`: timeouts.
+/// `[timing]`: timeouts and the answer margin.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Timing {
@@ -339,7 +342,7 @@
     pub probe: Option<Spanned<Time>>,
 }
 
-/// `[capture]`: the recording of inputs and outputs.
+/// `[capture]`: the recording of the driver's inputs and outputs.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Capture {
@@ -364,7 +367,7 @@
     pub max_queued_blocks: Option<Spanned<u32>>,
 }
 
-/// Whether the capture is written at all times, not at all, or on a trigger.
+/// Whether the capture is written continuously, never, or only on a trigger.
 #[derive(Clone, Copy, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum CaptureMode {
@@ -374,7 +377,7 @@
     Ring,
 }
 
-/// `[capture.triggers]`: what writes a recording in memory to the file.
+/// `[capture.triggers]`: the conditions under which the ring buffer in memory is written to the file.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Triggers {
@@ -392,7 +395,7 @@
     pub cooldown: Option<Spanned<Time>>,
 }
 
-/// `[members]`: files that contain the endpoint list.
+/// `[members]`: engine files, which contain the endpoint list.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, rename = "Members")]
 pub(crate) struct EndpointFiles {
@@ -413,7 +416,7 @@
     pub max_registry_age: Option<Spanned<Time>>,
 }
 
-/// `[gossip]`: how controllers find each other.
+/// `[gossip]`: the gossip protocol with which controllers discover each other.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Gossip {
@@ -434,7 +437,7 @@
     pub startup_grace: Option<Spanned<Time>>,
 }
 
-/// Who may evict an unreachable member.
+/// Who may evict an unreachable member: only an operator, or also a quorum of the members.
 #[derive(Clone, Copy, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase", rename = "Forget")]
 pub(crate) enum EvictionPolicy {
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -1,34 +1,36 @@
-//! Times and sizes with their units. A bare number is rejected, as it does not say whether it is in seconds or
-//! milliseconds.
+//! Parses and formats durations and sizes with units. A number without a unit is rejected because it would be
+//! ambiguous, for example between seconds and milliseconds.
 
 use serde::{de, Deserialize, Deserializer};
 use wheelfield::interface::Micros;
 
-/// The longest time: about 30 years.
-const MAX_MICROS: f64 = 1e15;
+/// The longest duration that is accepted, about 30 years.
+const MAX_DURATION_MICROS: f64 = 1e15;
 const TIME_FORMAT: &str = "write a number with the unit us, ms, s, m or h, such as \"250ms\"";
 const SIZE_FORMAT: &str = "write a number with the unit B, KB, MB or GB, such as \"64MB\"";
 
-/// A time, written as `"250ms"`, `"1.5s"`, `"2m"`, `"100us"` or `"1h"`.
+/// A duration, written as `"250ms"`, `"1.5s"`, `"2m"`, `"100us"` or `"1h"`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Time(pub Micros);
 
-/// A size in bytes, written as `"64MB"`, `"512KB"`, `"2GB"` or `"100B"`; a kilobyte is 1,024 bytes.
+/// A size in bytes, written as `"64MB"`, `"512KB"`, `"2GB"` or `"100B"`; a kilobyte is 1,024 bytes, and larger units are
+/// powers of 1,024 as well.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Size(pub u64);
 
-/// A time or size that cannot be read.
+/// The error for a duration or size that cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{problem}; {suggestion}")]
 pub struct UnitError {
-    /// What is wrong.
+    /// Description of the problem.
     pub problem: String,
-    /// How to correct it.
+    /// Suggested correction.
     pub suggestion: String,
 }
 
 impl UnitError {
-    /// Separates the problem from the suggestion in messages that pass through the TOML reader.
+    /// Separates the problem from the suggestion in a message that is passed through the TOML parser, whose errors are
+    /// plain text.
     const SEPARATOR: char = '\u{1f}';
 
     fn new(problem: impl Into<String>, suggestion: impl Into<String>) -> UnitError {
@@ -38,19 +40,20 @@
         }
     }
 
-    /// The message of this error for the TOML reader.
-    fn to_message(&self) -> String {
+    /// Encodes this error as a message for the TOML parser.
+    fn to_parser_message(&self) -> String {
         format!("{}{}{}", self.problem, Self::SEPARATOR, self.suggestion)
     }
 
-    /// The error in a message of the TOML reader, if it comes from this module.
-    pub(crate) fn from_message(message: &str) -> Option<UnitError> {
+    /// Decodes an error from a message of the TOML parser. Returns `None` if the message was not encoded by
+    /// [`Self::to_parser_message`].
+    pub(crate) fn from_parser_message(message: &str) -> Option<UnitError> {
         let (problem, suggestion) = message.split_once(Self::SEPARATOR)?;
         Some(UnitError::new(problem, suggestion))
     }
 }
 
-/// Splits a text into its number, if it begins with one, and its unit.
+/// Splits a text into its leading number, if there is one, and its unit.
 fn split_unit(text: &str) -> (Option<f64>, &str) {
     let text = text.trim();
     let end = text
@@ -62,10 +65,10 @@
     )
 }
 
-/// Reads a time.
+/// Parses a duration.
 ///
 /// # Errors
-/// A text without a number or without a known unit, or a time of more than 30 years.
+/// [`UnitError`] if the text has no number or no known unit, or if the duration is longer than 30 years.
 pub fn parse_time(text: &str) -> Result<Time, UnitError> {
     let (number, unit) = split_unit(text);
     let Some(number) = number else {
@@ -94,7 +97,7 @@
         }
     };
     let micros = number * micros_per_unit;
-    if micros > MAX_MICROS {
+    if micros > MAX_DURATION_MICROS {
         return Err(UnitError::new(
             format!("the time `{text}` is out of range"),
             "write a time of at most 30 years",
@@ -103,10 +106,10 @@
     Ok(Time(Micros(micros.round() as i64)))
 }
 
-/// Reads a size.
+/// Parses a size in bytes.
 ///
 /// # Errors
-/// A text without a number or without a known unit.
+/// [`UnitError`] if the text has no number or no known unit.
 pub fn parse_size(text: &str) -> Result<Size, UnitError> {
     let (number, unit) = split_unit(text);
     let Some(number) = number else {
@@ -137,7 +140,7 @@
     Ok(Size((number * bytes_per_unit).round() as u64))
 }
 
-/// Writes a time with the largest unit in which it is a whole number.
+/// Formats a duration with the largest of the units m, s, ms and us in which it is a whole number.
 pub fn format_time(time: Micros) -> String {
     match time.0 {
         micros if micros != 0 && micros % 60_000_000 == 0 => format!("{}m", micros / 60_000_000),
@@ -147,7 +150,8 @@
     }
 }
 
-/// Reads a value with its unit from TOML. A number is passed on as text, so that the error says what is missing.
+/// Deserializes a value with a unit. A bare number is parsed as text too, so that the error says that the unit is
+/// missing.
 struct UnitVisitor<T> {
     parse: fn(&str) -> Result<T, UnitError>,
     expected: &'static str,
@@ -159,7 +163,7 @@
         f.write_str(self.expected)
     }
     fn visit_str<E: de::Error>(self, text: &str) -> Result<T, E> {
-        (self.parse)(text).map_err(|error| E::custom(error.to_message()))
+        (self.parse)(text).map_err(|error| E::custom(error.to_parser_message()))
     }
     fn visit_i64<E: de::Error>(self, number: i64) -> Result<T, E> {
         self.visit_str(&number.to_string())
--- a/crates/config/src/validate/capture.rs
+++ b/crates/config/src/validate/capture.rs
@@ -6,14 +6,14 @@
 use crate::units::Size;
 use toml::Spanned;
 
-const MIN_BYTES: u64 = 1 << 20;
+const MIN_SIZE_BYTES: u64 = 1 << 20;
 const DEFAULT_SEGMENT_BYTES: u64 = 256 << 20;
 const DEFAULT_MAX_TOTAL_BYTES: u64 = 4 << 30;
 const DEFAULT_RING_BYTES: u64 = 64 << 20;
 const DEFAULT_QUEUED_BLOCKS: usize = 64;
 const DEFAULT_REJECTED_FRACTION: f64 = 0.3;
 
-/// All keys are checked in each mode; the result is none where the capture is off.
+/// Validates `[capture]`. All keys are checked regardless of the mode; returns `None` if the capture is off.
 pub(super) fn validate(
     source: &Source<'_>,
     section: &schema::Capture,
@@ -89,7 +89,7 @@
 ) -> ConfigResult<u64> {
     match spanned {
         None => Ok(default),
-        Some(spanned) if spanned.get_ref().0 >= MIN_BYTES => Ok(spanned.get_ref().0),
+        Some(spanned) if spanned.get_ref().0 >= MIN_SIZE_BYTES => Ok(spanned.get_ref().0),
         Some(spanned) => Err(source.error(
             spanned,
             "the size is under 1MB",
--- a/crates/config/src/validate/classes.rs
+++ b/crates/config/src/validate/classes.rs
@@ -1,4 +1,4 @@
-//! `[[classes]]`: the classes of queries.
+//! `[[classes]]`: the query classes.
 
 use super::source::{seconds, ConfigResult, Source};
 use crate::model::Names;
@@ -23,7 +23,8 @@
     Ok(classes)
 }
 
-/// The class of descriptions: it has the shortest objective of all, and the default class's deadline.
+/// Returns the class of describe requests. It has the shortest latency objective of all classes, and the deadline of
+/// the default class (or its objective, if that is longer).
 pub(super) fn describe_class(classes: &[Class], default_class: usize) -> Class {
     let shortest = classes
         .iter()
@@ -72,8 +73,8 @@
             .as_ref()
             .map_or(Micros(0), |window| window.get_ref().0),
         ordered_by_key: class.ordered_by_key,
-        kinds: indexes_of_names(source, &names.kinds, &class.kinds, "kind")?,
-        zones: indexes_of_names(source, &names.zones, &class.zones, "zone")?,
+        kinds: indices_of_names(source, &names.kinds, &class.kinds, "kind")?,
+        zones: indices_of_names(source, &names.zones, &class.zones, "zone")?,
         no_engine_permitted: false,
         threads: match &class.threads {
             Some(threads) => source.number_in_range(threads, "threads", 1.0, 1024.0)?,
@@ -84,22 +85,31 @@
     })
 }
 
-/// `window` is required with an idempotency key; `dedup` and `window` are rejected without one.
+/// Checks the deduplication keys: `window` is required with `effect = "by_key"`, and `dedup` and `window` are rejected
+/// with other effects.
 fn check_deduplication(source: &Source<'_>, spanned: &Spanned<schema::Class>) -> ConfigResult<()> {
     let class = spanned.get_ref();
-    let by_key = class.semantics == schema::ExecutionSemantics::IdempotencyKey;
-    if let Some(scope) = class.deduplication_scope.as_ref().filter(|_| !by_key) {
+    let has_idempotency_key = class.semantics == schema::ExecutionSemantics::IdempotencyKey;
+    if let Some(scope) = class
+        .deduplication_scope
+        .as_ref()
+        .filter(|_| !has_idempotency_key)
+    {
         let suggestion = "remove `dedup`, or write effect = \"by_key\"";
         return Err(source.error(scope, "`dedup` requires effect = \"by_key\"", suggestion));
     }
-    if by_key && class.deduplication_window.is_none() {
+    if has_idempotency_key && class.deduplication_window.is_none() {
         let name = class.name.get_ref();
         let problem = format!(
             "class `{name}` has effect = \"by_key\", but no `window` in which repeats are dropped"
         );
         return Err(source.error(spanned, problem, "add `window`, such as \"5s\""));
     }
-    if let Some(window) = class.deduplication_window.as_ref().filter(|_| !by_key) {
+    if let Some(window) = class
+        .deduplication_window
+        .as_ref()
+        .filter(|_| !has_idempotency_key)
+    {
         let suggestion = "remove `window`, or write effect = \"by_key\"";
         return Err(source.error(window, "`window` requires effect = \"by_key\"", suggestion));
     }
@@ -122,13 +132,13 @@
     }
 }
 
-fn indexes_of_names(
+fn indices_of_names(
     source: &Source<'_>,
     names: &[String],
-    wanted: &[Spanned<String>],
+    listed: &[Spanned<String>],
     item: &str,
 ) -> ConfigResult<Vec<usize>> {
-    wanted
+    listed
         .iter()
         .map(|spanned| source.index_of_name(names, spanned, item))
         .collect()
--- a/crates/config/src/validate/controller.rs
+++ b/crates/config/src/validate/controller.rs
@@ -1,16 +1,16 @@
-//! `[controller]`: this controller's place among the others.
+//! `[controller]`: the identity of this controller.
 
 use super::source::{ConfigResult, Source};
 use crate::model::Names;
 use crate::schema;
 
-/// This controller's place among the others.
+/// The identity of this controller among all controllers.
 pub(super) struct ControllerIdentity {
-    /// Its number, from 0.
+    /// The index of this controller, counted from 0.
     pub index: u32,
-    /// The number of controllers.
+    /// The total number of controllers.
     pub count: u32,
-    /// Its zone, by position.
+    /// The position of its zone in the list of zone names.
     pub zone: Option<usize>,
 }
 
--- a/crates/config/src/validate/endpoints.rs
+++ b/crates/config/src/validate/endpoints.rs
@@ -1,4 +1,4 @@
-//! Where the engines are listed: `[[engines]]`, `[registry]` or `[members]`.
+//! The sources of the endpoint list: `[[engines]]`, `[registry]` and `[members]`.
 
 use super::source::{milliseconds, seconds, ConfigResult, Source};
 use crate::model::{EndpointFiles, EngineEndpoint, Names, Refresh, Registry};
@@ -10,14 +10,14 @@
 const MIN_POLL_INTERVAL: Micros = milliseconds(1);
 const DEFAULT_MAX_LOST_FRACTION: f64 = 0.5;
 
-/// The sources of the endpoint list.
+/// The validated sources of the endpoint list.
 pub(super) struct Endpoints {
     pub engines: Vec<EngineEndpoint>,
     pub registry: Option<Registry>,
     pub files: Option<EndpointFiles>,
 }
 
-/// At least one source is needed, and engines in the file itself exclude the other two.
+/// Validates the sources of the endpoint list. At least one is required, and `[[engines]]` excludes the other two.
 pub(super) fn validate(source: &Source<'_>, file: &File, names: &Names) -> ConfigResult<Endpoints> {
     let engines = validate_engines(source, &file.engines, names)?;
     let registry = file
@@ -63,13 +63,13 @@
 
 fn validate_engines(
     source: &Source<'_>,
-    listed: &[Spanned<schema::Engine>],
+    entries: &[Spanned<schema::Engine>],
     names: &Names,
 ) -> ConfigResult<Vec<EngineEndpoint>> {
     let (mut engines, mut ids, mut addresses) = (Vec::new(), Vec::new(), BTreeSet::new());
-    for engine in listed.iter().map(Spanned::get_ref) {
+    for engine in entries.iter().map(Spanned::get_ref) {
         source.add_unique_name(&mut ids, &engine.id, "engine")?;
-        let address = source.loopback_address(&engine.address)?;
+        let address = source.parse_loopback_address(&engine.address)?;
         if !addresses.insert(address) {
             let problem = format!("two engines listen at `{address}`");
             return Err(source.error(&engine.address, problem, "give each its own address"));
@@ -90,7 +90,7 @@
 
 fn validate_registry(source: &Source<'_>, registry: &schema::Registry) -> ConfigResult<Registry> {
     Ok(Registry {
-        address: source.loopback_address(&registry.address)?,
+        address: source.parse_loopback_address(&registry.address)?,
         refresh: match registry.refresh {
             schema::RefreshMode::Watch => Refresh::Watch,
             schema::RefreshMode::Poll => Refresh::Poll,
@@ -150,7 +150,7 @@
     })
 }
 
-/// A `*` may stand in the last part of a path alone, and the last part may not be empty.
+/// Allows `*` only in the last component of a path, and requires that component not to be empty.
 fn check_file_pattern(source: &Source<'_>, spanned: &Spanned<String>) -> ConfigResult<()> {
     let path = spanned.get_ref();
     let (directory, name) = path.rsplit_once('/').unwrap_or(("", path));
--- a/crates/config/src/validate/fleet.rs
+++ b/crates/config/src/validate/fleet.rs
@@ -8,14 +8,14 @@
 const BYTES_PER_MB: f64 = 1_048_576.0;
 const MIN_MEMORY_MB: f64 = 64.0;
 
-/// The size of each kind of machine, by the position of the kind.
+/// The cores and memory of each kind of machine, by the position of the kind.
 #[derive(Default)]
 pub(super) struct MachineKinds {
     pub cores: Vec<f64>,
     pub memory_mb: Vec<f64>,
 }
 
-/// Adds the names of zones and kinds to `names`, and returns the sizes of the kinds.
+/// Adds the names of zones and kinds of machine to `names`, and returns the cores and memory of the kinds.
 pub(super) fn validate(
     source: &Source<'_>,
     fleet: &schema::Fleet,
--- a/crates/config/src/validate/gossip.rs
+++ b/crates/config/src/validate/gossip.rs
@@ -1,4 +1,4 @@
-//! `[gossip]` and `[peers]`: how controllers find each other and exchange messages.
+//! `[gossip]` and `[peers]`: how controllers discover each other and exchange messages.
 
 use super::source::{milliseconds, seconds, ConfigResult, Source};
 use crate::model::{Gossip, PeerMessageLimits, Peers};
@@ -9,21 +9,22 @@
 
 const MAX_SEEDS: usize = 64;
 const MAX_PEERS: usize = 4095;
-const MIN_PERIOD: Micros = milliseconds(10);
-/// A lower limit on messages, in bytes a second, would not let a single datagram pass.
+const MIN_PROBE_INTERVAL: Micros = milliseconds(10);
+/// The minimum rate limit of messages, in bytes per second. A lower limit would not let a single datagram pass.
 const MIN_BYTES_PER_SECOND: u64 = 2_000;
 const DEFAULT_BYTES_PER_PEER: u64 = 16 << 10;
 const DEFAULT_TOTAL_BYTES: u64 = 1 << 20;
 
-/// How messages between controllers are sent: with gossip, or to a fixed list of peers.
+/// How messages to other controllers are sent: with gossip, or to a fixed list of peers.
 pub(super) struct Messaging {
-    /// The limits of messages that gossip carries, if it carries any.
+    /// Rate limits of messages that are sent with gossip, if there are any.
     pub message_limits: Option<PeerMessageLimits>,
-    /// The other controllers, where there is no gossip.
+    /// The fixed list of the other controllers, if gossip is not configured.
     pub peers: Option<Peers>,
 }
 
-/// `peer_messages` says whether controllers may send messages; it then needs `[gossip]` or `[peers]`.
+/// Validates the settings for messages to other controllers. If `peer_messages` is set, `[gossip]` or `[peers]` is
+/// required.
 pub(super) fn validate_messaging(
     source: &Source<'_>,
     file: &File,
@@ -32,10 +33,10 @@
     let message_limits = (file.gossip.is_some() && peer_messages)
         .then(|| validate_message_limits(source, file.peers.as_ref().map(Spanned::get_ref)))
         .transpose()?;
-    // With gossip, messages arrive through it alone. The addresses under [peers] are not checked then: earlier
-    // versions read them from the same file.
-    let listed = file.peers.as_ref().filter(|_| file.gossip.is_none());
-    let peers = listed
+    // With gossip, messages are exchanged only through it, so the addresses in [peers] are not used. They are not
+    // checked either, because one file may serve earlier versions, which read them.
+    let peers_section = file.peers.as_ref().filter(|_| file.gossip.is_none());
+    let peers = peers_section
         .map(|spanned| validate_peers(source, spanned))
         .transpose()?;
     if peer_messages && peers.is_none() && file.gossip.is_none() {
@@ -52,7 +53,7 @@
     })
 }
 
-/// Validates `[gossip]`; `message_limits` limits the messages that it carries.
+/// Validates `[gossip]`. `message_limits` are the rate limits of messages that are sent with it.
 pub(super) fn validate(
     source: &Source<'_>,
     section: &schema::Gossip,
@@ -68,15 +69,15 @@
         ));
     }
     let gossip = Gossip {
-        listen: source.loopback_address(&section.listen)?,
+        listen: source.parse_loopback_address(&section.listen)?,
         advertised_address: section
             .advertised_address
             .as_ref()
-            .map(|spanned| source.loopback_address(spanned))
+            .map(|spanned| source.parse_loopback_address(spanned))
             .transpose()?,
         seeds: seeds
             .iter()
-            .map(|spanned| source.loopback_address(spanned))
+            .map(|spanned| source.parse_loopback_address(spanned))
             .collect::<ConfigResult<Vec<_>>>()?,
         keys_file: section.keys_file.get_ref().into(),
         probe_interval: source.time_or(section.probe_interval.as_ref(), seconds(1), "period")?,
@@ -97,7 +98,7 @@
     if let Some(spanned) = section
         .probe_interval
         .as_ref()
-        .filter(|_| gossip.probe_interval < MIN_PERIOD)
+        .filter(|_| gossip.probe_interval < MIN_PROBE_INTERVAL)
     {
         return Err(source.error(
             spanned,
@@ -160,7 +161,7 @@
     let addresses = section
         .addresses
         .iter()
-        .map(|spanned| source.loopback_address(spanned));
+        .map(|spanned| source.parse_loopback_address(spanned));
     let addresses = addresses.collect::<ConfigResult<Vec<_>>>()?;
     if addresses.len() > MAX_PEERS {
         return Err(source.error(
@@ -170,7 +171,7 @@
         ));
     }
     Ok(Peers {
-        listen: source.loopback_address(listen)?,
+        listen: source.parse_loopback_address(listen)?,
         addresses,
     })
 }
--- a/crates/config/src/validate/limits.rs
+++ b/crates/config/src/validate/limits.rs
@@ -1,4 +1,4 @@
-//! `[limits]`: limits on numbers and sizes.
+//! `[limits]`: limits on counts and sizes.
 
 use super::source::{ConfigResult, Source};
 use crate::model::Limits;
@@ -6,18 +6,18 @@
 use crate::units::Size;
 use toml::Spanned;
 
-const MAX_BYTES: u64 = 1 << 30;
+const MAX_SIZE_BYTES: u64 = 1 << 30;
 
 pub(super) fn validate(source: &Source<'_>, limits: &schema::Limits) -> ConfigResult<Limits> {
     let number = |spanned: &Option<Spanned<u32>>, default: u32, max: u32, key: &str| {
         spanned.as_ref().map_or(Ok(default), |spanned| {
-            number_up_to(source, spanned, max, key)
+            number_at_most(source, spanned, max, key)
         })
     };
     let size = |spanned: &Option<Spanned<Size>>, default: usize, min: u64, key: &str| {
-        spanned
-            .as_ref()
-            .map_or(Ok(default), |spanned| size_from(source, spanned, min, key))
+        spanned.as_ref().map_or(Ok(default), |spanned| {
+            size_at_least(source, spanned, min, key)
+        })
     };
     Ok(Limits {
         max_clients: number(&limits.clients, 12_000, 1_000_000, "clients")? as usize,
@@ -31,7 +31,7 @@
     })
 }
 
-fn number_up_to(
+fn number_at_most(
     source: &Source<'_>,
     spanned: &Spanned<u32>,
     max: u32,
@@ -48,14 +48,14 @@
     ))
 }
 
-fn size_from(
+fn size_at_least(
     source: &Source<'_>,
     spanned: &Spanned<Size>,
     min: u64,
     key: &str,
 ) -> ConfigResult<usize> {
     let bytes = spanned.get_ref().0;
-    if (min..=MAX_BYTES).contains(&bytes) {
+    if (min..=MAX_SIZE_BYTES).contains(&bytes) {
         return Ok(bytes as usize);
     }
     let suggestion = format!("write a size from {min} bytes to 1GB");
--- a/crates/config/src/validate/mod.rs
+++ b/crates/config/src/validate/mod.rs
@@ -1,6 +1,7 @@
-//! Validation: turns the file as written into a consistent [`Config`], one module per section of the file.
+//! Validation of the parsed file, which results in a consistent [`Config`]. There is one module per section or group
+//! of sections.
 //!
-//! The sections are checked in a fixed order, and the first problem found is returned.
+//! The sections are checked in a fixed order, and the first problem that is found is returned.
 
 mod capture;
 mod classes;
@@ -22,15 +23,15 @@
 use toml::Spanned;
 use wheelfield::interface::Class;
 
-/// The address for clients where the file names none.
+/// The default address for clients.
 const DEFAULT_LISTEN: ([u8; 4], u16) = ([127, 0, 0, 1], 6432);
-/// The user and the database at the engines where the file names none.
+/// The default user name and database for logging in to engines.
 const DEFAULT_LOGIN: &str = "wheelfield";
 
-/// Reads and validates a configuration. `name` is the name of the file, used in errors.
+/// Parses and validates a configuration. `name` is the name of the file, which is used in errors.
 ///
 /// # Errors
-/// The first problem found.
+/// The first problem that is found.
 pub fn parse(name: &str, text: &str) -> Result<Config, ConfigError> {
     let file: File =
         toml::from_str(text).map_err(|error| ConfigError::from_toml(name, text, &error))?;
@@ -92,8 +93,8 @@
     Ok(())
 }
 
-/// Adds the class of descriptions. They run nothing at an engine, so they have a class of their own: their
-/// durations must not influence the estimates of the other classes.
+/// Adds the class of describe requests. These execute nothing at an engine, so their durations must not influence the
+/// estimates of the other classes.
 fn add_describe_class(classes: &mut Vec<Class>, names: &mut Names, default_class: usize) {
     let describe = classes::describe_class(classes, default_class);
     classes.push(describe);
@@ -105,6 +106,6 @@
     spanned: Option<&Spanned<String>>,
 ) -> ConfigResult<Option<SocketAddr>> {
     spanned
-        .map(|spanned| source.loopback_address(spanned))
+        .map(|spanned| source.parse_loopback_address(spanned))
         .transpose()
 }
--- a/crates/config/src/validate/route.rs
+++ b/crates/config/src/validate/route.rs
@@ -1,14 +1,14 @@
-//! `[route]`: how a query is assigned to a class.
+//! `[route]`: the rules that assign a query to a class.
 
 use super::source::{ConfigResult, Source};
 use crate::model::{Names, Route, Selector};
 use crate::schema;
 use toml::Spanned;
 
-/// The compiled size of a selector's pattern, in bytes, at most.
+/// The maximum compiled size of a selector's pattern, in bytes.
 const MAX_PATTERN_BYTES: usize = 1 << 18;
 
-/// `describe_class` is the position that the class of descriptions will have.
+/// Validates `[route]`. `describe_class` is the position that the class of describe requests will have.
 pub(super) fn validate(
     source: &Source<'_>,
     route: &schema::Route,
--- a/crates/config/src/validate/settings.rs
+++ b/crates/config/src/validate/settings.rs
@@ -1,4 +1,5 @@
-//! The settings of the decision core, collected from `[means]`, `[signals]`, `[prices]`, `[rules]` and `[fleet]`.
+//! The settings of the decision core, from `[means]`, `[signals]`, `[prices]`, `[rules]`, `[fleet]` and the validated
+//! parts of other sections.
 
 use super::controller::ControllerIdentity;
 use super::fleet::MachineKinds;
@@ -7,7 +8,7 @@
 use toml::Spanned;
 use wheelfield::interface::{Class, Micros, RetryBudget, Settings};
 
-/// Builds the settings, and checks that they are consistent.
+/// Builds the settings and checks that they are consistent.
 pub(super) fn validate(
     source: &Source<'_>,
     file: &File,
@@ -21,7 +22,7 @@
     let max_grant_fraction = max_grant_fraction.map_or(Ok(1.0), |spanned| {
         source.number_in_range(spanned, "most_grant", 0.01, 1.0)
     })?;
-    let recovery = recovery(source, file)?;
+    let recovery = recovery_settings(source, file)?;
     let (mechanisms, signals, prices) = (&file.mechanisms, &file.signals, &file.prices);
     let settings = Settings {
         gateway_count: f64::from(identity.count),
@@ -85,8 +86,8 @@
     }))
 }
 
-/// The settings under `[rules]` for engines that start or are overloaded, and for ordered keys.
-struct Recovery {
+/// The settings from `[rules]` for engines that start or are overloaded, and for ordered keys.
+struct RecoverySettings {
     slow_start_initial_fraction: f64,
     slow_start_duration: Micros,
     overload_multiple: f64,
@@ -94,8 +95,8 @@
     key_cooldown: Micros,
 }
 
-fn recovery(source: &Source<'_>, file: &File) -> ConfigResult<Recovery> {
-    let mut recovery = Recovery {
+fn recovery_settings(source: &Source<'_>, file: &File) -> ConfigResult<RecoverySettings> {
+    let mut recovery = RecoverySettings {
         slow_start_initial_fraction: 0.3,
         slow_start_duration: Micros(0),
         overload_multiple: 0.0,
--- a/crates/config/src/validate/source.rs
+++ b/crates/config/src/validate/source.rs
@@ -1,4 +1,4 @@
-//! The text being validated, and the checks that several sections share.
+//! The source text of the configuration, and the checks that several sections share.
 
 use crate::error::ConfigError;
 use crate::units::Time;
@@ -6,17 +6,17 @@
 use toml::Spanned;
 use wheelfield::interface::Micros;
 
-/// The result of a check.
+/// The result of a validation step.
 pub(super) type ConfigResult<T> = Result<T, ConfigError>;
 
-/// The name and the text of the file being validated, from which errors get their line and column.
+/// The name and the text of the file that is validated. Errors compute their line and column from the text.
 pub(super) struct Source<'a> {
     pub file: &'a str,
     pub text: &'a str,
 }
 
 impl Source<'_> {
-    /// An error at the place of `at`: what is wrong, and how to correct it.
+    /// Creates an error at the position of `spanned`, with the problem and a suggested correction.
     pub fn error<T>(
         &self,
         spanned: &Spanned<T>,
@@ -32,8 +32,8 @@
         )
     }
 
-    /// A loopback address with its port. Others are rejected, as clients are not asked for a password.
-    pub fn loopback_address(&self, spanned: &Spanned<String>) -> ConfigResult<SocketAddr> {
+    /// Parses a loopback address with a port. Other addresses are rejected because clients are not asked for a password.
+    pub fn parse_loopback_address(&self, spanned: &Spanned<String>) -> ConfigResult<SocketAddr> {
         let address: SocketAddr = spanned.get_ref().parse().map_err(|_| {
             let suggestion = "write an address and a port, such as \"127.0.0.1:6432\"";
             self.error(
@@ -51,7 +51,7 @@
         Ok(address)
     }
 
-    /// The position of a name among the defined ones; `item` says what it names.
+    /// Returns the position of a name in `names`. `item` is the kind of item it names, such as "zone", for the error.
     pub fn index_of_name(
         &self,
         names: &[String],
@@ -75,7 +75,7 @@
             })
     }
 
-    /// Adds a name that must be neither empty nor among `names` already.
+    /// Adds a name to `names`. Rejects an empty name and a duplicate.
     pub fn add_unique_name(
         &self,
         names: &mut Vec<String>,
@@ -101,7 +101,7 @@
         Ok(())
     }
 
-    /// A finite number from `low` to `high`.
+    /// Returns a finite number from `min` to `max`, and rejects others.
     pub fn number_in_range(
         &self,
         spanned: &Spanned<f64>,
@@ -117,7 +117,7 @@
         Err(self.error(spanned, format!("{key} is {number}"), suggestion))
     }
 
-    /// A fraction from 0 to 1, or `default` where the key is absent.
+    /// Returns a fraction from 0 to 1, or `default` if the key is absent.
     pub fn fraction_or(
         &self,
         spanned: Option<&Spanned<f64>>,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// A time above zero.
+    /// Returns a time above zero, and rejects others.
     pub fn positive_time(&self, spanned: &Spanned<Time>, key: &str) -> ConfigResult<Micros> {
         match spanned.get_ref().0 {
             time if time.0 > 0 => Ok(time),
@@ -147,7 +147,7 @@
         }
     }
 
-    /// A time above zero, or `default` where the key is absent.
+    /// Returns a time above zero, or `default` if the key is absent.
     pub fn time_or(
         &self,
         spanned: Option<&Spanned<Time>>,
@@ -158,12 +158,12 @@
     }
 }
 
-/// A number of milliseconds, for defaults.
+/// Converts milliseconds to [`Micros`], for default values.
 pub(super) const fn milliseconds(number: i64) -> Micros {
     Micros(number * 1_000)
 }
 
-/// A number of seconds, for defaults.
+/// Converts seconds to [`Micros`], for default values.
 pub(super) const fn seconds(number: i64) -> Micros {
     Micros(number * 1_000_000)
 }
--- a/crates/config/src/validate/timing.rs
+++ b/crates/config/src/validate/timing.rs
@@ -1,4 +1,4 @@
-//! `[timing]`: timeouts.
+//! `[timing]`: timeouts and the answer margin.
 
 use super::source::{milliseconds, ConfigResult, Source};
 use crate::model::Timing;
@@ -23,7 +23,7 @@
     })
 }
 
-/// The deadline of each class must be longer than the margin in which its last answer is sent.
+/// Checks that the deadline of each class is longer than the margin before it at which the final answer is sent.
 pub(super) fn check_deadlines(
     source: &Source<'_>,
     classes: &[Spanned<schema::Class>],
--- a/crates/config/tests/validation.rs
+++ b/crates/config/tests/validation.rs
@@ -1,4 +1,4 @@
-//! Valid and invalid configurations; each invalid one with the error that it must get.
+//! Tests with valid and invalid configurations. For each invalid one, the expected error is checked.
 
 use wheelfield::interface::{ExecutionSemantics, Micros};
 use wheelfield_config::{parse, units, ConfigError};
@@ -44,25 +44,38 @@
 "#;
 
 #[test]
-fn a_valid_file_is_read_completely() {
-    let config = parse("good.toml", VALID).expect("good");
-    let s = &config.settings;
-    assert_eq!(s.classes.len(), 3, "descriptions have a class of their own");
+fn a_valid_file_is_parsed_completely() {
+    let config = parse("valid.toml", VALID).expect("valid configuration");
+    let settings = &config.settings;
     assert_eq!(
-        (s.classes[1].semantics, s.classes[1].zones.as_slice()),
+        settings.classes.len(),
+        3,
+        "two classes of the file, and the class of describe requests"
+    );
+    assert_eq!(
+        (
+            settings.classes[1].semantics,
+            settings.classes[1].zones.as_slice()
+        ),
         (ExecutionSemantics::AtMostOnce, &[1][..])
     );
-    assert_eq!(s.classes[0].latency_objective, Micros(1_500_000));
-    assert_eq!(s.memory_mb, [16_384.0]);
-    assert!(s.pages_on_memory_shortage && !s.queues_on_memory_shortage);
-    assert_eq!(s.retry_budget.map(|b| b.window), Some(Micros(5_000_000)));
+    assert_eq!(settings.classes[0].latency_objective, Micros(1_500_000));
+    assert_eq!(settings.memory_mb, [16_384.0]);
+    assert!(settings.pages_on_memory_shortage && !settings.queues_on_memory_shortage);
+    assert_eq!(
+        settings.retry_budget.map(|budget| budget.window),
+        Some(Micros(5_000_000))
+    );
     assert_eq!(config.route.selectors.len(), 1);
     assert_eq!(config.engines[0].kind, 0);
 }
 
-/// Replaces a line of the valid file, and returns the error.
+/// Replaces the first occurrence of `from` in the valid file by `to`, and returns the resulting error.
 fn error_after_replacing(from: &str, to: &str) -> ConfigError {
-    assert!(VALID.contains(from), "{from}");
+    assert!(
+        VALID.contains(from),
+        "the valid file does not contain {from}"
+    );
     let error = parse("x.toml", &VALID.replacen(from, to, 1)).expect_err(to);
     assert_eq!(error.file, "x.toml");
     error
@@ -70,7 +83,7 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "a table of cases")]
-fn errors_name_line_problem_and_suggestion() {
+fn errors_contain_line_problem_and_suggestion() {
     for (from, to, line, problem, suggestion) in [
         (
             "aim = \"1.5s\"",
@@ -202,33 +215,38 @@
 
 #[test]
 fn contradictory_keys_are_rejected() {
-    let more = |text: &str| parse("x.toml", &format!("{VALID}{text}")).expect_err(text);
-    assert!(more("[registry]\naddress = \"127.0.0.1:1\"\n")
-        .problem
-        .contains("both in this file and in a registry"));
-    assert!(more("[means]\nmessages = true\n")
+    let error_after_appending =
+        |text: &str| parse("x.toml", &format!("{VALID}{text}")).expect_err(text);
+    assert!(
+        error_after_appending("[registry]\naddress = \"127.0.0.1:1\"\n")
+            .problem
+            .contains("both in this file and in a registry")
+    );
+    assert!(error_after_appending("[means]\nmessages = true\n")
         .suggestion
         .contains("[peers]"));
-    assert!(more("[signals]\nreports = \"probe\"\n")
+    assert!(error_after_appending("[signals]\nreports = \"probe\"\n")
         .problem
         .contains("probes are not allowed"));
-    assert!(more("[controller]\nindex = 2\ncount = 2\n")
-        .problem
-        .contains("`index` is 2"));
     assert!(
-        more("[[engines]]\nid = \"e1\"\naddress = \"127.0.0.1:9\"\nkind = \"std\"\n")
+        error_after_appending("[controller]\nindex = 2\ncount = 2\n")
             .problem
-            .contains("is defined twice")
+            .contains("`index` is 2")
     );
-    assert!(
-        more("[[engines]]\nid = \"e2\"\naddress = \"127.0.0.1:5001\"\nkind = \"std\"\n")
-            .problem
-            .contains("two engines listen")
-    );
-    assert!(more("[timing]\nanswer_margin = \"8s\"\n")
+    assert!(error_after_appending(
+        "[[engines]]\nid = \"e1\"\naddress = \"127.0.0.1:9\"\nkind = \"std\"\n"
+    )
+    .problem
+    .contains("is defined twice"));
+    assert!(error_after_appending(
+        "[[engines]]\nid = \"e2\"\naddress = \"127.0.0.1:5001\"\nkind = \"std\"\n"
+    )
+    .problem
+    .contains("two engines listen"));
+    assert!(error_after_appending("[timing]\nanswer_margin = \"8s\"\n")
         .problem
         .contains("answer_margin"));
-    assert!(more("[limits]\nsessions = 0\n")
+    assert!(error_after_appending("[limits]\nsessions = 0\n")
         .suggestion
         .contains("from 1"));
 }
@@ -255,12 +273,12 @@
 }
 
 proptest::proptest! {
-    /// No text makes the parser panic.
+    /// Inserts random text into the valid file. The parser must not panic, and each error must have a suggestion.
     #[test]
-    fn any_text_is_read_or_rejected_with_a_suggestion(at in 0usize..700, junk in "[\\[\\]=\"a-z0-9\n{}é]{0,12}") {
+    fn corrupted_text_is_accepted_or_rejected_with_a_suggestion(offset in 0usize..700, insertion in "[\\[\\]=\"a-z0-9\n{}é]{0,12}") {
         let mut text = VALID.to_string();
-        let at = at.min(text.len());
-        text.insert_str(at, &junk);
+        let offset = offset.min(text.len());
+        text.insert_str(offset, &insertion);
         if let Err(error) = parse("x.toml", &text) {
             proptest::prop_assert!(error.line >= 1 && !error.suggestion.is_empty());
         }
@@ -268,19 +286,21 @@
 }
 
 #[test]
-fn a_capture_is_on_or_off_or_in_memory() {
-    let with = |text: &str| {
+fn capture_modes_are_on_off_and_ring() {
+    let parse_with_capture = |text: &str| {
         parse(
             "x.toml",
             &format!("{VALID}[capture]\nfile = \"c.wfcap\"\n{text}"),
         )
     };
-    let capture = |text: &str| with(text).expect(text).capture;
-    assert!(capture("").is_some_and(|c| c.ring.is_none()));
+    let capture = |text: &str| parse_with_capture(text).expect(text).capture;
+    assert!(capture("").is_some_and(|capture| capture.ring.is_none()));
     assert!(capture("mode = \"off\"").is_none());
-    let more =
+    let ring_keys =
         "mode = \"ring\"\nmemory = \"8MB\"\n[capture.triggers]\nrefusals = 0.5\nstall = \"2s\"";
-    let ring = capture(more).and_then(|c| c.ring).expect("in memory");
+    let ring = capture(ring_keys)
+        .and_then(|capture| capture.ring)
+        .expect("ring settings");
     assert_eq!(
         (ring.max_bytes, ring.rejected_fraction, ring.stall_threshold),
         (8 << 20, 0.5, Micros(2_000_000))
@@ -299,28 +319,36 @@
             "unknown field `stalls`",
         ),
     ] {
-        let got = with(text).expect_err(text);
-        assert!(got.problem.contains(problem), "{text}: {got:?}");
-        assert!(got.line >= 39, "{text}: {got:?}");
+        let error = parse_with_capture(text).expect_err(text);
+        assert!(error.problem.contains(problem), "{text}: {error:?}");
+        assert!(error.line >= 39, "{text}: {error:?}");
     }
 }
 
 #[test]
-fn an_advertised_address_must_be_reachable() {
-    let with = |advertise: &str| {
+fn an_advertised_address_must_be_valid_and_have_a_port() {
+    let parse_with_advertised = |advertise: &str| {
         let gossip = format!(
             "[gossip]\nlisten = \"127.0.0.1:0\"\nadvertise = \"{advertise}\"\nkeys = \"keys\"\n"
         );
         parse("test.toml", &format!("{VALID}\n{gossip}"))
     };
-    let taken = with("127.0.0.1:7946").expect("sound").gossip.expect("told");
-    assert_eq!(taken.advertised_address.map(|a| a.port()), Some(7946));
-    for bad in ["127.0.0.1:0", "nowhere"] {
-        let error = with(bad).expect_err(bad).to_string();
+    let gossip = parse_with_advertised("127.0.0.1:7946")
+        .expect("valid configuration")
+        .gossip
+        .expect("gossip settings");
+    assert_eq!(
+        gossip.advertised_address.map(|address| address.port()),
+        Some(7946)
+    );
+    for address in ["127.0.0.1:0", "nowhere"] {
+        let error = parse_with_advertised(address)
+            .expect_err(address)
+            .to_string();
         let line = VALID.lines().count() + 4;
         assert!(
             error.contains(&format!("test.toml:{line}")),
-            "{bad}: {error}"
+            "{address}: {error}"
         );
     }
 }
