--- a/crates/pg-gateway/src/clients.rs
+++ b/crates/pg-gateway/src/clients.rs
@@ -93,14 +93,14 @@
             next_pid: 0,
             rng,
             session_limits: client::Limits {
-                message_bytes: limits.message,
-                statements: limits.statements,
-                stored_bytes: limits.prepared,
+                message_bytes: limits.max_message_bytes,
+                statements: limits.max_statements,
+                stored_bytes: limits.max_prepared_bytes,
             },
-            max_clients: limits.clients,
-            output_limit: limits.buffer,
-            startup_timeout: config.timing.startup.0,
-            read_timeout: config.timing.stall.0 * READ_TIMEOUT_STALLS,
+            max_clients: limits.max_clients,
+            output_limit: limits.max_buffered_bytes,
+            startup_timeout: config.timing.startup_timeout.0,
+            read_timeout: config.timing.answer_stall_timeout.0 * READ_TIMEOUT_STALLS,
             counters: ClientCounters::default(),
         }
     }
--- a/crates/pg-gateway/src/dispatcher/queries.rs
+++ b/crates/pg-gateway/src/dispatcher/queries.rs
@@ -33,7 +33,7 @@
                     let Some(in_flight) = self.queries.get_mut(query) else { continue };
                     in_flight.is_complete |= is_last;
                     in_flight.continuations.push((frames, suppress_acks));
-                    if in_flight.continuation_bytes() > self.config.limits.prepared {
+                    if in_flight.continuation_bytes() > self.config.limits.max_prepared_bytes {
                         self.out.record(Coverage::OpenUnitTooLong);
                         self.abandon_query(id, query, &sql_errors::batch_too_long());
                     }
--- a/crates/pg-gateway/src/engine_sessions.rs
+++ b/crates/pg-gateway/src/engine_sessions.rs
@@ -112,7 +112,7 @@
             database: config.database.clone(),
             application_name: format!("wheelfield/{}", settings.gateway_index),
             sets_options: settings.priorities || settings.memory_grants,
-            output_limit: config.limits.buffer,
+            output_limit: config.limits.max_buffered_bytes,
         }
     }
 
--- a/crates/pg-gateway/src/engines.rs
+++ b/crates/pg-gateway/src/engines.rs
@@ -46,7 +46,7 @@
             pools: Pools::default(),
             cancel_requests: CancelRequests::new(),
             events: VecDeque::new(),
-            max_sessions: config.limits.sessions,
+            max_sessions: config.limits.max_engine_sessions,
             cancellation: config.settings.cancellation,
             timing: config.timing,
             fault: fault.filter(|_| cfg!(feature = "planted")),
@@ -102,7 +102,11 @@
         out.record(Coverage::SessionOpened);
         let id = self.sessions.open(engine, out);
         if let Some(session) = self.sessions.get_mut(id) {
-            out.reset_timer(&mut session.timer, self.timing.connect.0, TimerEvent::EngineConnectTimeout(id));
+            out.reset_timer(
+                &mut session.timer,
+                self.timing.connect_timeout.0,
+                TimerEvent::EngineConnectTimeout(id),
+            );
         }
         out.push(Effect::Connect(id, address));
     }
@@ -278,7 +282,7 @@
 
     /// Forwards an answer to its client from now on, beginning with the rows that were held back.
     pub fn begin_answer(&mut self, id: ConnId, sink: &mut BytesMut, out: &mut EffectQueue) {
-        let stall = self.timing.stall.0;
+        let stall = self.timing.answer_stall_timeout.0;
         if let Some(session) = self.sessions.get_mut(id) {
             session.backend.start_response(sink);
             out.reset_timer(&mut session.timer, stall, TimerEvent::AnswerStallCheck(id));
@@ -389,7 +393,8 @@
 
     /// Discards the rest of an answer.
     pub fn discard_answer(&mut self, id: ConnId, out: &mut EffectQueue) {
-        let timeout = if self.cancellation { self.timing.cancel.0 } else { DISCARD_TIMEOUT_UNCANCELLED_US };
+        let timeout =
+            if self.cancellation { self.timing.cancel_timeout.0 } else { DISCARD_TIMEOUT_UNCANCELLED_US };
         // An attempt that is not completely written need not be sent: the engine sees the connection close
         // and does not run the query.
         let is_attempt = |job: Option<Job>| matches!(job, Some(Job::Attempt { .. }));
@@ -412,7 +417,7 @@
         let Some(session) = self.sessions.get_mut(id).filter(|session| !session.cancelling) else { return };
         let Some(key) = session.backend.key() else { return };
         let Some(address) = self.pools.get(session.engine).map(|pool| pool.address) else { return };
-        if self.cancel_requests.start(id, address, key, 2 * self.timing.connect.0, out) {
+        if self.cancel_requests.start(id, address, key, 2 * self.timing.connect_timeout.0, out) {
             session.cancelling = true;
             out.record(Coverage::CancelRequestSent);
         } else {
@@ -473,7 +478,7 @@
     /// Checks whether an engine continues the answer that it has begun. `paused` means that the client's
     /// output buffer is full.
     pub fn check_stall(&mut self, id: ConnId, paused: bool, out: &mut EffectQueue) {
-        let stall = self.timing.stall.0;
+        let stall = self.timing.answer_stall_timeout.0;
         let Some(session) = self.sessions.get_mut(id) else { return };
         session.timer = None;
         if session.client().is_none() {
@@ -496,7 +501,7 @@
     }
 
     pub fn close_idle_sessions(&mut self, out: &mut EffectQueue) {
-        let cutoff = out.now - self.timing.session_idle.0;
+        let cutoff = out.now - self.timing.session_idle_timeout.0;
         let idle = self.pools.iter().flat_map(|(_, pool)| &pool.idle).copied();
         let expired: Vec<ConnId> = idle
             .filter(|id| self.sessions.get(*id).is_some_and(|session| session.idle_since < cutoff))
@@ -529,7 +534,7 @@
 
     fn write_probe(&mut self, id: ConnId, out: &mut EffectQueue) {
         if let Some(session) = self.sessions.get_mut(id) {
-            out.reset_timer(&mut session.timer, self.timing.probe.0, TimerEvent::ProbeTimeout(id));
+            out.reset_timer(&mut session.timer, self.timing.probe_timeout.0, TimerEvent::ProbeTimeout(id));
         }
         self.sessions.write_statement(id, Job::Probe, "SHOW wheelfield.load", out);
     }
--- a/crates/pg-gateway/src/gateway.rs
+++ b/crates/pg-gateway/src/gateway.rs
@@ -269,7 +269,7 @@
 
     fn start_draining(&mut self) {
         let clients = self.dispatcher.clients.len();
-        let drain_timeout = self.dispatcher.config.timing.drain.0;
+        let drain_timeout = self.dispatcher.config.timing.drain_timeout.0;
         if self.dispatcher.shutdown.start(clients, drain_timeout, &mut self.dispatcher.out) {
             self.dispatcher.clients.shut_down_idle(&mut self.dispatcher.out);
         }
