--- a/crates/sim-adapter/tests/one_core.rs
+++ b/crates/sim-adapter/tests/one_core.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::io::Write as _;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 use wheelfield::interface::*;
 use wheelfield_capture::{Limits, RecordedInput, Recorder, Start};
@@ -557,6 +557,27 @@
         .to_string()
 }
 
+/// Asserts that a replay of the capture makes the same decisions as the day, and that the invariant check finds no violation in
+/// it and counts the same queries.
+fn assert_capture_matches_day(path: PathBuf, day: &Day, seed: u64) {
+    // The replay of the capture gives the same decisions.
+    let verdict =
+        wheelfield_replay::run(&path, wheelfield_replay::Options::default()).expect("complete");
+    assert!(verdict.equal(), "seed {seed}: {:?}", verdict.difference);
+    // The invariant check of the capture finds no violation, and the same number of queries.
+    let checked = wheelfield_invariant_check::check(&[path], 0).expect("complete");
+    assert!(
+        checked.violations.is_empty(),
+        "seed {seed}: {:?}",
+        checked.violations
+    );
+    assert_eq!(
+        checked.queries + checked.unfinished_queries,
+        day.queries,
+        "seed {seed}"
+    );
+}
+
 #[test]
 fn driver_replay_and_adapter_make_the_same_decisions() {
     let mut kinds: BTreeMap<String, usize> = BTreeMap::new();
@@ -564,22 +585,7 @@
         let dir = tempfile::tempdir().expect("a temporary directory");
         let path = dir.path().join("one.wfcap");
         let day = run_day(&path, seed);
-        // The replay of the capture gives the same decisions.
-        let verdict =
-            wheelfield_replay::run(&path, wheelfield_replay::Options::default()).expect("complete");
-        assert!(verdict.equal(), "seed {seed}: {:?}", verdict.difference);
-        // The invariant check of the capture finds no violation, and the same number of queries.
-        let checked = wheelfield_invariant_check::check(&[path], 0).expect("complete");
-        assert!(
-            checked.violations.is_empty(),
-            "seed {seed}: {:?}",
-            checked.violations
-        );
-        assert_eq!(
-            checked.queries + checked.unfinished_queries,
-            day.queries,
-            "seed {seed}"
-        );
+        assert_capture_matches_day(path, &day, seed);
         // The adapter process gives the same decisions.
         let replies = run_adapter(&day.module_events, &[]);
         let replies_with = |prefixes: &[&str]| -> Vec<String> {
