--- a/crates/recorder/src/lib.rs
+++ b/crates/recorder/src/lib.rs
@@ -1,4 +1,5 @@
-//! The interface between a controller and its decision engine, and the recording of all inputs and outputs that pass through it.
+//! The interface between a controller and its decision engine, and a wrapper that records everything that passes through it in a
+//! capture.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/recorder/src/recording_driver.rs
+++ b/crates/recorder/src/recording_driver.rs
@@ -1,4 +1,4 @@
-//! A wrapper around a decision engine that records its inputs and outputs.
+//! A wrapper around a decision engine that records its inputs and instructions in a capture.
 
 use crate::DecisionEngine;
 use std::collections::VecDeque;
@@ -6,14 +6,14 @@
 use wheelfield_capture::{RecordedInput, Recorder, State};
 use wheelfield_driver::{Arrival, CapacityExceeded, Input, Instruction};
 
-/// Passes all inputs of a controller to its decision engine and queues the resulting instructions. If a capture is configured, each
-/// input is recorded together with its instructions.
+/// Passes all inputs of a controller to its decision engine and queues the resulting instructions. If a capture is configured,
+/// each input is recorded together with its instructions. Times are microseconds of the controller's clock.
 pub struct RecordingDriver {
     decision_engine: Box<dyn DecisionEngine>,
     recorder: Option<Recorder>,
-    /// Instructions that result from the current input.
+    /// Instructions that resulted from the input that is being handled.
     step_instructions: Vec<Instruction>,
-    /// Instructions that the controller has not taken yet.
+    /// Instructions that the controller has not taken yet, oldest first.
     pending_instructions: VecDeque<Instruction>,
 }
 
@@ -33,16 +33,17 @@
 
     /// Passes an input to the decision engine and records it.
     pub fn handle_input(&mut self, now: i64, input: Input) {
-        let recorded = self
+        let recorded_input = self
             .recorder
             .is_some()
             .then(|| RecordedInput::Input(input.clone()));
         self.decision_engine
             .handle_input(Micros(now), input, &mut self.step_instructions);
-        self.finish_step(now, recorded, None);
+        self.finish_step(now, recorded_input, None);
     }
 
-    /// Submits a query to the decision engine and records it. `label` is the name that the client gave the query.
+    /// Submits a query to the decision engine and records it. `label` is the name that the client gave the query; it is only
+    /// recorded, and has no effect on decisions.
     ///
     /// # Errors
     /// [`CapacityExceeded`] if the maximum number of queries is already held.
@@ -52,19 +53,19 @@
         arrival: Arrival,
         label: &str,
     ) -> Result<QueryId, CapacityExceeded> {
-        let record = || RecordedInput::Arrive {
+        let to_recorded_input = || RecordedInput::Arrive {
             arrival: arrival.clone(),
             label: label.to_string(),
         };
-        let recorded = self.recorder.is_some().then(record);
-        let submitted =
-            self.decision_engine
-                .submit(Micros(now), arrival, &mut self.step_instructions);
-        self.finish_step(now, recorded, submitted.ok());
-        submitted
+        let recorded_input = self.recorder.is_some().then(to_recorded_input);
+        let result = self
+            .decision_engine
+            .submit(Micros(now), arrival, &mut self.step_instructions);
+        self.finish_step(now, recorded_input, result.ok());
+        result
     }
 
-    /// Handles the timers that are due, and records this if there were any.
+    /// Handles the timers that are due. If there were any, records that timers were handled at this time.
     pub fn handle_timers(&mut self, now: i64) {
         if self
             .decision_engine
@@ -74,15 +75,16 @@
         }
     }
 
-    /// Records an input with its instructions, and queues the instructions until the controller takes them.
+    /// Records an input with its instructions, and queues the instructions until the controller takes them. `accepted_query` is
+    /// the id of the query that the input submitted.
     fn finish_step(
         &mut self,
         now: i64,
-        recorded: Option<RecordedInput>,
-        submitted: Option<QueryId>,
+        recorded_input: Option<RecordedInput>,
+        accepted_query: Option<QueryId>,
     ) {
-        if let (Some(recorder), Some(input)) = (&mut self.recorder, recorded) {
-            recorder.step(Micros(now), &input, submitted, &self.step_instructions);
+        if let (Some(recorder), Some(input)) = (&mut self.recorder, recorded_input) {
+            recorder.step(Micros(now), &input, accepted_query, &self.step_instructions);
             self.maintain_capture(now);
         }
         self.pending_instructions
@@ -99,7 +101,7 @@
         &*self.decision_engine
     }
 
-    /// Records the names of engines, which readers of the capture show instead of ids.
+    /// Records the names of engines, which the tools that read captures show instead of engine ids.
     pub fn record_engine_names(
         &mut self,
         now: i64,
@@ -110,8 +112,9 @@
         }
     }
 
-    /// Writes checkpoints that are due, and keeps the capture if there is a reason to. Called once a second and after each recorded
-    /// input.
+    /// Does the periodic work of the capture: passes recorded data on to be written and takes a checkpoint of the driver, each
+    /// if it is due, and writes a capture held in memory to a file if a trigger has fired. Called once a second and after each
+    /// recorded input. Without effect if the decision engine is not a [`Driver`](wheelfield_driver::Driver).
     pub fn maintain_capture(&mut self, now: i64) {
         if let (Some(recorder), Some(driver)) = (&mut self.recorder, self.decision_engine.driver())
         {
@@ -119,7 +122,8 @@
         }
     }
 
-    /// Requests that the capture held in memory be written to a file. Returns `false` if nothing is recorded.
+    /// Requests that a capture held in memory be written to a file; a capture that is written to files anyway is not affected.
+    /// Returns `false` if nothing is recorded.
     pub fn request_capture(&mut self, now: i64) -> bool {
         let Some(recorder) = &mut self.recorder else {
             return false;
@@ -129,7 +133,7 @@
         true
     }
 
-    /// Returns the state of the capture.
+    /// Returns the state of the capture; all counts are zero if nothing is recorded.
     pub fn capture_state(&self) -> State {
         self.recorder
             .as_ref()
@@ -137,7 +141,7 @@
             .unwrap_or_default()
     }
 
-    /// Removes the recorder, so that the caller can finish it.
+    /// Removes and returns the recorder, so that the caller can finish the capture. Nothing is recorded from then on.
     pub fn take_recorder(&mut self) -> Option<Recorder> {
         self.recorder.take()
     }
