--- a/crates/net/src/bind.rs
+++ b/crates/net/src/bind.rs
@@ -1,12 +1,12 @@
-//! Opens listening sockets and datagram sockets.
+//! Opens TCP listening sockets and UDP sockets.
 
 use mio::net::{TcpListener, UdpSocket};
 use socket2::{Domain, Protocol, Type};
 use std::io;
 use std::net::SocketAddr;
 
-/// Opens a non-blocking listening socket. With port 0 the system chooses the port. At most `backlog` connections wait to be
-/// accepted.
+/// Opens a non-blocking TCP listening socket. With port 0 the operating system chooses a free port. The operating system queues
+/// at most about `backlog` connections that have not been accepted yet.
 ///
 /// # Errors
 /// If the address cannot be bound.
@@ -23,7 +23,7 @@
     Ok(TcpListener::from_std(socket.into()))
 }
 
-/// Opens a non-blocking datagram socket. With port 0 the system chooses the port.
+/// Opens a non-blocking UDP socket. With port 0 the operating system chooses a free port.
 ///
 /// # Errors
 /// If the address cannot be bound.
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of a process.
+//! A monotonic clock of microseconds since the Unix epoch.
 
 use std::time::{Duration, Instant, SystemTime};
 
@@ -9,7 +9,7 @@
 pub struct Clock {
     started_at: Instant,
     /// Wall-clock time at the start, in microseconds since the Unix epoch.
-    wall_at_start: i64,
+    wall_clock_at_start: i64,
 }
 
 impl Clock {
@@ -18,20 +18,20 @@
         let wall = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
-        let wall_at_start = i64::try_from(wall.as_micros()).unwrap_or(0);
+        let wall_clock_at_start = i64::try_from(wall.as_micros()).unwrap_or(0);
         Clock {
             started_at: Instant::now(),
-            wall_at_start,
+            wall_clock_at_start,
         }
     }
 
     /// Returns the current time in microseconds since the Unix epoch.
     pub fn now(&self) -> i64 {
         let elapsed = i64::try_from(self.started_at.elapsed().as_micros());
-        self.wall_at_start + elapsed.unwrap_or(i64::MAX - self.wall_at_start)
+        self.wall_clock_at_start + elapsed.unwrap_or(i64::MAX - self.wall_clock_at_start)
     }
 
-    /// Returns the duration from now until the time `at`, in microseconds since the Unix epoch; zero if it has passed.
+    /// Returns the duration from now until the time `at`, which is in microseconds since the Unix epoch; zero if it has passed.
     pub fn until(&self, at: i64) -> Duration {
         Duration::from_micros(u64::try_from(at - self.now()).unwrap_or(0))
     }
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP messages, and a blocking HTTP client for programs without an event loop.
+//! The HTTP codec of `wheelfield-sans-io`, and a blocking HTTP client for programs without an event loop.
 
 use bytes::BytesMut;
 use std::io::{self, Read as _, Write as _};
@@ -10,17 +10,17 @@
 /// Size of the read buffer in bytes.
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// Sends a GET request and waits for the response. `timeout` applies to the connect, to each read and to each write. The response
-/// may have up to `max_bytes`.
+/// Sends a GET request and waits for the response. `timeout` applies separately to the connect, to each read and to each
+/// write. The body of the response may have up to `max_body_bytes`.
 ///
 /// # Errors
-/// I/O errors of the connection; `InvalidData` if the response is invalid or exceeds `max_bytes`; `UnexpectedEof` if it is
-/// incomplete.
+/// I/O errors of the connection; `InvalidData` if the response is invalid or too long; `UnexpectedEof` if the connection was closed
+/// before the response was complete.
 pub fn get(
     address: SocketAddr,
     path: &str,
     timeout: Duration,
-    max_bytes: usize,
+    max_body_bytes: usize,
 ) -> io::Result<Response> {
     let mut stream = TcpStream::connect_timeout(&address, timeout)?;
     stream.set_read_timeout(Some(timeout))?;
@@ -32,7 +32,7 @@
     loop {
         let length = stream.read(&mut buffer)?;
         input.extend_from_slice(&buffer[..length]);
-        match take_response(&mut input, max_bytes) {
+        match take_response(&mut input, max_body_bytes) {
             Ok(Some(response)) => return Ok(response),
             Ok(None) if length == 0 => return Err(io::ErrorKind::UnexpectedEof.into()),
             Ok(None) => {}
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,7 +1,7 @@
 //! Sockets, a clock and an HTTP client that the programs share.
 //!
-//! Sockets and streams are non-blocking, and callers can bound the size of their buffers. Nothing in this crate depends on queries
-//! or engines.
+//! Sockets and streams are non-blocking, and callers can limit the size of their buffers. Nothing in this crate depends on
+//! queries or engines. Timers and the HTTP codec are re-exported from `wheelfield-sans-io`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -1,7 +1,7 @@
 //! Non-blocking TCP sockets that track their readiness.
 //!
-//! The poll of `mio` is edge-triggered: a socket that becomes readable or writable is reported once, and again only after a read
-//! or write has failed with `WouldBlock`. A socket is therefore treated as ready until a call fails with `WouldBlock`.
+//! [`mio::Poll`] is edge-triggered: a socket that becomes readable or writable is reported once, and again only after a read or
+//! write has failed with `WouldBlock`. A socket is therefore treated as ready until a call fails with `WouldBlock`.
 
 use mio::event::Event;
 use mio::net::TcpStream;
@@ -17,42 +17,45 @@
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(60);
 /// Interval between TCP keepalive probes to a peer that does not answer.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(15);
-/// Error code of a non-blocking connect that is in progress (`EINPROGRESS` on Linux).
-const CONNECT_IN_PROGRESS: i32 = 115;
-/// Error code for a temporary lack of buffer space (`ENOBUFS` on Linux).
-const NO_BUFFER_SPACE: i32 = 105;
+/// Linux error number of a non-blocking connect that has not completed yet.
+const EINPROGRESS: i32 = 115;
+/// Linux error number for a temporary lack of buffer space.
+const ENOBUFS: i32 = 105;
 
-/// Returns whether a read, write or registration failed because the system is temporarily short of memory. Such a call had no
-/// effect, no data is lost, and the call can be retried.
+/// Returns whether a read, write or registration failed because the operating system is temporarily short of memory. Such a call
+/// had no effect, no data is lost, and the call can be retried.
 pub fn is_transient(error: &io::Error) -> bool {
-    error.kind() == io::ErrorKind::OutOfMemory || error.raw_os_error() == Some(NO_BUFFER_SPACE)
+    error.kind() == io::ErrorKind::OutOfMemory || error.raw_os_error() == Some(ENOBUFS)
 }
 
-/// A connected or connecting TCP socket without buffers.
+/// A TCP socket that is connected, or for which a connect is in progress. It has no buffers; [`crate::Stream`] adds them.
 #[derive(Debug)]
 pub struct Socket {
     stream: TcpStream,
+    /// Whether a read may return data. Cleared when a read fails with `WouldBlock`.
     readable: bool,
+    /// Whether a write may succeed. Cleared when a write fails with `WouldBlock`.
     writable: bool,
-    /// Whether the peer has closed the connection or it failed; received bytes may still wait to be read.
+    /// Whether the peer has closed its sending side or the connection has failed; received bytes may not have been read yet.
     peer_closed: bool,
-    /// Whether nothing more can be read: the end of the stream was reached, or a read failed.
+    /// Whether nothing more can be read: the end of the stream was reached, or a read failed with an error that is not transient.
     read_finished: bool,
+    /// Whether the connection is established.
     connected: bool,
-    /// The token to register the socket with, as long as the registration has not succeeded.
+    /// The token to register the socket with; `None` once the registration has succeeded.
     pending_registration: Option<Token>,
 }
 
 impl Socket {
     /// Wraps an accepted connection and registers it for reading and writing. If the registration fails, the socket can be used
-    /// nevertheless, and the caller has to call [`Socket::ensure_registered`] until it succeeds.
+    /// nevertheless, and the caller has to repeat [`Socket::ensure_registered`] until it succeeds; see [`Socket::mark_ready`].
     pub fn from_accepted(stream: TcpStream, registry: &Registry, token: Token) -> Socket {
         let mut socket = Socket::new(stream, true, token);
         let _ = socket.ensure_registered(registry);
         socket
     }
 
-    /// Starts a connect; [`Socket::check_connected`] returns whether it has completed.
+    /// Starts to connect to `address`; [`Socket::check_connected`] returns whether the connection is established.
     ///
     /// # Errors
     /// If the connect cannot be started or the socket cannot be registered.
@@ -60,7 +63,8 @@
         Socket::register(TcpStream::connect(address)?, registry, token)
     }
 
-    /// Starts a connect from a given source address. Several source addresses allow more connections than one address has ports.
+    /// Starts to connect to `address` from the address `source`. The number of connections to one destination is limited by the
+    /// ports of a source address, so several source addresses allow more connections.
     ///
     /// # Errors
     /// If the source address cannot be bound, the connect cannot be started or the socket cannot be registered.
@@ -80,7 +84,7 @@
         match socket.connect(&address.into()) {
             Err(e)
                 if e.kind() != io::ErrorKind::WouldBlock
-                    && e.raw_os_error() != Some(CONNECT_IN_PROGRESS) =>
+                    && e.raw_os_error() != Some(EINPROGRESS) =>
             {
                 return Err(e)
             }
@@ -95,7 +99,8 @@
         Ok(socket)
     }
 
-    /// Registers the socket with the poll unless it is registered already. The poll then also reports data that arrived before.
+    /// Registers the socket with the poll unless it is registered already. The poll then also reports data that arrived before
+    /// the registration.
     ///
     /// # Errors
     /// If the registration fails.
@@ -109,8 +114,8 @@
         Ok(())
     }
 
-    /// Marks the socket as readable and writable, so that the next read and write make a system call. This is needed for a socket
-    /// that is not registered, because the poll does not report its events.
+    /// Marks the socket as readable and writable, so that the next read and the next write make a system call. The caller needs
+    /// this to retry on a socket that is not registered, because the poll does not report its events.
     pub fn mark_ready(&mut self) {
         self.readable = true;
         self.writable = true;
@@ -145,7 +150,8 @@
         self.peer_closed |= event.is_read_closed() || event.is_error();
     }
 
-    /// Returns whether the socket is connected, and completes a pending connect if the system reports its success.
+    /// Returns whether the connection is established. If a connect is in progress and the socket is writable, asks the
+    /// operating system for its result.
     ///
     /// # Errors
     /// The error with which the connect failed.
@@ -170,9 +176,9 @@
         }
     }
 
-    /// Reads once without blocking. The socket stays readable until a read fails with `WouldBlock`, because the poll reports
-    /// arriving data once and a read may return only part of it. Returns the number of bytes read; zero if there is nothing to read
-    /// now or nothing more will arrive ([`Socket::is_read_finished`]).
+    /// Reads once without blocking. Returns the number of bytes read; zero if there is nothing to read now or nothing more will
+    /// arrive ([`Socket::is_read_finished`]). The socket stays readable until a read fails with `WouldBlock`, because the poll
+    /// reports arriving data once and a read may return only part of it.
     ///
     /// # Errors
     /// The error that broke the connection. The socket can't be used any more, unless the error is transient ([`is_transient`]).
@@ -219,12 +225,14 @@
         self.writable
     }
 
-    /// Returns whether nothing more can be read: the peer has closed its side and all its data was read, or a read has failed.
+    /// Returns whether nothing more can be read: the peer has closed its sending side and all its data was read, or a read has
+    /// failed with an error that is not transient.
     pub fn is_read_finished(&self) -> bool {
         self.read_finished
     }
 
-    /// Returns whether the peer has closed its side or the connection has failed. Received bytes may still wait to be read.
+    /// Returns whether the peer has closed its sending side or the connection has failed. Received bytes may not have been read
+    /// yet.
     pub fn is_peer_closed(&self) -> bool {
         self.peer_closed
     }
@@ -232,7 +240,7 @@
     /// Returns the address of the peer.
     ///
     /// # Errors
-    /// If it is not connected.
+    /// If the socket is not connected.
     pub fn peer_address(&self) -> io::Result<SocketAddr> {
         self.stream.peer_addr()
     }
@@ -242,7 +250,7 @@
         let _ = registry.deregister(&mut SourceFd(&self.stream.as_raw_fd()));
     }
 
-    /// Closes the connection with a TCP reset.
+    /// Closes the connection with a TCP reset, which discards data that was not yet sent.
     pub fn reset(self, registry: &Registry) {
         let _ = registry.deregister(&mut SourceFd(&self.stream.as_raw_fd()));
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
@@ -250,7 +258,7 @@
 }
 
 impl std::os::fd::AsFd for Socket {
-    /// Returns the file descriptor, for reading socket options.
+    /// Returns the file descriptor, with which the caller can read socket options.
     fn as_fd(&self) -> std::os::fd::BorrowedFd<'_> {
         self.stream.as_fd()
     }
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -7,11 +7,11 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Maximum capacity in bytes that an empty output buffer retains; the memory of a larger one is released.
+/// Maximum capacity in bytes that an empty output buffer keeps allocated; the memory of a larger one is released.
 const MAX_RETAINED_OUTPUT_BYTES: usize = 2048;
 
-/// A [`Socket`] with input and output buffers. The caller bounds both: the input by the limit that it passes to [`Stream::fill`],
-/// the output by the amount of data that it appends.
+/// A [`Socket`] with input and output buffers. The caller limits the size of both: of the input by the limit that it passes to
+/// [`Stream::fill`], of the output by the amount of data that it appends.
 #[derive(Debug)]
 pub struct Stream {
     socket: Socket,
@@ -22,10 +22,11 @@
 }
 
 impl Stream {
-    /// Starts a connect, from the address `source` if one is given. [`Stream::check_connected`] returns whether it has completed.
+    /// Starts to connect to `address`, from the address `source` if one is given. [`Stream::check_connected`] returns whether the
+    /// connection is established.
     ///
     /// # Errors
-    /// As [`Socket::connect`] and [`Socket::connect_from`].
+    /// The errors of [`Socket::connect`] and [`Socket::connect_from`].
     pub fn connect(
         source: Option<SocketAddr>,
         address: SocketAddr,
@@ -48,7 +49,7 @@
         self.socket.handle_event(event);
     }
 
-    /// Returns whether the stream is connected; see [`Socket::check_connected`].
+    /// Returns whether the connection is established; see [`Socket::check_connected`].
     ///
     /// # Errors
     /// The error with which the connect failed.
@@ -56,8 +57,8 @@
         self.socket.check_connected()
     }
 
-    /// Reads available data until the input buffer holds `max_input` bytes, and returns the number of bytes read. The caller can
-    /// pass the same `scratch` buffer to all streams, so that idle streams hold no memory.
+    /// Reads available data until the input buffer holds `max_input` bytes, and returns the number of bytes read. Each read
+    /// goes through the buffer `scratch`; the caller can pass the same one to all streams, so that idle streams hold no memory.
     ///
     /// # Errors
     /// The error that broke the connection; the stream can't be used any more.
@@ -76,7 +77,7 @@
         Ok(total)
     }
 
-    /// Writes as much of the output buffer as possible without blocking. Returns whether all of it was written.
+    /// Writes as much of the output buffer as the socket accepts without blocking. Returns whether all of it was written.
     ///
     /// # Errors
     /// The error that broke the connection; the stream can't be used any more.
@@ -118,7 +119,7 @@
     /// See [`Socket::peer_address`].
     ///
     /// # Errors
-    /// If it is not connected.
+    /// If the stream is not connected.
     pub fn peer_address(&self) -> io::Result<SocketAddr> {
         self.socket.peer_address()
     }
