--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -14,8 +14,8 @@
 /// write. The body of the response may have up to `max_body_bytes`.
 ///
 /// # Errors
-/// I/O errors of the connection; `InvalidData` if the response is invalid or too long; `UnexpectedEof` if the connection was closed
-/// before the response was complete.
+/// I/O errors of the connection; `InvalidData` if the response is invalid or too long; `UnexpectedEof` if the connection was
+/// closed before the response was complete.
 pub fn get(
     address: SocketAddr,
     path: &str,
