--- a/crates/sans-io/src/connection_buffer.rs
+++ b/crates/sans-io/src/connection_buffer.rs
@@ -5,21 +5,24 @@
 use bytes::{Buf, BytesMut};
 use std::ops::Range;
 
-/// An empty output buffer whose capacity in bytes exceeds this is freed.
-const RETAINED_CAPACITY: usize = 2048;
+/// Maximum capacity in bytes that an empty output buffer keeps allocated; the memory of a larger one is released.
+const MAX_RETAINED_OUTPUT_BYTES: usize = 2048;
 
-/// Input and output buffers of a connection. The event loop owns the socket.
+/// Input and output buffers of a connection, and whether the peer has closed its side. The event loop owns the socket; the
+/// protocol implementation owns the buffers and requests reads and writes by effects.
 #[derive(Debug, Default)]
 pub struct ConnectionBuffer {
-    /// Bytes received and not consumed yet.
+    /// Bytes that were received and not yet consumed.
     pub input: BytesMut,
-    /// Bytes not written to the socket yet.
+    /// Bytes that were not yet written to the socket.
     pub output: BytesMut,
-    /// Whether the peer has closed its sending side and everything it sent has been received.
+    /// Whether the peer has closed its sending side and everything that it sent has been received
+    /// ([`crate::IoEvent::ReadClosed`]).
     pub read_closed: bool,
-    /// Whether the peer has closed the connection. Some of the bytes it sent may not have been read yet.
+    /// Whether the peer has closed its sending side or the connection has failed, while some of the bytes that it sent may not
+    /// have been read yet ([`crate::IoEvent::PeerClosing`]).
     pub peer_closing: bool,
-    /// Whether [`Effect::Write`] has been requested for the current output.
+    /// Whether [`Effect::Write`] has been requested since the output was last empty.
     write_requested: bool,
     /// Whether [`ConnectionBuffer::read_capacity`] has returned zero since reading was last resumed.
     read_blocked: bool,
@@ -31,7 +34,8 @@
         self.input.extend_from_slice(bytes);
     }
 
-    /// How many more bytes may be received now, with at most `limit` unconsumed bytes in the input.
+    /// Returns how many more bytes may be received now, so that the input holds at most `limit` unconsumed bytes. After a
+    /// result of zero, [`ConnectionBuffer::resume_reading`] has to be called once input has been consumed.
     pub fn read_capacity(&mut self, limit: usize) -> usize {
         if self.read_closed {
             return 0;
@@ -41,7 +45,7 @@
         capacity
     }
 
-    /// Requests [`Effect::ResumeReading`] if reading was blocked and there is capacity again. Frees the memory of an empty
+    /// Requests [`Effect::ResumeReading`] if reading was blocked and there is capacity again. Releases the memory of an empty
     /// input.
     pub fn resume_reading(
         &mut self,
@@ -58,14 +62,15 @@
         }
     }
 
-    /// Requests [`Effect::Write`], unless the output is empty or already requested to be written.
+    /// Requests [`Effect::Write`], unless the output is empty or the effect is already requested. The event loop then writes
+    /// until the output is empty.
     pub fn flush(&mut self, id: ConnId, effects: &mut EffectQueue<impl Sized>) {
         if !self.output.is_empty() && !std::mem::replace(&mut self.write_requested, true) {
             effects.push(Effect::Write(id));
         }
     }
 
-    /// Removes a range of bytes from the output.
+    /// Removes a range of unwritten bytes from the output.
     pub fn remove_output(&mut self, bytes: Range<usize>) {
         let tail = self.output.split_off(bytes.end.min(self.output.len()));
         self.output.truncate(bytes.start);
@@ -74,13 +79,13 @@
         self.write_requested &= !self.output.is_empty();
     }
 
-    /// Removes `count` written bytes from the output. Returns whether the output is empty.
+    /// Removes the first `count` bytes from the output, which were written. Returns whether the output is empty now.
     pub fn advance_written(&mut self, count: usize) -> bool {
         self.output.advance(count.min(self.output.len()));
         let all_written = self.output.is_empty();
         if all_written {
             self.write_requested = false;
-            if self.output.capacity() > RETAINED_CAPACITY {
+            if self.output.capacity() > MAX_RETAINED_OUTPUT_BYTES {
                 self.output = BytesMut::new();
             }
         }
--- a/crates/sans-io/src/connection_table.rs
+++ b/crates/sans-io/src/connection_table.rs
@@ -1,13 +1,15 @@
-//! A table of connections. A slot is reused but its id is not, so a late event of a closed connection is not attributed to
-//! another connection.
+//! A table of connections. A slot is reused after its connection was removed, but with a different id, so that a late event of a
+//! closed connection is not attributed to the new one.
 
 use slab::Slab;
 
+/// Bits of a [`ConnId`] for the generation number, which repeats after 2^29 insertions into a table.
 const GENERATION_BITS: u32 = 29;
+/// Bits of a [`ConnId`] for the slot; they are the lowest. The three bits above slot and generation are the owner.
 const SLOT_BITS: u32 = 32;
 
-/// Identifies a connection: the table that owns it, its slot in that table, and a generation number that tells apart the
-/// connections that use the same slot.
+/// Identifies a connection: the number of the table that owns it, its slot in that table, and a generation number that
+/// distinguishes the connections that use the same slot one after another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(u64);
 
@@ -21,28 +23,30 @@
         )
     }
 
-    /// The number of the owning table, from 1 to 7.
+    /// Returns the number of the owning table, from 1 to 7. The tables of a controller have different numbers.
     pub fn owner(self) -> u8 {
         (self.0 >> (GENERATION_BITS + SLOT_BITS)) as u8
     }
 
-    /// The slot in the owning table.
+    /// Returns the slot in the owning table.
     pub fn slot(self) -> usize {
         (self.0 & u64::from(u32::MAX)) as usize
     }
 
-    /// The id as a number, which is at least 2^61.
+    /// Returns the id as a number, for example for a token of a poll. It is at least 2^61, so that smaller numbers are free for
+    /// sockets that are not in a table, such as listeners.
     pub fn as_u64(self) -> u64 {
         self.0
     }
 
-    /// The id for a number returned by [`ConnId::as_u64`].
+    /// Returns the id for a number that [`ConnId::as_u64`] returned.
     pub fn from_u64(number: u64) -> ConnId {
         ConnId(number)
     }
 }
 
-/// Connections of one owner, each with a value. The table has no size limit: the caller must bound its insertions.
+/// Connections of one component of a controller, each with a value of this component. The table has no size limit: the caller
+/// must limit the number of connections.
 #[derive(Debug)]
 pub struct ConnectionTable<T> {
     owner: u8,
@@ -51,7 +55,7 @@
 }
 
 impl<T> ConnectionTable<T> {
-    /// Creates an empty table; `owner` is 1 to 7.
+    /// Creates an empty table with the number `owner`, from 1 to 7.
     pub fn new(owner: u8) -> ConnectionTable<T> {
         debug_assert!((1..8).contains(&owner));
         ConnectionTable {
@@ -70,7 +74,7 @@
         id
     }
 
-    /// Returns the value of a connection.
+    /// Returns the value of a connection; `None` if the connection was removed.
     pub fn get(&self, id: ConnId) -> Option<&T> {
         self.slots
             .get(id.slot())
@@ -78,7 +82,7 @@
             .map(|(_, value)| value)
     }
 
-    /// Returns the value of a connection as mutable.
+    /// Returns the value of a connection as mutable; `None` if the connection was removed.
     pub fn get_mut(&mut self, id: ConnId) -> Option<&mut T> {
         self.slots
             .get_mut(id.slot())
@@ -86,7 +90,7 @@
             .map(|(_, value)| value)
     }
 
-    /// Removes a connection and returns its value.
+    /// Removes a connection and returns its value; `None` if it was removed before.
     pub fn remove(&mut self, id: ConnId) -> Option<T> {
         self.get(id)?;
         self.slots.try_remove(id.slot()).map(|(_, value)| value)
@@ -97,12 +101,12 @@
         self.slots.iter().map(|(_, (id, value))| (*id, value))
     }
 
-    /// Number of connections.
+    /// Returns the number of connections.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Whether the table is empty.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
--- a/crates/sans-io/src/connection_table_tests.rs
+++ b/crates/sans-io/src/connection_table_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_slot_is_reused_and_its_id_is_not() {
+fn a_reused_slot_gets_a_new_id() {
     let mut table = ConnectionTable::new(3);
     let a = table.insert('a');
     assert_eq!(table.remove(a), Some('a'));
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_wrapped_generation_leaves_owner_and_slot_intact() {
+fn a_generation_that_exceeds_its_bits_leaves_owner_and_slot_intact() {
     let mut table = ConnectionTable::new(7);
     table.generation = u32::MAX;
     let id = table.insert(());
--- a/crates/sans-io/src/http.rs
+++ b/crates/sans-io/src/http.rs
@@ -1,29 +1,29 @@
-//! A minimal HTTP/1.1 codec for secondary interfaces. It supports bodies with a Content-Length but no transfer encodings, and
-//! limits the size of each message.
+//! A minimal HTTP/1.1 codec for interfaces that do not carry queries, such as the admin interface and the engine registry. It
+//! supports bodies with a Content-Length header but no transfer encodings, and limits the size of each message.
 
 use bytes::{Buf, Bytes, BytesMut};
 use std::fmt::Write;
 
-/// Maximum number of headers of a message.
+/// Maximum number of headers of a message; a message with more is malformed.
 const MAX_HEADERS: usize = 32;
-/// Maximum length of the start line and headers of an incomplete message.
+/// Maximum number of bytes received of a start line and headers that are not complete yet.
 const MAX_HEAD_BYTES: usize = 8 << 10;
 
-/// Why a message cannot be parsed.
+/// The reason why a message cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
-    /// The message is not valid HTTP.
+    /// The message is not valid HTTP; the text describes the error.
     #[error("not HTTP: {0}")]
     Malformed(String),
-    /// The message exceeds a size limit.
+    /// The message exceeds this size limit, in bytes.
     #[error("a message over the limit of {0} bytes")]
     TooLong(usize),
-    /// The message has a transfer encoding, such as chunked, which is not supported.
+    /// The message has a Transfer-Encoding header, such as `chunked`; no transfer encoding is supported.
     #[error("a body in chunks, which is not read here")]
-    Chunked,
+    UnsupportedTransferEncoding,
 }
 
-/// A request.
+/// An HTTP request. Headers are not kept.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
     /// The method, such as `GET` or `POST`.
@@ -35,12 +35,12 @@
 }
 
 impl Request {
-    /// The path of the target, without the query string.
+    /// Returns the path of the target, without the query string.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or("")
     }
 
-    /// The value of a parameter of the query string, not percent-decoded.
+    /// Returns the value of a parameter of the query string, not percent-decoded; `None` if the parameter is missing.
     pub fn query_param(&self, name: &str) -> Option<&str> {
         let query = self.target.split_once('?')?.1;
         query
@@ -51,7 +51,7 @@
     }
 }
 
-/// A response.
+/// An HTTP response. Headers are not kept.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
     /// The status code.
@@ -60,31 +60,32 @@
     pub body: Bytes,
 }
 
-/// Removes the head of `head_length` bytes and the body from `buf`, and returns the body; `None` until the body is complete.
+/// Removes the head (start line and headers) of `head_length` bytes and the body from `buf`, and returns the body. Returns `None`
+/// and leaves `buf` unchanged until the body is complete.
 fn take_body(
     head_length: usize,
     headers: &[httparse::Header<'_>],
     buf: &mut BytesMut,
-    limit: usize,
+    max_body_bytes: usize,
 ) -> Result<Option<Bytes>, HttpError> {
-    let get = |name: &str| {
+    let header_value = |name: &str| {
         headers
             .iter()
             .find(|h| h.name.eq_ignore_ascii_case(name))
             .map(|h| h.value)
     };
-    if get("transfer-encoding").is_some() {
-        return Err(HttpError::Chunked);
+    if header_value("transfer-encoding").is_some() {
+        return Err(HttpError::UnsupportedTransferEncoding);
     }
-    let length = match get("content-length") {
+    let length = match header_value("content-length") {
         None => 0,
         Some(value) => std::str::from_utf8(value)
             .ok()
             .and_then(|v| v.trim().parse::<usize>().ok())
             .ok_or_else(|| HttpError::Malformed("a content-length that is no number".into()))?,
     };
-    if length > limit {
-        return Err(HttpError::TooLong(limit));
+    if length > max_body_bytes {
+        return Err(HttpError::TooLong(max_body_bytes));
     }
     if buf.len() < head_length + length {
         return Ok(None);
@@ -93,7 +94,7 @@
     Ok(Some(buf.split_to(length).freeze()))
 }
 
-/// Rejects an incomplete head that is over the limit.
+/// Rejects an incomplete head that exceeds [`MAX_HEAD_BYTES`].
 fn check_incomplete_head(buf: &BytesMut) -> Result<(), HttpError> {
     if buf.len() > MAX_HEAD_BYTES {
         Err(HttpError::TooLong(MAX_HEAD_BYTES))
@@ -102,11 +103,16 @@
     }
 }
 
-/// Removes a request from the front of `buf`; `None` until the request is complete.
+/// Removes a request from the front of `buf`. Returns `None` and leaves `buf` unchanged until the request is complete.
 ///
 /// # Errors
-/// [`HttpError`] if the message is malformed, has a transfer encoding, or has a body of over `limit` bytes.
-pub fn take_request(buf: &mut BytesMut, limit: usize) -> Result<Option<Request>, HttpError> {
+/// [`HttpError`] if the message is malformed, has a transfer encoding, or exceeds a size limit; `max_body_bytes` is the
+/// maximum size of the body in bytes.
+pub fn take_request(
+    buf: &mut BytesMut,
+    max_body_bytes: usize,
+) -> Result<Option<Request>, HttpError> {
+    // The parsed headers borrow from the copy while `take_body` modifies `buf`.
     let copy = buf.clone();
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -121,7 +127,7 @@
         request.path.unwrap_or("").to_string(),
     );
     Ok(
-        take_body(head_length, request.headers, buf, limit)?.map(|body| Request {
+        take_body(head_length, request.headers, buf, max_body_bytes)?.map(|body| Request {
             method,
             target,
             body,
@@ -129,11 +135,16 @@
     )
 }
 
-/// Removes a response from the front of `buf`; `None` until the response is complete.
+/// Removes a response from the front of `buf`. Returns `None` and leaves `buf` unchanged until the response is complete.
 ///
 /// # Errors
-/// [`HttpError`] if the message is malformed, has a transfer encoding, or has a body of over `limit` bytes.
-pub fn take_response(buf: &mut BytesMut, limit: usize) -> Result<Option<Response>, HttpError> {
+/// [`HttpError`] if the message is malformed, has a transfer encoding, or exceeds a size limit; `max_body_bytes` is the
+/// maximum size of the body in bytes.
+pub fn take_response(
+    buf: &mut BytesMut,
+    max_body_bytes: usize,
+) -> Result<Option<Response>, HttpError> {
+    // The parsed headers borrow from the copy while `take_body` modifies `buf`.
     let copy = buf.clone();
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
@@ -144,10 +155,13 @@
         return check_incomplete_head(buf).map(|()| None);
     };
     let status = response.code.unwrap_or(0);
-    Ok(take_body(head_length, response.headers, buf, limit)?.map(|body| Response { status, body }))
+    Ok(
+        take_body(head_length, response.headers, buf, max_body_bytes)?
+            .map(|body| Response { status, body }),
+    )
 }
 
-/// Appends a request to `out`.
+/// Appends a request to `out`. Its Host header is `localhost`, whatever the address of the server is.
 pub fn write_request(method: &str, target: &str, body: &[u8], out: &mut BytesMut) {
     let mut head = String::new();
     let _ = write!(
@@ -159,7 +173,7 @@
     out.extend_from_slice(body);
 }
 
-/// Appends a response to `out`.
+/// Appends a response to `out`. Status codes without a reason phrase here get the phrase `Other`.
 pub fn write_response(status: u16, content_type: &str, body: &[u8], out: &mut BytesMut) {
     let reason = match status {
         200 => "OK",
--- a/crates/sans-io/src/lib.rs
+++ b/crates/sans-io/src/lib.rs
@@ -1,6 +1,6 @@
 //! The interface between an event loop and protocol implementations that do no I/O themselves (sans-I/O): the protocol trait,
-//! I/O events, effects, timers, connection buffers, connection ids that are not reused, and a small HTTP/1.1 codec for
-//! secondary interfaces. The crate uses no sockets and reads no clock.
+//! I/O events, effects, timers, connection buffers, a table of connections, and a small HTTP/1.1 codec. The crate uses no sockets
+//! and reads no clock.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/sans-io/src/protocol.rs
+++ b/crates/sans-io/src/protocol.rs
@@ -3,15 +3,15 @@
 use crate::{ConnId, DatagramSocket, Effect, Listener};
 use std::net::SocketAddr;
 
-/// Why a connection could not be established, or was lost.
+/// The cause for which a connection could not be established or was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureCause {
-    /// The peer refused the connection, as it has no listener. No data has reached it.
+    /// The peer refused the connection because nothing listens at the address. No data has reached it.
     ConnectRefused,
     /// The peer did not answer the connection attempt or cannot be reached. No data has reached it.
     PeerUnreachable,
-    /// This host could not attempt the connection, for lack of ports, file descriptors, memory or a route. This says nothing
-    /// about the peer and may be temporary.
+    /// This host could not attempt the connection, for lack of ports, file descriptors, memory or a route. This does not indicate
+    /// a failure of the peer and may be temporary.
     ConnectNotAttempted,
     /// An established connection was lost, or a connection broke while it was being established.
     ConnectionLost,
@@ -22,70 +22,73 @@
 pub enum IoEvent<'a> {
     /// A connection that the controller opened is established.
     Connected(ConnId),
-    /// Bytes were received, no more than [`Protocol::read_capacity`] allowed.
+    /// Bytes were received on a connection, no more than [`Protocol::read_capacity`] allowed.
     Received(ConnId, &'a [u8]),
-    /// The peer has closed the connection. Some of the bytes it sent may not have been read yet.
+    /// The peer has closed its sending side or the connection has failed. Some of the bytes that the peer sent may not have been
+    /// read yet. May be reported several times for a connection.
     PeerClosing(ConnId),
-    /// The peer has closed its sending side, and everything it sent has been received.
+    /// The peer has closed its sending side, and everything that it sent has been received.
     ReadClosed(ConnId),
     /// A connection could not be established, or was lost.
     ConnectionFailed {
         /// The connection.
         id: ConnId,
-        /// Whether the error occurred during a write.
+        /// Whether the error occurred while connecting or writing; `false` if it occurred while reading.
         writing: bool,
-        /// The kind of failure.
+        /// The cause of the failure.
         cause: FailureCause,
         /// The error message of the operating system.
         reason: &'a str,
     },
-    /// A datagram was received from an address.
+    /// A datagram was received from an address on a datagram socket.
     Datagram(DatagramSocket, SocketAddr, &'a [u8]),
 }
 
-/// A controller that makes no system calls: it receives events with the time in microseconds, and emits effects.
+/// A controller that makes no system calls. The event loop calls it with I/O events and the current time in microseconds, and
+/// performs the effects that it emits.
 pub trait Protocol {
-    /// The process has started. This is the first call and occurs once.
+    /// Handles the start of the process. This is the first call and occurs once.
     fn handle_start(&mut self, now: i64);
-    /// A connection was accepted. Returns `None` if there is no capacity, and the event loop must then close the socket;
-    /// otherwise it starts to read from the connection at once.
+    /// Takes over an accepted connection and returns its id; the event loop then starts to read from it at once. Returns `None`
+    /// if the controller has no capacity for the connection; the event loop must then close the socket.
     fn accept(&mut self, now: i64, listener: Listener) -> Option<ConnId>;
-    /// Called first in each iteration of the event loop, before its I/O events and timers.
+    /// Begins an iteration of the event loop. Called before the I/O events and timers of the iteration.
     fn begin_iteration(&mut self, now: i64) {
         let _ = now;
     }
-    /// Events reported from now until the next such call may have arrived as early as `since`, because the process has been
-    /// suspended, busy or unable to poll since then.
+    /// Sets the time since which the events that are reported from now until the next such call may have been waiting. It is
+    /// earlier than the time of those events if the process was suspended, busy or unable to poll.
     fn set_earliest_arrival(&mut self, since: i64) {
         let _ = since;
     }
     /// Handles an event on a socket.
     fn handle_io(&mut self, now: i64, event: IoEvent<'_>);
-    /// A datagram could not be sent because of a local error.
+    /// Handles the failure to send a datagram because of an error on this host.
     fn handle_datagram_send_failure(&mut self, now: i64, socket: DatagramSocket) {
         let _ = (now, socket);
     }
-    /// A graceful shutdown was requested.
+    /// Begins a graceful shutdown. The controller emits [`Effect::Stopped`] when it is complete.
     fn begin_shutdown(&mut self, now: i64);
-    /// Listening for clients has stopped after [`Effect::StopListening`], and all connections made until then have been
-    /// accepted.
+    /// Called after [`Effect::StopListening`] once listening for clients has stopped and all connections that were made until
+    /// then have been accepted.
     fn handle_listening_stopped(&mut self, now: i64);
-    /// The process was suspended after the output of a connection was produced. Output that depends on the time and has not
-    /// begun to be written must be withdrawn, and decided again once the events that arrived meanwhile have been handled.
+    /// Withdraws output of a connection that is out of date, because the process was suspended after the output was produced.
+    /// The controller must withdraw output that depends on the time and of which nothing was written yet, and decide on it
+    /// again after the events that arrived meanwhile were handled.
     fn withdraw_stale_output(&mut self, now: i64, id: ConnId) {
         let _ = (now, id);
     }
-    /// How many bytes may be received on a connection now. After a result of zero, [`Effect::ResumeReading`] signals that there
-    /// is capacity again.
+    /// Returns how many bytes may be received on a connection now. After a result of zero, the controller must emit
+    /// [`Effect::ResumeReading`] when there is capacity again.
     fn read_capacity(&mut self, id: ConnId) -> usize;
-    /// The bytes to be written to a connection.
+    /// Returns the bytes that remain to be written to a connection.
     fn output(&mut self, id: ConnId) -> &[u8];
-    /// `count` bytes of the output of a connection were written.
+    /// Removes the first `count` bytes of the output of a connection, which were written to the socket.
     fn bytes_written(&mut self, now: i64, id: ConnId, count: usize);
-    /// When [`Protocol::handle_timers`] must be called next.
+    /// Returns the time at which [`Protocol::handle_timers`] must be called next; `None` if no timer is pending.
     fn next_timer_at(&self) -> Option<i64>;
-    /// Handles the timers that are due. Called after all events until `now` were handled.
+    /// Handles the timers that are due. Called after all events that were reported until `now` were handled.
     fn handle_timers(&mut self, now: i64);
-    /// Moves the effects emitted since the last call to `into`, whose previous content is dropped.
+    /// Moves the effects that were emitted since the last call to `into`, and drops the previous content of `into`.
     fn take_effects(&mut self, into: &mut Vec<Effect>);
 }
--- a/crates/sans-io/src/timers.rs
+++ b/crates/sans-io/src/timers.rs
@@ -1,4 +1,4 @@
-//! Timers ordered by due time, each with a key for its cancellation.
+//! Timers ordered by due time. Each has a key by which it can be cancelled.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerKey(i64, u64);
 
-/// Pending timers, ordered by due time. Times are microseconds of the owner's clock.
+/// Pending timers, ordered by due time, each with an event that is returned when it fires. Times are microseconds of the caller's
+/// clock.
 #[derive(Debug)]
 pub struct Timers<T> {
     last_sequence: u64,
@@ -23,7 +24,7 @@
 }
 
 impl<T> Timers<T> {
-    /// Sets a timer and returns its key.
+    /// Sets a timer that is due at the time `at`, and returns its key.
     pub fn set(&mut self, at: i64, event: T) -> TimerKey {
         self.last_sequence += 1;
         let key = TimerKey(at, self.last_sequence);
@@ -36,23 +37,24 @@
         self.pending.remove(&key)
     }
 
-    /// Due time of the next timer.
+    /// Returns the due time of the next timer; `None` if no timer is pending.
     pub fn next_at(&self) -> Option<i64> {
         self.pending.first_key_value().map(|(key, _)| key.0)
     }
 
-    /// Removes the next timer if it is due, and returns its event.
+    /// Removes the next timer if it is due, and returns its event. Timers with the same due time fire in the order in which
+    /// they were set.
     pub fn pop_due(&mut self, now: i64) -> Option<T> {
         self.next_at().filter(|at| *at <= now)?;
         self.pending.pop_first().map(|(_, event)| event)
     }
 
-    /// Number of pending timers.
+    /// Returns the number of pending timers.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether no timer is pending.
+    /// Returns whether no timer is pending.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
