--- a/crates/controller/src/endpoint_files.rs
+++ b/crates/controller/src/endpoint_files.rs
@@ -3,10 +3,10 @@
 use crate::error::ControllerError;
 use std::os::unix::net::UnixStream;
 use wheelfield_config::Config;
-use wheelfield_endpoints::file::Places;
-use wheelfield_endpoints::keeper::Policy;
-use wheelfield_endpoints_cli::disk::Place;
-use wheelfield_endpoints_cli::{Watch, Watching};
+use wheelfield_endpoints::activation::ActivationPolicy;
+use wheelfield_endpoints::file::Topology;
+use wheelfield_endpoints_cli::disk::FileSource;
+use wheelfield_endpoints_cli::{EngineFileWatcher, WatchConfig};
 use wheelfield_net::Clock;
 
 /// Starts to watch the engine files of a configuration; `None` if it names none. A byte on the stream says that the watcher
@@ -17,31 +17,36 @@
 pub(crate) fn watch_endpoint_files(
     config: &Config,
     clock: Clock,
-) -> Result<Option<(Watching, UnixStream)>, ControllerError> {
+) -> Result<Option<(EngineFileWatcher, UnixStream)>, ControllerError> {
     let Some(endpoint_files) = &config.endpoint_files else {
         return Ok(None);
     };
-    let policy = Policy {
-        settle: endpoint_files.settle_time,
-        most_lost: endpoint_files.max_lost_fraction,
+    let policy = ActivationPolicy {
+        settle_time: endpoint_files.settle_time,
+        max_lost_fraction: endpoint_files.max_lost_fraction,
         hold: endpoint_files.hold,
-        reuse_after: endpoint_files.id_reuse_delay,
+        id_reuse_delay: endpoint_files.id_reuse_delay,
     };
-    let names = Places {
+    let names = Topology {
         names: config.names.clone(),
         cores: config.settings.cores.clone(),
-        open: false,
+        accept_unknown_names: false,
     };
-    let watch = Watch {
-        places: endpoint_files.files.iter().cloned().map(Place).collect(),
-        poll: endpoint_files.poll_interval,
+    let watch = WatchConfig {
+        sources: endpoint_files
+            .files
+            .iter()
+            .cloned()
+            .map(FileSource)
+            .collect(),
+        poll_interval: endpoint_files.poll_interval,
         policy,
-        names,
+        topology: names,
         last_good: endpoint_files.last_good.clone(),
     };
     let (wakeup, notifier) = UnixStream::pair()?;
     notifier.set_nonblocking(true)?;
-    let watcher = Watching::begin(watch, clock, notifier)
+    let watcher = EngineFileWatcher::start(watch, clock, notifier)
         .map_err(|source| ControllerError::WatchEngineFiles { source })?;
     Ok(Some((watcher, wakeup)))
 }
--- a/crates/controller/src/postgres.rs
+++ b/crates/controller/src/postgres.rs
@@ -15,7 +15,7 @@
 use wheelfield::interface::Micros;
 use wheelfield_config::Config;
 use wheelfield_driver::{Driver, DriverLimits};
-use wheelfield_endpoints_cli::Watching;
+use wheelfield_endpoints_cli::EngineFileWatcher;
 use wheelfield_gossip::authentication::Keys;
 use wheelfield_net::Clock;
 use wheelfield_pg_gateway::fault_injection::FaultInjection;
@@ -28,7 +28,7 @@
 /// A controller for PostgreSQL clients on its sockets.
 pub struct PostgresController {
     event_loop: EventLoop<PgGateway>,
-    endpoint_files: Option<Rc<Watching>>,
+    endpoint_files: Option<Rc<EngineFileWatcher>>,
 }
 
 /// The sockets of a configuration.
@@ -166,7 +166,7 @@
         let Some(watcher) = &self.endpoint_files else {
             return;
         };
-        let update = watcher.news.recv_timeout(FIRST_ENDPOINT_SET_TIMEOUT).ok();
+        let update = watcher.events.recv_timeout(FIRST_ENDPOINT_SET_TIMEOUT).ok();
         self.event_loop.now = self.event_loop.clock.now();
         match update {
             Some(update) => {
@@ -274,20 +274,20 @@
 /// Hands what the watcher of the engine files receives to the gateway, woken by a byte on `wakeup`.
 fn receive_endpoint_files(
     event_loop: &mut EventLoop<PgGateway>,
-    watcher: Watching,
+    watcher: EngineFileWatcher,
     wakeup: UnixStream,
-) -> Result<Rc<Watching>, ControllerError> {
+) -> Result<Rc<EngineFileWatcher>, ControllerError> {
     let watcher = Rc::new(watcher);
     let (receiver, reader) = (watcher.clone(), watcher.clone());
     event_loop.add_turn_handler(Box::new(move |gateway, _| {
         if let Some(number) = gateway.take_files_request() {
-            reader.look_and_report(number);
+            reader.read_and_report(number);
         }
     }));
     event_loop.add_wakeup(
         wakeup,
         Box::new(move |gateway, now| {
-            while let Ok(update) = receiver.news.try_recv() {
+            while let Ok(update) = receiver.events.try_recv() {
                 gateway.handle(now, GatewayEvent::EndpointFiles(update));
             }
         }),
--- a/crates/endpoints-cli/src/disk.rs
+++ b/crates/endpoints-cli/src/disk.rs
@@ -5,18 +5,18 @@
 use std::io::{Read, Write};
 use std::path::{Path, PathBuf};
 use wheelfield::interface::Micros;
-use wheelfield_endpoints::file::{read as read_set, Places};
-use wheelfield_endpoints::keeper::Reading;
-use wheelfield_endpoints::{EngineSet, LONGEST};
+use wheelfield_endpoints::activation::Reading;
+use wheelfield_endpoints::file::{parse, Topology};
+use wheelfield_endpoints::{EngineSet, MAX_LIST_BYTES};
 
 /// Files of a set at most.
 pub const MOST_FILES: usize = 256;
 
 /// Where engine files are: a file, a directory, or a path with `*` in its last part.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place(pub PathBuf);
+pub struct FileSource(pub PathBuf);
 
-impl Place {
+impl FileSource {
     /// The directory in which files come and go, and the pattern of their names, if there is one.
     fn parts(&self) -> (PathBuf, Option<String>) {
         let name = self.0.file_name().map(|n| n.to_string_lossy().into_owned()).unwrap_or_default();
@@ -76,7 +76,7 @@
 }
 
 /// The directories to watch: where files come and go, and where links to these stand.
-pub fn directories(places: &[Place]) -> BTreeSet<PathBuf> {
+pub fn directories(places: &[FileSource]) -> BTreeSet<PathBuf> {
     let mut all = BTreeSet::new();
     for place in places {
         let (dir, _) = place.parts();
@@ -94,8 +94,8 @@
 }
 
 /// Reads all files of all places.
-pub fn read(places: &[Place]) -> Vec<Reading> {
-    let mut paths: Vec<PathBuf> = places.iter().flat_map(Place::files).collect();
+pub fn read(places: &[FileSource]) -> Vec<Reading> {
+    let mut paths: Vec<PathBuf> = places.iter().flat_map(FileSource::files).collect();
     paths.sort();
     paths.dedup();
     let too_many = paths.len() > MOST_FILES;
@@ -111,7 +111,7 @@
 /// Reads a file, up to a byte more than may be.
 fn text(path: &Path) -> std::io::Result<String> {
     let mut text = String::new();
-    File::open(path)?.take(LONGEST as u64 + 1).read_to_string(&mut text)?;
+    File::open(path)?.take(MAX_LIST_BYTES as u64 + 1).read_to_string(&mut text)?;
     Ok(text)
 }
 
@@ -140,15 +140,14 @@
 ///
 /// # Errors
 /// Why it can't be used.
-pub fn kept(path: &Path, places: &Places) -> Result<Option<(EngineSet, Micros)>, String> {
+pub fn kept(path: &Path, places: &Topology) -> Result<Option<(EngineSet, Micros)>, String> {
     let text = match text(path) {
         Ok(text) => text,
         Err(fault) if fault.kind() == std::io::ErrorKind::NotFound => return Ok(None),
         Err(fault) => return Err(format!("{}: {fault}", path.display())),
     };
-    let found =
-        read_set(&path.display().to_string(), &text, &mut places.clone()).map_err(|f| f.to_string())?;
-    Ok(Some((found.set, found.kept.unwrap_or_default())))
+    let found = parse(&path.display().to_string(), &text, &mut places.clone()).map_err(|f| f.to_string())?;
+    Ok(Some((found.set, found.saved_at.unwrap_or_default())))
 }
 
 #[cfg(test)]
--- a/crates/endpoints-cli/src/lib.rs
+++ b/crates/endpoints-cli/src/lib.rs
@@ -1,15 +1,15 @@
 //! Engine files on the disk.
 //!
 //! A thread of its own looks at them when the system tells of a change, and now and then in any case, as such word gets
-//! lost. It owns the [`Keeper`], which decides what is taken; a set in force is kept durably beside. Whoever asked hears
-//! [`News`] through a channel, and by a byte on a stream that it can poll. A disk that hangs holds up only this thread.
+//! lost. It owns the [`Activator`], which decides what is taken; a set in force is kept durably beside. Whoever asked hears
+//! [`EngineFileEvent`] through a channel, and by a byte on a stream that it can poll. A disk that hangs holds up only this thread.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod disk;
 pub mod peers;
 
-use disk::Place;
+use disk::FileSource;
 use notify::{EventKind, RecommendedWatcher, RecursiveMode, Watcher};
 use std::io::Write;
 use std::os::unix::net::UnixStream;
@@ -19,9 +19,9 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 use wheelfield::interface::Micros;
-use wheelfield_endpoints::file::Places;
-use wheelfield_endpoints::keeper::{Keeper, Policy, Verdict};
-pub use wheelfield_endpoints::News;
+use wheelfield_endpoints::activation::{ActivationPolicy, Activator, Verdict};
+use wheelfield_endpoints::file::Topology;
+pub use wheelfield_endpoints::EngineFileEvent;
 use wheelfield_net::Clock;
 
 /// Where the system tells of no changes (it has a limit of watchers for each user), files are read so often: a drain must be
@@ -36,26 +36,26 @@
 
 /// What is watched, and how.
 #[derive(Clone, Debug)]
-pub struct Watch {
+pub struct WatchConfig {
     /// Files, directories (all of `*.toml` in them) and patterns with `*` in the last part.
-    pub places: Vec<Place>,
+    pub sources: Vec<FileSource>,
     /// They are read so often, whatever the system tells of changes.
-    pub poll: Micros,
+    pub poll_interval: Micros,
     /// What is asked of a candidate.
-    pub policy: Policy,
+    pub policy: ActivationPolicy,
     /// Zones, kinds and cores.
-    pub names: Places,
+    pub topology: Topology,
     /// Where the set in force is kept, for a start without a good file.
     pub last_good: Option<PathBuf>,
 }
 
 /// A watching thread; ends when dropped.
 #[derive(Debug)]
-pub struct Watching {
+pub struct EngineFileWatcher {
     wake: SyncSender<Wake>,
     thread: Option<JoinHandle<()>>,
     /// What there is to tell.
-    pub news: Receiver<News>,
+    pub events: Receiver<EngineFileEvent>,
 }
 
 enum Wake {
@@ -66,12 +66,12 @@
     End,
 }
 
-impl Watching {
+impl EngineFileWatcher {
     /// Begins to watch. A byte is written to `bell` for each piece of news; it should not block.
     ///
     /// # Errors
     /// If no thread can be had.
-    pub fn begin(watch: Watch, clock: Clock, bell: UnixStream) -> std::io::Result<Watching> {
+    pub fn start(watch: WatchConfig, clock: Clock, bell: UnixStream) -> std::io::Result<EngineFileWatcher> {
         let (wake, woken) = sync_channel(WAITING);
         let (tell, news) = sync_channel(WAITING);
         let events = wake.clone();
@@ -79,29 +79,29 @@
             let mut watcher = Thread { watch, clock, bell, tell, last: None, is_unkept: false, report: None };
             watcher.run(&woken, events);
         })?;
-        Ok(Watching { wake, thread: Some(thread), news })
+        Ok(EngineFileWatcher { wake, thread: Some(thread), events: news })
     }
 
     /// Looks now.
-    pub fn look(&self) {
+    pub fn request_read(&self) {
         // One more than wait is none, and a thread that ended has told why.
         let _ = self.wake.try_send(Wake::Look);
     }
 
-    /// Looks now. [`News::Looked`] with this number comes once what the files hold stood still and is told.
-    pub fn look_and_report(&self, number: u64) {
+    /// Looks now. [`EngineFileEvent::ReadCompleted`] with this number comes once what the files hold stood still and is told.
+    pub fn read_and_report(&self, number: u64) {
         // Where too many wait none comes: who asked waits for a bounded time.
         let _ = self.wake.try_send(Wake::Report(number));
     }
 }
 
-impl Drop for Watching {
+impl Drop for EngineFileWatcher {
     fn drop(&mut self) {
         let _ = self.wake.send(Wake::End);
         if let Some(thread) = self.thread.take() {
             // It may wait for room for its news.
             while !thread.is_finished() {
-                while self.news.try_recv().is_ok() {}
+                while self.events.try_recv().is_ok() {}
                 std::thread::sleep(Duration::from_millis(1));
             }
             let _ = thread.join();
@@ -110,12 +110,12 @@
 }
 
 struct Thread {
-    watch: Watch,
+    watch: WatchConfig,
     clock: Clock,
     bell: UnixStream,
-    tell: SyncSender<News>,
+    tell: SyncSender<EngineFileEvent>,
     /// What was told last of files that are not taken.
-    last: Option<News>,
+    last: Option<EngineFileEvent>,
     /// The set in force could not be written to disk, and is to be written again.
     is_unkept: bool,
     /// Who asked last to be told once the files were read.
@@ -123,7 +123,7 @@
 }
 
 impl Thread {
-    fn tell(&mut self, news: News) {
+    fn tell(&mut self, news: EngineFileEvent) {
         if self.tell.send(news).is_ok() {
             // A full stream rings already.
             let _ = self.bell.write(&[1]);
@@ -131,9 +131,9 @@
     }
 
     fn run(&mut self, woken: &Receiver<Wake>, events: SyncSender<Wake>) {
-        let mut keeper = Keeper::new(self.watch.policy, self.watch.names.clone());
-        self.take_up_kept(&mut keeper);
-        let places = self.watch.places.clone();
+        let mut activator = Activator::new(self.watch.policy, self.watch.topology.clone());
+        self.take_up_kept(&mut activator);
+        let places = self.watch.sources.clone();
         let mut system = match notify::recommended_watcher(move |event: notify::Result<notify::Event>| {
             // A fault may hide a change; it is looked at as one.
             if event.map_or(true, |e| concerns(&e, &places)) {
@@ -143,7 +143,7 @@
         }) {
             Ok(system) => Some(system),
             Err(fault) => {
-                self.tell(News::PollOnly(fault.to_string()));
+                self.tell(EngineFileEvent::PollingOnly(fault.to_string()));
                 None
             }
         };
@@ -151,17 +151,18 @@
             // A directory that was replaced is another one: it is asked for anew each time.
             let watched = system.as_mut().is_some_and(|s| self.watch_directories(s));
             let now = Micros(self.clock.now());
-            let reading = disk::read(&self.watch.places);
-            let verdict = keeper.look(now, &reading);
+            let reading = disk::read(&self.watch.sources);
+            let verdict = activator.look(now, &reading);
             let is_settling = matches!(verdict, Verdict::Settling(_));
-            let again = self.heed(&keeper, now, verdict);
+            let again = self.heed(&activator, now, verdict);
             if let Some(number) = self.report.take_if(|_| !is_settling) {
-                self.tell(News::Looked(number));
+                self.tell(EngineFileEvent::ReadCompleted(number));
             }
             if self.is_unkept {
-                self.keep(&keeper, now);
+                self.keep(&activator, now);
             }
-            let poll = if watched { self.watch.poll } else { self.watch.poll.min(UNWATCHED) };
+            let poll =
+                if watched { self.watch.poll_interval } else { self.watch.poll_interval.min(UNWATCHED) };
             let poll = if self.is_unkept { poll.min(KEEP_AGAIN) } else { poll };
             let wait = again.map_or(poll, |at| (at - now).max(Micros(1_000)).min(poll));
             match woken.recv_timeout(Duration::from_micros(wait.0.max(1_000) as u64)) {
@@ -184,45 +185,45 @@
     /// Watches the directories of all places; false if one can't be, so that the poll must do.
     fn watch_directories(&self, system: &mut RecommendedWatcher) -> bool {
         let mut all = true;
-        for dir in disk::directories(&self.watch.places) {
+        for dir in disk::directories(&self.watch.sources) {
             all &= system.watch(&dir, RecursiveMode::NonRecursive).is_ok();
         }
         all
     }
 
-    fn take_up_kept(&mut self, keeper: &mut Keeper) {
+    fn take_up_kept(&mut self, activator: &mut Activator) {
         let Some(path) = &self.watch.last_good else { return };
-        match disk::kept(path, &self.watch.names) {
+        match disk::kept(path, &self.watch.topology) {
             Ok(None) => {}
             Ok(Some((set, kept))) => {
                 let age = Micros((self.clock.now() - kept.0).max(0));
-                keeper.take_up(set.clone());
-                self.tell(News::Kept(Arc::new(set), age));
+                activator.take_up(set.clone());
+                self.tell(EngineFileEvent::LastGoodRestored(Arc::new(set), age));
             }
-            Err(why) => self.tell(News::KeptBad(why)),
+            Err(why) => self.tell(EngineFileEvent::LastGoodInvalid(why)),
         }
     }
 
     /// Tells what came of a reading; when to read again, if before the poll.
-    fn heed(&mut self, keeper: &Keeper, now: Micros, verdict: Verdict) -> Option<Micros> {
+    fn heed(&mut self, activator: &Activator, now: Micros, verdict: Verdict) -> Option<Micros> {
         let news = match verdict {
             Verdict::Settling(at) => return Some(at),
             Verdict::Same => {
                 if self.last.take().is_some() {
-                    self.tell(News::Fine);
+                    self.tell(EngineFileEvent::FaultCleared);
                 }
                 return None;
             }
             Verdict::Swap(set) => {
                 self.last = None;
-                self.tell(News::Set(Arc::new(set)));
-                self.keep(keeper, now);
+                self.tell(EngineFileEvent::Activated(Arc::new(set)));
+                self.keep(activator, now);
                 return None;
             }
-            Verdict::Refused(fault, _) => News::Refused(fault),
-            Verdict::Held(why, until) => News::Held(why, until),
+            Verdict::Refused(fault, _) => EngineFileEvent::Rejected(fault),
+            Verdict::Held(why, until) => EngineFileEvent::Held(why, until),
         };
-        let again = if let News::Held(_, until) = &news { *until } else { None };
+        let again = if let EngineFileEvent::Held(_, until) = &news { *until } else { None };
         if self.last.as_ref() != Some(&news) {
             self.last = Some(news.clone());
             self.tell(news);
@@ -230,15 +231,15 @@
         again
     }
 
-    fn keep(&mut self, keeper: &Keeper, now: Micros) {
-        let (Some(path), Some(text)) = (&self.watch.last_good, keeper.to_keep(now)) else { return };
+    fn keep(&mut self, activator: &Activator, now: Micros) {
+        let (Some(path), Some(text)) = (&self.watch.last_good, activator.to_keep(now)) else { return };
         let written = disk::write_durably(path, text.as_bytes());
         let was_unkept = std::mem::replace(&mut self.is_unkept, written.is_err());
         if let Err(fault) = written {
             // Told once, however often it is tried again.
             if !was_unkept {
                 let why = format!("{}: {fault}", path.display());
-                self.tell(News::NotKept(why));
+                self.tell(EngineFileEvent::LastGoodNotSaved(why));
             }
         }
     }
@@ -246,7 +247,7 @@
 
 /// Whether a change may be one of the files. Others may be written beside them, and reading a file is no change: heeding
 /// either would wake every watcher without end.
-fn concerns(event: &notify::Event, places: &[Place]) -> bool {
+fn concerns(event: &notify::Event, places: &[FileSource]) -> bool {
     use notify::event::{AccessKind, AccessMode};
     let read = matches!(event.kind, EventKind::Access(kind) if kind != AccessKind::Close(AccessMode::Write));
     !read
--- a/crates/endpoints-cli/src/main.rs
+++ b/crates/endpoints-cli/src/main.rs
@@ -10,8 +10,8 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 use wheelfield_config::units::Time;
-use wheelfield_endpoints::file::{read, write, Places, Read as Found};
-use wheelfield_endpoints::keeper::Policy;
+use wheelfield_endpoints::activation::ActivationPolicy;
+use wheelfield_endpoints::file::{parse, serialize, EngineFile, Topology};
 use wheelfield_endpoints::rollout::{self, Guard, Round, Seen};
 use wheelfield_endpoints::EngineSet;
 use wheelfield_endpoints_cli::disk;
@@ -190,14 +190,16 @@
     std::fs::read_to_string(path).with_context(|| format!("cannot read {}", path.display()))
 }
 
-fn places(config: Option<&Path>) -> Result<Places> {
-    let Some(path) = config else { return Ok(Places { open: true, ..Places::default() }) };
+fn places(config: Option<&Path>) -> Result<Topology> {
+    let Some(path) = config else {
+        return Ok(Topology { accept_unknown_names: true, ..Topology::default() });
+    };
     let config = wheelfield_config::parse(&path.display().to_string(), &text(path)?)?;
-    Ok(Places { cores: config.settings.cores, names: config.names, open: false })
+    Ok(Topology { cores: config.settings.cores, names: config.names, accept_unknown_names: false })
 }
 
-fn load(path: &Path, places: &mut Places) -> Result<Found> {
-    Ok(read(&path.display().to_string(), &text(path)?, places)?)
+fn load(path: &Path, places: &mut Topology) -> Result<EngineFile> {
+    Ok(parse(&path.display().to_string(), &text(path)?, places)?)
 }
 
 fn check(files: &[PathBuf], config: Option<&Path>) -> Result<bool> {
@@ -221,8 +223,8 @@
 fn format(file: &Path, check: bool) -> Result<bool> {
     let mut places = places(None)?;
     let before = text(file)?;
-    let found = read(&file.display().to_string(), &before, &mut places)?;
-    let after = write(&found, &places);
+    let found = parse(&file.display().to_string(), &before, &mut places)?;
+    let after = serialize(&found, &places);
     if before == after {
         return Ok(true);
     }
@@ -260,7 +262,7 @@
             if places.cores.is_empty() { vec![1.0; places.names.kinds.len()] } else { places.cores.clone() };
         let (had, left) = (old.set.capacity(&cores), new.set.capacity(&cores));
         let lost = if had > 0.0 { 1.0 - left / had } else { 0.0 };
-        if lost > Policy::default().most_lost && !confirm && !new.confirmed {
+        if lost > ActivationPolicy::default().max_lost_fraction && !confirm && !new.confirmed {
             bail!(
                 "{:.0}% of the capacity would be gone at once; say --confirm if that is meant",
                 lost * 100.0
@@ -271,7 +273,7 @@
     let mut bytes = text(file)?;
     if confirm && !new.confirmed {
         new.confirmed = true;
-        bytes = write(&new, &places);
+        bytes = serialize(&new, &places);
     }
     disk::write_durably(target, bytes.as_bytes())
         .with_context(|| format!("cannot write {}", target.display()))?;
@@ -313,13 +315,13 @@
 }
 
 /// Writes a set, if it still follows the one that was written last.
-fn put(target: &Path, expect: u64, set: &EngineSet, confirmed: bool, places: &mut Places) -> Result<()> {
+fn put(target: &Path, expect: u64, set: &EngineSet, confirmed: bool, places: &mut Topology) -> Result<()> {
     let _lock = lock(target)?;
     let in_force = load(target, places)?.set.version;
     if in_force != expect {
         bail!("version {in_force} is in force, not {expect}: somebody else changed it; nothing was written");
     }
-    let text = write(&Found { set: set.clone(), confirmed, kept: None }, places);
+    let text = serialize(&EngineFile { set: set.clone(), confirmed, saved_at: None }, places);
     disk::write_durably(target, text.as_bytes()).with_context(|| format!("cannot write {}", target.display()))
 }
 
--- a/crates/endpoints-cli/tests/disk.rs
+++ b/crates/endpoints-cli/tests/disk.rs
@@ -7,18 +7,18 @@
 use std::time::Duration;
 use wheelfield::interface::Micros;
 use wheelfield_config::Names;
-use wheelfield_endpoints::file::Places;
-use wheelfield_endpoints::keeper::Policy;
-use wheelfield_endpoints_cli::disk::{kept, Place};
-use wheelfield_endpoints_cli::{News, Watch, Watching};
+use wheelfield_endpoints::activation::ActivationPolicy;
+use wheelfield_endpoints::file::Topology;
+use wheelfield_endpoints_cli::disk::{kept, FileSource};
+use wheelfield_endpoints_cli::{EngineFileEvent, EngineFileWatcher, WatchConfig};
 use wheelfield_net::Clock;
 
 /// Nothing here takes so long; a test that waits in vain fails.
 const SOON: Duration = Duration::from_secs(30);
 
-fn places() -> Places {
+fn places() -> Topology {
     let names = Names { zones: vec!["a".into()], kinds: vec!["std".into()], ..Names::default() };
-    Places { names, cores: vec![8.0], open: false }
+    Topology { names, cores: vec![8.0], accept_unknown_names: false }
 }
 
 fn file(version: u64, ids: std::ops::Range<usize>) -> String {
@@ -29,7 +29,7 @@
 }
 
 struct Scene {
-    watching: Watching,
+    watching: EngineFileWatcher,
     /// Held, so that ringing has where to go.
     _bell: UnixStream,
 }
@@ -38,25 +38,25 @@
     fn on(place: &Path, last_good: Option<&Path>, poll: Micros) -> Scene {
         let (bell, ring) = UnixStream::pair().expect("a pair");
         ring.set_nonblocking(true).expect("a stream");
-        let watch = Watch {
-            places: vec![Place(place.to_path_buf())],
-            poll,
-            policy: Policy { settle: Micros(20_000), ..Policy::default() },
-            names: places(),
+        let watch = WatchConfig {
+            sources: vec![FileSource(place.to_path_buf())],
+            poll_interval: poll,
+            policy: ActivationPolicy { settle_time: Micros(20_000), ..ActivationPolicy::default() },
+            topology: places(),
             last_good: last_good.map(Path::to_path_buf),
         };
-        let watching = Watching::begin(watch, Clock::start(), ring).expect("a thread");
+        let watching = EngineFileWatcher::start(watch, Clock::start(), ring).expect("a thread");
         Scene { watching, _bell: bell }
     }
 
-    fn news(&self) -> News {
-        self.watching.news.recv_timeout(SOON).expect("news")
+    fn news(&self) -> EngineFileEvent {
+        self.watching.events.recv_timeout(SOON).expect("news")
     }
 
     /// The next set in force; words of files that are being changed may come before.
     fn set(&self) -> (u64, usize) {
         loop {
-            if let News::Set(set) = self.news() {
+            if let EngineFileEvent::Activated(set) = self.news() {
                 return (set.version, set.engines.len());
             }
         }
@@ -66,8 +66,8 @@
     fn refusal(&self) -> String {
         loop {
             match self.news() {
-                News::Refused(fault) => return fault.to_string(),
-                News::Set(set) => panic!("version {} was taken", set.version),
+                EngineFileEvent::Rejected(fault) => return fault.to_string(),
+                EngineFileEvent::Activated(set) => panic!("version {} was taken", set.version),
                 _ => {}
             }
         }
@@ -153,15 +153,15 @@
     assert!(when.0 > 1_600_000_000_000_000);
     fs::write(&path, "version = 8\nnonsense").expect("written");
     let scene = Scene::on(&path, Some(&last), OFTEN);
-    let News::Kept(set, age) = scene.news() else { panic!("the kept one first") };
+    let EngineFileEvent::LastGoodRestored(set, age) = scene.news() else { panic!("the kept one first") };
     assert_eq!((set.version, set.engines.len()), (7, 3));
     assert!(age >= Micros(0) && age < Micros(60_000_000));
     assert!(scene.refusal().contains("engines.toml:2"));
     // Without any file, too; and a damaged kept one is told of.
     fs::remove_file(&path).expect("removed");
-    assert!(matches!(Scene::on(&path, Some(&last), OFTEN).news(), News::Kept(..)));
+    assert!(matches!(Scene::on(&path, Some(&last), OFTEN).news(), EngineFileEvent::LastGoodRestored(..)));
     fs::write(&last, "torn").expect("written");
-    assert!(matches!(Scene::on(&path, Some(&last), OFTEN).news(), News::KeptBad(_)));
+    assert!(matches!(Scene::on(&path, Some(&last), OFTEN).news(), EngineFileEvent::LastGoodInvalid(_)));
 }
 
 #[test]
@@ -171,7 +171,7 @@
     fs::write(&path, file(1, 0..3)).expect("written");
     let scene = Scene::on(&path, Some(&dir.path().join("not-there/last.toml")), OFTEN);
     assert_eq!(scene.set(), (1, 3));
-    assert!(matches!(scene.news(), News::NotKept(why) if why.contains("not-there")));
+    assert!(matches!(scene.news(), EngineFileEvent::LastGoodNotSaved(why) if why.contains("not-there")));
 }
 
 /// No further change of the files comes, and they are read seldom.
@@ -184,7 +184,7 @@
     fs::write(&path, file(1, 0..3)).expect("written");
     let scene = Scene::on(&path, Some(&last), SELDOM);
     assert_eq!(scene.set(), (1, 3));
-    assert!(matches!(scene.news(), News::NotKept(_)));
+    assert!(matches!(scene.news(), EngineFileEvent::LastGoodNotSaved(_)));
     fs::create_dir(&missing).expect("made");
     let begun = std::time::Instant::now();
     while !last.exists() {
@@ -203,9 +203,9 @@
     let scene = Scene::on(&path, None, OFTEN);
     assert_eq!(scene.set(), (1, 10));
     fs::write(&path, file(2, 0..4)).expect("written");
-    assert!(matches!(scene.news(), News::Held(why, None) if why.starts_with("60%")));
+    assert!(matches!(scene.news(), EngineFileEvent::Held(why, None) if why.starts_with("60%")));
     fs::write(&path, file(1, 0..10)).expect("written");
-    assert_eq!(scene.news(), News::Fine);
+    assert_eq!(scene.news(), EngineFileEvent::FaultCleared);
     fs::write(&path, file(3, 0..4).replacen('\n', "\nconfirmed = true\n", 1)).expect("written");
     assert_eq!(scene.set(), (3, 4));
 }
--- a/crates/endpoints-cli/tests/recorded.rs
+++ b/crates/endpoints-cli/tests/recorded.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use wheelfield::interface::{Micros, Status};
 use wheelfield_config::Names;
-use wheelfield_endpoints::file::Places;
+use wheelfield_endpoints::file::Topology;
 use wheelfield_endpoints_cli::disk::kept;
 
 #[test]
@@ -14,7 +14,7 @@
         kinds: vec!["std".into(), "big".into()],
         ..Names::default()
     };
-    let places = Places { names, cores: vec![8.0, 16.0], open: false };
+    let places = Topology { names, cores: vec![8.0, 16.0], accept_unknown_names: false };
     let path = Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/recorded/kept-engines.toml"));
     let (set, kept_at) = kept(path, &places).expect("readable").expect("there");
     assert_eq!((set.version, kept_at), (17, Micros(1_764_652_800_000_000)));
--- a/crates/endpoints/src/keeper.rs
+++ b/crates/endpoints/src/activation.rs
@@ -3,8 +3,8 @@
 //! A reading is the bytes of all files. It is looked at only when it stood still: equal bytes in two readings some time
 //! apart. Times of files are not asked, as they come late or not at all on some file systems.
 
-use crate::file::{read, write, Places, Read};
-use crate::{EngineSet, LONGEST, MOST};
+use crate::file::{parse, serialize, EngineFile, Topology};
+use crate::{EngineSet, MAX_ENGINES, MAX_LIST_BYTES};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use wheelfield::interface::{EngineId, Micros, Status};
@@ -12,20 +12,25 @@
 
 /// What is asked of a candidate.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Policy {
+pub struct ActivationPolicy {
     /// It must have stood still for so long.
-    pub settle: Micros,
+    pub settle_time: Micros,
     /// It may take away at most this share of the capacity at once.
-    pub most_lost: f64,
+    pub max_lost_fraction: f64,
     /// One that takes away more is taken after it stood for so long; none: only if its file says `confirmed = true`.
     pub hold: Option<Micros>,
     /// An id may come back at another address only so long after it was gone.
-    pub reuse_after: Micros,
+    pub id_reuse_delay: Micros,
 }
 
-impl Default for Policy {
+impl Default for ActivationPolicy {
     fn default() -> Self {
-        Policy { settle: Micros(100_000), most_lost: 0.5, hold: None, reuse_after: Micros(600_000_000) }
+        ActivationPolicy {
+            settle_time: Micros(100_000),
+            max_lost_fraction: 0.5,
+            hold: None,
+            id_reuse_delay: Micros(600_000_000),
+        }
     }
 }
 
@@ -49,9 +54,9 @@
 
 /// Keeps the set in force.
 #[derive(Clone, Debug)]
-pub struct Keeper {
-    policy: Policy,
-    places: Places,
+pub struct Activator {
+    policy: ActivationPolicy,
+    places: Topology,
     current: Option<EngineSet>,
     /// It was kept by a process before this one: engines may have moved since, and nobody here knows them yet.
     from_before: bool,
@@ -87,10 +92,10 @@
     length << 32 | u64::from(all.finalize())
 }
 
-impl Keeper {
-    /// A keeper with nothing in force.
-    pub fn new(policy: Policy, places: Places) -> Keeper {
-        Keeper {
+impl Activator {
+    /// An activator with nothing in force.
+    pub fn new(policy: ActivationPolicy, places: Topology) -> Activator {
+        Activator {
             policy,
             places,
             current: None,
@@ -123,7 +128,7 @@
     /// The set in force as text, to be kept.
     pub fn to_keep(&self, now: Micros) -> Option<String> {
         let set = self.current.clone()?;
-        Some(write(&Read { set, confirmed: false, kept: Some(now) }, &self.places))
+        Some(serialize(&EngineFile { set, confirmed: false, saved_at: Some(now) }, &self.places))
     }
 
     /// Looks at a reading. Equal readings may come as often as they like.
@@ -143,10 +148,10 @@
         // A clock that ran backwards settles nothing for ever: it counts anew.
         if now < since {
             self.seen = Some((sum, now));
-            return Verdict::Settling(now + self.policy.settle);
+            return Verdict::Settling(now + self.policy.settle_time);
         }
-        if now - since < self.policy.settle {
-            return Verdict::Settling(since + self.policy.settle);
+        if now - since < self.policy.settle_time {
+            return Verdict::Settling(since + self.policy.settle_time);
         }
         if let Some((refused, fault)) = &self.refused {
             if *refused == sum {
@@ -175,8 +180,8 @@
             return Err(ConfigError::at("engines", "", 0, "there is no file of engines", mend));
         }
         let whole: usize = reading.iter().filter_map(|(_, t)| t.as_ref().ok()).map(String::len).sum();
-        if whole > LONGEST {
-            let fault = format!("{whole} bytes in all files, {LONGEST} at most");
+        if whole > MAX_LIST_BYTES {
+            let fault = format!("{whole} bytes in all files, {MAX_LIST_BYTES} at most");
             return Err(ConfigError::at(&reading[0].0, "", 0, fault, "name fewer engines"));
         }
         let mut places = self.places.clone();
@@ -194,7 +199,7 @@
                     "write it anew, readable to this user",
                 )
             })?;
-            let found = read(name, text, &mut places)?;
+            let found = parse(name, text, &mut places)?;
             self.version_rises(name, text, &found)?;
             let place = |what: &str| text.find(&format!("{what:?}")).unwrap_or(0);
             for (id, known) in found.set.engines {
@@ -220,8 +225,8 @@
             confirmed &= found.confirmed;
             files.insert(name.clone(), (found.set.version, sum(text)));
         }
-        if candidate.engines.len() > MOST {
-            let fault = format!("{} engines in all files, {MOST} at most", candidate.engines.len());
+        if candidate.engines.len() > MAX_ENGINES {
+            let fault = format!("{} engines in all files, {MAX_ENGINES} at most", candidate.engines.len());
             return Err(ConfigError::at(&reading[0].0, "", 0, fault, "name fewer"));
         }
         if let Some(held) = self.too_much_lost(now, sum_now, &candidate, confirmed) {
@@ -231,7 +236,7 @@
     }
 
     /// A file that changed must say so by its version.
-    fn version_rises(&self, name: &str, text: &str, found: &Read) -> Result<(), ConfigError> {
+    fn version_rises(&self, name: &str, text: &str, found: &EngineFile) -> Result<(), ConfigError> {
         let version = found.set.version;
         let Some((old, old_sum)) = self.files.get(name) else { return Ok(()) };
         let at = text.find("version").unwrap_or(0);
@@ -259,7 +264,7 @@
         file: &str,
         text: &str,
         at: usize,
-        known: &crate::Known,
+        known: &crate::EngineRecord,
     ) -> Result<(), ConfigError> {
         let id = known.entry.engine;
         let in_force = self.current.as_ref().filter(|_| !self.from_before).and_then(|c| c.engines.get(&id));
@@ -268,7 +273,7 @@
             None => self
                 .gone
                 .get(&id)
-                .filter(|(_, since)| now - *since < self.policy.reuse_after)
+                .filter(|(_, since)| now - *since < self.policy.id_reuse_delay)
                 .map(|(address, _)| *address),
         };
         match old {
@@ -290,7 +295,7 @@
         let had = self.current.as_ref()?.capacity(&self.places.cores);
         let cores = &self.places.cores;
         // What is left of what was there: fresh engines are cold, and make up for nothing yet.
-        let stays = |k: &&crate::Known| {
+        let stays = |k: &&crate::EngineRecord| {
             let old = self.current.as_ref().and_then(|c| c.engines.get(&k.entry.engine));
             k.entry.status == Status::Up && old.is_some_and(|o| o.entry.status == Status::Up)
         };
@@ -301,7 +306,7 @@
             .map(|k| cores.get(k.entry.kind).copied().unwrap_or(1.0))
             .sum();
         let lost = if had > 0.0 { 1.0 - left / had } else { 0.0 };
-        if lost <= self.policy.most_lost || confirmed {
+        if lost <= self.policy.max_lost_fraction || confirmed {
             return None;
         }
         let since = match self.held_since {
@@ -320,7 +325,7 @@
     }
 
     fn swap(&mut self, now: Micros, set: EngineSet, files: BTreeMap<String, (u64, u64)>) -> Verdict {
-        let reuse = self.policy.reuse_after;
+        let reuse = self.policy.id_reuse_delay;
         self.gone.retain(|_, (_, since)| now - *since < reuse);
         if let Some(old) = &self.current {
             let lost = old.engines.iter().filter(|(id, _)| !set.engines.contains_key(id));
--- a/crates/endpoints/src/file.rs
+++ b/crates/endpoints/src/file.rs
@@ -3,7 +3,7 @@
 //! A file says how many engines it holds in its last table, `[end]`. One that was torn lacks that, or has another number
 //! there, at whichever byte it was torn.
 
-use crate::{word, EngineSet, Known, LONGEST, MOST};
+use crate::{status_name, EngineRecord, EngineSet, MAX_ENGINES, MAX_LIST_BYTES};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -61,23 +61,23 @@
 
 /// What is known of places: names of zones and kinds, and the cores of each kind.
 #[derive(Clone, Debug, Default)]
-pub struct Places {
+pub struct Topology {
     /// Names of zones and kinds.
     pub names: Names,
     /// Cores of each kind, by position.
     pub cores: Vec<f64>,
     /// Zones and kinds are those of the files themselves: none is unknown.
-    pub open: bool,
+    pub accept_unknown_names: bool,
 }
 
-impl Places {
+impl Topology {
     /// The number of a zone.
     fn zone(&mut self, name: &str) -> Option<usize> {
-        position(&mut self.names.zones, name, self.open)
+        position(&mut self.names.zones, name, self.accept_unknown_names)
     }
 
     fn kind(&mut self, name: &str) -> Option<usize> {
-        position(&mut self.names.kinds, name, self.open)
+        position(&mut self.names.kinds, name, self.accept_unknown_names)
     }
 }
 
@@ -92,13 +92,13 @@
 
 /// A file that was read.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Read {
+pub struct EngineFile {
     /// The set.
     pub set: EngineSet,
     /// Whoever wrote it means it, however much of the capacity is gone with it.
     pub confirmed: bool,
     /// When it was kept as the last good set, in microseconds of the wall clock, if it was.
-    pub kept: Option<Micros>,
+    pub saved_at: Option<Micros>,
 }
 
 struct Checker<'a> {
@@ -116,9 +116,9 @@
 ///
 /// # Errors
 /// The first fault, by line and column.
-pub fn read(file: &str, text: &str, places: &mut Places) -> Result<Read, ConfigError> {
-    if text.len() > LONGEST {
-        let fault = format!("{} bytes, {LONGEST} at most", text.len());
+pub fn parse(file: &str, text: &str, places: &mut Topology) -> Result<EngineFile, ConfigError> {
+    if text.len() > MAX_LIST_BYTES {
+        let fault = format!("{} bytes, {MAX_LIST_BYTES} at most", text.len());
         return Err(ConfigError::at(file, text, 0, fault, "split it, and name the parts by a pattern"));
     }
     let parsed: File = toml::from_str(text).map_err(|e| ConfigError::from_toml(file, text, &e))?;
@@ -152,8 +152,8 @@
     if found == 0 {
         return Err(c.wrong(end, "no engine at all", "name at least one; to stop all, stop the controllers"));
     }
-    if found > MOST {
-        return Err(c.wrong(end, format!("{found} engines, {MOST} at most"), "name fewer"));
+    if found > MAX_ENGINES {
+        return Err(c.wrong(end, format!("{found} engines, {MAX_ENGINES} at most"), "name fewer"));
     }
     if *parsed.version.get_ref() == 0 {
         return Err(c.wrong(&parsed.version, "version 0", "count from 1, and raise it with every change"));
@@ -174,10 +174,10 @@
             return Err(c.wrong(at, format!("`{name}` is named twice"), "remove one"));
         }
     }
-    Ok(Read { set, confirmed: parsed.confirmed, kept: parsed.kept_us.map(Micros) })
+    Ok(EngineFile { set, confirmed: parsed.confirmed, saved_at: parsed.kept_us.map(Micros) })
 }
 
-fn engine(c: &Checker<'_>, line: &At<Line>, places: &mut Places) -> Result<Known, ConfigError> {
+fn engine(c: &Checker<'_>, line: &At<Line>, places: &mut Topology) -> Result<EngineRecord, ConfigError> {
     let l = line.get_ref();
     let name = l.id.get_ref();
     let plain = |ch: char| ch.is_ascii_alphanumeric() || matches!(ch, '-' | '_' | '.' | ':');
@@ -231,7 +231,7 @@
     };
     let entry =
         EngineEntry { engine: engine_id(name), zone, kind, cell: l.cell, status, started_at: started };
-    Ok(Known { name: name.clone(), address, entry })
+    Ok(EngineRecord { name: name.clone(), address, entry })
 }
 
 /// Cores, where they are written, must be those of the kind.
@@ -265,15 +265,15 @@
 }
 
 /// Writes a set as a file, in order of names.
-pub fn write(read: &Read, places: &Places) -> String {
-    let mut out = format!("version = {}\n", read.set.version);
-    if read.confirmed {
+pub fn serialize(file: &EngineFile, places: &Topology) -> String {
+    let mut out = format!("version = {}\n", file.set.version);
+    if file.confirmed {
         out.push_str("confirmed = true\n");
     }
-    if let Some(kept) = read.kept {
+    if let Some(kept) = file.saved_at {
         let _ = writeln!(out, "kept_us = {}", kept.0);
     }
-    let mut engines: Vec<&Known> = read.set.engines.values().collect();
+    let mut engines: Vec<&EngineRecord> = file.set.engines.values().collect();
     engines.sort_by(|a, b| a.name.cmp(&b.name));
     for k in engines {
         let e = &k.entry;
@@ -288,12 +288,12 @@
             let _ = writeln!(out, "cell = {}", e.cell);
         }
         if e.status != Status::Up {
-            let _ = writeln!(out, "status = \"{}\"", word(e.status));
+            let _ = writeln!(out, "status = \"{}\"", status_name(e.status));
         }
         if let Some(started) = e.started_at {
             let _ = writeln!(out, "started_us = {}", started.0);
         }
     }
-    let _ = write!(out, "\n[end]\nengines = {}\n", read.set.engines.len());
+    let _ = write!(out, "\n[end]\nengines = {}\n", file.set.engines.len());
     out
 }
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -1,7 +1,7 @@
 //! Sets of engines: read from files or a registry, checked, compared, merged, and taken whole or not at all.
 //!
 //! - [`mod@file`]: a set as TOML; every fault by line, column and mend.
-//! - [`keeper`]: when what files hold is taken: it stands still, it is sound, and it is plausible.
+//! - [`activation`]: when what files hold is taken: it stands still, it is sound, and it is plausible.
 //! - [`merge`]: a file and a registry that may contradict each other.
 //! - [`rollout`]: a large change in steps, and when to stop it.
 //! - [`tracker`]: what the module is told of a new set.
@@ -10,27 +10,27 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod activation;
+mod event;
 pub mod file;
-pub mod keeper;
 pub mod merge;
-mod news;
 pub mod rollout;
 pub mod tracker;
 
-pub use news::News;
+pub use event::EngineFileEvent;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use wheelfield::interface::{EngineEntry, EngineId, Status};
 
 /// Bytes of a list at most.
-pub const LONGEST: usize = 4 << 20;
+pub const MAX_LIST_BYTES: usize = 4 << 20;
 /// Engines of a list at most.
-pub const MOST: usize = 10_000;
+pub const MAX_ENGINES: usize = 10_000;
 
 /// An engine as it is known.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Known {
+pub struct EngineRecord {
     /// Its name.
     pub name: String,
     /// Where it listens.
@@ -45,7 +45,7 @@
     /// Raised with every change.
     pub version: u64,
     /// The engines.
-    pub engines: BTreeMap<EngineId, Known>,
+    pub engines: BTreeMap<EngineId, EngineRecord>,
 }
 
 impl EngineSet {
@@ -66,13 +66,15 @@
             }
         }
         let fresh = other.engines.iter().filter(|(id, _)| !self.engines.contains_key(id));
-        lines.extend(fresh.map(|(_, k)| format!("+ {} at {}, {}", k.name, k.address, word(k.entry.status))));
+        lines.extend(
+            fresh.map(|(_, k)| format!("+ {} at {}, {}", k.name, k.address, status_name(k.entry.status))),
+        );
         lines
     }
 }
 
 /// A status as files and registries write it.
-pub fn word(status: Status) -> &'static str {
+pub fn status_name(status: Status) -> &'static str {
     match status {
         Status::Up => "up",
         Status::Draining => "draining",
@@ -80,14 +82,14 @@
     }
 }
 
-fn changed(old: &Known, new: &Known) -> String {
+fn changed(old: &EngineRecord, new: &EngineRecord) -> String {
     let mut parts = Vec::new();
     if old.address != new.address {
         parts.push(format!("address {} to {}", old.address, new.address));
     }
     let (a, b) = (&old.entry, &new.entry);
     if a.status != b.status {
-        parts.push(format!("{} to {}", word(a.status), word(b.status)));
+        parts.push(format!("{} to {}", status_name(a.status), status_name(b.status)));
     }
     let place = |e: &EngineEntry| (e.zone, e.kind, e.cell);
     if place(a) != place(b) {
--- a/crates/endpoints/src/merge.rs
+++ b/crates/endpoints/src/merge.rs
@@ -1,6 +1,6 @@
 //! Two sources of one set: a file says which engines there are and where, a registry how they stand.
 
-use crate::{word, EngineSet};
+use crate::{status_name, EngineSet};
 use wheelfield::interface::{Micros, Status};
 
 /// Where the sources contradict each other.
@@ -42,7 +42,7 @@
         };
         let (a, b) = (k.entry.status, other.entry.status);
         if a != b {
-            found.push(Contradiction::Standing(k.name.clone(), word(a), word(b)));
+            found.push(Contradiction::Standing(k.name.clone(), status_name(a), status_name(b)));
         }
         if rank(b) > rank(a) {
             k.entry.status = b;
--- a/crates/endpoints/src/rollout.rs
+++ b/crates/endpoints/src/rollout.rs
@@ -1,6 +1,6 @@
 //! A change of many engines in steps, and whether the controllers do worse for it.
 
-use crate::{EngineSet, Known};
+use crate::{EngineRecord, EngineSet};
 use std::collections::{BTreeMap, BTreeSet};
 use wheelfield::interface::{EngineId, Status};
 
@@ -36,14 +36,14 @@
     if !(share > 0.0 && share <= 1.0) {
         return Err(Unsteppable::Share(share));
     }
-    let moved = |k: &&Known| goal.engines.get(&k.entry.engine).is_some_and(|g| g.address != k.address);
+    let moved = |k: &&EngineRecord| goal.engines.get(&k.entry.engine).is_some_and(|g| g.address != k.address);
     if let Some(k) = from.engines.values().find(moved) {
         return Err(Unsteppable::Moved(k.name.clone()));
     }
     if from.engines == goal.engines {
         return Err(Unsteppable::Nothing);
     }
-    let size = |k: &Known| cores.get(k.entry.kind).copied().unwrap_or(1.0);
+    let size = |k: &EngineRecord| cores.get(k.entry.kind).copied().unwrap_or(1.0);
     let whole = from.capacity(cores).min(goal.capacity(cores));
     let coming = goal.engines.values().filter(|k| !from.engines.contains_key(&k.entry.engine));
     let coming = chunks(coming, whole * share, size);
@@ -97,7 +97,7 @@
     Ok(sets)
 }
 
-fn finish(engines: &mut BTreeMap<EngineId, Known>, drained: &mut BTreeSet<EngineId>) {
+fn finish(engines: &mut BTreeMap<EngineId, EngineRecord>, drained: &mut BTreeSet<EngineId>) {
     for id in std::mem::take(drained) {
         engines.remove(&id);
     }
@@ -105,9 +105,9 @@
 
 /// Engines in order, cut where more than `most` would be in one part.
 fn chunks<'a>(
-    engines: impl Iterator<Item = &'a Known>,
+    engines: impl Iterator<Item = &'a EngineRecord>,
     most: f64,
-    size: impl Fn(&Known) -> f64,
+    size: impl Fn(&EngineRecord) -> f64,
 ) -> Vec<Vec<EngineId>> {
     let mut parts: Vec<Vec<EngineId>> = Vec::new();
     let mut filled = f64::INFINITY;
--- a/crates/endpoints/src/tracker.rs
+++ b/crates/endpoints/src/tracker.rs
@@ -1,6 +1,6 @@
 //! What the module is told of a new set: the first whole, later ones by what changed. And a set as a registry tells it.
 
-use crate::{EngineSet, Known, MOST};
+use crate::{EngineRecord, EngineSet, MAX_ENGINES};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -43,7 +43,7 @@
     #[error("not a list: {0}")]
     Unreadable(#[from] serde_json::Error),
     /// Too long.
-    #[error("{0} engines, {MOST} at most")]
+    #[error("{0} engines, {MAX_ENGINES} at most")]
     TooMany(usize),
     /// An address that is none, or not on loopback.
     #[error("engine `{0}` has no loopback address: `{1}`")]
@@ -58,29 +58,29 @@
 
 /// The list as it was last told.
 #[derive(Debug, Default)]
-pub struct Engines {
+pub struct EngineTracker {
     version: u64,
-    known: BTreeMap<EngineId, Known>,
+    known: BTreeMap<EngineId, EngineRecord>,
     told: bool,
 }
 
 /// What a new list comes to.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Change {
+pub struct EngineListChange {
     /// It is the first: whole.
-    pub whole: bool,
+    pub is_complete: bool,
     /// The lines that the module is told.
     pub entries: Vec<EngineEntry>,
 }
 
-impl Engines {
+impl EngineTracker {
     /// The version last told.
     pub fn version(&self) -> u64 {
         self.version
     }
 
     /// All that were ever named.
-    pub fn known(&self) -> &BTreeMap<EngineId, Known> {
+    pub fn records(&self) -> &BTreeMap<EngineId, EngineRecord> {
         &self.known
     }
 
@@ -93,20 +93,20 @@
     ///
     /// # Errors
     /// [`ListError`]; nothing of it was taken then.
-    pub fn take(&mut self, body: &[u8], names: &Names) -> Result<Change, ListError> {
-        let set = from_registry(body, names, self.version)?;
-        Ok(self.set(set))
+    pub fn apply_registry_list(&mut self, body: &[u8], names: &Names) -> Result<EngineListChange, ListError> {
+        let set = parse_registry_list(body, names, self.version)?;
+        Ok(self.apply_set(set))
     }
 
     /// Takes a set as it is.
-    pub fn set(&mut self, set: EngineSet) -> Change {
+    pub fn apply_set(&mut self, set: EngineSet) -> EngineListChange {
         self.version = set.version;
         self.replace(set.engines)
     }
 
     /// Takes a set of files. What was not there before, or was gone, and does not tell its last start, starts now: it
     /// may be cold, and all controllers take it for that.
-    pub fn set_from_files(&mut self, mut set: EngineSet, now: Micros) -> Change {
+    pub fn apply_file_set(&mut self, mut set: EngineSet, now: Micros) -> EngineListChange {
         for (id, k) in set.engines.iter_mut().filter(|(_, k)| k.entry.started_at.is_none()) {
             let old = self.known.get(id);
             k.entry.started_at = match old {
@@ -115,11 +115,11 @@
                 _ => Some(now),
             };
         }
-        self.set(set)
+        self.apply_set(set)
     }
 
     /// Takes the engines that the configuration itself names.
-    pub fn fixed(&mut self, config: &Config) -> Change {
+    pub fn apply_config(&mut self, config: &Config) -> EngineListChange {
         let known = |e: &EngineEndpoint| {
             let engine = engine_id(&e.name);
             let entry = EngineEntry {
@@ -130,14 +130,14 @@
                 status: Status::Up,
                 started_at: None,
             };
-            (engine, Known { name: e.name.clone(), address: e.address, entry })
+            (engine, EngineRecord { name: e.name.clone(), address: e.address, entry })
         };
         self.replace(config.engines.iter().map(known).collect())
     }
 
-    fn replace(&mut self, fresh: BTreeMap<EngineId, Known>) -> Change {
-        let whole = !std::mem::replace(&mut self.told, true);
-        let changed = fresh.values().filter(|k| whole || self.known.get(&k.entry.engine) != Some(k));
+    fn replace(&mut self, fresh: BTreeMap<EngineId, EngineRecord>) -> EngineListChange {
+        let is_complete = !std::mem::replace(&mut self.told, true);
+        let changed = fresh.values().filter(|k| is_complete || self.known.get(&k.entry.engine) != Some(k));
         let mut entries: Vec<EngineEntry> = changed.map(|k| k.entry.clone()).collect();
         // What is missing is gone; it stays known, so that what is out there still has a name.
         for (id, old) in &mut self.known {
@@ -147,7 +147,7 @@
             }
         }
         self.known.extend(fresh);
-        Change { whole, entries }
+        EngineListChange { is_complete, entries }
     }
 }
 
@@ -155,12 +155,12 @@
 ///
 /// # Errors
 /// [`ListError`].
-pub fn from_registry(body: &[u8], names: &Names, in_force: u64) -> Result<EngineSet, ListError> {
+pub fn parse_registry_list(body: &[u8], names: &Names, in_force: u64) -> Result<EngineSet, ListError> {
     let list: List = serde_json::from_slice(body)?;
     if list.version < in_force {
         return Err(ListError::Older(list.version, in_force));
     }
-    if list.engines.len() > MOST {
+    if list.engines.len() > MAX_ENGINES {
         return Err(ListError::TooMany(list.engines.len()));
     }
     let mut engines = BTreeMap::new();
@@ -181,7 +181,7 @@
             },
             started_at: line.started_us.map(Micros),
         };
-        if let Some(twice) = engines.insert(engine, Known { name: line.id, address, entry }) {
+        if let Some(twice) = engines.insert(engine, EngineRecord { name: line.id, address, entry }) {
             return Err(ListError::Twice(twice.name));
         }
     }
@@ -192,20 +192,22 @@
 mod tests {
     use super::*;
 
-    fn take(engines: &mut Engines, body: &str) -> Result<Change, ListError> {
-        engines.take(body.as_bytes(), &Names { kinds: vec!["std".into()], ..Names::default() })
+    fn take(engines: &mut EngineTracker, body: &str) -> Result<EngineListChange, ListError> {
+        engines.apply_registry_list(body.as_bytes(), &Names { kinds: vec!["std".into()], ..Names::default() })
     }
 
     #[test]
     fn the_first_list_is_whole_and_later_ones_tell_what_changed() {
-        let mut engines = Engines::default();
+        let mut engines = EngineTracker::default();
         let line = |id: &str, port: u16, status: &str| {
             format!(r#"{{"id":"{id}","address":"127.0.0.1:{port}","kind":"std","status":"{status}"}}"#)
         };
         let list = |lines: &[String]| format!(r#"{{"version":2,"engines":[{}]}}"#, lines.join(","));
         let both = list(&[line("a", 1, "up"), line("b", 2, "up")]);
         let change = take(&mut engines, &both).expect("sound");
-        assert!(change.whole && change.entries.len() == 2 && change.entries.iter().all(|e| e.kind == 0));
+        assert!(
+            change.is_complete && change.entries.len() == 2 && change.entries.iter().all(|e| e.kind == 0)
+        );
         assert!(take(&mut engines, &both).expect("sound").entries.is_empty());
         let change = take(&mut engines, &list(&[line("a", 1, "draining")])).expect("sound");
         let status =
@@ -216,7 +218,7 @@
 
     #[test]
     fn a_bad_list_changes_nothing() {
-        let mut engines = Engines::default();
+        let mut engines = EngineTracker::default();
         let good = r#"{"version":1,"engines":[{"id":"a","address":"127.0.0.1:1","status":"up"}]}"#;
         take(&mut engines, good).expect("sound");
         for bad in [
@@ -226,7 +228,7 @@
             &good.replace("}]", "},{\"id\":\"a\",\"address\":\"127.0.0.1:2\",\"status\":\"up\"}]"),
         ] {
             assert!(take(&mut engines, bad).is_err(), "{bad}");
-            assert_eq!((engines.version(), engines.known().len()), (1, 1));
+            assert_eq!((engines.version(), engines.records().len()), (1, 1));
         }
     }
 }
--- a/crates/endpoints/tests/rollout.rs
+++ b/crates/endpoints/tests/rollout.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeSet;
 use wheelfield::interface::Status;
 use wheelfield_config::Names;
-use wheelfield_endpoints::file::{read, Places};
-use wheelfield_endpoints::keeper::Policy;
+use wheelfield_endpoints::activation::ActivationPolicy;
+use wheelfield_endpoints::file::{parse, Topology};
 use wheelfield_endpoints::rollout::{answers, progress, steps, Answers, Guard, Round, Seen, Unsteppable};
 use wheelfield_endpoints::EngineSet;
 
@@ -22,7 +22,9 @@
         engines.len()
     );
     let names = Names { kinds: vec!["std".into(), "big".into()], ..Names::default() };
-    read("test", &text, &mut Places { names, cores: CORES.to_vec(), open: false }).expect("sound").set
+    parse("test", &text, &mut Topology { names, cores: CORES.to_vec(), accept_unknown_names: false })
+        .expect("sound")
+        .set
 }
 
 fn range(from: usize, to: usize) -> BTreeSet<usize> {
@@ -97,7 +99,7 @@
     for share in [0.0, -1.0, 1.1, f64::NAN] {
         assert!(matches!(steps(&a, &set(2, &range(0, 5)), &CORES, share, &[]), Err(Unsteppable::Share(_))));
     }
-    assert!(Policy::default().most_lost > 0.1, "a usual step is not held");
+    assert!(ActivationPolicy::default().max_lost_fraction > 0.1, "a usual step is not held");
 }
 
 fn seen(version: u64, served: u64, refused: u64, failed: u64) -> Option<Seen> {
--- a/crates/pg-gateway/src/dispatcher/endpoints.rs
+++ b/crates/pg-gateway/src/dispatcher/endpoints.rs
@@ -7,7 +7,7 @@
 use tracing::{info, warn};
 use wheelfield::interface::Status;
 use wheelfield_driver::Input;
-use wheelfield_endpoints::tracker::{from_registry, Change};
+use wheelfield_endpoints::tracker::{parse_registry_list, EngineListChange};
 use wheelfield_sans_io::ConnId;
 
 impl Dispatcher {
@@ -39,7 +39,7 @@
             }
             Some(Told::List(body)) => {
                 let version = self.sets.registry_version();
-                match from_registry(&body, &self.config.names, version) {
+                match parse_registry_list(&body, &self.config.names, version) {
                     Ok(set) => {
                         let change = self.sets.registry(set, self.out.now);
                         self.changed(change);
@@ -55,8 +55,10 @@
     }
 
     /// The engine list has changed.
-    pub fn changed(&mut self, change: Option<Change>) {
-        let Some(Change { whole, entries }) = change.filter(|c| c.whole || !c.entries.is_empty()) else {
+    pub fn changed(&mut self, change: Option<EngineListChange>) {
+        let Some(EngineListChange { is_complete, entries }) =
+            change.filter(|c| c.is_complete || !c.entries.is_empty())
+        else {
             return;
         };
         self.out.saw(Coverage::ListTaken);
@@ -65,13 +67,13 @@
             info!(engine = known.name(entry.engine), status = ?entry.status, "engine list");
         }
         let now = self.out.now;
-        self.tape.record_engine_names(now, known.known().iter().map(|(id, k)| (*id, k.name.clone())));
+        self.tape.record_engine_names(now, known.records().iter().map(|(id, k)| (*id, k.name.clone())));
         for entry in &entries {
-            if let Some(k) = known.known().get(&entry.engine) {
+            if let Some(k) = known.records().get(&entry.engine) {
                 let up = k.entry.status == Status::Up;
                 self.engines.listed(entry.engine, k.address, up, &mut self.out);
             }
         }
-        self.tape.handle_input(now, Input::Engines { complete: whole, entries });
+        self.tape.handle_input(now, Input::Engines { complete: is_complete, entries });
     }
 }
--- a/crates/pg-gateway/src/endpoint_sets.rs
+++ b/crates/pg-gateway/src/endpoint_sets.rs
@@ -6,8 +6,8 @@
 use wheelfield::interface::Micros;
 use wheelfield_config::Config;
 use wheelfield_endpoints::merge::{merge, Contradiction};
-use wheelfield_endpoints::tracker::{Change, Engines};
-use wheelfield_endpoints::{EngineSet, News};
+use wheelfield_endpoints::tracker::{EngineListChange, EngineTracker};
+use wheelfield_endpoints::{EngineFileEvent, EngineSet};
 
 /// Counted here.
 #[derive(Clone, Copy, Debug, Default)]
@@ -34,7 +34,7 @@
 /// The engines in force.
 #[derive(Debug)]
 pub(crate) struct EndpointSets {
-    engines: Engines,
+    engines: EngineTracker,
     files: Option<Files>,
     pub counts: Counts,
 }
@@ -43,16 +43,16 @@
     pub fn new(config: &Config) -> EndpointSets {
         let files =
             config.endpoint_files.as_ref().map(|m| Files { age: m.max_registry_age, ..Files::default() });
-        EndpointSets { engines: Engines::default(), files, counts: Counts::default() }
+        EndpointSets { engines: EngineTracker::default(), files, counts: Counts::default() }
     }
 
-    pub fn engines(&self) -> &Engines {
+    pub fn engines(&self) -> &EngineTracker {
         &self.engines
     }
 
     /// The engines that the configuration itself names.
-    pub fn fixed(&mut self, config: &Config) -> Change {
-        self.engines.fixed(config)
+    pub fn fixed(&mut self, config: &Config) -> EngineListChange {
+        self.engines.apply_config(config)
     }
 
     /// Whether files say which engines there are.
@@ -61,37 +61,37 @@
     }
 
     /// Word of the files.
-    pub fn news(&mut self, news: News, now: i64) -> Option<Change> {
+    pub fn news(&mut self, news: EngineFileEvent, now: i64) -> Option<EngineListChange> {
         let f = self.files.as_mut()?;
         match news {
-            News::Set(set) => {
+            EngineFileEvent::Activated(set) => {
                 info!(version = set.version, engines = set.engines.len(), "engine files in force");
                 (f.set, f.fault) = (Some(set), None);
                 return self.merged(now);
             }
-            News::Kept(set, age) => {
+            EngineFileEvent::LastGoodRestored(set, age) => {
                 warn!(version = set.version, age_s = age.0 / 1_000_000, "the set that was kept is in force");
                 f.fault = Some(format!("the set that was kept is in force, of {} s ago", age.0 / 1_000_000));
                 f.set = Some(set);
                 return self.merged(now);
             }
-            News::Refused(fault) => {
+            EngineFileEvent::Rejected(fault) => {
                 warn!(%fault, "engine files refused; the set in force stays");
                 f.fault = Some(fault.to_string());
                 self.counts.refused += 1;
             }
-            News::Held(why, until) => {
+            EngineFileEvent::Held(why, until) => {
                 let until_s = until.map(|t| (t.0 - now) / 1_000_000);
                 warn!(why, until_s, "engine files held; write confirmed = true if that is meant");
                 f.fault = Some(format!("held: {why}"));
                 self.counts.held += 1;
             }
-            News::Fine => {
+            EngineFileEvent::FaultCleared => {
                 info!("engine files are those in force again");
                 f.fault = None;
             }
-            News::KeptBad(why) => warn!(why, "the set that was kept can't be used"),
-            News::NotKept(why) => {
+            EngineFileEvent::LastGoodInvalid(why) => warn!(why, "the set that was kept can't be used"),
+            EngineFileEvent::LastGoodNotSaved(why) => {
                 error!(
                     why,
                     "the set in force could not be kept; a start without a good file would have none"
@@ -99,20 +99,22 @@
                 self.counts.not_kept += 1;
             }
             // Who asked for it hears of it before.
-            News::Looked(_) => {}
-            News::PollOnly(why) => warn!(why, "the system tells of no changes; engine files are polled"),
+            EngineFileEvent::ReadCompleted(_) => {}
+            EngineFileEvent::PollingOnly(why) => {
+                warn!(why, "the system tells of no changes; engine files are polled")
+            }
         }
         None
     }
 
     /// A list as the registry tells it. Where files say which engines there are, it is noted beside them.
-    pub fn registry(&mut self, set: EngineSet, now: i64) -> Option<Change> {
+    pub fn registry(&mut self, set: EngineSet, now: i64) -> Option<EngineListChange> {
         match &mut self.files {
             Some(f) => {
                 f.registry = Some((set, now));
                 self.merged(now)
             }
-            None => Some(self.engines.set(set)),
+            None => Some(self.engines.apply_set(set)),
         }
     }
 
@@ -125,7 +127,7 @@
     }
 
     /// A registry that fell silent counts no more, and one that speaks again does.
-    pub fn age(&mut self, now: i64) -> Option<Change> {
+    pub fn age(&mut self, now: i64) -> Option<EngineListChange> {
         let f = self.files.as_ref()?;
         let fresh = f.registry.as_ref().is_some_and(|(_, heard)| now - heard <= f.age.0);
         if fresh == f.counted {
@@ -134,7 +136,7 @@
         self.merged(now)
     }
 
-    fn merged(&mut self, now: i64) -> Option<Change> {
+    fn merged(&mut self, now: i64) -> Option<EngineListChange> {
         let f = self.files.as_mut()?;
         let set = f.set.as_ref()?;
         let told = f.registry.as_ref().map(|(told, heard)| (told, Micros(now - heard)));
@@ -146,7 +148,7 @@
             }
             f.contradictions = contradictions;
         }
-        Some(self.engines.set_from_files(merged, Micros(now)))
+        Some(self.engines.apply_file_set(merged, Micros(now)))
     }
 
     /// What an operator is shown of the files.
--- a/crates/pg-gateway/src/event.rs
+++ b/crates/pg-gateway/src/event.rs
@@ -1,6 +1,6 @@
 //! What a controller is told.
 
-use wheelfield_endpoints::News;
+use wheelfield_endpoints::EngineFileEvent;
 use wheelfield_gossip::authentication::Keys;
 use wheelfield_sans_io::IoEvent;
 
@@ -12,7 +12,7 @@
     /// Something happened on a socket.
     Io(IoEvent<'a>),
     /// The endpoint files were read.
-    EndpointFiles(News),
+    EndpointFiles(EngineFileEvent),
     /// The file of the gossip keys was read.
     GossipKeys(Result<Keys, String>),
     /// A graceful shutdown was requested.
--- a/crates/pg-gateway/src/gateway.rs
+++ b/crates/pg-gateway/src/gateway.rs
@@ -13,7 +13,7 @@
 use wheelfield_capture::Recorder;
 use wheelfield_config::Config;
 use wheelfield_driver::Input;
-use wheelfield_endpoints::News;
+use wheelfield_endpoints::EngineFileEvent;
 use wheelfield_sans_io::ConnectionBuffer;
 use wheelfield_sans_io::{ConnId, DatagramSocket, Effect, IoEvent, Listener, Protocol};
 
@@ -130,7 +130,7 @@
         self.flow.connections()
     }
 
-    /// The number by which [`News::Looked`] is to tell that the engine files were read from now on, if that is asked for.
+    /// The number by which [`EngineFileEvent::ReadCompleted`] is to tell that the engine files were read from now on, if that is asked for.
     pub fn take_files_request(&mut self) -> Option<u64> {
         self.flow.list_age.take_files_request()
     }
@@ -142,7 +142,7 @@
             GatewayEvent::Started => self.flow.started(),
             GatewayEvent::Io(event) => self.dispatch_io(now, event),
             GatewayEvent::EndpointFiles(news) => {
-                if let News::Looked(number) = news {
+                if let EngineFileEvent::ReadCompleted(number) = news {
                     self.flow.list_age.note_files_read(number);
                     return;
                 }
--- a/crates/pg-gateway/src/metrics.rs
+++ b/crates/pg-gateway/src/metrics.rs
@@ -94,11 +94,11 @@
     pub fn status(&self) -> String {
         let figures: Map<String, Value> =
             self.figures().into_iter().map(|(name, _, value)| (name.to_string(), json!(value))).collect();
-        let engine = |k: &wheelfield_endpoints::Known| {
-            let status = wheelfield_endpoints::word(k.entry.status);
+        let engine = |k: &wheelfield_endpoints::EngineRecord| {
+            let status = wheelfield_endpoints::status_name(k.entry.status);
             json!({"id": k.name, "address": k.address.to_string(), "status": status})
         };
-        let engines: Vec<Value> = self.sets.engines().known().values().map(engine).collect();
+        let engines: Vec<Value> = self.sets.engines().records().values().map(engine).collect();
         let (listed, members) = (!self.call.silent, self.sets.status());
         let mut page = json!({"figures": figures, "engines": engines, "listed": listed, "members": members});
         if let Some(gossip) = self.gossip {
--- a/crates/pg-gateway/src/registry.rs
+++ b/crates/pg-gateway/src/registry.rs
@@ -65,7 +65,7 @@
     }
 
     pub fn room(&mut self, id: ConnId) -> usize {
-        self.wires.get_mut(id).map_or(0, |w| w.read_capacity(wheelfield_endpoints::LONGEST))
+        self.wires.get_mut(id).map_or(0, |w| w.read_capacity(wheelfield_endpoints::MAX_LIST_BYTES))
     }
 
     /// Whether a call is under way.
@@ -116,11 +116,11 @@
     /// Something came, or will come no more. Ask again while there is word.
     pub fn read(&mut self, id: ConnId, out: &mut EffectQueue) -> Option<Told> {
         let wire = self.wires.get_mut(id)?;
-        let response = match http::take_response(&mut wire.input, wheelfield_endpoints::LONGEST) {
+        let response = match http::take_response(&mut wire.input, wheelfield_endpoints::MAX_LIST_BYTES) {
             Ok(Some(response)) => response,
             Ok(None) if wire.read_closed => return self.failed("the registry closed the connection", out),
             Ok(None) => {
-                wire.resume_reading(id, wheelfield_endpoints::LONGEST, out);
+                wire.resume_reading(id, wheelfield_endpoints::MAX_LIST_BYTES, out);
                 return None;
             }
             Err(fault) => return self.failed(&fault.to_string(), out),
--- a/crates/testbed/src/lists.rs
+++ b/crates/testbed/src/lists.rs
@@ -6,8 +6,8 @@
 use std::path::{Path, PathBuf};
 use wheelfield::interface::{EngineEntry, Micros, Status};
 use wheelfield_config::{engine_id, Names};
-use wheelfield_endpoints::file::{write, Places, Read};
-use wheelfield_endpoints::{EngineSet, Known};
+use wheelfield_endpoints::file::{serialize, EngineFile, Topology};
+use wheelfield_endpoints::{EngineRecord, EngineSet};
 use wheelfield_endpoints_cli::disk;
 
 /// The file, and what it says.
@@ -16,7 +16,7 @@
     path: PathBuf,
     log: PathBuf,
     set: EngineSet,
-    places: Places,
+    places: Topology,
     controllers: usize,
 }
 
@@ -31,7 +31,8 @@
         engines: &[(String, String, i64)],
         controllers: usize,
     ) -> Result<Lists> {
-        let mut places = Places { open: true, names: Names::default(), ..Places::default() };
+        let mut places =
+            Topology { accept_unknown_names: true, names: Names::default(), ..Topology::default() };
         let mut set = EngineSet { version: 0, ..EngineSet::default() };
         let addresses = told.as_array().context("no engines were told")?;
         let position = |all: &mut Vec<String>, name: &String| {
@@ -51,7 +52,7 @@
                 status: Status::Up,
                 started_at: None,
             };
-            set.engines.insert(entry.engine, Known { name, address, entry });
+            set.engines.insert(entry.engine, EngineRecord { name, address, entry });
         }
         // In a directory of its own: each line that a process logs beside it would wake all that watch.
         let own = dir.join("members");
@@ -91,15 +92,15 @@
     /// judge is to be the stricter for it.
     fn put(&mut self, now: i64) -> Result<()> {
         self.set.version += 1;
-        let found = Read { set: self.set.clone(), confirmed: true, kept: None };
-        disk::write_durably(&self.path, write(&found, &self.places).as_bytes())
+        let found = EngineFile { set: self.set.clone(), confirmed: true, saved_at: None };
+        disk::write_durably(&self.path, serialize(&found, &self.places).as_bytes())
             .with_context(|| format!("cannot write {}", self.path.display()))?;
         let not_up: Vec<Value> = self
             .set
             .engines
             .values()
             .filter(|k| k.entry.status != Status::Up)
-            .map(|k| json!({"engine": k.name, "status": wheelfield_endpoints::word(k.entry.status)}))
+            .map(|k| json!({"engine": k.name, "status": wheelfield_endpoints::status_name(k.entry.status)}))
             .collect();
         let line = |who: usize| json!({"t": now, "event": "told", "who": who.to_string(), "not_up": not_up});
         let lines: String = (0..self.controllers).map(|who| format!("{}\n", line(who))).collect();
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -24,7 +24,7 @@
 use wheelfield::interface::{Settings, Status};
 use wheelfield_config::{Config, ConfigError};
 use wheelfield_driver::{Driver, DriverLimits};
-use wheelfield_endpoints::tracker::from_registry;
+use wheelfield_endpoints::tracker::parse_registry_list;
 use wheelfield_endpoints::EngineSet;
 use wheelfield_engine_emulator::desk::Desk;
 use wheelfield_engine_emulator::registry::{Line as Listed, Registry, Standing};
@@ -250,7 +250,7 @@
             started_us: None,
         };
         let registry = Registry::new(setup.engines.iter().enumerate().map(line));
-        let set = from_registry(registry.list().as_bytes(), &config.names, 0)
+        let set = parse_registry_list(registry.list().as_bytes(), &config.names, 0)
             .map_err(|e| ConfigError::at("generated", "", 0, e.to_string(), "mend the fleet"))?;
         let mut by_address: HashMap<SocketAddr, Proc> = HashMap::new();
         for i in 0..setup.engines.len() {
@@ -474,7 +474,7 @@
             .filter(|k| k.entry.status != Status::Up)
             .map(|k| NotUp {
                 engine: k.name.clone(),
-                status: wheelfield_endpoints::word(k.entry.status).to_string(),
+                status: wheelfield_endpoints::status_name(k.entry.status).to_string(),
             })
             .collect();
         for c in 0..self.gates.len() {
--- a/crates/testbed/src/virtual_time/procs.rs
+++ b/crates/testbed/src/virtual_time/procs.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use wheelfield_endpoints::News;
+use wheelfield_endpoints::EngineFileEvent;
 use wheelfield_engine_emulator::registry::Standing;
 use wheelfield_engine_emulator::stand::{Do, Entry};
 use wheelfield_invariants::{Line, NotUp};
@@ -276,7 +276,7 @@
     pub(super) fn read_file(&mut self, c: usize, life: u64) {
         let set = Arc::new(self.set.clone());
         let Some(gate) = self.gates[c].as_mut().filter(|_| self.lives[c] == life) else { return };
-        gate.handle(self.now, GatewayEvent::EndpointFiles(News::Set(set)));
+        gate.handle(self.now, GatewayEvent::EndpointFiles(EngineFileEvent::Activated(set)));
         self.after(Proc::Controller(c));
     }
 
