--- a/crates/endpoints-cli/src/disk.rs
+++ b/crates/endpoints-cli/src/disk.rs
@@ -1,11 +1,11 @@
-//! Reading engine files, and writing what must survive a crash.
+//! FileContent engine files, and writing what must survive a crash.
 
 use std::collections::BTreeSet;
 use std::fs::File;
 use std::io::{Read, Write};
 use std::path::{Path, PathBuf};
 use wheelfield::interface::Micros;
-use wheelfield_endpoints::activation::Reading;
+use wheelfield_endpoints::activation::FileContent;
 use wheelfield_endpoints::file::{parse, Topology};
 use wheelfield_endpoints::{EngineSet, MAX_LIST_BYTES};
 
@@ -94,13 +94,13 @@
 }
 
 /// Reads all files of all places.
-pub fn read(places: &[FileSource]) -> Vec<Reading> {
+pub fn read(places: &[FileSource]) -> Vec<FileContent> {
     let mut paths: Vec<PathBuf> = places.iter().flat_map(FileSource::files).collect();
     paths.sort();
     paths.dedup();
     let too_many = paths.len() > MOST_FILES;
     paths.truncate(MOST_FILES);
-    let mut all: Vec<Reading> =
+    let mut all: Vec<FileContent> =
         paths.iter().map(|p| (p.display().to_string(), text(p).map_err(|e| e.to_string()))).collect();
     if too_many {
         all.push(("more files".to_string(), Err(format!("there are more than {MOST_FILES} files"))));
--- a/crates/endpoints-cli/src/lib.rs
+++ b/crates/endpoints-cli/src/lib.rs
@@ -152,7 +152,7 @@
             let watched = system.as_mut().is_some_and(|s| self.watch_directories(s));
             let now = Micros(self.clock.now());
             let reading = disk::read(&self.watch.sources);
-            let verdict = activator.look(now, &reading);
+            let verdict = activator.evaluate(now, &reading);
             let is_settling = matches!(verdict, Verdict::Settling(_));
             let again = self.heed(&activator, now, verdict);
             if let Some(number) = self.report.take_if(|_| !is_settling) {
@@ -197,7 +197,7 @@
             Ok(None) => {}
             Ok(Some((set, kept))) => {
                 let age = Micros((self.clock.now() - kept.0).max(0));
-                activator.take_up(set.clone());
+                activator.restore(set.clone());
                 self.tell(EngineFileEvent::LastGoodRestored(Arc::new(set), age));
             }
             Err(why) => self.tell(EngineFileEvent::LastGoodInvalid(why)),
@@ -208,19 +208,19 @@
     fn heed(&mut self, activator: &Activator, now: Micros, verdict: Verdict) -> Option<Micros> {
         let news = match verdict {
             Verdict::Settling(at) => return Some(at),
-            Verdict::Same => {
+            Verdict::Unchanged => {
                 if self.last.take().is_some() {
                     self.tell(EngineFileEvent::FaultCleared);
                 }
                 return None;
             }
-            Verdict::Swap(set) => {
+            Verdict::Activated(set) => {
                 self.last = None;
                 self.tell(EngineFileEvent::Activated(Arc::new(set)));
                 self.keep(activator, now);
                 return None;
             }
-            Verdict::Refused(fault, _) => EngineFileEvent::Rejected(fault),
+            Verdict::Rejected(fault, _) => EngineFileEvent::Rejected(fault),
             Verdict::Held(why, until) => EngineFileEvent::Held(why, until),
         };
         let again = if let EngineFileEvent::Held(_, until) = &news { *until } else { None };
@@ -232,7 +232,9 @@
     }
 
     fn keep(&mut self, activator: &Activator, now: Micros) {
-        let (Some(path), Some(text)) = (&self.watch.last_good, activator.to_keep(now)) else { return };
+        let (Some(path), Some(text)) = (&self.watch.last_good, activator.serialize_current(now)) else {
+            return;
+        };
         let written = disk::write_durably(path, text.as_bytes());
         let was_unkept = std::mem::replace(&mut self.is_unkept, written.is_err());
         if let Err(fault) = written {
--- a/crates/endpoints-cli/src/main.rs
+++ b/crates/endpoints-cli/src/main.rs
@@ -12,7 +12,7 @@
 use wheelfield_config::units::Time;
 use wheelfield_endpoints::activation::ActivationPolicy;
 use wheelfield_endpoints::file::{parse, serialize, EngineFile, Topology};
-use wheelfield_endpoints::rollout::{self, Guard, Round, Seen};
+use wheelfield_endpoints::rollout::{self, ControllerStatus, RegressionGuard, StatusSnapshot};
 use wheelfield_endpoints::EngineSet;
 use wheelfield_endpoints_cli::disk;
 use wheelfield_net::http;
@@ -140,7 +140,7 @@
     #[arg(long, value_name = "TIME", default_value = "30s", value_parser = span)]
     within: Time,
     /// The share of refused and failed answers may rise by so much.
-    #[arg(long, value_name = "X", default_value_t = Guard::default().worse)]
+    #[arg(long, value_name = "X", default_value_t = RegressionGuard::default().max_increase)]
     worse: f64,
     /// When stopped, the set that was in force at the start is written again.
     #[arg(long)]
@@ -287,13 +287,13 @@
     serde_json::from_slice(&response.body).context("its status can't be read")
 }
 
-fn seen(status: &serde_json::Value) -> Result<Seen> {
+fn seen(status: &serde_json::Value) -> Result<ControllerStatus> {
     let figure = |name: &str| status["figures"][name].as_u64();
-    Ok(Seen {
+    Ok(ControllerStatus {
         version: figure("list_version").context("no version in its status")?,
         fault: status["members"]["fault"].as_str().unwrap_or("").to_string(),
         served: figure("queries_served").unwrap_or(0),
-        refused: figure("queries_refused").unwrap_or(0),
+        rejected: figure("queries_refused").unwrap_or(0),
         failed: figure("queries_failed").unwrap_or(0),
     })
 }
@@ -309,7 +309,7 @@
     controllers.chunks(64).flat_map(some).collect()
 }
 
-fn round(controllers: &[SocketAddr]) -> Round {
+fn round(controllers: &[SocketAddr]) -> StatusSnapshot {
     let seen = ask_all(controllers, seen).into_iter().map(Result::ok);
     controllers.iter().map(ToString::to_string).zip(seen).collect()
 }
@@ -326,36 +326,36 @@
 }
 
 /// Waits until all run a version, then for the pause; the fault that stops the rollout, if there is one.
-fn step(args: &RolloutArgs, version: u64, before: rollout::Answers) -> Option<String> {
+fn step(args: &RolloutArgs, version: u64, before: rollout::AnswerCounts) -> Option<String> {
     let pause = micros(args.pause);
     let look = (pause / 10).clamp(Duration::from_millis(5), Duration::from_secs(1));
     let until = Instant::now() + micros(args.within);
     loop {
         let p = rollout::progress(&round(&args.controllers), version);
-        if p.behind.is_empty() && p.silent.is_empty() {
+        if p.behind.is_empty() && p.unreachable.is_empty() {
             break;
         }
         if let Some((who, fault)) = p.faults.first() {
             return Some(format!("{who} does not take version {version}: {fault}"));
         }
         if Instant::now() >= until {
-            let (behind, silent) = (p.behind.join(", "), p.silent.join(", "));
+            let (behind, silent) = (p.behind.join(", "), p.unreachable.join(", "));
             return Some(format!("version {version} is not everywhere: behind: {behind}; silent: {silent}"));
         }
         std::thread::sleep(look);
     }
-    let guard = Guard { worse: args.worse, ..Guard::default() };
+    let guard = RegressionGuard { max_increase: args.worse, ..RegressionGuard::default() };
     let (first, until) = (round(&args.controllers), Instant::now() + pause);
     loop {
         std::thread::sleep(look.min(until.saturating_duration_since(Instant::now())));
         let now = round(&args.controllers);
-        if let Some(why) = guard.worsened(before, rollout::answers(&first, &now)) {
+        if let Some(why) = guard.find_regression(before, rollout::answers_between(&first, &now)) {
             return Some(why);
         }
         if Instant::now() >= until {
             // Controllers that fell silent answer nothing, which is no worsening of their answers.
             let p = rollout::progress(&now, version);
-            let gone: Vec<String> = p.silent.into_iter().chain(p.behind).collect();
+            let gone: Vec<String> = p.unreachable.into_iter().chain(p.behind).collect();
             return (!gone.is_empty()).then(|| {
                 format!("silent, or on another version at the end of the pause: {}", gone.join(", "))
             });
@@ -383,7 +383,7 @@
         let at = places.names.kinds.iter().position(|k| k == kind);
         through.push(at.with_context(|| format!("no kind is named `{kind}`; known: {}", known()))?);
     }
-    let sets = rollout::steps(&from.set, &goal.set, &cores, args.step, &through)?;
+    let sets = rollout::plan_steps(&from.set, &goal.set, &cores, args.step, &through)?;
     let all = sets.len();
     if args.plan {
         let mut before = &from.set;
@@ -395,19 +395,19 @@
         return Ok(true);
     }
     let start = rollout::progress(&round(&args.controllers), args.expect);
-    if !start.silent.is_empty() || !start.behind.is_empty() {
+    if !start.unreachable.is_empty() || !start.behind.is_empty() {
         bail!(
             "not all controllers run version {}: behind: {}; silent: {}",
             args.expect,
             start.behind.join(", "),
-            start.silent.join(", ")
+            start.unreachable.join(", ")
         );
     }
     // How they do before anything changes.
     let first = round(&args.controllers);
     std::thread::sleep(micros(args.pause));
-    let before = rollout::answers(&first, &round(&args.controllers));
-    println!("before: {} answers, {} of them refusals or failures", before.all, before.bad);
+    let before = rollout::answers_between(&first, &round(&args.controllers));
+    println!("before: {} answers, {} of them refusals or failures", before.total, before.unsuccessful);
     let mut in_force = args.expect;
     for (n, set) in sets.iter().enumerate() {
         put(&args.target, in_force, set, goal.confirmed, &mut places)?;
@@ -440,7 +440,7 @@
     let mut behind = 0;
     for (controller, answer) in controllers.iter().zip(&answers) {
         match answer {
-            Ok(Seen { version, fault, .. }) => {
+            Ok(ControllerStatus { version, fault, .. }) => {
                 let late = *version != wanted;
                 behind += usize::from(late);
                 let word = if late { "  BEHIND" } else { "" };
--- a/crates/endpoints/src/activation.rs
+++ b/crates/endpoints/src/activation.rs
@@ -1,7 +1,7 @@
-//! When what files hold is taken as the set in force. Readings go in, a verdict comes out; no I/O and no clock.
+//! Decides when the contents of the engine files become the active engine set, without I/O or a clock.
 //!
-//! A reading is the bytes of all files. It is looked at only when it stood still: equal bytes in two readings some time
-//! apart. Times of files are not asked, as they come late or not at all on some file systems.
+//! The input is the text of all files, read repeatedly. It is evaluated only once it is stable, which means that reads some
+//! time apart returned equal bytes. Modification times are not used, because some file systems update them late or never.
 
 use crate::file::{parse, serialize, EngineFile, Topology};
 use crate::{EngineSet, MAX_ENGINES, MAX_LIST_BYTES};
@@ -10,16 +10,17 @@
 use wheelfield::interface::{EngineId, Micros, Status};
 use wheelfield_config::ConfigError;
 
-/// What is asked of a candidate.
+/// The conditions under which a candidate set becomes active.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ActivationPolicy {
-    /// It must have stood still for so long.
+    /// How long the files must be unchanged before they are evaluated.
     pub settle_time: Micros,
-    /// It may take away at most this share of the capacity at once.
+    /// The maximum fraction of the active capacity that a change may remove at once.
     pub max_lost_fraction: f64,
-    /// One that takes away more is taken after it stood for so long; none: only if its file says `confirmed = true`.
+    /// How long a change that removes more must be unchanged before it becomes active. With `None` it becomes active only if
+    /// the file contains `confirmed = true`.
     pub hold: Option<Micros>,
-    /// An id may come back at another address only so long after it was gone.
+    /// How long after its removal an id may be used again with another address.
     pub id_reuse_delay: Micros,
 }
 
@@ -34,285 +35,290 @@
     }
 }
 
-/// One file of a reading: its name, and its text or why there is none.
-pub type Reading = (String, Result<String, String>);
+/// The name of a file, and its text or the reason why it cannot be read.
+pub type FileContent = (String, Result<String, String>);
 
-/// What comes of a reading.
+/// The result of evaluating the files.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// It is what is in force.
-    Same,
-    /// It is to be read again at this time.
+    /// The files are those of the active set.
+    Unchanged,
+    /// The files changed recently; read them again at this time.
     Settling(Micros),
-    /// It is sound, but takes away too much: why, and when it is taken if it still stands.
+    /// The files are valid, but would remove too much capacity: the reason, and when they become active if they stay unchanged.
     Held(String, Option<Micros>),
-    /// It is not taken; what is in force stays. The flag says that this was not told of these bytes before.
-    Refused(ConfigError, bool),
-    /// It is the set in force now.
-    Swap(EngineSet),
+    /// The files are invalid, and the active set stays. The flag is true the first time this is reported for these contents.
+    Rejected(ConfigError, bool),
+    /// The files are valid, and this is now the active set.
+    Activated(EngineSet),
 }
 
-/// Keeps the set in force.
+/// Holds the active set and evaluates the files against it.
 #[derive(Clone, Debug)]
 pub struct Activator {
     policy: ActivationPolicy,
-    places: Topology,
+    topology: Topology,
     current: Option<EngineSet>,
-    /// It was kept by a process before this one: engines may have moved since, and nobody here knows them yet.
-    from_before: bool,
-    /// Of each file in force: its version and sum.
+    /// Whether `current` was saved by an earlier process. Engines may have changed their addresses since, so the addresses of
+    /// this set are not compared with those of the next one.
+    is_restored: bool,
+    /// The version and checksum of each file of the active set.
     files: BTreeMap<String, (u64, u64)>,
-    /// What was read last, and since when it stands.
-    seen: Option<(u64, Micros)>,
-    /// Bytes that were refused, by their sum.
-    refused: Option<(u64, ConfigError)>,
+    /// The checksum of the contents read last, and when they were first read.
+    last_read: Option<(u64, Micros)>,
+    /// The checksum of the contents rejected last, and why.
+    rejected: Option<(u64, ConfigError)>,
+    /// The checksum of the held contents, and since when they are held.
     held_since: Option<(u64, Micros)>,
-    /// Where engines were that are gone, and since when.
-    gone: BTreeMap<EngineId, (SocketAddr, Micros)>,
+    /// The addresses of removed engines, and when they were removed.
+    removed: BTreeMap<EngineId, (SocketAddr, Micros)>,
 }
 
-/// A number that stands for bytes: their length and sum.
-fn sum(text: &str) -> u64 {
+/// A checksum of a text: its length and CRC-32.
+fn checksum_of(text: &str) -> u64 {
     (text.len() as u64) << 32 | u64::from(crc32fast::hash(text.as_bytes()))
 }
 
-fn sum_of(reading: &[Reading]) -> u64 {
-    let mut all = crc32fast::Hasher::new();
+fn checksum_of_all(contents: &[FileContent]) -> u64 {
+    let mut hasher = crc32fast::Hasher::new();
     let mut length = 0u64;
-    for (name, text) in reading {
+    for (name, text) in contents {
         let bytes = match text {
             Ok(text) => text.as_bytes(),
             Err(why) => why.as_bytes(),
         };
-        all.update(name.as_bytes());
-        all.update(&(bytes.len() as u64).to_be_bytes());
-        all.update(bytes);
+        hasher.update(name.as_bytes());
+        hasher.update(&(bytes.len() as u64).to_be_bytes());
+        hasher.update(bytes);
         length += bytes.len() as u64;
     }
-    length << 32 | u64::from(all.finalize())
+    length << 32 | u64::from(hasher.finalize())
 }
 
 impl Activator {
-    /// An activator with nothing in force.
-    pub fn new(policy: ActivationPolicy, places: Topology) -> Activator {
+    /// Creates an activator without an active set.
+    pub fn new(policy: ActivationPolicy, topology: Topology) -> Activator {
         Activator {
             policy,
-            places,
+            topology,
             current: None,
-            from_before: false,
+            is_restored: false,
             files: BTreeMap::new(),
-            seen: None,
-            refused: None,
+            last_read: None,
+            rejected: None,
             held_since: None,
-            gone: BTreeMap::new(),
+            removed: BTreeMap::new(),
         }
     }
 
-    /// The set in force.
+    /// The active set.
     pub fn current(&self) -> Option<&EngineSet> {
         self.current.as_ref()
     }
 
-    /// Why what the files hold is not in force, if it is not.
+    /// Why the contents of the files were rejected, if they were.
     pub fn fault(&self) -> Option<&ConfigError> {
-        self.refused.as_ref().map(|(_, fault)| fault)
+        self.rejected.as_ref().map(|(_, fault)| fault)
     }
 
-    /// Takes up a set that was kept before, where there is none yet. Any version of a file may follow it.
-    pub fn take_up(&mut self, kept: EngineSet) {
+    /// Activates a set saved by an earlier process, unless a set is active already. A file of any version may replace it.
+    pub fn restore(&mut self, saved: EngineSet) {
         if self.current.is_none() {
-            (self.current, self.from_before) = (Some(kept), true);
+            (self.current, self.is_restored) = (Some(saved), true);
         }
     }
 
-    /// The set in force as text, to be kept.
-    pub fn to_keep(&self, now: Micros) -> Option<String> {
+    /// The active set as the text of a file, to be saved as the last good set.
+    pub fn serialize_current(&self, now: Micros) -> Option<String> {
         let set = self.current.clone()?;
-        Some(serialize(&EngineFile { set, confirmed: false, saved_at: Some(now) }, &self.places))
+        Some(serialize(&EngineFile { set, confirmed: false, saved_at: Some(now) }, &self.topology))
     }
 
-    /// Looks at a reading. Equal readings may come as often as they like.
-    pub fn look(&mut self, now: Micros, reading: &[Reading]) -> Verdict {
-        let sum = sum_of(reading);
-        let since = match self.seen {
-            Some((seen, since)) if seen == sum => since,
+    /// Evaluates the contents of the files as read at `now`. It may be called with the same contents any number of times.
+    pub fn evaluate(&mut self, now: Micros, contents: &[FileContent]) -> Verdict {
+        let checksum = checksum_of_all(contents);
+        let since = match self.last_read {
+            Some((last_checksum, since)) if last_checksum == checksum => since,
             _ => {
-                self.seen = Some((sum, now));
+                self.last_read = Some((checksum, now));
                 now
             }
         };
-        if self.in_force(reading) {
-            (self.refused, self.held_since) = (None, None);
-            return Verdict::Same;
+        if self.is_active(contents) {
+            (self.rejected, self.held_since) = (None, None);
+            return Verdict::Unchanged;
         }
-        // A clock that ran backwards settles nothing for ever: it counts anew.
+        // The clock went backwards: the settle time starts again, as it would otherwise not end before the clock catches up.
         if now < since {
-            self.seen = Some((sum, now));
+            self.last_read = Some((checksum, now));
             return Verdict::Settling(now + self.policy.settle_time);
         }
         if now - since < self.policy.settle_time {
             return Verdict::Settling(since + self.policy.settle_time);
         }
-        if let Some((refused, fault)) = &self.refused {
-            if *refused == sum {
-                return Verdict::Refused(fault.clone(), false);
+        if let Some((rejected, fault)) = &self.rejected {
+            if *rejected == checksum {
+                return Verdict::Rejected(fault.clone(), false);
             }
         }
-        match self.judge(now, sum, reading) {
+        match self.evaluate_stable(now, checksum, contents) {
             Ok(verdict) => verdict,
             Err(fault) => {
-                (self.refused, self.held_since) = (Some((sum, fault.clone())), None);
-                Verdict::Refused(fault, true)
+                (self.rejected, self.held_since) = (Some((checksum, fault.clone())), None);
+                Verdict::Rejected(fault, true)
             }
         }
     }
 
-    fn in_force(&self, reading: &[Reading]) -> bool {
-        let same = |(name, text): &Reading| {
-            text.as_ref().is_ok_and(|t| self.files.get(name).is_some_and(|(_, s)| *s == sum(t)))
+    fn is_active(&self, contents: &[FileContent]) -> bool {
+        let is_unchanged = |(name, text): &FileContent| {
+            text.as_ref().is_ok_and(|t| self.files.get(name).is_some_and(|(_, s)| *s == checksum_of(t)))
         };
-        !reading.is_empty() && reading.len() == self.files.len() && reading.iter().all(same)
+        !contents.is_empty() && contents.len() == self.files.len() && contents.iter().all(is_unchanged)
     }
 
-    fn judge(&mut self, now: Micros, sum_now: u64, reading: &[Reading]) -> Result<Verdict, ConfigError> {
-        if reading.is_empty() {
-            let mend = "write one where the configuration looks for it";
-            return Err(ConfigError::at("engines", "", 0, "there is no file of engines", mend));
+    fn evaluate_stable(
+        &mut self,
+        now: Micros,
+        checksum: u64,
+        contents: &[FileContent],
+    ) -> Result<Verdict, ConfigError> {
+        if contents.is_empty() {
+            let suggestion = "create one at the configured path";
+            return Err(ConfigError::at("engines", "", 0, "there is no engine file", suggestion));
         }
-        let whole: usize = reading.iter().filter_map(|(_, t)| t.as_ref().ok()).map(String::len).sum();
-        if whole > MAX_LIST_BYTES {
-            let fault = format!("{whole} bytes in all files, {MAX_LIST_BYTES} at most");
-            return Err(ConfigError::at(&reading[0].0, "", 0, fault, "name fewer engines"));
+        let total_bytes: usize = contents.iter().filter_map(|(_, t)| t.as_ref().ok()).map(String::len).sum();
+        if total_bytes > MAX_LIST_BYTES {
+            let problem = format!("{total_bytes} bytes in all files; the limit is {MAX_LIST_BYTES}");
+            return Err(ConfigError::at(&contents[0].0, "", 0, problem, "list fewer engines"));
         }
-        let mut places = self.places.clone();
+        let mut topology = self.topology.clone();
         let (mut candidate, mut files) = (EngineSet::default(), BTreeMap::new());
         let mut confirmed = true;
         let mut owners: BTreeMap<EngineId, &str> = BTreeMap::new();
         let mut addresses: BTreeMap<SocketAddr, String> = BTreeMap::new();
-        for (name, text) in reading {
+        for (name, text) in contents {
             let text = text.as_ref().map_err(|why| {
-                ConfigError::at(
-                    name,
-                    "",
-                    0,
-                    format!("it can't be read: {why}"),
-                    "write it anew, readable to this user",
-                )
+                ConfigError::at(name, "", 0, format!("cannot be read: {why}"), "make the file readable")
             })?;
-            let found = parse(name, text, &mut places)?;
-            self.version_rises(name, text, &found)?;
-            let place = |what: &str| text.find(&format!("{what:?}")).unwrap_or(0);
-            for (id, known) in found.set.engines {
+            let parsed = parse(name, text, &mut topology)?;
+            self.check_version(name, text, &parsed)?;
+            let offset = |id: &str| text.find(&format!("{id:?}")).unwrap_or(0);
+            for (id, record) in parsed.set.engines {
                 if let Some(other) = owners.insert(id, name) {
-                    let fault = format!("`{}` is in {other} too", known.name);
+                    let problem = format!("`{}` is also in {other}", record.name);
                     return Err(ConfigError::at(
                         name,
                         text,
-                        place(&known.name),
-                        fault,
-                        "keep it in one file",
+                        offset(&record.name),
+                        problem,
+                        "list it in one file only",
                     ));
                 }
-                let taken = addresses.insert(known.address, known.name.clone());
-                if let Some(other) = taken {
-                    let fault = format!("`{other}` has the address of `{}`, {}", known.name, known.address);
-                    return Err(ConfigError::at(name, text, place(&known.name), fault, "give each its own"));
+                let previous = addresses.insert(record.address, record.name.clone());
+                if let Some(other) = previous {
+                    let problem = format!("`{other}` and `{}` have address {}", record.name, record.address);
+                    return Err(ConfigError::at(name, text, offset(&record.name), problem, "choose another"));
                 }
-                self.address_stays(now, name, text, place(&known.name), &known)?;
-                candidate.engines.insert(id, known);
+                self.check_address(now, name, text, offset(&record.name), &record)?;
+                candidate.engines.insert(id, record);
             }
-            candidate.version += found.set.version;
-            confirmed &= found.confirmed;
-            files.insert(name.clone(), (found.set.version, sum(text)));
+            candidate.version += parsed.set.version;
+            confirmed &= parsed.confirmed;
+            files.insert(name.clone(), (parsed.set.version, checksum_of(text)));
         }
         if candidate.engines.len() > MAX_ENGINES {
-            let fault = format!("{} engines in all files, {MAX_ENGINES} at most", candidate.engines.len());
-            return Err(ConfigError::at(&reading[0].0, "", 0, fault, "name fewer"));
+            let problem =
+                format!("{} engines in all files; the limit is {MAX_ENGINES}", candidate.engines.len());
+            return Err(ConfigError::at(&contents[0].0, "", 0, problem, "list fewer engines"));
         }
-        if let Some(held) = self.too_much_lost(now, sum_now, &candidate, confirmed) {
+        if let Some(held) = self.check_capacity_loss(now, checksum, &candidate, confirmed) {
             return Ok(held);
         }
-        Ok(self.swap(now, candidate, files))
+        Ok(self.activate(now, candidate, files))
     }
 
-    /// A file that changed must say so by its version.
-    fn version_rises(&self, name: &str, text: &str, found: &EngineFile) -> Result<(), ConfigError> {
-        let version = found.set.version;
-        let Some((old, old_sum)) = self.files.get(name) else { return Ok(()) };
+    /// Checks that a changed file has a higher version.
+    fn check_version(&self, name: &str, text: &str, parsed: &EngineFile) -> Result<(), ConfigError> {
+        let version = parsed.set.version;
+        let Some((old, old_checksum)) = self.files.get(name) else { return Ok(()) };
         let at = text.find("version").unwrap_or(0);
         if version < *old {
-            let fault = format!("version {version}, and {old} is in force: an old file came back");
+            let problem = format!("version {version} is older than the active version {old}");
             return Err(ConfigError::at(
                 name,
                 text,
                 at,
-                fault,
-                format!("write version = {} if it is meant", old + 1),
+                problem,
+                format!("write version = {} if this is intended", old + 1),
             ));
         }
-        if version == *old && *old_sum != sum(text) {
-            let fault = format!("changed, but its version is still {version}");
-            return Err(ConfigError::at(name, text, at, fault, format!("write version = {}", old + 1)));
+        if version == *old && *old_checksum != checksum_of(text) {
+            let problem = format!("the file changed, but its version is still {version}");
+            return Err(ConfigError::at(name, text, at, problem, format!("write version = {}", old + 1)));
         }
         Ok(())
     }
 
-    /// An id means one engine: at another address it is another one, of which nothing is known.
-    fn address_stays(
+    /// Checks that an id keeps its address. An id identifies one engine, and all that was learned about it would be wrong for
+    /// another engine at another address.
+    fn check_address(
         &self,
         now: Micros,
         file: &str,
         text: &str,
         at: usize,
-        known: &crate::EngineRecord,
+        record: &crate::EngineRecord,
     ) -> Result<(), ConfigError> {
-        let id = known.entry.engine;
-        let in_force = self.current.as_ref().filter(|_| !self.from_before).and_then(|c| c.engines.get(&id));
-        let old = match in_force {
+        let id = record.entry.engine;
+        let active = self.current.as_ref().filter(|_| !self.is_restored).and_then(|c| c.engines.get(&id));
+        let old = match active {
             Some(old) => Some(old.address),
             None => self
-                .gone
+                .removed
                 .get(&id)
                 .filter(|(_, since)| now - *since < self.policy.id_reuse_delay)
                 .map(|(address, _)| *address),
         };
         match old {
-            Some(old) if old != known.address => {
-                let fault = format!("`{}` was at {old} and would be at {} now", known.name, known.address);
-                Err(ConfigError::at(file, text, at, fault, "give the new engine an id of its own"))
+            Some(old) if old != record.address => {
+                let problem =
+                    format!("`{}` was at {old}, but is at {} in this file", record.name, record.address);
+                Err(ConfigError::at(file, text, at, problem, "give the new engine an id of its own"))
             }
             _ => Ok(()),
         }
     }
 
-    fn too_much_lost(
+    fn check_capacity_loss(
         &mut self,
         now: Micros,
-        sum: u64,
+        checksum: u64,
         candidate: &EngineSet,
         confirmed: bool,
     ) -> Option<Verdict> {
-        let had = self.current.as_ref()?.capacity(&self.places.cores);
-        let cores = &self.places.cores;
-        // What is left of what was there: fresh engines are cold, and make up for nothing yet.
-        let stays = |k: &&crate::EngineRecord| {
+        let active_capacity = self.current.as_ref()?.capacity(&self.topology.cores);
+        let cores = &self.topology.cores;
+        // Only engines that were up before count as remaining capacity. New engines are cold and do not replace it yet.
+        let remains = |k: &&crate::EngineRecord| {
             let old = self.current.as_ref().and_then(|c| c.engines.get(&k.entry.engine));
             k.entry.status == Status::Up && old.is_some_and(|o| o.entry.status == Status::Up)
         };
-        let left: f64 = candidate
+        let remaining_capacity: f64 = candidate
             .engines
             .values()
-            .filter(stays)
+            .filter(remains)
             .map(|k| cores.get(k.entry.kind).copied().unwrap_or(1.0))
             .sum();
-        let lost = if had > 0.0 { 1.0 - left / had } else { 0.0 };
-        if lost <= self.policy.max_lost_fraction || confirmed {
+        let lost_fraction =
+            if active_capacity > 0.0 { 1.0 - remaining_capacity / active_capacity } else { 0.0 };
+        if lost_fraction <= self.policy.max_lost_fraction || confirmed {
             return None;
         }
         let since = match self.held_since {
-            Some((held, since)) if held == sum && since <= now => since,
+            Some((held_checksum, since)) if held_checksum == checksum && since <= now => since,
             _ => {
-                self.held_since = Some((sum, now));
+                self.held_since = Some((checksum, now));
                 now
             }
         };
@@ -320,23 +326,23 @@
         if until.is_some_and(|until| now >= until) {
             return None;
         }
-        let why = format!("{:.0}% of the capacity in force would be gone at once", lost * 100.0);
+        let why = format!("{:.0}% of the active capacity would be removed at once", lost_fraction * 100.0);
         Some(Verdict::Held(why, until))
     }
 
-    fn swap(&mut self, now: Micros, set: EngineSet, files: BTreeMap<String, (u64, u64)>) -> Verdict {
-        let reuse = self.policy.id_reuse_delay;
-        self.gone.retain(|_, (_, since)| now - *since < reuse);
+    fn activate(&mut self, now: Micros, set: EngineSet, files: BTreeMap<String, (u64, u64)>) -> Verdict {
+        let reuse_delay = self.policy.id_reuse_delay;
+        self.removed.retain(|_, (_, since)| now - *since < reuse_delay);
         if let Some(old) = &self.current {
-            let lost = old.engines.iter().filter(|(id, _)| !set.engines.contains_key(id));
-            self.gone.extend(lost.map(|(id, k)| (*id, (k.address, now))));
+            let removed = old.engines.iter().filter(|(id, _)| !set.engines.contains_key(id));
+            self.removed.extend(removed.map(|(id, k)| (*id, (k.address, now))));
         }
         for id in set.engines.keys() {
-            self.gone.remove(id);
+            self.removed.remove(id);
         }
-        (self.refused, self.held_since) = (None, None);
+        (self.rejected, self.held_since) = (None, None);
         self.files = files;
-        (self.current, self.from_before) = (Some(set.clone()), false);
-        Verdict::Swap(set)
+        (self.current, self.is_restored) = (Some(set.clone()), false);
+        Verdict::Activated(set)
     }
 }
--- a/crates/endpoints/src/event.rs
+++ b/crates/endpoints/src/event.rs
@@ -1,29 +1,31 @@
-//! What whoever watches engine files has to tell.
+//! Events reported by the watcher of the engine files.
 
 use crate::EngineSet;
 use std::sync::Arc;
 use wheelfield::interface::Micros;
 use wheelfield_config::ConfigError;
 
-/// What there is to tell.
+/// An event of the engine files.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EngineFileEvent {
-    /// A set is in force now.
+    /// A new set is active.
     Activated(Arc<EngineSet>),
-    /// The set that was kept is in force, as there is no better one; so old it is.
+    /// The last good set, saved by an earlier process, is active because no valid file has been read yet. The time is the
+    /// age of the saved set.
     LastGoodRestored(Arc<EngineSet>, Micros),
-    /// The set that was kept can't be used.
+    /// The saved last good set cannot be used, and why.
     LastGoodInvalid(String),
-    /// What the files hold is not taken; the set in force stays.
+    /// The contents of the files are invalid; the active set stays.
     Rejected(ConfigError),
-    /// It is sound, but would take away too much; until when it is held, if it is taken then.
+    /// The contents of the files are valid but would remove too much capacity: the reason, and the time at which they become
+    /// active, if waiting is enough.
     Held(String, Option<Micros>),
-    /// The files hold again what is in force.
+    /// After a rejected or held change, the files match the active set again.
     FaultCleared,
-    /// The set in force could not be kept.
+    /// The active set could not be saved as the last good set, and why.
     LastGoodNotSaved(String),
-    /// The files were read since somebody asked to be told so, by this number, and what they hold has been told.
+    /// The files were read after the request with this number, and all events of that read have been reported.
     ReadCompleted(u64),
-    /// The system tells of no changes; there is the poll alone.
+    /// The operating system reports no file changes, and why; changes are found by polling only.
     PollingOnly(String),
 }
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -1,12 +1,13 @@
-//! Sets of engines: read from files or a registry, checked, compared, merged, and taken whole or not at all.
+//! Engine sets: parsed from files or from a registry, validated, compared and merged. A set is applied as a whole or not at all.
 //!
-//! - [`mod@file`]: a set as TOML; every fault by line, column and mend.
-//! - [`activation`]: when what files hold is taken: it stands still, it is sound, and it is plausible.
-//! - [`merge`]: a file and a registry that may contradict each other.
-//! - [`rollout`]: a large change in steps, and when to stop it.
-//! - [`tracker`]: what the module is told of a new set.
+//! - [`mod@file`]: the TOML format of an engine file; each error has a line, a column and a suggestion.
+//! - [`activation`]: decides when the contents of the engine files become the active set: they must be stable, valid and
+//!   plausible.
+//! - [`merge`]: merges a file with a registry, which may contradict each other.
+//! - [`rollout`]: splits a large change into steps, and decides when a rollout must stop.
+//! - [`tracker`]: computes what changed between two lists, as input for the gateway.
 //!
-//! No I/O and no clock. Nothing here decides what the module decides: where queries go.
+//! This crate does no I/O and reads no clock, and it does not route queries: the gateway does.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -23,57 +24,58 @@
 use std::net::SocketAddr;
 use wheelfield::interface::{EngineEntry, EngineId, Status};
 
-/// Bytes of a list at most.
+/// Maximum size of an engine list, in bytes.
 pub const MAX_LIST_BYTES: usize = 4 << 20;
-/// Engines of a list at most.
+/// Maximum number of engines in a list.
 pub const MAX_ENGINES: usize = 10_000;
 
-/// An engine as it is known.
+/// An engine: its name, its address and its entry in the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineRecord {
-    /// Its name.
+    /// The id under which files and the registry list the engine.
     pub name: String,
-    /// Where it listens.
+    /// The address at which the engine listens.
     pub address: SocketAddr,
-    /// What the module is told.
+    /// The entry that the gateway receives.
     pub entry: EngineEntry,
 }
 
-/// A whole set.
+/// A complete set of engines.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineSet {
-    /// Raised with every change.
+    /// The version, which increases with every change.
     pub version: u64,
-    /// The engines.
+    /// The engines by id.
     pub engines: BTreeMap<EngineId, EngineRecord>,
 }
 
 impl EngineSet {
-    /// Cores of the engines that take work, by the cores of each kind.
+    /// The number of cores of all engines that accept queries. `cores` holds the number of cores by kind; an engine of an
+    /// unknown kind counts as one core.
     pub fn capacity(&self, cores: &[f64]) -> f64 {
         let up = self.engines.values().filter(|k| k.entry.status == Status::Up);
         up.map(|k| cores.get(k.entry.kind).copied().unwrap_or(1.0)).sum()
     }
 
-    /// How another set differs: lines of words, none if it is a mere reordering.
+    /// Describes how another set differs, one line for each engine; empty if the sets differ only in order or version.
     pub fn difference(&self, other: &EngineSet) -> Vec<String> {
         let mut lines = Vec::new();
         for (id, old) in &self.engines {
             match other.engines.get(id) {
                 None => lines.push(format!("- {} at {}", old.name, old.address)),
-                Some(new) if new != old => lines.push(changed(old, new)),
+                Some(new) if new != old => lines.push(describe_change(old, new)),
                 Some(_) => {}
             }
         }
-        let fresh = other.engines.iter().filter(|(id, _)| !self.engines.contains_key(id));
+        let added = other.engines.iter().filter(|(id, _)| !self.engines.contains_key(id));
         lines.extend(
-            fresh.map(|(_, k)| format!("+ {} at {}, {}", k.name, k.address, status_name(k.entry.status))),
+            added.map(|(_, k)| format!("+ {} at {}, {}", k.name, k.address, status_name(k.entry.status))),
         );
         lines
     }
 }
 
-/// A status as files and registries write it.
+/// The name of a status in files and in the registry's lists.
 pub fn status_name(status: Status) -> &'static str {
     match status {
         Status::Up => "up",
@@ -82,7 +84,7 @@
     }
 }
 
-fn changed(old: &EngineRecord, new: &EngineRecord) -> String {
+fn describe_change(old: &EngineRecord, new: &EngineRecord) -> String {
     let mut parts = Vec::new();
     if old.address != new.address {
         parts.push(format!("address {} to {}", old.address, new.address));
@@ -91,8 +93,8 @@
     if a.status != b.status {
         parts.push(format!("{} to {}", status_name(a.status), status_name(b.status)));
     }
-    let place = |e: &EngineEntry| (e.zone, e.kind, e.cell);
-    if place(a) != place(b) {
+    let placement = |e: &EngineEntry| (e.zone, e.kind, e.cell);
+    if placement(a) != placement(b) {
         parts.push("zone, kind or cell".to_string());
     }
     if a.started_at != b.started_at {
