--- a/crates/endpoints-cli/src/lib.rs
+++ b/crates/endpoints-cli/src/lib.rs
@@ -1,8 +1,9 @@
-//! Engine files on the disk.
+//! Watches engine files on disk.
 //!
-//! A thread of its own looks at them when the system tells of a change, and now and then in any case, as such word gets
-//! lost. It owns the [`Activator`], which decides what is taken; a set in force is kept durably beside. Whoever asked hears
-//! [`EngineFileEvent`] through a channel, and by a byte on a stream that it can poll. A disk that hangs holds up only this thread.
+//! A separate thread reads the files when the operating system reports a change, and also at regular intervals, because such
+//! reports can be lost. The thread owns the [`Activator`], which decides when the contents become the active set, and saves
+//! each active set durably. It sends an [`EngineFileEvent`] through a channel and writes a byte to a stream that the receiver
+//! can poll. A disk that does not respond blocks only this thread.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -24,82 +25,96 @@
 pub use wheelfield_endpoints::EngineFileEvent;
 use wheelfield_net::Clock;
 
-/// Where the system tells of no changes (it has a limit of watchers for each user), files are read so often: a drain must be
-/// heard of well within a second.
-const UNWATCHED: Micros = Micros(250_000);
+/// The poll interval when the operating system reports no changes, for example because the user's limit of watches is reached.
+/// A drain must be noticed well within a second.
+const UNWATCHED_POLL_INTERVAL: Micros = Micros(250_000);
 
-/// Words of changes, and pieces of news, that wait at most. Of the first, more are dropped; for the second, the thread waits.
-const WAITING: usize = 64;
+/// The capacity of the channels for commands and for events. If the first is full, further commands are dropped; if the second
+/// is full, the thread waits.
+const CHANNEL_CAPACITY: usize = 64;
 
-/// After this, a set that could not be written to disk is written again.
-const KEEP_AGAIN: Micros = Micros(1_000_000);
+/// How long after a failure to save the active set it is saved again.
+const SAVE_RETRY_INTERVAL: Micros = Micros(1_000_000);
 
-/// What is watched, and how.
+/// What to watch, and how.
 #[derive(Clone, Debug)]
 pub struct WatchConfig {
-    /// Files, directories (all of `*.toml` in them) and patterns with `*` in the last part.
+    /// Files, directories (all `*.toml` files in them), and patterns with `*` in the last component.
     pub sources: Vec<FileSource>,
-    /// They are read so often, whatever the system tells of changes.
+    /// How often the files are read when the operating system reports no change.
     pub poll_interval: Micros,
-    /// What is asked of a candidate.
+    /// The conditions under which a set becomes active.
     pub policy: ActivationPolicy,
-    /// Zones, kinds and cores.
+    /// The known zones and kinds, and the cores of each kind.
     pub topology: Topology,
-    /// Where the set in force is kept, for a start without a good file.
+    /// The file in which the active set is saved, for a start without a valid engine file.
     pub last_good: Option<PathBuf>,
 }
 
-/// A watching thread; ends when dropped.
+/// A thread that watches the engine files, and stops when this is dropped.
 #[derive(Debug)]
 pub struct EngineFileWatcher {
-    wake: SyncSender<Wake>,
+    commands: SyncSender<Command>,
     thread: Option<JoinHandle<()>>,
-    /// What there is to tell.
+    /// The events of the engine files.
     pub events: Receiver<EngineFileEvent>,
 }
 
-enum Wake {
-    /// The system told of a change, or somebody asked to look.
-    Look,
-    /// Somebody asks to be told, by this number, once the files were read.
-    Report(u64),
-    End,
+enum Command {
+    /// Reads the files, after a reported change or on request.
+    Read,
+    /// Reads the files, and sends `ReadCompleted` with this number afterwards.
+    ReadAndReport(u64),
+    Stop,
 }
 
 impl EngineFileWatcher {
-    /// Begins to watch. A byte is written to `bell` for each piece of news; it should not block.
+    /// Starts to watch. A byte is written to `wakeup` for each event; the stream must be non-blocking.
     ///
     /// # Errors
-    /// If no thread can be had.
-    pub fn start(watch: WatchConfig, clock: Clock, bell: UnixStream) -> std::io::Result<EngineFileWatcher> {
-        let (wake, woken) = sync_channel(WAITING);
-        let (tell, news) = sync_channel(WAITING);
-        let events = wake.clone();
+    /// If the thread cannot be started.
+    pub fn start(
+        config: WatchConfig,
+        clock: Clock,
+        wakeup: UnixStream,
+    ) -> std::io::Result<EngineFileWatcher> {
+        let (commands, received_commands) = sync_channel(CHANNEL_CAPACITY);
+        let (event_sender, events) = sync_channel(CHANNEL_CAPACITY);
+        let change_sender = commands.clone();
         let thread = std::thread::Builder::new().name("engine files".into()).spawn(move || {
-            let mut watcher = Thread { watch, clock, bell, tell, last: None, is_unkept: false, report: None };
-            watcher.run(&woken, events);
+            let mut watcher = WatcherThread {
+                config,
+                clock,
+                wakeup,
+                event_sender,
+                last_problem: None,
+                save_failed: false,
+                report: None,
+            };
+            watcher.run(&received_commands, change_sender);
         })?;
-        Ok(EngineFileWatcher { wake, thread: Some(thread), events: news })
+        Ok(EngineFileWatcher { commands, thread: Some(thread), events })
     }
 
-    /// Looks now.
+    /// Requests that the files are read now.
     pub fn request_read(&self) {
-        // One more than wait is none, and a thread that ended has told why.
-        let _ = self.wake.try_send(Wake::Look);
+        // If the channel is full, a read is pending anyway. If the thread ended, it has reported why.
+        let _ = self.commands.try_send(Command::Read);
     }
 
-    /// Looks now. [`EngineFileEvent::ReadCompleted`] with this number comes once what the files hold stood still and is told.
+    /// Requests that the files are read now. [`EngineFileEvent::ReadCompleted`] with this number follows once the files are
+    /// stable and their events are sent.
     pub fn read_and_report(&self, number: u64) {
-        // Where too many wait none comes: who asked waits for a bounded time.
-        let _ = self.wake.try_send(Wake::Report(number));
+        // If the channel is full, no such event follows. Callers wait for a limited time only.
+        let _ = self.commands.try_send(Command::ReadAndReport(number));
     }
 }
 
 impl Drop for EngineFileWatcher {
     fn drop(&mut self) {
-        let _ = self.wake.send(Wake::End);
+        let _ = self.commands.send(Command::Stop);
         if let Some(thread) = self.thread.take() {
-            // It may wait for room for its news.
+            // The thread may be blocked on a full event channel.
             while !thread.is_finished() {
                 while self.events.try_recv().is_ok() {}
                 std::thread::sleep(Duration::from_millis(1));
@@ -109,72 +124,76 @@
     }
 }
 
-struct Thread {
-    watch: WatchConfig,
+struct WatcherThread {
+    config: WatchConfig,
     clock: Clock,
-    bell: UnixStream,
-    tell: SyncSender<EngineFileEvent>,
-    /// What was told last of files that are not taken.
-    last: Option<EngineFileEvent>,
-    /// The set in force could not be written to disk, and is to be written again.
-    is_unkept: bool,
-    /// Who asked last to be told once the files were read.
+    wakeup: UnixStream,
+    event_sender: SyncSender<EngineFileEvent>,
+    /// The last reported reason why the files are not active.
+    last_problem: Option<EngineFileEvent>,
+    /// The active set could not be saved, and the save must be retried.
+    save_failed: bool,
+    /// The number of the latest request for `ReadCompleted`.
     report: Option<u64>,
 }
 
-impl Thread {
-    fn tell(&mut self, news: EngineFileEvent) {
-        if self.tell.send(news).is_ok() {
-            // A full stream rings already.
-            let _ = self.bell.write(&[1]);
+impl WatcherThread {
+    fn send(&mut self, event: EngineFileEvent) {
+        if self.event_sender.send(event).is_ok() {
+            // If the stream is full, the receiver has a wakeup pending anyway.
+            let _ = self.wakeup.write(&[1]);
         }
     }
 
-    fn run(&mut self, woken: &Receiver<Wake>, events: SyncSender<Wake>) {
-        let mut activator = Activator::new(self.watch.policy, self.watch.topology.clone());
-        self.take_up_kept(&mut activator);
-        let places = self.watch.sources.clone();
-        let mut system = match notify::recommended_watcher(move |event: notify::Result<notify::Event>| {
-            // A fault may hide a change; it is looked at as one.
-            if event.map_or(true, |e| concerns(&e, &places)) {
-                // While so many wait, one more tells nothing new.
-                let _ = events.try_send(Wake::Look);
-            }
-        }) {
-            Ok(system) => Some(system),
-            Err(fault) => {
-                self.tell(EngineFileEvent::PollingOnly(fault.to_string()));
-                None
-            }
-        };
+    fn run(&mut self, commands: &Receiver<Command>, change_sender: SyncSender<Command>) {
+        let mut activator = Activator::new(self.config.policy, self.config.topology.clone());
+        self.restore_last_good(&mut activator);
+        let sources = self.config.sources.clone();
+        let mut file_watcher =
+            match notify::recommended_watcher(move |event: notify::Result<notify::Event>| {
+                // An error may hide a change, so it is treated as one.
+                if event.map_or(true, |e| may_affect(&e, &sources)) {
+                    // If the channel is full, a read is pending anyway.
+                    let _ = change_sender.try_send(Command::Read);
+                }
+            }) {
+                Ok(file_watcher) => Some(file_watcher),
+                Err(fault) => {
+                    self.send(EngineFileEvent::PollingOnly(fault.to_string()));
+                    None
+                }
+            };
         loop {
-            // A directory that was replaced is another one: it is asked for anew each time.
-            let watched = system.as_mut().is_some_and(|s| self.watch_directories(s));
+            // Watches follow the directory itself, not its path, so they are added again in case a directory was replaced.
+            let watched = file_watcher.as_mut().is_some_and(|s| self.watch_directories(s));
             let now = Micros(self.clock.now());
-            let reading = disk::read(&self.watch.sources);
-            let verdict = activator.evaluate(now, &reading);
+            let contents = disk::read_sources(&self.config.sources);
+            let verdict = activator.evaluate(now, &contents);
             let is_settling = matches!(verdict, Verdict::Settling(_));
-            let again = self.heed(&activator, now, verdict);
+            let again = self.report_verdict(&activator, now, verdict);
             if let Some(number) = self.report.take_if(|_| !is_settling) {
-                self.tell(EngineFileEvent::ReadCompleted(number));
+                self.send(EngineFileEvent::ReadCompleted(number));
             }
-            if self.is_unkept {
-                self.keep(&activator, now);
+            if self.save_failed {
+                self.save(&activator, now);
             }
-            let poll =
-                if watched { self.watch.poll_interval } else { self.watch.poll_interval.min(UNWATCHED) };
-            let poll = if self.is_unkept { poll.min(KEEP_AGAIN) } else { poll };
+            let poll = if watched {
+                self.config.poll_interval
+            } else {
+                self.config.poll_interval.min(UNWATCHED_POLL_INTERVAL)
+            };
+            let poll = if self.save_failed { poll.min(SAVE_RETRY_INTERVAL) } else { poll };
             let wait = again.map_or(poll, |at| (at - now).max(Micros(1_000)).min(poll));
-            match woken.recv_timeout(Duration::from_micros(wait.0.max(1_000) as u64)) {
+            match commands.recv_timeout(Duration::from_micros(wait.0.max(1_000) as u64)) {
                 Err(RecvTimeoutError::Disconnected) => return,
                 Err(RecvTimeoutError::Timeout) => {}
-                // Many words of one change are one.
+                // A change may be reported several times; all pending commands lead to one read.
                 Ok(first) => {
-                    for wake in std::iter::once(first).chain(woken.try_iter()) {
-                        match wake {
-                            Wake::End => return,
-                            Wake::Look => {}
-                            Wake::Report(number) => self.report = Some(number),
+                    for command in std::iter::once(first).chain(commands.try_iter()) {
+                        match command {
+                            Command::Stop => return,
+                            Command::Read => {}
+                            Command::ReadAndReport(number) => self.report = Some(number),
                         }
                     }
                 }
@@ -182,77 +201,78 @@
         }
     }
 
-    /// Watches the directories of all places; false if one can't be, so that the poll must do.
-    fn watch_directories(&self, system: &mut RecommendedWatcher) -> bool {
+    /// Watches the directories of all sources. Returns false if one cannot be watched, so that only polling finds changes.
+    fn watch_directories(&self, file_watcher: &mut RecommendedWatcher) -> bool {
         let mut all = true;
-        for dir in disk::directories(&self.watch.sources) {
-            all &= system.watch(&dir, RecursiveMode::NonRecursive).is_ok();
+        for dir in disk::directories_to_watch(&self.config.sources) {
+            all &= file_watcher.watch(&dir, RecursiveMode::NonRecursive).is_ok();
         }
         all
     }
 
-    fn take_up_kept(&mut self, activator: &mut Activator) {
-        let Some(path) = &self.watch.last_good else { return };
-        match disk::kept(path, &self.watch.topology) {
+    fn restore_last_good(&mut self, activator: &mut Activator) {
+        let Some(path) = &self.config.last_good else { return };
+        match disk::read_last_good(path, &self.config.topology) {
             Ok(None) => {}
-            Ok(Some((set, kept))) => {
-                let age = Micros((self.clock.now() - kept.0).max(0));
+            Ok(Some((set, saved_at))) => {
+                let age = Micros((self.clock.now() - saved_at.0).max(0));
                 activator.restore(set.clone());
-                self.tell(EngineFileEvent::LastGoodRestored(Arc::new(set), age));
+                self.send(EngineFileEvent::LastGoodRestored(Arc::new(set), age));
             }
-            Err(why) => self.tell(EngineFileEvent::LastGoodInvalid(why)),
+            Err(why) => self.send(EngineFileEvent::LastGoodInvalid(why)),
         }
     }
 
-    /// Tells what came of a reading; when to read again, if before the poll.
-    fn heed(&mut self, activator: &Activator, now: Micros, verdict: Verdict) -> Option<Micros> {
-        let news = match verdict {
+    /// Sends the event for a verdict. Returns when the files must be read again, if that is before the next poll.
+    fn report_verdict(&mut self, activator: &Activator, now: Micros, verdict: Verdict) -> Option<Micros> {
+        let event = match verdict {
             Verdict::Settling(at) => return Some(at),
             Verdict::Unchanged => {
-                if self.last.take().is_some() {
-                    self.tell(EngineFileEvent::FaultCleared);
+                if self.last_problem.take().is_some() {
+                    self.send(EngineFileEvent::FaultCleared);
                 }
                 return None;
             }
             Verdict::Activated(set) => {
-                self.last = None;
-                self.tell(EngineFileEvent::Activated(Arc::new(set)));
-                self.keep(activator, now);
+                self.last_problem = None;
+                self.send(EngineFileEvent::Activated(Arc::new(set)));
+                self.save(activator, now);
                 return None;
             }
             Verdict::Rejected(fault, _) => EngineFileEvent::Rejected(fault),
             Verdict::Held(why, until) => EngineFileEvent::Held(why, until),
         };
-        let again = if let EngineFileEvent::Held(_, until) = &news { *until } else { None };
-        if self.last.as_ref() != Some(&news) {
-            self.last = Some(news.clone());
-            self.tell(news);
+        let again = if let EngineFileEvent::Held(_, until) = &event { *until } else { None };
+        if self.last_problem.as_ref() != Some(&event) {
+            self.last_problem = Some(event.clone());
+            self.send(event);
         }
         again
     }
 
-    fn keep(&mut self, activator: &Activator, now: Micros) {
-        let (Some(path), Some(text)) = (&self.watch.last_good, activator.serialize_current(now)) else {
+    fn save(&mut self, activator: &Activator, now: Micros) {
+        let (Some(path), Some(text)) = (&self.config.last_good, activator.serialize_current(now)) else {
             return;
         };
         let written = disk::write_durably(path, text.as_bytes());
-        let was_unkept = std::mem::replace(&mut self.is_unkept, written.is_err());
+        let had_failed = std::mem::replace(&mut self.save_failed, written.is_err());
         if let Err(fault) = written {
-            // Told once, however often it is tried again.
-            if !was_unkept {
+            // Reported once, however often the save is retried.
+            if !had_failed {
                 let why = format!("{}: {fault}", path.display());
-                self.tell(EngineFileEvent::LastGoodNotSaved(why));
+                self.send(EngineFileEvent::LastGoodNotSaved(why));
             }
         }
     }
 }
 
-/// Whether a change may be one of the files. Others may be written beside them, and reading a file is no change: heeding
-/// either would wake every watcher without end.
-fn concerns(event: &notify::Event, places: &[FileSource]) -> bool {
+/// Whether a reported change may concern one of the files. Other files in the same directory and read accesses are ignored:
+/// otherwise each watcher would be woken by its own reads and by unrelated files, over and over.
+fn may_affect(event: &notify::Event, sources: &[FileSource]) -> bool {
     use notify::event::{AccessKind, AccessMode};
-    let read = matches!(event.kind, EventKind::Access(kind) if kind != AccessKind::Close(AccessMode::Write));
-    !read
+    let is_read =
+        matches!(event.kind, EventKind::Access(kind) if kind != AccessKind::Close(AccessMode::Write));
+    !is_read
         && (event.paths.is_empty()
-            || event.paths.iter().any(|p| places.iter().any(|place| place.concerns(p))))
+            || event.paths.iter().any(|p| sources.iter().any(|source| source.may_match(p))))
 }
--- a/crates/endpoints-cli/src/membership.rs
+++ b/crates/endpoints-cli/src/membership.rs
@@ -1,45 +1,45 @@
-//! The commands about the membership: who hears whom, and who is forgotten.
+//! The membership commands: `peers` shows which controllers receive packets of which others, and `forget` evicts a member.
 
-use crate::{ask_all, text};
+use crate::{query_all, read_text};
 use anyhow::{bail, Context, Result};
 use serde::Deserialize;
 use std::collections::btree_map::{BTreeMap, Entry};
 use std::net::{SocketAddr, UdpSocket};
 use std::path::Path;
 use std::time::{Duration, Instant};
-use wheelfield_endpoints_cli::peers::{Matrix, Told};
+use wheelfield_endpoints_cli::peers::{GossipStatus, ReachabilityMatrix};
 use wheelfield_gossip::authentication::{Authenticator, Keys};
 use wheelfield_gossip::{eviction_packet, MemberRecord, MemberState};
 
-/// Between two looks at the controllers.
-const LOOK: Duration = Duration::from_millis(200);
+/// How long to wait between two queries of the controllers' status.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What a controller says of the others.
-fn told(status: &serde_json::Value) -> Result<Told> {
-    let gossip = status.get("gossip").context("it does not find out by gossip how many there are")?;
-    Told::deserialize(gossip).context("what it says of the others can't be read")
+/// The gossip status of a controller.
+fn gossip_status(status: &serde_json::Value) -> Result<GossipStatus> {
+    let gossip = status.get("gossip").context("it does not use gossip")?;
+    GossipStatus::deserialize(gossip).context("its gossip status cannot be parsed")
 }
 
-/// Who hears whom now.
-fn matrix(controllers: &[SocketAddr]) -> Matrix {
-    let (mut all, mut silent) = (Vec::new(), Vec::new());
-    for (controller, answer) in controllers.iter().zip(ask_all(controllers, told)) {
+/// Queries all controllers, and builds the matrix.
+fn query_matrix(controllers: &[SocketAddr]) -> ReachabilityMatrix {
+    let (mut statuses, mut unanswered) = (Vec::new(), Vec::new());
+    for (controller, answer) in controllers.iter().zip(query_all(controllers, gossip_status)) {
         match answer {
-            Ok(told) => all.push(told),
-            Err(fault) => silent.push(format!("{controller}: {fault:#}")),
+            Ok(status) => statuses.push(status),
+            Err(fault) => unanswered.push(format!("{controller}: {fault:#}")),
         }
     }
-    Matrix::new(&all, silent)
+    ReachabilityMatrix::new(&statuses, unanswered)
 }
 
-pub(crate) fn peers(controllers: &[SocketAddr], within: Duration, json: bool) -> Result<bool> {
-    let until = Instant::now() + within;
+pub(crate) fn peers(controllers: &[SocketAddr], timeout: Duration, json: bool) -> Result<bool> {
+    let deadline = Instant::now() + timeout;
     let matrix = loop {
-        let matrix = matrix(controllers);
-        if matrix.agrees() || Instant::now() >= until {
+        let matrix = query_matrix(controllers);
+        if matrix.agrees() || Instant::now() >= deadline {
             break matrix;
         }
-        std::thread::sleep(LOOK.min(until.saturating_duration_since(Instant::now())));
+        std::thread::sleep(POLL_INTERVAL.min(deadline.saturating_duration_since(Instant::now())));
     };
     match json {
         true => println!("{}", serde_json::to_string_pretty(&matrix)?),
@@ -52,53 +52,59 @@
     member: SocketAddr,
     controllers: &[SocketAddr],
     keys: &Path,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<bool> {
-    let keys = Keys::read(&text(keys)?).with_context(|| format!("{}", keys.display()))?;
-    let until = Instant::now() + within;
+    let keys = Keys::read(&read_text(keys)?).with_context(|| format!("{}", keys.display()))?;
+    let deadline = Instant::now() + timeout;
     let mut authenticators = BTreeMap::new();
     loop {
-        let mut waits = false;
-        for (controller, answer) in controllers.iter().zip(ask_all(controllers, told)) {
-            let told = answer.with_context(|| format!("{controller} does not answer"))?;
-            let Some(m) = told.members.iter().find(|m| m.member == member && m.standing != "left") else {
+        let mut is_pending = false;
+        for (controller, answer) in controllers.iter().zip(query_all(controllers, gossip_status)) {
+            let status = answer.with_context(|| format!("{controller} does not answer"))?;
+            let Some(member_status) = status.members.iter().find(|m| m.member == member && m.state != "left")
+            else {
                 continue;
             };
-            // Guards against letting go of one that runs: it would take its part while nobody counts it.
-            if m.standing != "gone" {
-                bail!("{controller} holds {member} for {}; nobody was told to forget it", m.standing);
+            // A running member must not be evicted: it would go on using its share of the limits, although the others no
+            // longer count it.
+            if member_status.state != "gone" {
+                bail!(
+                    "{controller} holds {member} for {}; nobody was told to forget it",
+                    member_status.state
+                );
             }
-            waits = true;
+            is_pending = true;
             let record = MemberRecord {
                 member,
-                incarnation: m.start,
-                refutations: m.denials,
+                incarnation: member_status.incarnation,
+                refutations: member_status.refutations,
                 state: MemberState::Dead,
                 state_age_ms: 0,
             };
-            // The seal holds from where it comes: the address by which that controller is reached.
-            let (socket, authenticator) = match authenticators.entry(told.own) {
+            // The authentication covers the sender's address. A socket connected to the controller determines that address.
+            let (socket, authenticator) = match authenticators.entry(status.address) {
                 Entry::Occupied(at) => at.into_mut(),
                 Entry::Vacant(at) => {
-                    let any = if told.own.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" };
+                    let any = if status.address.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" };
                     let socket = UdpSocket::bind(any)?;
-                    socket.connect(told.own)?;
+                    socket.connect(status.address)?;
                     let start = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH)?;
                     let authenticator = Authenticator::new(socket.local_addr()?, start.as_micros() as u64);
                     at.insert((socket, authenticator))
                 }
             };
-            let datagram =
-                authenticator.authenticate(&eviction_packet(record), &keys).context("no datagram")?;
-            socket.send(&datagram).with_context(|| format!("{} can't be told", told.own))?;
+            let datagram = authenticator
+                .authenticate(&eviction_packet(record), &keys)
+                .context("cannot authenticate the eviction packet")?;
+            socket.send(&datagram).with_context(|| format!("cannot send to {}", status.address))?;
         }
-        if !waits {
+        if !is_pending {
             println!("{member} is forgotten");
             return Ok(true);
         }
-        if Instant::now() >= until {
-            bail!("{member} counts on: not all took the word; is it the controllers' key, and this a host that they know?");
+        if Instant::now() >= deadline {
+            bail!("{member} counts on: not all controllers accepted the eviction; check that they use this key and know this host");
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/endpoints-cli/src/peers.rs
+++ b/crates/endpoints-cli/src/peers.rs
@@ -1,249 +1,273 @@
-//! Who hears whom among the controllers, of what each says of itself; no I/O.
+//! Computes from the gossip status of the controllers which of them receive packets of which others, without I/O.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 
-/// What a controller tells of itself: `gossip` on its status page. Times in milliseconds.
+/// The gossip status of a controller, which is `gossip` on its status page. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Told {
-    /// Where the others reach it.
-    pub own: SocketAddr,
-    /// When it started, in microseconds of its clock.
-    pub start: u64,
-    /// It probes one member in each.
+pub struct GossipStatus {
+    /// The address at which the others reach it.
+    #[serde(rename = "own")]
+    pub address: SocketAddr,
+    /// Its incarnation: the time when it started, in microseconds of its clock.
+    #[serde(rename = "start")]
+    pub incarnation: u64,
+    /// The length of a probe period. It probes one member in each.
     pub period_ms: u64,
-    /// So many controllers it acts on,
+    /// The number of controllers that it counts.
     pub count: u64,
-    /// with this number for itself.
+    /// Its own index among them.
     pub index: u64,
-    /// So many answer, with itself.
+    /// The number of members that are alive, including itself.
     pub alive: u64,
-    /// It has listened, and nothing is in doubt.
+    /// It has been listening long enough for a reliable view, and suspects no member.
     pub settled: bool,
-    /// More than half of all that count answer.
+    /// More than half of all members that count are alive.
     pub quorum: bool,
-    /// The number of its view,
-    pub number: u64,
-    /// and what those have alike that count the same.
+    /// The version of its view.
+    #[serde(rename = "number")]
+    pub view_version: u64,
+    /// A digest of its view, equal for all controllers that count the same members.
     pub digest: String,
-    /// For how long all it hears tells of other views.
-    pub apart_ms: u64,
-    /// The others.
-    pub members: Vec<Member>,
+    /// For how long all packets that it received have shown other views than its own.
+    #[serde(rename = "apart_ms")]
+    pub diverged_ms: u64,
+    /// The other members.
+    pub members: Vec<MemberStatus>,
 }
 
-/// How one stands with another.
+/// What a controller knows about another member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Member {
-    /// Whom it is about.
+pub struct MemberStatus {
+    /// The address of the member.
     pub member: SocketAddr,
     /// `alive`, `suspect`, `gone` or `left`.
-    pub standing: String,
-    /// It counts.
-    pub counts: bool,
-    /// When it started.
-    pub start: u64,
-    /// How often it denied a suspicion.
-    pub denials: u32,
-    /// For how long it has stood so.
-    pub since_ms: u64,
-    /// A packet of its own came so long ago; none if never.
+    #[serde(rename = "standing")]
+    pub state: String,
+    /// The member is included in the count of controllers.
+    #[serde(rename = "counts")]
+    pub is_counted: bool,
+    /// Its incarnation: the time when it started.
+    #[serde(rename = "start")]
+    pub incarnation: u64,
+    /// How often it refuted a suspicion.
+    #[serde(rename = "denials")]
+    pub refutations: u32,
+    /// For how long it has been in this state.
+    #[serde(rename = "since_ms")]
+    pub state_age_ms: u64,
+    /// How long ago it last sent a packet to this controller; `None` if it never did.
     pub silent_ms: Option<u64>,
 }
 
-/// What one makes of another.
+/// Whether a controller receives packets of another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Hears {
-    /// Itself.
-    Own,
-    /// Packets of it come.
-    Yes,
-    /// None came for three rounds of probes, but others answer for it.
-    Silent,
-    /// The same, while the other one does hear it: a cut one way.
+pub enum Reachability {
+    /// It is the controller itself.
+    #[serde(rename = "own")]
+    Itself,
+    /// Packets arrive.
+    #[serde(rename = "yes")]
+    Heard,
+    /// No packet has arrived for three rounds of probes, but other members confirm that it is alive.
+    #[serde(rename = "silent")]
+    Indirect,
+    /// As for `Indirect`, but the other controller receives packets of this one: the path fails in one direction.
     OneWay,
-    /// It may deny that it is gone.
+    /// It is suspected to be dead, and may still refute that.
     Suspect,
-    /// It was given up.
-    Gone,
-    /// It said goodbye, or an operator let it go.
+    /// It was declared dead.
+    #[serde(rename = "gone")]
+    Dead,
+    /// It left, or an operator evicted it.
     Left,
-    /// It is not known.
+    /// The controller does not know it, or did not answer.
     Unknown,
 }
 
-impl Hears {
-    fn letter(self) -> char {
+impl Reachability {
+    fn symbol(self) -> char {
         match self {
-            Hears::Own => '-',
-            Hears::Yes => '.',
-            Hears::Silent => '~',
-            Hears::OneWay => '!',
-            Hears::Suspect => 'S',
-            Hears::Gone => 'G',
-            Hears::Left => 'L',
-            Hears::Unknown => '?',
+            Reachability::Itself => '-',
+            Reachability::Heard => '.',
+            Reachability::Indirect => '~',
+            Reachability::OneWay => '!',
+            Reachability::Suspect => 'S',
+            Reachability::Dead => 'G',
+            Reachability::Left => 'L',
+            Reachability::Unknown => '?',
         }
     }
 }
 
-/// A controller as it appears among the others.
+/// A row of the matrix: a controller, and what it knows about each other one.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Row {
-    /// Where the others reach it.
+pub struct MatrixRow {
+    /// The address at which the others reach it.
     pub member: SocketAddr,
-    /// What it tells; none if it was not asked, or did not answer.
-    pub told: Option<Summary>,
-    /// What it makes of each, in the order of the rows.
-    pub hears: Vec<Hears>,
+    /// Its view; `None` if it was not queried or did not answer.
+    #[serde(rename = "told")]
+    pub view: Option<ViewSummary>,
+    /// Whether it receives packets of each controller, in the order of the rows.
+    #[serde(rename = "hears")]
+    pub cells: Vec<Reachability>,
 }
 
-/// What a controller tells of its own view.
+/// A summary of a controller's view of the membership.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Summary {
-    /// Views that are alike have one letter.
-    pub view: String,
-    /// So many it acts on,
+pub struct ViewSummary {
+    /// A letter for the view; equal views have the same letter.
+    #[serde(rename = "view")]
+    pub label: String,
+    /// The number of controllers that it counts.
     pub count: u64,
-    /// its number among them,
+    /// Its own index among them.
     pub index: u64,
-    /// so many answer,
+    /// The number of members that are alive, including itself.
     pub alive: u64,
-    /// and they are more than half.
+    /// More than half of all members that count are alive.
     pub quorum: bool,
-    /// For how long all it hears tells of other views, in milliseconds.
-    pub apart_ms: u64,
+    /// For how long all packets that it received have shown other views than its own, in milliseconds.
+    #[serde(rename = "apart_ms")]
+    pub diverged_ms: u64,
 }
 
-/// All of it.
+/// Which controllers receive packets of which others, and whether their views agree.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Matrix {
-    /// All that are known to anybody who answered, by address.
-    pub rows: Vec<Row>,
-    /// Unlike views among those that answered.
-    pub views: usize,
-    /// Numbers that two or more go by who act on the same view: of the same count.
-    pub doubled: Vec<u64>,
-    /// Controllers that did not answer, as they were asked for.
-    pub silent: Vec<String>,
+pub struct ReachabilityMatrix {
+    /// All controllers known to any controller that answered, sorted by address.
+    pub rows: Vec<MatrixRow>,
+    /// The number of different views among the controllers that answered.
+    #[serde(rename = "views")]
+    pub view_count: usize,
+    /// Indexes that two or more controllers with the same count have.
+    #[serde(rename = "doubled")]
+    pub duplicate_indexes: Vec<u64>,
+    /// Controllers that did not answer, by the address under which they were queried, and why.
+    #[serde(rename = "silent")]
+    pub unanswered: Vec<String>,
 }
 
-/// Packets of one that is well come within so many rounds of probes.
-const ROUNDS: u64 = 3;
+/// Packets of a healthy member arrive within this number of rounds of probes.
+const HEALTHY_ROUNDS: u64 = 3;
 
-impl Matrix {
-    /// Of what those that answered told, and who did not answer.
-    pub fn new(told: &[Told], silent: Vec<String>) -> Matrix {
-        let by: BTreeMap<SocketAddr, &Told> = told.iter().map(|t| (t.own, t)).collect();
+impl ReachabilityMatrix {
+    /// Builds the matrix from the statuses of the controllers that answered, and a line for each one that did not.
+    pub fn new(statuses: &[GossipStatus], unanswered: Vec<String>) -> ReachabilityMatrix {
+        let by_address: BTreeMap<SocketAddr, &GossipStatus> =
+            statuses.iter().map(|t| (t.address, t)).collect();
         let known =
-            told.iter().flat_map(|t| t.members.iter().filter(|m| m.standing != "left").map(|m| m.member));
+            statuses.iter().flat_map(|t| t.members.iter().filter(|m| m.state != "left").map(|m| m.member));
         let all: Vec<SocketAddr> =
-            known.chain(by.keys().copied()).collect::<BTreeSet<_>>().into_iter().collect();
-        let digests: BTreeSet<&str> = told.iter().map(|t| t.digest.as_str()).collect();
+            known.chain(by_address.keys().copied()).collect::<BTreeSet<_>>().into_iter().collect();
+        let digests: BTreeSet<&str> = statuses.iter().map(|t| t.digest.as_str()).collect();
         let letter = |digest: &str| match digests.iter().position(|d| *d == digest) {
             Some(n @ 0..26) => char::from(b'a' + n as u8).to_string(),
             n => format!("#{}", n.unwrap_or_default()),
         };
         let rows = all.iter().map(|member| {
-            let told = by.get(member);
-            let hears = match told {
-                Some(t) => all.iter().map(|other| cell(t, *other, by.get(other).copied())).collect(),
-                None => vec![Hears::Unknown; all.len()],
+            let status = by_address.get(member);
+            let cells = match status {
+                Some(t) => all.iter().map(|other| cell(t, *other, by_address.get(other).copied())).collect(),
+                None => vec![Reachability::Unknown; all.len()],
             };
-            let summary = told.map(|t| Summary {
-                view: letter(&t.digest),
+            let summary = status.map(|t| ViewSummary {
+                label: letter(&t.digest),
                 count: t.count,
                 index: t.index,
                 alive: t.alive,
                 quorum: t.quorum,
-                apart_ms: t.apart_ms,
+                diverged_ms: t.diverged_ms,
             });
-            Row { member: *member, told: summary, hears }
+            MatrixRow { member: *member, view: summary, cells }
         });
         let rows = rows.collect();
-        let mut numbers: BTreeMap<(u64, u64), usize> = BTreeMap::new();
-        for t in told {
-            *numbers.entry((t.count, t.index)).or_default() += 1;
+        let mut indexes: BTreeMap<(u64, u64), usize> = BTreeMap::new();
+        for t in statuses {
+            *indexes.entry((t.count, t.index)).or_default() += 1;
         }
-        let doubled = numbers.into_iter().filter(|(_, n)| *n > 1).map(|((_, index), _)| index).collect();
-        Matrix { rows, views: digests.len(), doubled, silent }
+        let duplicate_indexes =
+            indexes.into_iter().filter(|(_, n)| *n > 1).map(|((_, index), _)| index).collect();
+        ReachabilityMatrix { rows, view_count: digests.len(), duplicate_indexes, unanswered }
     }
 
-    /// All that answered hold one view, each with a number of its own, and all did answer.
+    /// Whether all controllers answered with the same view, each with an index of its own.
     pub fn agrees(&self) -> bool {
-        self.views <= 1 && self.doubled.is_empty() && self.silent.is_empty()
+        self.view_count <= 1 && self.duplicate_indexes.is_empty() && self.unanswered.is_empty()
     }
 
-    /// Pairs of which the second hears the first and is not heard by it.
+    /// Pairs of controllers whose path fails in one direction: the first receives no packets of the second, but the second
+    /// receives those of the first.
     pub fn one_way(&self) -> Vec<(SocketAddr, SocketAddr)> {
-        let found = |row: &Row| {
-            let cells = row.hears.iter().zip(&self.rows).filter(|(h, _)| **h == Hears::OneWay);
+        let found = |row: &MatrixRow| {
+            let cells = row.cells.iter().zip(&self.rows).filter(|(h, _)| **h == Reachability::OneWay);
             cells.map(|(_, other)| (row.member, other.member)).collect::<Vec<_>>()
         };
         self.rows.iter().flat_map(found).collect()
     }
 
-    /// For people.
+    /// The matrix as a table for operators.
     pub fn text(&self) -> String {
         let mut out = String::new();
         let width = self.rows.iter().map(|r| r.member.to_string().len()).max().unwrap_or(0);
         let heads: String = (0..self.rows.len()).map(|n| char::from(b'0' + (n % 10) as u8)).collect();
         let _ = writeln!(out, "{:>4} {:width$} view count number alive  {heads}", "", "controller");
         for (n, row) in self.rows.iter().enumerate() {
-            let cells: String = row.hears.iter().map(|h| h.letter()).collect();
-            let told = row.told.as_ref().map_or("  no answer               ".into(), |t| {
-                let part = if t.quorum { ' ' } else { '<' };
-                format!("{:>4} {:>5} {:>6} {:>5}{part}", t.view, t.count, t.index, t.alive)
+            let cells: String = row.cells.iter().map(|h| h.symbol()).collect();
+            let view = row.view.as_ref().map_or("  no answer               ".into(), |t| {
+                let quorum_mark = if t.quorum { ' ' } else { '<' };
+                format!("{:>4} {:>5} {:>6} {:>5}{quorum_mark}", t.label, t.count, t.index, t.alive)
             });
-            let _ = writeln!(out, "{n:>4} {:width$} {told} {cells}", row.member.to_string());
+            let _ = writeln!(out, "{n:>4} {:width$} {view} {cells}", row.member.to_string());
         }
         let _ = writeln!(
             out,
-            ". heard  ~ not heard itself, others answer for it  ! the same, and it hears this one  S suspected  G given up  \
-             L left  ? not known\n< half of the controllers or more are silent"
+            ". heard  ~ not heard, but others report it alive  ! the same, and it hears this one  S suspected  G declared dead  \
+             L left  ? unknown\n< half of the controllers or more are silent"
         );
-        for (deaf, to) in self.one_way() {
-            let _ = writeln!(out, "one way: {deaf} does not hear {to}, which hears it");
+        for (member, unheard) in self.one_way() {
+            let _ = writeln!(out, "one way: {member} does not hear {unheard}, which hears it");
         }
-        for index in &self.doubled {
+        for index in &self.duplicate_indexes {
             let _ = writeln!(out, "two or more have number {index}");
         }
-        for silent in &self.silent {
-            let _ = writeln!(out, "no answer: {silent}");
+        for controller in &self.unanswered {
+            let _ = writeln!(out, "no answer: {controller}");
         }
         let _ = writeln!(out, "{}", if self.agrees() { "one view" } else { "views differ" });
         out
     }
 }
 
-fn cell(by: &Told, other: SocketAddr, its: Option<&Told>) -> Hears {
-    if other == by.own {
-        return Hears::Own;
+fn cell(status: &GossipStatus, other: SocketAddr, other_status: Option<&GossipStatus>) -> Reachability {
+    if other == status.address {
+        return Reachability::Itself;
     }
-    let Some(m) = by.members.iter().find(|m| m.member == other) else { return Hears::Unknown };
-    match m.standing.as_str() {
-        "suspect" => Hears::Suspect,
-        "gone" => Hears::Gone,
-        "left" => Hears::Left,
-        _ if heard(by, m) => Hears::Yes,
+    let Some(m) = status.members.iter().find(|m| m.member == other) else { return Reachability::Unknown };
+    match m.state.as_str() {
+        "suspect" => Reachability::Suspect,
+        "gone" => Reachability::Dead,
+        "left" => Reachability::Left,
+        _ if is_heard(status, m) => Reachability::Heard,
         _ => {
-            let back = its.and_then(|t| t.members.iter().find(|m| m.member == by.own).map(|m| heard(t, m)));
-            if back == Some(true) {
-                Hears::OneWay
+            let other_hears = other_status
+                .and_then(|t| t.members.iter().find(|m| m.member == status.address).map(|m| is_heard(t, m)));
+            if other_hears == Some(true) {
+                Reachability::OneWay
             } else {
-                Hears::Silent
+                Reachability::Indirect
             }
         }
     }
 }
 
-/// Whether packets of a member came within some rounds of probes.
-fn heard(by: &Told, m: &Member) -> bool {
-    let rounds = ROUNDS * by.period_ms * (by.members.len() as u64 + 1);
-    m.silent_ms.is_some_and(|ms| ms <= rounds)
+/// Whether a packet of a member arrived within the last `HEALTHY_ROUNDS` rounds of probes.
+fn is_heard(status: &GossipStatus, m: &MemberStatus) -> bool {
+    let max_age_ms = HEALTHY_ROUNDS * status.period_ms * (status.members.len() as u64 + 1);
+    m.silent_ms.is_some_and(|ms| ms <= max_age_ms)
 }
 
 #[cfg(test)]
@@ -254,63 +278,66 @@
         SocketAddr::from(([127, 0, 0, 1], 1_000 + n))
     }
 
-    /// Three that hear each other.
-    fn well() -> Vec<Told> {
-        let member = |n| Member {
+    /// The statuses of three controllers that all receive packets of each other.
+    fn healthy() -> Vec<GossipStatus> {
+        let member = |n| MemberStatus {
             member: at(n),
-            standing: "alive".into(),
-            counts: true,
-            start: 1,
-            denials: 0,
-            since_ms: 0,
+            state: "alive".into(),
+            is_counted: true,
+            incarnation: 1,
+            refutations: 0,
+            state_age_ms: 0,
             silent_ms: Some(100),
         };
-        let one = |n: u16| Told {
-            own: at(n),
-            start: 1,
+        let one = |n: u16| GossipStatus {
+            address: at(n),
+            incarnation: 1,
             period_ms: 1_000,
             count: 3,
             index: u64::from(n),
             alive: 3,
             settled: true,
             quorum: true,
-            number: 2,
+            view_version: 2,
             digest: "00ff".into(),
-            apart_ms: 0,
+            diverged_ms: 0,
             members: (0..3).filter(|m| *m != n).map(member).collect(),
         };
         (0..3).map(one).collect()
     }
 
     #[test]
-    fn those_that_hear_each_other_agree() {
-        let matrix = Matrix::new(&well(), vec![]);
+    fn controllers_that_hear_each_other_agree() {
+        let matrix = ReachabilityMatrix::new(&healthy(), vec![]);
         assert!(matrix.agrees() && matrix.one_way().is_empty());
-        assert!(matrix.rows.iter().enumerate().all(|(n, r)| r.hears[n] == Hears::Own));
+        assert!(matrix.rows.iter().enumerate().all(|(n, r)| r.cells[n] == Reachability::Itself));
         let text = matrix.text();
         assert!(text.contains("127.0.0.1:1001    a     3      1     3  .-."), "{text}");
         assert!(text.ends_with("one view\n"), "{text}");
     }
 
     #[test]
-    fn a_cut_one_way_other_views_numbers_held_by_two_and_silence_are_marked() {
-        let mut told = well();
-        // 0 does not hear 1, which hears it; 2 and 0 do not hear each other.
-        told[0].members[0].silent_ms = Some(60_000);
-        told[0].members[1].silent_ms = None;
-        told[2].members[0].silent_ms = Some(60_000);
-        let matrix = Matrix::new(&told, vec![]);
+    fn one_way_failures_different_views_duplicate_indexes_and_missing_answers_are_marked() {
+        let mut statuses = healthy();
+        // 0 receives no packets of 1, but 1 receives those of 0. 0 and 2 receive no packets of each other.
+        statuses[0].members[0].silent_ms = Some(60_000);
+        statuses[0].members[1].silent_ms = None;
+        statuses[2].members[0].silent_ms = Some(60_000);
+        let matrix = ReachabilityMatrix::new(&statuses, vec![]);
         assert_eq!(matrix.one_way(), [(at(0), at(1))]);
-        assert_eq!((matrix.rows[0].hears[2], matrix.rows[2].hears[0]), (Hears::Silent, Hears::Silent));
-        assert!(matrix.agrees(), "a cut road alone is no other view");
+        assert_eq!(
+            (matrix.rows[0].cells[2], matrix.rows[2].cells[0]),
+            (Reachability::Indirect, Reachability::Indirect)
+        );
+        assert!(matrix.agrees(), "a failed path alone does not make the views differ");
 
-        let mut told = well();
-        (told[1].index, told[2].digest) = (0, "aa00".into());
-        (told[2].quorum, told[2].members[0].standing) = (false, "gone".into());
-        let matrix = Matrix::new(&told, vec!["127.0.0.1:9".into()]);
+        let mut statuses = healthy();
+        (statuses[1].index, statuses[2].digest) = (0, "aa00".into());
+        (statuses[2].quorum, statuses[2].members[0].state) = (false, "gone".into());
+        let matrix = ReachabilityMatrix::new(&statuses, vec!["127.0.0.1:9".into()]);
         assert_eq!(
-            (matrix.views, matrix.doubled.clone(), matrix.rows[2].hears[0]),
-            (2, vec![0], Hears::Gone)
+            (matrix.view_count, matrix.duplicate_indexes.clone(), matrix.rows[2].cells[0]),
+            (2, vec![0], Reachability::Dead)
         );
         let text = matrix.text();
         for part in ["two or more have number 0", "no answer: 127.0.0.1:9", "views differ", "    3<"] {
@@ -319,9 +346,9 @@
     }
 
     #[test]
-    fn one_that_was_not_asked_is_a_row_of_what_is_not_known() {
-        let matrix = Matrix::new(&well()[..2], vec![]);
-        assert_eq!((matrix.rows.len(), matrix.rows[2].told.as_ref()), (3, None));
-        assert!(matrix.rows[2].hears.iter().all(|h| *h == Hears::Unknown));
+    fn a_controller_that_was_not_queried_has_a_row_of_unknowns() {
+        let matrix = ReachabilityMatrix::new(&healthy()[..2], vec![]);
+        assert_eq!((matrix.rows.len(), matrix.rows[2].view.as_ref()), (3, None));
+        assert!(matrix.rows[2].cells.iter().all(|h| *h == Reachability::Unknown));
     }
 }
--- a/crates/endpoints-cli/tests/disk.rs
+++ b/crates/endpoints-cli/tests/disk.rs
@@ -1,4 +1,4 @@
-//! Files on a real disk, written as editors, release tools and careless scripts write them.
+//! Engine files on a real disk, written in the ways of editors, deployment tools and careless scripts.
 
 use std::fs;
 use std::os::unix::fs::symlink;
@@ -9,14 +9,14 @@
 use wheelfield_config::Names;
 use wheelfield_endpoints::activation::ActivationPolicy;
 use wheelfield_endpoints::file::Topology;
-use wheelfield_endpoints_cli::disk::{kept, FileSource};
+use wheelfield_endpoints_cli::disk::{read_last_good, FileSource};
 use wheelfield_endpoints_cli::{EngineFileEvent, EngineFileWatcher, WatchConfig};
 use wheelfield_net::Clock;
 
-/// Nothing here takes so long; a test that waits in vain fails.
-const SOON: Duration = Duration::from_secs(30);
+/// How long a test waits for an event before it fails; much longer than any event takes.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
 
-fn places() -> Topology {
+fn topology() -> Topology {
     let names = Names { zones: vec!["a".into()], kinds: vec!["std".into()], ..Names::default() };
     Topology { names, cores: vec![8.0], accept_unknown_names: false }
 }
@@ -28,85 +28,86 @@
     format!("version = {version}\n{}\n[end]\nengines = {count}\n", ids.map(engine).collect::<String>())
 }
 
-struct Scene {
-    watching: EngineFileWatcher,
-    /// Held, so that ringing has where to go.
-    _bell: UnixStream,
+struct TestWatcher {
+    watcher: EngineFileWatcher,
+    /// Kept open, so that writes to the other end succeed.
+    _wakeup: UnixStream,
 }
 
-impl Scene {
-    fn on(place: &Path, last_good: Option<&Path>, poll: Micros) -> Scene {
-        let (bell, ring) = UnixStream::pair().expect("a pair");
-        ring.set_nonblocking(true).expect("a stream");
-        let watch = WatchConfig {
-            sources: vec![FileSource(place.to_path_buf())],
+impl TestWatcher {
+    fn start(source: &Path, last_good: Option<&Path>, poll: Micros) -> TestWatcher {
+        let (wakeup, notifier) = UnixStream::pair().expect("a pair");
+        notifier.set_nonblocking(true).expect("a stream");
+        let config = WatchConfig {
+            sources: vec![FileSource(source.to_path_buf())],
             poll_interval: poll,
             policy: ActivationPolicy { settle_time: Micros(20_000), ..ActivationPolicy::default() },
-            topology: places(),
+            topology: topology(),
             last_good: last_good.map(Path::to_path_buf),
         };
-        let watching = EngineFileWatcher::start(watch, Clock::start(), ring).expect("a thread");
-        Scene { watching, _bell: bell }
+        let watcher = EngineFileWatcher::start(config, Clock::start(), notifier).expect("a thread");
+        TestWatcher { watcher, _wakeup: wakeup }
     }
 
-    fn news(&self) -> EngineFileEvent {
-        self.watching.events.recv_timeout(SOON).expect("news")
+    fn next_event(&self) -> EngineFileEvent {
+        self.watcher.events.recv_timeout(EVENT_TIMEOUT).expect("an event")
     }
 
-    /// The next set in force; words of files that are being changed may come before.
-    fn set(&self) -> (u64, usize) {
+    /// Waits for the next active set, and returns its version and its number of engines. Events about files that are still
+    /// being changed may come before it and are skipped.
+    fn next_active_set(&self) -> (u64, usize) {
         loop {
-            if let EngineFileEvent::Activated(set) = self.news() {
+            if let EngineFileEvent::Activated(set) = self.next_event() {
                 return (set.version, set.engines.len());
             }
         }
     }
 
-    /// The next refusal.
-    fn refusal(&self) -> String {
+    /// Waits for the next rejection, and returns its message.
+    fn next_rejection(&self) -> String {
         loop {
-            match self.news() {
+            match self.next_event() {
                 EngineFileEvent::Rejected(fault) => return fault.to_string(),
-                EngineFileEvent::Activated(set) => panic!("version {} was taken", set.version),
+                EngineFileEvent::Activated(set) => panic!("version {} became active", set.version),
                 _ => {}
             }
         }
     }
 }
 
-const OFTEN: Micros = Micros(50_000);
-/// So seldom that only the system's word can be what was heeded.
-const SELDOM: Micros = Micros(3_600_000_000);
+const SHORT_POLL_INTERVAL: Micros = Micros(50_000);
+/// So long that only notifications of the operating system can make a change visible within a test.
+const LONG_POLL_INTERVAL: Micros = Micros(3_600_000_000);
 
 #[test]
-fn a_change_is_heard_of_from_the_system_or_found_by_the_poll() {
-    for poll in [SELDOM, OFTEN] {
+fn changes_are_found_by_notifications_and_by_polling() {
+    for poll in [LONG_POLL_INTERVAL, SHORT_POLL_INTERVAL] {
         let dir = tempfile::tempdir().expect("a directory");
         let path = dir.path().join("engines.toml");
         fs::write(&path, file(1, 0..3)).expect("written");
-        let scene = Scene::on(&path, None, poll);
-        assert_eq!(scene.set(), (1, 3));
-        // Written beside and renamed.
-        let beside = dir.path().join("engines.toml.new");
-        fs::write(&beside, file(2, 0..4)).expect("written");
-        fs::rename(&beside, &path).expect("renamed");
-        assert_eq!(scene.set(), (2, 4));
+        let watcher = TestWatcher::start(&path, None, poll);
+        assert_eq!(watcher.next_active_set(), (1, 3));
+        // Written to another file and renamed.
+        let temporary = dir.path().join("engines.toml.new");
+        fs::write(&temporary, file(2, 0..4)).expect("written");
+        fs::rename(&temporary, &path).expect("renamed");
+        assert_eq!(watcher.next_active_set(), (2, 4));
         // Written in place.
         fs::write(&path, file(3, 0..5)).expect("written");
-        assert_eq!(scene.set(), (3, 5));
-        // Torn, then gone, then whole.
+        assert_eq!(watcher.next_active_set(), (3, 5));
+        // Truncated, then removed, then complete.
         let whole = file(4, 0..6);
         fs::write(&path, &whole[..whole.len() - 20]).expect("written");
-        assert!(scene.refusal().contains("engines.toml:"), "its place is told");
+        assert!(watcher.next_rejection().contains("engines.toml:"), "the message names the file");
         fs::remove_file(&path).expect("removed");
-        assert!(scene.refusal().contains("cannot be read"));
+        assert!(watcher.next_rejection().contains("cannot be read"));
         fs::write(&path, &whole).expect("written");
-        assert_eq!(scene.set(), (4, 6));
+        assert_eq!(watcher.next_active_set(), (4, 6));
     }
 }
 
 #[test]
-fn a_directory_is_one_set_and_its_link_may_be_swapped() {
+fn the_files_of_a_directory_are_one_set_and_its_link_may_be_replaced() {
     let dir = tempfile::tempdir().expect("a directory");
     let release = |name: &str, files: &[(&str, String)]| {
         let path = dir.path().join(name);
@@ -124,88 +125,99 @@
     );
     let link = dir.path().join("current");
     symlink(&one, &link).expect("linked");
-    let scene = Scene::on(&link, None, SELDOM);
-    assert_eq!(scene.set(), (2, 4));
-    let beside = dir.path().join("next");
-    symlink(&two, &beside).expect("linked");
-    fs::rename(&beside, &link).expect("swapped");
-    assert_eq!(scene.set(), (4, 6));
-    // Behind the link now, changes are heard of there.
+    let watcher = TestWatcher::start(&link, None, LONG_POLL_INTERVAL);
+    assert_eq!(watcher.next_active_set(), (2, 4));
+    let temporary = dir.path().join("next");
+    symlink(&two, &temporary).expect("linked");
+    fs::rename(&temporary, &link).expect("swapped");
+    assert_eq!(watcher.next_active_set(), (4, 6));
+    // Changes in the new target of the link are noticed.
     fs::write(two.join("b.toml"), file(3, 3..7)).expect("written");
-    assert_eq!(scene.set(), (5, 7));
-    // A pattern takes the files that fit alone.
-    let scene = Scene::on(&two.join("a*.toml"), None, SELDOM);
-    assert_eq!(scene.set(), (2, 3));
+    assert_eq!(watcher.next_active_set(), (5, 7));
+    // A pattern selects only the files that match it.
+    let watcher = TestWatcher::start(&two.join("a*.toml"), None, LONG_POLL_INTERVAL);
+    assert_eq!(watcher.next_active_set(), (2, 3));
 }
 
 #[test]
-fn the_set_in_force_is_kept_and_taken_up_when_files_are_bad() {
+fn the_active_set_is_saved_and_restored_when_the_files_are_invalid() {
     let dir = tempfile::tempdir().expect("a directory");
     let (path, last) = (dir.path().join("engines.toml"), dir.path().join("kept/last.toml"));
     fs::create_dir(dir.path().join("kept")).expect("made");
     fs::write(&path, file(7, 0..3)).expect("written");
-    let scene = Scene::on(&path, Some(&last), OFTEN);
-    assert_eq!(scene.set(), (7, 3));
-    // Ending waits for what is under way.
-    drop(scene);
-    let (set, when) = kept(&last, &places()).expect("sound").expect("there");
+    let watcher = TestWatcher::start(&path, Some(&last), SHORT_POLL_INTERVAL);
+    assert_eq!(watcher.next_active_set(), (7, 3));
+    // Dropping the watcher waits for the save in progress.
+    drop(watcher);
+    let (set, saved_at) = read_last_good(&last, &topology()).expect("valid").expect("there");
     assert_eq!((set.version, set.engines.len()), (7, 3));
-    assert!(when.0 > 1_600_000_000_000_000);
+    assert!(saved_at.0 > 1_600_000_000_000_000);
     fs::write(&path, "version = 8\nnonsense").expect("written");
-    let scene = Scene::on(&path, Some(&last), OFTEN);
-    let EngineFileEvent::LastGoodRestored(set, age) = scene.news() else { panic!("the kept one first") };
+    let watcher = TestWatcher::start(&path, Some(&last), SHORT_POLL_INTERVAL);
+    let EngineFileEvent::LastGoodRestored(set, age) = watcher.next_event() else {
+        panic!("the saved set is not restored first")
+    };
     assert_eq!((set.version, set.engines.len()), (7, 3));
     assert!(age >= Micros(0) && age < Micros(60_000_000));
-    assert!(scene.refusal().contains("engines.toml:2"));
-    // Without any file, too; and a damaged kept one is told of.
+    assert!(watcher.next_rejection().contains("engines.toml:2"));
+    // The set is also restored if there is no engine file, and a damaged saved set is reported.
     fs::remove_file(&path).expect("removed");
-    assert!(matches!(Scene::on(&path, Some(&last), OFTEN).news(), EngineFileEvent::LastGoodRestored(..)));
-    fs::write(&last, "torn").expect("written");
-    assert!(matches!(Scene::on(&path, Some(&last), OFTEN).news(), EngineFileEvent::LastGoodInvalid(_)));
+    assert!(matches!(
+        TestWatcher::start(&path, Some(&last), SHORT_POLL_INTERVAL).next_event(),
+        EngineFileEvent::LastGoodRestored(..)
+    ));
+    fs::write(&last, "truncated").expect("written");
+    assert!(matches!(
+        TestWatcher::start(&path, Some(&last), SHORT_POLL_INTERVAL).next_event(),
+        EngineFileEvent::LastGoodInvalid(_)
+    ));
 }
 
 #[test]
-fn a_set_that_cannot_be_kept_is_in_force_all_the_same() {
+fn a_set_that_cannot_be_saved_is_active_all_the_same() {
     let dir = tempfile::tempdir().expect("a directory");
     let path = dir.path().join("engines.toml");
     fs::write(&path, file(1, 0..3)).expect("written");
-    let scene = Scene::on(&path, Some(&dir.path().join("not-there/last.toml")), OFTEN);
-    assert_eq!(scene.set(), (1, 3));
-    assert!(matches!(scene.news(), EngineFileEvent::LastGoodNotSaved(why) if why.contains("not-there")));
+    let watcher =
+        TestWatcher::start(&path, Some(&dir.path().join("not-there/last.toml")), SHORT_POLL_INTERVAL);
+    assert_eq!(watcher.next_active_set(), (1, 3));
+    assert!(
+        matches!(watcher.next_event(), EngineFileEvent::LastGoodNotSaved(why) if why.contains("not-there"))
+    );
 }
 
-/// No further change of the files comes, and they are read seldom.
+/// The save must be retried without a further change of the files and without waiting for the next poll.
 #[test]
-fn a_set_that_could_not_be_kept_is_kept_once_the_disk_allows_it() {
+fn a_failed_save_is_retried_until_it_succeeds() {
     let dir = tempfile::tempdir().expect("a directory");
     let path = dir.path().join("engines.toml");
     let missing = dir.path().join("not-there");
     let last = missing.join("last.toml");
     fs::write(&path, file(1, 0..3)).expect("written");
-    let scene = Scene::on(&path, Some(&last), SELDOM);
-    assert_eq!(scene.set(), (1, 3));
-    assert!(matches!(scene.news(), EngineFileEvent::LastGoodNotSaved(_)));
+    let watcher = TestWatcher::start(&path, Some(&last), LONG_POLL_INTERVAL);
+    assert_eq!(watcher.next_active_set(), (1, 3));
+    assert!(matches!(watcher.next_event(), EngineFileEvent::LastGoodNotSaved(_)));
     fs::create_dir(&missing).expect("made");
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     while !last.exists() {
-        assert!(begun.elapsed() < SOON, "never kept");
+        assert!(started.elapsed() < EVENT_TIMEOUT, "the set was never saved");
         std::thread::sleep(Duration::from_millis(20));
     }
-    let (set, _) = kept(&last, &places()).expect("sound").expect("there");
+    let (set, _) = read_last_good(&last, &topology()).expect("valid").expect("there");
     assert_eq!((set.version, set.engines.len()), (1, 3));
 }
 
 #[test]
-fn a_set_that_takes_away_too_much_is_held_until_confirmed() {
+fn a_set_that_removes_too_much_capacity_is_held_until_it_is_confirmed() {
     let dir = tempfile::tempdir().expect("a directory");
     let path = dir.path().join("engines.toml");
     fs::write(&path, file(1, 0..10)).expect("written");
-    let scene = Scene::on(&path, None, OFTEN);
-    assert_eq!(scene.set(), (1, 10));
+    let watcher = TestWatcher::start(&path, None, SHORT_POLL_INTERVAL);
+    assert_eq!(watcher.next_active_set(), (1, 10));
     fs::write(&path, file(2, 0..4)).expect("written");
-    assert!(matches!(scene.news(), EngineFileEvent::Held(why, None) if why.starts_with("60%")));
+    assert!(matches!(watcher.next_event(), EngineFileEvent::Held(why, None) if why.starts_with("60%")));
     fs::write(&path, file(1, 0..10)).expect("written");
-    assert_eq!(scene.news(), EngineFileEvent::FaultCleared);
+    assert_eq!(watcher.next_event(), EngineFileEvent::FaultCleared);
     fs::write(&path, file(3, 0..4).replacen('\n', "\nconfirmed = true\n", 1)).expect("written");
-    assert_eq!(scene.set(), (3, 4));
+    assert_eq!(watcher.next_active_set(), (3, 4));
 }
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -1,4 +1,5 @@
-//! Engine sets: parsed from files or from a registry, validated, compared and merged. A set is applied as a whole or not at all.
+//! Engine sets: parsed from files or from a registry, validated, compared and merged. A set is applied as a whole or not at
+//! all.
 //!
 //! - [`mod@file`]: the TOML format of an engine file; each error has a line, a column and a suggestion.
 //! - [`activation`]: decides when the contents of the engine files become the active set: they must be stable, valid and
--- a/crates/endpoints/src/rollout.rs
+++ b/crates/endpoints/src/rollout.rs
@@ -1,4 +1,5 @@
-//! Splits a large change of the engine set into steps, and detects from the controllers' counters that a step made things worse.
+//! Splits a large change of the engine set into steps, and detects from the controllers' counters that a step made things
+//! worse.
 
 use crate::{EngineRecord, EngineSet};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/endpoints/tests/sets.rs
+++ b/crates/endpoints/tests/sets.rs
@@ -1,4 +1,5 @@
-//! Engine files: valid ones are activated as a whole; truncated, invalid and implausible ones leave the active set unchanged.
+//! Engine files: valid ones are activated as a whole; truncated, invalid and implausible ones leave the active set
+//! unchanged.
 
 use std::collections::BTreeSet;
 use wheelfield::interface::{Micros, Status};
@@ -196,17 +197,17 @@
         ("misspelt key", |n| (format!("cell = {n}\n"), format!("cells = {n}\n")), "unknown field `cells`"),
         ("no quotes", |n| (format!("id = \"e{n}\""), format!("id = e{n}")), ""),
     ];
-    let good = fleet(6, 12);
+    let valid = fleet(6, 12);
     for (what, inject, expected) in &injections {
         for n in 0..12 {
             let (from, to) = inject(n);
-            assert!(good.contains(&from), "{what}: {from}");
-            let text = good.replacen(&from, &to, 1);
+            assert!(valid.contains(&from), "{what}: {from}");
+            let text = valid.replacen(&from, &to, 1);
             let fault = rejection_of(&text);
             assert!(fault.problem.contains(expected), "{what} at e{n}: {fault}");
             assert!(fault.line > 1 && !fault.suggestion.is_empty(), "{what} at e{n}: {fault}");
             // The line is in the table of this engine, or of the other engine with the same id or address.
-            let own_line = good[..good.find(&id_line(n)).unwrap_or(0)].matches('\n').count() + 1;
+            let own_line = valid[..valid.find(&id_line(n)).unwrap_or(0)].matches('\n').count() + 1;
             let in_own_table = (own_line.saturating_sub(2)..own_line + 9).contains(&fault.line);
             let in_other_table = what.ends_with("twice") && fault.line > 1;
             assert!(in_own_table || in_other_table, "{what} at e{n}, line {own_line}: {fault}");
@@ -215,27 +216,27 @@
         }
     }
     // Errors of the file as a whole.
-    let whole = [
+    let file_errors = [
         (
-            good.replace("version = 6", "version = 5").replace("cell = 3", "cell = 33"),
+            valid.replace("version = 6", "version = 5").replace("cell = 3", "cell = 33"),
             "its version is still 5",
         ),
-        (good.replace("version = 6", "version = 4"), "is older than the active version"),
-        (good.replace("version = 6\n", ""), "missing field `version`"),
-        (good.replace("version = 6", "version = 0"), "version 0"),
-        (good.replace("version = 6", "version = -6"), ""),
-        (good.replace("engines = 12", "engines = 11"), "[end] says 11 engines"),
-        (good.replace("[end]", "[ende]"), "unknown field `ende`"),
-        (good.replace("\n[end]\nengines = 12\n", ""), "no [end]"),
+        (valid.replace("version = 6", "version = 4"), "is older than the active version"),
+        (valid.replace("version = 6\n", ""), "missing field `version`"),
+        (valid.replace("version = 6", "version = 0"), "version 0"),
+        (valid.replace("version = 6", "version = -6"), ""),
+        (valid.replace("engines = 12", "engines = 11"), "[end] says 11 engines"),
+        (valid.replace("[end]", "[ende]"), "unknown field `ende`"),
+        (valid.replace("\n[end]\nengines = 12\n", ""), "no [end]"),
         (file(6, &[]), "no engines are listed"),
-        (format!("{good}{}", engine(12, "")).replace("engines = 12", "engines = 13"), "after [end]"),
-        (good.trim_end().to_string(), "the last line has no newline"),
+        (format!("{valid}{}", engine(12, "")).replace("engines = 12", "engines = 13"), "after [end]"),
+        (valid.trim_end().to_string(), "the last line has no newline"),
         (String::new(), "missing field `version`"),
         ("\u{0}\u{1}\u{2}".to_string(), ""),
-        (good.replace("version = 6", "version = 6\nversion = 7"), "duplicate key"),
-        (good.replace("\n[[engines]]", "\n[engines]"), ""),
+        (valid.replace("version = 6", "version = 6\nversion = 7"), "duplicate key"),
+        (valid.replace("\n[[engines]]", "\n[engines]"), ""),
     ];
-    for (text, expected) in whole {
+    for (text, expected) in file_errors {
         let fault = rejection_of(&text);
         assert!(fault.problem.contains(expected) && !fault.suggestion.is_empty(), "{expected}: {fault}");
         injected += 1;
@@ -273,8 +274,8 @@
     let verdict = evaluate_settled(&mut activator, 60 * SECOND, &[]);
     let Verdict::Rejected(fault, true) = verdict else { panic!("{verdict:?}") };
     assert!(fault.problem.contains("no engine file"));
-    let gone = vec![("engines.toml".to_string(), Err("No such file or directory".to_string()))];
-    let Verdict::Rejected(fault, true) = evaluate_settled(&mut activator, 61 * SECOND, &gone) else {
+    let missing = vec![("engines.toml".to_string(), Err("No such file or directory".to_string()))];
+    let Verdict::Rejected(fault, true) = evaluate_settled(&mut activator, 61 * SECOND, &missing) else {
         panic!("not rejected")
     };
     assert!(fault.problem.contains("No such file"));
@@ -422,21 +423,24 @@
 fn a_saved_set_is_restored_and_a_file_of_any_version_may_replace_it() {
     let (activator, set) = activator_with_twelve_engines();
     let text = activator.serialize_current(Micros(77 * SECOND)).expect("a set");
-    let kept = parse("kept", &text, &mut topology()).expect("valid");
-    assert_eq!((&kept.set, kept.saved_at), (&set, Some(Micros(77 * SECOND))));
-    let mut fresh = Activator::new(ActivationPolicy::default(), topology());
-    fresh.restore(kept.set);
+    let saved = parse("saved", &text, &mut topology()).expect("valid");
+    assert_eq!((&saved.set, saved.saved_at), (&set, Some(Micros(77 * SECOND))));
+    let mut restored = Activator::new(ActivationPolicy::default(), topology());
+    restored.restore(saved.set);
     assert!(matches!(
-        evaluate_settled(&mut fresh, SECOND, &single_file("version = ")),
+        evaluate_settled(&mut restored, SECOND, &single_file("version = ")),
         Verdict::Rejected(..)
     ));
-    assert_eq!(fresh.current(), Some(&set));
+    assert_eq!(restored.current(), Some(&set));
     // Engines may have changed their addresses while no process was running.
     let moved = fleet(5, 12).replace(":55", ":65");
-    assert!(matches!(evaluate_settled(&mut fresh, 2 * SECOND, &single_file(&moved)), Verdict::Activated(_)));
+    assert!(matches!(
+        evaluate_settled(&mut restored, 2 * SECOND, &single_file(&moved)),
+        Verdict::Activated(_)
+    ));
     let back = fleet(6, 12);
     assert!(
-        matches!(evaluate_settled(&mut fresh, 3 * SECOND, &single_file(&back)), Verdict::Rejected(..)),
+        matches!(evaluate_settled(&mut restored, 3 * SECOND, &single_file(&back)), Verdict::Rejected(..)),
         "the addresses are known now"
     );
     // Serializing is idempotent, and the order of engines in a file has no meaning.
@@ -467,8 +471,8 @@
     );
     // It keeps its start time in later sets. After it is removed and listed again, it gets a new one.
     assert!(engines.apply_file_set(set(&fleet(3, 4)), Micros(60 * SECOND)).entries.is_empty());
-    let gone = engines.apply_file_set(set(&fleet(4, 3)), Micros(61 * SECOND));
-    assert_eq!((gone.entries.len(), gone.entries[0].status), (1, Status::Removed));
+    let removed = engines.apply_file_set(set(&fleet(4, 3)), Micros(61 * SECOND));
+    assert_eq!((removed.entries.len(), removed.entries[0].status), (1, Status::Removed));
     let back = engines.apply_file_set(set(&fleet(5, 4)), Micros(62 * SECOND));
     assert_eq!((back.entries[0].status, back.entries[0].started_at), (Status::Up, Some(Micros(62 * SECOND))));
 }
