--- a/crates/pg-gateway/src/dispatcher/endpoints.rs
+++ b/crates/pg-gateway/src/dispatcher/endpoints.rs
@@ -7,7 +7,7 @@
 use tracing::{info, warn};
 use wheelfield::interface::Status;
 use wheelfield_driver::Input;
-use wheelfield_endpoints::tracker::{from_registry, Change};
+use wheelfield_endpoints::tracker::{parse_registry_list, EngineListChange};
 use wheelfield_sans_io::ConnId;
 
 impl Dispatcher {
@@ -41,7 +41,7 @@
             }
             Some(RegistryUpdate::List(body)) => {
                 let version = self.endpoint_sets.registry_version();
-                match from_registry(&body, &self.config.names, version) {
+                match parse_registry_list(&body, &self.config.names, version) {
                     Ok(set) => {
                         let change = self.endpoint_sets.update_from_registry(set, self.out.now);
                         self.apply_change(change);
@@ -57,9 +57,9 @@
     }
 
     /// Applies a change of the engine list.
-    pub fn apply_change(&mut self, change: Option<Change>) {
-        let Some(Change { whole, entries }) =
-            change.filter(|change| change.whole || !change.entries.is_empty())
+    pub fn apply_change(&mut self, change: Option<EngineListChange>) {
+        let Some(EngineListChange { is_complete, entries }) =
+            change.filter(|change| change.is_complete || !change.entries.is_empty())
         else {
             return;
         };
@@ -70,13 +70,13 @@
         }
         let now = self.out.now;
         self.driver
-            .record_engine_names(now, engines.known().iter().map(|(id, known)| (*id, known.name.clone())));
+            .record_engine_names(now, engines.records().iter().map(|(id, known)| (*id, known.name.clone())));
         for entry in &entries {
-            if let Some(known) = engines.known().get(&entry.engine) {
+            if let Some(known) = engines.records().get(&entry.engine) {
                 let is_up = known.entry.status == Status::Up;
                 self.engines.set_engine(entry.engine, known.address, is_up, &mut self.out);
             }
         }
-        self.driver.handle_input(now, Input::Engines { complete: whole, entries });
+        self.driver.handle_input(now, Input::Engines { complete: is_complete, entries });
     }
 }
--- a/crates/pg-gateway/src/endpoint_sets.rs
+++ b/crates/pg-gateway/src/endpoint_sets.rs
@@ -6,8 +6,8 @@
 use wheelfield::interface::Micros;
 use wheelfield_config::Config;
 use wheelfield_endpoints::merge::{merge, Contradiction};
-use wheelfield_endpoints::tracker::{Change, Engines};
-use wheelfield_endpoints::{EngineSet, News};
+use wheelfield_endpoints::tracker::{EngineListChange, EngineTracker};
+use wheelfield_endpoints::{EngineFileEvent, EngineSet};
 
 /// Counters of endpoint file updates and engine lists.
 #[derive(Clone, Copy, Debug, Default)]
@@ -34,7 +34,7 @@
 /// The known engines and their sources.
 #[derive(Debug)]
 pub(crate) struct EndpointSets {
-    engines: Engines,
+    engines: EngineTracker,
     files: Option<EndpointFiles>,
     pub counters: EndpointCounters,
 }
@@ -45,16 +45,16 @@
             max_registry_age: files.max_registry_age,
             ..EndpointFiles::default()
         });
-        EndpointSets { engines: Engines::default(), files, counters: EndpointCounters::default() }
+        EndpointSets { engines: EngineTracker::default(), files, counters: EndpointCounters::default() }
     }
 
-    pub fn engines(&self) -> &Engines {
+    pub fn engines(&self) -> &EngineTracker {
         &self.engines
     }
 
     /// Uses the engines that are listed in the configuration.
-    pub fn use_configured_engines(&mut self, config: &Config) -> Change {
-        self.engines.fixed(config)
+    pub fn use_configured_engines(&mut self, config: &Config) -> EngineListChange {
+        self.engines.apply_config(config)
     }
 
     /// Whether endpoint files are the source of the engine list.
@@ -63,38 +63,38 @@
     }
 
     /// Applies an update of the endpoint files.
-    pub fn update_from_files(&mut self, news: News, now: i64) -> Option<Change> {
+    pub fn update_from_files(&mut self, news: EngineFileEvent, now: i64) -> Option<EngineListChange> {
         let files = self.files.as_mut()?;
         match news {
-            News::Set(set) => {
+            EngineFileEvent::Activated(set) => {
                 info!(version = set.version, engines = set.engines.len(), "engine files applied");
                 (files.set, files.fault) = (Some(set), None);
                 return self.merge_sets(now);
             }
-            News::Kept(set, age) => {
+            EngineFileEvent::LastGoodRestored(set, age) => {
                 warn!(version = set.version, age_s = age.0 / 1_000_000, "the set that was kept is in force");
                 files.fault =
                     Some(format!("the set that was kept is in force, of {} s ago", age.0 / 1_000_000));
                 files.set = Some(set);
                 return self.merge_sets(now);
             }
-            News::Refused(fault) => {
+            EngineFileEvent::Rejected(fault) => {
                 warn!(%fault, "engine files refused; the set in force stays");
                 files.fault = Some(fault.to_string());
                 self.counters.rejected += 1;
             }
-            News::Held(why, until) => {
+            EngineFileEvent::Held(why, until) => {
                 let until_s = until.map(|t| (t.0 - now) / 1_000_000);
                 warn!(why, until_s, "engine files held; write confirmed = true if that is meant");
                 files.fault = Some(format!("held: {why}"));
                 self.counters.held += 1;
             }
-            News::Fine => {
+            EngineFileEvent::FaultCleared => {
                 info!("engine files match the current engine set again");
                 files.fault = None;
             }
-            News::KeptBad(why) => warn!(why, "the saved engine set cannot be used"),
-            News::NotKept(why) => {
+            EngineFileEvent::LastGoodInvalid(why) => warn!(why, "the saved engine set cannot be used"),
+            EngineFileEvent::LastGoodNotSaved(why) => {
                 error!(
                     why,
                     "the current engine set could not be saved; a start without a valid file would have none"
@@ -102,20 +102,22 @@
                 self.counters.not_saved += 1;
             }
             // The gateway handles this event itself.
-            News::Looked(_) => {}
-            News::PollOnly(why) => warn!(why, "the system tells of no changes; engine files are polled"),
+            EngineFileEvent::ReadCompleted(_) => {}
+            EngineFileEvent::PollingOnly(why) => {
+                warn!(why, "the system tells of no changes; engine files are polled")
+            }
         }
         None
     }
 
     /// Applies a list of the registry, which is merged with the endpoint files if there are any.
-    pub fn update_from_registry(&mut self, set: EngineSet, now: i64) -> Option<Change> {
+    pub fn update_from_registry(&mut self, set: EngineSet, now: i64) -> Option<EngineListChange> {
         match &mut self.files {
             Some(files) => {
                 files.registry = Some((set, now));
                 self.merge_sets(now)
             }
-            None => Some(self.engines.set(set)),
+            None => Some(self.engines.apply_set(set)),
         }
     }
 
@@ -128,7 +130,7 @@
     }
 
     /// Merges the sets again when the registry set has become too old, or is up to date again.
-    pub fn expire_registry(&mut self, now: i64) -> Option<Change> {
+    pub fn expire_registry(&mut self, now: i64) -> Option<EngineListChange> {
         let files = self.files.as_ref()?;
         let is_fresh = files
             .registry
@@ -140,7 +142,7 @@
         self.merge_sets(now)
     }
 
-    fn merge_sets(&mut self, now: i64) -> Option<Change> {
+    fn merge_sets(&mut self, now: i64) -> Option<EngineListChange> {
         let files = self.files.as_mut()?;
         let set = files.set.as_ref()?;
         let registry =
@@ -153,7 +155,7 @@
             }
             files.contradictions = contradictions;
         }
-        Some(self.engines.set_from_files(merged, Micros(now)))
+        Some(self.engines.apply_file_set(merged, Micros(now)))
     }
 
     /// The state of the endpoint files for the status page.
--- a/crates/pg-gateway/src/gateway.rs
+++ b/crates/pg-gateway/src/gateway.rs
@@ -13,7 +13,7 @@
 use wheelfield_capture::Recorder;
 use wheelfield_config::Config;
 use wheelfield_driver::Input;
-use wheelfield_endpoints::News;
+use wheelfield_endpoints::EngineFileEvent;
 use wheelfield_sans_io::ConnectionBuffer;
 use wheelfield_sans_io::{ConnId, DatagramSocket, Effect, IoEvent, Listener, Protocol};
 
@@ -141,7 +141,7 @@
         self.dispatcher.connection_count()
     }
 
-    /// The number of a new request to read the engine files, if there is one. [`News::Looked`] with this
+    /// The number of a new request to read the engine files, if there is one. [`EngineFileEvent::ReadCompleted`] with this
     /// number reports that they were read after the request.
     pub fn take_files_request(&mut self) -> Option<u64> {
         self.dispatcher.list_age.take_files_request()
@@ -154,7 +154,7 @@
             GatewayEvent::Started => self.dispatcher.handle_start(),
             GatewayEvent::Io(event) => self.dispatch_io(now, event),
             GatewayEvent::EndpointFiles(news) => {
-                if let News::Looked(number) = news {
+                if let EngineFileEvent::ReadCompleted(number) = news {
                     self.dispatcher.list_age.note_files_read(number);
                     return;
                 }
--- a/crates/pg-gateway/src/metrics.rs
+++ b/crates/pg-gateway/src/metrics.rs
@@ -94,11 +94,11 @@
     pub fn render_status(&self) -> String {
         let metrics: Map<String, Value> =
             self.metrics().into_iter().map(|(name, _, value)| (name.to_string(), json!(value))).collect();
-        let engine = |known: &wheelfield_endpoints::Known| {
-            let status = wheelfield_endpoints::word(known.entry.status);
+        let engine = |known: &wheelfield_endpoints::EngineRecord| {
+            let status = wheelfield_endpoints::status_name(known.entry.status);
             json!({"id": known.name, "address": known.address.to_string(), "status": status})
         };
-        let engines: Vec<Value> = self.endpoint_sets.engines().known().values().map(engine).collect();
+        let engines: Vec<Value> = self.endpoint_sets.engines().records().values().map(engine).collect();
         let (listed, members) = (!self.registry.is_unavailable, self.endpoint_sets.status());
         let mut page = json!({"figures": metrics, "engines": engines, "listed": listed, "members": members});
         if let Some(gossip) = self.gossip {
--- a/crates/pg-gateway/src/registry.rs
+++ b/crates/pg-gateway/src/registry.rs
@@ -66,7 +66,9 @@
     }
 
     pub fn read_capacity(&mut self, id: ConnId) -> usize {
-        self.connections.get_mut(id).map_or(0, |buffer| buffer.read_capacity(wheelfield_endpoints::LONGEST))
+        self.connections
+            .get_mut(id)
+            .map_or(0, |buffer| buffer.read_capacity(wheelfield_endpoints::MAX_LIST_BYTES))
     }
 
     /// Whether a request is in progress.
@@ -117,13 +119,13 @@
     /// Reads a response once it is complete. Fails the request if the connection was closed before.
     pub fn read_response(&mut self, id: ConnId, out: &mut EffectQueue) -> Option<RegistryUpdate> {
         let buffer = self.connections.get_mut(id)?;
-        let response = match http::take_response(&mut buffer.input, wheelfield_endpoints::LONGEST) {
+        let response = match http::take_response(&mut buffer.input, wheelfield_endpoints::MAX_LIST_BYTES) {
             Ok(Some(response)) => response,
             Ok(None) if buffer.read_closed => {
                 return self.handle_failure("the registry closed the connection", out)
             }
             Ok(None) => {
-                buffer.resume_reading(id, wheelfield_endpoints::LONGEST, out);
+                buffer.resume_reading(id, wheelfield_endpoints::MAX_LIST_BYTES, out);
                 return None;
             }
             Err(error) => return self.handle_failure(&error.to_string(), out),
