--- a/crates/capture/src/disk.rs
+++ b/crates/capture/src/disk.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 /// A file, or a stand-in for one that is slow or full.
-pub trait Disk: Send {
+pub trait CaptureFile: Send {
     /// Writes bytes at the end.
     ///
     /// # Errors
@@ -15,7 +15,7 @@
     ///
     /// # Errors
     /// If the file could not be cut.
-    fn cut(&mut self, length: u64) -> io::Result<()>;
+    fn truncate(&mut self, length: u64) -> io::Result<()>;
     /// Makes what was written durable.
     ///
     /// # Errors
@@ -23,12 +23,12 @@
     fn sync(&mut self) -> io::Result<()>;
 }
 
-impl Disk for File {
+impl CaptureFile for File {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.write_all(bytes)
     }
 
-    fn cut(&mut self, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, length: u64) -> io::Result<()> {
         self.set_len(length)?;
         self.seek(SeekFrom::End(0)).map(|_| ())
     }
@@ -39,9 +39,9 @@
 }
 
 /// Creates the files of a capture.
-pub type Maker = Box<dyn FnMut(&Path) -> io::Result<Box<dyn Disk>> + Send>;
+pub type FileFactory = Box<dyn FnMut(&Path) -> io::Result<Box<dyn CaptureFile>> + Send>;
 
-/// A [`Maker`] of ordinary files.
-pub(crate) fn file_maker() -> Maker {
+/// A [`FileFactory`] of ordinary files.
+pub(crate) fn disk_file_factory() -> FileFactory {
     Box::new(|path| Ok(Box::new(File::create(path)?)))
 }
--- a/crates/capture/src/file_writer.rs
+++ b/crates/capture/src/file_writer.rs
@@ -1,6 +1,6 @@
 //! Writes blocks to files: one after another, the oldest of which are removed.
 
-use crate::disk::{Disk, Maker};
+use crate::disk::{CaptureFile, FileFactory};
 use crate::format::{Head, FILE_HEAD, MAGIC, VERSION};
 use crate::recorder::Limits;
 use crate::writer_thread::{compress, Message, WriterStatus};
@@ -13,7 +13,7 @@
 /// A file that is being written.
 pub(crate) struct Segment {
     path: PathBuf,
-    file: Box<dyn Disk>,
+    file: Box<dyn CaptureFile>,
     length: u64,
 }
 
@@ -22,8 +22,8 @@
     ///
     /// # Errors
     /// If it can't be created or written.
-    pub fn create(path: PathBuf, maker: &mut Maker) -> io::Result<Segment> {
-        let mut file = maker(&path)?;
+    pub fn create(path: PathBuf, file_factory: &mut FileFactory) -> io::Result<Segment> {
+        let mut file = file_factory(&path)?;
         file.append(MAGIC)?;
         file.append(&VERSION.to_be_bytes())?;
         Ok(Segment {
@@ -40,7 +40,7 @@
             .append(head)
             .and_then(|()| self.file.append(packed));
         if written.is_err() {
-            self.file.cut(self.length)?;
+            self.file.truncate(self.length)?;
             return written;
         }
         self.length += (head.len() + packed.len()) as u64;
@@ -58,7 +58,7 @@
 pub(crate) struct FileWriter {
     /// Path of the first file, after which the others are named.
     first_path: PathBuf,
-    maker: Maker,
+    file_factory: FileFactory,
     limits: Limits,
     /// The current file; `None` if it could not be created.
     segment: Option<Segment>,
@@ -71,10 +71,10 @@
 
 impl FileWriter {
     /// A writer that goes on with the first file.
-    pub fn new(first: Segment, maker: Maker, limits: Limits) -> FileWriter {
+    pub fn new(first: Segment, file_factory: FileFactory, limits: Limits) -> FileWriter {
         FileWriter {
             first_path: first.path.clone(),
-            maker,
+            file_factory,
             limits,
             files: vec![WrittenFile {
                 path: first.path.clone(),
@@ -135,7 +135,7 @@
             file.bytes = complete.length;
         }
         let path = numbered_path(&self.first_path, self.number);
-        self.segment = Segment::create(path, &mut self.maker).ok();
+        self.segment = Segment::create(path, &mut self.file_factory).ok();
         status
             .is_failing
             .store(self.segment.is_none(), Ordering::Relaxed);
--- a/crates/capture/src/format.rs
+++ b/crates/capture/src/format.rs
@@ -43,7 +43,7 @@
     /// The settings of its module.
     pub settings: Settings,
     /// The limits of its driver.
-    pub bounds: DriverLimits,
+    pub driver_limits: DriverLimits,
     /// Names of the classes, by position.
     pub classes: Vec<String>,
     /// Names of the tenants, by position.
@@ -63,9 +63,11 @@
         label: String,
     },
     /// Timers of the driver were due.
-    Due,
+    #[serde(rename = "Due")]
+    TimersDue,
     /// A query arrived with a number that the caller gave it.
-    ArriveAs {
+    #[serde(rename = "ArriveAs")]
+    ArriveWithId {
         /// The number.
         id: QueryId,
         /// The query.
@@ -74,7 +76,8 @@
         label: String,
     },
     /// A timer of the module fired, with its token; for callers that keep the timers themselves.
-    Woke(u64),
+    #[serde(rename = "Woke")]
+    TimerFired(u64),
 }
 
 impl RecordedInput {
@@ -82,7 +85,7 @@
     pub fn arrival(&self) -> Option<(&Arrival, &str)> {
         match self {
             RecordedInput::Arrive { arrival, label }
-            | RecordedInput::ArriveAs { arrival, label, .. } => Some((arrival, label)),
+            | RecordedInput::ArriveWithId { arrival, label, .. } => Some((arrival, label)),
             _ => None,
         }
     }
@@ -106,11 +109,11 @@
         /// When.
         at: Micros,
         /// The input.
-        told: RecordedInput,
+        input: RecordedInput,
         /// The number of a query that was accepted.
-        taken: Option<QueryId>,
+        accepted: Option<QueryId>,
         /// The answer.
-        out: Vec<Instruction>,
+        instructions: Vec<Instruction>,
     },
     /// Records before this one were lost.
     Gap {
@@ -133,9 +136,9 @@
     },
     Step {
         at: Micros,
-        told: &'a RecordedInput,
-        taken: Option<QueryId>,
-        out: &'a [Instruction],
+        input: &'a RecordedInput,
+        accepted: Option<QueryId>,
+        instructions: &'a [Instruction],
     },
     Gap {
         at: Micros,
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -24,9 +24,9 @@
 mod triggers;
 mod writer_thread;
 
-pub use disk::{Disk, Maker};
+pub use disk::{CaptureFile, FileFactory};
 pub use format::{Record, RecordedInput, Start, VERSION};
-pub use reader::{repair, Entry, Header, ReadError, Reader};
-pub use recorder::{Limits, Recorder, State};
+pub use reader::{repair, BlockInfo, Entry, ReadError, Reader};
+pub use recorder::{Limits, Recorder, RecorderState};
 pub use ring::RingLimits;
-pub use triggers::{Reason, TriggerDetector, Triggers};
+pub use triggers::{TriggerDetector, TriggerReason, Triggers};
--- a/crates/capture/src/older_versions.rs
+++ b/crates/capture/src/older_versions.rs
@@ -13,7 +13,7 @@
     index: u32,
     seed: u64,
     settings: SettingsV2,
-    bounds: DriverLimits,
+    driver_limits: DriverLimits,
     classes: Vec<String>,
     tenants: Vec<String>,
 }
@@ -68,7 +68,7 @@
             build,
             index,
             seed,
-            bounds,
+            driver_limits,
             classes,
             tenants,
             ..
@@ -78,7 +78,7 @@
             index,
             seed,
             settings,
-            bounds,
+            driver_limits,
             classes,
             tenants,
         })
--- a/crates/capture/src/reader.rs
+++ b/crates/capture/src/reader.rs
@@ -37,22 +37,22 @@
     /// A record.
     Record(Box<Record>),
     /// Blocks are missing here.
-    Missing {
+    MissingBlocks {
         /// How many.
         blocks: u64,
     },
     /// The file ends within a block, as after a crash; all before it is complete.
-    Torn {
+    Truncated {
         /// The byte at which the complete part ends.
-        at: u64,
+        offset: u64,
     },
 }
 
 /// What is known of a block without decompressing it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Header {
+pub struct BlockInfo {
     /// The byte of the file where it begins.
-    pub at: u64,
+    pub offset: u64,
     /// Time of its first record, in microseconds.
     pub first_at: i64,
     /// Time of its last record, in microseconds.
@@ -114,7 +114,7 @@
         })
     }
 
-    /// Goes to the block that begins at a byte ([`Header::at`]).
+    /// Goes to the block that begins at a byte ([`BlockInfo::offset`]).
     ///
     /// # Errors
     /// [`ReadError::Io`].
@@ -157,12 +157,12 @@
     ///
     /// # Errors
     /// [`ReadError`] where no block begins.
-    pub fn headers(&mut self) -> Result<Vec<Header>, ReadError> {
+    pub fn block_infos(&mut self) -> Result<Vec<BlockInfo>, ReadError> {
         self.seek_to_block(FILE_HEAD)?;
         let mut all = Vec::new();
         while let Some((head, _, _)) = self.read_head()? {
-            all.push(Header {
-                at: self.at,
+            all.push(BlockInfo {
+                offset: self.at,
                 first_at: head.first,
                 last_at: head.last,
                 lowest_query: head.low,
@@ -192,11 +192,11 @@
             }
             let Some((head, crc, bytes)) = self.read_head()? else {
                 self.ended = true;
-                return Ok(Some(Entry::Torn { at: self.at }));
+                return Ok(Some(Entry::Truncated { offset: self.at }));
             };
             let raw = self.read_records(&head, crc, &bytes)?;
             if let Some(expected) = self.next_number.filter(|n| *n != head.number) {
-                self.pending.push_back(Entry::Missing {
+                self.pending.push_back(Entry::MissingBlocks {
                     blocks: head.number.saturating_sub(expected).max(1),
                 });
             }
@@ -271,9 +271,9 @@
 pub fn repair(path: &Path) -> Result<u64, ReadError> {
     let mut reader = Reader::open(path)?;
     while let Some(entry) = reader.next_entry()? {
-        if let Entry::Torn { at } = entry {
-            let cut = reader.length - at;
-            File::options().write(true).open(path)?.set_len(at)?;
+        if let Entry::Truncated { offset } = entry {
+            let cut = reader.length - offset;
+            File::options().write(true).open(path)?.set_len(offset)?;
             return Ok(cut);
         }
     }
--- a/crates/capture/src/recorder.rs
+++ b/crates/capture/src/recorder.rs
@@ -1,11 +1,11 @@
 //! The decision thread's side of a capture: serializes records and hands blocks to the writer thread.
 
 use crate::block_buffer::BlockBuffer;
-use crate::disk::{file_maker, Maker};
+use crate::disk::{disk_file_factory, FileFactory};
 use crate::file_writer::{FileWriter, Segment};
 use crate::format::{RecordRef, RecordedInput, Start};
 use crate::ring::{Ring, RingLimits, RingWriter};
-use crate::triggers::{Reason, TriggerDetector, Triggers};
+use crate::triggers::{TriggerDetector, TriggerReason, Triggers};
 use crate::writer_thread::WriterThread;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -49,19 +49,19 @@
 
 /// What became of the records so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct State {
+pub struct RecorderState {
     /// Records handed to the writer thread.
     pub recorded: u64,
     /// Records lost, as the queue was full or the disk did not take them.
     pub lost: u64,
     /// Bytes written.
-    pub bytes: u64,
+    pub written_bytes: u64,
     /// The writer thread has ended, or can't write.
-    pub failing: bool,
+    pub is_failing: bool,
     /// Files written of a capture in memory.
-    pub kept: u64,
+    pub ring_files: u64,
     /// Bytes held in memory.
-    pub held: u64,
+    pub ring_bytes: u64,
 }
 
 /// Counts of records that were handed over or lost.
@@ -77,7 +77,7 @@
 }
 
 /// Records the inputs and answers of a driver. All methods are called on the decision thread and never wait for the disk,
-/// except [`Recorder::end`].
+/// except [`Recorder::finish`].
 #[derive(Debug)]
 pub struct Recorder {
     start: Start,
@@ -111,24 +111,24 @@
         driver: &Driver,
         now: Micros,
     ) -> io::Result<Recorder> {
-        Recorder::begin_on(file_maker(), path, start, limits, driver, now)
+        Recorder::begin_with_file_factory(disk_file_factory(), path, start, limits, driver, now)
     }
 
-    /// Begins a capture in files that `maker` creates.
+    /// Begins a capture in files that `file_factory` creates.
     ///
     /// # Errors
     /// As [`Recorder::begin`].
-    pub fn begin_on(
-        mut maker: Maker,
+    pub fn begin_with_file_factory(
+        mut file_factory: FileFactory,
         path: &Path,
         start: Start,
         limits: Limits,
         driver: &Driver,
         now: Micros,
     ) -> io::Result<Recorder> {
-        let first = Segment::create(path.to_path_buf(), &mut maker)?;
+        let first = Segment::create(path.to_path_buf(), &mut file_factory)?;
         let writer = WriterThread::start(limits.max_queued_blocks, move |messages, status| {
-            FileWriter::new(first, maker, limits).run(messages, status);
+            FileWriter::new(first, file_factory, limits).run(messages, status);
         })?;
         Ok(Recorder::new(
             path, start, limits, writer, None, driver, now,
@@ -194,24 +194,24 @@
     }
 
     /// Records a step: an input of the driver, the number of a query that it accepted, and its answer.
-    pub fn step(
+    pub fn record_step(
         &mut self,
         at: Micros,
         input: &RecordedInput,
         accepted: Option<QueryId>,
-        answer: &[Instruction],
+        instructions: &[Instruction],
     ) {
         self.put(
             at,
             &RecordRef::Step {
                 at,
-                told: input,
-                taken: accepted,
-                out: answer,
+                input,
+                accepted,
+                instructions,
             },
         );
         if let Some(triggers) = &mut self.triggers {
-            triggers.observe_step(at, input, answer);
+            triggers.observe_step(at, input, instructions);
         }
         if let Some(query) = accepted {
             self.buffer.note_query(query);
@@ -219,7 +219,7 @@
     }
 
     /// Records names of engines that were not recorded yet.
-    pub fn engines(&mut self, at: Micros, names: impl Iterator<Item = (EngineId, String)>) {
+    pub fn record_engines(&mut self, at: Micros, names: impl Iterator<Item = (EngineId, String)>) {
         let new: Vec<(EngineId, String)> =
             names.filter(|name| !self.engines.contains(name)).collect();
         if !new.is_empty() {
@@ -229,7 +229,7 @@
     }
 
     /// Hands over what is due. To be called between steps, as a checkpoint may be taken of the driver.
-    pub fn tend(&mut self, driver: &Driver, now: Micros) {
+    pub fn maintain(&mut self, driver: &Driver, now: Micros) {
         self.count_losses_of_writer();
         self.flush_if_due(driver, now);
         if now - self.checkpoint_at >= self.limits.checkpoint_interval {
@@ -239,28 +239,28 @@
     }
 
     /// Writes what is held in memory to a file, on an operator's request. Without effect for a capture in files.
-    pub fn ask(&mut self, now: Micros) {
+    pub fn request_file(&mut self, now: Micros) {
         if let Some(triggers) = &mut self.triggers {
             triggers.request(now);
         }
     }
 
     /// What became of the records so far.
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> RecorderState {
         let status = self.writer.status();
         let lost_by_writer = status.lost_records.load(Ordering::Relaxed);
-        State {
+        RecorderState {
             recorded: self.counts.recorded.saturating_sub(lost_by_writer),
             lost: self.counts.lost + lost_by_writer,
-            bytes: status.written_bytes.load(Ordering::Relaxed),
-            failing: status.is_failing.load(Ordering::Relaxed),
-            kept: status.ring_files.load(Ordering::Relaxed),
-            held: status.ring_bytes.load(Ordering::Relaxed),
+            written_bytes: status.written_bytes.load(Ordering::Relaxed),
+            is_failing: status.is_failing.load(Ordering::Relaxed),
+            ring_files: status.ring_files.load(Ordering::Relaxed),
+            ring_bytes: status.ring_bytes.load(Ordering::Relaxed),
         }
     }
 
     /// Hands over the rest and waits until it is written. A capture in memory is written to a file if a trigger has fired.
-    pub fn end(mut self, now: Micros) -> State {
+    pub fn finish(mut self, now: Micros) -> RecorderState {
         if let Some(reason) = self
             .triggers
             .as_mut()
@@ -373,7 +373,7 @@
         requested
     }
 
-    fn request_ring_file(&mut self, reason: Reason, now: Micros) {
+    fn request_ring_file(&mut self, reason: TriggerReason, now: Micros) {
         self.flush(now);
         let stem = self
             .path
--- a/crates/capture/src/ring.rs
+++ b/crates/capture/src/ring.rs
@@ -16,14 +16,14 @@
     /// Bytes of compressed blocks, at most.
     pub max_bytes: u64,
     /// The time that is held at least, if the bytes suffice.
-    pub min_span: Micros,
+    pub min_duration: Micros,
 }
 
 impl Default for RingLimits {
     fn default() -> Self {
         RingLimits {
             max_bytes: 64 << 20,
-            min_span: Micros(600_000_000),
+            min_duration: Micros(600_000_000),
         }
     }
 }
@@ -71,7 +71,7 @@
         self.total_bytes += (head_bytes.len() + packed.len()) as u64;
         let reaches_back = |span: &Span| {
             span.first
-                .is_some_and(|first| head.last - first >= self.limits.min_span.0)
+                .is_some_and(|first| head.last - first >= self.limits.min_duration.0)
         };
         while self.spans.len() > 1
             && (self.total_bytes > self.limits.max_bytes
--- a/crates/capture/src/triggers.rs
+++ b/crates/capture/src/triggers.rs
@@ -12,7 +12,7 @@
 
 /// Why a capture in memory was written to a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum TriggerReason {
     /// An engine was ejected.
     EngineEjected,
     /// More than a fraction of the arriving queries was rejected.
@@ -23,14 +23,14 @@
     Requested,
 }
 
-impl Reason {
+impl TriggerReason {
     /// The part of a file name that says the reason.
     pub fn file_name_part(self) -> &'static str {
         match self {
-            Reason::EngineEjected => "set-aside",
-            Reason::Rejections => "refusals",
-            Reason::Stall => "stall",
-            Reason::Requested => "asked",
+            TriggerReason::EngineEjected => "set-aside",
+            TriggerReason::Rejections => "refusals",
+            TriggerReason::Stall => "stall",
+            TriggerReason::Requested => "asked",
         }
     }
 }
@@ -76,7 +76,7 @@
 /// A trigger that has fired, and when its file is due.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
-    reason: Reason,
+    reason: TriggerReason,
     due_at: Micros,
 }
 
@@ -120,7 +120,7 @@
         if self.triggers.on_engine_ejected
             && answer.iter().any(|i| matches!(i, Instruction::Log(_)))
         {
-            self.fire(Reason::EngineEjected, at);
+            self.fire(TriggerReason::EngineEjected, at);
         }
     }
 
@@ -132,19 +132,19 @@
     /// Fires at once, on an operator's request.
     pub fn request(&mut self, now: Micros) {
         self.pending = Some(Pending {
-            reason: Reason::Requested,
+            reason: TriggerReason::Requested,
             due_at: now,
         });
     }
 
     /// The reason for a file that is due now.
-    pub fn take_due(&mut self, now: Micros) -> Option<Reason> {
+    pub fn take_due(&mut self, now: Micros) -> Option<TriggerReason> {
         self.pending.filter(|pending| now >= pending.due_at)?;
         self.take_pending(now)
     }
 
     /// The reason for a file, whether it is due or not.
-    pub fn take_pending(&mut self, now: Micros) -> Option<Reason> {
+    pub fn take_pending(&mut self, now: Micros) -> Option<TriggerReason> {
         let Pending { reason, .. } = self.pending.take()?;
         self.cooldown_until = now + self.triggers.cooldown;
         Some(reason)
@@ -158,7 +158,7 @@
             .map(|(timer, last)| timer.max(last));
         if let (Some(due_at), Some(stall)) = (due_at, self.triggers.stall) {
             if at - due_at > stall {
-                self.fire(Reason::Stall, at);
+                self.fire(TriggerReason::Stall, at);
             }
         }
         self.last_step_at = Some(at);
@@ -191,11 +191,11 @@
         let arrivals: u64 = self.slices.iter().map(|slice| slice.arrivals).sum();
         let rejections: u64 = self.slices.iter().map(|slice| slice.rejections).sum();
         if arrivals >= MIN_ARRIVALS && rejections as f64 > max_fraction * arrivals as f64 {
-            self.fire(Reason::Rejections, at);
+            self.fire(TriggerReason::Rejections, at);
         }
     }
 
-    fn fire(&mut self, reason: Reason, at: Micros) {
+    fn fire(&mut self, reason: TriggerReason, at: Micros) {
         if self.pending.is_none() && at >= self.cooldown_until {
             self.pending = Some(Pending {
                 reason,
--- a/crates/capture/tests/triggers.rs
+++ b/crates/capture/tests/triggers.rs
@@ -1,7 +1,7 @@
 //! Reasons to keep a capture: at the threshold, just under it, and when they are forgotten.
 
 use wheelfield::interface::{Micros, QueryId};
-use wheelfield_capture::{Reason, RecordedInput, TriggerDetector, Triggers};
+use wheelfield_capture::{RecordedInput, TriggerDetector, TriggerReason, Triggers};
 use wheelfield_driver::{Answer, Arrival, Instruction};
 
 const MS: i64 = 1_000;
@@ -44,7 +44,7 @@
 fn refusals_count_above_the_share_of_enough_arrivals() {
     for (came, refused, reason) in [
         (20, 6, None),
-        (20, 7, Some(Reason::Rejections)),
+        (20, 7, Some(TriggerReason::Rejections)),
         (19, 19, None),
     ] {
         let mut detector = TriggerDetector::new(triggers());
@@ -75,7 +75,7 @@
 #[test]
 fn a_stall_is_time_after_what_was_due_and_not_mere_silence() {
     let step = |detector: &mut TriggerDetector, at: i64, due: Option<i64>| {
-        detector.observe_step(Micros(at * MS), &RecordedInput::Due, &[]);
+        detector.observe_step(Micros(at * MS), &RecordedInput::TimersDue, &[]);
         detector.set_next_timer(due.map(|d| Micros(d * MS)));
     };
     let mut detector = TriggerDetector::new(triggers());
@@ -89,7 +89,10 @@
     );
     step(&mut detector, 300_000, Some(300_100));
     step(&mut detector, 300_601, None);
-    assert_eq!(detector.take_due(Micros(300_601 * MS)), Some(Reason::Stall));
+    assert_eq!(
+        detector.take_due(Micros(300_601 * MS)),
+        Some(TriggerReason::Stall)
+    );
 }
 
 #[test]
@@ -100,14 +103,14 @@
     });
     let line = [Instruction::Log("engine silent".into())];
     let say = |detector: &mut TriggerDetector, at: i64| {
-        detector.observe_step(Micros(at * MS), &RecordedInput::Due, &line)
+        detector.observe_step(Micros(at * MS), &RecordedInput::TimersDue, &line)
     };
     say(&mut detector, 1_000);
     say(&mut detector, 3_000);
     assert_eq!(detector.take_due(Micros(5_999 * MS)), None);
     assert_eq!(
         detector.take_due(Micros(6_000 * MS)),
-        Some(Reason::EngineEjected),
+        Some(TriggerReason::EngineEjected),
         "counted from the first"
     );
     say(&mut detector, 65_999);
@@ -119,19 +122,19 @@
     say(&mut detector, 66_000);
     assert_eq!(
         detector.take_due(Micros(71_000 * MS)),
-        Some(Reason::EngineEjected)
+        Some(TriggerReason::EngineEjected)
     );
     // An operator need not wait.
     detector.request(Micros(72_000 * MS));
     assert_eq!(
         detector.take_due(Micros(72_000 * MS)),
-        Some(Reason::Requested)
+        Some(TriggerReason::Requested)
     );
     // At the end, what waits for its aftermath is kept as it is.
     say(&mut detector, 200_000);
     assert_eq!(
         detector.take_pending(Micros(200_001 * MS)),
-        Some(Reason::EngineEjected)
+        Some(TriggerReason::EngineEjected)
     );
     assert_eq!(detector.take_pending(Micros(200_001 * MS)), None);
 }
--- a/crates/controller/src/capture.rs
+++ b/crates/controller/src/capture.rs
@@ -26,7 +26,7 @@
         index: config.settings.gateway_index as u32,
         seed,
         settings: config.settings.clone(),
-        bounds,
+        driver_limits: bounds,
         classes: config.names.classes.clone(),
         tenants: config.names.tenants.clone(),
     };
@@ -44,7 +44,7 @@
         Some(ring) => {
             let ring_limits = RingLimits {
                 max_bytes: ring.max_bytes,
-                min_span: ring.span,
+                min_duration: ring.span,
             };
             let triggers = Triggers {
                 on_engine_ejected: ring.on_engine_ejected,
--- a/crates/controller/src/postgres.rs
+++ b/crates/controller/src/postgres.rs
@@ -151,11 +151,11 @@
         let recorder = self.event_loop.protocol.end(now);
         self.event_loop.apply_last_effects();
         if let Some(recorder) = recorder {
-            let state = recorder.end(Micros(now));
+            let state = recorder.finish(Micros(now));
             info!(
                 recorded = state.recorded,
                 lost = state.lost,
-                bytes = state.bytes,
+                bytes = state.written_bytes,
                 "capture ended"
             );
         }
--- a/crates/invariant-check/src/history_builder.rs
+++ b/crates/invariant-check/src/history_builder.rs
@@ -246,7 +246,7 @@
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
     fn add_step(&mut self, step: &Step, driver: &Driver) {
         match &step.input {
-            RecordedInput::Arrive { arrival, .. } | RecordedInput::ArriveAs { arrival, .. } => {
+            RecordedInput::Arrive { arrival, .. } | RecordedInput::ArriveWithId { arrival, .. } => {
                 if let Some(query) = step.accepted {
                     self.queries.insert(query, self.builder.queries.len());
                     let id = self.unique_id(query);
--- a/crates/invariant-check/tests/planted.rs
+++ b/crates/invariant-check/tests/planted.rs
@@ -102,7 +102,7 @@
     while let Some(((at, _), input)) = pending.pop_first() {
         let mut inputs = vec![(at, input)];
         while let Some(due) = driver.next_timer_at().filter(|due| due.0 <= inputs[0].0) {
-            inputs.insert(0, (due.0, RecordedInput::Due));
+            inputs.insert(0, (due.0, RecordedInput::TimersDue));
             perform_step(&mut driver, &mut pending, &mut steps, inputs.remove(0));
         }
         for input in inputs {
@@ -113,9 +113,9 @@
     let (mut now, end) = (Micros(0), Micros(8_000 * MS));
     while let Some(due) = driver.next_timer_at().filter(|due| *due <= end) {
         now = now.max(due);
-        perform_step(&mut driver, &mut pending, &mut steps, (now.0, RecordedInput::Due));
+        perform_step(&mut driver, &mut pending, &mut steps, (now.0, RecordedInput::TimersDue));
     }
-    perform_step(&mut driver, &mut pending, &mut steps, (end.0, RecordedInput::Due));
+    perform_step(&mut driver, &mut pending, &mut steps, (end.0, RecordedInput::TimersDue));
     steps
 }
 
@@ -155,7 +155,7 @@
         index: 0,
         seed: 7,
         settings: settings(),
-        bounds: DriverLimits::default(),
+        driver_limits: DriverLimits::default(),
         classes: ["idempotent", "at_most_once", "ordered", "zone_bound"].map(String::from).to_vec(),
         tenants: Vec::new(),
     };
@@ -163,11 +163,11 @@
     let limits =
         Limits { max_queued_blocks: 1 << 16, checkpoint_interval: Micros(i64::MAX), ..Limits::default() };
     let mut recorder = Recorder::begin(path, start, limits, &driver, Micros(0)).expect("a capture file");
-    recorder.engines(Micros(0), (1..=4).map(|n| (EngineId(n), format!("engine-{n}"))));
+    recorder.record_engines(Micros(0), (1..=4).map(|n| (EngineId(n), format!("engine-{n}"))));
     for step in steps {
-        recorder.step(step.at, &step.input, step.accepted, &step.instructions);
+        recorder.record_step(step.at, &step.input, step.accepted, &step.instructions);
     }
-    assert_eq!(recorder.end(Micros(9_000 * MS)).lost, 0);
+    assert_eq!(recorder.finish(Micros(9_000 * MS)).lost, 0);
 }
 
 fn check_steps(steps: &[Step]) -> CheckReport {
@@ -396,12 +396,12 @@
         index: 1,
         seed: 7,
         settings: other_settings,
-        bounds: DriverLimits::default(),
+        driver_limits: DriverLimits::default(),
         classes: Vec::new(),
         tenants: Vec::new(),
     };
     let recorder = Recorder::begin(&other, start, Limits::default(), &driver, Micros(0)).expect("a file");
-    recorder.end(Micros(0));
+    recorder.finish(Micros(0));
     let error = check(&[one, other], 0).expect_err("different settings").to_string();
     assert!(error.contains("b.wfcap") && error.contains("check them separately"), "{error}");
 }
--- a/crates/recorder/src/recording_driver.rs
+++ b/crates/recorder/src/recording_driver.rs
@@ -3,7 +3,7 @@
 use crate::DecisionEngine;
 use std::collections::VecDeque;
 use wheelfield::interface::{EngineId, Micros, QueryId};
-use wheelfield_capture::{RecordedInput, Recorder, State};
+use wheelfield_capture::{RecordedInput, Recorder, RecorderState};
 use wheelfield_driver::{Arrival, CapacityExceeded, Input, Instruction};
 
 /// Passes all inputs of a controller to its decision engine and queues the resulting instructions. If a capture is configured, each
@@ -70,7 +70,7 @@
             .decision_engine
             .handle_timers(Micros(now), &mut self.step_instructions)
         {
-            self.finish_step(now, Some(RecordedInput::Due), None);
+            self.finish_step(now, Some(RecordedInput::TimersDue), None);
         }
     }
 
@@ -82,7 +82,7 @@
         submitted: Option<QueryId>,
     ) {
         if let (Some(recorder), Some(input)) = (&mut self.recorder, recorded) {
-            recorder.step(Micros(now), &input, submitted, &self.step_instructions);
+            recorder.record_step(Micros(now), &input, submitted, &self.step_instructions);
             self.maintain_capture(now);
         }
         self.pending_instructions
@@ -106,7 +106,7 @@
         names: impl Iterator<Item = (EngineId, String)>,
     ) {
         if let Some(recorder) = &mut self.recorder {
-            recorder.engines(Micros(now), names);
+            recorder.record_engines(Micros(now), names);
         }
     }
 
@@ -115,7 +115,7 @@
     pub fn maintain_capture(&mut self, now: i64) {
         if let (Some(recorder), Some(driver)) = (&mut self.recorder, self.decision_engine.driver())
         {
-            recorder.tend(driver, Micros(now));
+            recorder.maintain(driver, Micros(now));
         }
     }
 
@@ -124,13 +124,13 @@
         let Some(recorder) = &mut self.recorder else {
             return false;
         };
-        recorder.ask(Micros(now));
+        recorder.request_file(Micros(now));
         self.maintain_capture(now);
         true
     }
 
     /// Returns the state of the capture.
-    pub fn capture_state(&self) -> State {
+    pub fn capture_state(&self) -> RecorderState {
         self.recorder
             .as_ref()
             .map(Recorder::state)
--- a/crates/replay/examples/fuzz_reader.rs
+++ b/crates/replay/examples/fuzz_reader.rs
@@ -106,15 +106,15 @@
         Err(fault) => return first_words(&fault.to_string()),
     };
     // The index, too, is read by programs.
-    let _ = reader.headers();
+    let _ = reader.block_infos();
     if reader.seek_to_block(8).is_err() {
         return "cannot be gone to".into();
     }
     loop {
         match reader.next_entry() {
             Ok(Some(Entry::Record(_))) => *records += 1,
-            Ok(Some(Entry::Missing { .. })) => {}
-            Ok(Some(Entry::Torn { .. })) => return "torn".into(),
+            Ok(Some(Entry::MissingBlocks { .. })) => {}
+            Ok(Some(Entry::Truncated { .. })) => return "torn".into(),
             Ok(None) => return "whole".into(),
             Err(fault) => return first_words(&fault.to_string()),
         }
--- a/crates/replay/examples/hour.rs
+++ b/crates/replay/examples/hour.rs
@@ -43,7 +43,7 @@
         index: 0,
         seed: 3,
         settings: settings.clone(),
-        bounds,
+        driver_limits: bounds,
         classes: vec!["only".into()],
         tenants: Vec::new(),
     };
@@ -95,7 +95,7 @@
         };
         let mut todo = vec![(at, told)];
         while let Some(due) = driver.next_timer_at().filter(|d| d.0 < at) {
-            todo.insert(todo.len() - 1, (due.0, RecordedInput::Due));
+            todo.insert(todo.len() - 1, (due.0, RecordedInput::TimersDue));
             step(
                 &mut driver,
                 &mut recorder,
@@ -114,10 +114,10 @@
         );
         steps += 1;
     }
-    let state = recorder.end(Micros(hour));
+    let state = recorder.finish(Micros(hour));
     println!(
         "{steps} steps of an hour at {rate} queries a second: {} bytes, {} lost",
-        state.bytes, state.lost
+        state.written_bytes, state.lost
     );
     for (what, from) in [
         ("from the start", None),
@@ -153,8 +153,8 @@
 ) {
     let mut out = Vec::new();
     let taken = feed(driver, Micros(at), &told, &mut out);
-    recorder.step(Micros(at), &told, taken, &out);
-    recorder.tend(driver, Micros(at));
+    recorder.record_step(Micros(at), &told, taken, &out);
+    recorder.maintain(driver, Micros(at));
     for i in out {
         if let Instruction::Start { attempt, .. } = i {
             *n += 2;
--- a/crates/replay/src/commands/explain.rs
+++ b/crates/replay/src/commands/explain.rs
@@ -77,7 +77,7 @@
 /// Whether the input of a step is about a query.
 fn is_about(step: &Step, query: QueryId) -> bool {
     match &step.input {
-        RecordedInput::Arrive { .. } | RecordedInput::ArriveAs { .. } => {
+        RecordedInput::Arrive { .. } | RecordedInput::ArriveWithId { .. } => {
             step.accepted == Some(query)
         }
         RecordedInput::Input(
--- a/crates/replay/src/commands/mod.rs
+++ b/crates/replay/src/commands/mod.rs
@@ -58,7 +58,7 @@
 
 /// Time of the first record of a capture, which shown times count from.
 fn first_time(file: &Path) -> Result<Micros> {
-    let headers = Reader::open(file)?.headers()?;
+    let headers = Reader::open(file)?.block_infos()?;
     Ok(Micros(
         headers.first().context("an empty capture")?.first_at,
     ))
--- a/crates/replay/src/commands/stats.rs
+++ b/crates/replay/src/commands/stats.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 use wheelfield::interface::Micros;
-use wheelfield_capture::{Header, Reader, RecordedInput, Start};
+use wheelfield_capture::{BlockInfo, Reader, RecordedInput, Start};
 use wheelfield_driver::{Input, Instruction};
 use wheelfield_replay::Step;
 
@@ -33,7 +33,7 @@
         }
     }
 
-    fn print(&self, headers: &[Header], start: Option<&Start>) {
+    fn print(&self, headers: &[BlockInfo], start: Option<&Start>) {
         let compressed: u64 = headers
             .iter()
             .map(|header| u64::from(header.compressed_bytes))
@@ -71,7 +71,7 @@
 
 /// Prints counts and sizes of a capture.
 pub fn print_stats(file: &Path) -> Result<Outcome> {
-    let headers = Reader::open(file)?.headers()?;
+    let headers = Reader::open(file)?.block_infos()?;
     let mut player = open_over_gaps(file)?;
     let mut stats = Stats::default();
     while let Some(step) = player.next_step()? {
@@ -83,8 +83,8 @@
 
 fn input_kind(input: &RecordedInput) -> &'static str {
     match input {
-        RecordedInput::Arrive { .. } | RecordedInput::ArriveAs { .. } => "arrivals",
-        RecordedInput::Due | RecordedInput::Woke(_) => "time passed",
+        RecordedInput::Arrive { .. } | RecordedInput::ArriveWithId { .. } => "arrivals",
+        RecordedInput::TimersDue | RecordedInput::TimerFired(_) => "time passed",
         RecordedInput::Input(input) => match input {
             Input::AttemptEnded { .. } | Input::AttemptMeasured { .. } => "endings",
             Input::AttemptUpdated(..) => "notes",
--- a/crates/replay/src/describe.rs
+++ b/crates/replay/src/describe.rs
@@ -48,10 +48,10 @@
 /// Describes the input of a step.
 pub fn describe_input(step: &Step, names: &Names) -> String {
     match &step.input {
-        RecordedInput::Due => "time passed".into(),
-        RecordedInput::Woke(token) => format!("timer {token} ran out"),
+        RecordedInput::TimersDue => "time passed".into(),
+        RecordedInput::TimerFired(token) => format!("timer {token} ran out"),
         RecordedInput::Arrive { arrival, label }
-        | RecordedInput::ArriveAs { arrival, label, .. } => {
+        | RecordedInput::ArriveWithId { arrival, label, .. } => {
             describe_arrival(step, arrival, label, names)
         }
         RecordedInput::Input(input) => describe_driver_input(input, names),
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -79,13 +79,13 @@
         RecordedInput::Arrive { arrival, .. } => {
             return driver.submit(at, arrival.clone(), answer).ok()
         }
-        RecordedInput::ArriveAs { id, arrival, .. } => {
+        RecordedInput::ArriveWithId { id, arrival, .. } => {
             return driver.submit_with_id(at, *id, arrival.clone(), answer).ok()
         }
-        RecordedInput::Due => {
+        RecordedInput::TimersDue => {
             driver.handle_timers(at, answer);
         }
-        RecordedInput::Woke(token) => {
+        RecordedInput::TimerFired(token) => {
             driver.fire_timer(at, *token, answer);
         }
     }
--- a/crates/replay/src/player.rs
+++ b/crates/replay/src/player.rs
@@ -137,11 +137,11 @@
         loop {
             let record = match self.reader.next_entry()? {
                 None => return Ok(None),
-                Some(Entry::Torn { .. }) => {
+                Some(Entry::Truncated { .. }) => {
                     self.verdict.truncated_after = Some(self.step_number);
                     return Ok(None);
                 }
-                Some(Entry::Missing { .. }) => {
+                Some(Entry::MissingBlocks { .. }) => {
                     self.begin_loss()?;
                     continue;
                 }
@@ -154,9 +154,9 @@
                 Record::Checkpoint { driver, .. } => self.handle_checkpoint(&driver)?,
                 Record::Step {
                     at,
-                    told,
-                    taken,
-                    out,
+                    input,
+                    accepted,
+                    instructions,
                 } => {
                     self.step_number += 1;
                     let (first, _) = self.verdict.times.unwrap_or((at, at));
@@ -165,9 +165,9 @@
                     return Ok(Some(Step {
                         number,
                         at,
-                        input: told,
-                        accepted: taken,
-                        answer: out,
+                        input,
+                        accepted,
+                        answer: instructions,
                     }));
                 }
             }
@@ -218,7 +218,7 @@
         }
         let at_beginning = self.step_number == 0 && !self.is_lost;
         let fresh_driver =
-            |start: &Start| Driver::new(start.settings.clone(), start.seed, start.bounds);
+            |start: &Start| Driver::new(start.settings.clone(), start.seed, start.driver_limits);
         let driver = postcard::from_bytes::<Driver>(recorded).ok().or_else(|| {
             self.start
                 .as_ref()
@@ -234,14 +234,14 @@
 /// Goes to a block from which on there is a checkpoint before a time. The head of a block does not say whether it begins with
 /// a checkpoint; so blocks are searched from the last one that begins before the time, in ever larger steps back.
 fn seek_to_checkpoint(reader: &mut Reader, path: &Path, until: Micros) -> Result<(), ReplayError> {
-    let headers = reader.headers()?;
+    let headers = reader.block_infos()?;
     let before = headers
         .iter()
         .rposition(|header| header.first_at <= until.0)
         .unwrap_or(0);
     let mut block = before.saturating_sub(1);
     loop {
-        let at = headers[block.min(headers.len().saturating_sub(1))].at;
+        let at = headers[block.min(headers.len().saturating_sub(1))].offset;
         if block == 0 || has_checkpoint(path, at, until)? {
             return Ok(reader.seek_to_block(at)?);
         }
@@ -260,8 +260,8 @@
                 Record::Step { at, .. } if at > until => return Ok(false),
                 _ => {}
             },
-            Entry::Torn { .. } => return Ok(false),
-            Entry::Missing { .. } => {}
+            Entry::Truncated { .. } => return Ok(false),
+            Entry::MissingBlocks { .. } => {}
         }
     }
     Ok(false)
--- a/crates/replay/src/rewrite.rs
+++ b/crates/replay/src/rewrite.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 use wheelfield::interface::Micros;
-use wheelfield_capture::{Limits, RecordedInput, Recorder, State};
+use wheelfield_capture::{Limits, RecordedInput, Recorder, RecorderState};
 use wheelfield_driver::Driver;
 
 /// Why no capture was made.
@@ -40,7 +40,7 @@
     }
 }
 
-fn written(state: State) -> Result<(), RewriteError> {
+fn written(state: RecorderState) -> Result<(), RewriteError> {
     if state.lost > 0 {
         Err(RewriteError::Lost(state.lost))
     } else {
@@ -78,16 +78,16 @@
         }
         if let Some(recorder) = &mut recorder {
             if kept == 0 {
-                recorder.engines(step.at, player.engines.iter().cloned());
+                recorder.record_engines(step.at, player.engines.iter().cloned());
             }
-            recorder.step(step.at, &step.input, step.accepted, &step.answer);
+            recorder.record_step(step.at, &step.input, step.accepted, &step.answer);
             if let Some(driver) = player.driver() {
-                recorder.tend(driver, step.at);
+                recorder.maintain(driver, step.at);
             }
         }
         (kept, last) = (kept + 1, step.at);
     }
-    written(recorder.ok_or(RewriteError::Empty)?.end(last))?;
+    written(recorder.ok_or(RewriteError::Empty)?.finish(last))?;
     Ok(kept)
 }
 
@@ -142,7 +142,7 @@
                 known: BTreeMap::new(),
             };
             start.tenants.iter_mut().for_each(|t| *t = tenants.of(t));
-            let driver = Driver::new(start.settings.clone(), start.seed, start.bounds);
+            let driver = Driver::new(start.settings.clone(), start.seed, start.driver_limits);
             let recorder = Recorder::begin(out, start, unhurried(), &driver, step.at)?;
             state = Some((driver, recorder));
         }
@@ -157,13 +157,13 @@
                     label: labels.of(&label),
                 }
             }
-            RecordedInput::ArriveAs {
+            RecordedInput::ArriveWithId {
                 id,
                 mut arrival,
                 label,
             } => {
                 arrival.key = arrival.key.map(|k| keys.of(&k));
-                RecordedInput::ArriveAs {
+                RecordedInput::ArriveWithId {
                     id,
                     arrival,
                     label: labels.of(&label),
@@ -176,13 +176,13 @@
         if answered != step.answer || taken != step.accepted {
             return Err(RewriteError::Decides(step.number));
         }
-        recorder.engines(step.at, player.engines.iter().cloned());
-        recorder.step(step.at, &told, taken, &answered);
-        recorder.tend(driver, step.at);
+        recorder.record_engines(step.at, player.engines.iter().cloned());
+        recorder.record_step(step.at, &told, taken, &answered);
+        recorder.maintain(driver, step.at);
         (steps, last) = (steps + 1, step.at);
     }
     let (_, recorder) = state.ok_or(RewriteError::Empty)?;
-    written(recorder.end(last))?;
+    written(recorder.finish(last))?;
     Ok(steps)
 }
 
--- a/crates/replay/src/shadow.rs
+++ b/crates/replay/src/shadow.rs
@@ -180,7 +180,7 @@
             shadow = Some(Driver::new(
                 alter(&start.settings),
                 start.seed,
-                start.bounds,
+                start.driver_limits,
             ));
         }
         let Some(shadow) = &mut shadow else {
--- a/crates/replay/tests/captures.rs
+++ b/crates/replay/tests/captures.rs
@@ -9,7 +9,7 @@
 use common::{folder, settings, small, start, Scene};
 use wheelfield::interface::*;
 use wheelfield_capture::{
-    repair, Disk, Entry, Limits, ReadError, Reader, Record, RecordedInput, Recorder,
+    repair, CaptureFile, Entry, Limits, ReadError, Reader, Record, RecordedInput, Recorder,
 };
 use wheelfield_driver::{Driver, DriverLimits, Input, Instruction};
 use wheelfield_replay::{run, shadow, Options, ReplayError};
@@ -73,11 +73,11 @@
     );
     let (mut first, mut number) = (None, 0);
     while let Some(Entry::Record(record)) = reader.next_entry().expect("sound") {
-        if let Record::Step { at, told, .. } = *record {
+        if let Record::Step { at, input, .. } = *record {
             number += 1;
             let (mut a, mut b) = (Vec::new(), Vec::new());
-            wheelfield_replay::feed(&mut one, at, &told, &mut a);
-            wheelfield_replay::feed(&mut two, at, &told, &mut b);
+            wheelfield_replay::feed(&mut one, at, &input, &mut a);
+            wheelfield_replay::feed(&mut two, at, &input, &mut b);
             let place = |out: &[Instruction]| {
                 out.iter().find_map(|i| match i {
                     Instruction::Start { engine, .. } => Some(Some(*engine)),
@@ -86,7 +86,7 @@
                 })
             };
             if first.is_none()
-                && matches!(told, RecordedInput::Arrive { .. })
+                && matches!(input, RecordedInput::Arrive { .. })
                 && place(&a) != place(&b)
             {
                 first = Some(number);
@@ -114,8 +114,11 @@
         let mut reader = Reader::open(path).expect("a capture");
         let mut all = Vec::new();
         while let Some(Entry::Record(record)) = reader.next_entry().expect("sound") {
-            if let Record::Step { at, out, .. } = *record {
-                all.push((at, out));
+            if let Record::Step {
+                at, instructions, ..
+            } = *record
+            {
+                all.push((at, instructions));
             }
         }
         all
@@ -264,7 +267,7 @@
     loop {
         match reader.next_entry() {
             Ok(None) => return (records, Ok(None)),
-            Ok(Some(Entry::Torn { at })) => return (records, Ok(Some(at))),
+            Ok(Some(Entry::Truncated { offset })) => return (records, Ok(Some(offset))),
             Ok(Some(_)) => records += 1,
             Err(fault) => return (records, Err(fault)),
         }
@@ -332,7 +335,7 @@
     permits: Option<Receiver<()>>,
 }
 
-impl Disk for Odd {
+impl CaptureFile for Odd {
     fn append(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         if let Some(permits) = &self.permits {
             let _ = permits.recv();
@@ -348,7 +351,7 @@
         self.to.lock().expect("unpoisoned").extend(bytes);
         Ok(())
     }
-    fn cut(&mut self, length: u64) -> std::io::Result<()> {
+    fn truncate(&mut self, length: u64) -> std::io::Result<()> {
         self.to
             .lock()
             .expect("unpoisoned")
@@ -384,10 +387,10 @@
             to: to.clone(),
             full: is_full.clone(),
             permits: receiver.take(),
-        }) as Box<dyn Disk>)
+        }) as Box<dyn CaptureFile>)
     };
     let scene = Scene::on(|driver| {
-        Recorder::begin_on(
+        Recorder::begin_with_file_factory(
             Box::new(make),
             Path::new("x.wfcap"),
             start(),
@@ -439,16 +442,16 @@
     *bench.full.lock().expect("unpoisoned") = true;
     scene.play(2_000);
     // The writer is behind: it must have met the full disk before that is over.
-    while !scene.recorder.state().failing {
+    while !scene.recorder.state().is_failing {
         std::thread::yield_now();
     }
     *bench.full.lock().expect("unpoisoned") = false;
-    while scene.recorder.state().failing {
+    while scene.recorder.state().is_failing {
         scene.play(100);
     }
     scene.play(3_000);
     let (state, steps) = scene.end();
-    assert!(state.lost > 0 && !state.failing);
+    assert!(state.lost > 0 && !state.is_failing);
     let verdict = judged(&bench.bytes);
     assert!(verdict.steps < steps && verdict.steps > 100);
 }
@@ -468,7 +471,7 @@
     assert!(lost > 0);
     // Then it is as fast as any.
     drop(bench.permit);
-    while scene.recorder.state().lost == lost && scene.recorder.state().bytes == 0 {
+    while scene.recorder.state().lost == lost && scene.recorder.state().written_bytes == 0 {
         std::thread::yield_now();
     }
     scene.play(4_000);
@@ -480,13 +483,13 @@
 /// Waits until the writer thread has written what was recorded: this scene plays far faster than real time, and a writer that
 /// lags behind makes one file as long as all together may be.
 fn wait_for_writer(scene: &Scene, written_before: u64) {
-    while scene.recorder.state().bytes == written_before {
+    while scene.recorder.state().written_bytes == written_before {
         std::thread::yield_now();
     }
     loop {
-        let written = scene.recorder.state().bytes;
+        let written = scene.recorder.state().written_bytes;
         std::thread::sleep(std::time::Duration::from_millis(2));
-        if scene.recorder.state().bytes == written {
+        if scene.recorder.state().written_bytes == written {
             return;
         }
     }
@@ -503,7 +506,7 @@
     };
     let mut scene = Scene::at(&path, limits);
     for _ in 0..60 {
-        let written_before = scene.recorder.state().bytes;
+        let written_before = scene.recorder.state().written_bytes;
         scene.play(500);
         wait_for_writer(&scene, written_before);
     }
--- a/crates/replay/tests/common/mod.rs
+++ b/crates/replay/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use std::path::Path;
 use wheelfield::interface::*;
-use wheelfield_capture::{Limits, RecordedInput, Recorder, Start, State};
+use wheelfield_capture::{Limits, RecordedInput, Recorder, RecorderState, Start};
 use wheelfield_driver::{Arrival, Driver, DriverLimits, Input, Instruction};
 
 pub fn settings() -> Settings {
@@ -45,7 +45,7 @@
         index: 0,
         seed: 11,
         settings: settings(),
-        bounds: DriverLimits::default(),
+        driver_limits: DriverLimits::default(),
         classes: vec!["fast".into(), "load".into()],
         tenants: Vec::new(),
     }
@@ -97,8 +97,8 @@
 
     fn note(&mut self, told: RecordedInput, taken: Option<QueryId>, fresh: Vec<Instruction>) {
         self.steps += 1;
-        self.recorder.step(self.now, &told, taken, &fresh);
-        self.recorder.tend(&self.driver, self.now);
+        self.recorder.record_step(self.now, &told, taken, &fresh);
+        self.recorder.maintain(&self.driver, self.now);
         for i in fresh {
             if let Instruction::Start { attempt, .. } = i {
                 self.n += 1;
@@ -121,7 +121,7 @@
             self.now = self.now + Micros(5_000);
             let mut fresh = Vec::new();
             if self.driver.handle_timers(self.now, &mut fresh) {
-                self.note(RecordedInput::Due, None, fresh);
+                self.note(RecordedInput::TimersDue, None, fresh);
             }
             let now = self.now;
             let (ripe, left): (Vec<_>, Vec<_>) = std::mem::take(&mut self.out)
@@ -168,8 +168,8 @@
         }
     }
 
-    pub fn end(self) -> (State, u64) {
-        (self.recorder.end(self.now), self.steps)
+    pub fn end(self) -> (RecorderState, u64) {
+        (self.recorder.finish(self.now), self.steps)
     }
 }
 
--- a/crates/replay/tests/ring.rs
+++ b/crates/replay/tests/ring.rs
@@ -5,7 +5,7 @@
 use common::{folder, small, start, Scene};
 use std::path::{Path, PathBuf};
 use wheelfield::interface::*;
-use wheelfield_capture::{Disk, Limits, RecordedInput, Recorder, RingLimits, Triggers};
+use wheelfield_capture::{CaptureFile, Limits, RecordedInput, Recorder, RingLimits, Triggers};
 use wheelfield_driver::Instruction;
 use wheelfield_replay::{run, Options, Verdict};
 
@@ -62,8 +62,8 @@
     );
     scene.play(5_000);
     let (state, _) = scene.end();
-    assert_eq!((state.lost, state.kept), (0, 0));
-    assert!(state.held > 0);
+    assert_eq!((state.lost, state.ring_files), (0, 0));
+    assert!(state.ring_bytes > 0);
     assert!(kept(dir.path()).is_empty());
 }
 
@@ -71,17 +71,20 @@
 fn what_an_operator_asks_for_is_the_last_span_and_replays() {
     let dir = folder();
     let limits = RingLimits {
-        min_span: Micros(3_000_000),
+        min_duration: Micros(3_000_000),
         ..RingLimits::default()
     };
     let mut scene = ring(&dir.path().join("c.wfcap"), limits, QUIET, u64::MAX);
     scene.play(10_000);
     let asked = scene.now;
-    scene.recorder.ask(asked);
-    scene.recorder.tend(&scene.driver, asked);
+    scene.recorder.request_file(asked);
+    scene.recorder.maintain(&scene.driver, asked);
     scene.play(1_000);
     let (state, _) = scene.end();
-    assert_eq!((state.lost, state.kept, state.failing), (0, 1, false));
+    assert_eq!(
+        (state.lost, state.ring_files, state.is_failing),
+        (0, 1, false)
+    );
     let files = kept(dir.path());
     assert_eq!(files.len(), 1);
     assert!(
@@ -108,18 +111,18 @@
     let dir = folder();
     let limits = RingLimits {
         max_bytes: 200_000,
-        min_span: Micros(i64::MAX),
+        min_duration: Micros(i64::MAX),
     };
     let mut scene = ring(&dir.path().join("c.wfcap"), limits, QUIET, u64::MAX);
     scene.play(40_000);
-    scene.recorder.ask(scene.now);
-    scene.recorder.tend(&scene.driver, scene.now);
+    scene.recorder.request_file(scene.now);
+    scene.recorder.maintain(&scene.driver, scene.now);
     let (state, steps) = scene.end();
-    assert!(state.held <= 200_000, "{}", state.held);
+    assert!(state.ring_bytes <= 200_000, "{}", state.ring_bytes);
     assert!(
-        state.held > 100_000,
+        state.ring_bytes > 100_000,
         "the oldest goes, not all: {}",
-        state.held
+        state.ring_bytes
     );
     assert!(state.recorded > steps, "all was recorded");
     let verdict = equal(&kept(dir.path())[0]);
@@ -142,14 +145,19 @@
     scene.play(2_000);
     let line = Instruction::Log("engine silent with 3 queries out".into());
     let at = scene.now;
+    scene.recorder.record_step(
+        at,
+        &RecordedInput::TimersDue,
+        None,
+        std::slice::from_ref(&line),
+    );
     scene
         .recorder
-        .step(at, &RecordedInput::Due, None, std::slice::from_ref(&line));
-    scene.recorder.step(at, &RecordedInput::Due, None, &[line]);
+        .record_step(at, &RecordedInput::TimersDue, None, &[line]);
     scene.play(5_000);
     let (state, _) = scene.end();
     assert_eq!(
-        state.kept, 1,
+        state.ring_files, 1,
         "the second word of it, within the rest, is no reason"
     );
     let files = kept(dir.path());
@@ -186,7 +194,7 @@
             u64::MAX,
         );
         scene.play(3_000);
-        assert_eq!(scene.end().0.kept, files, "refusals above {share}");
+        assert_eq!(scene.end().0.ring_files, files, "refusals above {share}");
     }
     let files = kept(dir.path());
     assert!(name(&files[0]).contains("refusals"));
@@ -210,7 +218,7 @@
     scene.now = scene.now + Micros(2_000_000);
     scene.play(3_000);
     let (state, _) = scene.end();
-    assert_eq!(state.kept, 1);
+    assert_eq!(state.ring_files, 1);
     let files = kept(dir.path());
     assert!(name(&files[0]).contains("stall"));
     equal(&files[0]);
@@ -226,7 +234,7 @@
     )
     .expect("a file");
     let limits = RingLimits {
-        min_span: Micros(1_000_000),
+        min_duration: Micros(1_000_000),
         ..RingLimits::default()
     };
     let mut scene = ring(&dir.path().join("c.wfcap"), limits, QUIET, 200_000);
@@ -234,12 +242,12 @@
     scene.now = Micros(1_700_000_000_000_000);
     for _ in 0..4 {
         scene.play(3_000);
-        scene.recorder.ask(scene.now);
-        scene.recorder.tend(&scene.driver, scene.now);
+        scene.recorder.request_file(scene.now);
+        scene.recorder.maintain(&scene.driver, scene.now);
     }
     let newest = scene.now;
     let (state, _) = scene.end();
-    assert_eq!(state.kept, 4);
+    assert_eq!(state.ring_files, 4);
     let files = kept(dir.path());
     let total: u64 = files
         .iter()
@@ -273,24 +281,27 @@
         u64::MAX,
     );
     scene.play(1_000);
-    scene.recorder.ask(scene.now);
-    scene.recorder.tend(&scene.driver, scene.now);
+    scene.recorder.request_file(scene.now);
+    scene.recorder.maintain(&scene.driver, scene.now);
     scene.play(1_000);
     let (state, _) = scene.end();
-    assert_eq!((state.kept, state.lost, state.failing), (0, 0, true));
+    assert_eq!(
+        (state.ring_files, state.lost, state.is_failing),
+        (0, 0, true)
+    );
     assert!(!place.exists());
 }
 
 /// A disk at which the writer's thread dies.
 struct Deadly(u32);
 
-impl Disk for Deadly {
+impl CaptureFile for Deadly {
     fn append(&mut self, _: &[u8]) -> std::io::Result<()> {
         self.0 += 1;
         assert!(self.0 < 6, "the writer dies here, as the test wants");
         Ok(())
     }
-    fn cut(&mut self, _: u64) -> std::io::Result<()> {
+    fn truncate(&mut self, _: u64) -> std::io::Result<()> {
         Ok(())
     }
     fn sync(&mut self) -> std::io::Result<()> {
@@ -301,9 +312,9 @@
 #[test]
 fn a_dead_writer_costs_the_capture_and_nothing_else() {
     let mut scene = Scene::on(|driver| {
-        let make = |_: &Path| Ok(Box::new(Deadly(0)) as Box<dyn Disk>);
+        let make = |_: &Path| Ok(Box::new(Deadly(0)) as Box<dyn CaptureFile>);
         let at = Micros(1_000_000);
-        Recorder::begin_on(
+        Recorder::begin_with_file_factory(
             Box::new(make),
             Path::new("x.wfcap"),
             start(),
@@ -316,19 +327,19 @@
     // Each time the queue is looked at, until the death has shown.
     for _ in 0..2_000 {
         scene.play(100);
-        if scene.recorder.state().failing {
+        if scene.recorder.state().is_failing {
             break;
         }
         std::thread::yield_now();
     }
     let before = scene.recorder.state();
-    assert!(before.failing);
+    assert!(before.is_failing);
     let decided = scene.steps;
     scene.play(1_000);
     assert!(scene.steps > decided, "it goes on deciding");
     let (state, _) = scene.end();
     assert!(
-        state.failing && state.lost > before.lost,
+        state.is_failing && state.lost > before.lost,
         "what comes after is counted as lost"
     );
 }
--- a/crates/sim-adapter/src/shadow_driver.rs
+++ b/crates/sim-adapter/src/shadow_driver.rs
@@ -85,7 +85,7 @@
             index: incarnation.instance,
             seed,
             settings: settings.clone(),
-            bounds,
+            driver_limits: bounds,
             classes: names.classes.clone(),
             tenants: names.tenants.clone(),
         };
@@ -136,7 +136,7 @@
             self.module.add(action);
         }
         if matches!(event, Event::EngineList(_) | Event::EngineChanges(_)) {
-            self.recorder.engines(
+            self.recorder.record_engines(
                 now,
                 names.engines.iter().map(|(id, name)| (*id, name.clone())),
             );
@@ -150,7 +150,7 @@
     fn step(&mut self, input: RecordedInput) {
         let mut instructions = Vec::new();
         let accepted_as = match &input {
-            RecordedInput::ArriveAs { id, arrival, .. } => self
+            RecordedInput::ArriveWithId { id, arrival, .. } => self
                 .driver
                 .submit_with_id(self.now, *id, arrival.clone(), &mut instructions)
                 .ok(),
@@ -159,16 +159,16 @@
                     .handle_input(self.now, input.clone(), &mut instructions);
                 None
             }
-            RecordedInput::Woke(token) => {
+            RecordedInput::TimerFired(token) => {
                 self.driver.fire_timer(self.now, *token, &mut instructions);
                 None
             }
             // `recorded_input` does not return these.
-            RecordedInput::Due | RecordedInput::Arrive { .. } => return,
+            RecordedInput::TimersDue | RecordedInput::Arrive { .. } => return,
         };
         self.recorder
-            .step(self.now, &input, accepted_as, &instructions);
-        self.recorder.tend(&self.driver, self.now);
+            .record_step(self.now, &input, accepted_as, &instructions);
+        self.recorder.maintain(&self.driver, self.now);
         self.steps += 1;
         let mut started = Vec::new();
         for instruction in instructions {
@@ -220,7 +220,7 @@
     /// Ends the capture and adds its results to a summary.
     pub fn finish(mut self, summary: &mut Summary) {
         self.compare();
-        let state = self.recorder.end(self.now);
+        let state = self.recorder.finish(self.now);
         summary.captures += 1;
         summary.steps += self.steps;
         summary.lost += state.lost;
@@ -285,7 +285,7 @@
             count: count as u32,
             index: index as u32,
         },
-        Event::TimerFired(token) => return Some(RecordedInput::Woke(token)),
+        Event::TimerFired(token) => return Some(RecordedInput::TimerFired(token)),
     }))
 }
 
@@ -309,7 +309,7 @@
         memory_hint,
         tables,
     };
-    RecordedInput::ArriveAs {
+    RecordedInput::ArriveWithId {
         id,
         arrival,
         label: format!("{:016x}", id.0),
--- a/crates/sim-adapter/tests/one_core.rs
+++ b/crates/sim-adapter/tests/one_core.rs
@@ -189,7 +189,7 @@
         index: 1,
         seed: SEED,
         settings: settings(),
-        bounds,
+        driver_limits: bounds,
         classes: (0..4).map(|i| format!("c{i}")).collect(),
         tenants: vec!["t0".into(), "t1".into()],
     };
@@ -229,7 +229,7 @@
         let id = QueryId(rng.random());
         schedule.add(
             at,
-            RecordedInput::ArriveAs {
+            RecordedInput::ArriveWithId {
                 id,
                 arrival,
                 label: format!("q{n}"),
@@ -281,7 +281,7 @@
                 };
                 (at, input)
             }
-            (_, due) => (due.unwrap_or_default(), RecordedInput::Due),
+            (_, due) => (due.unwrap_or_default(), RecordedInput::TimersDue),
         };
         // Like a protocol layer, skips writes that the driver does not allow and reports that no longer count.
         let skipped = match &input {
@@ -300,10 +300,10 @@
         let accepted = wheelfield_replay::feed(&mut driver, now, &input, &mut out);
         day.queries += usize::from(accepted.is_some());
         if matches!(&input, RecordedInput::Input(Input::Engines { .. })) {
-            recorder.engines(now, (0..8).map(|n| (engine(n), engine_name(n))));
+            recorder.record_engines(now, (0..8).map(|n| (engine(n), engine_name(n))));
         }
-        recorder.step(now, &input, accepted, &out);
-        recorder.tend(&driver, now);
+        recorder.record_step(now, &input, accepted, &out);
+        recorder.maintain(&driver, now);
         day.module_events
             .extend(driver.take_recorded_events().into_iter().map(|e| (now, e)));
         for i in out {
@@ -315,7 +315,7 @@
             }
         }
     }
-    assert_eq!(recorder.end(Micros(12_000 * MS)).lost, 0);
+    assert_eq!(recorder.finish(Micros(12_000 * MS)).lost, 0);
     day
 }
 
