--- a/crates/capture/src/block_buffer.rs
+++ b/crates/capture/src/block_buffer.rs
@@ -1,16 +1,16 @@
 //! The block that the decision thread fills with records.
 
-use crate::format::{Head, RecordRef, RECORD_HEAD};
+use crate::format::{BlockHeader, RecordRef, RECORD_HEADER_BYTES};
 use wheelfield::interface::{Micros, QueryId};
 
 /// Bytes that most records fit in.
 const USUAL_RECORD_BYTES: usize = 512;
 
-/// Serialized records, and the head of the block that they make.
+/// Serialized records, and the header of the block that they make.
 #[derive(Debug)]
 pub(crate) struct BlockBuffer {
     bytes: Vec<u8>,
-    head: Head,
+    header: BlockHeader,
     /// Bytes that a buffer has memory for at first.
     capacity: usize,
 }
@@ -21,7 +21,7 @@
         let capacity = block_bytes * 2;
         BlockBuffer {
             bytes: Vec::with_capacity(capacity),
-            head: Head::default(),
+            header: BlockHeader::default(),
             capacity,
         }
     }
@@ -33,7 +33,7 @@
 
     /// Whether there is no record.
     pub fn is_empty(&self) -> bool {
-        self.head.records == 0
+        self.header.records == 0
     }
 
     /// Adds a record.
@@ -42,7 +42,7 @@
     /// If it can't be serialized.
     pub fn push(&mut self, at: Micros, record: &RecordRef<'_>) -> Result<(), postcard::Error> {
         let start = self.bytes.len();
-        let body = start + RECORD_HEAD;
+        let body = start + RECORD_HEADER_BYTES;
         self.bytes.resize(body + USUAL_RECORD_BYTES, 0);
         match postcard::to_slice(record, &mut self.bytes[body..]).map(|used| used.len()) {
             Ok(length) => self.bytes.truncate(body + length),
@@ -56,37 +56,37 @@
         let crc = crc32fast::hash(&self.bytes[body..]);
         self.bytes[start..start + 4].copy_from_slice(&length.to_be_bytes());
         self.bytes[start + 4..body].copy_from_slice(&crc.to_be_bytes());
-        if self.head.records == 0 {
-            self.head.first = at.0;
-            self.head.low = u64::MAX;
+        if self.header.records == 0 {
+            self.header.first_at = at.0;
+            self.header.lowest_query = u64::MAX;
         }
-        self.head.last = at.0;
-        self.head.records += 1;
+        self.header.last_at = at.0;
+        self.header.records += 1;
         Ok(())
     }
 
     /// Takes note that a query was accepted in this block.
-    pub fn note_query(&mut self, query: QueryId) {
-        self.head.low = self.head.low.min(query.0);
-        self.head.high = self.head.high.max(query.0);
+    pub fn observe_query(&mut self, query: QueryId) {
+        self.header.lowest_query = self.header.lowest_query.min(query.0);
+        self.header.highest_query = self.header.highest_query.max(query.0);
     }
 
     /// Takes the block, and begins the next one; `None` if there is no record.
-    pub fn take(&mut self) -> Option<(Head, Vec<u8>)> {
-        let empty = Head {
-            number: self.head.number,
-            ..Head::default()
+    pub fn take(&mut self) -> Option<(BlockHeader, Vec<u8>)> {
+        let empty = BlockHeader {
+            number: self.header.number,
+            ..BlockHeader::default()
         };
-        let mut head = std::mem::replace(&mut self.head, empty);
-        if head.records == 0 {
+        let mut header = std::mem::replace(&mut self.header, empty);
+        if header.records == 0 {
             return None;
         }
-        self.head.number += 1;
-        if head.low == u64::MAX {
-            (head.low, head.high) = (0, 0);
+        self.header.number += 1;
+        if header.lowest_query == u64::MAX {
+            (header.lowest_query, header.highest_query) = (0, 0);
         }
         Some((
-            head,
+            header,
             std::mem::replace(&mut self.bytes, Vec::with_capacity(self.capacity)),
         ))
     }
--- a/crates/capture/src/file_writer.rs
+++ b/crates/capture/src/file_writer.rs
@@ -1,7 +1,7 @@
 //! Writes blocks to files: one after another, the oldest of which are removed.
 
 use crate::disk::{CaptureFile, FileFactory};
-use crate::format::{Head, FILE_HEAD, MAGIC, VERSION};
+use crate::format::{BlockHeader, FILE_HEADER_BYTES, FILE_MAGIC, VERSION};
 use crate::recorder::Limits;
 use crate::writer_thread::{compress, Message, WriterStatus};
 use std::io;
@@ -18,32 +18,32 @@
 }
 
 impl Segment {
-    /// Creates a file and writes its head.
+    /// Creates a file and writes its header.
     ///
     /// # Errors
     /// If it can't be created or written.
     pub fn create(path: PathBuf, file_factory: &mut FileFactory) -> io::Result<Segment> {
         let mut file = file_factory(&path)?;
-        file.append(MAGIC)?;
+        file.append(FILE_MAGIC)?;
         file.append(&VERSION.to_be_bytes())?;
         Ok(Segment {
             path,
             file,
-            length: FILE_HEAD,
+            length: FILE_HEADER_BYTES,
         })
     }
 
     /// Writes a block whole, or leaves the file as it was: a reader could not go on behind a part of one.
-    fn write(&mut self, head: &[u8], packed: &[u8]) -> io::Result<()> {
+    fn write(&mut self, header: &[u8], compressed: &[u8]) -> io::Result<()> {
         let written = self
             .file
-            .append(head)
-            .and_then(|()| self.file.append(packed));
+            .append(header)
+            .and_then(|()| self.file.append(compressed));
         if written.is_err() {
             self.file.truncate(self.length)?;
             return written;
         }
-        self.length += (head.len() + packed.len()) as u64;
+        self.length += (header.len() + compressed.len()) as u64;
         Ok(())
     }
 }
@@ -63,10 +63,10 @@
     /// The current file; `None` if it could not be created.
     segment: Option<Segment>,
     /// Its number, from 0.
-    number: u32,
+    segment_number: u32,
     /// All files, the current one last.
     files: Vec<WrittenFile>,
-    synced_at: Instant,
+    last_sync_at: Instant,
 }
 
 impl FileWriter {
@@ -81,8 +81,8 @@
                 bytes: 0,
             }],
             segment: Some(first),
-            number: 0,
-            synced_at: Instant::now(),
+            segment_number: 0,
+            last_sync_at: Instant::now(),
         }
     }
 
@@ -90,8 +90,8 @@
     pub fn run(mut self, messages: &Receiver<Message>, status: &WriterStatus) {
         while let Ok(message) = messages.recv() {
             match message {
-                Message::Block(head, records) => {
-                    self.write_block(head, &records, status);
+                Message::Block(header, records) => {
+                    self.write_block(header, &records, status);
                     self.sync_if_due();
                 }
                 Message::BeginSegment => self.begin_segment(status),
@@ -102,39 +102,39 @@
         self.sync();
     }
 
-    fn write_block(&mut self, mut head: Head, records: &[u8], status: &WriterStatus) {
-        match self.append_block(&mut head, records) {
+    fn write_block(&mut self, mut header: BlockHeader, records: &[u8], status: &WriterStatus) {
+        match self.append_block(&mut header, records) {
             Ok(length) => {
                 status.segment_bytes.store(length, Ordering::Relaxed);
                 status
                     .written_bytes
-                    .fetch_add(u64::from(head.packed), Ordering::Relaxed);
+                    .fetch_add(u64::from(header.compressed_bytes), Ordering::Relaxed);
                 status.is_failing.store(false, Ordering::Relaxed);
             }
             Err(_) => {
                 status
                     .lost_records
-                    .fetch_add(u64::from(head.records), Ordering::Relaxed);
+                    .fetch_add(u64::from(header.records), Ordering::Relaxed);
                 status.is_failing.store(true, Ordering::Relaxed);
             }
         }
     }
 
     /// Writes a block and returns the length of the file.
-    fn append_block(&mut self, head: &mut Head, records: &[u8]) -> io::Result<u64> {
-        let packed = compress(head, records)?;
+    fn append_block(&mut self, header: &mut BlockHeader, records: &[u8]) -> io::Result<u64> {
+        let compressed = compress(header, records)?;
         let segment = self.segment.as_mut().ok_or(io::ErrorKind::NotFound)?;
-        segment.write(&head.bytes(&packed), &packed)?;
+        segment.write(&header.to_bytes(&compressed), &compressed)?;
         Ok(segment.length)
     }
 
     fn begin_segment(&mut self, status: &WriterStatus) {
-        self.number += 1;
+        self.segment_number += 1;
         self.sync();
         if let (Some(complete), Some(file)) = (self.segment.take(), self.files.last_mut()) {
             file.bytes = complete.length;
         }
-        let path = numbered_path(&self.first_path, self.number);
+        let path = numbered_path(&self.first_path, self.segment_number);
         self.segment = Segment::create(path, &mut self.file_factory).ok();
         status
             .is_failing
@@ -142,7 +142,7 @@
         status.segment_bytes.store(0, Ordering::Relaxed);
         status
             .segments_begun
-            .store(u64::from(self.number), Ordering::Relaxed);
+            .store(u64::from(self.segment_number), Ordering::Relaxed);
         self.files
             .extend(self.segment.as_ref().map(|s| WrittenFile {
                 path: s.path.clone(),
@@ -162,9 +162,9 @@
 
     fn sync_if_due(&mut self) {
         let interval = Duration::from_micros(self.limits.sync_interval.0.max(1) as u64);
-        if self.synced_at.elapsed() >= interval {
+        if self.last_sync_at.elapsed() >= interval {
             self.sync();
-            self.synced_at = Instant::now();
+            self.last_sync_at = Instant::now();
         }
     }
 
--- a/crates/capture/src/format.rs
+++ b/crates/capture/src/format.rs
@@ -20,14 +20,14 @@
 
 /// The version written.
 pub const VERSION: u16 = 3;
-pub(crate) const MAGIC: &[u8; 6] = b"WFCAP\0";
-pub(crate) const BLOCK: &[u8; 4] = b"WFBK";
+pub(crate) const FILE_MAGIC: &[u8; 6] = b"WFCAP\0";
+pub(crate) const BLOCK_MAGIC: &[u8; 4] = b"WFBK";
 /// Bytes of a block before its compressed part.
-pub(crate) const BLOCK_HEAD: usize = 4 + 8 + 8 + 8 + 8 + 8 + 4 + 4 + 4 + 4;
+pub(crate) const BLOCK_HEADER_BYTES: usize = 4 + 8 + 8 + 8 + 8 + 8 + 4 + 4 + 4 + 4;
 /// Bytes of a record before its postcard bytes: its length and its CRC-32.
-pub(crate) const RECORD_HEAD: usize = 4 + 4;
-/// Bytes of a file before its first block: `MAGIC` and the version.
-pub(crate) const FILE_HEAD: u64 = 6 + 2;
+pub(crate) const RECORD_HEADER_BYTES: usize = 4 + 4;
+/// Bytes of a file before its first block: `FILE_MAGIC` and the version.
+pub(crate) const FILE_HEADER_BYTES: u64 = 6 + 2;
 /// Bytes of the records of a block, at most; a checkpoint of many queries makes a long one.
 pub(crate) const MAX_BLOCK_BYTES: usize = 256 << 20;
 
@@ -147,79 +147,79 @@
     Engines(&'a [(EngineId, String)]),
 }
 
-/// The head of a block, without its CRC-32.
+/// The header of a block, without its CRC-32.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Head {
+pub(crate) struct BlockHeader {
     /// Its number in the capture, from 0.
     pub number: u64,
     /// Time of its first record, in microseconds.
-    pub first: i64,
+    pub first_at: i64,
     /// Time of its last record, in microseconds.
-    pub last: i64,
+    pub last_at: i64,
     /// Lowest number of the queries accepted in it; zero if there are none.
-    pub low: u64,
+    pub lowest_query: u64,
     /// Highest number of the queries accepted in it; zero if there are none.
-    pub high: u64,
+    pub highest_query: u64,
     /// Number of its records.
     pub records: u32,
     /// Bytes of its records.
-    pub raw: u32,
+    pub raw_bytes: u32,
     /// Bytes of its records, compressed.
-    pub packed: u32,
+    pub compressed_bytes: u32,
 }
 
-impl Head {
-    /// The head as written, with the CRC-32 over itself and the compressed records.
-    pub fn bytes(&self, packed: &[u8]) -> [u8; BLOCK_HEAD] {
-        let mut out = [0; BLOCK_HEAD];
-        let mut at = 0;
+impl BlockHeader {
+    /// The header as written, with the CRC-32 over itself and the compressed records.
+    pub fn to_bytes(&self, compressed: &[u8]) -> [u8; BLOCK_HEADER_BYTES] {
+        let mut out = [0; BLOCK_HEADER_BYTES];
+        let mut offset = 0;
         let mut put = |bytes: &[u8]| {
-            out[at..at + bytes.len()].copy_from_slice(bytes);
-            at += bytes.len();
+            out[offset..offset + bytes.len()].copy_from_slice(bytes);
+            offset += bytes.len();
         };
-        put(BLOCK);
+        put(BLOCK_MAGIC);
         put(&self.number.to_be_bytes());
-        put(&self.first.to_be_bytes());
-        put(&self.last.to_be_bytes());
-        put(&self.low.to_be_bytes());
-        put(&self.high.to_be_bytes());
+        put(&self.first_at.to_be_bytes());
+        put(&self.last_at.to_be_bytes());
+        put(&self.lowest_query.to_be_bytes());
+        put(&self.highest_query.to_be_bytes());
         put(&self.records.to_be_bytes());
-        put(&self.raw.to_be_bytes());
-        put(&self.packed.to_be_bytes());
+        put(&self.raw_bytes.to_be_bytes());
+        put(&self.compressed_bytes.to_be_bytes());
         let mut crc = crc32fast::Hasher::new();
-        crc.update(&out[..BLOCK_HEAD - 4]);
-        crc.update(packed);
-        out[BLOCK_HEAD - 4..].copy_from_slice(&crc.finalize().to_be_bytes());
+        crc.update(&out[..BLOCK_HEADER_BYTES - 4]);
+        crc.update(compressed);
+        out[BLOCK_HEADER_BYTES - 4..].copy_from_slice(&crc.finalize().to_be_bytes());
         out
     }
 
-    /// Reads a head and the CRC-32 in it; `None` if no block begins here.
-    pub fn parse(bytes: &[u8; BLOCK_HEAD]) -> Option<(Head, u32)> {
-        let u64_at = |at: usize| {
-            bytes[at..at + 8]
+    /// Reads a header and the CRC-32 in it; `None` if no block begins here.
+    pub fn parse(bytes: &[u8; BLOCK_HEADER_BYTES]) -> Option<(BlockHeader, u32)> {
+        let u64_at = |offset: usize| {
+            bytes[offset..offset + 8]
                 .try_into()
                 .map(u64::from_be_bytes)
                 .unwrap_or(0)
         };
-        let u32_at = |at: usize| {
-            bytes[at..at + 4]
+        let u32_at = |offset: usize| {
+            bytes[offset..offset + 4]
                 .try_into()
                 .map(u32::from_be_bytes)
                 .unwrap_or(0)
         };
-        if &bytes[..4] != BLOCK {
+        if &bytes[..4] != BLOCK_MAGIC {
             return None;
         }
-        let head = Head {
+        let header = BlockHeader {
             number: u64_at(4),
-            first: u64_at(12) as i64,
-            last: u64_at(20) as i64,
-            low: u64_at(28),
-            high: u64_at(36),
+            first_at: u64_at(12) as i64,
+            last_at: u64_at(20) as i64,
+            lowest_query: u64_at(28),
+            highest_query: u64_at(36),
             records: u32_at(44),
-            raw: u32_at(48),
-            packed: u32_at(52),
+            raw_bytes: u32_at(48),
+            compressed_bytes: u32_at(52),
         };
-        Some((head, u32_at(56)))
+        Some((header, u32_at(56)))
     }
 }
--- a/crates/capture/src/reader.rs
+++ b/crates/capture/src/reader.rs
@@ -1,7 +1,8 @@
 //! Reads captures block by block, checking every CRC-32, to the end or to where the file is truncated.
 
 use crate::format::{
-    Head, Record, BLOCK_HEAD, FILE_HEAD, MAGIC, MAX_BLOCK_BYTES, RECORD_HEAD, VERSION,
+    BlockHeader, Record, BLOCK_HEADER_BYTES, FILE_HEADER_BYTES, FILE_MAGIC, MAX_BLOCK_BYTES,
+    RECORD_HEADER_BYTES, VERSION,
 };
 use crate::older_versions::StartV2;
 use std::collections::VecDeque;
@@ -22,12 +23,12 @@
     #[error("a capture of version {0}; this program reads up to {VERSION}")]
     NewerVersion(u16),
     /// A part of it is not as it was written.
-    #[error("damaged at byte {at}: {what}")]
+    #[error("damaged at byte {offset}: {reason}")]
     Damaged {
         /// The byte of the file where the block begins.
-        at: u64,
+        offset: u64,
         /// What is wrong there.
-        what: String,
+        reason: String,
     },
 }
 
@@ -73,13 +74,13 @@
 pub struct Reader {
     file: BufReader<File>,
     /// Where the next block begins.
-    at: u64,
+    offset: u64,
     length: u64,
     version: u16,
-    next_number: Option<u64>,
+    next_block_number: Option<u64>,
     /// Entries of the last block read.
     pending: VecDeque<Entry>,
-    ended: bool,
+    is_at_end: bool,
 }
 
 impl Reader {
@@ -91,26 +92,26 @@
         let file = File::open(path)?;
         let length = file.metadata()?.len();
         let mut file = BufReader::new(file);
-        let mut head = [0; FILE_HEAD as usize];
-        if length < FILE_HEAD {
+        let mut header = [0; FILE_HEADER_BYTES as usize];
+        if length < FILE_HEADER_BYTES {
             return Err(ReadError::NotACapture);
         }
-        file.read_exact(&mut head)?;
-        if &head[..6] != MAGIC {
+        file.read_exact(&mut header)?;
+        if &header[..6] != FILE_MAGIC {
             return Err(ReadError::NotACapture);
         }
-        let version = u16::from_be_bytes([head[6], head[7]]);
+        let version = u16::from_be_bytes([header[6], header[7]]);
         if version > VERSION || version == 0 {
             return Err(ReadError::NewerVersion(version));
         }
         Ok(Reader {
             file,
-            at: FILE_HEAD,
+            offset: FILE_HEADER_BYTES,
             length,
             version,
-            next_number: None,
+            next_block_number: None,
             pending: VecDeque::new(),
-            ended: false,
+            is_at_end: false,
         })
     }
 
@@ -118,39 +119,45 @@
     ///
     /// # Errors
     /// [`ReadError::Io`].
-    pub fn seek_to_block(&mut self, at: u64) -> Result<(), ReadError> {
-        self.file.seek(SeekFrom::Start(at))?;
-        self.at = at;
-        self.next_number = None;
-        self.ended = false;
+    pub fn seek_to_block(&mut self, offset: u64) -> Result<(), ReadError> {
+        self.file.seek(SeekFrom::Start(offset))?;
+        self.offset = offset;
+        self.next_block_number = None;
+        self.is_at_end = false;
         self.pending.clear();
         Ok(())
     }
 
-    fn damaged(&self, what: impl Into<String>) -> ReadError {
+    fn damaged(&self, reason: impl Into<String>) -> ReadError {
         ReadError::Damaged {
-            at: self.at,
-            what: what.into(),
+            offset: self.offset,
+            reason: reason.into(),
         }
     }
 
-    /// Reads the head of the next block; `None` where the file is truncated.
-    fn read_head(&mut self) -> Result<Option<(Head, u32, [u8; BLOCK_HEAD])>, ReadError> {
-        if self.length - self.at < BLOCK_HEAD as u64 {
+    /// Reads the header of the next block; `None` where the file is truncated.
+    fn read_block_header(
+        &mut self,
+    ) -> Result<Option<(BlockHeader, u32, [u8; BLOCK_HEADER_BYTES])>, ReadError> {
+        if self.length - self.offset < BLOCK_HEADER_BYTES as u64 {
             return Ok(None);
         }
-        let mut bytes = [0; BLOCK_HEAD];
+        let mut bytes = [0; BLOCK_HEADER_BYTES];
         self.file.read_exact(&mut bytes)?;
-        let Some((head, crc)) = Head::parse(&bytes) else {
+        let Some((header, crc)) = BlockHeader::parse(&bytes) else {
             return Err(self.damaged("no block begins here"));
         };
-        if head.raw as usize > MAX_BLOCK_BYTES || head.packed as usize > MAX_BLOCK_BYTES {
+        if header.raw_bytes as usize > MAX_BLOCK_BYTES
+            || header.compressed_bytes as usize > MAX_BLOCK_BYTES
+        {
             return Err(self.damaged("a block of an impossible length"));
         }
-        if self.length - self.at - (BLOCK_HEAD as u64) < u64::from(head.packed) {
+        if self.length - self.offset - (BLOCK_HEADER_BYTES as u64)
+            < u64::from(header.compressed_bytes)
+        {
             return Ok(None);
         }
-        Ok(Some((head, crc, bytes)))
+        Ok(Some((header, crc, bytes)))
     }
 
     /// The headers of all blocks, without decompressing any: an index by time and by query.
@@ -158,23 +165,23 @@
     /// # Errors
     /// [`ReadError`] where no block begins.
     pub fn block_infos(&mut self) -> Result<Vec<BlockInfo>, ReadError> {
-        self.seek_to_block(FILE_HEAD)?;
+        self.seek_to_block(FILE_HEADER_BYTES)?;
         let mut all = Vec::new();
-        while let Some((head, _, _)) = self.read_head()? {
+        while let Some((header, _, _)) = self.read_block_header()? {
             all.push(BlockInfo {
-                offset: self.at,
-                first_at: head.first,
-                last_at: head.last,
-                lowest_query: head.low,
-                highest_query: head.high,
-                records: head.records,
-                compressed_bytes: head.packed,
-                raw_bytes: head.raw,
+                offset: self.offset,
+                first_at: header.first_at,
+                last_at: header.last_at,
+                lowest_query: header.lowest_query,
+                highest_query: header.highest_query,
+                records: header.records,
+                compressed_bytes: header.compressed_bytes,
+                raw_bytes: header.raw_bytes,
             });
-            self.at += BLOCK_HEAD as u64 + u64::from(head.packed);
-            self.file.seek(SeekFrom::Start(self.at))?;
+            self.offset += BLOCK_HEADER_BYTES as u64 + u64::from(header.compressed_bytes);
+            self.file.seek(SeekFrom::Start(self.offset))?;
         }
-        self.seek_to_block(FILE_HEAD)?;
+        self.seek_to_block(FILE_HEADER_BYTES)?;
         Ok(all)
     }
 
@@ -187,41 +194,43 @@
             if let Some(entry) = self.pending.pop_front() {
                 return Ok(Some(entry));
             }
-            if self.ended || self.at == self.length {
+            if self.is_at_end || self.offset == self.length {
                 return Ok(None);
             }
-            let Some((head, crc, bytes)) = self.read_head()? else {
-                self.ended = true;
-                return Ok(Some(Entry::Truncated { offset: self.at }));
+            let Some((header, crc, bytes)) = self.read_block_header()? else {
+                self.is_at_end = true;
+                return Ok(Some(Entry::Truncated {
+                    offset: self.offset,
+                }));
             };
-            let raw = self.read_records(&head, crc, &bytes)?;
-            if let Some(expected) = self.next_number.filter(|n| *n != head.number) {
+            let raw = self.decompress_block(&header, crc, &bytes)?;
+            if let Some(expected) = self.next_block_number.filter(|n| *n != header.number) {
                 self.pending.push_back(Entry::MissingBlocks {
-                    blocks: head.number.saturating_sub(expected).max(1),
+                    blocks: header.number.saturating_sub(expected).max(1),
                 });
             }
-            self.next_number = Some(head.number + 1);
-            self.unpack(&raw)?;
-            self.at += BLOCK_HEAD as u64 + u64::from(head.packed);
+            self.next_block_number = Some(header.number + 1);
+            self.decode_records(&raw)?;
+            self.offset += BLOCK_HEADER_BYTES as u64 + u64::from(header.compressed_bytes);
         }
     }
 
-    /// Reads and decompresses the records of a block whose head was read.
-    fn read_records(
+    /// Reads and decompresses the records of a block whose header was read.
+    fn decompress_block(
         &mut self,
-        head: &Head,
+        header: &BlockHeader,
         crc: u32,
-        head_bytes: &[u8; BLOCK_HEAD],
+        header_bytes: &[u8; BLOCK_HEADER_BYTES],
     ) -> Result<Vec<u8>, ReadError> {
-        let mut packed = vec![0; head.packed as usize];
-        self.file.read_exact(&mut packed)?;
+        let mut compressed = vec![0; header.compressed_bytes as usize];
+        self.file.read_exact(&mut compressed)?;
         let mut hasher = crc32fast::Hasher::new();
-        hasher.update(&head_bytes[..BLOCK_HEAD - 4]);
-        hasher.update(&packed);
+        hasher.update(&header_bytes[..BLOCK_HEADER_BYTES - 4]);
+        hasher.update(&compressed);
         if hasher.finalize() != crc {
             return Err(self.damaged("the sum of a block is wrong"));
         }
-        zstd::bulk::decompress(&packed, head.raw as usize)
+        zstd::bulk::decompress(&compressed, header.raw_bytes as usize)
             .map_err(|e| self.damaged(format!("a block that can't be unpacked: {e}")))
     }
 
@@ -239,18 +248,18 @@
     }
 
     /// Splits a decompressed block into its records.
-    fn unpack(&mut self, raw: &[u8]) -> Result<(), ReadError> {
+    fn decode_records(&mut self, raw: &[u8]) -> Result<(), ReadError> {
         let mut rest = raw;
         while !rest.is_empty() {
-            let Some((head, body)) = rest.split_first_chunk::<RECORD_HEAD>() else {
+            let Some((header, body)) = rest.split_first_chunk::<RECORD_HEADER_BYTES>() else {
                 return Err(self.damaged("a record without its length"));
             };
-            let length = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
-            let crc = u32::from_be_bytes([head[4], head[5], head[6], head[7]]);
+            let length = u32::from_be_bytes([header[0], header[1], header[2], header[3]]) as usize;
+            let crc = u32::from_be_bytes([header[4], header[5], header[6], header[7]]);
             if body.len() < length {
                 return Err(self.damaged("a record longer than its block"));
             }
-            let (record, others) = body.split_at(length);
+            let (record, remaining) = body.split_at(length);
             if crc32fast::hash(record) != crc {
                 return Err(self.damaged("the sum of a record is wrong"));
             }
@@ -258,7 +267,7 @@
                 .decode_record(record)
                 .map_err(|e| self.damaged(format!("a record that can't be read: {e}")))?;
             self.pending.push_back(Entry::Record(Box::new(record)));
-            rest = others;
+            rest = remaining;
         }
         Ok(())
     }
--- a/crates/capture/src/recorder.rs
+++ b/crates/capture/src/recorder.rs
@@ -15,7 +15,7 @@
 use wheelfield_driver::{Driver, Instruction};
 
 /// A span in memory has at most this part of all memory, so that dropping the oldest leaves most.
-const SPANS_IN_RING: u64 = 4;
+const SEGMENTS_IN_RING: u64 = 4;
 
 /// What a recorder is bounded by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -64,9 +64,9 @@
     pub ring_bytes: u64,
 }
 
-/// Counts of records that were handed over or lost.
+/// RecordCounts of records that were handed over or lost.
 #[derive(Debug, Default)]
-struct Counts {
+struct RecordCounts {
     recorded: u64,
     /// Lost before the writer thread had them.
     lost: u64,
@@ -84,13 +84,13 @@
     limits: Limits,
     writer: WriterThread,
     buffer: BlockBuffer,
-    counts: Counts,
+    counts: RecordCounts,
     /// Names of engines recorded so far.
-    engines: Vec<(EngineId, String)>,
+    engine_names: Vec<(EngineId, String)>,
     /// Files or spans asked for beyond the first.
     segments_requested: u64,
-    checkpoint_at: Micros,
-    flushed_at: Micros,
+    last_checkpoint_at: Micros,
+    last_flush_at: Micros,
     /// The path that files are named after.
     path: PathBuf,
     /// For a capture in memory: what detects a reason to write it to a file.
@@ -149,7 +149,7 @@
         now: Micros,
     ) -> io::Result<Recorder> {
         let limits = Limits {
-            segment_bytes: (ring_limits.max_bytes / SPANS_IN_RING).max(1),
+            segment_bytes: (ring_limits.max_bytes / SEGMENTS_IN_RING).max(1),
             ..limits
         };
         let ring_writer = RingWriter {
@@ -180,16 +180,16 @@
             limits,
             writer,
             buffer: BlockBuffer::new(limits.block_bytes),
-            counts: Counts::default(),
-            engines: Vec::new(),
+            counts: RecordCounts::default(),
+            engine_names: Vec::new(),
             segments_requested: 0,
-            checkpoint_at: now,
-            flushed_at: now,
+            last_checkpoint_at: now,
+            last_flush_at: now,
             path: path.to_path_buf(),
             triggers,
             ring_file: None,
         };
-        recorder.put_beginning(driver, now);
+        recorder.push_segment_start(driver, now);
         recorder
     }
 
@@ -201,7 +201,7 @@
         accepted: Option<QueryId>,
         instructions: &[Instruction],
     ) {
-        self.put(
+        self.push_record(
             at,
             &RecordRef::Step {
                 at,
@@ -214,25 +214,26 @@
             triggers.observe_step(at, input, instructions);
         }
         if let Some(query) = accepted {
-            self.buffer.note_query(query);
+            self.buffer.observe_query(query);
         }
     }
 
     /// Records names of engines that were not recorded yet.
     pub fn record_engines(&mut self, at: Micros, names: impl Iterator<Item = (EngineId, String)>) {
-        let new: Vec<(EngineId, String)> =
-            names.filter(|name| !self.engines.contains(name)).collect();
+        let new: Vec<(EngineId, String)> = names
+            .filter(|name| !self.engine_names.contains(name))
+            .collect();
         if !new.is_empty() {
-            self.put(at, &RecordRef::Engines(&new));
-            self.engines.extend(new);
+            self.push_record(at, &RecordRef::Engines(&new));
+            self.engine_names.extend(new);
         }
     }
 
     /// Hands over what is due. To be called between steps, as a checkpoint may be taken of the driver.
     pub fn maintain(&mut self, driver: &Driver, now: Micros) {
-        self.count_losses_of_writer();
+        self.count_writer_losses();
         self.flush_if_due(driver, now);
-        if now - self.checkpoint_at >= self.limits.checkpoint_interval {
+        if now - self.last_checkpoint_at >= self.limits.checkpoint_interval {
             self.take_checkpoint(driver, now);
         }
         self.check_triggers(driver, now);
@@ -275,7 +276,7 @@
     }
 
     /// Adds a record to the block.
-    fn put(&mut self, at: Micros, record: &RecordRef<'_>) {
+    fn push_record(&mut self, at: Micros, record: &RecordRef<'_>) {
         if self.buffer.push(at, record).is_err() {
             self.counts.lost += 1;
             self.counts.unreported += 1;
@@ -283,23 +284,23 @@
     }
 
     /// Adds the records that a file or span begins with, or what follows a loss.
-    fn put_beginning(&mut self, driver: &Driver, now: Micros) {
+    fn push_segment_start(&mut self, driver: &Driver, now: Micros) {
         let start = self.start.clone();
-        self.put(now, &RecordRef::Start(&start));
+        self.push_record(now, &RecordRef::Start(&start));
         if self.counts.unreported > 0 {
             let lost = std::mem::take(&mut self.counts.unreported);
-            self.put(now, &RecordRef::Gap { at: now, lost });
+            self.push_record(now, &RecordRef::Gap { at: now, lost });
         }
-        let engines = self.engines.clone();
-        self.put(now, &RecordRef::Engines(&engines));
-        self.put_checkpoint(driver, now);
+        let engine_names = self.engine_names.clone();
+        self.push_record(now, &RecordRef::Engines(&engine_names));
+        self.push_checkpoint(driver, now);
     }
 
-    fn put_checkpoint(&mut self, driver: &Driver, now: Micros) {
-        self.checkpoint_at = now;
+    fn push_checkpoint(&mut self, driver: &Driver, now: Micros) {
+        self.last_checkpoint_at = now;
         // Serializing into memory fails only for types that can't be serialized; a driver has none.
         if let Ok(bytes) = postcard::to_stdvec(driver) {
-            self.put(
+            self.push_record(
                 now,
                 &RecordRef::Checkpoint {
                     at: now,
@@ -309,7 +310,7 @@
         }
     }
 
-    fn count_losses_of_writer(&mut self) {
+    fn count_writer_losses(&mut self) {
         let lost = self.writer.status().lost_records.load(Ordering::Relaxed);
         if lost > self.counts.lost_by_writer {
             self.counts.unreported += lost - self.counts.lost_by_writer;
@@ -321,7 +322,8 @@
     /// again behind a loss.
     fn flush_if_due(&mut self, driver: &Driver, now: Micros) {
         let segment_is_full = self.is_segment_full();
-        let is_old = !self.buffer.is_empty() && now - self.flushed_at >= self.limits.sync_interval;
+        let is_old =
+            !self.buffer.is_empty() && now - self.last_flush_at >= self.limits.sync_interval;
         if !segment_is_full && !is_old && self.buffer.len() < self.limits.block_bytes {
             return;
         }
@@ -330,7 +332,7 @@
         }
         let new_segment = segment_is_full && self.begin_segment();
         if new_segment || self.counts.unreported > 0 {
-            self.put_beginning(driver, now);
+            self.push_segment_start(driver, now);
         }
     }
 
@@ -345,9 +347,9 @@
     /// Records a checkpoint. In memory, each begins a span.
     fn take_checkpoint(&mut self, driver: &Driver, now: Micros) {
         if self.triggers.is_none() {
-            self.put_checkpoint(driver, now);
+            self.push_checkpoint(driver, now);
         } else if self.flush(now) && self.begin_segment() {
-            self.put_beginning(driver, now);
+            self.push_segment_start(driver, now);
         }
     }
 
@@ -389,12 +391,12 @@
 
     /// Hands the block over; false if it was dropped.
     fn flush(&mut self, now: Micros) -> bool {
-        self.flushed_at = now;
-        let Some((head, bytes)) = self.buffer.take() else {
+        self.last_flush_at = now;
+        let Some((header, bytes)) = self.buffer.take() else {
             return true;
         };
-        let records = u64::from(head.records);
-        let sent = self.writer.send_block(head, bytes);
+        let records = u64::from(header.records);
+        let sent = self.writer.send_block(header, bytes);
         if sent {
             self.counts.recorded += records;
         } else {
--- a/crates/capture/src/ring.rs
+++ b/crates/capture/src/ring.rs
@@ -1,6 +1,6 @@
-//! A capture in memory: whole spans, the oldest of which are dropped; written to a file on request.
+//! A capture in memory: whole segments, the oldest of which are dropped; written to a file on request.
 
-use crate::format::{Head, FILE_HEAD, MAGIC, VERSION};
+use crate::format::{BlockHeader, FILE_HEADER_BYTES, FILE_MAGIC, VERSION};
 use crate::writer_thread::{compress, Message, WriterStatus};
 use std::collections::VecDeque;
 use std::fs::File;
@@ -30,67 +30,68 @@
 
 /// Blocks from one checkpoint up to the next.
 #[derive(Default)]
-struct Span {
+struct RingSegment {
     bytes: Vec<u8>,
     /// Time of its first record, in microseconds.
-    first: Option<i64>,
+    first_at: Option<i64>,
 }
 
-/// The spans, oldest first.
+/// The segments, oldest first.
 pub(crate) struct Ring {
     limits: RingLimits,
-    spans: VecDeque<Span>,
+    segments: VecDeque<RingSegment>,
     total_bytes: u64,
 }
 
 impl Ring {
-    /// A ring with one empty span.
+    /// A ring with one empty segment.
     pub fn new(limits: RingLimits) -> Ring {
         Ring {
             limits,
-            spans: VecDeque::from([Span::default()]),
+            segments: VecDeque::from([RingSegment::default()]),
             total_bytes: 0,
         }
     }
 
-    fn begin_span(&mut self) {
-        self.spans.push_back(Span::default());
+    fn begin_segment(&mut self) {
+        self.segments.push_back(RingSegment::default());
     }
 
-    /// Adds a block to the newest span, and drops the oldest spans: while there are too many bytes, or while the rest still
-    /// reaches back far enough. Returns the bytes of the newest span.
-    fn push(&mut self, head: &Head, packed: &[u8]) -> u64 {
-        let head_bytes = head.bytes(packed);
-        let Some(span) = self.spans.back_mut() else {
+    /// Adds a block to the newest segment, and drops the oldest segments: while there are too many bytes, or while the rest still
+    /// reaches back far enough. Returns the bytes of the newest segment.
+    fn push(&mut self, header: &BlockHeader, compressed: &[u8]) -> u64 {
+        let header_bytes = header.to_bytes(compressed);
+        let Some(segment) = self.segments.back_mut() else {
             return 0;
         };
-        span.bytes.extend_from_slice(&head_bytes);
-        span.bytes.extend_from_slice(packed);
-        span.first = span.first.or(Some(head.first));
-        let span_bytes = span.bytes.len() as u64;
-        self.total_bytes += (head_bytes.len() + packed.len()) as u64;
-        let reaches_back = |span: &Span| {
-            span.first
-                .is_some_and(|first| head.last - first >= self.limits.min_duration.0)
+        segment.bytes.extend_from_slice(&header_bytes);
+        segment.bytes.extend_from_slice(compressed);
+        segment.first_at = segment.first_at.or(Some(header.first_at));
+        let segment_bytes = segment.bytes.len() as u64;
+        self.total_bytes += (header_bytes.len() + compressed.len()) as u64;
+        let covers_min_duration = |segment: &RingSegment| {
+            segment
+                .first_at
+                .is_some_and(|first_at| header.last_at - first_at >= self.limits.min_duration.0)
         };
-        while self.spans.len() > 1
+        while self.segments.len() > 1
             && (self.total_bytes > self.limits.max_bytes
-                || self.spans.get(1).is_some_and(reaches_back))
+                || self.segments.get(1).is_some_and(covers_min_duration))
         {
             let dropped = self
-                .spans
+                .segments
                 .pop_front()
-                .map_or(0, |span| span.bytes.len() as u64);
+                .map_or(0, |segment| segment.bytes.len() as u64);
             self.total_bytes -= dropped;
         }
-        span_bytes
+        segment_bytes
     }
 
-    /// Writes all spans to a file, whole and durably or not at all. Returns its bytes.
+    /// Writes all segments to a file, whole and durably or not at all. Returns its bytes.
     ///
     /// # Errors
     /// If that fails; no file is left then.
-    fn write(&self, path: &Path) -> io::Result<u64> {
+    fn write_atomically(&self, path: &Path) -> io::Result<u64> {
         let partial = path.with_extension("partial");
         let written = self
             .write_to(&partial)
@@ -105,13 +106,13 @@
 
     fn write_to(&self, path: &Path) -> io::Result<u64> {
         let mut file = File::create(path)?;
-        file.write_all(MAGIC)?;
+        file.write_all(FILE_MAGIC)?;
         file.write_all(&VERSION.to_be_bytes())?;
-        for span in &self.spans {
-            file.write_all(&span.bytes)?;
+        for segment in &self.segments {
+            file.write_all(&segment.bytes)?;
         }
         file.sync_all()?;
-        Ok(FILE_HEAD + self.total_bytes)
+        Ok(FILE_HEADER_BYTES + self.total_bytes)
     }
 }
 
@@ -130,9 +131,9 @@
     pub fn run(mut self, messages: &Receiver<Message>, status: &WriterStatus) {
         while let Ok(message) = messages.recv() {
             match message {
-                Message::Block(head, records) => self.push_block(head, &records, status),
+                Message::Block(header, records) => self.push_block(header, &records, status),
                 Message::BeginSegment => {
-                    self.ring.begin_span();
+                    self.ring.begin_segment();
                     status.segment_bytes.store(0, Ordering::Relaxed);
                     status.segments_begun.fetch_add(1, Ordering::Relaxed);
                 }
@@ -141,22 +142,22 @@
         }
     }
 
-    fn push_block(&mut self, mut head: Head, records: &[u8], status: &WriterStatus) {
-        let Ok(packed) = compress(&mut head, records) else {
+    fn push_block(&mut self, mut header: BlockHeader, records: &[u8], status: &WriterStatus) {
+        let Ok(compressed) = compress(&mut header, records) else {
             status
                 .lost_records
-                .fetch_add(u64::from(head.records), Ordering::Relaxed);
+                .fetch_add(u64::from(header.records), Ordering::Relaxed);
             return;
         };
-        let span_bytes = self.ring.push(&head, &packed);
-        status.segment_bytes.store(span_bytes, Ordering::Relaxed);
+        let segment_bytes = self.ring.push(&header, &compressed);
+        status.segment_bytes.store(segment_bytes, Ordering::Relaxed);
         status
             .ring_bytes
             .store(self.ring.total_bytes, Ordering::Relaxed);
     }
 
     fn write_file(&self, file: &Path, status: &WriterStatus) {
-        match self.ring.write(file) {
+        match self.ring.write_atomically(file) {
             Ok(bytes) => {
                 status.written_bytes.fetch_add(bytes, Ordering::Relaxed);
                 status.ring_files.fetch_add(1, Ordering::Relaxed);
@@ -169,14 +170,14 @@
 }
 
 /// Removes the oldest files written of a capture until all together have at most `max_bytes`; `newest` stays.
-fn remove_oldest_files(capture: &Path, newest: &Path, max_bytes: u64) {
-    let Ok(entries) = std::fs::read_dir(directory_of(capture)) else {
+fn remove_oldest_files(capture_path: &Path, newest: &Path, max_bytes: u64) {
+    let Ok(entries) = std::fs::read_dir(directory_of(capture_path)) else {
         return;
     };
     let mut files: Vec<(PathBuf, u64)> = entries
         .filter_map(Result::ok)
         .map(|entry| entry.path())
-        .filter(|path| is_ring_file(path, capture))
+        .filter(|path| is_ring_file(path, capture_path))
         .filter_map(|path| path.metadata().ok().map(|metadata| (path, metadata.len())))
         .collect();
     // The time stands behind the name of the capture, so the names are in the order of time.
@@ -193,8 +194,8 @@
 }
 
 /// Whether a file was written of a capture in memory: `x-20...wfcap` for `x.wfcap`.
-fn is_ring_file(path: &Path, capture: &Path) -> bool {
-    let stem = capture
+fn is_ring_file(path: &Path, capture_path: &Path) -> bool {
+    let stem = capture_path
         .file_stem()
         .map_or_else(String::new, |stem| format!("{}-", stem.to_string_lossy()));
     let name = path
--- a/crates/capture/src/triggers.rs
+++ b/crates/capture/src/triggers.rs
@@ -67,7 +67,7 @@
 
 /// Arrivals and rejections in a part of the window.
 #[derive(Clone, Copy, Debug)]
-struct Slice {
+struct WindowSlice {
     begins_at: Micros,
     arrivals: u64,
     rejections: u64,
@@ -75,7 +75,7 @@
 
 /// A trigger that has fired, and when its file is due.
 #[derive(Clone, Copy, Debug)]
-struct Pending {
+struct PendingTrigger {
     reason: TriggerReason,
     due_at: Micros,
 }
@@ -85,11 +85,11 @@
 pub struct TriggerDetector {
     triggers: Triggers,
     /// The window, oldest slice first.
-    slices: VecDeque<Slice>,
+    slices: VecDeque<WindowSlice>,
     /// The next timer of the driver.
     next_timer_at: Option<Micros>,
     last_step_at: Option<Micros>,
-    pending: Option<Pending>,
+    pending: Option<PendingTrigger>,
     cooldown_until: Micros,
 }
 
@@ -107,18 +107,25 @@
     }
 
     /// Observes a step of the driver.
-    pub fn observe_step(&mut self, at: Micros, input: &RecordedInput, answer: &[Instruction]) {
+    pub fn observe_step(
+        &mut self,
+        at: Micros,
+        input: &RecordedInput,
+        instructions: &[Instruction],
+    ) {
         self.detect_stall(at);
         let arrivals = u64::from(input.arrival().is_some());
         let is_rejection =
             |i: &&Instruction| matches!(i, Instruction::Answer(_, Answer::Rejected { .. }));
-        let rejections = answer.iter().filter(is_rejection).count() as u64;
+        let rejections = instructions.iter().filter(is_rejection).count() as u64;
         if arrivals > 0 || rejections > 0 {
-            self.count(at, arrivals, rejections);
+            self.count_in_window(at, arrivals, rejections);
         }
         // The module logs only that it ejected an engine.
         if self.triggers.on_engine_ejected
-            && answer.iter().any(|i| matches!(i, Instruction::Log(_)))
+            && instructions
+                .iter()
+                .any(|i| matches!(i, Instruction::Log(_)))
         {
             self.fire(TriggerReason::EngineEjected, at);
         }
@@ -131,7 +138,7 @@
 
     /// Fires at once, on an operator's request.
     pub fn request(&mut self, now: Micros) {
-        self.pending = Some(Pending {
+        self.pending = Some(PendingTrigger {
             reason: TriggerReason::Requested,
             due_at: now,
         });
@@ -145,7 +152,7 @@
 
     /// The reason for a file, whether it is due or not.
     pub fn take_pending(&mut self, now: Micros) -> Option<TriggerReason> {
-        let Pending { reason, .. } = self.pending.take()?;
+        let PendingTrigger { reason, .. } = self.pending.take()?;
         self.cooldown_until = now + self.triggers.cooldown;
         Some(reason)
     }
@@ -164,7 +171,7 @@
         self.last_step_at = Some(at);
     }
 
-    fn count(&mut self, at: Micros, arrivals: u64, rejections: u64) {
+    fn count_in_window(&mut self, at: Micros, arrivals: u64, rejections: u64) {
         let Some(max_fraction) = self.triggers.rejected_fraction else {
             return;
         };
@@ -182,7 +189,7 @@
                 slice.arrivals += arrivals;
                 slice.rejections += rejections;
             }
-            _ => self.slices.push_back(Slice {
+            _ => self.slices.push_back(WindowSlice {
                 begins_at: at,
                 arrivals,
                 rejections,
@@ -197,7 +204,7 @@
 
     fn fire(&mut self, reason: TriggerReason, at: Micros) {
         if self.pending.is_none() && at >= self.cooldown_until {
-            self.pending = Some(Pending {
+            self.pending = Some(PendingTrigger {
                 reason,
                 due_at: at + self.triggers.record_after,
             });
--- a/crates/capture/src/writer_thread.rs
+++ b/crates/capture/src/writer_thread.rs
@@ -1,6 +1,6 @@
 //! The thread that compresses and writes blocks, and the bounded queue to it.
 
-use crate::format::Head;
+use crate::format::BlockHeader;
 use std::io;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -11,12 +11,12 @@
 /// Level of the compression: the fastest.
 const COMPRESSION_LEVEL: i32 = 1;
 /// Messages that the queue holds at least.
-const MIN_QUEUE: usize = 2;
+const MIN_QUEUE_CAPACITY: usize = 2;
 
 /// What the writer thread is asked to do.
 pub(crate) enum Message {
-    /// Write a block: its head, without the lengths, and its records.
-    Block(Head, Vec<u8>),
+    /// Write a block: its header, without the lengths, and its records.
+    Block(BlockHeader, Vec<u8>),
     /// Begin a file, or a span in memory, with the next block.
     BeginSegment,
     /// Write what is held in memory to this file.
@@ -59,7 +59,7 @@
         max_queued_blocks: usize,
         write: impl FnOnce(&Receiver<Message>, &WriterStatus) + Send + 'static,
     ) -> io::Result<WriterThread> {
-        let (sender, receiver) = sync_channel(max_queued_blocks.max(MIN_QUEUE));
+        let (sender, receiver) = sync_channel(max_queued_blocks.max(MIN_QUEUE_CAPACITY));
         let status = Arc::new(WriterStatus::default());
         let thread_status = status.clone();
         let thread = std::thread::Builder::new()
@@ -78,11 +78,11 @@
     }
 
     /// Queues a block; false if it was dropped, as the queue is full or the thread has ended.
-    pub fn send_block(&self, head: Head, records: Vec<u8>) -> bool {
+    pub fn send_block(&self, header: BlockHeader, records: Vec<u8>) -> bool {
         let Some(sender) = &self.sender else {
             return false;
         };
-        let sent = sender.try_send(Message::Block(head, records));
+        let sent = sender.try_send(Message::Block(header, records));
         if matches!(sent, Err(TrySendError::Disconnected(_))) {
             self.status.is_failing.store(true, Ordering::Relaxed);
         }
@@ -119,13 +119,13 @@
     }
 }
 
-/// Compresses the records of a block and completes its head with the lengths.
+/// Compresses the records of a block and completes its header with the lengths.
 ///
 /// # Errors
 /// If the compression fails.
-pub(crate) fn compress(head: &mut Head, records: &[u8]) -> io::Result<Vec<u8>> {
-    let packed = zstd::bulk::compress(records, COMPRESSION_LEVEL)?;
-    head.raw = records.len() as u32;
-    head.packed = packed.len() as u32;
-    Ok(packed)
+pub(crate) fn compress(header: &mut BlockHeader, records: &[u8]) -> io::Result<Vec<u8>> {
+    let compressed = zstd::bulk::compress(records, COMPRESSION_LEVEL)?;
+    header.raw_bytes = records.len() as u32;
+    header.compressed_bytes = compressed.len() as u32;
+    Ok(compressed)
 }
