--- a/crates/capture/src/block_buffer.rs
+++ b/crates/capture/src/block_buffer.rs
@@ -1,22 +1,22 @@
-//! The block that the decision thread fills with records.
+//! Accumulates serialized records until they are handed to the writer thread as a block.
 
 use crate::format::{BlockHeader, RecordRef, RECORD_HEADER_BYTES};
 use wheelfield::interface::{Micros, QueryId};
 
-/// Bytes that most records fit in.
-const USUAL_RECORD_BYTES: usize = 512;
+/// Space reserved for serializing one record; most records are shorter.
+const RECORD_RESERVE_BYTES: usize = 512;
 
-/// Serialized records, and the header of the block that they make.
+/// The serialized records of the current block, and the header for them.
 #[derive(Debug)]
 pub(crate) struct BlockBuffer {
     bytes: Vec<u8>,
     header: BlockHeader,
-    /// Bytes that a buffer has memory for at first.
+    /// Initial capacity of each buffer, in bytes.
     capacity: usize,
 }
 
 impl BlockBuffer {
-    /// An empty buffer for blocks of `block_bytes`.
+    /// Creates an empty buffer for blocks of about `block_bytes`.
     pub fn new(block_bytes: usize) -> BlockBuffer {
         let capacity = block_bytes * 2;
         BlockBuffer {
@@ -26,27 +26,28 @@
         }
     }
 
-    /// Bytes of all records.
+    /// Returns the total size of the serialized records in bytes.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Whether there is no record.
+    /// Returns whether the block contains no records.
     pub fn is_empty(&self) -> bool {
         self.header.records == 0
     }
 
-    /// Adds a record.
+    /// Serializes a record and appends it to the block.
     ///
     /// # Errors
-    /// If it can't be serialized.
+    /// Returns an error if the record cannot be serialized.
     pub fn push(&mut self, at: Micros, record: &RecordRef<'_>) -> Result<(), postcard::Error> {
         let start = self.bytes.len();
         let body = start + RECORD_HEADER_BYTES;
-        self.bytes.resize(body + USUAL_RECORD_BYTES, 0);
+        self.bytes.resize(body + RECORD_RESERVE_BYTES, 0);
         match postcard::to_slice(record, &mut self.bytes[body..]).map(|used| used.len()) {
             Ok(length) => self.bytes.truncate(body + length),
-            // Longer than most, as an engine list or a checkpoint.
+            // The record does not fit the reserved space, for example an engine list or a
+            // checkpoint.
             Err(_) => {
                 self.bytes.truncate(body);
                 self.bytes = postcard::to_extend(record, std::mem::take(&mut self.bytes))?;
@@ -65,13 +66,14 @@
         Ok(())
     }
 
-    /// Takes note that a query was accepted in this block.
+    /// Extends the range of accepted queries in the block header to include `query`.
     pub fn observe_query(&mut self, query: QueryId) {
         self.header.lowest_query = self.header.lowest_query.min(query.0);
         self.header.highest_query = self.header.highest_query.max(query.0);
     }
 
-    /// Takes the block, and begins the next one; `None` if there is no record.
+    /// Returns the current block and begins the next one. Returns `None` if the block contains no
+    /// records.
     pub fn take(&mut self) -> Option<(BlockHeader, Vec<u8>)> {
         let empty = BlockHeader {
             number: self.header.number,
--- a/crates/capture/src/disk.rs
+++ b/crates/capture/src/disk.rs
@@ -1,25 +1,25 @@
-//! What a capture is written to.
+//! The storage that capture files are written to.
 
 use std::fs::File;
 use std::io::{self, Seek, SeekFrom, Write};
 use std::path::Path;
 
-/// A file, or a stand-in for one that is slow or full.
+/// An append-only output file. Tests implement it to simulate slow or full disks.
 pub trait CaptureFile: Send {
-    /// Writes bytes at the end.
+    /// Appends `bytes` to the file.
     ///
     /// # Errors
-    /// If not all bytes could be written; a part may have been.
+    /// Returns an error if not all bytes were written. Some of them may have been.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
-    /// Cuts the file to a length.
+    /// Truncates the file to `length` bytes.
     ///
     /// # Errors
-    /// If the file could not be cut.
+    /// Returns an error if the file cannot be truncated.
     fn truncate(&mut self, length: u64) -> io::Result<()>;
-    /// Makes what was written durable.
+    /// Flushes the written data to stable storage.
     ///
     /// # Errors
-    /// If that failed.
+    /// Returns an error if the flush fails.
     fn sync(&mut self) -> io::Result<()>;
 }
 
@@ -41,7 +41,7 @@
 /// Creates the files of a capture.
 pub type FileFactory = Box<dyn FnMut(&Path) -> io::Result<Box<dyn CaptureFile>> + Send>;
 
-/// A [`FileFactory`] of ordinary files.
+/// Returns a [`FileFactory`] that creates ordinary files.
 pub(crate) fn disk_file_factory() -> FileFactory {
     Box::new(|path| Ok(Box::new(File::create(path)?)))
 }
--- a/crates/capture/src/file_writer.rs
+++ b/crates/capture/src/file_writer.rs
@@ -1,4 +1,5 @@
-//! Writes blocks to files: one after another, the oldest of which are removed.
+//! Writes blocks to a sequence of files and removes the oldest files when the total size exceeds
+//! the limit.
 
 use crate::disk::{CaptureFile, FileFactory};
 use crate::format::{BlockHeader, FILE_HEADER_BYTES, FILE_MAGIC, VERSION};
@@ -10,7 +11,7 @@
 use std::sync::mpsc::Receiver;
 use std::time::{Duration, Instant};
 
-/// A file that is being written.
+/// The file that is currently being written.
 pub(crate) struct Segment {
     path: PathBuf,
     file: Box<dyn CaptureFile>,
@@ -18,10 +19,10 @@
 }
 
 impl Segment {
-    /// Creates a file and writes its header.
+    /// Creates a file and writes the file header.
     ///
     /// # Errors
-    /// If it can't be created or written.
+    /// Returns an error if the file cannot be created or written.
     pub fn create(path: PathBuf, file_factory: &mut FileFactory) -> io::Result<Segment> {
         let mut file = file_factory(&path)?;
         file.append(FILE_MAGIC)?;
@@ -33,7 +34,8 @@
         })
     }
 
-    /// Writes a block whole, or leaves the file as it was: a reader could not go on behind a part of one.
+    /// Appends a complete block. On failure, truncates the file to its previous length, because a
+    /// reader cannot continue after a partial block.
     fn write(&mut self, header: &[u8], compressed: &[u8]) -> io::Result<()> {
         let written = self
             .file
@@ -48,29 +50,29 @@
     }
 }
 
-/// A file of the capture that exists, and its length once it is complete.
+/// An existing file of the capture. `bytes` is 0 until the file is complete.
 struct WrittenFile {
     path: PathBuf,
     bytes: u64,
 }
 
-/// The files of a capture.
+/// Writes the blocks of a capture to its files.
 pub(crate) struct FileWriter {
-    /// Path of the first file, after which the others are named.
+    /// Path of the first file, from which the names of later files are derived.
     first_path: PathBuf,
     file_factory: FileFactory,
     limits: Limits,
-    /// The current file; `None` if it could not be created.
+    /// The current file, or `None` if it could not be created.
     segment: Option<Segment>,
-    /// Its number, from 0.
+    /// Number of the current file, starting from 0.
     segment_number: u32,
-    /// All files, the current one last.
+    /// All existing files, with the current one last.
     files: Vec<WrittenFile>,
     last_sync_at: Instant,
 }
 
 impl FileWriter {
-    /// A writer that goes on with the first file.
+    /// Creates a writer that appends to the first file.
     pub fn new(first: Segment, file_factory: FileFactory, limits: Limits) -> FileWriter {
         FileWriter {
             first_path: first.path.clone(),
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Handles messages until the queue is closed.
+    /// Processes messages until the channel is closed.
     pub fn run(mut self, messages: &Receiver<Message>, status: &WriterStatus) {
         while let Ok(message) = messages.recv() {
             match message {
@@ -95,7 +97,7 @@
                     self.sync_if_due();
                 }
                 Message::BeginSegment => self.begin_segment(status),
-                // Nothing is held in memory.
+                // There is no in-memory ring to write when the capture goes directly to files.
                 Message::WriteRing(_) => {}
             }
         }
@@ -120,11 +122,11 @@
         }
     }
 
-    /// Writes a block and returns the length of the file.
+    /// Appends a block and returns the new length of the file.
     fn append_block(&mut self, header: &mut BlockHeader, records: &[u8]) -> io::Result<u64> {
         let compressed = compress(header, records)?;
         let segment = self.segment.as_mut().ok_or(io::ErrorKind::NotFound)?;
-        segment.write(&header.to_bytes(&compressed), &compressed)?;
+        segment.write(&header.encode(&compressed), &compressed)?;
         Ok(segment.length)
     }
 
@@ -151,7 +153,8 @@
         self.remove_oldest_files();
     }
 
-    /// Removes the oldest files while all have more bytes than the limit; the current one stays.
+    /// Removes the oldest files while the total size exceeds the limit. The current file is never
+    /// removed.
     fn remove_oldest_files(&mut self) {
         while self.files.len() > 1
             && self.files.iter().map(|file| file.bytes).sum::<u64>() > self.limits.max_total_bytes
@@ -175,7 +178,7 @@
     }
 }
 
-/// The path of a file of a capture by its number: `x.wfcap`, `x.0001.wfcap` and so on.
+/// Returns the path of the file with the given number: `x.wfcap`, `x.0001.wfcap` and so on.
 fn numbered_path(first: &Path, number: u32) -> PathBuf {
     if number == 0 {
         return first.to_path_buf();
--- a/crates/capture/src/format.rs
+++ b/crates/capture/src/format.rs
@@ -1,87 +1,97 @@
-//! The format of a file.
+//! The format of capture files. All integers in headers are big endian.
 //!
-//! A file: `WFCAP`, a zero, the version as two bytes (big endian), then blocks. A block: `WFBK`, its number (8 bytes),
-//! first and last time (8 each), lowest and highest query (8 each), records (4), bytes of the records (4), bytes as
-//! compressed (4), CRC-32 of all of this and of the compressed bytes (4), then those. A record in a block: its length
-//! (4), its CRC-32 (4), its postcard bytes.
+//! A file begins with `WFCAP`, a zero byte and the version (2 bytes). Blocks follow.
 //!
-//! Versions: a reader takes every version up to its own. Record kinds are only ever added at the end of [`Record`], so
-//! that what an older writer wrote is read as it was; a newer version than the reader's is rejected by name. The same holds for
-//! the kinds of [`RecordedInput`].
+//! A block begins with a header: `WFBK`, the block number (8 bytes), the times of the first and the
+//! last record (8 each), the lowest and the highest accepted query id (8 each), the number of
+//! records (4), the uncompressed size of the records (4), their compressed size (4), and a CRC-32
+//! of the preceding header fields and the compressed records (4). The compressed records follow.
 //!
-//! - 1: the first.
-//! - 2: queries numbered, attempts measured and timers kept by the caller, as on the simulator's wire.
-//! - 3: the settings have the price of connections; the start of an older file is read by its own type
-//!   ([`crate::older_versions`]).
+//! A record in a decompressed block consists of its length (4 bytes), its CRC-32 (4) and its
+//! postcard encoding.
+//!
+//! Versions: a reader supports its own version and all older ones, and rejects newer versions with
+//! [`crate::ReadError::NewerVersion`]. Postcard identifies variants by position, so new variants of
+//! [`Record`] and [`RecordedInput`] are only ever appended; records from older writers then decode
+//! unchanged.
+//!
+//! - 1: the initial version.
+//! - 2: adds inputs for callers that number queries, measure attempts and manage timers themselves,
+//!   as in the simulator protocol.
+//! - 3: adds the price of connections to the settings. The [`Start`] record of an older file is
+//!   decoded with its own type ([`crate::older_versions`]).
 
 use serde::{Deserialize, Serialize};
 use wheelfield::interface::{EngineId, Micros, QueryId, Settings};
 use wheelfield_driver::{Arrival, DriverLimits, Input, Instruction};
 
-/// The version written.
+/// The format version written to new files.
 pub const VERSION: u16 = 3;
 pub(crate) const FILE_MAGIC: &[u8; 6] = b"WFCAP\0";
 pub(crate) const BLOCK_MAGIC: &[u8; 4] = b"WFBK";
-/// Bytes of a block before its compressed part.
+/// Size of a block header.
 pub(crate) const BLOCK_HEADER_BYTES: usize = 4 + 8 + 8 + 8 + 8 + 8 + 4 + 4 + 4 + 4;
-/// Bytes of a record before its postcard bytes: its length and its CRC-32.
+/// Size of a record header: the length and the CRC-32.
 pub(crate) const RECORD_HEADER_BYTES: usize = 4 + 4;
-/// Bytes of a file before its first block: `FILE_MAGIC` and the version.
+/// Size of a file header: `FILE_MAGIC` and the version.
 pub(crate) const FILE_HEADER_BYTES: u64 = 6 + 2;
-/// Bytes of the records of a block, at most; a checkpoint of many queries makes a long one.
+/// Maximum size of the records in a block. The limit is generous because a checkpoint that holds
+/// many queries is large.
 pub(crate) const MAX_BLOCK_BYTES: usize = 256 << 20;
 
-/// The first record of a file: what a replay needs to begin.
+/// The first record of a file: the configuration that a replay needs to create the driver.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Start {
-    /// Name and version of the program that wrote it.
+    /// Name and version of the program that wrote the file.
     pub build: String,
-    /// The index of the controller.
+    /// Index of the controller.
     pub index: u32,
-    /// The seed of its random generator.
+    /// Seed of the driver's random number generator.
     pub seed: u64,
-    /// The settings of its module.
+    /// Settings of the policy module.
     pub settings: Settings,
-    /// The limits of its driver.
+    /// Limits of the driver.
     pub driver_limits: DriverLimits,
-    /// Names of the classes, by position.
+    /// Names of the classes, indexed by class.
     pub classes: Vec<String>,
-    /// Names of the tenants, by position.
+    /// Names of the tenants, indexed by tenant.
     pub tenants: Vec<String>,
 }
 
-/// The input of a driver in one step. Kinds are only added at the end; their names stand in exports of captures.
+/// The input of the driver in one step. New variants are only ever appended. JSON exports of
+/// captures contain the variant names, so renamed variants keep their exported names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum RecordedInput {
-    /// An input.
+    /// An input event.
     Input(Input),
-    /// A query arrived, to be numbered by the driver.
+    /// A query arrived, and the driver assigned its id.
     Arrive {
         /// The query.
         arrival: Arrival,
-        /// The name its client gave it.
+        /// The name that the client gave the query.
         label: String,
     },
-    /// Timers of the driver were due.
+    /// The driver handled its timers that were due.
     #[serde(rename = "Due")]
     TimersDue,
-    /// A query arrived with a number that the caller gave it.
+    /// A query arrived with an id assigned by the caller.
     #[serde(rename = "ArriveAs")]
     ArriveWithId {
-        /// The number.
+        /// The id of the query.
         id: QueryId,
         /// The query.
         arrival: Arrival,
-        /// The name its client gave it.
+        /// The name that the client gave the query.
         label: String,
     },
-    /// A timer of the module fired, with its token; for callers that keep the timers themselves.
+    /// A timer of the policy module fired. Contains the timer's token. Recorded for callers that
+    /// manage the timers themselves.
     #[serde(rename = "Woke")]
     TimerFired(u64),
 }
 
 impl RecordedInput {
-    /// The query and the name that its client gave it, if this is an arrival.
+    /// Returns the query and the name that the client gave it, if this input is an arrival.
     pub fn arrival(&self) -> Option<(&Arrival, &str)> {
         match self {
             RecordedInput::Arrive { arrival, label }
@@ -91,42 +101,44 @@
     }
 }
 
-/// One record. Kinds are only added at the end.
+/// A record of a capture. New variants are only ever appended.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Record {
-    /// The start of a file. It is kind number 0, by which the reader recognizes that of an older version.
+    /// The start of a file. This must remain variant 0, because the reader uses the position to
+    /// recognize start records of older versions.
     Start(Box<Start>),
-    /// The state of the driver between two steps.
+    /// A snapshot of the driver between two steps.
     Checkpoint {
-        /// When.
+        /// Time of the snapshot.
         at: Micros,
-        /// The driver, as postcard of the build that wrote it. Another build may not be able to read it, and then replays from the
-        /// start.
+        /// The driver, encoded as postcard by the build that wrote the file. If another build
+        /// cannot decode it, the replay starts from the beginning of the capture.
         driver: Vec<u8>,
     },
-    /// An input of the driver and its answer.
+    /// An input of the driver and the resulting instructions.
     Step {
-        /// When.
+        /// Time of the step.
         at: Micros,
         /// The input.
         input: RecordedInput,
-        /// The number of a query that was accepted.
+        /// The id of the query, if the step accepted one.
         accepted: Option<QueryId>,
-        /// The answer.
+        /// The instructions that the driver returned.
         instructions: Vec<Instruction>,
     },
     /// Records before this one were lost.
     Gap {
-        /// When the loss was noticed.
+        /// Time at which the loss was recorded.
         at: Micros,
-        /// How many.
+        /// Number of lost records.
         lost: u64,
     },
-    /// Names of engines, as they became known.
+    /// Names of engines that were not recorded before.
     Engines(Vec<(EngineId, String)>),
 }
 
-/// A [`Record`] by reference, for writing without a copy. It has the same kinds in the same order.
+/// A borrowed [`Record`], which is serialized without copying the data. Its variants must be in the
+/// same order as those of [`Record`].
 #[derive(Serialize)]
 pub(crate) enum RecordRef<'a> {
     Start(&'a Start),
@@ -147,30 +159,30 @@
     Engines(&'a [(EngineId, String)]),
 }
 
-/// The header of a block, without its CRC-32.
+/// The header of a block, except its CRC-32.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct BlockHeader {
-    /// Its number in the capture, from 0.
+    /// Sequence number of the block in the capture, starting from 0.
     pub number: u64,
-    /// Time of its first record, in microseconds.
+    /// Time of the first record, in microseconds.
     pub first_at: i64,
-    /// Time of its last record, in microseconds.
+    /// Time of the last record, in microseconds.
     pub last_at: i64,
-    /// Lowest number of the queries accepted in it; zero if there are none.
+    /// Lowest id of the queries accepted in the block, or 0 if none were accepted.
     pub lowest_query: u64,
-    /// Highest number of the queries accepted in it; zero if there are none.
+    /// Highest id of the queries accepted in the block, or 0 if none were accepted.
     pub highest_query: u64,
-    /// Number of its records.
+    /// Number of records.
     pub records: u32,
-    /// Bytes of its records.
+    /// Uncompressed size of the records.
     pub raw_bytes: u32,
-    /// Bytes of its records, compressed.
+    /// Compressed size of the records.
     pub compressed_bytes: u32,
 }
 
 impl BlockHeader {
-    /// The header as written, with the CRC-32 over itself and the compressed records.
-    pub fn to_bytes(&self, compressed: &[u8]) -> [u8; BLOCK_HEADER_BYTES] {
+    /// Encodes the header, including the CRC-32 of the header fields and the compressed records.
+    pub fn encode(&self, compressed: &[u8]) -> [u8; BLOCK_HEADER_BYTES] {
         let mut out = [0; BLOCK_HEADER_BYTES];
         let mut offset = 0;
         let mut put = |bytes: &[u8]| {
@@ -193,8 +205,9 @@
         out
     }
 
-    /// Reads a header and the CRC-32 in it; `None` if no block begins here.
-    pub fn parse(bytes: &[u8; BLOCK_HEADER_BYTES]) -> Option<(BlockHeader, u32)> {
+    /// Decodes a header and its CRC-32. Returns `None` if the bytes do not begin with the block
+    /// magic.
+    pub fn decode(bytes: &[u8; BLOCK_HEADER_BYTES]) -> Option<(BlockHeader, u32)> {
         let u64_at = |offset: usize| {
             bytes[offset..offset + 8]
                 .try_into()
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -1,15 +1,20 @@
-//! The record of all inputs of a driver and of its answers.
+//! Captures: recordings of all inputs of a driver and of the instructions it returned.
 //!
-//! A capture is a file of **blocks**; a block is a number of **records**, compressed together. Each record and each block
-//! carries its length and a CRC-32. Blocks are numbered, so that a lost one is noticed. A file begins with a [`Start`] and a
-//! checkpoint of the whole driver, and so stands by itself. More checkpoints follow at an interval and after every loss, so
-//! that a replay can enter there.
+//! A capture consists of one or more files. A file contains **blocks**, and a block contains
+//! **records** that are compressed together. Each record and each block carries its length and a
+//! CRC-32. Blocks are numbered so that a missing block is detected. A file begins with a [`Start`]
+//! record and a checkpoint of the whole driver, so each file can be replayed on its own. Further
+//! checkpoints are written periodically and after every loss of records, and a replay can start
+//! from any of them.
 //!
-//! The decision thread only serializes records into a buffer and hands full buffers to a writer thread through a bounded
-//! queue. When the queue is full, whole buffers are dropped and counted, and the file says so.
+//! The thread that runs the driver only serializes records into a buffer and passes full buffers to
+//! a writer thread through a bounded channel, so it never waits for the disk. If the channel is
+//! full, the buffer is dropped, its records are counted as lost, and the loss is recorded in the
+//! capture.
 //!
-//! A capture may be held in memory alone, as a ring of spans that each begin with a checkpoint; the writer thread then writes
-//! a file only when one of the [`Triggers`] fires.
+//! Alternatively, a capture is held in memory as a ring of segments that each begin with a
+//! checkpoint. The writer thread then writes a file only when one of the [`Triggers`] fires or an
+//! operator requests it.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/capture/src/older_versions.rs
+++ b/crates/capture/src/older_versions.rs
@@ -1,12 +1,13 @@
-//! Types as older versions wrote them. Postcard can't read a record past a field that it lacks, so a type that has gained fields is
-//! kept here as it was, and converted to the current one by the names of its fields.
+//! Types for decoding records of older format versions. Postcard encodes fields by position and
+//! cannot skip a missing field, so a type that has gained fields is kept here in its old form and
+//! converted to the current type by field name.
 
 use crate::format::Start;
 use serde::{Deserialize, Serialize};
 use wheelfield::interface::{Class, Micros, RetryBudget, Settings};
 use wheelfield_driver::DriverLimits;
 
-/// The start of a file of version 1 or 2.
+/// The start record of versions 1 and 2.
 #[derive(Deserialize)]
 pub(crate) struct StartV2 {
     build: String,
@@ -18,8 +19,8 @@
     tenants: Vec<String>,
 }
 
-/// The settings of version 1 and 2: without the price of connections. The fields have their names of then, which the current type
-/// reads as aliases.
+/// The settings of versions 1 and 2, which lack the price of connections. The fields have the names
+/// used by those versions, which the current type accepts as aliases.
 #[derive(Serialize, Deserialize)]
 struct SettingsV2 {
     gateways: f64,
@@ -58,10 +59,11 @@
 }
 
 impl StartV2 {
-    /// Converts to the current type. A field that did not exist then has its default, with which the module decides as it did.
+    /// Converts to the current type. Fields missing from the old version get their defaults, with
+    /// which the policy module makes the same decisions as it did in the old version.
     ///
     /// # Errors
-    /// If a number is not finite; no program writes such a one.
+    /// Returns an error if a number is not finite, which no program writes.
     pub fn into_current(self) -> Result<Start, serde_json::Error> {
         let settings: Settings = serde_json::from_value(serde_json::to_value(self.settings)?)?;
         let StartV2 {
--- a/crates/capture/src/reader.rs
+++ b/crates/capture/src/reader.rs
@@ -1,4 +1,5 @@
-//! Reads captures block by block, checking every CRC-32, to the end or to where the file is truncated.
+//! Reads captures block by block and verifies every CRC-32. A truncated block at the end of the
+//! file is reported as [`Entry::Truncated`].
 
 use crate::format::{
     BlockHeader, Record, BLOCK_HEADER_BYTES, FILE_HEADER_BYTES, FILE_MAGIC, MAX_BLOCK_BYTES,
@@ -10,84 +11,85 @@
 use std::io::{BufReader, Read, Seek, SeekFrom};
 use std::path::Path;
 
-/// Why a capture can't be read.
+/// The reasons why a capture cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("cannot read the capture: {0}")]
     Io(#[from] std::io::Error),
-    /// The file is no capture.
-    #[error("not a capture: it does not begin with WFCAP")]
+    /// The file is not a capture.
+    #[error("not a capture file: it does not begin with WFCAP")]
     NotACapture,
-    /// A newer program wrote it.
-    #[error("a capture of version {0}; this program reads up to {VERSION}")]
+    /// The file has a format version that this program does not support.
+    #[error("unsupported capture version {0}; this program supports versions up to {VERSION}")]
     NewerVersion(u16),
-    /// A part of it is not as it was written.
-    #[error("damaged at byte {offset}: {reason}")]
-    Damaged {
-        /// The byte of the file where the block begins.
+    /// A block is corrupt.
+    #[error("corrupt capture at byte {offset}: {reason}")]
+    Corrupt {
+        /// Offset of the corrupt block in the file.
         offset: u64,
-        /// What is wrong there.
+        /// Description of the corruption.
         reason: String,
     },
 }
 
-/// A part of a capture, in the order of the file.
+/// An entry of a capture, in file order.
 #[derive(Debug)]
 pub enum Entry {
     /// A record.
     Record(Box<Record>),
-    /// Blocks are missing here.
+    /// One or more blocks are missing at this position.
     MissingBlocks {
-        /// How many.
+        /// Number of missing blocks.
         blocks: u64,
     },
-    /// The file ends within a block, as after a crash; all before it is complete.
+    /// The file ends within a block, for example after a crash. All preceding blocks are complete.
     Truncated {
-        /// The byte at which the complete part ends.
+        /// Offset at which the incomplete block begins.
         offset: u64,
     },
 }
 
-/// What is known of a block without decompressing it.
+/// Information about a block that is available without decompressing it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BlockInfo {
-    /// The byte of the file where it begins.
+    /// Offset of the block in the file.
     pub offset: u64,
-    /// Time of its first record, in microseconds.
+    /// Time of the first record, in microseconds.
     pub first_at: i64,
-    /// Time of its last record, in microseconds.
+    /// Time of the last record, in microseconds.
     pub last_at: i64,
-    /// Lowest number of the queries accepted in it; zero if there are none.
+    /// Lowest id of the queries accepted in the block, or 0 if none were accepted.
     pub lowest_query: u64,
-    /// Highest number of the queries accepted in it; zero if there are none.
+    /// Highest id of the queries accepted in the block, or 0 if none were accepted.
     pub highest_query: u64,
-    /// Number of its records.
+    /// Number of records.
     pub records: u32,
-    /// Bytes of its records, compressed.
+    /// Compressed size of the records.
     pub compressed_bytes: u32,
-    /// Bytes of its records.
+    /// Uncompressed size of the records.
     pub raw_bytes: u32,
 }
 
-/// Reads a capture.
+/// Reads the entries of a capture file in order.
 pub struct Reader {
     file: BufReader<File>,
-    /// Where the next block begins.
+    /// Offset of the next block in the file.
     offset: u64,
     length: u64,
     version: u16,
     next_block_number: Option<u64>,
-    /// Entries of the last block read.
+    /// Entries of the last block read that were not returned yet.
     pending: VecDeque<Entry>,
     is_at_end: bool,
 }
 
 impl Reader {
-    /// Opens a capture.
+    /// Opens a capture file.
     ///
     /// # Errors
-    /// [`ReadError`] if it can't be read, is no capture, or of a newer version.
+    /// Returns a [`ReadError`] if the file cannot be read, is not a capture, or has an unsupported
+    /// version.
     pub fn open(path: &Path) -> Result<Reader, ReadError> {
         let file = File::open(path)?;
         let length = file.metadata()?.len();
@@ -115,10 +117,10 @@
         })
     }
 
-    /// Goes to the block that begins at a byte ([`BlockInfo::offset`]).
+    /// Continues reading at the block that begins at `offset` (see [`BlockInfo::offset`]).
     ///
     /// # Errors
-    /// [`ReadError::Io`].
+    /// Returns [`ReadError::Io`] if the file cannot be positioned.
     pub fn seek_to_block(&mut self, offset: u64) -> Result<(), ReadError> {
         self.file.seek(SeekFrom::Start(offset))?;
         self.offset = offset;
@@ -128,14 +130,15 @@
         Ok(())
     }
 
-    fn damaged(&self, reason: impl Into<String>) -> ReadError {
-        ReadError::Damaged {
+    fn corrupt(&self, reason: impl Into<String>) -> ReadError {
+        ReadError::Corrupt {
             offset: self.offset,
             reason: reason.into(),
         }
     }
 
-    /// Reads the header of the next block; `None` where the file is truncated.
+    /// Reads the header of the next block. Returns `None` if the file ends before the end of the
+    /// block.
     fn read_block_header(
         &mut self,
     ) -> Result<Option<(BlockHeader, u32, [u8; BLOCK_HEADER_BYTES])>, ReadError> {
@@ -144,13 +147,13 @@
         }
         let mut bytes = [0; BLOCK_HEADER_BYTES];
         self.file.read_exact(&mut bytes)?;
-        let Some((header, crc)) = BlockHeader::parse(&bytes) else {
-            return Err(self.damaged("no block begins here"));
+        let Some((header, crc)) = BlockHeader::decode(&bytes) else {
+            return Err(self.corrupt("invalid block header"));
         };
         if header.raw_bytes as usize > MAX_BLOCK_BYTES
             || header.compressed_bytes as usize > MAX_BLOCK_BYTES
         {
-            return Err(self.damaged("a block of an impossible length"));
+            return Err(self.corrupt("block size exceeds the limit"));
         }
         if self.length - self.offset - (BLOCK_HEADER_BYTES as u64)
             < u64::from(header.compressed_bytes)
@@ -160,10 +163,11 @@
         Ok(Some((header, crc, bytes)))
     }
 
-    /// The headers of all blocks, without decompressing any: an index by time and by query.
+    /// Returns information about all blocks without decompressing them. It serves as an index by
+    /// time and by query.
     ///
     /// # Errors
-    /// [`ReadError`] where no block begins.
+    /// Returns a [`ReadError`] if the file cannot be read or a block header is invalid.
     pub fn block_infos(&mut self) -> Result<Vec<BlockInfo>, ReadError> {
         self.seek_to_block(FILE_HEADER_BYTES)?;
         let mut all = Vec::new();
@@ -185,10 +189,11 @@
         Ok(all)
     }
 
-    /// The next entry; `None` at the end.
+    /// Returns the next entry, or `None` at the end of the file.
     ///
     /// # Errors
-    /// [`ReadError::Damaged`] where a CRC-32 or a length is wrong.
+    /// Returns [`ReadError::Corrupt`] if a block or a record is corrupt, or [`ReadError::Io`] if
+    /// the file cannot be read.
     pub fn next_entry(&mut self) -> Result<Option<Entry>, ReadError> {
         loop {
             if let Some(entry) = self.pending.pop_front() {
@@ -215,7 +220,7 @@
         }
     }
 
-    /// Reads and decompresses the records of a block whose header was read.
+    /// Reads, verifies and decompresses the records of the block whose header was just read.
     fn decompress_block(
         &mut self,
         header: &BlockHeader,
@@ -228,13 +233,13 @@
         hasher.update(&header_bytes[..BLOCK_HEADER_BYTES - 4]);
         hasher.update(&compressed);
         if hasher.finalize() != crc {
-            return Err(self.damaged("the sum of a block is wrong"));
+            return Err(self.corrupt("block checksum mismatch"));
         }
         zstd::bulk::decompress(&compressed, header.raw_bytes as usize)
-            .map_err(|e| self.damaged(format!("a block that can't be unpacked: {e}")))
+            .map_err(|e| self.corrupt(format!("block cannot be decompressed: {e}")))
     }
 
-    /// Decodes a record by the types of the file's version.
+    /// Decodes a record with the types of the file's format version.
     fn decode_record(&self, bytes: &[u8]) -> Result<Record, String> {
         match bytes.split_first() {
             Some((0, start)) if self.version < 3 => {
@@ -247,25 +252,25 @@
         }
     }
 
-    /// Splits a decompressed block into its records.
+    /// Decodes the records of a decompressed block and queues them as pending entries.
     fn decode_records(&mut self, raw: &[u8]) -> Result<(), ReadError> {
         let mut rest = raw;
         while !rest.is_empty() {
             let Some((header, body)) = rest.split_first_chunk::<RECORD_HEADER_BYTES>() else {
-                return Err(self.damaged("a record without its length"));
+                return Err(self.corrupt("incomplete record header"));
             };
             let length = u32::from_be_bytes([header[0], header[1], header[2], header[3]]) as usize;
             let crc = u32::from_be_bytes([header[4], header[5], header[6], header[7]]);
             if body.len() < length {
-                return Err(self.damaged("a record longer than its block"));
+                return Err(self.corrupt("record extends past the end of its block"));
             }
             let (record, remaining) = body.split_at(length);
             if crc32fast::hash(record) != crc {
-                return Err(self.damaged("the sum of a record is wrong"));
+                return Err(self.corrupt("record checksum mismatch"));
             }
             let record = self
                 .decode_record(record)
-                .map_err(|e| self.damaged(format!("a record that can't be read: {e}")))?;
+                .map_err(|e| self.corrupt(format!("record cannot be decoded: {e}")))?;
             self.pending.push_back(Entry::Record(Box::new(record)));
             rest = remaining;
         }
@@ -273,10 +278,11 @@
     }
 }
 
-/// Cuts an incomplete block off the end of a file. Returns the number of bytes cut.
+/// Truncates the file before an incomplete block at its end. Returns the number of bytes removed.
 ///
 /// # Errors
-/// [`ReadError`] if it can't be read, or is damaged before its end, which is not repaired.
+/// Returns a [`ReadError`] if the file cannot be read or written, or if a complete block is
+/// corrupt, which this function does not repair.
 pub fn repair(path: &Path) -> Result<u64, ReadError> {
     let mut reader = Reader::open(path)?;
     while let Some(entry) = reader.next_entry()? {
--- a/crates/capture/src/recorder.rs
+++ b/crates/capture/src/recorder.rs
@@ -1,4 +1,5 @@
-//! The decision thread's side of a capture: serializes records and hands blocks to the writer thread.
+//! The recorder, which runs on the driver's thread: serializes records and passes blocks to the
+//! writer thread.
 
 use crate::block_buffer::BlockBuffer;
 use crate::disk::{disk_file_factory, FileFactory};
@@ -14,23 +15,24 @@
 use wheelfield::interface::{EngineId, Micros, QueryId};
 use wheelfield_driver::{Driver, Instruction};
 
-/// A span in memory has at most this part of all memory, so that dropping the oldest leaves most.
+/// An in-memory segment is limited to `1 / SEGMENTS_IN_RING` of the ring's capacity, so that dropping
+/// the oldest segment keeps most of the recorded data.
 const SEGMENTS_IN_RING: u64 = 4;
 
-/// What a recorder is bounded by.
+/// Limits on the size and the timing of a capture.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of records that are handed over at a time.
+    /// Size of the serialized records that are passed to the writer thread as one block.
     pub block_bytes: usize,
-    /// Blocks that wait to be written, at most; further ones are dropped.
+    /// Maximum number of blocks waiting for the writer thread; further blocks are dropped.
     pub max_queued_blocks: usize,
-    /// Bytes of a file, after which the next one begins.
+    /// Size of a file after which the next file is begun.
     pub segment_bytes: u64,
-    /// Bytes of all files together, after which the oldest is removed.
+    /// Total size of all files above which the oldest file is removed.
     pub max_total_bytes: u64,
-    /// Time between two checkpoints.
+    /// Interval between checkpoints.
     pub checkpoint_interval: Micros,
-    /// Time after which what was written is made durable.
+    /// Interval at which buffered records are passed on and written data is synced to disk.
     pub sync_interval: Micros,
 }
 
@@ -47,37 +49,38 @@
     }
 }
 
-/// What became of the records so far.
+/// Counters and status of a recorder.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RecorderState {
-    /// Records handed to the writer thread.
+    /// Number of records passed to the writer thread, less those that the writer thread lost.
     pub recorded: u64,
-    /// Records lost, as the queue was full or the disk did not take them.
+    /// Number of records lost because they could not be serialized, the channel was full or the
+    /// write failed.
     pub lost: u64,
-    /// Bytes written.
+    /// Number of bytes written to files.
     pub written_bytes: u64,
-    /// The writer thread has ended, or can't write.
+    /// Whether the last write failed or the writer thread has ended unexpectedly.
     pub is_failing: bool,
-    /// Files written of a capture in memory.
+    /// Number of files written from the in-memory ring.
     pub ring_files: u64,
-    /// Bytes held in memory.
+    /// Size of the compressed blocks held in the in-memory ring.
     pub ring_bytes: u64,
 }
 
-/// RecordCounts of records that were handed over or lost.
+/// Counters of records that were passed to the writer thread or lost.
 #[derive(Debug, Default)]
 struct RecordCounts {
     recorded: u64,
-    /// Lost before the writer thread had them.
+    /// Records lost before they reached the writer thread.
     lost: u64,
-    /// Lost by the writer thread, as far as that was taken into `unreported`.
+    /// Records lost by the writer thread, as far as already added to `unreported`.
     lost_by_writer: u64,
-    /// Lost since the last [`RecordRef::Gap`].
+    /// Records lost since the last [`RecordRef::Gap`].
     unreported: u64,
 }
 
-/// Records the inputs and answers of a driver. All methods are called on the decision thread and never wait for the disk,
-/// except [`Recorder::finish`].
+/// Records the inputs of a driver and the instructions it returns. All methods are called on the
+/// driver's thread. None of them waits for the disk except [`Recorder::finish`].
 #[derive(Debug)]
 pub struct Recorder {
     start: Start,
@@ -85,25 +88,29 @@
     writer: WriterThread,
     buffer: BlockBuffer,
     counts: RecordCounts,
-    /// Names of engines recorded so far.
+    /// Engine names recorded so far.
     engine_names: Vec<(EngineId, String)>,
-    /// Files or spans asked for beyond the first.
+    /// Number of segments requested from the writer thread after the first. A segment is a file, or
+    /// a part of the in-memory ring.
     segments_requested: u64,
     last_checkpoint_at: Micros,
     last_flush_at: Micros,
-    /// The path that files are named after.
+    /// The path from which the names of files are derived.
     path: PathBuf,
-    /// For a capture in memory: what detects a reason to write it to a file.
+    /// Detects the triggers of an in-memory capture; `None` for a capture written directly to
+    /// files.
     triggers: Option<TriggerDetector>,
-    /// The file that a capture in memory is to be written to, once the queue takes the message.
+    /// Path of a file whose request has not been sent to the writer thread yet, because the channel
+    /// was full or the request is new.
     ring_file: Option<PathBuf>,
 }
 
 impl Recorder {
-    /// Begins a capture at `path`; its later files are named after that.
+    /// Begins a capture that is written to `path`. The names of later files are derived from
+    /// `path`.
     ///
     /// # Errors
-    /// If the first file can't be created, or the writer thread can't be started.
+    /// Returns an error if the first file cannot be created or the writer thread cannot be started.
     pub fn begin(
         path: &Path,
         start: Start,
@@ -114,10 +121,10 @@
         Recorder::begin_with_file_factory(disk_file_factory(), path, start, limits, driver, now)
     }
 
-    /// Begins a capture in files that `file_factory` creates.
+    /// Begins a capture that is written to files created by `file_factory`.
     ///
     /// # Errors
-    /// As [`Recorder::begin`].
+    /// Same as for [`Recorder::begin`].
     pub fn begin_with_file_factory(
         mut file_factory: FileFactory,
         path: &Path,
@@ -135,11 +142,11 @@
         ))
     }
 
-    /// Begins a capture that is held in memory. When one of the triggers fires, it is written to a file named after `path`,
-    /// the time and the reason.
+    /// Begins a capture that is held in memory. When a trigger fires, the capture is written to a
+    /// file whose name consists of the stem of `path`, the time and the reason.
     ///
     /// # Errors
-    /// If the writer thread can't be started.
+    /// Returns an error if the writer thread cannot be started.
     pub fn begin_in_memory(
         path: &Path,
         start: Start,
@@ -193,7 +200,8 @@
         recorder
     }
 
-    /// Records a step: an input of the driver, the number of a query that it accepted, and its answer.
+    /// Records a step: an input of the driver, the id of the query that it accepted, if any, and
+    /// the instructions that it returned.
     pub fn record_step(
         &mut self,
         at: Micros,
@@ -218,7 +226,7 @@
         }
     }
 
-    /// Records names of engines that were not recorded yet.
+    /// Records the names of engines that were not recorded before.
     pub fn record_engines(&mut self, at: Micros, names: impl Iterator<Item = (EngineId, String)>) {
         let new: Vec<(EngineId, String)> = names
             .filter(|name| !self.engine_names.contains(name))
@@ -229,7 +237,9 @@
         }
     }
 
-    /// Hands over what is due. To be called between steps, as a checkpoint may be taken of the driver.
+    /// Passes on the current block, records a checkpoint and requests a file from the ring, each if
+    /// it is due. Must be called between steps, because a checkpoint captures the state of the
+    /// driver between two steps.
     pub fn maintain(&mut self, driver: &Driver, now: Micros) {
         self.count_writer_losses();
         self.flush_if_due(driver, now);
@@ -239,14 +249,15 @@
         self.check_triggers(driver, now);
     }
 
-    /// Writes what is held in memory to a file, on an operator's request. Without effect for a capture in files.
+    /// Requests that the in-memory ring be written to a file. Has no effect on a capture written
+    /// directly to files.
     pub fn request_file(&mut self, now: Micros) {
         if let Some(triggers) = &mut self.triggers {
             triggers.request(now);
         }
     }
 
-    /// What became of the records so far.
+    /// Returns the counters and the status of the recorder.
     pub fn state(&self) -> RecorderState {
         let status = self.writer.status();
         let lost_by_writer = status.lost_records.load(Ordering::Relaxed);
@@ -260,7 +271,8 @@
         }
     }
 
-    /// Hands over the rest and waits until it is written. A capture in memory is written to a file if a trigger has fired.
+    /// Passes the remaining records to the writer thread and waits until they are processed. An
+    /// in-memory capture is written to a file if a trigger has fired.
     pub fn finish(mut self, now: Micros) -> RecorderState {
         if let Some(reason) = self
             .triggers
@@ -275,7 +287,7 @@
         self.state()
     }
 
-    /// Adds a record to the block.
+    /// Appends a record to the current block, or counts it as lost.
     fn push_record(&mut self, at: Micros, record: &RecordRef<'_>) {
         if self.buffer.push(at, record).is_err() {
             self.counts.lost += 1;
@@ -283,7 +295,8 @@
         }
     }
 
-    /// Adds the records that a file or span begins with, or what follows a loss.
+    /// Records what a reader needs at the beginning of a segment or after a loss: the start, the
+    /// gap, the engine names and a checkpoint.
     fn push_segment_start(&mut self, driver: &Driver, now: Micros) {
         let start = self.start.clone();
         self.push_record(now, &RecordRef::Start(&start));
@@ -298,7 +311,7 @@
 
     fn push_checkpoint(&mut self, driver: &Driver, now: Micros) {
         self.last_checkpoint_at = now;
-        // Serializing into memory fails only for types that can't be serialized; a driver has none.
+        // Serialization into memory fails only for unsupported types, and the driver contains none.
         if let Ok(bytes) = postcard::to_stdvec(driver) {
             self.push_record(
                 now,
@@ -318,8 +331,9 @@
         }
     }
 
-    /// Hands over the block if it is full or old enough. Begins a new file or span if the current one is full, and enters
-    /// again behind a loss.
+    /// Passes on the current block if it is full or older than the sync interval. Begins a new
+    /// segment if the current one is full. After a loss, records a gap and a checkpoint, from which
+    /// a replay can continue.
     fn flush_if_due(&mut self, driver: &Driver, now: Micros) {
         let segment_is_full = self.is_segment_full();
         let is_old =
@@ -336,15 +350,15 @@
         }
     }
 
-    /// Whether the current file or span is full. While the writer thread has not begun the last one asked for, its figure is of
-    /// the one before.
+    /// Returns whether the current segment is full. Until the writer thread has begun the last
+    /// requested segment, the reported size is that of the previous segment and is ignored.
     fn is_segment_full(&self) -> bool {
         let status = self.writer.status();
         let is_current = status.segments_begun.load(Ordering::Relaxed) == self.segments_requested;
         is_current && status.segment_bytes.load(Ordering::Relaxed) >= self.limits.segment_bytes
     }
 
-    /// Records a checkpoint. In memory, each begins a span.
+    /// Records a checkpoint. For an in-memory capture, each checkpoint begins a new segment.
     fn take_checkpoint(&mut self, driver: &Driver, now: Micros) {
         if self.triggers.is_none() {
             self.push_checkpoint(driver, now);
@@ -353,7 +367,8 @@
         }
     }
 
-    /// Requests a file of a capture in memory, if a trigger has fired.
+    /// If a trigger has fired and its file is due, requests that the ring be written to a file.
+    /// Retries an earlier request for which the channel was full.
     fn check_triggers(&mut self, driver: &Driver, now: Micros) {
         let Some(triggers) = &mut self.triggers else {
             return;
@@ -368,7 +383,8 @@
             .and_then(|path| self.writer.write_ring(path));
     }
 
-    /// Asks the writer thread to begin a file or span; false if it can't be asked now.
+    /// Requests a new segment from the writer thread. Returns `false` if the channel is full or
+    /// closed.
     fn begin_segment(&mut self) -> bool {
         let requested = self.writer.begin_segment();
         self.segments_requested += u64::from(requested);
@@ -389,7 +405,7 @@
         self.ring_file = Some(self.path.with_file_name(name));
     }
 
-    /// Hands the block over; false if it was dropped.
+    /// Passes the current block to the writer thread. Returns `false` if the block was dropped.
     fn flush(&mut self, now: Micros) -> bool {
         self.last_flush_at = now;
         let Some((header, bytes)) = self.buffer.take() else {
--- a/crates/capture/src/ring.rs
+++ b/crates/capture/src/ring.rs
@@ -1,4 +1,5 @@
-//! A capture in memory: whole segments, the oldest of which are dropped; written to a file on request.
+//! The in-memory ring: holds compressed blocks in segments, drops the oldest segments and writes
+//! the rest to a file on request.
 
 use crate::format::{BlockHeader, FILE_HEADER_BYTES, FILE_MAGIC, VERSION};
 use crate::writer_thread::{compress, Message, WriterStatus};
@@ -10,12 +11,13 @@
 use std::sync::mpsc::Receiver;
 use wheelfield::interface::Micros;
 
-/// How much is held in memory.
+/// Limits on the in-memory ring.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RingLimits {
-    /// Bytes of compressed blocks, at most.
+    /// Maximum size of the compressed blocks.
     pub max_bytes: u64,
-    /// The time that is held at least, if the bytes suffice.
+    /// Minimum duration to retain. Segments that are not needed to cover it are dropped.
+    /// `max_bytes` takes precedence.
     pub min_duration: Micros,
 }
 
@@ -28,15 +30,15 @@
     }
 }
 
-/// Blocks from one checkpoint up to the next.
+/// The blocks from one checkpoint to the next.
 #[derive(Default)]
 struct RingSegment {
     bytes: Vec<u8>,
-    /// Time of its first record, in microseconds.
+    /// Time of the first record, in microseconds.
     first_at: Option<i64>,
 }
 
-/// The segments, oldest first.
+/// The ring of segments, oldest first.
 pub(crate) struct Ring {
     limits: RingLimits,
     segments: VecDeque<RingSegment>,
@@ -44,7 +46,7 @@
 }
 
 impl Ring {
-    /// A ring with one empty segment.
+    /// Creates a ring with one empty segment.
     pub fn new(limits: RingLimits) -> Ring {
         Ring {
             limits,
@@ -57,10 +59,11 @@
         self.segments.push_back(RingSegment::default());
     }
 
-    /// Adds a block to the newest segment, and drops the oldest segments: while there are too many bytes, or while the rest still
-    /// reaches back far enough. Returns the bytes of the newest segment.
+    /// Appends a block to the newest segment. Then drops the oldest segments while the ring exceeds
+    /// the size limit or the remaining segments still cover the minimum duration. Returns the size
+    /// of the newest segment.
     fn push(&mut self, header: &BlockHeader, compressed: &[u8]) -> u64 {
-        let header_bytes = header.to_bytes(compressed);
+        let header_bytes = header.encode(compressed);
         let Some(segment) = self.segments.back_mut() else {
             return 0;
         };
@@ -87,10 +90,11 @@
         segment_bytes
     }
 
-    /// Writes all segments to a file, whole and durably or not at all. Returns its bytes.
+    /// Writes all segments to a file and syncs it. The file appears under its final name only when
+    /// it is complete. Returns the size of the file.
     ///
     /// # Errors
-    /// If that fails; no file is left then.
+    /// Returns an error if a file operation fails. No partial file remains then.
     fn write_atomically(&self, path: &Path) -> io::Result<u64> {
         let partial = path.with_extension("partial");
         let written = self
@@ -116,18 +120,18 @@
     }
 }
 
-/// The writer thread's side of a capture in memory.
+/// Handles the messages of an in-memory capture on the writer thread.
 pub(crate) struct RingWriter {
     /// The ring.
     pub ring: Ring,
-    /// The path that files are named after.
+    /// The path from which the names of files are derived.
     pub path: PathBuf,
-    /// Bytes of all files together, at most.
+    /// Maximum total size of the files written from the ring.
     pub max_total_bytes: u64,
 }
 
 impl RingWriter {
-    /// Handles messages until the queue is closed.
+    /// Processes messages until the channel is closed.
     pub fn run(mut self, messages: &Receiver<Message>, status: &WriterStatus) {
         while let Ok(message) = messages.recv() {
             match message {
@@ -169,7 +173,8 @@
     }
 }
 
-/// Removes the oldest files written of a capture until all together have at most `max_bytes`; `newest` stays.
+/// Removes the oldest files written from the ring until their total size is at most `max_bytes`.
+/// `newest` is never removed.
 fn remove_oldest_files(capture_path: &Path, newest: &Path, max_bytes: u64) {
     let Ok(entries) = std::fs::read_dir(directory_of(capture_path)) else {
         return;
@@ -180,7 +185,7 @@
         .filter(|path| is_ring_file(path, capture_path))
         .filter_map(|path| path.metadata().ok().map(|metadata| (path, metadata.len())))
         .collect();
-    // The time stands behind the name of the capture, so the names are in the order of time.
+    // File names contain the time after the common stem, so sorting by name sorts by time.
     files.sort();
     let mut total: u64 = files.iter().map(|(_, bytes)| bytes).sum();
     for (path, bytes) in files {
@@ -193,7 +198,8 @@
     }
 }
 
-/// Whether a file was written of a capture in memory: `x-20...wfcap` for `x.wfcap`.
+/// Returns whether the file at `path` was written from the ring: `x-20...wfcap` for the capture
+/// path `x.wfcap`.
 fn is_ring_file(path: &Path, capture_path: &Path) -> bool {
     let stem = capture_path
         .file_stem()
--- a/crates/capture/src/triggers.rs
+++ b/crates/capture/src/triggers.rs
@@ -1,30 +1,32 @@
-//! Detects when a capture in memory is to be written to a file. No I/O and no clock: steps in, a reason out.
+//! Detects when an in-memory capture should be written to a file. Performs no I/O and reads no
+//! clock: it is driven by the recorded steps and their times.
 
 use crate::format::RecordedInput;
 use std::collections::VecDeque;
 use wheelfield::interface::Micros;
 use wheelfield_driver::{Answer, Instruction};
 
-/// Parts of the window in which rejections are counted.
+/// Number of slices that the rejection window is divided into.
 const SLICES_IN_WINDOW: i64 = 10;
-/// With fewer arrivals in the window, the fraction of rejections says nothing.
+/// Minimum number of arrivals in the window. With fewer arrivals, the fraction of rejections is not
+/// meaningful.
 const MIN_ARRIVALS: u64 = 20;
 
-/// Why a capture in memory was written to a file.
+/// The reasons for writing an in-memory capture to a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TriggerReason {
     /// An engine was ejected.
     EngineEjected,
-    /// More than a fraction of the arriving queries was rejected.
+    /// The fraction of rejected queries exceeded the threshold.
     Rejections,
-    /// The controller acted much later than it was due to.
+    /// The driver ran much later than it was due.
     Stall,
-    /// An operator requested it.
+    /// An operator requested the file.
     Requested,
 }
 
 impl TriggerReason {
-    /// The part of a file name that says the reason.
+    /// Returns the part of the file name that identifies the reason.
     pub fn file_name_part(self) -> &'static str {
         match self {
             TriggerReason::EngineEjected => "set-aside",
@@ -35,20 +37,20 @@
     }
 }
 
-/// When a capture in memory is to be written to a file.
+/// The conditions under which an in-memory capture is written to a file.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Triggers {
-    /// When an engine is ejected.
+    /// Whether to fire when an engine is ejected.
     pub on_engine_ejected: bool,
-    /// When more than this fraction of the queries that arrived within the window was rejected.
+    /// Fires when the rejections exceed this fraction of the arrivals within the window.
     pub rejected_fraction: Option<f64>,
-    /// The window in which rejections are counted.
+    /// The sliding window over which rejections are counted.
     pub window: Micros,
-    /// When the controller acts so much later than it was due to.
+    /// Fires when the driver runs later than it was due by more than this duration.
     pub stall: Option<Micros>,
-    /// Time after a trigger that is written along with it.
+    /// How long recording continues after a trigger fires before the file is written.
     pub record_after: Micros,
-    /// Time after a file in which no trigger fires; an operator's request always does.
+    /// How long after a file no trigger fires. Operator requests are exempt.
     pub cooldown: Micros,
 }
 
@@ -65,7 +67,7 @@
     }
 }
 
-/// Arrivals and rejections in a part of the window.
+/// The arrivals and rejections in one slice of the window.
 #[derive(Clone, Copy, Debug)]
 struct WindowSlice {
     begins_at: Micros,
@@ -73,20 +75,20 @@
     rejections: u64,
 }
 
-/// A trigger that has fired, and when its file is due.
+/// A trigger that has fired, and the time at which its file is to be written.
 #[derive(Clone, Copy, Debug)]
 struct PendingTrigger {
     reason: TriggerReason,
     due_at: Micros,
 }
 
-/// Detects triggers in the steps of a driver.
+/// Detects triggers from the steps of a driver.
 #[derive(Clone, Debug)]
 pub struct TriggerDetector {
     triggers: Triggers,
-    /// The window, oldest slice first.
+    /// The slices of the window, oldest first.
     slices: VecDeque<WindowSlice>,
-    /// The next timer of the driver.
+    /// When the driver's next timer is due.
     next_timer_at: Option<Micros>,
     last_step_at: Option<Micros>,
     pending: Option<PendingTrigger>,
@@ -94,7 +96,7 @@
 }
 
 impl TriggerDetector {
-    /// A detector that has seen no step.
+    /// Creates a detector without any history.
     pub fn new(triggers: Triggers) -> TriggerDetector {
         TriggerDetector {
             triggers,
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Observes a step of the driver.
+    /// Processes a step of the driver.
     pub fn observe_step(
         &mut self,
         at: Micros,
@@ -121,7 +123,7 @@
         if arrivals > 0 || rejections > 0 {
             self.count_in_window(at, arrivals, rejections);
         }
-        // The module logs only that it ejected an engine.
+        // The policy module writes a log instruction only when it ejects an engine.
         if self.triggers.on_engine_ejected
             && instructions
                 .iter()
@@ -131,12 +133,13 @@
         }
     }
 
-    /// Sets when the driver is due to act next.
+    /// Sets the time at which the driver's next timer is due.
     pub fn set_next_timer(&mut self, at: Option<Micros>) {
         self.next_timer_at = at;
     }
 
-    /// Fires at once, on an operator's request.
+    /// Fires immediately for an operator's request, without recording further steps first. Replaces
+    /// a pending trigger.
     pub fn request(&mut self, now: Micros) {
         self.pending = Some(PendingTrigger {
             reason: TriggerReason::Requested,
@@ -144,20 +147,22 @@
         });
     }
 
-    /// The reason for a file that is due now.
+    /// Returns the reason of the pending trigger if its file is due, and starts the cooldown.
     pub fn take_due(&mut self, now: Micros) -> Option<TriggerReason> {
         self.pending.filter(|pending| now >= pending.due_at)?;
         self.take_pending(now)
     }
 
-    /// The reason for a file, whether it is due or not.
+    /// Returns the reason of the pending trigger whether or not its file is due, and starts the
+    /// cooldown.
     pub fn take_pending(&mut self, now: Micros) -> Option<TriggerReason> {
         let PendingTrigger { reason, .. } = self.pending.take()?;
         self.cooldown_until = now + self.triggers.cooldown;
         Some(reason)
     }
 
-    /// A step is late if it comes long after the driver's timer and after the step before.
+    /// Detects a stall: a step that comes too long after both the driver's next timer and the
+    /// previous step. Time during which no timer was due does not count.
     fn detect_stall(&mut self, at: Micros) {
         let due_at = self
             .next_timer_at
--- a/crates/capture/src/writer_thread.rs
+++ b/crates/capture/src/writer_thread.rs
@@ -1,4 +1,4 @@
-//! The thread that compresses and writes blocks, and the bounded queue to it.
+//! The thread that compresses and writes blocks, and the bounded channel to it.
 
 use crate::format::BlockHeader;
 use std::io;
@@ -8,41 +8,41 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-/// Level of the compression: the fastest.
+/// The zstd compression level. Level 1 is the fastest of the regular levels.
 const COMPRESSION_LEVEL: i32 = 1;
-/// Messages that the queue holds at least.
+/// Minimum capacity of the channel.
 const MIN_QUEUE_CAPACITY: usize = 2;
 
-/// What the writer thread is asked to do.
+/// A request to the writer thread.
 pub(crate) enum Message {
-    /// Write a block: its header, without the lengths, and its records.
+    /// Write a block: its header, in which the sizes are not set yet, and its serialized records.
     Block(BlockHeader, Vec<u8>),
-    /// Begin a file, or a span in memory, with the next block.
+    /// Begin a new segment (a file, or a part of the in-memory ring) with the next block.
     BeginSegment,
-    /// Write what is held in memory to this file.
+    /// Write the in-memory ring to this file.
     WriteRing(PathBuf),
 }
 
-/// What the writer thread reports back.
+/// Status and counters that the writer thread reports.
 #[derive(Debug, Default)]
 pub(crate) struct WriterStatus {
-    /// Records that could not be written.
+    /// Number of records that could not be compressed or written.
     pub lost_records: AtomicU64,
-    /// Bytes written.
+    /// Number of bytes written to files.
     pub written_bytes: AtomicU64,
-    /// Bytes of the current file or span.
+    /// Size of the current segment.
     pub segment_bytes: AtomicU64,
-    /// Files or spans begun beyond the first.
+    /// Number of segments begun after the first.
     pub segments_begun: AtomicU64,
-    /// The last write failed, or the thread has ended.
+    /// Whether the last write failed or the thread has ended unexpectedly.
     pub is_failing: AtomicBool,
-    /// Files written of a capture in memory.
+    /// Number of files written from the in-memory ring.
     pub ring_files: AtomicU64,
-    /// Bytes held in memory.
+    /// Size of the compressed blocks held in the in-memory ring.
     pub ring_bytes: AtomicU64,
 }
 
-/// The decision thread's side of the writer thread.
+/// A handle to the writer thread, used by the recorder.
 #[derive(Debug)]
 pub(crate) struct WriterThread {
     sender: Option<SyncSender<Message>>,
@@ -51,10 +51,10 @@
 }
 
 impl WriterThread {
-    /// Starts a thread that runs `write` until the queue is closed.
+    /// Starts a thread that runs `write`, which must return when the channel is closed.
     ///
     /// # Errors
-    /// If the thread can't be started.
+    /// Returns an error if the thread cannot be started.
     pub fn start(
         max_queued_blocks: usize,
         write: impl FnOnce(&Receiver<Message>, &WriterStatus) + Send + 'static,
@@ -72,12 +72,13 @@
         })
     }
 
-    /// What the thread has reported.
+    /// Returns the status that the thread reports.
     pub fn status(&self) -> &WriterStatus {
         &self.status
     }
 
-    /// Queues a block; false if it was dropped, as the queue is full or the thread has ended.
+    /// Sends a block. Returns `false` if the block was dropped because the channel is full or the
+    /// thread has ended.
     pub fn send_block(&self, header: BlockHeader, records: Vec<u8>) -> bool {
         let Some(sender) = &self.sender else {
             return false;
@@ -89,14 +90,15 @@
         sent.is_ok()
     }
 
-    /// Asks for a new file or span; false if the queue takes nothing now.
+    /// Requests a new segment. Returns `false` if the channel is full or closed.
     pub fn begin_segment(&self) -> bool {
         self.sender
             .as_ref()
             .is_some_and(|sender| sender.try_send(Message::BeginSegment).is_ok())
     }
 
-    /// Asks to write what is held in memory to a file; returns the path if the queue is full.
+    /// Requests that the in-memory ring be written to `path`. Returns the path if the channel is
+    /// full, so that the caller can retry.
     pub fn write_ring(&self, path: PathBuf) -> Option<PathBuf> {
         match self.sender.as_ref()?.try_send(Message::WriteRing(path)) {
             Err(TrySendError::Full(Message::WriteRing(path))) => Some(path),
@@ -104,10 +106,11 @@
         }
     }
 
-    /// Closes the queue and waits until all of it is written; before that, what is held in memory is written to `ring_file`.
+    /// Closes the channel and waits until the thread has processed all messages. If `ring_file` is
+    /// given, the in-memory ring is written to it first.
     pub fn finish(&mut self, ring_file: Option<PathBuf>) {
         if let (Some(path), Some(sender)) = (ring_file, &self.sender) {
-            // Waits while the queue is full, and fails only if the thread has ended.
+            // Blocks while the channel is full, and fails only if the thread has ended.
             let _ = sender.send(Message::WriteRing(path));
         }
         self.sender = None;
@@ -119,10 +122,10 @@
     }
 }
 
-/// Compresses the records of a block and completes its header with the lengths.
+/// Compresses the records of a block and sets the sizes in its header.
 ///
 /// # Errors
-/// If the compression fails.
+/// Returns an error if the compression fails.
 pub(crate) fn compress(header: &mut BlockHeader, records: &[u8]) -> io::Result<Vec<u8>> {
     let compressed = zstd::bulk::compress(records, COMPRESSION_LEVEL)?;
     header.raw_bytes = records.len() as u32;
--- a/crates/capture/tests/triggers.rs
+++ b/crates/capture/tests/triggers.rs
@@ -1,4 +1,5 @@
-//! Reasons to keep a capture: at the threshold, just under it, and when they are forgotten.
+//! Tests of [`TriggerDetector`]: thresholds, the sliding window, stalls, the recording delay and the
+//! cooldown.
 
 use wheelfield::interface::{Micros, QueryId};
 use wheelfield_capture::{RecordedInput, TriggerDetector, TriggerReason, Triggers};
@@ -17,13 +18,13 @@
     }
 }
 
-/// A query comes, and is refused or not.
-fn comes(detector: &mut TriggerDetector, at: i64, refused: bool) {
-    let told = RecordedInput::Arrive {
+/// Feeds the detector the arrival of a query, which is rejected if `is_rejected` is set.
+fn observe_arrival(detector: &mut TriggerDetector, at: i64, is_rejected: bool) {
+    let input = RecordedInput::Arrive {
         arrival: Arrival::default(),
         label: String::new(),
     };
-    let refusal = Instruction::Answer(
+    let rejection = Instruction::Answer(
         QueryId(1),
         Answer::Rejected {
             retry_after: Micros(0),
@@ -31,9 +32,9 @@
     );
     detector.observe_step(
         Micros(at),
-        &told,
-        if refused {
-            std::slice::from_ref(&refusal)
+        &input,
+        if is_rejected {
+            std::slice::from_ref(&rejection)
         } else {
             &[]
         },
@@ -41,42 +42,43 @@
 }
 
 #[test]
-fn refusals_count_above_the_share_of_enough_arrivals() {
-    for (came, refused, reason) in [
+fn rejections_fire_only_above_the_fraction_and_with_enough_arrivals() {
+    for (arrivals, rejections, reason) in [
         (20, 6, None),
         (20, 7, Some(TriggerReason::Rejections)),
         (19, 19, None),
     ] {
         let mut detector = TriggerDetector::new(triggers());
-        for i in 0..came {
-            comes(&mut detector, i * MS, i >= came - refused);
+        for i in 0..arrivals {
+            observe_arrival(&mut detector, i * MS, i >= arrivals - rejections);
         }
         assert_eq!(
-            detector.take_due(Micros(came * MS)),
+            detector.take_due(Micros(arrivals * MS)),
             reason,
-            "{refused} of {came}"
+            "{rejections} rejections of {arrivals} arrivals"
         );
     }
 }
 
 #[test]
-fn what_is_older_than_the_window_counts_no_more() {
+fn rejections_older_than_the_window_are_not_counted() {
     let mut detector = TriggerDetector::new(triggers());
     for i in 0..15 {
-        comes(&mut detector, i * MS, true);
+        observe_arrival(&mut detector, i * MS, true);
     }
-    // Fifteen alone were too few to tell; behind the window they are gone.
+    // The 15 rejections are too few arrivals to fire on their own, and the window no longer
+    // contains them when the following arrivals come.
     for i in 0..40 {
-        comes(&mut detector, (12_000 + i) * MS, i % 4 == 0);
+        observe_arrival(&mut detector, (12_000 + i) * MS, i % 4 == 0);
     }
     assert_eq!(detector.take_due(Micros(13_000 * MS)), None);
 }
 
 #[test]
-fn a_stall_is_time_after_what_was_due_and_not_mere_silence() {
-    let step = |detector: &mut TriggerDetector, at: i64, due: Option<i64>| {
+fn a_stall_is_detected_only_if_a_timer_was_due() {
+    let step = |detector: &mut TriggerDetector, at: i64, next_timer: Option<i64>| {
         detector.observe_step(Micros(at * MS), &RecordedInput::TimersDue, &[]);
-        detector.set_next_timer(due.map(|d| Micros(d * MS)));
+        detector.set_next_timer(next_timer.map(|timer| Micros(timer * MS)));
     };
     let mut detector = TriggerDetector::new(triggers());
     step(&mut detector, 0, None);
@@ -85,7 +87,7 @@
     assert_eq!(
         detector.take_due(Micros(200_500 * MS)),
         None,
-        "nothing was due, or it was done in time"
+        "no timer was due, or it was handled in time"
     );
     step(&mut detector, 300_000, Some(300_100));
     step(&mut detector, 300_601, None);
@@ -96,42 +98,42 @@
 }
 
 #[test]
-fn a_reason_waits_for_what_follows_and_the_next_for_the_rest() {
+fn a_file_is_due_after_the_recording_delay_and_starts_a_cooldown() {
     let mut detector = TriggerDetector::new(Triggers {
         record_after: Micros(5_000 * MS),
         ..triggers()
     });
-    let line = [Instruction::Log("engine silent".into())];
-    let say = |detector: &mut TriggerDetector, at: i64| {
-        detector.observe_step(Micros(at * MS), &RecordedInput::TimersDue, &line)
+    let ejection = [Instruction::Log("engine silent".into())];
+    let observe_ejection = |detector: &mut TriggerDetector, at: i64| {
+        detector.observe_step(Micros(at * MS), &RecordedInput::TimersDue, &ejection)
     };
-    say(&mut detector, 1_000);
-    say(&mut detector, 3_000);
+    observe_ejection(&mut detector, 1_000);
+    observe_ejection(&mut detector, 3_000);
     assert_eq!(detector.take_due(Micros(5_999 * MS)), None);
     assert_eq!(
         detector.take_due(Micros(6_000 * MS)),
         Some(TriggerReason::EngineEjected),
-        "counted from the first"
+        "the recording delay starts at the first ejection"
     );
-    say(&mut detector, 65_999);
+    observe_ejection(&mut detector, 65_999);
     assert_eq!(
         detector.take_pending(Micros(65_999 * MS)),
         None,
-        "within the rest"
+        "no trigger fires during the cooldown"
     );
-    say(&mut detector, 66_000);
+    observe_ejection(&mut detector, 66_000);
     assert_eq!(
         detector.take_due(Micros(71_000 * MS)),
         Some(TriggerReason::EngineEjected)
     );
-    // An operator need not wait.
+    // An operator's request is exempt from the cooldown and the recording delay.
     detector.request(Micros(72_000 * MS));
     assert_eq!(
         detector.take_due(Micros(72_000 * MS)),
         Some(TriggerReason::Requested)
     );
-    // At the end, what waits for its aftermath is kept as it is.
-    say(&mut detector, 200_000);
+    // At the end of a capture, a pending file is written before its recording delay has passed.
+    observe_ejection(&mut detector, 200_000);
     assert_eq!(
         detector.take_pending(Micros(200_001 * MS)),
         Some(TriggerReason::EngineEjected)
