--- a/crates/capture/src/reader.rs
+++ b/crates/capture/src/reader.rs
@@ -130,7 +130,7 @@
         Ok(())
     }
 
-    fn corrupt(&self, reason: impl Into<String>) -> ReadError {
+    fn corrupt_error(&self, reason: impl Into<String>) -> ReadError {
         ReadError::Corrupt {
             offset: self.offset,
             reason: reason.into(),
@@ -148,12 +148,12 @@
         let mut bytes = [0; BLOCK_HEADER_BYTES];
         self.file.read_exact(&mut bytes)?;
         let Some((header, crc)) = BlockHeader::decode(&bytes) else {
-            return Err(self.corrupt("invalid block header"));
+            return Err(self.corrupt_error("invalid block header"));
         };
         if header.raw_bytes as usize > MAX_BLOCK_BYTES
             || header.compressed_bytes as usize > MAX_BLOCK_BYTES
         {
-            return Err(self.corrupt("block size exceeds the limit"));
+            return Err(self.corrupt_error("block size exceeds the limit"));
         }
         if self.length - self.offset - (BLOCK_HEADER_BYTES as u64)
             < u64::from(header.compressed_bytes)
@@ -233,10 +233,10 @@
         hasher.update(&header_bytes[..BLOCK_HEADER_BYTES - 4]);
         hasher.update(&compressed);
         if hasher.finalize() != crc {
-            return Err(self.corrupt("block checksum mismatch"));
+            return Err(self.corrupt_error("block checksum mismatch"));
         }
         zstd::bulk::decompress(&compressed, header.raw_bytes as usize)
-            .map_err(|e| self.corrupt(format!("block cannot be decompressed: {e}")))
+            .map_err(|e| self.corrupt_error(format!("block cannot be decompressed: {e}")))
     }
 
     /// Decodes a record with the types of the file's format version.
@@ -257,20 +257,20 @@
         let mut rest = raw;
         while !rest.is_empty() {
             let Some((header, body)) = rest.split_first_chunk::<RECORD_HEADER_BYTES>() else {
-                return Err(self.corrupt("incomplete record header"));
+                return Err(self.corrupt_error("incomplete record header"));
             };
             let length = u32::from_be_bytes([header[0], header[1], header[2], header[3]]) as usize;
             let crc = u32::from_be_bytes([header[4], header[5], header[6], header[7]]);
             if body.len() < length {
-                return Err(self.corrupt("record extends past the end of its block"));
+                return Err(self.corrupt_error("record extends past the end of its block"));
             }
             let (record, remaining) = body.split_at(length);
             if crc32fast::hash(record) != crc {
-                return Err(self.corrupt("record checksum mismatch"));
+                return Err(self.corrupt_error("record checksum mismatch"));
             }
             let record = self
                 .decode_record(record)
-                .map_err(|e| self.corrupt(format!("record cannot be decoded: {e}")))?;
+                .map_err(|e| self.corrupt_error(format!("record cannot be decoded: {e}")))?;
             self.pending.push_back(Entry::Record(Box::new(record)));
             rest = remaining;
         }
@@ -287,9 +287,9 @@
     let mut reader = Reader::open(path)?;
     while let Some(entry) = reader.next_entry()? {
         if let Entry::Truncated { offset } = entry {
-            let cut = reader.length - offset;
+            let removed_bytes = reader.length - offset;
             File::options().write(true).open(path)?.set_len(offset)?;
-            return Ok(cut);
+            return Ok(removed_bytes);
         }
     }
     Ok(0)
