--- a/crates/capture/src/block_buffer.rs
+++ b/crates/capture/src/block_buffer.rs
@@ -1,52 +1,53 @@
-//! The block that the decision thread fills with records.
+//! Accumulates serialized records until they are handed to the writer thread as a block.
 
-use crate::format::{Head, RecordRef, RECORD_HEAD};
+use crate::format::{BlockHeader, RecordRef, RECORD_HEADER_BYTES};
 use wheelfield::interface::{Micros, QueryId};
 
-/// Bytes that most records fit in.
-const USUAL_RECORD_BYTES: usize = 512;
+/// Space reserved for serializing one record; most records are shorter.
+const RECORD_RESERVE_BYTES: usize = 512;
 
-/// Serialized records, and the head of the block that they make.
+/// The serialized records of the current block, and the header for them.
 #[derive(Debug)]
 pub(crate) struct BlockBuffer {
     bytes: Vec<u8>,
-    head: Head,
-    /// Bytes that a buffer has memory for at first.
+    header: BlockHeader,
+    /// Initial capacity of each buffer, in bytes.
     capacity: usize,
 }
 
 impl BlockBuffer {
-    /// An empty buffer for blocks of `block_bytes`.
+    /// Creates an empty buffer for blocks of about `block_bytes`.
     pub fn new(block_bytes: usize) -> BlockBuffer {
         let capacity = block_bytes * 2;
         BlockBuffer {
             bytes: Vec::with_capacity(capacity),
-            head: Head::default(),
+            header: BlockHeader::default(),
             capacity,
         }
     }
 
-    /// Bytes of all records.
+    /// Returns the total size of the serialized records in bytes.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Whether there is no record.
+    /// Returns whether the block contains no records.
     pub fn is_empty(&self) -> bool {
-        self.head.records == 0
+        self.header.records == 0
     }
 
-    /// Adds a record.
+    /// Serializes a record and appends it to the block.
     ///
     /// # Errors
-    /// If it can't be serialized.
+    /// Returns an error if the record cannot be serialized.
     pub fn push(&mut self, at: Micros, record: &RecordRef<'_>) -> Result<(), postcard::Error> {
         let start = self.bytes.len();
-        let body = start + RECORD_HEAD;
-        self.bytes.resize(body + USUAL_RECORD_BYTES, 0);
+        let body = start + RECORD_HEADER_BYTES;
+        self.bytes.resize(body + RECORD_RESERVE_BYTES, 0);
         match postcard::to_slice(record, &mut self.bytes[body..]).map(|used| used.len()) {
             Ok(length) => self.bytes.truncate(body + length),
-            // Longer than most, as an engine list or a checkpoint.
+            // The record does not fit the reserved space, for example an engine list or a
+            // checkpoint.
             Err(_) => {
                 self.bytes.truncate(body);
                 self.bytes = postcard::to_extend(record, std::mem::take(&mut self.bytes))?;
@@ -56,37 +57,38 @@
         let crc = crc32fast::hash(&self.bytes[body..]);
         self.bytes[start..start + 4].copy_from_slice(&length.to_be_bytes());
         self.bytes[start + 4..body].copy_from_slice(&crc.to_be_bytes());
-        if self.head.records == 0 {
-            self.head.first = at.0;
-            self.head.low = u64::MAX;
+        if self.header.records == 0 {
+            self.header.first_at = at.0;
+            self.header.lowest_query = u64::MAX;
         }
-        self.head.last = at.0;
-        self.head.records += 1;
+        self.header.last_at = at.0;
+        self.header.records += 1;
         Ok(())
     }
 
-    /// Takes note that a query was accepted in this block.
-    pub fn note_query(&mut self, query: QueryId) {
-        self.head.low = self.head.low.min(query.0);
-        self.head.high = self.head.high.max(query.0);
+    /// Extends the range of accepted queries in the block header to include `query`.
+    pub fn observe_query(&mut self, query: QueryId) {
+        self.header.lowest_query = self.header.lowest_query.min(query.0);
+        self.header.highest_query = self.header.highest_query.max(query.0);
     }
 
-    /// Takes the block, and begins the next one; `None` if there is no record.
-    pub fn take(&mut self) -> Option<(Head, Vec<u8>)> {
-        let empty = Head {
-            number: self.head.number,
-            ..Head::default()
+    /// Returns the current block and begins the next one. Returns `None` if the block contains no
+    /// records.
+    pub fn take(&mut self) -> Option<(BlockHeader, Vec<u8>)> {
+        let empty = BlockHeader {
+            number: self.header.number,
+            ..BlockHeader::default()
         };
-        let mut head = std::mem::replace(&mut self.head, empty);
-        if head.records == 0 {
+        let mut header = std::mem::replace(&mut self.header, empty);
+        if header.records == 0 {
             return None;
         }
-        self.head.number += 1;
-        if head.low == u64::MAX {
-            (head.low, head.high) = (0, 0);
+        self.header.number += 1;
+        if header.lowest_query == u64::MAX {
+            (header.lowest_query, header.highest_query) = (0, 0);
         }
         Some((
-            head,
+            header,
             std::mem::replace(&mut self.bytes, Vec::with_capacity(self.capacity)),
         ))
     }
--- a/crates/capture/src/file_writer.rs
+++ b/crates/capture/src/file_writer.rs
@@ -1,7 +1,8 @@
-//! Writes blocks to files: one after another, the oldest of which are removed.
+//! Writes blocks to a sequence of files and removes the oldest files when the total size exceeds
+//! the limit.
 
-use crate::disk::{Disk, Maker};
-use crate::format::{Head, FILE_HEAD, MAGIC, VERSION};
+use crate::disk::{CaptureFile, FileFactory};
+use crate::format::{BlockHeader, FILE_HEADER_BYTES, FILE_MAGIC, VERSION};
 use crate::recorder::Limits;
 use crate::writer_thread::{compress, Message, WriterStatus};
 use std::io;
@@ -10,139 +11,140 @@
 use std::sync::mpsc::Receiver;
 use std::time::{Duration, Instant};
 
-/// A file that is being written.
+/// The file that is currently being written.
 pub(crate) struct Segment {
     path: PathBuf,
-    file: Box<dyn Disk>,
+    file: Box<dyn CaptureFile>,
     length: u64,
 }
 
 impl Segment {
-    /// Creates a file and writes its head.
+    /// Creates a file and writes the file header.
     ///
     /// # Errors
-    /// If it can't be created or written.
-    pub fn create(path: PathBuf, maker: &mut Maker) -> io::Result<Segment> {
-        let mut file = maker(&path)?;
-        file.append(MAGIC)?;
+    /// Returns an error if the file cannot be created or written.
+    pub fn create(path: PathBuf, file_factory: &mut FileFactory) -> io::Result<Segment> {
+        let mut file = file_factory(&path)?;
+        file.append(FILE_MAGIC)?;
         file.append(&VERSION.to_be_bytes())?;
         Ok(Segment {
             path,
             file,
-            length: FILE_HEAD,
+            length: FILE_HEADER_BYTES,
         })
     }
 
-    /// Writes a block whole, or leaves the file as it was: a reader could not go on behind a part of one.
-    fn write(&mut self, head: &[u8], packed: &[u8]) -> io::Result<()> {
+    /// Appends a complete block. On failure, truncates the file to its previous length, because a
+    /// reader cannot continue after a partial block.
+    fn write(&mut self, header: &[u8], compressed: &[u8]) -> io::Result<()> {
         let written = self
             .file
-            .append(head)
-            .and_then(|()| self.file.append(packed));
+            .append(header)
+            .and_then(|()| self.file.append(compressed));
         if written.is_err() {
-            self.file.cut(self.length)?;
+            self.file.truncate(self.length)?;
             return written;
         }
-        self.length += (head.len() + packed.len()) as u64;
+        self.length += (header.len() + compressed.len()) as u64;
         Ok(())
     }
 }
 
-/// A file of the capture that exists, and its length once it is complete.
+/// An existing file of the capture. `bytes` is 0 until the file is complete.
 struct WrittenFile {
     path: PathBuf,
     bytes: u64,
 }
 
-/// The files of a capture.
+/// Writes the blocks of a capture to its files.
 pub(crate) struct FileWriter {
-    /// Path of the first file, after which the others are named.
+    /// Path of the first file, from which the names of later files are derived.
     first_path: PathBuf,
-    maker: Maker,
+    file_factory: FileFactory,
     limits: Limits,
-    /// The current file; `None` if it could not be created.
+    /// The current file, or `None` if it could not be created.
     segment: Option<Segment>,
-    /// Its number, from 0.
-    number: u32,
-    /// All files, the current one last.
+    /// Number of the current file, starting from 0.
+    segment_number: u32,
+    /// All existing files, with the current one last.
     files: Vec<WrittenFile>,
-    synced_at: Instant,
+    last_sync_at: Instant,
 }
 
 impl FileWriter {
-    /// A writer that goes on with the first file.
-    pub fn new(first: Segment, maker: Maker, limits: Limits) -> FileWriter {
+    /// Creates a writer that appends to the first file.
+    pub fn new(first: Segment, file_factory: FileFactory, limits: Limits) -> FileWriter {
         FileWriter {
             first_path: first.path.clone(),
-            maker,
+            file_factory,
             limits,
             files: vec![WrittenFile {
                 path: first.path.clone(),
                 bytes: 0,
             }],
             segment: Some(first),
-            number: 0,
-            synced_at: Instant::now(),
+            segment_number: 0,
+            last_sync_at: Instant::now(),
         }
     }
 
-    /// Handles messages until the queue is closed.
+    /// Processes messages until the channel is closed.
     pub fn run(mut self, messages: &Receiver<Message>, status: &WriterStatus) {
         while let Ok(message) = messages.recv() {
             match message {
-                Message::Block(head, records) => {
-                    self.write_block(head, &records, status);
+                Message::Block(header, records) => {
+                    self.write_block(header, &records, status);
                     self.sync_if_due();
                 }
                 Message::BeginSegment => self.begin_segment(status),
-                // Nothing is held in memory.
+                // There is no in-memory ring to write when the capture goes directly to files.
                 Message::WriteRing(_) => {}
             }
         }
         self.sync();
     }
 
-    fn write_block(&mut self, mut head: Head, records: &[u8], status: &WriterStatus) {
-        match self.append_block(&mut head, records) {
+    fn write_block(&mut self, mut header: BlockHeader, records: &[u8], status: &WriterStatus) {
+        match self.append_block(&mut header, records) {
             Ok(length) => {
                 status.segment_bytes.store(length, Ordering::Relaxed);
                 status
                     .written_bytes
-                    .fetch_add(u64::from(head.packed), Ordering::Relaxed);
+                    .fetch_add(u64::from(header.compressed_bytes), Ordering::Relaxed);
                 status.is_failing.store(false, Ordering::Relaxed);
             }
             Err(_) => {
                 status
                     .lost_records
-                    .fetch_add(u64::from(head.records), Ordering::Relaxed);
+                    .fetch_add(u64::from(header.records), Ordering::Relaxed);
                 status.is_failing.store(true, Ordering::Relaxed);
             }
         }
     }
 
-    /// Writes a block and returns the length of the file.
-    fn append_block(&mut self, head: &mut Head, records: &[u8]) -> io::Result<u64> {
-        let packed = compress(head, records)?;
+    /// Appends a block and returns the new length of the file.
+    fn append_block(&mut self, header: &mut BlockHeader, records: &[u8]) -> io::Result<u64> {
+        let compressed = compress(header, records)?;
         let segment = self.segment.as_mut().ok_or(io::ErrorKind::NotFound)?;
-        segment.write(&head.bytes(&packed), &packed)?;
+        segment.write(&header.encode(&compressed), &compressed)?;
         Ok(segment.length)
     }
 
     fn begin_segment(&mut self, status: &WriterStatus) {
-        self.number += 1;
+        self.segment_number += 1;
         self.sync();
         if let (Some(complete), Some(file)) = (self.segment.take(), self.files.last_mut()) {
             file.bytes = complete.length;
         }
-        let path = numbered_path(&self.first_path, self.number);
-        self.segment = Segment::create(path, &mut self.maker).ok();
+        let path = numbered_path(&self.first_path, self.segment_number);
+        self.segment = Segment::create(path, &mut self.file_factory).ok();
         status
             .is_failing
             .store(self.segment.is_none(), Ordering::Relaxed);
         status.segment_bytes.store(0, Ordering::Relaxed);
         status
             .segments_begun
-            .store(u64::from(self.number), Ordering::Relaxed);
+            .store(u64::from(self.segment_number), Ordering::Relaxed);
         self.files
             .extend(self.segment.as_ref().map(|s| WrittenFile {
                 path: s.path.clone(),
@@ -151,7 +153,8 @@
         self.remove_oldest_files();
     }
 
-    /// Removes the oldest files while all have more bytes than the limit; the current one stays.
+    /// Removes the oldest files while the total size exceeds the limit. The current file is never
+    /// removed.
     fn remove_oldest_files(&mut self) {
         while self.files.len() > 1
             && self.files.iter().map(|file| file.bytes).sum::<u64>() > self.limits.max_total_bytes
@@ -162,9 +165,9 @@
 
     fn sync_if_due(&mut self) {
         let interval = Duration::from_micros(self.limits.sync_interval.0.max(1) as u64);
-        if self.synced_at.elapsed() >= interval {
+        if self.last_sync_at.elapsed() >= interval {
             self.sync();
-            self.synced_at = Instant::now();
+            self.last_sync_at = Instant::now();
         }
     }
 
@@ -175,7 +178,7 @@
     }
 }
 
-/// The path of a file of a capture by its number: `x.wfcap`, `x.0001.wfcap` and so on.
+/// Returns the path of the file with the given number: `x.wfcap`, `x.0001.wfcap` and so on.
 fn numbered_path(first: &Path, number: u32) -> PathBuf {
     if number == 0 {
         return first.to_path_buf();
--- a/crates/capture/src/reader.rs
+++ b/crates/capture/src/reader.rs
@@ -1,7 +1,9 @@
-//! Reads captures block by block, checking every CRC-32, to the end or to where the file is truncated.
+//! Reads captures block by block and verifies every CRC-32. A truncated block at the end of the
+//! file is reported as [`Entry::Truncated`].
 
 use crate::format::{
-    Head, Record, BLOCK_HEAD, FILE_HEAD, MAGIC, MAX_BLOCK_BYTES, RECORD_HEAD, VERSION,
+    BlockHeader, Record, BLOCK_HEADER_BYTES, FILE_HEADER_BYTES, FILE_MAGIC, MAX_BLOCK_BYTES,
+    RECORD_HEADER_BYTES, VERSION,
 };
 use crate::older_versions::StartV2;
 use std::collections::VecDeque;
@@ -9,223 +11,235 @@
 use std::io::{BufReader, Read, Seek, SeekFrom};
 use std::path::Path;
 
-/// Why a capture can't be read.
+/// The reasons why a capture cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("cannot read the capture: {0}")]
     Io(#[from] std::io::Error),
-    /// The file is no capture.
-    #[error("not a capture: it does not begin with WFCAP")]
+    /// The file is not a capture.
+    #[error("not a capture file: it does not begin with WFCAP")]
     NotACapture,
-    /// A newer program wrote it.
-    #[error("a capture of version {0}; this program reads up to {VERSION}")]
+    /// The file has a format version that this program does not support.
+    #[error("unsupported capture version {0}; this program supports versions up to {VERSION}")]
     NewerVersion(u16),
-    /// A part of it is not as it was written.
-    #[error("damaged at byte {at}: {what}")]
-    Damaged {
-        /// The byte of the file where the block begins.
-        at: u64,
-        /// What is wrong there.
-        what: String,
+    /// A block is corrupt.
+    #[error("corrupt capture at byte {offset}: {reason}")]
+    Corrupt {
+        /// Offset of the corrupt block in the file.
+        offset: u64,
+        /// Description of the corruption.
+        reason: String,
     },
 }
 
-/// A part of a capture, in the order of the file.
+/// An entry of a capture, in file order.
 #[derive(Debug)]
 pub enum Entry {
     /// A record.
     Record(Box<Record>),
-    /// Blocks are missing here.
-    Missing {
-        /// How many.
+    /// One or more blocks are missing at this position.
+    MissingBlocks {
+        /// Number of missing blocks.
         blocks: u64,
     },
-    /// The file ends within a block, as after a crash; all before it is complete.
-    Torn {
-        /// The byte at which the complete part ends.
-        at: u64,
+    /// The file ends within a block, for example after a crash. All preceding blocks are complete.
+    Truncated {
+        /// Offset at which the incomplete block begins.
+        offset: u64,
     },
 }
 
-/// What is known of a block without decompressing it.
+/// Information about a block that is available without decompressing it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Header {
-    /// The byte of the file where it begins.
-    pub at: u64,
-    /// Time of its first record, in microseconds.
+pub struct BlockInfo {
+    /// Offset of the block in the file.
+    pub offset: u64,
+    /// Time of the first record, in microseconds.
     pub first_at: i64,
-    /// Time of its last record, in microseconds.
+    /// Time of the last record, in microseconds.
     pub last_at: i64,
-    /// Lowest number of the queries accepted in it; zero if there are none.
+    /// Lowest id of the queries accepted in the block, or 0 if none were accepted.
     pub lowest_query: u64,
-    /// Highest number of the queries accepted in it; zero if there are none.
+    /// Highest id of the queries accepted in the block, or 0 if none were accepted.
     pub highest_query: u64,
-    /// Number of its records.
+    /// Number of records.
     pub records: u32,
-    /// Bytes of its records, compressed.
+    /// Compressed size of the records.
     pub compressed_bytes: u32,
-    /// Bytes of its records.
+    /// Uncompressed size of the records.
     pub raw_bytes: u32,
 }
 
-/// Reads a capture.
+/// Reads the entries of a capture file in order.
 pub struct Reader {
     file: BufReader<File>,
-    /// Where the next block begins.
-    at: u64,
+    /// Offset of the next block in the file.
+    offset: u64,
     length: u64,
     version: u16,
-    next_number: Option<u64>,
-    /// Entries of the last block read.
+    next_block_number: Option<u64>,
+    /// Entries of the last block read that were not returned yet.
     pending: VecDeque<Entry>,
-    ended: bool,
+    is_at_end: bool,
 }
 
 impl Reader {
-    /// Opens a capture.
+    /// Opens a capture file.
     ///
     /// # Errors
-    /// [`ReadError`] if it can't be read, is no capture, or of a newer version.
+    /// Returns a [`ReadError`] if the file cannot be read, is not a capture, or has an unsupported
+    /// version.
     pub fn open(path: &Path) -> Result<Reader, ReadError> {
         let file = File::open(path)?;
         let length = file.metadata()?.len();
         let mut file = BufReader::new(file);
-        let mut head = [0; FILE_HEAD as usize];
-        if length < FILE_HEAD {
+        let mut header = [0; FILE_HEADER_BYTES as usize];
+        if length < FILE_HEADER_BYTES {
             return Err(ReadError::NotACapture);
         }
-        file.read_exact(&mut head)?;
-        if &head[..6] != MAGIC {
+        file.read_exact(&mut header)?;
+        if &header[..6] != FILE_MAGIC {
             return Err(ReadError::NotACapture);
         }
-        let version = u16::from_be_bytes([head[6], head[7]]);
+        let version = u16::from_be_bytes([header[6], header[7]]);
         if version > VERSION || version == 0 {
             return Err(ReadError::NewerVersion(version));
         }
         Ok(Reader {
             file,
-            at: FILE_HEAD,
+            offset: FILE_HEADER_BYTES,
             length,
             version,
-            next_number: None,
+            next_block_number: None,
             pending: VecDeque::new(),
-            ended: false,
+            is_at_end: false,
         })
     }
 
-    /// Goes to the block that begins at a byte ([`Header::at`]).
+    /// Continues reading at the block that begins at `offset` (see [`BlockInfo::offset`]).
     ///
     /// # Errors
-    /// [`ReadError::Io`].
-    pub fn seek_to_block(&mut self, at: u64) -> Result<(), ReadError> {
-        self.file.seek(SeekFrom::Start(at))?;
-        self.at = at;
-        self.next_number = None;
-        self.ended = false;
+    /// Returns [`ReadError::Io`] if the file cannot be positioned.
+    pub fn seek_to_block(&mut self, offset: u64) -> Result<(), ReadError> {
+        self.file.seek(SeekFrom::Start(offset))?;
+        self.offset = offset;
+        self.next_block_number = None;
+        self.is_at_end = false;
         self.pending.clear();
         Ok(())
     }
 
-    fn damaged(&self, what: impl Into<String>) -> ReadError {
-        ReadError::Damaged {
-            at: self.at,
-            what: what.into(),
+    fn corrupt_error(&self, reason: impl Into<String>) -> ReadError {
+        ReadError::Corrupt {
+            offset: self.offset,
+            reason: reason.into(),
         }
     }
 
-    /// Reads the head of the next block; `None` where the file is truncated.
-    fn read_head(&mut self) -> Result<Option<(Head, u32, [u8; BLOCK_HEAD])>, ReadError> {
-        if self.length - self.at < BLOCK_HEAD as u64 {
+    /// Reads the header of the next block. Returns `None` if the file ends before the end of the
+    /// block.
+    fn read_block_header(
+        &mut self,
+    ) -> Result<Option<(BlockHeader, u32, [u8; BLOCK_HEADER_BYTES])>, ReadError> {
+        if self.length - self.offset < BLOCK_HEADER_BYTES as u64 {
             return Ok(None);
         }
-        let mut bytes = [0; BLOCK_HEAD];
+        let mut bytes = [0; BLOCK_HEADER_BYTES];
         self.file.read_exact(&mut bytes)?;
-        let Some((head, crc)) = Head::parse(&bytes) else {
-            return Err(self.damaged("no block begins here"));
+        let Some((header, crc)) = BlockHeader::decode(&bytes) else {
+            return Err(self.corrupt_error("invalid block header"));
         };
-        if head.raw as usize > MAX_BLOCK_BYTES || head.packed as usize > MAX_BLOCK_BYTES {
-            return Err(self.damaged("a block of an impossible length"));
+        if header.raw_bytes as usize > MAX_BLOCK_BYTES
+            || header.compressed_bytes as usize > MAX_BLOCK_BYTES
+        {
+            return Err(self.corrupt_error("block size exceeds the limit"));
         }
-        if self.length - self.at - (BLOCK_HEAD as u64) < u64::from(head.packed) {
+        if self.length - self.offset - (BLOCK_HEADER_BYTES as u64)
+            < u64::from(header.compressed_bytes)
+        {
             return Ok(None);
         }
-        Ok(Some((head, crc, bytes)))
+        Ok(Some((header, crc, bytes)))
     }
 
-    /// The headers of all blocks, without decompressing any: an index by time and by query.
+    /// Returns information about all blocks without decompressing them. It serves as an index by
+    /// time and by query.
     ///
     /// # Errors
-    /// [`ReadError`] where no block begins.
-    pub fn headers(&mut self) -> Result<Vec<Header>, ReadError> {
-        self.seek_to_block(FILE_HEAD)?;
+    /// Returns a [`ReadError`] if the file cannot be read or a block header is invalid.
+    pub fn block_infos(&mut self) -> Result<Vec<BlockInfo>, ReadError> {
+        self.seek_to_block(FILE_HEADER_BYTES)?;
         let mut all = Vec::new();
-        while let Some((head, _, _)) = self.read_head()? {
-            all.push(Header {
-                at: self.at,
-                first_at: head.first,
-                last_at: head.last,
-                lowest_query: head.low,
-                highest_query: head.high,
-                records: head.records,
-                compressed_bytes: head.packed,
-                raw_bytes: head.raw,
+        while let Some((header, _, _)) = self.read_block_header()? {
+            all.push(BlockInfo {
+                offset: self.offset,
+                first_at: header.first_at,
+                last_at: header.last_at,
+                lowest_query: header.lowest_query,
+                highest_query: header.highest_query,
+                records: header.records,
+                compressed_bytes: header.compressed_bytes,
+                raw_bytes: header.raw_bytes,
             });
-            self.at += BLOCK_HEAD as u64 + u64::from(head.packed);
-            self.file.seek(SeekFrom::Start(self.at))?;
+            self.offset += BLOCK_HEADER_BYTES as u64 + u64::from(header.compressed_bytes);
+            self.file.seek(SeekFrom::Start(self.offset))?;
         }
-        self.seek_to_block(FILE_HEAD)?;
+        self.seek_to_block(FILE_HEADER_BYTES)?;
         Ok(all)
     }
 
-    /// The next entry; `None` at the end.
+    /// Returns the next entry, or `None` at the end of the file.
     ///
     /// # Errors
-    /// [`ReadError::Damaged`] where a CRC-32 or a length is wrong.
+    /// Returns [`ReadError::Corrupt`] if a block or a record is corrupt, or [`ReadError::Io`] if
+    /// the file cannot be read.
     pub fn next_entry(&mut self) -> Result<Option<Entry>, ReadError> {
         loop {
             if let Some(entry) = self.pending.pop_front() {
                 return Ok(Some(entry));
             }
-            if self.ended || self.at == self.length {
+            if self.is_at_end || self.offset == self.length {
                 return Ok(None);
             }
-            let Some((head, crc, bytes)) = self.read_head()? else {
-                self.ended = true;
-                return Ok(Some(Entry::Torn { at: self.at }));
+            let Some((header, crc, bytes)) = self.read_block_header()? else {
+                self.is_at_end = true;
+                return Ok(Some(Entry::Truncated {
+                    offset: self.offset,
+                }));
             };
-            let raw = self.read_records(&head, crc, &bytes)?;
-            if let Some(expected) = self.next_number.filter(|n| *n != head.number) {
-                self.pending.push_back(Entry::Missing {
-                    blocks: head.number.saturating_sub(expected).max(1),
+            let raw = self.decompress_block(&header, crc, &bytes)?;
+            if let Some(expected) = self.next_block_number.filter(|n| *n != header.number) {
+                self.pending.push_back(Entry::MissingBlocks {
+                    blocks: header.number.saturating_sub(expected).max(1),
                 });
             }
-            self.next_number = Some(head.number + 1);
-            self.unpack(&raw)?;
-            self.at += BLOCK_HEAD as u64 + u64::from(head.packed);
+            self.next_block_number = Some(header.number + 1);
+            self.decode_records(&raw)?;
+            self.offset += BLOCK_HEADER_BYTES as u64 + u64::from(header.compressed_bytes);
         }
     }
 
-    /// Reads and decompresses the records of a block whose head was read.
-    fn read_records(
+    /// Reads, verifies and decompresses the records of the block whose header was just read.
+    fn decompress_block(
         &mut self,
-        head: &Head,
+        header: &BlockHeader,
         crc: u32,
-        head_bytes: &[u8; BLOCK_HEAD],
+        header_bytes: &[u8; BLOCK_HEADER_BYTES],
     ) -> Result<Vec<u8>, ReadError> {
-        let mut packed = vec![0; head.packed as usize];
-        self.file.read_exact(&mut packed)?;
+        let mut compressed = vec![0; header.compressed_bytes as usize];
+        self.file.read_exact(&mut compressed)?;
         let mut hasher = crc32fast::Hasher::new();
-        hasher.update(&head_bytes[..BLOCK_HEAD - 4]);
-        hasher.update(&packed);
+        hasher.update(&header_bytes[..BLOCK_HEADER_BYTES - 4]);
+        hasher.update(&compressed);
         if hasher.finalize() != crc {
-            return Err(self.damaged("the sum of a block is wrong"));
+            return Err(self.corrupt_error("block checksum mismatch"));
         }
-        zstd::bulk::decompress(&packed, head.raw as usize)
-            .map_err(|e| self.damaged(format!("a block that can't be unpacked: {e}")))
+        zstd::bulk::decompress(&compressed, header.raw_bytes as usize)
+            .map_err(|e| self.corrupt_error(format!("block cannot be decompressed: {e}")))
     }
 
-    /// Decodes a record by the types of the file's version.
+    /// Decodes a record with the types of the file's format version.
     fn decode_record(&self, bytes: &[u8]) -> Result<Record, String> {
         match bytes.split_first() {
             Some((0, start)) if self.version < 3 => {
@@ -238,43 +252,44 @@
         }
     }
 
-    /// Splits a decompressed block into its records.
-    fn unpack(&mut self, raw: &[u8]) -> Result<(), ReadError> {
+    /// Decodes the records of a decompressed block and queues them as pending entries.
+    fn decode_records(&mut self, raw: &[u8]) -> Result<(), ReadError> {
         let mut rest = raw;
         while !rest.is_empty() {
-            let Some((head, body)) = rest.split_first_chunk::<RECORD_HEAD>() else {
-                return Err(self.damaged("a record without its length"));
+            let Some((header, body)) = rest.split_first_chunk::<RECORD_HEADER_BYTES>() else {
+                return Err(self.corrupt_error("incomplete record header"));
             };
-            let length = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
-            let crc = u32::from_be_bytes([head[4], head[5], head[6], head[7]]);
+            let length = u32::from_be_bytes([header[0], header[1], header[2], header[3]]) as usize;
+            let crc = u32::from_be_bytes([header[4], header[5], header[6], header[7]]);
             if body.len() < length {
-                return Err(self.damaged("a record longer than its block"));
+                return Err(self.corrupt_error("record extends past the end of its block"));
             }
-            let (record, others) = body.split_at(length);
+            let (record, remaining) = body.split_at(length);
             if crc32fast::hash(record) != crc {
-                return Err(self.damaged("the sum of a record is wrong"));
+                return Err(self.corrupt_error("record checksum mismatch"));
             }
             let record = self
                 .decode_record(record)
-                .map_err(|e| self.damaged(format!("a record that can't be read: {e}")))?;
+                .map_err(|e| self.corrupt_error(format!("record cannot be decoded: {e}")))?;
             self.pending.push_back(Entry::Record(Box::new(record)));
-            rest = others;
+            rest = remaining;
         }
         Ok(())
     }
 }
 
-/// Cuts an incomplete block off the end of a file. Returns the number of bytes cut.
+/// Truncates the file before an incomplete block at its end. Returns the number of bytes removed.
 ///
 /// # Errors
-/// [`ReadError`] if it can't be read, or is damaged before its end, which is not repaired.
+/// Returns a [`ReadError`] if the file cannot be read or written, or if a complete block is
+/// corrupt, which this function does not repair.
 pub fn repair(path: &Path) -> Result<u64, ReadError> {
     let mut reader = Reader::open(path)?;
     while let Some(entry) = reader.next_entry()? {
-        if let Entry::Torn { at } = entry {
-            let cut = reader.length - at;
-            File::options().write(true).open(path)?.set_len(at)?;
-            return Ok(cut);
+        if let Entry::Truncated { offset } = entry {
+            let removed_bytes = reader.length - offset;
+            File::options().write(true).open(path)?.set_len(offset)?;
+            return Ok(removed_bytes);
         }
     }
     Ok(0)
--- a/crates/capture/src/recorder.rs
+++ b/crates/capture/src/recorder.rs
@@ -1,11 +1,12 @@
-//! The decision thread's side of a capture: serializes records and hands blocks to the writer thread.
+//! The recorder, which runs on the driver's thread: serializes records and passes blocks to the
+//! writer thread.
 
 use crate::block_buffer::BlockBuffer;
-use crate::disk::{file_maker, Maker};
+use crate::disk::{disk_file_factory, FileFactory};
 use crate::file_writer::{FileWriter, Segment};
 use crate::format::{RecordRef, RecordedInput, Start};
 use crate::ring::{Ring, RingLimits, RingWriter};
-use crate::triggers::{Reason, TriggerDetector, Triggers};
+use crate::triggers::{TriggerDetector, TriggerReason, Triggers};
 use crate::writer_thread::WriterThread;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -14,23 +15,24 @@
 use wheelfield::interface::{EngineId, Micros, QueryId};
 use wheelfield_driver::{Driver, Instruction};
 
-/// A span in memory has at most this part of all memory, so that dropping the oldest leaves most.
-const SPANS_IN_RING: u64 = 4;
+/// An in-memory segment is limited to `1 / SEGMENTS_IN_RING` of the ring's capacity, so that dropping
+/// the oldest segment keeps most of the recorded data.
+const SEGMENTS_IN_RING: u64 = 4;
 
-/// What a recorder is bounded by.
+/// Limits on the size and the timing of a capture.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of records that are handed over at a time.
+    /// Size of the serialized records that are passed to the writer thread as one block.
     pub block_bytes: usize,
-    /// Blocks that wait to be written, at most; further ones are dropped.
+    /// Maximum number of blocks waiting for the writer thread; further blocks are dropped.
     pub max_queued_blocks: usize,
-    /// Bytes of a file, after which the next one begins.
+    /// Size of a file after which the next file is begun.
     pub segment_bytes: u64,
-    /// Bytes of all files together, after which the oldest is removed.
+    /// Total size of all files above which the oldest file is removed.
     pub max_total_bytes: u64,
-    /// Time between two checkpoints.
+    /// Interval between checkpoints.
     pub checkpoint_interval: Micros,
-    /// Time after which what was written is made durable.
+    /// Interval at which buffered records are passed on and written data is synced to disk.
     pub sync_interval: Micros,
 }
 
@@ -47,63 +49,68 @@
     }
 }
 
-/// What became of the records so far.
+/// Counters and status of a recorder.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct State {
-    /// Records handed to the writer thread.
+pub struct RecorderState {
+    /// Number of records passed to the writer thread, less those that the writer thread lost.
     pub recorded: u64,
-    /// Records lost, as the queue was full or the disk did not take them.
+    /// Number of records lost because they could not be serialized, the channel was full or the
+    /// write failed.
     pub lost: u64,
-    /// Bytes written.
-    pub bytes: u64,
-    /// The writer thread has ended, or can't write.
-    pub failing: bool,
-    /// Files written of a capture in memory.
-    pub kept: u64,
-    /// Bytes held in memory.
-    pub held: u64,
+    /// Number of bytes written to files.
+    pub written_bytes: u64,
+    /// Whether the last write failed or the writer thread has ended unexpectedly.
+    pub is_failing: bool,
+    /// Number of files written from the in-memory ring.
+    pub ring_files: u64,
+    /// Size of the compressed blocks held in the in-memory ring.
+    pub ring_bytes: u64,
 }
 
-/// Counts of records that were handed over or lost.
+/// Counters of records that were passed to the writer thread or lost.
 #[derive(Debug, Default)]
-struct Counts {
+struct RecordCounts {
     recorded: u64,
-    /// Lost before the writer thread had them.
+    /// Records lost before they reached the writer thread.
     lost: u64,
-    /// Lost by the writer thread, as far as that was taken into `unreported`.
+    /// Records lost by the writer thread, as far as already added to `unreported`.
     lost_by_writer: u64,
-    /// Lost since the last [`RecordRef::Gap`].
+    /// Records lost since the last [`RecordRef::Gap`].
     unreported: u64,
 }
 
-/// Records the inputs and answers of a driver. All methods are called on the decision thread and never wait for the disk,
-/// except [`Recorder::end`].
+/// Records the inputs of a driver and the instructions it returns. All methods are called on the
+/// driver's thread. None of them waits for the disk except [`Recorder::finish`].
 #[derive(Debug)]
 pub struct Recorder {
     start: Start,
     limits: Limits,
     writer: WriterThread,
     buffer: BlockBuffer,
-    counts: Counts,
-    /// Names of engines recorded so far.
-    engines: Vec<(EngineId, String)>,
-    /// Files or spans asked for beyond the first.
+    counts: RecordCounts,
+    /// Engine names recorded so far.
+    engine_names: Vec<(EngineId, String)>,
+    /// Number of segments requested from the writer thread after the first. A segment is a file, or
+    /// a part of the in-memory ring.
     segments_requested: u64,
-    checkpoint_at: Micros,
-    flushed_at: Micros,
-    /// The path that files are named after.
+    last_checkpoint_at: Micros,
+    last_flush_at: Micros,
+    /// The path from which the names of files are derived.
     path: PathBuf,
-    /// For a capture in memory: what detects a reason to write it to a file.
+    /// Detects the triggers of an in-memory capture; `None` for a capture written directly to
+    /// files.
     triggers: Option<TriggerDetector>,
-    /// The file that a capture in memory is to be written to, once the queue takes the message.
+    /// Path of a file whose request has not been sent to the writer thread yet, because the channel
+    /// was full or the request is new.
     ring_file: Option<PathBuf>,
 }
 
 impl Recorder {
-    /// Begins a capture at `path`; its later files are named after that.
+    /// Begins a capture that is written to `path`. The names of later files are derived from
+    /// `path`.
     ///
     /// # Errors
-    /// If the first file can't be created, or the writer thread can't be started.
+    /// Returns an error if the first file cannot be created or the writer thread cannot be started.
     pub fn begin(
         path: &Path,
         start: Start,
@@ -111,35 +118,35 @@
         driver: &Driver,
         now: Micros,
     ) -> io::Result<Recorder> {
-        Recorder::begin_on(file_maker(), path, start, limits, driver, now)
+        Recorder::begin_with_file_factory(disk_file_factory(), path, start, limits, driver, now)
     }
 
-    /// Begins a capture in files that `maker` creates.
+    /// Begins a capture that is written to files created by `file_factory`.
     ///
     /// # Errors
-    /// As [`Recorder::begin`].
-    pub fn begin_on(
-        mut maker: Maker,
+    /// Same as for [`Recorder::begin`].
+    pub fn begin_with_file_factory(
+        mut file_factory: FileFactory,
         path: &Path,
         start: Start,
         limits: Limits,
         driver: &Driver,
         now: Micros,
     ) -> io::Result<Recorder> {
-        let first = Segment::create(path.to_path_buf(), &mut maker)?;
+        let first = Segment::create(path.to_path_buf(), &mut file_factory)?;
         let writer = WriterThread::start(limits.max_queued_blocks, move |messages, status| {
-            FileWriter::new(first, maker, limits).run(messages, status);
+            FileWriter::new(first, file_factory, limits).run(messages, status);
         })?;
         Ok(Recorder::new(
             path, start, limits, writer, None, driver, now,
         ))
     }
 
-    /// Begins a capture that is held in memory. When one of the triggers fires, it is written to a file named after `path`,
-    /// the time and the reason.
+    /// Begins a capture that is held in memory. When a trigger fires, the capture is written to a
+    /// file whose name consists of the stem of `path`, the time and the reason.
     ///
     /// # Errors
-    /// If the writer thread can't be started.
+    /// Returns an error if the writer thread cannot be started.
     pub fn begin_in_memory(
         path: &Path,
         start: Start,
@@ -149,7 +156,7 @@
         now: Micros,
     ) -> io::Result<Recorder> {
         let limits = Limits {
-            segment_bytes: (ring_limits.max_bytes / SPANS_IN_RING).max(1),
+            segment_bytes: (ring_limits.max_bytes / SEGMENTS_IN_RING).max(1),
             ..limits
         };
         let ring_writer = RingWriter {
@@ -180,87 +187,93 @@
             limits,
             writer,
             buffer: BlockBuffer::new(limits.block_bytes),
-            counts: Counts::default(),
-            engines: Vec::new(),
+            counts: RecordCounts::default(),
+            engine_names: Vec::new(),
             segments_requested: 0,
-            checkpoint_at: now,
-            flushed_at: now,
+            last_checkpoint_at: now,
+            last_flush_at: now,
             path: path.to_path_buf(),
             triggers,
             ring_file: None,
         };
-        recorder.put_beginning(driver, now);
+        recorder.push_segment_start(driver, now);
         recorder
     }
 
-    /// Records a step: an input of the driver, the number of a query that it accepted, and its answer.
-    pub fn step(
+    /// Records a step: an input of the driver, the id of the query that it accepted, if any, and
+    /// the instructions that it returned.
+    pub fn record_step(
         &mut self,
         at: Micros,
         input: &RecordedInput,
         accepted: Option<QueryId>,
-        answer: &[Instruction],
+        instructions: &[Instruction],
     ) {
-        self.put(
+        self.push_record(
             at,
             &RecordRef::Step {
                 at,
-                told: input,
-                taken: accepted,
-                out: answer,
+                input,
+                accepted,
+                instructions,
             },
         );
         if let Some(triggers) = &mut self.triggers {
-            triggers.observe_step(at, input, answer);
+            triggers.observe_step(at, input, instructions);
         }
         if let Some(query) = accepted {
-            self.buffer.note_query(query);
+            self.buffer.observe_query(query);
         }
     }
 
-    /// Records names of engines that were not recorded yet.
-    pub fn engines(&mut self, at: Micros, names: impl Iterator<Item = (EngineId, String)>) {
-        let new: Vec<(EngineId, String)> =
-            names.filter(|name| !self.engines.contains(name)).collect();
+    /// Records the names of engines that were not recorded before.
+    pub fn record_engines(&mut self, at: Micros, names: impl Iterator<Item = (EngineId, String)>) {
+        let new: Vec<(EngineId, String)> = names
+            .filter(|name| !self.engine_names.contains(name))
+            .collect();
         if !new.is_empty() {
-            self.put(at, &RecordRef::Engines(&new));
-            self.engines.extend(new);
+            self.push_record(at, &RecordRef::Engines(&new));
+            self.engine_names.extend(new);
         }
     }
 
-    /// Hands over what is due. To be called between steps, as a checkpoint may be taken of the driver.
-    pub fn tend(&mut self, driver: &Driver, now: Micros) {
-        self.count_losses_of_writer();
+    /// Passes on the current block, records a checkpoint and requests a file from the ring, each if
+    /// it is due. Must be called between steps, because a checkpoint captures the state of the
+    /// driver between two steps.
+    pub fn maintain(&mut self, driver: &Driver, now: Micros) {
+        self.count_writer_losses();
         self.flush_if_due(driver, now);
-        if now - self.checkpoint_at >= self.limits.checkpoint_interval {
+        if now - self.last_checkpoint_at >= self.limits.checkpoint_interval {
             self.take_checkpoint(driver, now);
         }
         self.check_triggers(driver, now);
     }
 
-    /// Writes what is held in memory to a file, on an operator's request. Without effect for a capture in files.
-    pub fn ask(&mut self, now: Micros) {
+    /// Requests that the in-memory ring be written to a file. Has no effect on a capture written
+    /// directly to files.
+    pub fn request_file(&mut self, now: Micros) {
         if let Some(triggers) = &mut self.triggers {
             triggers.request(now);
         }
     }
 
-    /// What became of the records so far.
-    pub fn state(&self) -> State {
+    /// Returns the counters and the status of the recorder.
+    pub fn state(&self) -> RecorderState {
         let status = self.writer.status();
         let lost_by_writer = status.lost_records.load(Ordering::Relaxed);
-        State {
+        RecorderState {
             recorded: self.counts.recorded.saturating_sub(lost_by_writer),
             lost: self.counts.lost + lost_by_writer,
-            bytes: status.written_bytes.load(Ordering::Relaxed),
-            failing: status.is_failing.load(Ordering::Relaxed),
-            kept: status.ring_files.load(Ordering::Relaxed),
-            held: status.ring_bytes.load(Ordering::Relaxed),
+            written_bytes: status.written_bytes.load(Ordering::Relaxed),
+            is_failing: status.is_failing.load(Ordering::Relaxed),
+            ring_files: status.ring_files.load(Ordering::Relaxed),
+            ring_bytes: status.ring_bytes.load(Ordering::Relaxed),
         }
     }
 
-    /// Hands over the rest and waits until it is written. A capture in memory is written to a file if a trigger has fired.
-    pub fn end(mut self, now: Micros) -> State {
+    /// Passes the remaining records to the writer thread and waits until they are processed. An
+    /// in-memory capture is written to a file if a trigger has fired.
+    pub fn finish(mut self, now: Micros) -> RecorderState {
         if let Some(reason) = self
             .triggers
             .as_mut()
@@ -274,32 +287,33 @@
         self.state()
     }
 
-    /// Adds a record to the block.
-    fn put(&mut self, at: Micros, record: &RecordRef<'_>) {
+    /// Appends a record to the current block, or counts it as lost.
+    fn push_record(&mut self, at: Micros, record: &RecordRef<'_>) {
         if self.buffer.push(at, record).is_err() {
             self.counts.lost += 1;
             self.counts.unreported += 1;
         }
     }
 
-    /// Adds the records that a file or span begins with, or what follows a loss.
-    fn put_beginning(&mut self, driver: &Driver, now: Micros) {
+    /// Records what a reader needs at the beginning of a segment or after a loss: the start, the
+    /// gap, the engine names and a checkpoint.
+    fn push_segment_start(&mut self, driver: &Driver, now: Micros) {
         let start = self.start.clone();
-        self.put(now, &RecordRef::Start(&start));
+        self.push_record(now, &RecordRef::Start(&start));
         if self.counts.unreported > 0 {
             let lost = std::mem::take(&mut self.counts.unreported);
-            self.put(now, &RecordRef::Gap { at: now, lost });
+            self.push_record(now, &RecordRef::Gap { at: now, lost });
         }
-        let engines = self.engines.clone();
-        self.put(now, &RecordRef::Engines(&engines));
-        self.put_checkpoint(driver, now);
+        let engine_names = self.engine_names.clone();
+        self.push_record(now, &RecordRef::Engines(&engine_names));
+        self.push_checkpoint(driver, now);
     }
 
-    fn put_checkpoint(&mut self, driver: &Driver, now: Micros) {
-        self.checkpoint_at = now;
-        // Serializing into memory fails only for types that can't be serialized; a driver has none.
+    fn push_checkpoint(&mut self, driver: &Driver, now: Micros) {
+        self.last_checkpoint_at = now;
+        // Serialization into memory fails only for unsupported types, and the driver contains none.
         if let Ok(bytes) = postcard::to_stdvec(driver) {
-            self.put(
+            self.push_record(
                 now,
                 &RecordRef::Checkpoint {
                     at: now,
@@ -309,7 +323,7 @@
         }
     }
 
-    fn count_losses_of_writer(&mut self) {
+    fn count_writer_losses(&mut self) {
         let lost = self.writer.status().lost_records.load(Ordering::Relaxed);
         if lost > self.counts.lost_by_writer {
             self.counts.unreported += lost - self.counts.lost_by_writer;
@@ -317,11 +331,13 @@
         }
     }
 
-    /// Hands over the block if it is full or old enough. Begins a new file or span if the current one is full, and enters
-    /// again behind a loss.
+    /// Passes on the current block if it is full or older than the sync interval. Begins a new
+    /// segment if the current one is full. After a loss, records a gap and a checkpoint, from which
+    /// a replay can continue.
     fn flush_if_due(&mut self, driver: &Driver, now: Micros) {
         let segment_is_full = self.is_segment_full();
-        let is_old = !self.buffer.is_empty() && now - self.flushed_at >= self.limits.sync_interval;
+        let is_old =
+            !self.buffer.is_empty() && now - self.last_flush_at >= self.limits.sync_interval;
         if !segment_is_full && !is_old && self.buffer.len() < self.limits.block_bytes {
             return;
         }
@@ -330,28 +346,29 @@
         }
         let new_segment = segment_is_full && self.begin_segment();
         if new_segment || self.counts.unreported > 0 {
-            self.put_beginning(driver, now);
+            self.push_segment_start(driver, now);
         }
     }
 
-    /// Whether the current file or span is full. While the writer thread has not begun the last one asked for, its figure is of
-    /// the one before.
+    /// Returns whether the current segment is full. Until the writer thread has begun the last
+    /// requested segment, the reported size is that of the previous segment and is ignored.
     fn is_segment_full(&self) -> bool {
         let status = self.writer.status();
         let is_current = status.segments_begun.load(Ordering::Relaxed) == self.segments_requested;
         is_current && status.segment_bytes.load(Ordering::Relaxed) >= self.limits.segment_bytes
     }
 
-    /// Records a checkpoint. In memory, each begins a span.
+    /// Records a checkpoint. For an in-memory capture, each checkpoint begins a new segment.
     fn take_checkpoint(&mut self, driver: &Driver, now: Micros) {
         if self.triggers.is_none() {
-            self.put_checkpoint(driver, now);
+            self.push_checkpoint(driver, now);
         } else if self.flush(now) && self.begin_segment() {
-            self.put_beginning(driver, now);
+            self.push_segment_start(driver, now);
         }
     }
 
-    /// Requests a file of a capture in memory, if a trigger has fired.
+    /// If a trigger has fired and its file is due, requests that the ring be written to a file.
+    /// Retries an earlier request for which the channel was full.
     fn check_triggers(&mut self, driver: &Driver, now: Micros) {
         let Some(triggers) = &mut self.triggers else {
             return;
@@ -366,14 +383,15 @@
             .and_then(|path| self.writer.write_ring(path));
     }
 
-    /// Asks the writer thread to begin a file or span; false if it can't be asked now.
+    /// Requests a new segment from the writer thread. Returns `false` if the channel is full or
+    /// closed.
     fn begin_segment(&mut self) -> bool {
         let requested = self.writer.begin_segment();
         self.segments_requested += u64::from(requested);
         requested
     }
 
-    fn request_ring_file(&mut self, reason: Reason, now: Micros) {
+    fn request_ring_file(&mut self, reason: TriggerReason, now: Micros) {
         self.flush(now);
         let stem = self
             .path
@@ -387,14 +405,14 @@
         self.ring_file = Some(self.path.with_file_name(name));
     }
 
-    /// Hands the block over; false if it was dropped.
+    /// Passes the current block to the writer thread. Returns `false` if the block was dropped.
     fn flush(&mut self, now: Micros) -> bool {
-        self.flushed_at = now;
-        let Some((head, bytes)) = self.buffer.take() else {
+        self.last_flush_at = now;
+        let Some((header, bytes)) = self.buffer.take() else {
             return true;
         };
-        let records = u64::from(head.records);
-        let sent = self.writer.send_block(head, bytes);
+        let records = u64::from(header.records);
+        let sent = self.writer.send_block(header, bytes);
         if sent {
             self.counts.recorded += records;
         } else {
--- a/crates/capture/src/triggers.rs
+++ b/crates/capture/src/triggers.rs
@@ -1,54 +1,56 @@
-//! Detects when a capture in memory is to be written to a file. No I/O and no clock: steps in, a reason out.
+//! Detects when an in-memory capture should be written to a file. Performs no I/O and reads no
+//! clock: it is driven by the recorded steps and their times.
 
 use crate::format::RecordedInput;
 use std::collections::VecDeque;
 use wheelfield::interface::Micros;
 use wheelfield_driver::{Answer, Instruction};
 
-/// Parts of the window in which rejections are counted.
+/// Number of slices that the rejection window is divided into.
 const SLICES_IN_WINDOW: i64 = 10;
-/// With fewer arrivals in the window, the fraction of rejections says nothing.
+/// Minimum number of arrivals in the window. With fewer arrivals, the fraction of rejections is not
+/// meaningful.
 const MIN_ARRIVALS: u64 = 20;
 
-/// Why a capture in memory was written to a file.
+/// The reasons for writing an in-memory capture to a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum TriggerReason {
     /// An engine was ejected.
     EngineEjected,
-    /// More than a fraction of the arriving queries was rejected.
+    /// The fraction of rejected queries exceeded the threshold.
     Rejections,
-    /// The controller acted much later than it was due to.
+    /// The driver ran much later than it was due.
     Stall,
-    /// An operator requested it.
+    /// An operator requested the file.
     Requested,
 }
 
-impl Reason {
-    /// The part of a file name that says the reason.
+impl TriggerReason {
+    /// Returns the part of the file name that identifies the reason.
     pub fn file_name_part(self) -> &'static str {
         match self {
-            Reason::EngineEjected => "set-aside",
-            Reason::Rejections => "refusals",
-            Reason::Stall => "stall",
-            Reason::Requested => "asked",
+            TriggerReason::EngineEjected => "set-aside",
+            TriggerReason::Rejections => "refusals",
+            TriggerReason::Stall => "stall",
+            TriggerReason::Requested => "asked",
         }
     }
 }
 
-/// When a capture in memory is to be written to a file.
+/// The conditions under which an in-memory capture is written to a file.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Triggers {
-    /// When an engine is ejected.
+    /// Whether to fire when an engine is ejected.
     pub on_engine_ejected: bool,
-    /// When more than this fraction of the queries that arrived within the window was rejected.
+    /// Fires when the rejections exceed this fraction of the arrivals within the window.
     pub rejected_fraction: Option<f64>,
-    /// The window in which rejections are counted.
+    /// The sliding window over which rejections are counted.
     pub window: Micros,
-    /// When the controller acts so much later than it was due to.
+    /// Fires when the driver runs later than it was due by more than this duration.
     pub stall: Option<Micros>,
-    /// Time after a trigger that is written along with it.
+    /// How long recording continues after a trigger fires before the file is written.
     pub record_after: Micros,
-    /// Time after a file in which no trigger fires; an operator's request always does.
+    /// How long after a file no trigger fires. Operator requests are exempt.
     pub cooldown: Micros,
 }
 
@@ -65,36 +67,36 @@
     }
 }
 
-/// Arrivals and rejections in a part of the window.
+/// The arrivals and rejections in one slice of the window.
 #[derive(Clone, Copy, Debug)]
-struct Slice {
+struct WindowSlice {
     begins_at: Micros,
     arrivals: u64,
     rejections: u64,
 }
 
-/// A trigger that has fired, and when its file is due.
+/// A trigger that has fired, and the time at which its file is to be written.
 #[derive(Clone, Copy, Debug)]
-struct Pending {
-    reason: Reason,
+struct PendingTrigger {
+    reason: TriggerReason,
     due_at: Micros,
 }
 
-/// Detects triggers in the steps of a driver.
+/// Detects triggers from the steps of a driver.
 #[derive(Clone, Debug)]
 pub struct TriggerDetector {
     triggers: Triggers,
-    /// The window, oldest slice first.
-    slices: VecDeque<Slice>,
-    /// The next timer of the driver.
+    /// The slices of the window, oldest first.
+    slices: VecDeque<WindowSlice>,
+    /// When the driver's next timer is due.
     next_timer_at: Option<Micros>,
     last_step_at: Option<Micros>,
-    pending: Option<Pending>,
+    pending: Option<PendingTrigger>,
     cooldown_until: Micros,
 }
 
 impl TriggerDetector {
-    /// A detector that has seen no step.
+    /// Creates a detector without any history.
     pub fn new(triggers: Triggers) -> TriggerDetector {
         TriggerDetector {
             triggers,
@@ -106,51 +108,61 @@
         }
     }
 
-    /// Observes a step of the driver.
-    pub fn observe_step(&mut self, at: Micros, input: &RecordedInput, answer: &[Instruction]) {
+    /// Processes a step of the driver.
+    pub fn observe_step(
+        &mut self,
+        at: Micros,
+        input: &RecordedInput,
+        instructions: &[Instruction],
+    ) {
         self.detect_stall(at);
         let arrivals = u64::from(input.arrival().is_some());
         let is_rejection =
             |i: &&Instruction| matches!(i, Instruction::Answer(_, Answer::Rejected { .. }));
-        let rejections = answer.iter().filter(is_rejection).count() as u64;
+        let rejections = instructions.iter().filter(is_rejection).count() as u64;
         if arrivals > 0 || rejections > 0 {
-            self.count(at, arrivals, rejections);
+            self.count_in_window(at, arrivals, rejections);
         }
-        // The module logs only that it ejected an engine.
+        // The policy module writes a log instruction only when it ejects an engine.
         if self.triggers.on_engine_ejected
-            && answer.iter().any(|i| matches!(i, Instruction::Log(_)))
+            && instructions
+                .iter()
+                .any(|i| matches!(i, Instruction::Log(_)))
         {
-            self.fire(Reason::EngineEjected, at);
+            self.fire(TriggerReason::EngineEjected, at);
         }
     }
 
-    /// Sets when the driver is due to act next.
+    /// Sets the time at which the driver's next timer is due.
     pub fn set_next_timer(&mut self, at: Option<Micros>) {
         self.next_timer_at = at;
     }
 
-    /// Fires at once, on an operator's request.
+    /// Fires immediately for an operator's request, without recording further steps first. Replaces
+    /// a pending trigger.
     pub fn request(&mut self, now: Micros) {
-        self.pending = Some(Pending {
-            reason: Reason::Requested,
+        self.pending = Some(PendingTrigger {
+            reason: TriggerReason::Requested,
             due_at: now,
         });
     }
 
-    /// The reason for a file that is due now.
-    pub fn take_due(&mut self, now: Micros) -> Option<Reason> {
+    /// Returns the reason of the pending trigger if its file is due, and starts the cooldown.
+    pub fn take_due(&mut self, now: Micros) -> Option<TriggerReason> {
         self.pending.filter(|pending| now >= pending.due_at)?;
         self.take_pending(now)
     }
 
-    /// The reason for a file, whether it is due or not.
-    pub fn take_pending(&mut self, now: Micros) -> Option<Reason> {
-        let Pending { reason, .. } = self.pending.take()?;
+    /// Returns the reason of the pending trigger whether or not its file is due, and starts the
+    /// cooldown.
+    pub fn take_pending(&mut self, now: Micros) -> Option<TriggerReason> {
+        let PendingTrigger { reason, .. } = self.pending.take()?;
         self.cooldown_until = now + self.triggers.cooldown;
         Some(reason)
     }
 
-    /// A step is late if it comes long after the driver's timer and after the step before.
+    /// Detects a stall: a step that comes too long after both the driver's next timer and the
+    /// previous step. Time during which no timer was due does not count.
     fn detect_stall(&mut self, at: Micros) {
         let due_at = self
             .next_timer_at
@@ -158,13 +170,13 @@
             .map(|(timer, last)| timer.max(last));
         if let (Some(due_at), Some(stall)) = (due_at, self.triggers.stall) {
             if at - due_at > stall {
-                self.fire(Reason::Stall, at);
+                self.fire(TriggerReason::Stall, at);
             }
         }
         self.last_step_at = Some(at);
     }
 
-    fn count(&mut self, at: Micros, arrivals: u64, rejections: u64) {
+    fn count_in_window(&mut self, at: Micros, arrivals: u64, rejections: u64) {
         let Some(max_fraction) = self.triggers.rejected_fraction else {
             return;
         };
@@ -182,7 +194,7 @@
                 slice.arrivals += arrivals;
                 slice.rejections += rejections;
             }
-            _ => self.slices.push_back(Slice {
+            _ => self.slices.push_back(WindowSlice {
                 begins_at: at,
                 arrivals,
                 rejections,
@@ -191,13 +203,13 @@
         let arrivals: u64 = self.slices.iter().map(|slice| slice.arrivals).sum();
         let rejections: u64 = self.slices.iter().map(|slice| slice.rejections).sum();
         if arrivals >= MIN_ARRIVALS && rejections as f64 > max_fraction * arrivals as f64 {
-            self.fire(Reason::Rejections, at);
+            self.fire(TriggerReason::Rejections, at);
         }
     }
 
-    fn fire(&mut self, reason: Reason, at: Micros) {
+    fn fire(&mut self, reason: TriggerReason, at: Micros) {
         if self.pending.is_none() && at >= self.cooldown_until {
-            self.pending = Some(Pending {
+            self.pending = Some(PendingTrigger {
                 reason,
                 due_at: at + self.triggers.record_after,
             });
