--- a/crates/invariant-check/src/history_builder.rs
+++ b/crates/invariant-check/src/history_builder.rs
@@ -102,7 +102,7 @@
         let (mut last_step_at, mut known_losses, mut next_timer_at): (Option<Micros>, usize, Option<Micros>) =
             (None, 0, None);
         while let Some(ReplayedStep { recorded: step, .. }) = player.next_step()? {
-            let losses = player.losses();
+            let losses = player.gap_count();
             if last_step_at.is_none() || losses > known_losses {
                 reader.begin_lifetime(
                     step.at,
@@ -205,7 +205,7 @@
         let attempt_event = HistoryEvent {
             at: at.0,
             event: event.to_string(),
-            engine: self.names.engine(engine),
+            engine: self.names.engine_name(engine),
             query: Some(self.unique_id(attempt.query)),
             sent_by: format!("wheelfield/{}", self.controller),
             capacity_fraction,
@@ -370,7 +370,7 @@
             } else {
                 self.unavailable_engines.insert(entry.engine);
             }
-            let name = self.names.engine(entry.engine);
+            let name = self.names.engine_name(entry.engine);
             if let Some(started_at) = entry.started_at {
                 if self.builder.reported_starts.insert((entry.engine, started_at)) {
                     let restarted = HistoryEvent {
@@ -389,7 +389,10 @@
         }
         let unavailable_engines = self.unavailable_engines.iter();
         let unavailable_engines = unavailable_engines
-            .map(|engine| UnavailableEngine { engine: self.names.engine(*engine), status: "not up".into() })
+            .map(|engine| UnavailableEngine {
+                engine: self.names.engine_name(*engine),
+                status: "not up".into(),
+            })
             .collect();
         let controller = self.controller.to_string();
         self.builder.events.push(HistoryEvent {
--- a/crates/replay/src/commands/diff.rs
+++ b/crates/replay/src/commands/diff.rs
@@ -159,7 +159,7 @@
     fn key(&self, instruction: &Instruction, names: &Names) -> Key {
         let class_of = |query: &QueryId| {
             names
-                .class(
+                .class_name(
                     self.class_of_query
                         .get(query)
                         .copied()
@@ -174,7 +174,7 @@
             } => Key {
                 kind: "send".into(),
                 class: class_of(&attempt.query),
-                engine: names.engine(*engine),
+                engine: names.engine_name(*engine),
             },
             Instruction::Answer(query, answer) => {
                 let answer = format!("{answer:?}");
--- a/crates/replay/src/commands/explain.rs
+++ b/crates/replay/src/commands/explain.rs
@@ -137,7 +137,7 @@
     fn print(&self, now: Micros, start: Micros, names: &Names) {
         println!("known of the engines at that moment:");
         for (id, engine) in &self.engines {
-            println!("  {:<12} {}", names.engine(*id), engine.describe(now));
+            println!("  {:<12} {}", names.engine_name(*id), engine.describe(now));
         }
         for (at, text) in &self.log {
             println!(
@@ -261,7 +261,10 @@
             _ => break,
         }
     }
-    let shown: Vec<String> = chosen.iter().map(|engine| names.engine(*engine)).collect();
+    let shown: Vec<String> = chosen
+        .iter()
+        .map(|engine| names.engine_name(*engine))
+        .collect();
     println!(
         "  it fitted, by asking the module again without each one drawn: {}",
         shown.join(", ")
--- a/crates/replay/src/commands/what_if.rs
+++ b/crates/replay/src/commands/what_if.rs
@@ -41,7 +41,10 @@
     );
     for ((class, was, now), count) in &comparison.table {
         let (was, now) = (format!("{was:?}"), format!("{now:?}"));
-        println!("{:<16} {was:<20} {now:<20} {count:>8}", names.class(*class));
+        println!(
+            "{:<16} {was:<20} {now:<20} {count:>8}",
+            names.class_name(*class)
+        );
     }
     for altered in comparison.altered.iter().take(max_shown) {
         println!(
@@ -51,7 +54,7 @@
                 .query
                 .map_or("-".into(), |query| query.0.to_string()),
             altered.label,
-            names.class(altered.class),
+            names.class_name(altered.class),
             altered.was,
             altered.now
         );
--- a/crates/replay/src/describe.rs
+++ b/crates/replay/src/describe.rs
@@ -16,13 +16,13 @@
 
 impl Names {
     /// The name of an engine, or its number if it has none.
-    pub fn engine(&self, id: EngineId) -> String {
+    pub fn engine_name(&self, id: EngineId) -> String {
         let known = self.engines.iter().rev().find(|(e, _)| *e == id);
         known.map_or_else(|| format!("engine {:x}", id.0), |(_, name)| name.clone())
     }
 
     /// The name of a class, or `?`.
-    pub fn class(&self, class: usize) -> &str {
+    pub fn class_name(&self, class: usize) -> &str {
         self.classes.get(class).map_or("?", String::as_str)
     }
 }
@@ -67,7 +67,7 @@
     } else {
         format!(" `{label}`")
     };
-    let class = names.class(arrival.class);
+    let class = names.class_name(arrival.class);
     let work = arrival
         .work_hint
         .map_or(String::new(), |work| format!(", about {work:.2} s of work"));
@@ -116,7 +116,7 @@
             outcome,
             report,
         } => {
-            let (engine, report) = (names.engine(*engine), describe_load_report(report));
+            let (engine, report) = (names.engine_name(*engine), describe_load_report(report));
             format!("a probe of {engine} came back {outcome:?}; {report}")
         }
         Input::PeerReports(reports) => {
@@ -133,7 +133,9 @@
     };
     let entries: Vec<String> = entries
         .iter()
-        .map(|entry| format!("{} {:?}", names.engine(entry.engine), entry.status).to_lowercase())
+        .map(|entry| {
+            format!("{} {:?}", names.engine_name(entry.engine), entry.status).to_lowercase()
+        })
         .collect();
     format!("{what}: {}", entries.join(", "))
 }
@@ -168,7 +170,7 @@
         Instruction::Start {
             attempt, engine, ..
         } => {
-            format!("send attempt {attempt} to {}", names.engine(*engine))
+            format!("send attempt {attempt} to {}", names.engine_name(*engine))
         }
         Instruction::SetOptions(a, terms) => format!("priority {} for attempt {a}", terms.priority),
         Instruction::Cancel(a) => format!("withdraw attempt {a}"),
@@ -188,7 +190,7 @@
         Instruction::Answer(q, Answer::Interrupted) => {
             format!("fail query {}: its answer broke off", q.0)
         }
-        Instruction::Probe(e) => format!("probe {}", names.engine(*e)),
+        Instruction::Probe(e) => format!("probe {}", names.engine_name(*e)),
         Instruction::ShareReports(words) => format!("tell the others of {} engines", words.len()),
         Instruction::Subscribe => "ask for the engine list".into(),
         Instruction::Log(text) => format!("log: {text}"),
--- a/crates/replay/src/player.rs
+++ b/crates/replay/src/player.rs
@@ -77,7 +77,7 @@
     }
 
     /// Number of losses so far.
-    pub fn losses(&self) -> usize {
+    pub fn gap_count(&self) -> usize {
         self.verdict.unverified.len()
     }
 
