--- a/crates/replay/examples/fuzz_reader.rs
+++ b/crates/replay/examples/fuzz_reader.rs
@@ -1,6 +1,6 @@
-//! Broken captures without end, for so many seconds: `fuzz_reader SECONDS [SEED]`. Each begins as a sound one, is damaged by
-//! chance (bytes, lengths, cuts, splices), and half of the time its sums are made right again, so that the damage reaches
-//! what lies below them. Reading must give records or a named fault; a panic ends the run, and the memory is told.
+//! Fuzzes the capture reader: `fuzz_reader SECONDS [SEED]`. Each input is a valid capture with random damage (changed bytes and
+//! lengths, truncation, spliced parts). Half of the inputs get correct checksums again, so that the damage reaches the code
+//! behind the checksum. Reading must return records or an error; a panic ends the run. Prints the results and the peak memory.
 
 use rand::{Rng as _, RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
@@ -8,48 +8,51 @@
 use std::time::{Duration, Instant};
 use wheelfield_capture::{Entry, Reader};
 
-/// Bytes of a block's head, up to its sum.
-const HEAD: usize = 56;
+/// Length of a block header without its checksum, in bytes.
+const HEADER_BYTES: usize = 56;
 
 fn main() {
-    let mut args = std::env::args().skip(1).map(|a| a.parse::<u64>());
+    let mut args = std::env::args().skip(1).map(|arg| arg.parse::<u64>());
     let (Some(Ok(seconds)), seed) = (args.next(), args.next().and_then(Result::ok).unwrap_or(1))
     else {
-        eprintln!("fuzz_reader SECONDS [SEED]");
+        eprintln!("usage: fuzz_reader SECONDS [SEED]");
         std::process::exit(2);
     };
-    let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/troubles");
-    let sound: Vec<Vec<u8>> = std::fs::read_dir(folder)
-        .expect("the captures")
-        .filter_map(|e| std::fs::read(e.ok()?.path()).ok())
+    let directory = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/troubles");
+    let valid_captures: Vec<Vec<u8>> = std::fs::read_dir(directory)
+        .expect("read the directory of captures")
+        .filter_map(|entry| std::fs::read(entry.ok()?.path()).ok())
         .collect();
-    let dir = tempfile::tempdir().expect("a directory");
+    let dir = tempfile::tempdir().expect("create a temporary directory");
     let path = dir.path().join("x.wfcap");
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let until = Instant::now() + Duration::from_secs(seconds);
+    let end_at = Instant::now() + Duration::from_secs(seconds);
     let (mut files, mut records): (u64, u64) = (0, 0);
-    let mut ends: BTreeMap<String, u64> = BTreeMap::new();
-    while Instant::now() < until {
-        let mut bytes = sound[rng.random_range(0..sound.len())].clone();
+    let mut results: BTreeMap<String, u64> = BTreeMap::new();
+    while Instant::now() < end_at {
+        let mut bytes = valid_captures[rng.random_range(0..valid_captures.len())].clone();
         bytes.truncate(rng.random_range(8..=bytes.len().min(12_000)));
-        damage(&mut rng, &mut bytes, &sound);
+        damage(&mut rng, &mut bytes, &valid_captures);
         if rng.random_bool(0.5) {
-            mend_sums(&mut bytes);
+            fix_checksums(&mut bytes);
         }
-        std::fs::write(&path, &bytes).expect("written");
+        std::fs::write(&path, &bytes).expect("write the file");
         files += 1;
-        *ends.entry(read(&path, &mut records)).or_default() += 1;
+        *results
+            .entry(read_capture(&path, &mut records))
+            .or_default() += 1;
     }
     println!(
-        "{files} files, {records} records read, no panic, {} kB of memory at most",
+        "{files} files, {records} records read, no panic, peak memory {} kB",
         peak_kb()
     );
-    for (end, n) in ends {
-        println!("{n:>9}  {end}");
+    for (result, count) in results {
+        println!("{count:>9}  {result}");
     }
 }
 
-fn damage(rng: &mut Pcg64Mcg, bytes: &mut Vec<u8>, sound: &[Vec<u8>]) {
+/// Damages a capture in one to five random places.
+fn damage(rng: &mut Pcg64Mcg, bytes: &mut Vec<u8>, valid_captures: &[Vec<u8>]) {
     for _ in 0..rng.random_range(1..6) {
         if bytes.is_empty() {
             return;
@@ -63,12 +66,12 @@
             }
             2 => bytes.truncate(at),
             3 => {
-                let other = &sound[rng.random_range(0..sound.len())];
+                let other = &valid_captures[rng.random_range(0..valid_captures.len())];
                 let from = rng.random_range(0..other.len());
                 let to = other.len().min(from + rng.random_range(1..400));
                 bytes.splice(at..at, other[from..to].iter().copied());
             }
-            // A length or count that is far too long.
+            // Makes a length or count far too large, if there is one at this place.
             _ => {
                 let end = bytes.len().min(at + 4);
                 bytes[at..end].fill(0xff);
@@ -77,63 +80,69 @@
     }
 }
 
-/// Makes the sum of each block right for what it holds now.
-fn mend_sums(bytes: &mut [u8]) {
+/// Writes the correct checksum of each block.
+fn fix_checksums(bytes: &mut [u8]) {
     let mut at = 8;
-    while bytes.len() >= at + HEAD + 4 && &bytes[at..at + 4] == b"WFBK" {
+    while bytes.len() >= at + HEADER_BYTES + 4 && &bytes[at..at + 4] == b"WFBK" {
         let length = u32::from_be_bytes([
             bytes[at + 52],
             bytes[at + 53],
             bytes[at + 54],
             bytes[at + 55],
         ]) as usize;
-        let (from, to) = (at + HEAD + 4, (at + HEAD + 4).saturating_add(length));
+        let (from, to) = (
+            at + HEADER_BYTES + 4,
+            (at + HEADER_BYTES + 4).saturating_add(length),
+        );
         if to > bytes.len() {
             return;
         }
-        let mut sum = crc32fast::Hasher::new();
-        sum.update(&bytes[at..at + HEAD]);
-        sum.update(&bytes[from..to]);
-        bytes[at + HEAD..from].copy_from_slice(&sum.finalize().to_be_bytes());
+        let mut checksum = crc32fast::Hasher::new();
+        checksum.update(&bytes[at..at + HEADER_BYTES]);
+        checksum.update(&bytes[from..to]);
+        bytes[at + HEADER_BYTES..from].copy_from_slice(&checksum.finalize().to_be_bytes());
         at = to;
     }
 }
 
-/// Reads to the end or the first fault, and says which.
-fn read(path: &std::path::Path, records: &mut u64) -> String {
+/// Reads a capture to its end or first error, and returns which it was.
+fn read_capture(path: &std::path::Path, records: &mut u64) -> String {
     let mut reader = match Reader::open(path) {
         Ok(reader) => reader,
-        Err(fault) => return first_words(&fault.to_string()),
+        Err(error) => return first_words(&error.to_string()),
     };
-    // The index, too, is read by programs.
+    // Also fuzzes the reading of all block headers, and seeking.
     let _ = reader.headers();
     if reader.seek_to_block(8).is_err() {
-        return "cannot be gone to".into();
+        return "seek failed".into();
     }
     loop {
         match reader.next_entry() {
             Ok(Some(Entry::Record(_))) => *records += 1,
             Ok(Some(Entry::Missing { .. })) => {}
-            Ok(Some(Entry::Torn { .. })) => return "torn".into(),
-            Ok(None) => return "whole".into(),
-            Err(fault) => return first_words(&fault.to_string()),
+            Ok(Some(Entry::Torn { .. })) => return "incomplete block at the end".into(),
+            Ok(None) => return "complete".into(),
+            Err(error) => return first_words(&error.to_string()),
         }
     }
 }
 
-fn first_words(fault: &str) -> String {
-    let what = fault.split(": ").nth(1).unwrap_or(fault);
-    what.split(' ')
-        .filter(|w| w.trim_end_matches(';').parse::<u64>().is_err())
+/// Shortens an error message to its first words without numbers, so that equal errors are counted together.
+fn first_words(message: &str) -> String {
+    let description = message.split(": ").nth(1).unwrap_or(message);
+    description
+        .split(' ')
+        .filter(|word| word.trim_end_matches(';').parse::<u64>().is_err())
         .take(9)
         .collect::<Vec<_>>()
         .join(" ")
 }
 
-/// The most memory this process had, as the system tells.
+/// Returns the peak resident memory of this process.
 fn peak_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:"));
-    line.and_then(|l| l.trim().split(' ').next()?.parse().ok())
+    let value = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
+    value
+        .and_then(|value| value.trim().split(' ').next()?.parse().ok())
         .unwrap_or(0)
 }
--- a/crates/replay/examples/hour.rs
+++ b/crates/replay/examples/hour.rs
@@ -1,4 +1,5 @@
-//! Writes a capture of an hour of virtual time and enters it at minute 50: `hour FILE [QUERIES A SECOND]`.
+//! Writes a capture of an hour of virtual time and replays it, from the start and from minute 50, to compare the time that both
+//! take: `hour FILE [QUERIES_PER_SECOND]`.
 
 use std::path::PathBuf;
 use std::time::Instant;
@@ -7,17 +8,14 @@
 use wheelfield_driver::{Arrival, Driver, DriverLimits, Input, Instruction};
 use wheelfield_replay::{feed, run, Options};
 
-#[expect(
-    clippy::too_many_lines,
-    reason = "to be split: docs/ROADMAP.md lists it"
-)]
+#[expect(clippy::too_many_lines, reason = "to be split, see docs/ROADMAP.md")]
 fn main() {
     let mut args = std::env::args().skip(1);
     let Some(path) = args.next().map(PathBuf::from) else {
-        eprintln!("hour FILE [QUERIES A SECOND]");
+        eprintln!("usage: hour FILE [QUERIES_PER_SECOND]");
         std::process::exit(2);
     };
-    let rate: i64 = args.next().and_then(|r| r.parse().ok()).unwrap_or(20);
+    let rate: i64 = args.next().and_then(|arg| arg.parse().ok()).unwrap_or(20);
     let class = Class {
         latency_objective: Micros::from_secs_f64(1.0),
         deadline: Micros::from_secs_f64(5.0),
@@ -52,9 +50,10 @@
         max_queued_blocks: 1 << 16,
         ..Limits::default()
     };
-    let mut recorder = Recorder::begin(&path, start, limits, &driver, Micros(0)).expect("a file");
-    let mut agenda: std::collections::BTreeMap<(i64, u64), RecordedInput> = Default::default();
-    let entry = |n| EngineEntry {
+    let mut recorder =
+        Recorder::begin(&path, start, limits, &driver, Micros(0)).expect("create the capture");
+    let mut schedule: std::collections::BTreeMap<(i64, u64), RecordedInput> = Default::default();
+    let engine_entry = |n| EngineEntry {
         engine: EngineId(n),
         zone: 0,
         kind: 0,
@@ -62,68 +61,72 @@
         status: Status::Up,
         started_at: None,
     };
-    agenda.insert((1, 0), RecordedInput::Input(Input::Started));
-    agenda.insert(
+    schedule.insert((1, 0), RecordedInput::Input(Input::Started));
+    schedule.insert(
         (2, 0),
         RecordedInput::Input(Input::Engines {
             complete: true,
-            entries: (0..20).map(entry).collect(),
+            entries: (0..20).map(engine_entry).collect(),
         }),
     );
-    let (mut n, mut steps, hour) = (1u64, 0u64, 3_600_000_000i64);
-    let mut next = 1_000i64;
-    while next < hour || !agenda.is_empty() {
-        if next < hour && agenda.first_key_value().is_none_or(|((t, _), _)| *t > next) {
-            n += 1;
-            let work_hint = Some(0.05 + (n % 50) as f64 / 100.0);
+    let (mut last_id, mut steps, hour) = (1u64, 0u64, 3_600_000_000i64);
+    let mut next_arrival = 1_000i64;
+    while next_arrival < hour || !schedule.is_empty() {
+        if next_arrival < hour
+            && schedule
+                .first_key_value()
+                .is_none_or(|((at, _), _)| *at > next_arrival)
+        {
+            last_id += 1;
+            let work_hint = Some(0.05 + (last_id % 50) as f64 / 100.0);
             let arrival = Arrival {
-                deadline: Micros(next + 5_000_000),
+                deadline: Micros(next_arrival + 5_000_000),
                 work_hint,
                 ..Arrival::default()
             };
-            agenda.insert(
-                (next, n),
+            schedule.insert(
+                (next_arrival, last_id),
                 RecordedInput::Arrive {
                     arrival,
-                    label: format!("q{n}"),
+                    label: format!("q{last_id}"),
                 },
             );
-            next += 1_000_000 / rate.max(1);
+            next_arrival += 1_000_000 / rate.max(1);
         }
-        let Some(((at, _), told)) = agenda.pop_first() else {
+        let Some(((at, _), input)) = schedule.pop_first() else {
             break;
         };
-        let mut todo = vec![(at, told)];
-        while let Some(due) = driver.next_timer_at().filter(|d| d.0 < at) {
-            todo.insert(todo.len() - 1, (due.0, RecordedInput::Due));
-            step(
+        let mut pending = vec![(at, input)];
+        while let Some(due) = driver.next_timer_at().filter(|due| due.0 < at) {
+            pending.insert(pending.len() - 1, (due.0, RecordedInput::Due));
+            run_step(
                 &mut driver,
                 &mut recorder,
-                &mut agenda,
-                todo.remove(0),
-                &mut n,
+                &mut schedule,
+                pending.remove(0),
+                &mut last_id,
             );
             steps += 1;
         }
-        step(
+        run_step(
             &mut driver,
             &mut recorder,
-            &mut agenda,
-            todo.remove(0),
-            &mut n,
+            &mut schedule,
+            pending.remove(0),
+            &mut last_id,
         );
         steps += 1;
     }
     let state = recorder.end(Micros(hour));
     println!(
-        "{steps} steps of an hour at {rate} queries a second: {} bytes, {} lost",
+        "{steps} steps of an hour at {rate} queries per second: {} bytes, {} records lost",
         state.bytes, state.lost
     );
-    for (what, from) in [
+    for (description, from) in [
         ("from the start", None),
         ("from minute 50", Some(Micros(50 * 60_000_000))),
     ] {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let verdict = run(
             &path,
             Options {
@@ -131,43 +134,44 @@
                 over_gaps: false,
             },
         )
-        .expect("whole");
-        let took = began.elapsed().as_secs_f64();
-        let (first, last) = verdict.times.expect("steps");
+        .expect("replay the capture");
+        let elapsed = started_at.elapsed().as_secs_f64();
+        let (first, last) = verdict.time_range.expect("the capture has steps");
         println!(
-            "{what}: {} steps from minute {:.1} on, equal: {}, in {took:.2} s, {:.0} times real time",
+            "{description}: {} steps from minute {:.1} on, equal: {}, in {elapsed:.2} s, {:.0} times real time",
             verdict.steps,
             first.as_secs_f64() / 60.0,
             verdict.equal(),
-            (last - first).as_secs_f64() / took
+            (last - first).as_secs_f64() / elapsed
         );
     }
 }
 
-fn step(
+/// Feeds an input to the driver, records the step and schedules the events of each attempt that it starts.
+fn run_step(
     driver: &mut Driver,
     recorder: &mut Recorder,
-    agenda: &mut std::collections::BTreeMap<(i64, u64), RecordedInput>,
-    (at, told): (i64, RecordedInput),
-    n: &mut u64,
+    schedule: &mut std::collections::BTreeMap<(i64, u64), RecordedInput>,
+    (at, input): (i64, RecordedInput),
+    last_id: &mut u64,
 ) {
-    let mut out = Vec::new();
-    let taken = feed(driver, Micros(at), &told, &mut out);
-    recorder.step(Micros(at), &told, taken, &out);
+    let mut answer = Vec::new();
+    let accepted = feed(driver, Micros(at), &input, &mut answer);
+    recorder.step(Micros(at), &input, accepted, &answer);
     recorder.tend(driver, Micros(at));
-    for i in out {
-        if let Instruction::Start { attempt, .. } = i {
-            *n += 2;
-            agenda.insert(
-                (at + 1_000, *n - 1),
+    for instruction in answer {
+        if let Instruction::Start { attempt, .. } = instruction {
+            *last_id += 2;
+            schedule.insert(
+                (at + 1_000, *last_id - 1),
                 RecordedInput::Input(Input::Dispatched(attempt)),
             );
             let report = LoadReport {
-                utilisation: Some((*n % 17) as f64 / 20.0),
+                utilisation: Some((*last_id % 17) as f64 / 20.0),
                 ..LoadReport::default()
             };
-            let takes = 50_000 + (*n * 7_919 % 900_000) as i64;
-            let outcome = if *n % 101 < 2 {
+            let duration = 50_000 + (*last_id * 7_919 % 900_000) as i64;
+            let outcome = if *last_id % 101 < 2 {
                 Outcome::Error
             } else {
                 Outcome::Served
@@ -178,7 +182,7 @@
                 reported_work: Some(0.2),
                 report,
             };
-            agenda.insert((at + takes, *n), RecordedInput::Input(ended));
+            schedule.insert((at + duration, *last_id), RecordedInput::Input(ended));
         }
     }
 }
--- a/crates/replay/src/commands/diff.rs
+++ b/crates/replay/src/commands/diff.rs
@@ -1,4 +1,4 @@
-//! `diff`: which steps another build answers otherwise, or this one under another configuration.
+//! `diff`: compares the decisions of this build with those of another build or of another configuration.
 
 use super::{open_over_gaps, read_names, what_if, Outcome};
 use anyhow::{Context, Result};
@@ -11,8 +11,8 @@
 use wheelfield_replay::describe::{describe_input, describe_instruction, Names};
 use wheelfield_replay::ReplayedStep;
 
-/// Compares the decisions of this build with those under a configuration (`.toml`), or with those of another build's replay
-/// program.
+/// Compares the recorded decisions with those under the configuration `against` if its name ends in `.toml`. Otherwise compares
+/// the decisions of this build with those of `against`, the replay program of another build.
 pub fn diff_against(file: &Path, against: &Path, max_shown: usize) -> Result<Outcome> {
     if against
         .extension()
@@ -32,24 +32,24 @@
     let mut player = open_over_gaps(file)?;
     let mut table = DifferenceTable::default();
     while let Some(step) = player.next_step()? {
-        let other = other_build.next_answer()?;
-        table.note_query(&step);
+        let other_answer = other_build.next_answer()?;
+        table.record_class(&step);
         table.steps += 1;
-        if other == step.answer {
+        if other_answer == step.answer {
             continue;
         }
         table.different_steps += 1;
-        table.add(&step.answer, &other, &names);
+        table.add(&step.answer, &other_answer, &names);
         if table.different_steps <= max_shown {
-            print_difference(&step, &other, &names);
+            print_difference(&step, &other_answer, &names);
         }
     }
     other_build.wait()?;
     table.print();
-    Ok(Outcome::from_equal(table.different_steps == 0))
+    Ok(Outcome::from_all_equal(table.different_steps == 0))
 }
 
-/// Another build's replay program that exports its answers.
+/// The replay program of another build, running `export --replayed`.
 struct OtherBuild {
     child: Child,
     lines: Lines<BufReader<ChildStdout>>,
@@ -63,22 +63,25 @@
             .stdout(Stdio::piped())
             .spawn()
             .with_context(|| format!("cannot start {}", program.display()))?;
-        let stdout = child.stdout.take().context("no standard output")?;
+        let stdout = child
+            .stdout
+            .take()
+            .context("the other build has no standard output")?;
         Ok(OtherBuild {
             child,
             lines: BufReader::new(stdout).lines(),
         })
     }
 
-    /// Its answer in the next step.
+    /// Reads the answer of the other build to the next step.
     fn next_answer(&mut self) -> Result<Vec<Instruction>> {
         let line = self
             .lines
             .next()
-            .context("the other build stopped early")??;
+            .context("the other build exported fewer steps than this one")??;
         let line: serde_json::Value = serde_json::from_str(&line)?;
         serde_json::from_value(line["out"].clone())
-            .context("the other build answers in another form: it can't be compared")
+            .context("cannot compare: the other build exports instructions in a different format")
     }
 
     fn wait(&mut self) -> Result<()> {
@@ -87,76 +90,82 @@
     }
 }
 
-fn print_difference(step: &ReplayedStep, other: &[Instruction], names: &Names) {
+fn print_difference(step: &ReplayedStep, other_answer: &[Instruction], names: &Names) {
     println!(
         "step {}: {}",
         step.recorded.number,
         describe_input(&step.recorded, names)
     );
     for instruction in &step.answer {
-        println!("  here  {}", describe_instruction(instruction, names));
+        println!(
+            "  this build:  {}",
+            describe_instruction(instruction, names)
+        );
     }
-    for instruction in other {
-        println!("  there {}", describe_instruction(instruction, names));
+    for instruction in other_answer {
+        println!(
+            "  other build: {}",
+            describe_instruction(instruction, names)
+        );
     }
 }
 
-/// What instructions are counted by.
+/// Group of instructions that are counted together.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
-struct Key {
+struct GroupKey {
     kind: String,
     class: String,
     engine: String,
 }
 
-/// Instructions that only one of the builds gave.
+/// Numbers of instructions that only one of the builds returned.
 #[derive(Default)]
 struct Counts {
-    here_only: u64,
-    there_only: u64,
+    this_only: u64,
+    other_only: u64,
 }
 
-/// The differences by kind of instruction, class and engine.
+/// Counts of differing instructions by kind, class and engine.
 #[derive(Default)]
 struct DifferenceTable {
     steps: u64,
     different_steps: u64,
-    counts: BTreeMap<Key, Counts>,
-    /// The classes of the queries so far.
+    counts: BTreeMap<GroupKey, Counts>,
+    /// Class index of each query so far.
     class_of_query: BTreeMap<QueryId, usize>,
 }
 
 impl DifferenceTable {
-    /// Takes note of the class of an arriving query.
-    fn note_query(&mut self, step: &ReplayedStep) {
+    /// Stores the class of an arriving query.
+    fn record_class(&mut self, step: &ReplayedStep) {
         if let (Some((arrival, _)), Some(query)) = (step.recorded.input.arrival(), step.accepted) {
             self.class_of_query.insert(query, arrival.class);
         }
     }
 
-    /// Counts the instructions that only one of two answers has.
-    fn add(&mut self, here: &[Instruction], there: &[Instruction], names: &Names) {
-        for instruction in here
+    /// Counts the instructions that only one of the two answers contains.
+    fn add(&mut self, this_answer: &[Instruction], other_answer: &[Instruction], names: &Names) {
+        for instruction in this_answer
             .iter()
-            .filter(|instruction| !there.contains(instruction))
+            .filter(|instruction| !other_answer.contains(instruction))
         {
             self.counts
                 .entry(self.key(instruction, names))
                 .or_default()
-                .here_only += 1;
+                .this_only += 1;
         }
-        for instruction in there
+        for instruction in other_answer
             .iter()
-            .filter(|instruction| !here.contains(instruction))
+            .filter(|instruction| !this_answer.contains(instruction))
         {
             self.counts
                 .entry(self.key(instruction, names))
                 .or_default()
-                .there_only += 1;
+                .other_only += 1;
         }
     }
 
-    fn key(&self, instruction: &Instruction, names: &Names) -> Key {
+    fn key(&self, instruction: &Instruction, names: &Names) -> GroupKey {
         let class_of = |query: &QueryId| {
             names
                 .class_name(
@@ -167,11 +176,11 @@
                 )
                 .to_string()
         };
-        let none = || "-".to_string();
+        let not_applicable = || "-".to_string();
         match instruction {
             Instruction::Start {
                 attempt, engine, ..
-            } => Key {
+            } => GroupKey {
                 kind: "send".into(),
                 class: class_of(&attempt.query),
                 engine: names.engine_name(*engine),
@@ -179,28 +188,28 @@
             Instruction::Answer(query, answer) => {
                 let answer = format!("{answer:?}");
                 let kind = answer.split([' ', '{']).next().unwrap_or("").to_lowercase();
-                Key {
+                GroupKey {
                     kind,
                     class: class_of(query),
-                    engine: none(),
+                    engine: not_applicable(),
                 }
             }
-            Instruction::Cancel(attempt) => Key {
-                kind: "withdraw".into(),
+            Instruction::Cancel(attempt) => GroupKey {
+                kind: "cancel".into(),
                 class: class_of(&attempt.query),
-                engine: none(),
+                engine: not_applicable(),
             },
-            _ => Key {
+            _ => GroupKey {
                 kind: "other".into(),
-                class: none(),
-                engine: none(),
+                class: not_applicable(),
+                engine: not_applicable(),
             },
         }
     }
 
     fn print(&self) {
         println!(
-            "{} of {} steps are answered otherwise",
+            "{} of {} steps have a different answer",
             self.different_steps, self.steps
         );
         if self.different_steps == 0 {
@@ -208,21 +217,21 @@
         }
         println!(
             "{:<12} {:<16} {:<14} {:>9} {:>10}",
-            "kind", "class", "engine", "here only", "there only"
+            "kind", "class", "engine", "this only", "other only"
         );
         for (
-            Key {
+            GroupKey {
                 kind,
                 class,
                 engine,
             },
             Counts {
-                here_only,
-                there_only,
+                this_only,
+                other_only,
             },
         ) in &self.counts
         {
-            println!("{kind:<12} {class:<16} {engine:<14} {here_only:>9} {there_only:>10}");
+            println!("{kind:<12} {class:<16} {engine:<14} {this_only:>9} {other_only:>10}");
         }
     }
 }
--- a/crates/replay/src/commands/explain.rs
+++ b/crates/replay/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: the steps of one query, and what was known of the engines when something was decided of it.
+//! `explain`: prints the steps of one query and what the controller knew of the engines at each decision on it.
 
 use super::{first_time, open_over_gaps, print_step, read_names, Outcome};
 use anyhow::{bail, Result};
@@ -12,59 +12,63 @@
 use wheelfield_replay::describe::{describe_load_report, Names};
 use wheelfield_replay::{feed, Player, Snapshots, Step};
 
-/// Log lines of the module that are shown with a decision, at most.
+/// Maximum number of log lines of the driver that are printed with a decision.
 const MAX_LOG_LINES: usize = 5;
 
-/// Explains a query, by its number or its client's name for it, in each capture that has it.
-pub fn explain_query(files: &[PathBuf], wanted: &str) -> Result<Outcome> {
+/// Explains a query, identified by its ID or by the name that its client gave it, in each capture that contains it.
+pub fn explain_query(files: &[PathBuf], name_or_id: &str) -> Result<Outcome> {
     let mut found = false;
     for file in files {
-        found |= explain_in(file, wanted, files.len() > 1)?;
+        found |= explain_in_capture(file, name_or_id, files.len() > 1)?;
     }
     if !found {
-        bail!("no query `{wanted}` in any of these captures");
+        bail!("none of the captures contains a query `{name_or_id}`");
     }
     Ok(Outcome::Done)
 }
 
-/// Explains a query of one capture, under a title if there are several; false if the capture does not have it.
-fn explain_in(file: &Path, wanted: &str, titled: bool) -> Result<bool> {
+/// Explains a query of one capture, below a heading if `with_heading` is set. Returns whether the capture contains the query.
+fn explain_in_capture(file: &Path, name_or_id: &str, with_heading: bool) -> Result<bool> {
     let names = read_names(file)?;
     let start = first_time(file)?;
     let mut player = open_over_gaps(file)?;
     player.snapshots = Snapshots::BeforeArrivals;
-    let mut knowledge = Knowledge::default();
-    let mut query: Option<QueryId> = wanted.parse().ok().map(QueryId);
+    let mut view = ControllerView::default();
+    let mut query: Option<QueryId> = name_or_id.parse().ok().map(QueryId);
     let mut found = false;
     while let Some(replayed) = player.next_step()? {
         let step = replayed.recorded;
         if step
             .input
             .arrival()
-            .is_some_and(|(_, label)| label == wanted)
+            .is_some_and(|(_, label)| label == name_or_id)
         {
             query = step.accepted;
         }
-        let decides = query.is_some_and(|query| step.answer.iter().any(|i| decides_on(i, query)));
-        if decides || query.is_some_and(|query| is_about(&step, query)) {
-            if titled && !found {
+        let has_decision = query.is_some_and(|query| {
+            step.answer
+                .iter()
+                .any(|instruction| is_decision_on(instruction, query))
+        });
+        if has_decision || query.is_some_and(|query| concerns(&step, query)) {
+            if with_heading && !found {
                 let index = player.start.as_ref().map_or(0, |start| start.index);
                 println!("== {} (controller {index})", file.display());
             }
             found = true;
             print_step(&step, start, &names, "");
-            if decides {
-                knowledge.print(step.at, start, &names);
+            if has_decision {
+                view.print(step.at, start, &names);
                 print_alternatives(&player, &step, &names);
             }
         }
-        knowledge.learn(&step);
+        view.learn(&step);
     }
     Ok(found)
 }
 
-/// Whether an instruction is a decision on a query.
-fn decides_on(instruction: &Instruction, query: QueryId) -> bool {
+/// Returns whether an instruction is a decision on a query.
+fn is_decision_on(instruction: &Instruction, query: QueryId) -> bool {
     match instruction {
         Instruction::Start { attempt, .. }
         | Instruction::Cancel(attempt)
@@ -74,8 +78,8 @@
     }
 }
 
-/// Whether the input of a step is about a query.
-fn is_about(step: &Step, query: QueryId) -> bool {
+/// Returns whether the input of a step concerns a query.
+fn concerns(step: &Step, query: QueryId) -> bool {
     match &step.input {
         RecordedInput::Arrive { .. } | RecordedInput::ArriveAs { .. } => {
             step.accepted == Some(query)
@@ -92,62 +96,65 @@
     }
 }
 
-/// What a controller knew of an engine, each with its time.
+/// What a controller knew of an engine, and since when.
 #[derive(Default)]
-struct EngineKnowledge {
+struct EngineView {
     status: Option<(Micros, Status)>,
     report: Option<(Micros, LoadReport)>,
+    /// Time of the last attempt there that was not served.
     failed_at: Option<Micros>,
-    /// Attempts of this controller that are in flight there.
+    /// Attempts of this controller in flight on the engine.
     in_flight: i64,
-    /// Attempts that it has sent there.
+    /// Attempts that this controller has sent to the engine so far.
     sent: u64,
 }
 
-impl EngineKnowledge {
+impl EngineView {
     fn describe(&self, now: Micros) -> String {
         let age = |at: Micros| format!("{:.2} s ago", (now - at).as_secs_f64());
         let status = self.status.map_or("never listed".into(), |(at, status)| {
             format!("{status:?} since {}", age(at)).to_lowercase()
         });
-        let load = self.report.map_or("no load told".into(), |(at, report)| {
-            format!("{} ({})", describe_load_report(&report), age(at))
-        });
+        let load = self
+            .report
+            .map_or("no load reported".into(), |(at, report)| {
+                format!("{} ({})", describe_load_report(&report), age(at))
+            });
         let failed = self
             .failed_at
             .map_or(String::new(), |at| format!(", last failed {}", age(at)));
         format!(
-            "{status}; {load}; {} of ours out, {} sent{failed}",
+            "{status}; {load}; {} attempts in flight, {} sent{failed}",
             self.in_flight, self.sent
         )
     }
 }
 
-/// What a controller knew at a step.
+/// What a controller knew before a step, collected from the steps so far.
 #[derive(Default)]
-struct Knowledge {
-    engines: BTreeMap<EngineId, EngineKnowledge>,
-    /// The engine of each attempt in flight, by query and number of the attempt.
+struct ControllerView {
+    engines: BTreeMap<EngineId, EngineView>,
+    /// Engine of each attempt in flight, by query ID and attempt number.
     engine_of_attempt: BTreeMap<(QueryId, usize), EngineId>,
-    /// The last log lines of the module.
+    /// Latest log lines of the driver.
     log: VecDeque<(Micros, String)>,
 }
 
-impl Knowledge {
+impl ControllerView {
     fn print(&self, now: Micros, start: Micros, names: &Names) {
-        println!("known of the engines at that moment:");
+        println!("engines as known before this step:");
         for (id, engine) in &self.engines {
             println!("  {:<12} {}", names.engine_name(*id), engine.describe(now));
         }
         for (at, text) in &self.log {
             println!(
-                "  the module had said at {:.3} s: {text}",
+                "  the driver had logged at {:.3} s: {text}",
                 (*at - start).as_secs_f64()
             );
         }
     }
 
-    /// Adds what a step says.
+    /// Adds the input and the answer of a step.
     fn learn(&mut self, step: &Step) {
         if let RecordedInput::Input(input) = &step.input {
             self.learn_from_input(step.at, input);
@@ -223,13 +230,13 @@
         }
     }
 
-    fn engine(&mut self, id: EngineId) -> &mut EngineKnowledge {
+    fn engine(&mut self, id: EngineId) -> &mut EngineView {
         self.engines.entry(id).or_default()
     }
 }
 
-/// Prints the engines that an arriving query could have been sent to, by asking the module again at the same moment: each engine
-/// that it chooses is removed, until it chooses no further one.
+/// Prints the engines that an arriving query could have been sent to. Repeats the decision on a copy of the driver, marks the
+/// engine that it chooses as draining and repeats this until no further engine is chosen.
 fn print_alternatives(player: &Player, step: &Step, names: &Names) {
     if step.input.arrival().is_none() {
         return;
@@ -237,41 +244,41 @@
     let Some(snapshot) = player.snapshot() else {
         return;
     };
-    let Some(first) = chosen_engine(&step.answer) else {
-        println!("  with any single engine gone it is answered the same: it fits nowhere");
+    let Some(first_choice) = chosen_engine(&step.answer) else {
+        println!("  the driver chose no engine; draining any single engine would not change this");
         return;
     };
-    let mut chosen = vec![first];
-    let mut last = first;
+    let mut candidates = vec![first_choice];
+    let mut last_chosen = first_choice;
     let mut driver = snapshot.clone();
     for _ in 0..player.engines.len() {
         let removal = Input::Engines {
             complete: false,
-            entries: vec![draining_entry(last)],
+            entries: vec![draining_entry(last_chosen)],
         };
         driver.handle_input(step.at, removal, &mut Vec::new());
-        let mut trial = driver.clone();
+        let mut trial_driver = driver.clone();
         let mut answer = Vec::new();
-        feed(&mut trial, step.at, &step.input, &mut answer);
+        feed(&mut trial_driver, step.at, &step.input, &mut answer);
         match chosen_engine(&answer) {
-            Some(next) if !chosen.contains(&next) => {
-                chosen.push(next);
-                last = next;
+            Some(next) if !candidates.contains(&next) => {
+                candidates.push(next);
+                last_chosen = next;
             }
             _ => break,
         }
     }
-    let shown: Vec<String> = chosen
+    let shown: Vec<String> = candidates
         .iter()
         .map(|engine| names.engine_name(*engine))
         .collect();
     println!(
-        "  it fitted, by asking the module again without each one drawn: {}",
+        "  engines that could take the query, each chosen after draining the ones before it: {}",
         shown.join(", ")
     );
 }
 
-/// The engine that an answer sends the first attempt to.
+/// Returns the engine to which an answer sends its first attempt.
 fn chosen_engine(answer: &[Instruction]) -> Option<EngineId> {
     answer.iter().find_map(|instruction| match instruction {
         Instruction::Start { engine, .. } => Some(*engine),
@@ -279,7 +286,7 @@
     })
 }
 
-/// The entry of an engine list by which an engine takes no further work.
+/// Returns an engine list entry that marks an engine as draining, so that the driver does not choose it.
 fn draining_entry(engine: EngineId) -> EngineEntry {
     EngineEntry {
         engine,
--- a/crates/replay/src/commands/export.rs
+++ b/crates/replay/src/commands/export.rs
@@ -1,11 +1,11 @@
-//! `export`: every step as a line of JSON, which `diff` of another build reads.
+//! `export`: prints each step as a line of JSON, the format that `diff` reads from another build.
 
 use super::{open_over_gaps, Outcome};
 use anyhow::Result;
 use std::io::{BufWriter, Write};
 use std::path::Path;
 
-/// Prints the steps of a capture, with the answers recorded or with those `replayed` by this build.
+/// Prints the steps of a capture with the recorded answers, or with the answers of this build if `replayed` is set.
 pub fn export_steps(file: &Path, replayed: bool) -> Result<Outcome> {
     let mut player = open_over_gaps(file)?;
     let mut out = BufWriter::new(std::io::stdout().lock());
--- a/crates/replay/src/commands/mod.rs
+++ b/crates/replay/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, one module for each. They print to standard output.
+//! The subcommands. Each has a module of its own and prints to standard output.
 
 pub mod diff;
 pub mod explain;
@@ -15,17 +15,17 @@
 use wheelfield_replay::describe::{describe_input, describe_instruction, Names};
 use wheelfield_replay::{Options, Player, Step};
 
-/// How a command ended.
+/// Result of a command that ended without an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It is done, and found all decisions equal if it compared any.
+    /// The command finished. `run` and `diff` return this only if all compared decisions are equal.
     Done,
-    /// Decisions differ.
+    /// The command finished and found decisions that differ.
     Different,
 }
 
 impl Outcome {
-    fn from_equal(equal: bool) -> Outcome {
+    fn from_all_equal(equal: bool) -> Outcome {
         if equal {
             Outcome::Done
         } else {
@@ -34,7 +34,7 @@
     }
 }
 
-/// Opens a capture, to be read over all losses.
+/// Opens a capture for a replay that resumes after each gap.
 fn open_over_gaps(file: &Path) -> Result<Player> {
     Ok(Player::open(
         file,
@@ -45,7 +45,7 @@
     )?)
 }
 
-/// All names in a capture; those of engines may stand anywhere in it.
+/// Reads all names in a capture. The whole capture is read because names of engines may be recorded anywhere in it.
 fn read_names(file: &Path) -> Result<Names> {
     let mut player = open_over_gaps(file)?;
     while player.next_step()?.is_some() {}
@@ -56,15 +56,15 @@
     })
 }
 
-/// Time of the first record of a capture, which shown times count from.
+/// Returns the time of the first record of a capture, relative to which times are printed.
 fn first_time(file: &Path) -> Result<Micros> {
     let headers = Reader::open(file)?.headers()?;
     Ok(Micros(
-        headers.first().context("an empty capture")?.first_at,
+        headers.first().context("the capture is empty")?.first_at,
     ))
 }
 
-/// Prints a step and its answer. Times count from `start`.
+/// Prints a step and its recorded answer. The time is printed relative to `start`.
 fn print_step(step: &Step, start: Micros, names: &Names, indent: &str) {
     println!(
         "{indent}{:>9.3} s  {}",
--- a/crates/replay/src/commands/rewrite.rs
+++ b/crates/replay/src/commands/rewrite.rs
@@ -1,4 +1,4 @@
-//! `cut`, `scrub`, `to-test` and `repair`: captures made of captures.
+//! `cut`, `scrub`, `to-test` and `repair`: write modified captures.
 
 use super::{first_time, Outcome};
 use anyhow::{bail, Context, Result};
@@ -6,7 +6,7 @@
 use wheelfield::interface::Micros;
 use wheelfield_replay::rewrite;
 
-/// Writes the part of a capture between two times, in seconds from its start.
+/// Writes the part of a capture between two times, in seconds after its start, to a new capture.
 pub fn cut_capture(file: &Path, from: f64, to: f64, out: &Path) -> Result<Outcome> {
     let start = first_time(file)?;
     let (from, to) = (
@@ -14,38 +14,39 @@
         start + Micros::from_secs_f64(to),
     );
     let steps = rewrite::cut(file, from, to, out)?;
-    println!("{steps} steps in {}", out.display());
+    println!("wrote {steps} steps to {}", out.display());
     Ok(Outcome::Done)
 }
 
-/// Writes a capture without names.
+/// Writes a copy of a capture in which names are replaced by pseudonyms.
 pub fn scrub_capture(file: &Path, out: &Path) -> Result<Outcome> {
     println!(
-        "{} steps in {}, each decided as before",
+        "wrote {} steps to {}; all decisions are unchanged",
         rewrite::scrub(file, out)?,
         out.display()
     );
     Ok(Outcome::Done)
 }
 
-/// Writes a capture without names and a test that replays it.
+/// Writes a copy of a capture without names and a test that replays it.
 pub fn write_test(file: &Path, name: &str, out: &Path) -> Result<Outcome> {
-    let is_plain = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '_';
-    if !name.chars().all(is_plain) || !name.starts_with(|c: char| c.is_ascii_lowercase()) {
-        bail!("`{name}`: write a name of small letters, digits and underscores");
+    let is_allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '_';
+    if !name.chars().all(is_allowed) || !name.starts_with(|c: char| c.is_ascii_lowercase()) {
+        bail!("invalid name `{name}`: use lowercase letters, digits and underscores, starting with a letter");
     }
-    std::fs::create_dir_all(out).with_context(|| format!("cannot make {}", out.display()))?;
+    std::fs::create_dir_all(out)
+        .with_context(|| format!("cannot create directory {}", out.display()))?;
     rewrite::scrub(file, &out.join(format!("{name}.wfcap")))?;
     let test = out.join(format!("{name}.rs"));
-    std::fs::write(&test, rewrite::test_of(name))
+    std::fs::write(&test, rewrite::test_source(name))
         .with_context(|| format!("cannot write {}", test.display()))?;
-    println!("{} and its capture", test.display());
+    println!("wrote {} and its capture", test.display());
     Ok(Outcome::Done)
 }
 
-/// Cuts an incomplete block off the end of a capture.
+/// Removes an incomplete block from the end of a capture.
 pub fn repair_capture(file: &Path) -> Result<Outcome> {
-    let cut = wheelfield_capture::repair(file)?;
-    println!("{cut} bytes of a torn end were cut off");
+    let removed_bytes = wheelfield_capture::repair(file)?;
+    println!("removed {removed_bytes} bytes of an incomplete block");
     Ok(Outcome::Done)
 }
--- a/crates/replay/src/commands/run.rs
+++ b/crates/replay/src/commands/run.rs
@@ -1,4 +1,4 @@
-//! `run`: replays a capture and says whether all decisions are equal.
+//! `run`: replays a capture and reports whether all decisions equal the recorded ones.
 
 use super::{first_time, print_step, read_names, Outcome};
 use anyhow::Result;
@@ -9,52 +9,53 @@
 use wheelfield_replay::describe::{describe_input, describe_instruction, Names};
 use wheelfield_replay::{run, Difference, Options, Verdict};
 
-/// Replays a capture a number of times, `from` seconds from its start on, and prints the last verdict.
+/// Replays a capture up to `times` times and prints the result of the last replay. Stops at the first replay that finds a
+/// difference. If `from` is given, each replay starts at the last checkpoint before that many seconds after the start.
 pub fn run_capture(file: &Path, over_gaps: bool, from: Option<f64>, times: u32) -> Result<Outcome> {
     let start = first_time(file)?;
     let from = from.map(|seconds| start + Micros::from_secs_f64(seconds));
     let times = times.max(1);
     let mut verdict = Verdict::default();
-    let began_at = Instant::now();
+    let started_at = Instant::now();
     for _ in 0..times {
         verdict = run(file, Options { over_gaps, from })?;
         if !verdict.equal() {
             break;
         }
     }
-    let elapsed = began_at.elapsed();
+    let elapsed = started_at.elapsed();
     if let Some(difference) = &verdict.difference {
         print_difference(difference, start, &read_names(file)?);
     } else if let Some(step) = verdict.state_differs {
         println!(
-            "all decisions up to step {step} are equal, but the state at the checkpoint after it is not"
+            "all decisions up to step {step} are equal, but the state at the checkpoint after it differs"
         );
     } else {
         print_equal(&verdict, times, elapsed);
     }
     for span in &verdict.unverified {
         let (after, to) = (span.after_step, span.to_step);
-        println!("records are lost: nothing is vouched for from step {after} to step {to}");
+        println!("records are missing: steps after {after} up to {to} could not be verified");
     }
     if let Some(after) = verdict.truncated_after {
-        println!("the file is torn after step {after}; `repair` cuts its end off");
+        println!("the file ends with an incomplete block after step {after}; `repair` removes it");
     }
-    Ok(Outcome::from_equal(verdict.equal()))
+    Ok(Outcome::from_all_equal(verdict.equal()))
 }
 
 fn print_difference(difference: &Difference, start: Micros, names: &Names) {
     let recorded = &difference.recorded;
     println!(
-        "a difference at step {}, {:.3} s into the capture",
+        "difference at step {}, {:.3} s into the capture",
         recorded.number,
         (recorded.at - start).as_secs_f64()
     );
-    println!("before it:");
+    println!("preceding steps:");
     difference
-        .before
+        .context
         .iter()
         .for_each(|step| print_step(step, start, names, "  "));
-    println!("told: {}", describe_input(recorded, names));
+    println!("input: {}", describe_input(recorded, names));
     print_answer("recorded", &recorded.answer, names);
     print_answer("replayed", &difference.replayed, names);
 }
@@ -68,11 +69,11 @@
 
 fn print_equal(verdict: &Verdict, times: u32, elapsed: Duration) {
     let span = verdict
-        .times
+        .time_range
         .map_or(0.0, |(first, last)| (last - first).as_secs_f64());
     let elapsed = elapsed.as_secs_f64();
     println!(
-        "equal: {} steps, {} instructions and {} checkpoints over {span:.1} s, {times} times in {elapsed:.2} s ({:.0} times real time)",
+        "equal: {} steps, {} instructions and {} checkpoints over {span:.1} s, replayed {times} times in {elapsed:.2} s ({:.0} times real time)",
         verdict.steps,
         verdict.instructions,
         verdict.checkpoints,
--- a/crates/replay/src/commands/stats.rs
+++ b/crates/replay/src/commands/stats.rs
@@ -1,4 +1,4 @@
-//! `stats`: counts and sizes of a capture.
+//! `stats`: prints the size of a capture and counts its inputs and instructions.
 
 use super::{open_over_gaps, Outcome};
 use anyhow::Result;
@@ -9,7 +9,7 @@
 use wheelfield_driver::{Input, Instruction};
 use wheelfield_replay::Step;
 
-/// Counts of a capture's steps.
+/// Counts of the steps of a capture.
 #[derive(Default)]
 struct Stats {
     steps: u64,
@@ -54,22 +54,22 @@
         }) = start
         {
             println!(
-                "{build} controller {index} of {}, seed {seed}",
+                "{build}, controller {index} of {}, seed {seed}",
                 settings.gateway_count
             );
         }
         let (steps, blocks) = (self.steps, headers.len());
         println!(
-            "{steps} steps over {span:.1} s in {blocks} blocks: {compressed} bytes, {raw} unpacked"
+            "{steps} steps over {span:.1} s in {blocks} blocks: {compressed} bytes, {raw} uncompressed"
         );
         let arrivals = self.inputs.get("arrivals").copied().unwrap_or(0).max(1);
-        println!("{:.0} bytes a query", compressed as f64 / arrivals as f64);
-        println!("told:     {:?}", self.inputs);
-        println!("answered: {:?}", self.instructions);
+        println!("{:.0} bytes per query", compressed as f64 / arrivals as f64);
+        println!("inputs:       {:?}", self.inputs);
+        println!("instructions: {:?}", self.instructions);
     }
 }
 
-/// Prints counts and sizes of a capture.
+/// Prints the size of a capture and the counts of its inputs and instructions.
 pub fn print_stats(file: &Path) -> Result<Outcome> {
     let headers = Reader::open(file)?.headers()?;
     let mut player = open_over_gaps(file)?;
@@ -84,32 +84,32 @@
 fn input_kind(input: &RecordedInput) -> &'static str {
     match input {
         RecordedInput::Arrive { .. } | RecordedInput::ArriveAs { .. } => "arrivals",
-        RecordedInput::Due | RecordedInput::Woke(_) => "time passed",
+        RecordedInput::Due | RecordedInput::Woke(_) => "timers",
         RecordedInput::Input(input) => match input {
-            Input::AttemptEnded { .. } | Input::AttemptMeasured { .. } => "endings",
-            Input::AttemptUpdated(..) => "notes",
-            Input::Dispatched(_) => "written",
-            Input::AnswerStarted(_) => "answers begun",
+            Input::AttemptEnded { .. } | Input::AttemptMeasured { .. } => "attempts ended",
+            Input::AttemptUpdated(..) => "attempt updates",
+            Input::Dispatched(_) => "attempts sent",
+            Input::AnswerStarted(_) => "answers started",
             Input::Engines { .. } | Input::ListUnavailable => "engine lists",
-            Input::Abandoned(_) => "departures",
-            Input::ShutdownDeadline(_) => "times up",
-            Input::ProbeEnded { .. } => "probes",
-            Input::PeerReports(_) => "messages",
+            Input::Abandoned(_) => "queries abandoned",
+            Input::ShutdownDeadline(_) => "shutdown deadlines",
+            Input::ProbeEnded { .. } => "probes ended",
+            Input::PeerReports(_) => "peer reports",
             Input::Started => "starts",
-            Input::GatewayCountChanged { .. } => "numbers of controllers",
+            Input::GatewayCountChanged { .. } => "controller count changes",
         },
     }
 }
 
 fn instruction_kind(instruction: &Instruction) -> &'static str {
     match instruction {
-        Instruction::Start { .. } => "sends",
-        Instruction::Cancel(_) => "withdrawals",
+        Instruction::Start { .. } => "attempts started",
+        Instruction::Cancel(_) => "cancellations",
         Instruction::Answer(..) => "answers",
-        Instruction::SetOptions(..) => "terms",
+        Instruction::SetOptions(..) => "option changes",
         Instruction::Probe(_) => "probes",
-        Instruction::ShareReports(_) => "messages",
-        Instruction::Subscribe => "list asked for",
+        Instruction::ShareReports(_) => "shared reports",
+        Instruction::Subscribe => "subscriptions",
         Instruction::Log(_) => "log lines",
     }
 }
--- a/crates/replay/src/describe.rs
+++ b/crates/replay/src/describe.rs
@@ -1,27 +1,27 @@
-//! Describes steps and instructions in plain words, for operators.
+//! Describes inputs and instructions of the driver as text for operators.
 
 use crate::Step;
 use wheelfield::interface::{AttemptUpdate, EngineEntry, EngineId, LoadReport, Outcome};
 use wheelfield_capture::RecordedInput;
 use wheelfield_driver::{Answer, Arrival, AttemptId, Input, Instruction};
 
-/// The names that stand for numbers in descriptions.
+/// Names of the engines and classes, for use in descriptions.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// Names of engines.
+    /// IDs and names of engines.
     pub engines: Vec<(EngineId, String)>,
-    /// Names of classes, by position.
+    /// Names of classes, by class index.
     pub classes: Vec<String>,
 }
 
 impl Names {
-    /// The name of an engine, or its number if it has none.
+    /// Returns the name last recorded for an engine, or a text with its ID if it has none.
     pub fn engine_name(&self, id: EngineId) -> String {
-        let known = self.engines.iter().rev().find(|(e, _)| *e == id);
+        let known = self.engines.iter().rev().find(|(engine, _)| *engine == id);
         known.map_or_else(|| format!("engine {:x}", id.0), |(_, name)| name.clone())
     }
 
-    /// The name of a class, or `?`.
+    /// Returns the name of a class, or `?` if the index is unknown.
     pub fn class_name(&self, class: usize) -> &str {
         self.classes.get(class).map_or("?", String::as_str)
     }
@@ -29,17 +29,17 @@
 
 /// Describes a load report.
 pub fn describe_load_report(report: &LoadReport) -> String {
-    let part = |name: &str, x: Option<f64>| x.map(|x| format!("{name} {x:.2}"));
+    let part = |name: &str, value: Option<f64>| value.map(|value| format!("{name} {value:.2}"));
     let parts = [
         part("cores", report.utilisation),
-        part("in hand", report.in_flight),
-        part("waiting", report.queued),
+        part("in flight", report.in_flight),
+        part("queued", report.queued),
         part("memory", report.memory_granted),
         part("disks", report.disk_utilisation),
     ];
     let reported: Vec<String> = parts.into_iter().flatten().collect();
     if reported.is_empty() {
-        "no load told".into()
+        "no load reported".into()
     } else {
         reported.join(", ")
     }
@@ -49,7 +49,7 @@
 pub fn describe_input(step: &Step, names: &Names) -> String {
     match &step.input {
         RecordedInput::Due => "time passed".into(),
-        RecordedInput::Woke(token) => format!("timer {token} ran out"),
+        RecordedInput::Woke(token) => format!("timer {token} fired"),
         RecordedInput::Arrive { arrival, label }
         | RecordedInput::ArriveAs { arrival, label, .. } => {
             describe_arrival(step, arrival, label, names)
@@ -59,32 +59,32 @@
 }
 
 fn describe_arrival(step: &Step, arrival: &Arrival, label: &str, names: &Names) -> String {
-    let number = step
-        .accepted
-        .map_or("not taken".into(), |query| format!("query {}", query.0));
+    let number = step.accepted.map_or("query not accepted".into(), |query| {
+        format!("query {}", query.0)
+    });
     let label = if label.is_empty() {
         String::new()
     } else {
         format!(" `{label}`")
     };
     let class = names.class_name(arrival.class);
-    let work = arrival
-        .work_hint
-        .map_or(String::new(), |work| format!(", about {work:.2} s of work"));
+    let work = arrival.work_hint.map_or(String::new(), |work| {
+        format!(", estimated work {work:.2} s")
+    });
     let time_left = (arrival.deadline - step.at).as_secs_f64();
-    format!("{number}{label} of class {class}{work}, due in {time_left:.1} s")
+    format!("{number}{label} of class {class}{work}, deadline in {time_left:.1} s")
 }
 
 fn describe_driver_input(input: &Input, names: &Names) -> String {
     match input {
         Input::Started => "the controller started".into(),
         Input::GatewayCountChanged { count, index } => {
-            format!("{count} controllers share the engines, this is number {index}")
+            format!("{count} controllers share the engines; this one has index {index}")
         }
         Input::Engines { complete, entries } => describe_engine_list(*complete, entries, names),
         Input::ListUnavailable => "the engine list could not be had".into(),
-        Input::Dispatched(attempt) => format!("attempt {attempt} was written"),
-        Input::AnswerStarted(attempt) => format!("the answer of attempt {attempt} began"),
+        Input::Dispatched(attempt) => format!("attempt {attempt} was sent"),
+        Input::AnswerStarted(attempt) => format!("the answer of attempt {attempt} started"),
         Input::AttemptUpdated(attempt, update) => describe_update(*attempt, update),
         Input::AttemptEnded {
             attempt,
@@ -104,10 +104,10 @@
                 describe_load_report(report)
             )
         }
-        Input::Abandoned(query) => format!("the client of query {} left", query.0),
+        Input::Abandoned(query) => format!("query {} was abandoned by its client", query.0),
         Input::ShutdownDeadline(query) => {
             format!(
-                "query {} must have its answer, as the controller ends",
+                "query {} must be answered now because the controller is shutting down",
                 query.0
             )
         }
@@ -117,19 +117,22 @@
             report,
         } => {
             let (engine, report) = (names.engine_name(*engine), describe_load_report(report));
-            format!("a probe of {engine} came back {outcome:?}; {report}")
+            format!("a probe of {engine} ended with {outcome:?}; {report}")
         }
         Input::PeerReports(reports) => {
-            format!("another controller told of {} engines", reports.len())
+            format!(
+                "another controller sent load reports of {} engines",
+                reports.len()
+            )
         }
     }
 }
 
 fn describe_engine_list(complete: bool, entries: &[EngineEntry], names: &Names) -> String {
-    let what = if complete {
+    let list_kind = if complete {
         "the engine list"
     } else {
-        "changes of the engine list"
+        "changes to the engine list"
     };
     let entries: Vec<String> = entries
         .iter()
@@ -137,29 +140,35 @@
             format!("{} {:?}", names.engine_name(entry.engine), entry.status).to_lowercase()
         })
         .collect();
-    format!("{what}: {}", entries.join(", "))
+    format!("{list_kind}: {}", entries.join(", "))
 }
 
 fn describe_update(attempt: AttemptId, update: &AttemptUpdate) -> String {
     match update {
-        AttemptUpdate::Progress(done) => format!("attempt {attempt} is {:.0}% done", done * 100.0),
-        AttemptUpdate::Spills(mb) => format!("attempt {attempt} spills for want of {mb:.0} MB"),
+        AttemptUpdate::Progress(fraction) => {
+            format!("attempt {attempt} is {:.0}% done", fraction * 100.0)
+        }
+        AttemptUpdate::Spills(mb) => {
+            format!("attempt {attempt} spills to disk; it lacks {mb:.0} MB of memory")
+        }
         AttemptUpdate::WaitsForMemory => format!("attempt {attempt} waits for memory"),
-        AttemptUpdate::WaitsForLoad => format!("attempt {attempt} stands still behind a load"),
-        AttemptUpdate::Other => format!("word on attempt {attempt}"),
+        AttemptUpdate::WaitsForLoad => {
+            format!("attempt {attempt} waits for a load of its tables")
+        }
+        AttemptUpdate::Other => format!("attempt {attempt} sent another update"),
     }
 }
 
 fn describe_outcome(outcome: &Outcome) -> &'static str {
     match outcome {
         Outcome::Served => "was served",
-        Outcome::Error => "ended in an error of its engine",
-        Outcome::Full => "was turned away",
-        Outcome::TimedOut => "ran out of time",
-        Outcome::ConnectFailed => "found no connection",
-        Outcome::ConnectTimedOut => "had no connection in time",
+        Outcome::Error => "failed with an error from the engine",
+        Outcome::Full => "was rejected because the engine is full",
+        Outcome::TimedOut => "timed out",
+        Outcome::ConnectFailed => "could not connect",
+        Outcome::ConnectTimedOut => "timed out while connecting",
         Outcome::Reset => "lost its connection",
-        Outcome::Cancelled => "was withdrawn",
+        Outcome::Cancelled => "was cancelled",
         Outcome::NeverSent => "was never sent",
     }
 }
@@ -172,27 +181,34 @@
         } => {
             format!("send attempt {attempt} to {}", names.engine_name(*engine))
         }
-        Instruction::SetOptions(a, terms) => format!("priority {} for attempt {a}", terms.priority),
-        Instruction::Cancel(a) => format!("withdraw attempt {a}"),
-        Instruction::Answer(q, Answer::Rejected { retry_after }) => {
+        Instruction::SetOptions(attempt, options) => {
+            format!("set priority {} for attempt {attempt}", options.priority)
+        }
+        Instruction::Cancel(attempt) => format!("cancel attempt {attempt}"),
+        Instruction::Answer(query, Answer::Rejected { retry_after }) => {
             format!(
-                "refuse query {}, come back in {} ms",
-                q.0,
+                "reject query {}, retry after {} ms",
+                query.0,
                 retry_after.0 / 1000
             )
         }
-        Instruction::Answer(q, Answer::Failed { may_have_run: true }) => {
-            format!("fail query {}: it may have run", q.0)
+        Instruction::Answer(query, Answer::Failed { may_have_run: true }) => {
+            format!("fail query {}: it may have run", query.0)
+        }
+        Instruction::Answer(query, Answer::Failed { .. }) => {
+            format!("fail query {}: it did not run", query.0)
         }
-        Instruction::Answer(q, Answer::Failed { .. }) => {
-            format!("fail query {}: it did not run", q.0)
+        Instruction::Answer(query, Answer::Interrupted) => {
+            format!("fail query {}: its answer was interrupted", query.0)
         }
-        Instruction::Answer(q, Answer::Interrupted) => {
-            format!("fail query {}: its answer broke off", q.0)
+        Instruction::Probe(engine) => format!("probe {}", names.engine_name(*engine)),
+        Instruction::ShareReports(reports) => {
+            format!(
+                "send load reports of {} engines to the other controllers",
+                reports.len()
+            )
         }
-        Instruction::Probe(e) => format!("probe {}", names.engine_name(*e)),
-        Instruction::ShareReports(words) => format!("tell the others of {} engines", words.len()),
-        Instruction::Subscribe => "ask for the engine list".into(),
+        Instruction::Subscribe => "subscribe to the engine list".into(),
         Instruction::Log(text) => format!("log: {text}"),
     }
 }
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -1,7 +1,7 @@
-//! Feeds a capture to the same driver and compares the decisions.
+//! Replays a capture and compares the decisions with the recorded ones.
 //!
-//! A replay is the controllers' own [`Driver`], fed with the inputs that a controller's driver had. Nothing here knows how a
-//! decision comes about: what is shown of one is the module's answer, or its answer to another input.
+//! A replay feeds the recorded inputs to the same [`Driver`] that the controllers run. This crate contains no decision logic
+//! of its own: it reports the driver's answer to a recorded input, or its answer to a modified one.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -20,54 +20,59 @@
 use wheelfield_capture::{ReadError, RecordedInput};
 use wheelfield_driver::{Driver, Instruction};
 
-/// Steps shown before a difference.
-pub const CONTEXT: usize = 12;
+/// Maximum number of steps kept as context before a difference.
+pub const MAX_CONTEXT_STEPS: usize = 12;
 
-/// A step of a capture.
+/// A step of a capture: an input of the driver and its recorded answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// Its number in the capture, from 1.
+    /// Position in the capture, starting at 1.
     pub number: u64,
-    /// When it was.
+    /// Time of the input.
     pub at: Micros,
-    /// The input of the driver.
+    /// Input of the driver.
     pub input: RecordedInput,
-    /// The number of a query that was accepted.
+    /// ID that the driver gave the query, if the input was the arrival of a query and was accepted.
     pub accepted: Option<QueryId>,
-    /// The driver's answer.
+    /// Instructions that the driver returned.
     pub answer: Vec<Instruction>,
 }
 
-/// Why a replay ended before the end of its capture.
+/// Error that ends a replay before the end of the capture.
 #[derive(Debug, thiserror::Error)]
 pub enum ReplayError {
-    /// The capture can't be read.
+    /// The capture cannot be read.
     #[error(transparent)]
     Read(#[from] ReadError),
-    /// Records are lost, and [`Options::over_gaps`] is not set.
-    #[error("records are missing after step {after}; with --over-gaps the replay enters again at the next checkpoint")]
+    /// Records are missing and [`Options::over_gaps`] is not set.
+    #[error("records are missing after step {after}; use --over-gaps to resume the replay at the next checkpoint")]
     Gap {
-        /// The last step before.
+        /// Last step before the gap.
         after: u64,
     },
-    /// The replay is to enter at a checkpoint of another build, which this one can't read.
-    #[error("the state at the checkpoint is of another build; replay from the capture's start")]
-    OtherBuild,
-    /// A step comes before the start and any checkpoint.
-    #[error("a step before anything to start from")]
-    NoStart,
+    /// The replay has to start at a checkpoint that was written by another build and cannot be read by this one.
+    #[error(
+        "the checkpoint was written by an incompatible build; replay from the start of the capture"
+    )]
+    IncompatibleCheckpoint,
+    /// The capture has a step before any checkpoint, so there is no state to replay it from.
+    #[error(
+        "the capture has a step before its first checkpoint; there is no state to replay it from"
+    )]
+    MissingInitialState,
 }
 
-/// How to replay.
+/// Options of a replay.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Options {
-    /// Whether to enter again at the next checkpoint after a loss, in place of ending there.
+    /// Whether to resume at the next checkpoint after a gap instead of failing with [`ReplayError::Gap`].
     pub over_gaps: bool,
-    /// Enters at the last checkpoint before this time.
+    /// Starts the replay at the last checkpoint before this time instead of at the start of the capture.
     pub from: Option<Micros>,
 }
 
-/// Feeds one input to a driver and collects its answer. Returns the number of a query that was accepted.
+/// Feeds one input to a driver and appends its instructions to `answer`. Returns the ID of the query if the input was the
+/// arrival of a query and the driver accepted it.
 pub fn feed(
     driver: &mut Driver,
     at: Micros,
@@ -92,13 +97,13 @@
     None
 }
 
-/// Replays a capture up to its end or to the first decision that differs.
+/// Replays a capture up to its end or to the first step whose answer differs from the recorded one.
 ///
 /// # Errors
-/// [`ReplayError`], where the capture can't be read or records are lost.
+/// Returns [`ReplayError`] if the capture cannot be read, records are missing or there is no state to start from.
 pub fn run(path: &Path, options: Options) -> Result<Verdict, ReplayError> {
     let mut player = Player::open(path, options)?;
-    let mut before: VecDeque<Step> = VecDeque::new();
+    let mut context: VecDeque<Step> = VecDeque::new();
     while let Some(ReplayedStep {
         recorded,
         accepted,
@@ -106,21 +111,21 @@
     }) = player.next_step()?
     {
         if answer != recorded.answer || accepted != recorded.accepted {
-            let before = before.into();
+            let context = context.into();
             let difference = Difference {
                 recorded,
                 replayed: answer,
                 accepted,
-                before,
+                context,
             };
             let mut verdict = player.into_verdict();
             verdict.difference = Some(Box::new(difference));
             return Ok(verdict);
         }
-        if before.len() == CONTEXT {
-            before.pop_front();
+        if context.len() == MAX_CONTEXT_STEPS {
+            context.pop_front();
         }
-        before.push_back(recorded);
+        context.push_back(recorded);
     }
     Ok(player.into_verdict())
 }
--- a/crates/replay/src/main.rs
+++ b/crates/replay/src/main.rs
@@ -1,4 +1,4 @@
-//! `wheelfield-replay`: replays what a controller decided, and shows why.
+//! `wheelfield-replay`: replays captures of a controller and explains its decisions.
 #![forbid(unsafe_code)]
 
 mod commands;
@@ -8,9 +8,9 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Feeds a capture to the same driver and compares the decisions.
+/// Replays captures of a controller and compares the decisions with the recorded ones.
 ///
-/// Exit codes: 0 decisions equal (or done), 1 a difference or a damaged capture, 2 bad use.
+/// Exit codes: 0 success and no differences, 1 differences or an error such as a damaged capture, 2 invalid arguments.
 #[derive(Parser)]
 #[command(name = "wheelfield-replay", version)]
 struct Cli {
@@ -20,101 +20,100 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Replays: all decisions equal, or the first difference with both sides and the steps before it.
+    /// Replays a capture and reports the first decision that differs, with the steps before it.
     Run {
-        /// The capture.
+        /// Capture to read.
         file: PathBuf,
-        /// Goes on at the next checkpoint where records are lost, and says which steps are not verified.
+        /// Resume at the next checkpoint when records are missing, and report the steps that could not be verified.
         #[arg(long)]
         over_gaps: bool,
-        /// Enters at the last checkpoint before this, in seconds from the capture's first step.
+        /// Start at the last checkpoint before this time, in seconds after the first step of the capture.
         #[arg(long, value_name = "S")]
         from: Option<f64>,
-        /// Replays so many times.
+        /// Number of replays.
         #[arg(long, value_name = "N", default_value_t = 1)]
         times: u32,
     },
-    /// The steps of one query, and what was known of the engines then, in each capture that has it.
+    /// Shows the steps of one query and what the controller knew of the engines at each decision.
     Explain {
-        /// The captures: of several controllers, a query tried at more than one is joined by its client's name for it.
+        /// Captures to search; those of several controllers are matched by the name that the client gave the query.
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// The query: its number, or the name its client gave it.
+        /// ID of the query, or the name that its client gave it.
         #[arg(long, value_name = "ID")]
         query: String,
     },
-    /// Which decisions on arriving queries would be others under altered settings.
+    /// Shows the arriving queries on which the decision changes with altered settings.
     WhatIf {
-        /// The capture.
+        /// Capture to read.
         file: PathBuf,
-        /// A setting by its path, such as max_attempts=1 or classes.0.latency_objective=500000.
+        /// Setting to alter, by its path, such as max_attempts=1 or classes.0.latency_objective=500000.
         #[arg(long = "set", value_name = "KEY=VALUE", required = true)]
         set: Vec<String>,
-        /// Decisions shown one by one.
+        /// Maximum number of differences to list.
         #[arg(long, value_name = "N", default_value_t = 20)]
         most: usize,
     },
-    /// Counts and sizes.
+    /// Prints the size of a capture and the counts of its inputs and instructions.
     Stats {
-        /// The capture.
+        /// Capture to read.
         file: PathBuf,
     },
-    /// Every step as a line of JSON.
+    /// Prints each step as a line of JSON.
     Export {
-        /// The capture.
+        /// Capture to read.
         file: PathBuf,
-        /// The answers of this build, in place of those recorded.
+        /// Print the answers of this build instead of the recorded ones.
         #[arg(long)]
         replayed: bool,
     },
-    /// Which decisions another build takes otherwise, or this one under another configuration: a table by kind, class and
-    /// engine, and the list.
+    /// Compares the decisions with those of another build or configuration: lists the differences and counts them in a table.
     Diff {
-        /// The capture.
+        /// Capture to read.
         file: PathBuf,
-        /// The other build's wheelfield-replay, or a controller's configuration (ending in .toml).
+        /// wheelfield-replay program of the other build, or a controller configuration (ending in .toml).
         #[arg(long, value_name = "PROGRAM|CONFIG")]
         against: PathBuf,
-        /// Decisions shown one by one.
+        /// Maximum number of differences to list.
         #[arg(long, value_name = "N", default_value_t = 20)]
         most: usize,
     },
-    /// A smaller capture that still replays.
+    /// Writes a part of a capture that can be replayed by itself.
     Cut {
-        /// The capture.
+        /// Capture to read.
         file: PathBuf,
-        /// In seconds from its first step,
+        /// Start of the part, in seconds after the first step.
         #[arg(long, value_name = "S", default_value_t = 0.0)]
         from: f64,
-        /// to.
+        /// End of the part, in seconds after the first step.
         #[arg(long, value_name = "S")]
         to: f64,
-        /// Where it goes.
+        /// File to write.
         #[arg(short, long, value_name = "FILE")]
         out: PathBuf,
     },
-    /// The same without names: tenants, names of queries and keys become stable pseudonyms; no decision changes.
+    /// Writes a copy in which tenants, query names and keys are replaced by pseudonyms, and verifies that no decision changes.
     Scrub {
-        /// The capture.
+        /// Capture to read.
         file: PathBuf,
-        /// Where it goes.
+        /// File to write.
         #[arg(short, long, value_name = "FILE")]
         out: PathBuf,
     },
-    /// Writes a regression case: a scrubbed copy and a test that replays it.
+    /// Writes a regression test: a scrubbed copy and a test that replays it.
     ToTest {
-        /// The capture.
+        /// Capture to read.
         file: PathBuf,
-        /// Its name, of letters, digits and underscores.
+        /// Name of the test, of lowercase letters, digits and underscores, starting with a letter.
         #[arg(long, value_name = "NAME")]
         name: String,
-        /// The folder of the tests.
+        /// Directory of the tests.
         #[arg(short, long, value_name = "DIR")]
         out: PathBuf,
     },
-    /// Cuts an incomplete block off the end of a file, as a crash leaves it.
+    /// Removes an incomplete block, such as a crash leaves, from the end of a capture.
     Repair {
-        /// The capture.
+        /// Capture to repair.
         file: PathBuf,
     },
 }
--- a/crates/replay/src/player.rs
+++ b/crates/replay/src/player.rs
@@ -1,4 +1,4 @@
-//! Plays a capture step by step to a driver.
+//! Replays a capture step by step.
 
 use crate::{feed, Options, ReplayError, Step, UnverifiedSpan, Verdict};
 use std::path::Path;
@@ -6,48 +6,48 @@
 use wheelfield_capture::{Entry, Reader, Record, Start};
 use wheelfield_driver::{Driver, Instruction};
 
-/// Before which steps a player keeps a copy of the driver.
+/// Selects the steps before which a player takes a copy of the driver.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Snapshots {
-    /// Before none.
+    /// Takes no copies.
     #[default]
     Never,
-    /// Before each arrival of a query.
+    /// Takes a copy before each arrival of a query.
     BeforeArrivals,
-    /// Before every step.
+    /// Takes a copy before every step.
     BeforeEveryStep,
 }
 
-/// A step as recorded, and as the replay decided it.
+/// A step as recorded, with the result of its replay.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplayedStep {
-    /// The step of the capture.
+    /// The step as recorded.
     pub recorded: Step,
-    /// The number that the replay gave a query.
+    /// ID that the replay gave the query, if the step is the arrival of a query and the replay accepted it.
     pub accepted: Option<QueryId>,
-    /// The answer of the replay.
+    /// Instructions that the driver returned in the replay.
     pub answer: Vec<Instruction>,
 }
 
-/// A capture that is being played, with a driver in the state after the last step.
+/// Replays a capture step by step; its driver is in the state after the last replayed step.
 pub struct Player {
     reader: Reader,
-    /// The start of the capture, once it was read.
+    /// First start record of the capture; `None` time it was read.
     pub start: Option<Start>,
-    /// Names of engines recorded so far.
+    /// Names of engines read so far.
     pub engines: Vec<(EngineId, String)>,
-    /// Before which steps copies of the driver are kept.
+    /// Steps before which the driver is copied.
     pub snapshots: Snapshots,
     driver: Option<Driver>,
-    /// The last copy of the driver.
+    /// Latest copy of the driver.
     snapshot: Option<Box<Driver>>,
-    /// Number of the last step read.
+    /// Number of the last step that was read.
     step_number: u64,
     over_gaps: bool,
-    /// Records are lost, and no checkpoint has come since: steps can't be replayed.
-    is_lost: bool,
-    /// The last step before that loss.
-    lost_after: u64,
+    /// Records are missing and no checkpoint has followed yet, so steps cannot be replayed.
+    in_gap: bool,
+    /// Last step before the latest gap.
+    gap_after: u64,
     verdict: Verdict,
 }
 
@@ -55,7 +55,7 @@
     /// Opens a capture.
     ///
     /// # Errors
-    /// [`ReplayError`], if it can't be read.
+    /// Returns [`ReplayError`] if the capture cannot be read.
     pub fn open(path: &Path, options: Options) -> Result<Player, ReplayError> {
         let mut reader = Reader::open(path)?;
         if let Some(from) = options.from {
@@ -70,43 +70,44 @@
             snapshot: None,
             step_number: 0,
             over_gaps: options.over_gaps,
-            is_lost: options.from.is_some(),
-            lost_after: 0,
+            in_gap: options.from.is_some(),
+            gap_after: 0,
             verdict: Verdict::default(),
         })
     }
 
-    /// Number of losses so far.
+    /// Returns the number of completed gaps so far.
     pub fn gap_count(&self) -> usize {
         self.verdict.unverified.len()
     }
 
-    /// The result of the replay so far.
+    /// Returns the result of the replay so far.
     pub fn into_verdict(self) -> Verdict {
         self.verdict
     }
 
-    /// The driver after the last step.
+    /// Returns the driver in the state after the last replayed step; `None` before the first checkpoint.
     pub fn driver(&self) -> Option<&Driver> {
         self.driver.as_ref()
     }
 
-    /// The last copy of the driver that was kept.
+    /// Returns the latest copy of the driver, see [`Snapshots`].
     pub fn snapshot(&self) -> Option<&Driver> {
         self.snapshot.as_deref()
     }
 
-    /// Replays the next step; `None` at the end. Steps that can't be replayed, as records before them are lost, are skipped.
+    /// Replays the next step; returns `None` at the end of the capture. Skips steps that cannot be replayed because records
+    /// before them are missing.
     ///
     /// # Errors
-    /// [`ReplayError`], where the capture can't be read or records are lost.
+    /// Returns [`ReplayError`] if the capture cannot be read, records are missing or there is no state to start from.
     pub fn next_step(&mut self) -> Result<Option<ReplayedStep>, ReplayError> {
         while let Some(recorded) = self.read_step()? {
-            if self.is_lost {
+            if self.in_gap {
                 continue;
             }
             let Some(driver) = &mut self.driver else {
-                return Err(ReplayError::NoStart);
+                return Err(ReplayError::MissingInitialState);
             };
             let takes_snapshot = match self.snapshots {
                 Snapshots::Never => false,
@@ -126,13 +127,13 @@
                 answer,
             }));
         }
-        if self.is_lost && self.step_number > 0 {
+        if self.in_gap && self.step_number > 0 {
             self.end_unverified_span();
         }
         Ok(None)
     }
 
-    /// Reads up to the next step, without replaying it.
+    /// Reads records up to the next step, without replaying it.
     fn read_step(&mut self) -> Result<Option<Step>, ReplayError> {
         loop {
             let record = match self.reader.next_entry()? {
@@ -142,7 +143,7 @@
                     return Ok(None);
                 }
                 Some(Entry::Missing { .. }) => {
-                    self.begin_loss()?;
+                    self.begin_gap()?;
                     continue;
                 }
                 Some(Entry::Record(record)) => *record,
@@ -150,8 +151,8 @@
             match record {
                 Record::Start(start) => self.start = self.start.take().or(Some(*start)),
                 Record::Engines(names) => self.engines.extend(names),
-                Record::Gap { .. } => self.begin_loss()?,
-                Record::Checkpoint { driver, .. } => self.handle_checkpoint(&driver)?,
+                Record::Gap { .. } => self.begin_gap()?,
+                Record::Checkpoint { driver, .. } => self.compare_or_resume(&driver)?,
                 Record::Step {
                     at,
                     told,
@@ -159,8 +160,8 @@
                     out,
                 } => {
                     self.step_number += 1;
-                    let (first, _) = self.verdict.times.unwrap_or((at, at));
-                    self.verdict.times = Some((first, at));
+                    let (first, _) = self.verdict.time_range.unwrap_or((at, at));
+                    self.verdict.time_range = Some((first, at));
                     let number = self.step_number;
                     return Ok(Some(Step {
                         number,
@@ -174,90 +175,89 @@
         }
     }
 
-    fn begin_loss(&mut self) -> Result<(), ReplayError> {
+    fn begin_gap(&mut self) -> Result<(), ReplayError> {
         if !self.over_gaps {
             return Err(ReplayError::Gap {
                 after: self.step_number,
             });
         }
-        if !self.is_lost {
-            self.is_lost = true;
-            self.lost_after = self.step_number;
+        if !self.in_gap {
+            self.in_gap = true;
+            self.gap_after = self.step_number;
         }
         Ok(())
     }
 
     fn end_unverified_span(&mut self) {
         let span = UnverifiedSpan {
-            after_step: self.lost_after,
+            after_step: self.gap_after,
             to_step: self.step_number,
         };
         self.verdict.unverified.push(span);
     }
 
-    fn handle_checkpoint(&mut self, recorded: &[u8]) -> Result<(), ReplayError> {
+    fn compare_or_resume(&mut self, recorded_state: &[u8]) -> Result<(), ReplayError> {
         match &self.driver {
-            Some(driver) if !self.is_lost => {
+            Some(driver) if !self.in_gap => {
                 self.verdict.checkpoints += 1;
-                // A checkpoint of another build that this one can't read is not compared.
-                let readable = postcard::from_bytes::<Driver>(recorded).is_ok();
-                let same = postcard::to_stdvec(driver).is_ok_and(|bytes| bytes == recorded);
+                // A checkpoint that was written by another build and cannot be decoded by this one is not compared.
+                let readable = postcard::from_bytes::<Driver>(recorded_state).is_ok();
+                let same = postcard::to_stdvec(driver).is_ok_and(|bytes| bytes == recorded_state);
                 if readable && !same && self.verdict.state_differs.is_none() {
                     self.verdict.state_differs = Some(self.step_number);
                 }
                 Ok(())
             }
-            _ => self.enter_at_checkpoint(recorded),
+            _ => self.resume_from_checkpoint(recorded_state),
         }
     }
 
-    /// Goes on from a checkpoint. At the very beginning, the settings and the seed give the same state.
-    fn enter_at_checkpoint(&mut self, recorded: &[u8]) -> Result<(), ReplayError> {
-        if self.is_lost && self.step_number > 0 {
+    /// Continues the replay from the state in a checkpoint. If this build cannot decode the checkpoint, a new driver with the
+    /// recorded settings and seed replaces it, but only at the beginning of the capture, where both have the same state.
+    fn resume_from_checkpoint(&mut self, recorded_state: &[u8]) -> Result<(), ReplayError> {
+        if self.in_gap && self.step_number > 0 {
             self.end_unverified_span();
         }
-        let at_beginning = self.step_number == 0 && !self.is_lost;
-        let fresh_driver =
+        let is_at_start = self.step_number == 0 && !self.in_gap;
+        let new_driver =
             |start: &Start| Driver::new(start.settings.clone(), start.seed, start.bounds);
-        let driver = postcard::from_bytes::<Driver>(recorded).ok().or_else(|| {
-            self.start
-                .as_ref()
-                .filter(|_| at_beginning)
-                .map(fresh_driver)
-        });
-        self.driver = Some(driver.ok_or(ReplayError::OtherBuild)?);
-        self.is_lost = false;
+        let driver = postcard::from_bytes::<Driver>(recorded_state)
+            .ok()
+            .or_else(|| self.start.as_ref().filter(|_| is_at_start).map(new_driver));
+        self.driver = Some(driver.ok_or(ReplayError::IncompatibleCheckpoint)?);
+        self.in_gap = false;
         Ok(())
     }
 }
 
-/// Goes to a block from which on there is a checkpoint before a time. The head of a block does not say whether it begins with
-/// a checkpoint; so blocks are searched from the last one that begins before the time, in ever larger steps back.
-fn seek_to_checkpoint(reader: &mut Reader, path: &Path, until: Micros) -> Result<(), ReplayError> {
+/// Seeks to a block at or after which the first checkpoint is no later than `time`. Block headers do not tell whether a block
+/// contains a checkpoint, so the search reads on from a block just before `time` and then from earlier blocks, at distances
+/// that roughly double.
+fn seek_to_checkpoint(reader: &mut Reader, path: &Path, time: Micros) -> Result<(), ReplayError> {
     let headers = reader.headers()?;
-    let before = headers
+    let last_candidate = headers
         .iter()
-        .rposition(|header| header.first_at <= until.0)
+        .rposition(|header| header.first_at <= time.0)
         .unwrap_or(0);
-    let mut block = before.saturating_sub(1);
+    let mut block = last_candidate.saturating_sub(1);
     loop {
         let at = headers[block.min(headers.len().saturating_sub(1))].at;
-        if block == 0 || has_checkpoint(path, at, until)? {
+        if block == 0 || has_checkpoint(path, at, time)? {
             return Ok(reader.seek_to_block(at)?);
         }
-        block = block.saturating_sub(1 + (before - block));
+        block = block.saturating_sub(1 + (last_candidate - block));
     }
 }
 
-/// Whether the first checkpoint from a block on is before a time.
-fn has_checkpoint(path: &Path, block_at: u64, until: Micros) -> Result<bool, ReplayError> {
+/// Returns whether the first checkpoint at or after a block is no later than `time`.
+fn has_checkpoint(path: &Path, block_at: u64, time: Micros) -> Result<bool, ReplayError> {
     let mut reader = Reader::open(path)?;
     reader.seek_to_block(block_at)?;
     while let Some(entry) = reader.next_entry()? {
         match entry {
             Entry::Record(record) => match *record {
-                Record::Checkpoint { at, .. } => return Ok(at <= until),
-                Record::Step { at, .. } if at > until => return Ok(false),
+                Record::Checkpoint { at, .. } => return Ok(at <= time),
+                Record::Step { at, .. } if at > time => return Ok(false),
                 _ => {}
             },
             Entry::Torn { .. } => return Ok(false),
--- a/crates/replay/src/rewrite.rs
+++ b/crates/replay/src/rewrite.rs
@@ -1,4 +1,4 @@
-//! Captures made of captures: a shorter one that still replays, and one without names.
+//! Writes modified copies of captures: a part of a capture that can be replayed by itself, and a copy without names.
 
 use crate::{feed, Options, Player, ReplayError, ReplayedStep, Snapshots};
 use std::collections::BTreeMap;
@@ -7,56 +7,58 @@
 use wheelfield_capture::{Limits, RecordedInput, Recorder, State};
 use wheelfield_driver::Driver;
 
-/// Why no capture was made.
+/// Error while rewriting a capture.
 #[derive(Debug, thiserror::Error)]
 pub enum RewriteError {
-    /// The one to read can't be replayed.
+    /// The source capture cannot be replayed.
     #[error(transparent)]
     Replay(#[from] ReplayError),
-    /// The one to write can't be written.
+    /// The new capture cannot be written.
     #[error("cannot write the capture: {0}")]
     Io(#[from] std::io::Error),
-    /// Nothing is left.
-    #[error("no step in that span")]
+    /// The capture has no step in the given span.
+    #[error("the capture has no step in the given span")]
     Empty,
-    /// It does not begin with the controller's start.
+    /// The capture does not begin with the start of the controller. The state in its first checkpoint contains names, which
+    /// cannot be replaced there.
     #[error(
-        "this file begins in the middle; names are in its first state, and can't be taken out"
+        "the capture does not begin with the start of the controller; the names in its first checkpoint cannot be removed"
     )]
-    Middle,
-    /// The names decided something, which they must not.
-    #[error("step {0} is decided otherwise without its names")]
-    Decides(u64),
-    /// Some of what was written was lost.
+    NotFromStart,
+    /// A decision changed when the names were replaced. Decisions must not depend on names.
+    #[error("the decision at step {0} changes when names are replaced")]
+    DecisionChanged(u64),
+    /// Some records could not be written.
     #[error("{0} records were lost while writing")]
-    Lost(u64),
+    RecordsLost(u64),
 }
 
-/// Nothing of a rewriting may be dropped: it waits for nothing but the disk.
-fn unhurried() -> Limits {
+/// Returns limits with a queue to the writer thread that is long enough to drop no record. Rewriting may wait for the disk,
+/// unlike the recording of live decisions.
+fn rewrite_limits() -> Limits {
     Limits {
         max_queued_blocks: 1 << 20,
         ..Limits::default()
     }
 }
 
-fn written(state: State) -> Result<(), RewriteError> {
+fn check_complete(state: State) -> Result<(), RewriteError> {
     if state.lost > 0 {
-        Err(RewriteError::Lost(state.lost))
+        Err(RewriteError::RecordsLost(state.lost))
     } else {
         Ok(())
     }
 }
 
-/// Cuts a span out, in microseconds of the capture's time; gives the steps kept.
+/// Writes the steps of a capture between two times, both inclusive, to a new capture. Returns the number of steps written.
 ///
 /// # Errors
-/// [`RewriteError`].
+/// Returns [`RewriteError`] if the capture cannot be replayed or written, or has no step in the span.
 pub fn cut(file: &Path, from: Micros, to: Micros, out: &Path) -> Result<u64, RewriteError> {
     let mut player = Player::open(file, Options::default())?;
     player.snapshots = Snapshots::BeforeEveryStep;
-    let (mut recorder, mut kept): (Option<Recorder>, u64) = (None, 0);
-    let mut last = from;
+    let (mut recorder, mut steps): (Option<Recorder>, u64) = (None, 0);
+    let mut last_at = from;
     while let Some(ReplayedStep { recorded: step, .. }) = player.next_step()? {
         if step.at < from {
             continue;
@@ -65,19 +67,19 @@
             break;
         }
         if recorder.is_none() {
-            let (Some(start), Some(before)) = (&player.start, player.snapshot()) else {
+            let (Some(start), Some(snapshot)) = (&player.start, player.snapshot()) else {
                 return Err(RewriteError::Empty);
             };
             recorder = Some(Recorder::begin(
                 out,
                 start.clone(),
-                unhurried(),
-                before,
+                rewrite_limits(),
+                snapshot,
                 step.at,
             )?);
         }
         if let Some(recorder) = &mut recorder {
-            if kept == 0 {
+            if steps == 0 {
                 recorder.engines(step.at, player.engines.iter().cloned());
             }
             recorder.step(step.at, &step.input, step.accepted, &step.answer);
@@ -85,76 +87,81 @@
                 recorder.tend(driver, step.at);
             }
         }
-        (kept, last) = (kept + 1, step.at);
+        (steps, last_at) = (steps + 1, step.at);
     }
-    written(recorder.ok_or(RewriteError::Empty)?.end(last))?;
-    Ok(kept)
+    check_complete(recorder.ok_or(RewriteError::Empty)?.end(last_at))?;
+    Ok(steps)
 }
 
-/// A name that stands for another, the same for the same one.
+/// Assigns a pseudonym to each name; equal names get the same one.
 struct Pseudonyms {
     prefix: &'static str,
-    known: BTreeMap<String, String>,
+    by_name: BTreeMap<String, String>,
 }
 
 impl Pseudonyms {
-    fn of(&mut self, name: &str) -> String {
+    fn pseudonym(&mut self, name: &str) -> String {
         if name.is_empty() {
             return String::new();
         }
-        let next = format!("{}{}", self.prefix, self.known.len() + 1);
-        self.known.entry(name.to_string()).or_insert(next).clone()
+        let next = format!("{}{}", self.prefix, self.by_name.len() + 1);
+        self.by_name.entry(name.to_string()).or_insert(next).clone()
     }
 }
 
-/// Writes a capture in which tenants, names of queries and keys are replaced by stable pseudonyms. All is fed anew, and
-/// every decision must be the one recorded. Gives the steps.
+/// Writes a copy of a capture in which the names of tenants, the labels of queries and the ordering keys are replaced by
+/// pseudonyms. Replays the changed inputs and checks that each decision still equals the recorded one. Returns the number of
+/// steps.
 ///
 /// # Errors
-/// [`RewriteError`].
-#[expect(clippy::too_many_lines, reason = "one arm for each kind of record")]
+/// Returns [`RewriteError`] if the capture cannot be replayed or written, does not begin with the start of the controller, or
+/// decides differently without its names.
+#[expect(clippy::too_many_lines, reason = "one arm for each kind of input")]
 pub fn scrub(file: &Path, out: &Path) -> Result<u64, RewriteError> {
     let mut player = Player::open(file, Options::default())?;
     let mut labels = Pseudonyms {
         prefix: "q",
-        known: BTreeMap::new(),
+        by_name: BTreeMap::new(),
     };
     let mut keys = Pseudonyms {
         prefix: "key",
-        known: BTreeMap::new(),
+        by_name: BTreeMap::new(),
     };
-    let mut state: Option<(Driver, Recorder)> = None;
-    let (mut steps, mut last) = (0, Micros(0));
+    let mut output: Option<(Driver, Recorder)> = None;
+    let (mut steps, mut last_at) = (0, Micros(0));
     while let Some(ReplayedStep { recorded: step, .. }) = player.next_step()? {
-        if state.is_none() {
+        if output.is_none() {
             let Some(start) = &player.start else {
-                return Err(RewriteError::Middle);
+                return Err(RewriteError::NotFromStart);
             };
             if !matches!(
                 step.input,
                 RecordedInput::Input(wheelfield_driver::Input::Started)
             ) {
-                return Err(RewriteError::Middle);
+                return Err(RewriteError::NotFromStart);
             }
             let mut start = start.clone();
             let mut tenants = Pseudonyms {
                 prefix: "tenant",
-                known: BTreeMap::new(),
+                by_name: BTreeMap::new(),
             };
-            start.tenants.iter_mut().for_each(|t| *t = tenants.of(t));
+            start
+                .tenants
+                .iter_mut()
+                .for_each(|tenant| *tenant = tenants.pseudonym(tenant));
             let driver = Driver::new(start.settings.clone(), start.seed, start.bounds);
-            let recorder = Recorder::begin(out, start, unhurried(), &driver, step.at)?;
-            state = Some((driver, recorder));
+            let recorder = Recorder::begin(out, start, rewrite_limits(), &driver, step.at)?;
+            output = Some((driver, recorder));
         }
-        let Some((driver, recorder)) = &mut state else {
+        let Some((driver, recorder)) = &mut output else {
             return Err(RewriteError::Empty);
         };
-        let told = match step.input {
+        let input = match step.input {
             RecordedInput::Arrive { mut arrival, label } => {
-                arrival.key = arrival.key.map(|k| keys.of(&k));
+                arrival.key = arrival.key.map(|key| keys.pseudonym(&key));
                 RecordedInput::Arrive {
                     arrival,
-                    label: labels.of(&label),
+                    label: labels.pseudonym(&label),
                 }
             }
             RecordedInput::ArriveAs {
@@ -162,34 +169,34 @@
                 mut arrival,
                 label,
             } => {
-                arrival.key = arrival.key.map(|k| keys.of(&k));
+                arrival.key = arrival.key.map(|key| keys.pseudonym(&key));
                 RecordedInput::ArriveAs {
                     id,
                     arrival,
-                    label: labels.of(&label),
+                    label: labels.pseudonym(&label),
                 }
             }
             other => other,
         };
-        let mut answered = Vec::new();
-        let taken = feed(driver, step.at, &told, &mut answered);
-        if answered != step.answer || taken != step.accepted {
-            return Err(RewriteError::Decides(step.number));
+        let mut answer = Vec::new();
+        let accepted = feed(driver, step.at, &input, &mut answer);
+        if answer != step.answer || accepted != step.accepted {
+            return Err(RewriteError::DecisionChanged(step.number));
         }
         recorder.engines(step.at, player.engines.iter().cloned());
-        recorder.step(step.at, &told, taken, &answered);
+        recorder.step(step.at, &input, accepted, &answer);
         recorder.tend(driver, step.at);
-        (steps, last) = (steps + 1, step.at);
+        (steps, last_at) = (steps + 1, step.at);
     }
-    let (_, recorder) = state.ok_or(RewriteError::Empty)?;
-    written(recorder.end(last))?;
+    let (_, recorder) = output.ok_or(RewriteError::Empty)?;
+    check_complete(recorder.end(last_at))?;
     Ok(steps)
 }
 
-/// The text of a test that replays a capture beside it.
-pub fn test_of(name: &str) -> String {
+/// Returns the source of a test that replays the capture `NAME.wfcap` in the directory of the test.
+pub fn test_source(name: &str) -> String {
     format!(
-        "//! Replays `{name}.wfcap`, which lies beside this file: the decisions must be those recorded.\n\n\
+        "//! Replays `{name}.wfcap` from the directory of this file and checks that all decisions equal the recorded ones.\n\n\
          #[test]\nfn {name}_replays_to_the_same_decisions() {{\n    \
          let path = std::path::Path::new(concat!(env!(\"CARGO_MANIFEST_DIR\"), \"/tests/{name}.wfcap\"));\n    \
          let verdict = wheelfield_replay::run(path, wheelfield_replay::Options::default()).expect(\"readable\");\n    \
--- a/crates/replay/src/shadow.rs
+++ b/crates/replay/src/shadow.rs
@@ -1,8 +1,8 @@
-//! The same inputs under other settings: which decisions would have been others.
+//! Compares the recorded decisions on arriving queries with the decisions under other settings.
 //!
-//! Two drivers are fed side by side, one as recorded and one with altered settings. As soon as they part, what the wire
-//! told of the first one's attempts means nothing to the second; its books drop it by number. The further they part, the
-//! less the second side tells of what would have happened; what is certain is the first decision that differs.
+//! Feeds the recorded inputs to two drivers, one with the recorded and one with altered settings. Inputs about attempts that
+//! only the first driver started are unknown to the second one, which ignores them by attempt ID. The more the two drivers
+//! diverge, the less the second one shows what would have happened; only the first difference is certain.
 
 use crate::{feed, Options, Player, ReplayError, ReplayedStep};
 use std::collections::BTreeMap;
@@ -10,51 +10,51 @@
 use wheelfield::interface::{QueryId, Settings};
 use wheelfield_driver::{Answer, Driver, Instruction};
 
-/// What was decided of an arriving query.
+/// Decision on an arriving query.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Decided {
-    /// Sent to this engine.
+pub enum Decision {
+    /// Sent to the engine with this name.
     Sent(String),
-    /// Refused at once.
+    /// Rejected immediately.
     Refused,
-    /// Failed at once.
+    /// Failed immediately.
     Failed,
-    /// Held, to keep an order.
+    /// Neither sent nor answered yet, for example to keep the order of queries with the same key.
     Held,
-    /// Not taken.
+    /// Not accepted by the driver: it has too many queries or the ID is in use.
     CapacityExceeded,
 }
 
-/// A query decided otherwise.
+/// An arriving query on which the decision changes.
 #[derive(Clone, Debug)]
-pub struct Altered {
-    /// The step.
+pub struct ChangedDecision {
+    /// Number of the step.
     pub step: u64,
-    /// The query.
+    /// ID of the query in the capture, if it was accepted.
     pub query: Option<QueryId>,
-    /// The name its client gave it.
+    /// Name that the client gave the query.
     pub label: String,
-    /// Its class.
+    /// Index of the class.
     pub class: usize,
-    /// As recorded,
-    pub was: Decided,
-    /// and under the altered settings.
-    pub now: Decided,
+    /// Decision with the recorded settings.
+    pub recorded: Decision,
+    /// Decision with the altered settings.
+    pub altered: Decision,
 }
 
-/// What came of it.
+/// Result of a comparison.
 #[derive(Debug, Default)]
 pub struct Comparison {
-    /// Arrivals that were compared.
+    /// Number of arrivals compared.
     pub arrivals: u64,
-    /// Those decided otherwise.
-    pub altered: Vec<Altered>,
-    /// How often each change was made.
-    pub table: BTreeMap<(usize, Decided, Decided), u64>,
+    /// Arrivals on which the decision changes, in the order of the capture.
+    pub changed: Vec<ChangedDecision>,
+    /// Number of changes by class, recorded decision and decision with the altered settings.
+    pub counts: BTreeMap<(usize, Decision, Decision), u64>,
 }
 
-/// Settings that were renamed: their earlier names, still understood in paths, and their names now.
-const RENAMED: [(&str, &str); 32] = [
+/// Old and current names of renamed settings. Paths of settings may still contain the old names.
+const RENAMED_SETTINGS: [(&str, &str); 32] = [
     ("gateways", "gateway_count"),
     ("index", "gateway_index"),
     ("allowances", "tenant_rates"),
@@ -89,83 +89,86 @@
     ("span", "window"),
 ];
 
-/// The name of a setting as it is now; `part` itself where `known` has it.
+/// Returns the current name of a setting, or `part` itself if it is one of the known names or not a renamed one.
 fn current_name<'a>(part: &'a str, known: &[String]) -> &'a str {
     if known.iter().any(|name| name == part) {
         return part;
     }
-    RENAMED
+    RENAMED_SETTINGS
         .iter()
         .find(|(old, _)| *old == part)
         .map_or(part, |(_, new)| new)
 }
 
-/// Alters settings by their path in JSON, such as `max_attempts` or `classes.0.latency_objective`.
+/// Returns a copy of the settings in which the value at a JSON path is replaced by the JSON text `value`. Examples of paths are
+/// `max_attempts` and `classes.0.latency_objective`.
 ///
 /// # Errors
-/// What is wrong with the path or the value.
+/// Returns a message if the path does not exist or the value does not fit.
 pub fn alter(settings: &Settings, path: &str, value: &str) -> Result<Settings, String> {
-    let mut all = serde_json::to_value(settings).map_err(|e| e.to_string())?;
-    let mut place = &mut all;
+    let mut root = serde_json::to_value(settings).map_err(|e| e.to_string())?;
+    let mut node = &mut root;
     for part in path.split('.') {
-        let here = std::mem::take(place);
-        *place = here;
-        let known: Vec<String> = match &place {
+        let taken = std::mem::take(node);
+        *node = taken;
+        let known: Vec<String> = match &node {
             serde_json::Value::Object(map) => map.keys().cloned().collect(),
             serde_json::Value::Array(list) => (0..list.len()).map(|i| i.to_string()).collect(),
             _ => Vec::new(),
         };
-        let next = match place {
+        let child = match node {
             serde_json::Value::Array(list) => {
                 part.parse::<usize>().ok().and_then(|i| list.get_mut(i))
             }
             serde_json::Value::Object(map) => map.get_mut(current_name(part, &known)),
             _ => None,
         };
-        place = next.ok_or_else(|| {
+        node = child.ok_or_else(|| {
             format!(
-                "no setting is named `{part}` in `{path}`; known: {}",
+                "unknown setting `{part}` in `{path}`; known: {}",
                 known.join(", ")
             )
         })?;
     }
-    *place = serde_json::from_str(value).map_err(|e| format!("`{value}` is no JSON: {e}"))?;
-    serde_json::from_value(all).map_err(|e| format!("`{path}` can't be `{value}`: {e}"))
+    *node = serde_json::from_str(value).map_err(|e| format!("`{value}` is not valid JSON: {e}"))?;
+    serde_json::from_value(root).map_err(|e| format!("invalid value `{value}` for `{path}`: {e}"))
 }
 
-fn decided(
-    taken: Option<QueryId>,
-    out: &[Instruction],
-    name: &impl Fn(wheelfield::interface::EngineId) -> String,
-) -> Decided {
-    if taken.is_none() {
-        return Decided::CapacityExceeded;
+/// Returns the decision on an arriving query that an answer of the driver contains.
+fn decision(
+    accepted: Option<QueryId>,
+    answer: &[Instruction],
+    engine_name: &impl Fn(wheelfield::interface::EngineId) -> String,
+) -> Decision {
+    if accepted.is_none() {
+        return Decision::CapacityExceeded;
     }
-    for i in out {
-        match i {
+    for instruction in answer {
+        match instruction {
             Instruction::Start {
                 attempt, engine, ..
-            } if Some(attempt.query) == taken => return Decided::Sent(name(*engine)),
-            Instruction::Answer(query, Answer::Rejected { .. }) if Some(*query) == taken => {
-                return Decided::Refused
+            } if Some(attempt.query) == accepted => return Decision::Sent(engine_name(*engine)),
+            Instruction::Answer(query, Answer::Rejected { .. }) if Some(*query) == accepted => {
+                return Decision::Refused
             }
-            Instruction::Answer(query, _) if Some(*query) == taken => return Decided::Failed,
+            Instruction::Answer(query, _) if Some(*query) == accepted => return Decision::Failed,
             _ => {}
         }
     }
-    Decided::Held
+    Decision::Held
 }
 
-/// Feeds a file to drivers with recorded and with altered settings.
+/// Replays a capture with the recorded and with altered settings and compares the decisions on arriving queries. `alter`
+/// receives the recorded settings and returns the altered ones.
 ///
 /// # Errors
-/// [`ReplayError`] where the capture can't be read, or is lost.
+/// Returns [`ReplayError`] if the capture cannot be read, records are missing or there is no state to start from.
 pub fn compare(
     path: &Path,
     alter: impl Fn(&Settings) -> Settings,
 ) -> Result<Comparison, ReplayError> {
     let mut player = Player::open(path, Options::default())?;
-    let mut shadow: Option<Driver> = None;
+    let mut shadow_driver: Option<Driver> = None;
     let mut comparison = Comparison::default();
     while let Some(ReplayedStep {
         recorded: step,
@@ -173,46 +176,46 @@
         answer,
     }) = player.next_step()?
     {
-        if shadow.is_none() {
+        if shadow_driver.is_none() {
             let Some(start) = &player.start else {
-                return Err(ReplayError::NoStart);
+                return Err(ReplayError::MissingInitialState);
             };
-            shadow = Some(Driver::new(
+            shadow_driver = Some(Driver::new(
                 alter(&start.settings),
                 start.seed,
                 start.bounds,
             ));
         }
-        let Some(shadow) = &mut shadow else {
-            return Err(ReplayError::NoStart);
+        let Some(shadow_driver) = &mut shadow_driver else {
+            return Err(ReplayError::MissingInitialState);
         };
-        let mut other = Vec::new();
-        let other_taken = feed(shadow, step.at, &step.input, &mut other);
+        let mut altered_answer = Vec::new();
+        let altered_accepted = feed(shadow_driver, step.at, &step.input, &mut altered_answer);
         if let Some((arrival, label)) = step.input.arrival() {
             comparison.arrivals += 1;
-            let name = |id| {
-                let known = player.engines.iter().find(|(e, _)| *e == id);
+            let engine_name = |id| {
+                let known = player.engines.iter().find(|(engine, _)| *engine == id);
                 known.map_or_else(|| format!("{id:?}"), |(_, name)| name.clone())
             };
-            let (was, now) = (
-                decided(accepted, &answer, &name),
-                decided(other_taken, &other, &name),
+            let (recorded, altered) = (
+                decision(accepted, &answer, &engine_name),
+                decision(altered_accepted, &altered_answer, &engine_name),
             );
-            if was != now {
+            if recorded != altered {
                 let class = arrival.class;
                 *comparison
-                    .table
-                    .entry((class, was.clone(), now.clone()))
+                    .counts
+                    .entry((class, recorded.clone(), altered.clone()))
                     .or_default() += 1;
-                let altered = Altered {
+                let changed = ChangedDecision {
                     step: step.number,
                     query: accepted,
                     label: label.to_string(),
                     class,
-                    was,
-                    now,
+                    recorded,
+                    altered,
                 };
-                comparison.altered.push(altered);
+                comparison.changed.push(changed);
             }
         }
     }
--- a/crates/replay/tests/common/mod.rs
+++ b/crates/replay/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A driver that records, on a wire that answers by a simple rule in virtual time.
+//! A driver with a recorder and simulated engines, in virtual time.
 #![allow(dead_code)]
 
 use std::path::Path;
@@ -51,29 +51,33 @@
     }
 }
 
-/// A driver with its recorder, and a wire that answers by a simple rule.
-pub struct Scene {
+/// A driver that records a capture. Simulated engines answer each attempt after a time that depends on a counter, with an
+/// outcome that depends on the ID of the query.
+pub struct Simulation {
     pub driver: Driver,
     pub recorder: Recorder,
     pub now: Micros,
-    pub out: Vec<(Micros, wheelfield_driver::AttemptId)>,
-    n: u64,
+    /// Attempts in flight and when they end.
+    pub in_flight: Vec<(Micros, wheelfield_driver::AttemptId)>,
+    started_attempts: u64,
+    /// Number of steps recorded so far.
     pub steps: u64,
 }
 
-impl Scene {
-    pub fn on(recorder: impl FnOnce(&Driver) -> Recorder) -> Scene {
+impl Simulation {
+    /// Starts a simulation whose recorder is created by `recorder`. The driver knows four engines.
+    pub fn with_recorder(recorder: impl FnOnce(&Driver) -> Recorder) -> Simulation {
         let driver = Driver::new(settings(), 11, DriverLimits::default());
         let recorder = recorder(&driver);
-        let mut scene = Scene {
+        let mut simulation = Simulation {
             driver,
             recorder,
             now: Micros(1_000_000),
-            out: Vec::new(),
-            n: 0,
+            in_flight: Vec::new(),
+            started_attempts: 0,
             steps: 0,
         };
-        scene.tell(Input::Started);
+        simulation.feed_input(Input::Started);
         let engine = |n: u64| EngineEntry {
             engine: EngineId(n),
             zone: 0,
@@ -82,64 +86,73 @@
             status: Status::Up,
             started_at: None,
         };
-        scene.tell(Input::Engines {
+        simulation.feed_input(Input::Engines {
             complete: true,
             entries: (1..=4).map(engine).collect(),
         });
-        scene
+        simulation
     }
 
-    pub fn at(path: &Path, limits: Limits) -> Scene {
-        Scene::on(|driver| {
-            Recorder::begin(path, start(), limits, driver, Micros(1_000_000)).expect("a file")
+    /// Starts a simulation that records to a file.
+    pub fn recording_to(path: &Path, limits: Limits) -> Simulation {
+        Simulation::with_recorder(|driver| {
+            Recorder::begin(path, start(), limits, driver, Micros(1_000_000))
+                .expect("create the capture")
         })
     }
 
-    fn note(&mut self, told: RecordedInput, taken: Option<QueryId>, fresh: Vec<Instruction>) {
+    /// Records a step and schedules the end of each attempt that it starts.
+    fn record_step(
+        &mut self,
+        input: RecordedInput,
+        accepted: Option<QueryId>,
+        answer: Vec<Instruction>,
+    ) {
         self.steps += 1;
-        self.recorder.step(self.now, &told, taken, &fresh);
+        self.recorder.step(self.now, &input, accepted, &answer);
         self.recorder.tend(&self.driver, self.now);
-        for i in fresh {
-            if let Instruction::Start { attempt, .. } = i {
-                self.n += 1;
-                let after = 50_000 + (self.n * 7919 % 900_000) as i64;
-                self.out.push((self.now + Micros(after), attempt));
+        for instruction in answer {
+            if let Instruction::Start { attempt, .. } = instruction {
+                self.started_attempts += 1;
+                let duration = 50_000 + (self.started_attempts * 7919 % 900_000) as i64;
+                self.in_flight.push((self.now + Micros(duration), attempt));
             }
         }
     }
 
-    pub fn tell(&mut self, input: Input) {
-        let mut fresh = Vec::new();
+    /// Feeds an input to the driver and records the step.
+    pub fn feed_input(&mut self, input: Input) {
+        let mut answer = Vec::new();
         self.driver
-            .handle_input(self.now, input.clone(), &mut fresh);
-        self.note(RecordedInput::Input(input), None, fresh);
+            .handle_input(self.now, input.clone(), &mut answer);
+        self.record_step(RecordedInput::Input(input), None, answer);
     }
 
-    /// Lets so many milliseconds pass, with a query every five of them.
-    pub fn play(&mut self, ms: i64) {
+    /// Advances the time by `ms` milliseconds, with the arrival of a query every five milliseconds.
+    pub fn run_for(&mut self, ms: i64) {
         for step in 0..ms / 5 {
             self.now = self.now + Micros(5_000);
-            let mut fresh = Vec::new();
-            if self.driver.handle_timers(self.now, &mut fresh) {
-                self.note(RecordedInput::Due, None, fresh);
+            let mut answer = Vec::new();
+            if self.driver.handle_timers(self.now, &mut answer) {
+                self.record_step(RecordedInput::Due, None, answer);
             }
             let now = self.now;
-            let (ripe, left): (Vec<_>, Vec<_>) = std::mem::take(&mut self.out)
+            let (due, still_in_flight): (Vec<_>, Vec<_>) = std::mem::take(&mut self.in_flight)
                 .into_iter()
-                .partition(|(t, _)| *t <= now);
-            self.out = left;
-            for (_, attempt) in ripe {
-                self.tell(Input::Dispatched(attempt));
-                let odd = attempt.query.0 % 13;
+                .partition(|(end, _)| *end <= now);
+            self.in_flight = still_in_flight;
+            for (_, attempt) in due {
+                self.feed_input(Input::Dispatched(attempt));
+                let outcome_index = attempt.query.0 % 13;
                 let outcome = [Outcome::Error, Outcome::Reset, Outcome::Full]
-                    .get(odd as usize)
+                    .get(outcome_index as usize)
                     .copied();
                 let report = LoadReport {
-                    utilisation: Some((self.n % 17) as f64 / 11.0),
+                    utilisation: Some((self.started_attempts % 17) as f64 / 11.0),
                     ..LoadReport::default()
                 };
                 let outcome = outcome.unwrap_or(Outcome::Served);
-                self.tell(Input::AttemptEnded {
+                self.feed_input(Input::AttemptEnded {
                     attempt,
                     outcome,
                     reported_work: Some(0.31),
@@ -152,28 +165,30 @@
                 work_hint: Some(0.1 + (step % 7) as f64 * 0.13),
                 ..Arrival::default()
             };
-            let mut fresh = Vec::new();
-            let taken = self
+            let mut answer = Vec::new();
+            let accepted = self
                 .driver
-                .submit(self.now, arrival.clone(), &mut fresh)
+                .submit(self.now, arrival.clone(), &mut answer)
                 .ok();
-            self.note(
+            self.record_step(
                 RecordedInput::Arrive {
                     arrival,
                     label: format!("s{step}"),
                 },
-                taken,
-                fresh,
+                accepted,
+                answer,
             );
         }
     }
 
-    pub fn end(self) -> (State, u64) {
+    /// Ends the capture. Returns the final state of the recorder and the number of steps.
+    pub fn finish(self) -> (State, u64) {
         (self.recorder.end(self.now), self.steps)
     }
 }
 
-pub fn small() -> Limits {
+/// Returns limits with small blocks and frequent checkpoints.
+pub fn small_limits() -> Limits {
     Limits {
         block_bytes: 2_000,
         max_queued_blocks: 100_000,
@@ -183,6 +198,6 @@
     }
 }
 
-pub fn folder() -> tempfile::TempDir {
-    tempfile::tempdir().expect("a folder")
+pub fn temp_dir() -> tempfile::TempDir {
+    tempfile::tempdir().expect("create a temporary directory")
 }
--- a/crates/replay/tests/ring.rs
+++ b/crates/replay/tests/ring.rs
@@ -1,15 +1,16 @@
-//! Captures held in memory: what is kept, when, and that it replays.
+//! Captures held in memory: what triggers writing one to a file, what the file contains and that it can be replayed.
 
 mod common;
 
-use common::{folder, small, start, Scene};
+use common::{small_limits, start, temp_dir, Simulation};
 use std::path::{Path, PathBuf};
 use wheelfield::interface::*;
 use wheelfield_capture::{Disk, Limits, RecordedInput, Recorder, RingLimits, Triggers};
 use wheelfield_driver::Instruction;
 use wheelfield_replay::{run, Options, Verdict};
 
-const QUIET: Triggers = Triggers {
+/// Triggers of which none fires by itself.
+const NO_TRIGGERS: Triggers = Triggers {
     on_engine_ejected: false,
     rejected_fraction: None,
     window: Micros(10_000_000),
@@ -18,276 +19,313 @@
     cooldown: Micros(60_000_000),
 };
 
-fn ring(path: &Path, limits: RingLimits, triggers: Triggers, keep: u64) -> Scene {
-    let held = Limits {
-        max_total_bytes: keep,
-        ..small()
+/// Starts a simulation that holds its capture in memory. `max_file_bytes` limits all files written of it.
+fn simulation_in_memory(
+    path: &Path,
+    limits: RingLimits,
+    triggers: Triggers,
+    max_file_bytes: u64,
+) -> Simulation {
+    let recorder_limits = Limits {
+        max_total_bytes: max_file_bytes,
+        ..small_limits()
     };
-    Scene::on(|driver| {
+    Simulation::with_recorder(|driver| {
         let at = Micros(1_000_000);
-        Recorder::begin_in_memory(path, start(), held, (limits, triggers), driver, at)
-            .expect("a thread")
+        Recorder::begin_in_memory(
+            path,
+            start(),
+            recorder_limits,
+            (limits, triggers),
+            driver,
+            at,
+        )
+        .expect("begin the capture")
     })
 }
 
-fn kept(dir: &Path) -> Vec<PathBuf> {
+/// Returns the files in a directory, sorted by name.
+fn files_in(dir: &Path) -> Vec<PathBuf> {
     let mut files: Vec<PathBuf> = std::fs::read_dir(dir)
-        .expect("a folder")
-        .map(|e| e.expect("an entry").path())
+        .expect("read the directory")
+        .map(|entry| entry.expect("read the directory entry").path())
         .collect();
     files.sort();
     files
 }
 
-fn equal(path: &Path) -> Verdict {
-    let verdict = run(path, Options::default()).expect("whole");
+/// Replays a capture and checks that all decisions are equal and the file is complete.
+fn replay_equal(path: &Path) -> Verdict {
+    let verdict = run(path, Options::default()).expect("replay the capture");
     assert!(verdict.equal(), "{verdict:?}");
     assert!(verdict.truncated_after.is_none());
     verdict
 }
 
-fn name(path: &Path) -> String {
+fn file_name(path: &Path) -> String {
     path.file_name()
-        .map_or_else(String::new, |n| n.to_string_lossy().into_owned())
+        .map_or_else(String::new, |name| name.to_string_lossy().into_owned())
 }
 
 #[test]
-fn without_a_reason_no_file_is_written() {
-    let dir = folder();
-    let mut scene = ring(
+fn no_file_is_written_without_a_trigger() {
+    let dir = temp_dir();
+    let mut simulation = simulation_in_memory(
         &dir.path().join("c.wfcap"),
         RingLimits::default(),
-        QUIET,
+        NO_TRIGGERS,
         u64::MAX,
     );
-    scene.play(5_000);
-    let (state, _) = scene.end();
+    simulation.run_for(5_000);
+    let (state, _) = simulation.finish();
     assert_eq!((state.lost, state.kept), (0, 0));
     assert!(state.held > 0);
-    assert!(kept(dir.path()).is_empty());
+    assert!(files_in(dir.path()).is_empty());
 }
 
 #[test]
-fn what_an_operator_asks_for_is_the_last_span_and_replays() {
-    let dir = folder();
+fn a_requested_capture_contains_the_latest_span_and_replays() {
+    let dir = temp_dir();
     let limits = RingLimits {
         min_span: Micros(3_000_000),
         ..RingLimits::default()
     };
-    let mut scene = ring(&dir.path().join("c.wfcap"), limits, QUIET, u64::MAX);
-    scene.play(10_000);
-    let asked = scene.now;
-    scene.recorder.ask(asked);
-    scene.recorder.tend(&scene.driver, asked);
-    scene.play(1_000);
-    let (state, _) = scene.end();
+    let mut simulation =
+        simulation_in_memory(&dir.path().join("c.wfcap"), limits, NO_TRIGGERS, u64::MAX);
+    simulation.run_for(10_000);
+    let requested_at = simulation.now;
+    simulation.recorder.ask(requested_at);
+    simulation.recorder.tend(&simulation.driver, requested_at);
+    simulation.run_for(1_000);
+    let (state, _) = simulation.finish();
     assert_eq!((state.lost, state.kept, state.failing), (0, 1, false));
-    let files = kept(dir.path());
+    let files = files_in(dir.path());
     assert_eq!(files.len(), 1);
     assert!(
-        name(&files[0]).starts_with("c-1970-01-01T00-00-11")
-            && name(&files[0]).ends_with("-asked.wfcap")
+        file_name(&files[0]).starts_with("c-1970-01-01T00-00-11")
+            && file_name(&files[0]).ends_with("-asked.wfcap")
     );
-    let verdict = equal(&files[0]);
-    let (first, last) = verdict.times.expect("steps");
+    let verdict = replay_equal(&files[0]);
+    let (first, last) = verdict.time_range.expect("the capture has steps");
     assert!(
-        last <= asked && asked - last < Micros(10_000),
-        "up to the asking"
+        last <= requested_at && requested_at - last < Micros(10_000),
+        "the capture ends at the request"
     );
-    // At least the span, and no more than a checkpoint's time and a block beyond.
-    let reach = asked - first;
+    // The capture reaches back at least the minimum span, and at most one checkpoint interval and one block more.
+    let span = requested_at - first;
     assert!(
-        reach >= Micros(3_000_000) && reach < Micros(4_000_000),
-        "{reach:?}"
+        span >= Micros(3_000_000) && span < Micros(4_000_000),
+        "{span:?}"
     );
     assert!(verdict.checkpoints >= 4, "{}", verdict.checkpoints);
 }
 
 #[test]
-fn memory_is_bounded_whatever_comes() {
-    let dir = folder();
+fn memory_is_bounded() {
+    let dir = temp_dir();
     let limits = RingLimits {
         max_bytes: 200_000,
         min_span: Micros(i64::MAX),
     };
-    let mut scene = ring(&dir.path().join("c.wfcap"), limits, QUIET, u64::MAX);
-    scene.play(40_000);
-    scene.recorder.ask(scene.now);
-    scene.recorder.tend(&scene.driver, scene.now);
-    let (state, steps) = scene.end();
+    let mut simulation =
+        simulation_in_memory(&dir.path().join("c.wfcap"), limits, NO_TRIGGERS, u64::MAX);
+    simulation.run_for(40_000);
+    simulation.recorder.ask(simulation.now);
+    simulation.recorder.tend(&simulation.driver, simulation.now);
+    let (state, steps) = simulation.finish();
     assert!(state.held <= 200_000, "{}", state.held);
     assert!(
         state.held > 100_000,
-        "the oldest goes, not all: {}",
+        "only the oldest records are dropped: {}",
         state.held
     );
-    assert!(state.recorded > steps, "all was recorded");
-    let verdict = equal(&kept(dir.path())[0]);
+    assert!(state.recorded > steps, "each step was recorded");
+    let verdict = replay_equal(&files_in(dir.path())[0]);
     assert!(verdict.steps < steps && verdict.steps > 100);
 }
 
 #[test]
-fn an_engine_set_aside_is_a_reason_and_what_follows_is_kept_too() {
-    let dir = folder();
+fn an_ejected_engine_triggers_a_capture_that_includes_the_time_after() {
+    let dir = temp_dir();
     let triggers = Triggers {
         on_engine_ejected: true,
-        ..QUIET
+        ..NO_TRIGGERS
     };
-    let mut scene = ring(
+    let mut simulation = simulation_in_memory(
         &dir.path().join("c.wfcap"),
         RingLimits::default(),
         triggers,
         u64::MAX,
     );
-    scene.play(2_000);
+    simulation.run_for(2_000);
     let line = Instruction::Log("engine silent with 3 queries out".into());
-    let at = scene.now;
-    scene
+    let ejected_at = simulation.now;
+    simulation.recorder.step(
+        ejected_at,
+        &RecordedInput::Due,
+        None,
+        std::slice::from_ref(&line),
+    );
+    simulation
         .recorder
-        .step(at, &RecordedInput::Due, None, std::slice::from_ref(&line));
-    scene.recorder.step(at, &RecordedInput::Due, None, &[line]);
-    scene.play(5_000);
-    let (state, _) = scene.end();
+        .step(ejected_at, &RecordedInput::Due, None, &[line]);
+    simulation.run_for(5_000);
+    let (state, _) = simulation.finish();
     assert_eq!(
         state.kept, 1,
-        "the second word of it, within the rest, is no reason"
+        "a second ejection within the cooldown triggers no capture"
     );
-    let files = kept(dir.path());
-    assert!(name(&files[0]).contains("set-aside"));
-    let mut last = Micros(0);
-    let mut reader = wheelfield_capture::Reader::open(&files[0]).expect("a capture");
-    while let Some(entry) = reader.next_entry().expect("whole") {
-        if let wheelfield_capture::Entry::Record(r) = entry {
-            if let wheelfield_capture::Record::Step { at, .. } = *r {
-                last = at;
+    let files = files_in(dir.path());
+    assert!(file_name(&files[0]).contains("set-aside"));
+    let mut last_step_at = Micros(0);
+    let mut reader = wheelfield_capture::Reader::open(&files[0]).expect("open the capture");
+    while let Some(entry) = reader.next_entry().expect("read the capture") {
+        if let wheelfield_capture::Entry::Record(record) = entry {
+            if let wheelfield_capture::Record::Step { at, .. } = *record {
+                last_step_at = at;
             }
         }
     }
     assert!(
-        last - at >= Micros(990_000) && last - at < Micros(1_100_000),
+        last_step_at - ejected_at >= Micros(990_000)
+            && last_step_at - ejected_at < Micros(1_100_000),
         "{:?}",
-        last - at
+        last_step_at - ejected_at
     );
 }
 
 #[test]
-fn a_share_of_refusals_is_a_reason() {
-    let dir = folder();
-    // The scene asks for several times what its engines can do.
-    for (share, files) in [(1.0, 0), (0.5, 1)] {
+fn a_high_rejected_fraction_triggers_a_capture() {
+    let dir = temp_dir();
+    // The simulation sends several times as many queries as its engines can run.
+    for (fraction, files) in [(1.0, 0), (0.5, 1)] {
         let triggers = Triggers {
-            rejected_fraction: Some(share),
-            ..QUIET
+            rejected_fraction: Some(fraction),
+            ..NO_TRIGGERS
         };
-        let mut scene = ring(
+        let mut simulation = simulation_in_memory(
             &dir.path().join("c.wfcap"),
             RingLimits::default(),
             triggers,
             u64::MAX,
         );
-        scene.play(3_000);
-        assert_eq!(scene.end().0.kept, files, "refusals above {share}");
+        simulation.run_for(3_000);
+        assert_eq!(
+            simulation.finish().0.kept,
+            files,
+            "rejected fraction above {fraction}"
+        );
     }
-    let files = kept(dir.path());
-    assert!(name(&files[0]).contains("refusals"));
-    equal(&files[0]);
+    let files = files_in(dir.path());
+    assert!(file_name(&files[0]).contains("refusals"));
+    replay_equal(&files[0]);
 }
 
 #[test]
-fn a_stall_is_a_reason() {
-    let dir = folder();
+fn a_stall_triggers_a_capture() {
+    let dir = temp_dir();
     let triggers = Triggers {
         stall: Some(Micros(1_000_000)),
-        ..QUIET
+        ..NO_TRIGGERS
     };
-    let mut scene = ring(
+    let mut simulation = simulation_in_memory(
         &dir.path().join("c.wfcap"),
         RingLimits::default(),
         triggers,
         u64::MAX,
     );
-    scene.play(2_000);
-    scene.now = scene.now + Micros(2_000_000);
-    scene.play(3_000);
-    let (state, _) = scene.end();
+    simulation.run_for(2_000);
+    simulation.now = simulation.now + Micros(2_000_000);
+    simulation.run_for(3_000);
+    let (state, _) = simulation.finish();
     assert_eq!(state.kept, 1);
-    let files = kept(dir.path());
-    assert!(name(&files[0]).contains("stall"));
-    equal(&files[0]);
+    let files = files_in(dir.path());
+    assert!(file_name(&files[0]).contains("stall"));
+    replay_equal(&files[0]);
 }
 
 #[test]
-fn the_oldest_kept_files_go() {
-    let dir = folder();
-    std::fs::write(dir.path().join("c-notes.txt"), "not ours").expect("a file");
+fn the_oldest_captures_are_removed() {
+    let dir = temp_dir();
+    std::fs::write(dir.path().join("c-notes.txt"), "not a capture").expect("write the file");
     std::fs::write(
         dir.path().join("c-2000-01-01T00-00-00-000Z-stall.wfcap"),
         vec![0; 300_000],
     )
-    .expect("a file");
+    .expect("write the file");
     let limits = RingLimits {
         min_span: Micros(1_000_000),
         ..RingLimits::default()
     };
-    let mut scene = ring(&dir.path().join("c.wfcap"), limits, QUIET, 200_000);
-    // Virtual time begins in 1970; names of this century are the ones looked at.
-    scene.now = Micros(1_700_000_000_000_000);
+    let mut simulation =
+        simulation_in_memory(&dir.path().join("c.wfcap"), limits, NO_TRIGGERS, 200_000);
+    // Virtual time begins in 1970, but old captures are only removed if the year in their name is 2000 or later.
+    simulation.now = Micros(1_700_000_000_000_000);
     for _ in 0..4 {
-        scene.play(3_000);
-        scene.recorder.ask(scene.now);
-        scene.recorder.tend(&scene.driver, scene.now);
+        simulation.run_for(3_000);
+        simulation.recorder.ask(simulation.now);
+        simulation.recorder.tend(&simulation.driver, simulation.now);
     }
-    let newest = scene.now;
-    let (state, _) = scene.end();
+    let last_request_at = simulation.now;
+    let (state, _) = simulation.finish();
     assert_eq!(state.kept, 4);
-    let files = kept(dir.path());
-    let total: u64 = files
+    let files = files_in(dir.path());
+    let total_bytes: u64 = files
         .iter()
-        .filter(|p| name(p).ends_with(".wfcap"))
-        .map(|p| p.metadata().expect("there").len())
+        .filter(|path| file_name(path).ends_with(".wfcap"))
+        .map(|path| path.metadata().expect("the file exists").len())
         .sum();
-    assert!(total <= 200_000 || files.len() == 2, "{files:?}");
+    assert!(total_bytes <= 200_000 || files.len() == 2, "{files:?}");
     assert!(
-        !files.iter().any(|p| name(p).starts_with("c-2000")),
+        !files
+            .iter()
+            .any(|path| file_name(path).starts_with("c-2000")),
         "{files:?}"
     );
     assert!(
-        files.iter().any(|p| name(p) == "c-notes.txt"),
-        "what is not ours stays"
+        files.iter().any(|path| file_name(path) == "c-notes.txt"),
+        "other files are not removed"
     );
-    let last = files
+    let newest = files
         .iter()
-        .rfind(|p| name(p).ends_with("asked.wfcap"))
-        .expect("the newest stays");
-    assert!(newest - equal(last).times.expect("steps").1 < Micros(10_000));
+        .rfind(|path| file_name(path).ends_with("asked.wfcap"))
+        .expect("the newest capture is not removed");
+    assert!(
+        last_request_at
+            - replay_equal(newest)
+                .time_range
+                .expect("the capture has steps")
+                .1
+            < Micros(10_000)
+    );
 }
 
 #[test]
-fn a_file_that_cannot_be_written_is_told_and_the_next_is_tried() {
-    let dir = folder();
-    let place = dir.path().join("not-there");
-    let mut scene = ring(
-        &place.join("c.wfcap"),
+fn a_file_that_cannot_be_written_is_reported_as_failing() {
+    let dir = temp_dir();
+    let missing_dir = dir.path().join("not-there");
+    let mut simulation = simulation_in_memory(
+        &missing_dir.join("c.wfcap"),
         RingLimits::default(),
-        QUIET,
+        NO_TRIGGERS,
         u64::MAX,
     );
-    scene.play(1_000);
-    scene.recorder.ask(scene.now);
-    scene.recorder.tend(&scene.driver, scene.now);
-    scene.play(1_000);
-    let (state, _) = scene.end();
+    simulation.run_for(1_000);
+    simulation.recorder.ask(simulation.now);
+    simulation.recorder.tend(&simulation.driver, simulation.now);
+    simulation.run_for(1_000);
+    let (state, _) = simulation.finish();
     assert_eq!((state.kept, state.lost, state.failing), (0, 0, true));
-    assert!(!place.exists());
+    assert!(!missing_dir.exists());
 }
 
-/// A disk at which the writer's thread dies.
-struct Deadly(u32);
+/// A disk that panics on its sixth write, which ends the writer thread. Counts its writes.
+struct PanickingDisk(u32);
 
-impl Disk for Deadly {
+impl Disk for PanickingDisk {
     fn append(&mut self, _: &[u8]) -> std::io::Result<()> {
         self.0 += 1;
-        assert!(self.0 < 6, "the writer dies here, as the test wants");
+        assert!(self.0 < 6, "intended panic of the writer thread");
         Ok(())
     }
     fn cut(&mut self, _: u64) -> std::io::Result<()> {
@@ -299,36 +337,36 @@
 }
 
 #[test]
-fn a_dead_writer_costs_the_capture_and_nothing_else() {
-    let mut scene = Scene::on(|driver| {
-        let make = |_: &Path| Ok(Box::new(Deadly(0)) as Box<dyn Disk>);
+fn a_panic_of_the_writer_thread_loses_records_but_stops_no_decisions() {
+    let mut simulation = Simulation::with_recorder(|driver| {
+        let make = |_: &Path| Ok(Box::new(PanickingDisk(0)) as Box<dyn Disk>);
         let at = Micros(1_000_000);
         Recorder::begin_on(
             Box::new(make),
             Path::new("x.wfcap"),
             start(),
-            small(),
+            small_limits(),
             driver,
             at,
         )
-        .expect("begun")
+        .expect("begin the capture")
     });
-    // Each time the queue is looked at, until the death has shown.
+    // The recorder notices the end of the writer thread only when it hands over a block.
     for _ in 0..2_000 {
-        scene.play(100);
-        if scene.recorder.state().failing {
+        simulation.run_for(100);
+        if simulation.recorder.state().failing {
             break;
         }
         std::thread::yield_now();
     }
-    let before = scene.recorder.state();
+    let before = simulation.recorder.state();
     assert!(before.failing);
-    let decided = scene.steps;
-    scene.play(1_000);
-    assert!(scene.steps > decided, "it goes on deciding");
-    let (state, _) = scene.end();
+    let steps_before = simulation.steps;
+    simulation.run_for(1_000);
+    assert!(simulation.steps > steps_before, "the driver continues");
+    let (state, _) = simulation.finish();
     assert!(
         state.failing && state.lost > before.lost,
-        "what comes after is counted as lost"
+        "records after the panic are counted as lost"
     );
 }
--- a/crates/replay/tests/troubles.rs
+++ b/crates/replay/tests/troubles.rs
@@ -1,19 +1,23 @@
-//! Troubles of the laboratory, captured from controllers on real sockets and kept without names: each must replay to the
-//! decisions that were taken then, every time. A deliberate change of the module shows here at its first decision; then the
-//! capture is made anew (`wheelfield-testbed day --capture`, `wheelfield-replay scrub`) and the commit says why.
+//! Captures of injected faults, recorded by controllers on real sockets in the test bed and scrubbed of names. Each must replay
+//! to the recorded decisions every time. A deliberate change of the decision logic fails here at the first decision that it
+//! changes: then record the capture again (`wheelfield-testbed day --capture`, `wheelfield-replay scrub`) and give the reason in
+//! the commit message.
 
 use wheelfield_replay::{run, Options};
 
 #[test]
-fn twelve_troubles_replay_to_identical_decisions_a_hundred_times() {
-    let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/troubles");
-    let mut played = 0;
-    for file in std::fs::read_dir(folder).expect("the captures").flatten() {
+fn captures_of_twelve_faults_replay_to_the_same_decisions_a_hundred_times() {
+    let directory = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/troubles");
+    let mut captures = 0;
+    for file in std::fs::read_dir(directory)
+        .expect("read the directory of captures")
+        .flatten()
+    {
         let path = file.path();
-        played += 1;
+        captures += 1;
         let mut steps = 0;
         for _ in 0..100 {
-            let verdict = run(&path, Options::default()).expect("readable");
+            let verdict = run(&path, Options::default()).expect("replay the capture");
             assert!(
                 verdict.equal(),
                 "{path:?}: {:?} {:?}",
@@ -25,5 +29,5 @@
         }
         assert!(steps > 400, "{path:?}: {steps} steps");
     }
-    assert_eq!(played, 12);
+    assert_eq!(captures, 12);
 }
--- a/crates/replay/tests/versions.rs
+++ b/crates/replay/tests/versions.rs
@@ -1,4 +1,4 @@
-//! A capture of each version of the format, written by the build that introduced or last wrote it, is read and replayed.
+//! Reads and replays a capture of each version of the format, written by a build of the time.
 
 use std::path::PathBuf;
 use wheelfield_capture::Reader;
@@ -10,21 +10,21 @@
 }
 
 #[test]
-fn a_capture_of_every_version_that_is_still_read_replays_to_the_recorded_decisions() {
+fn captures_of_all_supported_versions_replay_to_the_recorded_decisions() {
     for (version, path) in [
         (1, "troubles/crash.wfcap"),
         (2, "troubles/answer_lost.wfcap"),
         (3, "versions/3.wfcap"),
     ] {
         let path = fixture(path);
-        let bytes = std::fs::read(&path).expect("a capture");
+        let bytes = std::fs::read(&path).expect("read the file");
         assert_eq!(
             u16::from_be_bytes([bytes[6], bytes[7]]),
             version,
             "{path:?}"
         );
         assert!(Reader::open(&path).is_ok());
-        let verdict = run(&path, Options::default()).expect("readable");
+        let verdict = run(&path, Options::default()).expect("replay the capture");
         assert!(
             verdict.equal(),
             "{path:?}: {:?} {:?}",
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn checkpoints_written_by_version_0_2_0_are_entered_and_equal_todays_state_byte_for_byte() {
+fn a_replay_starts_at_a_checkpoint_of_version_0_2_0_and_equals_later_ones_byte_for_byte() {
     let path = fixture("versions/3.wfcap");
     let from = Some(wheelfield::interface::Micros(3_000_000));
     let verdict = run(
@@ -46,7 +46,7 @@
             over_gaps: false,
         },
     )
-    .expect("readable");
+    .expect("replay the capture");
     assert!(
         verdict.equal(),
         "{:?} {:?}",
@@ -61,22 +61,22 @@
 }
 
 #[test]
-fn settings_are_altered_by_their_earlier_names_too() {
+fn renamed_settings_can_be_altered_by_their_old_names() {
     let settings = wheelfield::interface::Settings {
         classes: vec![wheelfield::interface::Class::default()],
         ..Default::default()
     };
-    for (earlier, now, value) in [
+    for (old_path, current_path, value) in [
         ("cold_for", "slow_start_duration", "7"),
         ("classes.0.aim", "classes.0.latency_objective", "9"),
         ("classes.0.effect", "classes.0.semantics", "\"AtMostOnce\""),
         ("classes.0.effect", "classes.0.semantics", "\"Once\""),
     ] {
-        let by_earlier_name = alter(&settings, earlier, value).expect("a known setting");
+        let altered_by_old_path = alter(&settings, old_path, value).expect("the setting exists");
         assert_eq!(
-            by_earlier_name,
-            alter(&settings, now, value).expect("a known setting")
+            altered_by_old_path,
+            alter(&settings, current_path, value).expect("the setting exists")
         );
-        assert_ne!(by_earlier_name, settings, "{earlier}");
+        assert_ne!(altered_by_old_path, settings, "{old_path}");
     }
 }
