--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,18 +1,20 @@
-//! An open-loop load generator: what is sent, and when, is drawn before anything runs; latency counts from the time at which
-//! a query was meant to be sent, whatever held it up; and the generator measures its own lateness.
+//! An open-loop load generator for PostgreSQL-speaking targets. The schedule of all queries is
+//! generated before the run starts. Latency is measured from the scheduled send time, so that time
+//! spent waiting in the generator is included, and the generator measures its own lateness.
 //!
-//! - [`script`]: what is asked for, as TOML.
-//! - [`schedule`]: all sends drawn from it by a seed; no I/O.
-//! - [`crew`]: the clients: connections, answers, giving up, further tries; no I/O and no clock.
-//! - [`tally`]: what was counted and timed; merged without loss.
-//! - [`runner`]: the sockets.
-//! - [`view`]: the live view.
+//! - [`script`]: the load description, in TOML.
+//! - [`schedule`]: generates the schedule of queries from a script and a seed; no I/O.
+//! - [`client_pool`]: the simulated clients: connections, answers, client timeouts and retries; no
+//!   I/O and no clock.
+//! - [`stats`]: counters and latency histograms; merged without loss of precision.
+//! - [`runner`]: worker threads and their sockets.
+//! - [`view`]: the live terminal view.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod crew;
+pub mod client_pool;
 pub mod runner;
 pub mod schedule;
 pub mod script;
-pub mod tally;
+pub mod stats;
 pub mod view;
--- a/crates/load/src/runner.rs
+++ b/crates/load/src/runner.rs
@@ -1,9 +1,9 @@
-//! The sockets of a load: workers on threads of their own, each with its part of the sends and of the connections.
+//! Runs a load: each worker thread sends its part of the schedule over its part of the connections.
 
-use crate::crew::{Answer, Crew, Do};
-use crate::schedule::Send;
+use crate::client_pool::{Action, Answer, ClientPool};
+use crate::schedule::ScheduledQuery;
 use crate::script::{Protocol, Script};
-use crate::tally::Total;
+use crate::stats::LoadStats;
 use anyhow::{bail, Context, Result};
 use bytes::Bytes;
 use mio::{Events, Poll, Token};
@@ -17,230 +17,250 @@
 use wheelfield_net::{Clock, Stream};
 use wheelfield_pg::{backend_messages, frame, frontend_messages};
 
-/// Read from a connection at a time.
-const READ: usize = 256 << 10;
-/// Connections from one source address to one target: the system has some 28,000 ports for them.
-const A_SOURCE: usize = 20_000;
-/// Descriptors kept for other things than connections.
-const SPARE: u64 = 64;
+/// Maximum size of the input buffer of a connection, and thereby of a message, in bytes.
+const MAX_INPUT: usize = 256 << 10;
+/// Maximum number of connections from one source address to one target; the system provides about
+/// 28,000 ephemeral ports for them.
+const CONNECTIONS_PER_SOURCE: usize = 20_000;
+/// File descriptors reserved for uses other than connections.
+const RESERVED_FDS: u64 = 64;
 
-/// How a load is run.
+/// Options of a run.
 #[derive(Clone, Debug)]
-pub struct Plans {
-    /// Where queries go; connections are spread over them in turn.
+pub struct RunOptions {
+    /// Target addresses; connections are assigned to them round-robin.
     pub targets: Vec<SocketAddr>,
-    /// User, where a stream has no tenants.
+    /// User name for streams without tenants.
     pub user: String,
-    /// Database.
+    /// Database name.
     pub database: String,
-    /// Threads.
+    /// Number of worker threads.
     pub workers: usize,
-    /// Seed of what clients do by chance.
+    /// Seed of the clients' random decisions.
     pub seed: u64,
 }
 
-/// Makes room for so many connections.
+/// Raises the limit of file descriptors of this process to fit `connections`.
 ///
 /// # Errors
-/// If the system allows fewer, with what to do.
-pub fn make_room(connections: usize) -> Result<()> {
+/// Returns an error that says what to do if the hard limit of the system is too low.
+pub fn raise_fd_limit(connections: usize) -> Result<()> {
     use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
-    let wanted = connections as u64 + SPARE;
+    let needed = connections as u64 + RESERVED_FDS;
     let Rlimit { current, maximum } = getrlimit(Resource::Nofile);
-    if current.is_none_or(|now| now >= wanted) {
+    if current.is_none_or(|limit| limit >= needed) {
         return Ok(());
     }
-    if maximum.is_some_and(|most| most < wanted) {
+    if maximum.is_some_and(|limit| limit < needed) {
         bail!(
-            "{connections} connections need {wanted} descriptors, and the system allows this process {}; raise \
-             `ulimit -Hn`, or ask for fewer connections",
+            "{connections} connections need {needed} file descriptors, and the hard limit of this process is {}; \
+             raise `ulimit -Hn`, or configure fewer connections",
             maximum.unwrap_or_default()
         );
     }
-    setrlimit(Resource::Nofile, Rlimit { current: Some(wanted), maximum })
-        .context("cannot raise the limit of descriptors")
+    setrlimit(Resource::Nofile, Rlimit { current: Some(needed), maximum })
+        .context("cannot raise the limit of file descriptors")
 }
 
-/// Runs a load. `watch` is shown the total so far twice a second, with the seconds since the start, and ends the run by
-/// giving false.
+/// Runs a load. `on_progress` is called every 50 ms with the seconds since the start and the
+/// results so far, which workers report twice a second. It ends the run by returning false.
 ///
 /// # Errors
-/// As the system tells of polls and threads; what befalls connections is counted, not an error.
+/// Returns errors of the system from polling and from starting threads. Connection failures are
+/// counted, not returned.
 pub fn run(
     script: &Script,
-    sends: &[Send],
-    plans: &Plans,
-    mut watch: impl FnMut(f64, &Total) -> bool,
-) -> Result<(Total, Duration)> {
-    make_room(script.connections)?;
+    schedule: &[ScheduledQuery],
+    options: &RunOptions,
+    mut on_progress: impl FnMut(f64, &LoadStats) -> bool,
+) -> Result<(LoadStats, Duration)> {
+    raise_fd_limit(script.max_connections)?;
     let clock = Clock::start();
-    let workers = plans.workers.clamp(1, 64);
-    let start = clock.now() + 200_000;
+    let workers = options.workers.clamp(1, 64);
+    let start_at = clock.now() + 200_000;
     let stop = AtomicBool::new(false);
-    std::thread::scope(|scope| -> Result<(Total, Duration)> {
+    std::thread::scope(|scope| -> Result<(LoadStats, Duration)> {
         let mut running = Vec::new();
         for index in 0..workers {
-            // One total waits at most; a newer one is told as soon as it was taken.
-            let (tell, heard) = sync_channel::<Total>(1);
-            let share = script.connections / workers + usize::from(index < script.connections % workers);
+            // Holds at most one report; a worker skips its report while the previous one has not
+            // been received.
+            let (sender, receiver) = sync_channel::<LoadStats>(1);
+            let max_connections =
+                script.max_connections / workers + usize::from(index < script.max_connections % workers);
             let stop = &stop;
             let handle =
                 std::thread::Builder::new().name(format!("load-{index}")).spawn_scoped(scope, move || {
-                    let crew = Crew::new(script, sends, (index, workers), share, start, plans.seed);
-                    Worker::open(script, sends, plans, crew, clock, index)?.serve(start, stop, &tell)
+                    let pool = ClientPool::new(
+                        script,
+                        schedule,
+                        (index, workers),
+                        max_connections,
+                        start_at,
+                        options.seed,
+                    );
+                    Worker::new(script, schedule, options, pool, clock, index)?.run(start_at, stop, &sender)
                 })?;
-            running.push((handle, heard, Total::default()));
+            running.push((handle, receiver, LoadStats::default()));
         }
         loop {
             std::thread::sleep(Duration::from_millis(50));
             let mut ended = true;
-            for (handle, heard, last) in &mut running {
+            for (handle, receiver, last) in &mut running {
                 ended &= handle.is_finished();
-                match heard.try_recv() {
-                    Ok(total) => *last = total,
+                match receiver.try_recv() {
+                    Ok(stats) => *last = stats,
                     Err(TryRecvError::Empty | TryRecvError::Disconnected) => {}
                 }
             }
-            let at = (clock.now() - start) as f64 / 1e6;
-            let mut so_far = Total::default();
+            let elapsed_s = (clock.now() - start_at) as f64 / 1e6;
+            let mut so_far = LoadStats::default();
             running.iter().for_each(|(_, _, last)| so_far.merge(last));
-            if !watch(at, &so_far) {
+            if !on_progress(elapsed_s, &so_far) {
                 stop.store(true, Ordering::Relaxed);
             }
             if ended {
                 break;
             }
         }
-        let mut total = Total::default();
+        let mut total = LoadStats::default();
         for (handle, _, _) in running {
             match handle.join() {
-                Ok(part) => total.merge(&part?),
+                Ok(worker_stats) => total.merge(&worker_stats?),
                 Err(_) => bail!("a worker panicked"),
             }
         }
-        Ok((total, Duration::from_micros((clock.now() - start).max(0) as u64)))
+        Ok((total, Duration::from_micros((clock.now() - start_at).max(0) as u64)))
     })
 }
 
-struct Link {
+struct Socket {
     stream: Stream,
-    /// Which connection of the crew; none for a request to cancel.
-    conn: Option<usize>,
-    key: (i32, Bytes),
+    /// Connection id in the client pool; `None` for a cancel request.
+    conn_id: Option<usize>,
+    cancel_key: (i32, Bytes),
     ready: bool,
-    /// Its statement is prepared.
+    /// The statement has been prepared on this connection.
     prepared: bool,
-    mute: bool,
-    state: String,
-    advice: Option<u64>,
-    gone: bool,
+    reading_stopped: bool,
+    sqlstate: String,
+    retry_after_ms: Option<u64>,
+    closed: bool,
 }
 
 struct Worker<'a> {
     script: &'a Script,
-    sends: &'a [Send],
-    plans: &'a Plans,
-    crew: Crew<'a>,
+    schedule: &'a [ScheduledQuery],
+    options: &'a RunOptions,
+    pool: ClientPool<'a>,
     clock: Clock,
     poll: Poll,
-    links: Slab<Link>,
-    by_conn: BTreeMap<usize, usize>,
-    dead: Vec<usize>,
-    scratch: Vec<u8>,
-    made: usize,
+    sockets: Slab<Socket>,
+    /// Index in `sockets` by connection id.
+    socket_by_conn: BTreeMap<usize, usize>,
+    /// Closed sockets that are still in `sockets` and registered with `poll`.
+    closed_sockets: Vec<usize>,
+    read_buffer: Vec<u8>,
+    connections_made: usize,
+    /// Index of this worker.
     index: usize,
-    following: bool,
+    /// Whether a call of `apply_actions` is in progress.
+    applying_actions: bool,
 }
 
 impl<'a> Worker<'a> {
-    fn open(
+    fn new(
         script: &'a Script,
-        sends: &'a [Send],
-        plans: &'a Plans,
-        crew: Crew<'a>,
+        schedule: &'a [ScheduledQuery],
+        options: &'a RunOptions,
+        pool: ClientPool<'a>,
         clock: Clock,
         index: usize,
     ) -> Result<Worker<'a>> {
         Ok(Worker {
             script,
-            sends,
-            plans,
-            crew,
+            schedule,
+            options,
+            pool,
             clock,
             poll: Poll::new()?,
-            links: Slab::new(),
-            by_conn: BTreeMap::new(),
-            dead: Vec::new(),
-            scratch: vec![0; 64 << 10],
-            made: 0,
+            sockets: Slab::new(),
+            socket_by_conn: BTreeMap::new(),
+            closed_sockets: Vec::new(),
+            read_buffer: vec![0; 64 << 10],
+            connections_made: 0,
             index,
-            following: false,
+            applying_actions: false,
         })
     }
 
-    fn serve(mut self, start: i64, stop: &AtomicBool, tell: &SyncSender<Total>) -> Result<Total> {
+    fn run(mut self, start_at: i64, stop: &AtomicBool, sender: &SyncSender<LoadStats>) -> Result<LoadStats> {
         let mut events = Events::with_capacity(4096);
-        let mut next_told = start;
-        let longest = self.script.streams.iter().map(|s| s.patience.0 .0).max().unwrap_or(0);
-        let end = start + self.script.length.0 .0 + longest + 5_000_000;
+        let mut next_report_at = start_at;
+        let max_client_timeout = self.script.streams.iter().map(|s| s.client_timeout.0 .0).max().unwrap_or(0);
+        let end = start_at + self.script.duration.0 .0 + max_client_timeout + 5_000_000;
         while !stop.load(Ordering::Relaxed) {
             let now = self.clock.now();
-            self.crew.tick(now);
-            self.follow();
-            for id in std::mem::take(&mut self.dead) {
-                if let Some(link) = self.links.try_remove(id) {
-                    link.stream.close(self.poll.registry());
+            self.pool.tick(now);
+            self.apply_actions();
+            for id in std::mem::take(&mut self.closed_sockets) {
+                if let Some(socket) = self.sockets.try_remove(id) {
+                    socket.stream.close(self.poll.registry());
                 }
             }
-            if self.crew.done() || now >= end {
+            if self.pool.is_done() || now >= end {
                 break;
             }
-            if now >= next_told {
-                // One that waits to be taken is newer than nothing.
-                let _ = tell.try_send(self.crew.total().clone());
-                next_told = now + 500_000;
+            if now >= next_report_at {
+                // Drops this report if the previous one has not been received yet.
+                let _ = sender.try_send(self.pool.stats().clone());
+                next_report_at = now + 500_000;
             }
-            let next = self.crew.next().unwrap_or(end).min(next_told).min(now + 100_000);
+            let next = self.pool.next_wakeup().unwrap_or(end).min(next_report_at).min(now + 100_000);
             match self.poll.poll(&mut events, Some(self.clock.until(next))) {
                 Err(e) if e.kind() != std::io::ErrorKind::Interrupted => return Err(e.into()),
                 _ => {}
             }
             for event in &events {
                 let Token(id) = event.token();
-                if let Some(link) = self.links.get_mut(id).filter(|l| !l.gone) {
-                    link.stream.handle_event(event);
-                    self.attend(id);
+                if let Some(socket) = self.sockets.get_mut(id).filter(|s| !s.closed) {
+                    socket.stream.handle_event(event);
+                    self.on_ready(id);
                 }
             }
         }
-        Ok(self.crew.finish())
+        Ok(self.pool.finish())
     }
 
-    /// Does what the crew says, until it says nothing more. What it says meanwhile is done by the call under way: a target
-    /// that breaks all it is sent must not nest calls without end.
-    fn follow(&mut self) {
-        if std::mem::replace(&mut self.following, true) {
+    /// Performs the actions of the client pool until there are none left. Actions that arise
+    /// meanwhile are performed by the outermost call: a target that closes every connection must
+    /// not cause unbounded recursion.
+    fn apply_actions(&mut self) {
+        if std::mem::replace(&mut self.applying_actions, true) {
             return;
         }
         loop {
-            let todo = self.crew.todo();
-            if todo.is_empty() {
-                self.following = false;
+            let actions = self.pool.take_actions();
+            if actions.is_empty() {
+                self.applying_actions = false;
                 return;
             }
-            for what in todo {
-                match what {
-                    Do::Open { conn, stream, tenant } => self.connect(conn, stream, tenant),
-                    Do::Write { conn, send, job, left } => self.write(conn, send, job, left),
-                    Do::Cancel { conn } => self.cancel(conn),
-                    Do::Mute { conn } => {
-                        if let Some(link) = self.by_conn.get(&conn).and_then(|l| self.links.get_mut(*l)) {
-                            link.mute = true;
+            for action in actions {
+                match action {
+                    Action::Open { conn_id, stream, tenant } => self.connect(conn_id, stream, tenant),
+                    Action::Write { conn_id, schedule_index, attempt_number, time_left_us } => {
+                        self.write_query(conn_id, schedule_index, attempt_number, time_left_us)
+                    }
+                    Action::Cancel { conn_id } => self.send_cancel(conn_id),
+                    Action::StopReading { conn_id } => {
+                        if let Some(socket) =
+                            self.socket_by_conn.get(&conn_id).and_then(|id| self.sockets.get_mut(*id))
+                        {
+                            socket.reading_stopped = true;
                         }
                     }
-                    Do::Close { conn } => {
-                        if let Some(id) = self.by_conn.remove(&conn) {
-                            self.bury(id);
+                    Action::Close { conn_id } => {
+                        if let Some(id) = self.socket_by_conn.remove(&conn_id) {
+                            self.close_socket(id);
                         }
                     }
                 }
@@ -248,130 +268,141 @@
         }
     }
 
-    fn bury(&mut self, id: usize) {
-        if let Some(link) = self.links.get_mut(id).filter(|l| !l.gone) {
-            link.gone = true;
-            self.dead.push(id);
+    fn close_socket(&mut self, id: usize) {
+        if let Some(socket) = self.sockets.get_mut(id).filter(|s| !s.closed) {
+            socket.closed = true;
+            self.closed_sockets.push(id);
         }
     }
 
-    fn link(
+    fn open_socket(
         &mut self,
         address: SocketAddr,
         source: Option<SocketAddr>,
-        conn: Option<usize>,
+        conn_id: Option<usize>,
     ) -> Option<usize> {
-        let entry = self.links.vacant_entry();
+        let entry = self.sockets.vacant_entry();
         let id = entry.key();
         let stream = Stream::connect(source, address, self.poll.registry(), Token(id)).ok()?;
-        entry.insert(Link {
+        entry.insert(Socket {
             stream,
-            conn,
-            key: (0, Bytes::new()),
+            conn_id,
+            cancel_key: (0, Bytes::new()),
             ready: false,
             prepared: false,
-            mute: false,
-            state: String::new(),
-            advice: None,
-            gone: false,
+            reading_stopped: false,
+            sqlstate: String::new(),
+            retry_after_ms: None,
+            closed: false,
         });
         Some(id)
     }
 
-    fn connect(&mut self, conn: usize, stream: u32, tenant: usize) {
-        let plans = self.plans;
-        let nth = self.made * plans.workers.max(1) + self.index;
-        self.made += 1;
-        let target = plans.targets[nth % plans.targets.len()];
-        // Beyond what one source address has ports for, another one of the loopback network.
-        let hop = self.crew.connections_open() * plans.workers.max(1) / (A_SOURCE * plans.targets.len());
-        let source = (hop > 0 && target.is_ipv4())
-            .then(|| SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 0, 0, 2 + hop.min(200) as u8)), 0));
-        let Some(id) = self.link(target, source, Some(conn)) else {
-            return self.crew.broke(conn, self.clock.now());
+    fn connect(&mut self, conn_id: usize, stream: u32, tenant: usize) {
+        let options = self.options;
+        let connection_index = self.connections_made * options.workers.max(1) + self.index;
+        self.connections_made += 1;
+        let target = options.targets[connection_index % options.targets.len()];
+        // When one source address has no ports left, uses further addresses of the loopback
+        // network.
+        let source_index = self.pool.connection_count() * options.workers.max(1)
+            / (CONNECTIONS_PER_SOURCE * options.targets.len());
+        let source = (source_index > 0 && target.is_ipv4()).then(|| {
+            SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 0, 0, 2 + source_index.min(200) as u8)), 0)
+        });
+        let Some(id) = self.open_socket(target, source, Some(conn_id)) else {
+            return self.pool.on_connection_lost(conn_id, self.clock.now());
         };
-        self.by_conn.insert(conn, id);
-        let user =
-            self.script.streams[stream as usize].tenants.get(tenant).map_or(plans.user.as_str(), |t| &t.name);
-        let hello =
-            [("user", user), ("database", plans.database.as_str()), ("application_name", "wheelfield-load")];
-        frontend_messages::put_startup(&hello, &mut self.links[id].stream.output);
+        self.socket_by_conn.insert(conn_id, id);
+        let user = self.script.streams[stream as usize]
+            .tenants
+            .get(tenant)
+            .map_or(options.user.as_str(), |t| &t.name);
+        let startup_parameters = [
+            ("user", user),
+            ("database", options.database.as_str()),
+            ("application_name", "wheelfield-load"),
+        ];
+        frontend_messages::put_startup(&startup_parameters, &mut self.sockets[id].stream.output);
     }
 
-    fn write(&mut self, conn: usize, send: usize, job: u64, left: i64) {
-        let Some(id) = self.by_conn.get(&conn).copied() else { return };
+    fn write_query(&mut self, conn_id: usize, schedule_index: usize, attempt_number: u64, time_left_us: i64) {
+        let Some(id) = self.socket_by_conn.get(&conn_id).copied() else { return };
         let script = self.script;
-        let q = &self.sends[send];
-        let stream = &script.streams[q.stream as usize];
-        // Workers number their queries apart.
-        let name = format!("{}-{}-{job}", self.plans.seed, self.index);
-        let text = stream.fill(q, &name, (left / 1000).max(1));
-        let Some(link) = self.links.get_mut(id) else { return };
-        let out = &mut link.stream.output;
+        let query = &self.schedule[schedule_index];
+        let stream = &script.streams[query.stream as usize];
+        // Attempt numbers are unique only within a worker, so the query id includes the worker
+        // index.
+        let query_id = format!("{}-{}-{attempt_number}", self.options.seed, self.index);
+        let text = stream.render_statement(query, &query_id, (time_left_us / 1000).max(1));
+        let Some(socket) = self.sockets.get_mut(id) else { return };
+        let output = &mut socket.stream.output;
         match stream.protocol {
-            Protocol::Simple => frontend_messages::put_query(&text, out),
+            Protocol::Simple => frontend_messages::put_query(&text, output),
             Protocol::Extended => {
-                frontend_messages::put(&Parse::new(None, text, Vec::new()), out);
-                frontend_messages::put(&Bind::new(None, None, Vec::new(), Vec::new(), Vec::new()), out);
-                frontend_messages::put(&Execute::new(None, 0), out);
-                frontend_messages::put(&Sync::new(), out);
+                frontend_messages::put(&Parse::new(None, text, Vec::new()), output);
+                frontend_messages::put(&Bind::new(None, None, Vec::new(), Vec::new(), Vec::new()), output);
+                frontend_messages::put(&Execute::new(None, 0), output);
+                frontend_messages::put(&Sync::new(), output);
             }
             Protocol::Prepared => {
-                if !std::mem::replace(&mut link.prepared, true) {
-                    frontend_messages::put(&Parse::new(Some("s".into()), text, Vec::new()), out);
+                if !std::mem::replace(&mut socket.prepared, true) {
+                    frontend_messages::put(&Parse::new(Some("s".into()), text, Vec::new()), output);
                 }
                 frontend_messages::put(
                     &Bind::new(None, Some("s".into()), Vec::new(), Vec::new(), Vec::new()),
-                    out,
+                    output,
                 );
-                frontend_messages::put(&Execute::new(None, 0), out);
-                frontend_messages::put(&Sync::new(), out);
+                frontend_messages::put(&Execute::new(None, 0), output);
+                frontend_messages::put(&Sync::new(), output);
             }
         }
-        if link.stream.flush().is_err() {
-            self.broke(id);
+        if socket.stream.flush().is_err() {
+            self.on_socket_lost(id);
         }
     }
 
-    fn cancel(&mut self, conn: usize) {
-        let Some(link) = self.by_conn.get(&conn).and_then(|l| self.links.get(*l)) else { return };
-        let (pid, key) = link.key.clone();
-        let Ok(target) = link.stream.peer_address() else { return };
-        if let Some(id) = self.link(target, None, None) {
-            let link = &mut self.links[id];
-            frontend_messages::put_cancel(pid, &key, &mut link.stream.output);
+    fn send_cancel(&mut self, conn_id: usize) {
+        let Some(socket) = self.socket_by_conn.get(&conn_id).and_then(|id| self.sockets.get(*id)) else {
+            return;
+        };
+        let (pid, key) = socket.cancel_key.clone();
+        let Ok(target) = socket.stream.peer_address() else { return };
+        if let Some(id) = self.open_socket(target, None, None) {
+            let socket = &mut self.sockets[id];
+            frontend_messages::put_cancel(pid, &key, &mut socket.stream.output);
         }
     }
 
-    fn broke(&mut self, id: usize) {
-        let Some(link) = self.links.get(id).filter(|l| !l.gone) else { return };
-        let conn = link.conn;
-        self.bury(id);
-        if let Some(conn) = conn {
-            self.by_conn.remove(&conn);
-            self.crew.broke(conn, self.clock.now());
-            self.follow();
+    fn on_socket_lost(&mut self, id: usize) {
+        let Some(socket) = self.sockets.get(id).filter(|s| !s.closed) else { return };
+        let conn_id = socket.conn_id;
+        self.close_socket(id);
+        if let Some(conn_id) = conn_id {
+            self.socket_by_conn.remove(&conn_id);
+            self.pool.on_connection_lost(conn_id, self.clock.now());
+            self.apply_actions();
         }
     }
 
-    fn attend(&mut self, id: usize) {
-        let Some(link) = self.links.get_mut(id) else { return };
-        match link.stream.check_connected() {
+    fn on_ready(&mut self, id: usize) {
+        let Some(socket) = self.sockets.get_mut(id) else { return };
+        match socket.stream.check_connected() {
             Ok(true) => {}
             Ok(false) => return,
-            Err(_) => return self.broke(id),
+            Err(_) => return self.on_socket_lost(id),
         }
-        let mut failed = link.stream.flush().is_err();
-        if link.mute {
+        let mut failed = socket.stream.flush().is_err();
+        if socket.reading_stopped {
             if failed {
-                self.broke(id);
+                self.on_socket_lost(id);
             }
             return;
         }
         loop {
-            let Some(link) = self.links.get_mut(id).filter(|l| !l.gone) else { return };
-            failed |= link.stream.fill(READ, &mut self.scratch).is_err();
-            match frame::take_message(&mut link.stream.input, READ) {
+            let Some(socket) = self.sockets.get_mut(id).filter(|s| !s.closed) else { return };
+            failed |= socket.stream.fill(MAX_INPUT, &mut self.read_buffer).is_err();
+            match frame::take_message(&mut socket.stream.input, MAX_INPUT) {
                 Ok(Some((tag, message))) => self.on_message(id, tag, &message),
                 Ok(None) => break,
                 Err(_) => {
@@ -380,50 +411,54 @@
                 }
             }
         }
-        let Some(link) = self.links.get_mut(id).filter(|l| !l.gone) else { return };
-        link.stream.release_empty_input();
-        if failed || link.stream.is_read_finished() {
-            self.broke(id);
+        let Some(socket) = self.sockets.get_mut(id).filter(|s| !s.closed) else { return };
+        socket.stream.release_empty_input();
+        if failed || socket.stream.is_read_finished() {
+            self.on_socket_lost(id);
         }
     }
 
     fn on_message(&mut self, id: usize, tag: u8, message: &Bytes) {
         let now = self.clock.now();
-        let Some(link) = self.links.get_mut(id) else { return };
-        let Some(conn) = link.conn else { return };
+        let Some(socket) = self.sockets.get_mut(id) else { return };
+        let Some(conn_id) = socket.conn_id else { return };
         match tag {
             b'K' => {
                 if let Ok(key) = backend_messages::parse_backend_key_data(message) {
-                    link.key = key;
+                    socket.cancel_key = key;
                 }
             }
-            b'R' if message.get(5..9) != Some(&[0, 0, 0, 0]) && !link.ready => {
-                // It asks for a password, and none is to be had.
-                return self.broke(id);
+            b'R' if message.get(5..9) != Some(&[0, 0, 0, 0]) && !socket.ready => {
+                // The server requests authentication, which is not supported.
+                return self.on_socket_lost(id);
             }
             b'E' => {
-                let (state, _) = backend_messages::parse_sqlstate_and_message(message).unwrap_or_default();
+                let (sqlstate, _) = backend_messages::parse_sqlstate_and_message(message).unwrap_or_default();
                 let text = String::from_utf8_lossy(message);
-                let advice = text.split("retry_after_ms=").nth(1);
-                link.advice =
-                    advice.and_then(|a| a.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok());
-                link.state = state;
-                if !link.ready {
-                    return self.broke(id);
+                let retry_after = text.split("retry_after_ms=").nth(1);
+                socket.retry_after_ms = retry_after
+                    .and_then(|rest| rest.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok());
+                socket.sqlstate = sqlstate;
+                if !socket.ready {
+                    return self.on_socket_lost(id);
                 }
             }
-            b'Z' if !link.ready => {
-                link.ready = true;
-                self.crew.opened(conn, now);
+            b'Z' if !socket.ready => {
+                socket.ready = true;
+                self.pool.on_connected(conn_id, now);
             }
             b'Z' => {
-                let state = std::mem::take(&mut link.state);
-                let advice = link.advice.take();
-                let answer = if state.is_empty() { Answer::Served } else { Answer::Error(&state, advice) };
-                self.crew.answered(conn, answer, now);
+                let sqlstate = std::mem::take(&mut socket.sqlstate);
+                let retry_after_ms = socket.retry_after_ms.take();
+                let answer = if sqlstate.is_empty() {
+                    Answer::Served
+                } else {
+                    Answer::Error(&sqlstate, retry_after_ms)
+                };
+                self.pool.on_answer(conn_id, answer, now);
             }
             _ => {}
         }
-        self.follow();
+        self.apply_actions();
     }
 }
--- a/crates/load/src/script.rs
+++ b/crates/load/src/script.rs
@@ -1,4 +1,4 @@
-//! The script of a load, as TOML.
+//! The load script: a description of a load in TOML.
 
 use serde::Deserialize;
 use std::collections::BTreeSet;
@@ -6,172 +6,179 @@
 use wheelfield_config::units::Time;
 use wheelfield_config::ConfigError;
 
-/// Connections at most, over all workers.
-pub const MOST_CONNECTIONS: usize = 200_000;
-/// Streams at most.
-const MOST_STREAMS: usize = 256;
+/// Maximum number of connections of all workers together.
+pub const MAX_CONNECTIONS: usize = 200_000;
+/// Maximum number of streams in a script.
+const MAX_STREAMS: usize = 256;
 
-/// A load.
+/// A load script.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Script {
-    /// Its name.
+    /// Name of the load, shown in the live view.
     pub name: String,
-    /// How long queries are sent.
-    pub length: Time,
-    /// Connections at most; a query that finds none waits, and its latency counts on.
-    #[serde(default = "usual_connections")]
-    pub connections: usize,
-    /// Streams of queries, sent beside each other.
+    /// Period during which queries are sent.
+    #[serde(rename = "length")]
+    pub duration: Time,
+    /// Maximum number of open connections. A query that finds no free connection waits for one, and
+    /// the wait is part of its latency.
+    #[serde(default = "default_connections", rename = "connections")]
+    pub max_connections: usize,
+    /// Streams of queries, sent concurrently.
     pub streams: Vec<Stream>,
-    /// Changes of rate that strike all streams together.
-    #[serde(default)]
-    pub waves: Vec<Shape>,
+    /// Rate changes that apply to all streams at the same time.
+    #[serde(default, rename = "waves")]
+    pub global_shapes: Vec<RateShape>,
 }
 
-fn usual_connections() -> usize {
+fn default_connections() -> usize {
     256
 }
 
-/// A stream of queries of one sort.
+/// A stream of queries that share a statement and a rate.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stream {
-    /// Its name; `{class}` in the statement.
+    /// Name of the stream; replaces `{class}` in the statement.
     pub name: String,
-    /// Queries a second, before shapes.
+    /// Queries per second before the shapes are applied.
     pub rate: f64,
-    /// Multiplied with each other.
+    /// Rate changes of this stream; their factors are multiplied.
     #[serde(default)]
-    pub shapes: Vec<Shape>,
-    /// How queries follow each other.
+    pub shapes: Vec<RateShape>,
+    /// Distribution of the intervals between queries.
     #[serde(default)]
     pub arrivals: Arrivals,
-    /// The statement; `{class}`, `{id}`, `{work_ms}`, `{key}`, `{due_ms}` and `{tenant}` are filled in.
+    /// SQL text. The placeholders `{class}`, `{id}`, `{work_ms}`, `{key}`, `{due_ms}` and
+    /// `{tenant}` are replaced.
     pub statement: String,
-    /// Work of a query, for `{work_ms}`.
+    /// Distribution of the work of a query, which replaces `{work_ms}`.
     #[serde(default)]
-    pub work: Amount,
-    /// Keys, for `{key}`.
+    pub work: WorkDistribution,
+    /// Distribution of the keys that replace `{key}`.
     #[serde(default)]
-    pub keys: Keys,
-    /// Who sends: the user of the connection.
+    pub keys: KeyDistribution,
+    /// Tenants; the name of a tenant is the user of its connections.
     #[serde(default)]
     pub tenants: Vec<Tenant>,
-    /// A client gives up after this.
-    #[serde(default = "usual_patience")]
-    pub patience: Time,
-    /// How it does.
-    #[serde(default)]
-    pub gives_up: GivesUp,
-    /// Further tries of a refused query.
+    /// Time after which a client abandons its query, counted from the scheduled send time.
+    #[serde(default = "default_client_timeout", rename = "patience")]
+    pub client_timeout: Time,
+    /// What a client does when it abandons its query.
+    #[serde(default, rename = "gives_up")]
+    pub on_timeout: TimeoutAction,
+    /// Maximum number of retries of a query rejected with SQLSTATE 53300.
     #[serde(default)]
     pub retries: u32,
-    /// Waited before one, doubled each time and smeared by half.
-    #[serde(default = "usual_backoff")]
+    /// Delay before the first retry. It doubles with each retry and is jittered by up to half in
+    /// both directions.
+    #[serde(default = "default_backoff")]
     pub backoff: Time,
-    /// Share of the clients that heed advice on when to come back.
-    #[serde(default)]
-    pub honour: f64,
-    /// How it is sent.
+    /// Fraction of retries that wait for the server's `retry_after_ms` instead of the backoff.
+    #[serde(default, rename = "honour")]
+    pub retry_after_fraction: f64,
+    /// Protocol flow used to send the queries.
     #[serde(default)]
     pub protocol: Protocol,
-    /// Queries on their way on one connection.
-    #[serde(default = "one")]
+    /// Maximum number of queries in flight on one connection.
+    #[serde(default = "default_pipeline")]
     pub pipeline: usize,
-    /// Share of the answers after which the client closes its connection.
-    #[serde(default)]
-    pub churn: f64,
-    /// Share of the queries whose client never reads its answer.
-    #[serde(default)]
-    pub never_reads: f64,
+    /// Probability that a client closes its connection after an answer.
+    #[serde(default, rename = "churn")]
+    pub close_probability: f64,
+    /// Fraction of the queries whose client never reads the answer.
+    #[serde(default, rename = "never_reads")]
+    pub unread_fraction: f64,
 }
 
-fn usual_patience() -> Time {
+fn default_client_timeout() -> Time {
     Time(Micros(10_000_000))
 }
 
-fn usual_backoff() -> Time {
+fn default_backoff() -> Time {
     Time(Micros(200_000))
 }
 
-fn one() -> usize {
+fn default_pipeline() -> usize {
     1
 }
 
-/// How the rate goes.
+/// A change of the rate over time, as a factor of the base rate.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(tag = "kind", rename_all = "lowercase", deny_unknown_fields)]
-pub enum Shape {
-    /// From one multiple to another, over the whole length.
+pub enum RateShape {
+    /// Changes linearly from one factor to another over the whole duration.
     Ramp {
-        /// At the start,
+        /// Factor at the start.
         from: f64,
-        /// at the end.
+        /// Factor at the end.
         to: f64,
     },
-    /// Multiples, for equal parts of the length.
+    /// Divides the duration into equal parts with one factor each.
     Steps {
-        /// The multiples.
+        /// Factor of each part.
         levels: Vec<f64>,
     },
-    /// So many times the rate, at once and for a while.
+    /// Multiplies the rate by a constant factor for a limited time.
     Jump {
-        /// From
+        /// Start of the jump.
         at: Time,
-        /// for so long
+        /// Duration of the jump.
         #[serde(rename = "for")]
-        lasts: Time,
-        /// so many times.
-        times: f64,
+        duration: Time,
+        /// Factor during the jump.
+        #[serde(rename = "times")]
+        factor: f64,
     },
-    /// Up and down as a sine.
+    /// Varies as a sine around the base rate.
     Diurnal {
-        /// From one crest to the next.
+        /// Period of the sine.
         period: Time,
-        /// Share of the mean that it goes up and down.
+        /// Amplitude as a fraction of the base rate.
         depth: f64,
     },
-    /// A rush before a closing time: rises steadily to so many times, then falls to `after`.
+    /// A rush before a deadline: rises linearly up to `times`, then changes to `after`.
     Deadline {
-        /// The closing time.
+        /// The deadline.
         at: Time,
-        /// So long before it the rush begins.
+        /// Time from the start of the rise to the deadline.
         before: Time,
-        /// At its height.
-        times: f64,
-        /// From then on.
+        /// Factor just before the deadline.
+        #[serde(rename = "times")]
+        factor: f64,
+        /// Factor after the deadline.
         #[serde(default)]
         after: f64,
     },
 }
 
-impl Shape {
-    /// The multiple at a time, both in microseconds from the start.
-    pub fn at(&self, t: i64, length: i64) -> f64 {
-        let x = t as f64 / length.max(1) as f64;
+impl RateShape {
+    /// Returns the rate factor at time `t`. Both `t`, counted from the start of the run, and
+    /// `duration` are in microseconds.
+    pub fn factor_at(&self, t: i64, duration: i64) -> f64 {
+        let fraction = t as f64 / duration.max(1) as f64;
         match self {
-            Shape::Ramp { from, to } => from + (to - from) * x,
-            Shape::Steps { levels } => {
-                let i = ((x * levels.len() as f64) as usize).min(levels.len().saturating_sub(1));
-                levels.get(i).copied().unwrap_or(1.0)
+            RateShape::Ramp { from, to } => from + (to - from) * fraction,
+            RateShape::Steps { levels } => {
+                let index = ((fraction * levels.len() as f64) as usize).min(levels.len().saturating_sub(1));
+                levels.get(index).copied().unwrap_or(1.0)
             }
-            Shape::Jump { at, lasts, times } => {
-                if (at.0 .0..at.0 .0 + lasts.0 .0).contains(&t) {
-                    *times
+            RateShape::Jump { at, duration, factor } => {
+                if (at.0 .0..at.0 .0 + duration.0 .0).contains(&t) {
+                    *factor
                 } else {
                     1.0
                 }
             }
-            Shape::Diurnal { period, depth } => {
+            RateShape::Diurnal { period, depth } => {
                 1.0 + depth * (t as f64 / period.0 .0.max(1) as f64 * std::f64::consts::TAU).sin()
             }
-            Shape::Deadline { at, before, times, after } => {
-                let begins = at.0 .0 - before.0 .0;
+            RateShape::Deadline { at, before, factor, after } => {
+                let rise_start = at.0 .0 - before.0 .0;
                 if t >= at.0 .0 {
                     *after
-                } else if t >= begins {
-                    1.0 + (times - 1.0) * (t - begins) as f64 / before.0 .0.max(1) as f64
+                } else if t >= rise_start {
+                    1.0 + (factor - 1.0) * (t - rise_start) as f64 / before.0 .0.max(1) as f64
                 } else {
                     1.0
                 }
@@ -180,229 +187,268 @@
         .max(0.0)
     }
 
-    fn sound(&self) -> bool {
-        let fine = |x: &f64| x.is_finite() && *x >= 0.0 && *x <= 1e4;
+    fn is_valid(&self) -> bool {
+        let in_range = |value: &f64| value.is_finite() && *value >= 0.0 && *value <= 1e4;
         match self {
-            Shape::Ramp { from, to } => fine(from) && fine(to),
-            Shape::Steps { levels } => !levels.is_empty() && levels.iter().all(fine),
-            Shape::Jump { times, .. } => fine(times),
-            Shape::Diurnal { period, depth } => period.0 .0 > 0 && (0.0..=1.0).contains(depth),
-            Shape::Deadline { times, after, .. } => fine(times) && fine(after),
+            RateShape::Ramp { from, to } => in_range(from) && in_range(to),
+            RateShape::Steps { levels } => !levels.is_empty() && levels.iter().all(in_range),
+            RateShape::Jump { factor, .. } => in_range(factor),
+            RateShape::Diurnal { period, depth } => period.0 .0 > 0 && (0.0..=1.0).contains(depth),
+            RateShape::Deadline { factor, after, .. } => in_range(factor) && in_range(after),
         }
     }
 }
 
-/// How queries follow each other at a rate.
+/// Distribution of the intervals between queries at a given rate.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq)]
 #[serde(tag = "kind", rename_all = "lowercase", deny_unknown_fields)]
 pub enum Arrivals {
-    /// Each by itself.
+    /// Independent arrivals with exponentially distributed intervals.
     #[default]
     Poisson,
-    /// In equal steps.
+    /// Equal intervals.
     Even,
-    /// Gaps of a gamma distribution: 1 is as Poisson, above it burstier, below it more even.
+    /// Gamma-distributed intervals. A `cv` of 1 equals Poisson arrivals; a larger one is burstier
+    /// and a smaller one more even.
     Gamma {
-        /// Standard deviation of the gaps over their mean.
+        /// Coefficient of variation of the intervals.
         cv: f64,
     },
-    /// On and off for times of a Pareto distribution; Poisson while on, at a rate that keeps the mean.
+    /// Alternating on and off periods of Pareto-distributed length. Arrivals are Poisson while on,
+    /// at a rate that keeps the mean over both periods.
     OnOff {
-        /// Mean time on.
+        /// Mean length of an on period.
         on: Time,
-        /// Mean time off.
+        /// Mean length of an off period.
         off: Time,
-        /// Exponent of both, above 1; the smaller, the longer the longest.
+        /// Shape parameter of both distributions, above 1. A smaller value gives a heavier tail.
         alpha: f64,
     },
 }
 
-/// An amount that varies.
+/// Distribution of the work of a query.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq)]
 #[serde(tag = "kind", rename_all = "lowercase", deny_unknown_fields)]
-pub enum Amount {
-    /// None.
+pub enum WorkDistribution {
+    /// No work.
     #[default]
     None,
-    /// Always the same.
+    /// Constant.
     Constant {
-        /// It.
+        /// The constant value.
         mean: Time,
     },
-    /// Lognormal.
+    /// Lognormal distribution.
     Lognormal {
-        /// Its mean,
+        /// Mean.
         mean: Time,
-        /// and its standard deviation over its mean.
-        spread: f64,
+        /// Coefficient of variation.
+        #[serde(rename = "spread")]
+        cv: f64,
     },
-    /// Pareto.
+    /// Pareto distribution.
     Pareto {
-        /// Its mean,
+        /// Mean.
         mean: Time,
-        /// and its exponent, above 1.
+        /// Shape parameter, above 1.
         alpha: f64,
     },
 }
 
-/// Keys of queries.
+/// Distribution of the keys of queries.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
-pub struct Keys {
-    /// How many there are; 0 for none.
+pub struct KeyDistribution {
+    /// Number of keys; 0 for none.
     pub count: u64,
-    /// Exponent of the Zipf distribution by which they are drawn; 0 for evenly.
-    pub zipf: f64,
+    /// Exponent of the Zipf distribution of the keys; 0 for a uniform distribution.
+    #[serde(rename = "zipf")]
+    pub zipf_exponent: f64,
 }
 
-/// Who sends.
+/// A tenant that sends queries.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its user.
+    /// User name of its connections.
     pub name: String,
-    /// Its part of the queries, by weight.
+    /// Its share of the queries, as a weight relative to the other tenants.
     pub share: f64,
 }
 
-/// How a client gives up.
+/// What a client does when it abandons a query.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum GivesUp {
-    /// It asks that its query be cancelled, and waits for the end of that.
+pub enum TimeoutAction {
+    /// Sends a cancel request and waits for the query to end.
     Cancel,
-    /// It closes its connection.
+    /// Closes the connection.
     #[default]
     Close,
 }
 
-/// How queries are sent.
+/// Protocol flow used to send queries.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Protocol {
-    /// As text.
+    /// Simple query protocol.
     #[default]
     Simple,
-    /// Parsed, bound and executed each time.
+    /// Extended query protocol with Parse, Bind and Execute for every query.
     Extended,
-    /// Prepared once on each connection; the statement must have nothing to be filled in but the class.
+    /// Extended query protocol with the statement prepared once per connection. The statement may
+    /// contain no placeholder but `{class}`.
     Prepared,
 }
 
-const HOLES: [&str; 6] = ["{class}", "{id}", "{work_ms}", "{key}", "{due_ms}", "{tenant}"];
+/// Placeholders in statements. All but `{class}`, which is first, vary between queries.
+const PLACEHOLDERS: [&str; 6] = ["{class}", "{id}", "{work_ms}", "{key}", "{due_ms}", "{tenant}"];
 
 impl Script {
-    /// Reads a script.
+    /// Parses and validates a script. `name` is the file name used in errors.
     ///
     /// # Errors
-    /// The first [`ConfigError`] found.
+    /// Returns the first [`ConfigError`] found.
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
     pub fn parse(name: &str, text: &str) -> Result<Script, ConfigError> {
         let script: Script = toml::from_str(text).map_err(|e| ConfigError::from_toml(name, text, &e))?;
-        let at = |what: &str| text.find(what).unwrap_or(0);
-        let wrong =
-            |what: &str, fault: String, mend: &str| Err(ConfigError::at(name, text, at(what), fault, mend));
-        if script.length.0 .0 <= 0 || script.length.0 .0 > 86_400_000_000 {
-            return wrong("length", "no length, or over a day".into(), "write \"60s\"");
+        let offset_of = |needle: &str| text.find(needle).unwrap_or(0);
+        let error_at = |needle: &str, message: String, hint: &str| {
+            Err(ConfigError::at(name, text, offset_of(needle), message, hint))
+        };
+        if script.duration.0 .0 <= 0 || script.duration.0 .0 > 86_400_000_000 {
+            return error_at(
+                "length",
+                "`length` must be above 0 and at most 24 hours".into(),
+                "write \"60s\"",
+            );
         }
-        if !(1..=MOST_CONNECTIONS).contains(&script.connections) {
-            return wrong("connections", format!("{} connections", script.connections), "write 1 to 200000");
+        if !(1..=MAX_CONNECTIONS).contains(&script.max_connections) {
+            return error_at(
+                "connections",
+                format!("`connections` is {}, out of range", script.max_connections),
+                "write 1 to 200000",
+            );
         }
-        if script.streams.is_empty() || script.streams.len() > MOST_STREAMS {
-            return wrong("streams", format!("{} streams", script.streams.len()), "write 1 to 256");
+        if script.streams.is_empty() || script.streams.len() > MAX_STREAMS {
+            return error_at(
+                "streams",
+                format!("the script has {} streams", script.streams.len()),
+                "write 1 to 256",
+            );
         }
         let names: BTreeSet<&str> = script.streams.iter().map(|s| s.name.as_str()).collect();
         if names.len() < script.streams.len() {
-            return wrong("[[streams]]", "two streams have one name".into(), "rename one");
+            return error_at("[[streams]]", "two streams have the same name".into(), "rename one");
         }
-        if !script.waves.iter().all(Shape::sound) {
-            return wrong(
+        if !script.global_shapes.iter().all(RateShape::is_valid) {
+            return error_at(
                 "waves",
-                "a wave whose figures are out of range".into(),
-                "write multiples of 0 to 10000",
+                "a shape in `waves` has a value out of range".into(),
+                "write factors from 0 to 10000",
             );
         }
         for s in &script.streams {
-            let here = format!("\"{}\"", s.name);
-            let bad = |fault: &str, mend: &str| wrong(&here, format!("stream `{}`: {fault}", s.name), mend);
+            let quoted_name = format!("\"{}\"", s.name);
+            let stream_error = |message: &str, hint: &str| {
+                error_at(&quoted_name, format!("stream `{}`: {message}", s.name), hint)
+            };
             if !(s.rate.is_finite() && s.rate >= 0.0 && s.rate <= 1e6) {
-                return bad("its rate", "write queries a second, 0 to 1000000");
+                return stream_error("`rate` is out of range", "write queries per second, from 0 to 1000000");
             }
-            if !s.shapes.iter().all(Shape::sound) {
-                return bad("a shape whose figures are out of range", "write multiples of 0 to 10000");
+            if !s.shapes.iter().all(RateShape::is_valid) {
+                return stream_error("a shape has a value out of range", "write factors from 0 to 10000");
             }
-            let gaps = match s.arrivals {
+            let arrivals_valid = match s.arrivals {
                 Arrivals::Gamma { cv } => (0.01..=100.0).contains(&cv),
                 Arrivals::OnOff { on, off, alpha } => {
                     on.0 .0 >= 1_000 && off.0 .0 >= 1_000 && (1.01..=100.0).contains(&alpha)
                 }
                 _ => true,
             };
-            if !gaps {
-                return bad("its arrivals", "cv from 0.01 to 100; on and off from 1 ms; alpha above 1");
+            if !arrivals_valid {
+                return stream_error(
+                    "`arrivals` has a value out of range",
+                    "write cv from 0.01 to 100, on and off of at least 1 ms, alpha from 1.01 to 100",
+                );
             }
-            let work = match s.work {
-                Amount::Lognormal { spread, .. } => (0.0..=100.0).contains(&spread),
-                Amount::Pareto { alpha, .. } => (1.01..=100.0).contains(&alpha),
+            let work_valid = match s.work {
+                WorkDistribution::Lognormal { cv, .. } => (0.0..=100.0).contains(&cv),
+                WorkDistribution::Pareto { alpha, .. } => (1.01..=100.0).contains(&alpha),
                 _ => true,
             };
-            if !work {
-                return bad("its work", "a spread of 0 to 100; an alpha above 1");
+            if !work_valid {
+                return stream_error(
+                    "`work` has a value out of range",
+                    "write spread from 0 to 100, alpha from 1.01 to 100",
+                );
             }
-            let shares = [s.honour, s.churn, s.never_reads].iter().all(|x| (0.0..=1.0).contains(x));
-            if !shares || !(0.0..=20.0).contains(&s.keys.zipf) {
-                return bad("a share", "write 0 to 1");
+            let fractions_valid = [s.retry_after_fraction, s.close_probability, s.unread_fraction]
+                .iter()
+                .all(|x| (0.0..=1.0).contains(x));
+            if !fractions_valid || !(0.0..=20.0).contains(&s.keys.zipf_exponent) {
+                return stream_error(
+                    "`honour`, `churn`, `never_reads` or `keys.zipf` is out of range",
+                    "write fractions from 0 to 1 and zipf from 0 to 20",
+                );
             }
             if !(1..=1000).contains(&s.pipeline) || s.retries > 100 {
-                return bad("its pipeline or retries", "a pipeline of 1 to 1000, up to 100 retries");
+                return stream_error(
+                    "`pipeline` or `retries` is out of range",
+                    "write pipeline from 1 to 1000, retries up to 100",
+                );
             }
-            if s.patience.0 .0 <= 0 {
-                return bad("its patience", "write \"10s\"");
+            if s.client_timeout.0 .0 <= 0 {
+                return stream_error("`patience` must be above 0", "write \"10s\"");
             }
             if !s.tenants.is_empty() && s.tenants.iter().map(|t| t.share).sum::<f64>() <= 0.0 {
-                return bad("no tenant has a share", "give one a share above 0");
+                return stream_error(
+                    "no tenant has a share above 0",
+                    "give at least one tenant a share above 0",
+                );
             }
-            let holes = HOLES[1..].iter().any(|h| s.statement.contains(h));
-            if s.protocol == Protocol::Prepared && holes {
-                return bad(
-                    "a prepared statement is the same each time",
-                    "fill in {class} alone, or use extended",
+            let has_varying_placeholders = PLACEHOLDERS[1..].iter().any(|p| s.statement.contains(p));
+            if s.protocol == Protocol::Prepared && has_varying_placeholders {
+                return stream_error(
+                    "a prepared statement must be the same for every query",
+                    "use no placeholder but {class}, or protocol = \"extended\"",
                 );
             }
             if s.statement.len() > 1 << 20 {
-                return bad("its statement", "write up to 1 MB");
+                return stream_error("`statement` is too long", "write up to 1 MiB");
             }
         }
         Ok(script)
     }
 
-    /// The multiple of a stream's rate at a time, in microseconds from the start.
-    pub fn pace(&self, stream: &Stream, t: i64) -> f64 {
-        let length = self.length.0 .0;
-        stream.shapes.iter().chain(&self.waves).map(|s| s.at(t, length)).product()
+    /// Returns the factor by which a stream's rate is multiplied at time `t`, in microseconds from
+    /// the start of the run.
+    pub fn rate_factor(&self, stream: &Stream, t: i64) -> f64 {
+        let duration = self.duration.0 .0;
+        stream.shapes.iter().chain(&self.global_shapes).map(|s| s.factor_at(t, duration)).product()
     }
 }
 
 impl Stream {
-    /// The statement of a query.
-    pub fn fill(&self, q: &crate::schedule::Send, id: &str, due_ms: i64) -> String {
-        let tenant = self.tenants.get(q.tenant).map_or("", |t| t.name.as_str());
+    /// Renders the statement of a query: replaces the placeholders.
+    pub fn render_statement(&self, query: &crate::schedule::ScheduledQuery, id: &str, due_ms: i64) -> String {
+        let tenant = self.tenants.get(query.tenant).map_or("", |t| t.name.as_str());
         let mut out = String::with_capacity(self.statement.len() + 32);
         let mut rest = self.statement.as_str();
-        while let Some(open) = rest.find('{') {
-            out.push_str(&rest[..open]);
-            rest = &rest[open..];
-            let hole = HOLES.iter().find(|h| rest.starts_with(**h));
-            match hole {
+        while let Some(brace) = rest.find('{') {
+            out.push_str(&rest[..brace]);
+            rest = &rest[brace..];
+            let placeholder = PLACEHOLDERS.iter().find(|p| rest.starts_with(**p));
+            match placeholder {
                 Some(&"{class}") => out.push_str(&self.name),
                 Some(&"{id}") => out.push_str(id),
-                Some(&"{work_ms}") => out.push_str(&format!("{:.3}", q.work_us as f64 / 1e3)),
-                Some(&"{key}") => out.push_str(&format!("k{}", q.key)),
+                Some(&"{work_ms}") => out.push_str(&format!("{:.3}", query.work_us as f64 / 1e3)),
+                Some(&"{key}") => out.push_str(&format!("k{}", query.key)),
                 Some(&"{due_ms}") => out.push_str(&due_ms.to_string()),
                 Some(&"{tenant}") => out.push_str(tenant),
                 _ => out.push('{'),
             }
-            rest = &rest[hole.map_or(1, |h| h.len())..];
+            rest = &rest[placeholder.map_or(1, |p| p.len())..];
         }
         out.push_str(rest);
         out
--- a/crates/load/src/view.rs
+++ b/crates/load/src/view.rs
@@ -1,6 +1,6 @@
-//! The live view: rates, latencies, ends, engines.
+//! The live terminal view: rates, latencies, outcomes and engines.
 
-use crate::tally::Total;
+use crate::stats::LoadStats;
 use anyhow::Result;
 use ratatui::layout::{Constraint, Layout};
 use ratatui::style::{Color, Style, Stylize as _};
@@ -8,94 +8,106 @@
 use ratatui::Frame;
 use std::collections::VecDeque;
 
-/// Seconds of history that are shown.
-const HISTORY: usize = 240;
+/// Number of half-second samples shown.
+const HISTORY_SAMPLES: usize = 240;
 
-/// What the view has seen.
+/// Data shown by the live view.
 #[derive(Default)]
 pub struct View {
-    /// Answers in each half second.
-    answers: VecDeque<u64>,
-    /// Latency of what was served in each, in microseconds: ninety-nine in a hundred.
-    p99: VecDeque<u64>,
-    last: Option<Total>,
-    at: f64,
-    /// Engines as a controller tells of them: name and standing.
+    /// Completed queries, whatever their outcome, in each half second.
+    completed: VecDeque<u64>,
+    /// p99 latency in microseconds of the queries served in each half second.
+    p99_us: VecDeque<u64>,
+    /// Results at the last update.
+    last_stats: Option<LoadStats>,
+    /// Time of the last update in seconds from the start of the run.
+    last_update_s: f64,
+    /// Engines as reported by a controller: id and status.
     pub engines: Vec<(String, String)>,
 }
 
-/// An end's number in each stream, in one line.
-fn ends(total: &Total) -> String {
-    let all = total.all();
-    let words: Vec<String> = all.ends.iter().map(|(how, n)| format!("{how} {n}")).collect();
-    words.join("  ")
+/// Formats the number of queries by outcome as one line.
+fn outcomes_line(stats: &LoadStats) -> String {
+    let combined = stats.combined();
+    let labels: Vec<String> =
+        combined.outcomes.iter().map(|(outcome, count)| format!("{outcome} {count}")).collect();
+    labels.join("  ")
 }
 
 impl View {
-    /// Takes in how things stand.
-    pub fn update(&mut self, at: f64, total: &Total) {
-        let now = total.all();
-        let before = self.last.as_ref().map(Total::all).unwrap_or_default();
-        let served = now.latency.len();
-        let answered: u64 = now.ends.values().sum();
-        let was: u64 = before.ends.values().sum();
-        if at - self.at < 0.45 && self.last.is_some() {
+    /// Updates the view with the results `elapsed_s` seconds after the start of the run. Ignores
+    /// calls within 0.45 s of the last update.
+    pub fn update(&mut self, elapsed_s: f64, stats: &LoadStats) {
+        let current = stats.combined();
+        let previous = self.last_stats.as_ref().map(LoadStats::combined).unwrap_or_default();
+        let served = current.latency.len();
+        let total_completed: u64 = current.outcomes.values().sum();
+        let previous_completed: u64 = previous.outcomes.values().sum();
+        if elapsed_s - self.last_update_s < 0.45 && self.last_stats.is_some() {
             return;
         }
-        let mut fresh = now.latency.clone();
-        // What was there before is in it too, so this can't fail.
-        let _ = fresh.subtract(&before.latency);
-        self.answers.push_back(answered - was);
-        self.p99.push_back(if served > before.latency.len() { fresh.value_at_quantile(0.99) } else { 0 });
-        while self.answers.len() > HISTORY {
-            self.answers.pop_front();
-            self.p99.pop_front();
+        let mut recent_latency = current.latency.clone();
+        // Cannot fail: the current histogram contains everything the previous one does.
+        let _ = recent_latency.subtract(&previous.latency);
+        self.completed.push_back(total_completed - previous_completed);
+        self.p99_us.push_back(if served > previous.latency.len() {
+            recent_latency.value_at_quantile(0.99)
+        } else {
+            0
+        });
+        while self.completed.len() > HISTORY_SAMPLES {
+            self.completed.pop_front();
+            self.p99_us.pop_front();
         }
-        (self.last, self.at) = (Some(total.clone()), at);
+        (self.last_stats, self.last_update_s) = (Some(stats.clone()), elapsed_s);
     }
 
-    /// Draws it.
+    /// Draws the view.
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
-    pub fn draw(&self, frame: &mut Frame<'_>, name: &str, length_s: f64, late_bound_us: u64) {
-        let Some(total) = &self.last else { return };
-        let streams = total.streams.len() as u16;
-        let parts = Layout::vertical([
+    pub fn draw(&self, frame: &mut Frame<'_>, name: &str, duration_s: f64, max_lateness_us: u64) {
+        let Some(stats) = &self.last_stats else { return };
+        let stream_count = stats.streams.len() as u16;
+        let areas = Layout::vertical([
             Constraint::Length(3),
-            Constraint::Length(streams + 3),
+            Constraint::Length(stream_count + 3),
             Constraint::Min(4),
             Constraint::Min(4),
             Constraint::Length(if self.engines.is_empty() { 0 } else { 4 }),
         ])
         .split(frame.area());
-        let late = total.late.value_at_quantile(0.99);
-        let head = format!(
-            "{:.0} of {length_s:.0} s   {}   generator late p99 {:.1} ms",
-            self.at.max(0.0),
-            ends(total),
-            late as f64 / 1e3
+        let lateness_us = stats.lateness.value_at_quantile(0.99);
+        let summary = format!(
+            "{:.0} of {duration_s:.0} s   {}   generator late p99 {:.1} ms",
+            self.last_update_s.max(0.0),
+            outcomes_line(stats),
+            lateness_us as f64 / 1e3
         );
-        let colour = if late > late_bound_us { Color::Red } else { Color::Reset };
-        let title = Block::bordered().title(format!(" {name} (q ends it) "));
-        frame.render_widget(Paragraph::new(head).fg(colour).block(title), parts[0]);
+        let colour = if lateness_us > max_lateness_us { Color::Red } else { Color::Reset };
+        let title = Block::bordered().title(format!(" {name} (q: quit) "));
+        frame.render_widget(Paragraph::new(summary).fg(colour).block(title), areas[0]);
         let ms = |us: u64| format!("{:.1}", us as f64 / 1e3);
-        let rows = total.streams.iter().map(|(name, t)| {
-            let q = |x: f64| ms(t.latency.value_at_quantile(x));
-            let bad: u64 =
-                t.ends.iter().filter(|(how, _)| *how != crate::tally::SERVED).map(|(_, n)| n).sum();
+        let rows = stats.streams.iter().map(|(name, stream)| {
+            let q = |x: f64| ms(stream.latency.value_at_quantile(x));
+            let not_served: u64 = stream
+                .outcomes
+                .iter()
+                .filter(|(outcome, _)| *outcome != crate::stats::SERVED)
+                .map(|(_, count)| count)
+                .sum();
             Row::new([
                 name.clone(),
-                t.wanted.to_string(),
-                t.ended(crate::tally::SERVED).to_string(),
-                t.ended("refused").to_string(),
-                bad.to_string(),
+                stream.scheduled.to_string(),
+                stream.outcome_count(crate::stats::SERVED).to_string(),
+                stream.outcome_count("refused").to_string(),
+                not_served.to_string(),
                 q(0.5),
                 q(0.99),
                 q(0.999),
-                ms(t.service.value_at_quantile(0.99)),
+                ms(stream.service.value_at_quantile(0.99)),
             ])
         });
         let widths = [Constraint::Fill(2); 9];
-        let head = [
+        let column_titles = [
             "stream",
             "wanted",
             "served",
@@ -106,60 +118,64 @@
             "p99.9 ms",
             "service p99",
         ];
-        let table = Table::new(rows, widths).header(Row::new(head).bold()).block(Block::bordered());
-        frame.render_widget(table, parts[1]);
-        let spark = |data: &VecDeque<u64>, title: &'static str, colour: Color| {
+        let table = Table::new(rows, widths).header(Row::new(column_titles).bold()).block(Block::bordered());
+        frame.render_widget(table, areas[1]);
+        let sparkline = |data: &VecDeque<u64>, title: &'static str, colour: Color| {
             let data: Vec<u64> = data.iter().copied().collect();
             Sparkline::default()
                 .data(data)
                 .style(Style::new().fg(colour))
                 .block(Block::bordered().title(title))
         };
-        frame.render_widget(spark(&self.answers, " answers each half second ", Color::Cyan), parts[2]);
-        frame.render_widget(spark(&self.p99, " latency p99 each half second ", Color::Yellow), parts[3]);
+        frame.render_widget(
+            sparkline(&self.completed, " completed queries per half second ", Color::Cyan),
+            areas[2],
+        );
+        frame
+            .render_widget(sparkline(&self.p99_us, " p99 latency per half second ", Color::Yellow), areas[3]);
         if !self.engines.is_empty() {
-            let words: Vec<String> = self
+            let labels: Vec<String> = self
                 .engines
                 .iter()
                 .map(
-                    |(name, standing)| {
-                        if standing == "up" {
+                    |(name, status)| {
+                        if status == "up" {
                             name.clone()
                         } else {
-                            format!("{name} ({standing})")
+                            format!("{name} ({status})")
                         }
                     },
                 )
                 .collect();
-            let text = Paragraph::new(words.join("  ")).wrap(ratatui::widgets::Wrap { trim: true });
-            frame.render_widget(text.block(Block::bordered().title(" engines ")), parts[4]);
+            let text = Paragraph::new(labels.join("  ")).wrap(ratatui::widgets::Wrap { trim: true });
+            frame.render_widget(text.block(Block::bordered().title(" engines ")), areas[4]);
         }
     }
 }
 
-/// Shows the view until the run ends or `q` is pressed.
+/// The terminal on which the view is shown until the run ends or `q` is pressed.
 pub struct Screen {
     terminal: ratatui::DefaultTerminal,
-    /// What it has seen.
+    /// The data shown.
     pub view: View,
 }
 
 impl Screen {
-    /// Takes the terminal over.
+    /// Initializes the terminal.
     ///
     /// # Errors
-    /// If there is none.
+    /// Returns an error if there is no usable terminal.
     pub fn open() -> Result<Screen> {
         Ok(Screen { terminal: ratatui::try_init()?, view: View::default() })
     }
 
-    /// Draws, and tells whether to go on.
+    /// Draws the view, and returns false if `q` was pressed.
     ///
     /// # Errors
-    /// As the terminal tells.
-    pub fn show(&mut self, name: &str, length_s: f64, late_bound_us: u64) -> Result<bool> {
+    /// Returns the error of the terminal.
+    pub fn show(&mut self, name: &str, duration_s: f64, max_lateness_us: u64) -> Result<bool> {
         use ratatui::crossterm::event::{poll, read, Event, KeyCode};
-        self.terminal.draw(|frame| self.view.draw(frame, name, length_s, late_bound_us))?;
+        self.terminal.draw(|frame| self.view.draw(frame, name, duration_s, max_lateness_us))?;
         while poll(std::time::Duration::ZERO)? {
             if matches!(read()?, Event::Key(key) if key.code == KeyCode::Char('q')) {
                 return Ok(false);
@@ -182,20 +198,20 @@
     use ratatui::Terminal;
 
     #[test]
-    fn it_shows_streams_ends_and_engines() {
-        let mut total = Total::default();
-        let tally = total.streams.entry("dashboards".into()).or_default();
-        (tally.wanted, tally.sent) = (3, 3);
-        tally.latency.record(12_000).expect("it grows");
-        tally.end(crate::tally::SERVED);
-        tally.end("refused");
+    fn view_shows_streams_outcomes_and_engines() {
+        let mut stats = LoadStats::default();
+        let stream = stats.streams.entry("dashboards".into()).or_default();
+        (stream.scheduled, stream.sent) = (3, 3);
+        stream.latency.record(12_000).expect("histogram resizes itself");
+        stream.record_outcome(crate::stats::SERVED);
+        stream.record_outcome("refused");
         let mut view = View { engines: vec![("engine-01".into(), "draining".into())], ..View::default() };
-        view.update(1.0, &total);
+        view.update(1.0, &stats);
         let mut terminal = Terminal::new(TestBackend::new(120, 30)).expect("a terminal");
         terminal.draw(|f| view.draw(f, "mixed", 60.0, 5_000)).expect("drawn");
         let text: String = terminal.backend().buffer().content().iter().map(|c| c.symbol()).collect();
-        for wanted in ["dashboards", "mixed", "refused 1", "12.0", "engine-01 (draining)", "p99.9 ms"] {
-            assert!(text.contains(wanted), "{wanted} is not shown");
+        for expected in ["dashboards", "mixed", "refused 1", "12.0", "engine-01 (draining)", "p99.9 ms"] {
+            assert!(text.contains(expected), "{expected} is not shown");
         }
     }
 }
--- a/crates/load/tests/sockets.rs
+++ b/crates/load/tests/sockets.rs
@@ -1,40 +1,40 @@
-//! On sockets, against stand-in engines in this process.
+//! Runs loads over TCP against emulated engines in this process.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use wheelfield_engine_emulator::host::Host;
 use wheelfield_engine_emulator::setup::Setup;
-use wheelfield_load::runner::{make_room, run, Plans};
-use wheelfield_load::schedule::draw;
+use wheelfield_load::runner::{raise_fd_limit, run, RunOptions};
+use wheelfield_load::schedule::generate;
 use wheelfield_load::script::Script;
-use wheelfield_load::tally::{Total, SERVED};
+use wheelfield_load::stats::{LoadStats, SERVED};
 
-/// Stand-ins, until the test ends.
-struct Stand {
+/// Emulated engines that run until this value is dropped.
+struct EmulatedEngines {
     addresses: Vec<SocketAddr>,
     stop: Arc<AtomicBool>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl Stand {
-    fn open(engines: usize) -> Stand {
-        let mut host = Host::open(Setup::plain(engines), None, 1).expect("stand-ins");
-        let told = host.addresses();
-        let addresses = told["engines"]
+impl EmulatedEngines {
+    fn start(engines: usize) -> EmulatedEngines {
+        let mut host = Host::open(Setup::plain(engines), None, 1).expect("emulated engines");
+        let addresses_json = host.addresses();
+        let addresses = addresses_json["engines"]
             .as_array()
             .expect("engines")
             .iter()
             .map(|e| e["address"].as_str().expect("an address").parse().expect("an address"))
             .collect();
         let stop = Arc::new(AtomicBool::new(false));
-        let seen = stop.clone();
-        let thread = std::thread::spawn(move || host.serve(&seen).expect("served"));
-        Stand { addresses, stop, thread: Some(thread) }
+        let stop_requested = stop.clone();
+        let thread = std::thread::spawn(move || host.serve(&stop_requested).expect("served"));
+        EmulatedEngines { addresses, stop, thread: Some(thread) }
     }
 }
 
-impl Drop for Stand {
+impl Drop for EmulatedEngines {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
@@ -43,80 +43,90 @@
     }
 }
 
-fn load(script: &str, targets: Vec<SocketAddr>, workers: usize) -> (Total, usize) {
-    let script = Script::parse("test", script).unwrap_or_else(|fault| panic!("{fault}"));
-    let sends = draw(&script, 1).expect("not too many");
-    let plans = Plans { targets, user: "u".into(), database: "d".into(), workers, seed: 1 };
-    let (total, _) = run(&script, &sends, &plans, |_, _| true).expect("run");
-    (total, sends.len())
+fn run_load(script: &str, targets: Vec<SocketAddr>, workers: usize) -> (LoadStats, usize) {
+    let script = Script::parse("test", script).unwrap_or_else(|error| panic!("{error}"));
+    let schedule = generate(&script, 1).expect("within the query limit");
+    let options = RunOptions { targets, user: "u".into(), database: "d".into(), workers, seed: 1 };
+    let (total, _) = run(&script, &schedule, &options, |_, _| true).expect("run");
+    (total, schedule.len())
 }
 
 #[test]
-fn every_protocol_is_answered_and_nothing_is_lost() {
-    let stand = Stand::open(2);
-    let (total, sends) = load(
+fn every_protocol_is_answered_without_losing_queries() {
+    let engines = EmulatedEngines::start(2);
+    let (total, query_count) = run_load(
         "name = \"t\"\nlength = \"1s\"\nconnections = 40\n\
          [[streams]]\nname = \"simple\"\nrate = 100\nstatement = \"select 1 /*rows='2',run_ms='1',id='{id}'*/\"\n\
          [[streams]]\nname = \"extended\"\nrate = 100\nprotocol = \"extended\"\npipeline = 4\nstatement = \"select 2 /*rows='2',run_ms='1'*/\"\n\
          [[streams]]\nname = \"prepared\"\nrate = 100\nprotocol = \"prepared\"\npipeline = 4\nchurn = 0.1\nstatement = \"select 3 /*rows='2',run_ms='1'*/\"\n\
          tenants = [{ name = \"a\", share = 1 }, { name = \"b\", share = 1 }]\n",
-        stand.addresses.clone(),
+        engines.addresses.clone(),
         2,
     );
-    let all = total.all();
-    assert_eq!((all.wanted, all.ended(SERVED)), (sends as u64, sends as u64), "{:?}", all.ends);
-    assert!(total.opened >= 6 && total.refused == 0);
+    let all = total.combined();
+    assert_eq!(
+        (all.scheduled, all.outcome_count(SERVED)),
+        (query_count as u64, query_count as u64),
+        "{:?}",
+        all.outcomes
+    );
+    assert!(total.connections_opened >= 6 && total.connections_failed == 0);
 }
 
 #[test]
-fn a_client_that_gives_up_cancels_its_query() {
-    let stand = Stand::open(1);
-    let (total, sends) = load(
+fn timed_out_client_cancels_its_query() {
+    let engines = EmulatedEngines::start(1);
+    let (total, query_count) = run_load(
         "name = \"t\"\nlength = \"200ms\"\n[[streams]]\nname = \"q\"\nrate = 50\npatience = \"300ms\"\ngives_up = \"cancel\"\n\
          statement = \"select 1 /*rows='2',run_ms='600000'*/\"\n",
-        stand.addresses.clone(),
+        engines.addresses.clone(),
         1,
     );
-    let all = total.all();
-    assert_eq!(all.ended("gave up"), sends as u64, "{:?}", all.ends);
+    let all = total.combined();
+    assert_eq!(all.outcome_count("gave up"), query_count as u64, "{:?}", all.outcomes);
 }
 
 #[test]
-fn a_target_where_nobody_listens_ends_every_query() {
-    // A port that was just given back.
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = taken.local_addr().expect("an address");
-    drop(taken);
-    let (total, sends) = load(
+fn target_without_listener_ends_every_query() {
+    // Binds and releases a port, so that nothing listens on it.
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = listener.local_addr().expect("an address");
+    drop(listener);
+    let (total, query_count) = run_load(
         "name = \"t\"\nlength = \"300ms\"\n[[streams]]\nname = \"q\"\nrate = 100\nstatement = \"select 1\"\n",
         vec![address],
         1,
     );
-    assert_eq!(total.all().ended("unreachable"), sends as u64, "{:?}", total.all().ends);
+    assert_eq!(
+        total.combined().outcome_count("unreachable"),
+        query_count as u64,
+        "{:?}",
+        total.combined().outcomes
+    );
 }
 
 #[test]
-fn more_connections_than_descriptors_are_refused_before_the_start() {
-    let fault = make_room(usize::MAX / 2).expect_err("nobody has so many");
-    assert!(fault.to_string().contains("ulimit"), "{fault}");
-    make_room(16).expect("everybody has so many");
+fn too_many_connections_for_the_descriptor_limit_are_refused_before_the_start() {
+    let error = raise_fd_limit(usize::MAX / 2).expect_err("exceeds any descriptor limit");
+    assert!(error.to_string().contains("ulimit"), "{error}");
+    raise_fd_limit(16).expect("within any descriptor limit");
 }
 
 #[test]
-fn a_target_that_breaks_every_connection_ends_every_query() {
+fn target_that_closes_every_connection_ends_every_query() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let stop = Arc::new(AtomicBool::new(false));
-    let seen = stop.clone();
+    let stop_requested = stop.clone();
     let server = std::thread::spawn(move || {
         while let Ok((stream, _)) = listener.accept() {
             drop(stream);
-            if seen.load(Ordering::Relaxed) {
+            if stop_requested.load(Ordering::Relaxed) {
                 return;
             }
         }
     });
-    let (total, sends) = load(
+    let (total, query_count) = run_load(
         "name = \"t\"\nlength = \"300ms\"\nconnections = 8\n[[streams]]\nname = \"q\"\nrate = 3000\npatience = \"1s\"\nstatement = \"select 1\"\n",
         vec![address],
         1,
@@ -124,7 +134,7 @@
     stop.store(true, Ordering::Relaxed);
     let _ = std::net::TcpStream::connect(address);
     server.join().expect("ended");
-    let all = total.all();
-    assert_eq!(all.ends.values().sum::<u64>(), sends as u64, "{:?}", all.ends);
-    assert_eq!(all.ended(SERVED), 0);
+    let all = total.combined();
+    assert_eq!(all.outcomes.values().sum::<u64>(), query_count as u64, "{:?}", all.outcomes);
+    assert_eq!(all.outcome_count(SERVED), 0);
 }
