--- a/crates/controller/src/event_loop/acceptor.rs
+++ b/crates/controller/src/event_loop/acceptor.rs
@@ -135,7 +135,7 @@
         };
         let is_overdue = now - since > MAX_CLOSE_DELAY_US;
         if is_overdue {
-            warn!(listener = ?self.listener, "listening ends with connections that were not accepted");
+            warn!(listener = ?self.listener, "listener closed with connections still in its backlog");
         }
         last_batch == Remaining::Nothing || is_overdue
     }
--- a/crates/controller/src/platform.rs
+++ b/crates/controller/src/platform.rs
@@ -169,7 +169,7 @@
                 if !self.failure_logged {
                     warn!(
                         error = error_chain(&error),
-                        "configuration reload failed; keeping previous"
+                        "configuration reload failed; keeping the previous configuration"
                     );
                 }
                 Some(Reload {
--- a/crates/controller/src/startup.rs
+++ b/crates/controller/src/startup.rs
@@ -50,7 +50,10 @@
                 Err(error) => {
                     if !std::mem::replace(&mut failure_logged, true) {
                         let error = crate::error::error_chain(&error);
-                        warn!(error, "start failed for now; retrying");
+                        warn!(
+                            error,
+                            "startup step failed with a transient error; retrying"
+                        );
                     }
                 }
             }
--- a/crates/pg-gateway/src/clients.rs
+++ b/crates/pg-gateway/src/clients.rs
@@ -310,7 +310,7 @@
         };
         if out.now - client.last_progress_at >= self.read_timeout {
             out.record(Coverage::ClientReadTimeout);
-            info!("a client that takes nothing of its answer is closed");
+            info!("closing a client that does not read its answer");
             return true;
         }
         let deadline = client.last_progress_at + self.read_timeout;
--- a/crates/pg-gateway/src/endpoint_sets.rs
+++ b/crates/pg-gateway/src/endpoint_sets.rs
@@ -72,20 +72,20 @@
                 return self.merge_sets(now);
             }
             EngineFileEvent::LastGoodRestored(set, age) => {
-                warn!(version = set.version, age_s = age.0 / 1_000_000, "the set that was kept is in force");
+                warn!(version = set.version, age_s = age.0 / 1_000_000, "the saved engine set is in use");
                 files.fault =
-                    Some(format!("the set that was kept is in force, of {} s ago", age.0 / 1_000_000));
+                    Some(format!("the saved engine set is in use, saved {} s ago", age.0 / 1_000_000));
                 files.set = Some(set);
                 return self.merge_sets(now);
             }
             EngineFileEvent::Rejected(fault) => {
-                warn!(%fault, "engine files refused; the set in force stays");
+                warn!(%fault, "engine files rejected; keeping the current engine set");
                 files.fault = Some(fault.to_string());
                 self.counters.rejected += 1;
             }
             EngineFileEvent::Held(why, until) => {
                 let until_s = until.map(|t| (t.0 - now) / 1_000_000);
-                warn!(why, until_s, "engine files held; write confirmed = true if that is meant");
+                warn!(why, until_s, "engine files held; set confirmed = true to apply them");
                 files.fault = Some(format!("held: {why}"));
                 self.counters.held += 1;
             }
@@ -104,7 +104,7 @@
             // The gateway handles this event itself.
             EngineFileEvent::ReadCompleted(_) => {}
             EngineFileEvent::PollingOnly(why) => {
-                warn!(why, "the system tells of no changes; engine files are polled")
+                warn!(why, "file change notification is unavailable; polling the engine files")
             }
         }
         None
--- a/crates/pg-gateway/src/engines.rs
+++ b/crates/pg-gateway/src/engines.rs
@@ -441,7 +441,7 @@
             self.fail_session(
                 session_id,
                 Outcome::Cancelled,
-                "a request to cancel could not be handed in",
+                "the cancel request could not be delivered",
                 out,
             );
         }
@@ -462,7 +462,7 @@
     pub fn handle_cancel_timeout(&mut self, id: ConnId, out: &mut EffectQueue) {
         if let Some(session_id) = self.cancel_requests.finish(id, false, out) {
             out.record(Coverage::CancelRequestTimeout);
-            self.fail_session(session_id, Outcome::Cancelled, "a request to cancel was not taken", out);
+            self.fail_session(session_id, Outcome::Cancelled, "the cancel request timed out", out);
         }
     }
 
@@ -471,7 +471,7 @@
     pub fn handle_connect_timeout(&mut self, id: ConnId, out: &mut EffectQueue) {
         if self.sessions.get(id).is_some_and(|session| session.backend.is_starting()) {
             out.record(Coverage::EngineConnectTimeout);
-            self.fail_session(id, Outcome::ConnectFailed, "no session in time", out);
+            self.fail_session(id, Outcome::ConnectFailed, "engine session start timed out", out);
         }
     }
 
@@ -497,7 +497,7 @@
 
     pub fn handle_discard_timeout(&mut self, id: ConnId, out: &mut EffectQueue) {
         out.record(Coverage::DiscardTimeout);
-        self.fail_session(id, Outcome::Cancelled, "an answer that nobody wants does not end", out);
+        self.fail_session(id, Outcome::Cancelled, "the discarded answer did not end", out);
     }
 
     pub fn close_idle_sessions(&mut self, out: &mut EffectQueue) {
--- a/crates/pg-gateway/src/gossip.rs
+++ b/crates/pg-gateway/src/gossip.rs
@@ -119,7 +119,7 @@
                 MembershipChange::Evicted => info!(%member, %by, "member: evicted by a quorum"),
                 // A single occurrence means that the clock was set back.
                 MembershipChange::Superseded if self.node.counters().superseded > 1 => {
-                    warn!(%member, %by, "another process runs under this one's address; end one of them");
+                    warn!(%member, %by, "another process uses this controller's address; stop one of them");
                 }
                 MembershipChange::Superseded => {
                     info!(%member, %by, "a later incarnation of this controller's address was seen")
@@ -244,7 +244,7 @@
                 info!("gossip keys replaced");
                 self.keys = keys;
             }
-            Err(fault) => warn!(fault, "the keys can't be read; those at hand stay"),
+            Err(fault) => warn!(fault, "the gossip keys cannot be read; keeping the current keys"),
         }
     }
 
@@ -264,7 +264,10 @@
         if quorum != std::mem::replace(&mut self.quorum, quorum) {
             match quorum {
                 true => info!(count, alive, "more than half of the controllers respond again"),
-                false => warn!(count, alive, "half of the controllers or more are silent; they count on"),
+                false => warn!(
+                    count,
+                    alive, "half of the controllers or more do not respond; they still count as members"
+                ),
             }
         }
         let current = (count as u32, index as u32);
--- a/crates/pg-gateway/src/registry.rs
+++ b/crates/pg-gateway/src/registry.rs
@@ -153,9 +153,9 @@
             out.push(Effect::Close(id));
         }
         if std::mem::replace(&mut self.is_unavailable, true) {
-            debug!(reason, "the engine list could not be had");
+            debug!(reason, "the engine list is unavailable");
         } else {
-            warn!(reason, "the engine list could not be had; the last one stays");
+            warn!(reason, "the engine list is unavailable; keeping the previous list");
         }
         if self.driver_requests_lists {
             out.cancel_timer(&mut self.timer);
--- a/crates/platform/src/dispatcher/held_requests.rs
+++ b/crates/platform/src/dispatcher/held_requests.rs
@@ -154,7 +154,7 @@
             ?end,
             held = held.len(),
             serial = self.discovery.serial(),
-            "requests go by the executor list again"
+            "executor list in use again; held requests submitted"
         );
         self.submit_requests(held);
     }
--- a/crates/replay/src/describe.rs
+++ b/crates/replay/src/describe.rs
@@ -82,7 +82,7 @@
             format!("{count} controllers share the engines; this one has index {index}")
         }
         Input::Engines { complete, entries } => describe_engine_list(*complete, entries, names),
-        Input::ListUnavailable => "the engine list could not be had".into(),
+        Input::ListUnavailable => "the engine list is unavailable".into(),
         Input::Dispatched(attempt) => format!("attempt {attempt} was sent"),
         Input::AnswerStarted(attempt) => format!("the answer of attempt {attempt} started"),
         Input::AttemptUpdated(attempt, update) => describe_update(*attempt, update),
