--- a/crates/soak/src/cluster.rs
+++ b/crates/soak/src/cluster.rs
@@ -53,7 +53,7 @@
     clients: Vec<JoinHandle<()>>,
     has_stopped: Arc<AtomicBool>,
     is_crowded: bool,
-    logs: PathBuf,
+    log_dir: PathBuf,
 }
 
 impl Cluster {
@@ -81,7 +81,7 @@
             clients: Vec::new(),
             has_stopped: Arc::new(AtomicBool::new(false)),
             is_crowded: deployment.crowd > 0,
-            logs: options.logs.clone(),
+            log_dir: options.log_dir.clone(),
         };
         for _ in 0..options.executors {
             cluster.start_executor("127.0.0.1:0".parse()?, 0)?;
@@ -103,12 +103,12 @@
             controllers: options.controllers,
             longest_timeout_us: deployment.longest_timeout_us,
             program: options.program.clone(),
-            plant: options.plant.clone(),
-            folder: options.logs.clone(),
+            planted_fault: options.planted_fault.clone(),
+            folder: options.log_dir.clone(),
         };
         let resolvers = self.name_service.addresses.clone();
         for (index, address) in addresses.iter().enumerate() {
-            let _ = std::fs::remove_file(log_file(&options.logs, index));
+            let _ = std::fs::remove_file(log_file(&options.log_dir, index));
             let resolver = resolvers[index % resolvers.len()];
             let mut controller =
                 Controller::new(&setup, index, *address, resolver, self.ledger.clone())?;
@@ -179,10 +179,10 @@
     ///
     /// # Errors
     /// If a process cannot be controlled.
-    pub fn play(&mut self, plan: &Plan, length: Duration) -> Result<()> {
+    pub fn play(&mut self, plan: &Plan, duration: Duration) -> Result<()> {
         let start = self.ledger.now();
         let mut planned = plan.faults.iter().peekable();
-        while self.ledger.now() - start < length.as_micros() as i64 {
+        while self.ledger.now() - start < duration.as_micros() as i64 {
             let now = self.ledger.now();
             while let Some(fault) = planned.next_if(|fault| start + fault.from <= now) {
                 self.begin(fault)?;
@@ -221,7 +221,7 @@
         }
         let mut alarms = Vec::new();
         for controller in &self.controllers {
-            let path = log_file(&self.logs, controller.index);
+            let path = log_file(&self.log_dir, controller.index);
             let log = std::fs::read_to_string(&path)
                 .with_context(|| format!("cannot read {}", path.display()))?;
             let lines = log
--- a/crates/soak/src/cluster/faults.rs
+++ b/crates/soak/src/cluster/faults.rs
@@ -15,7 +15,7 @@
 
 impl Cluster {
     pub(super) fn begin(&mut self, planned: &PlannedFault) -> Result<()> {
-        let executor = self.pick_executor(planned.executor);
+        let executor = self.pick_executor(planned.executor_choice);
         let mut planned = planned.clone();
         if planned.fault.concerns_controllers() {
             self.begin_at_controllers(&mut planned)?;
@@ -130,9 +130,9 @@
                 executor,
                 from,
             } = fault;
-            let mut what = format!("{:?}", planned.fault);
+            let mut description = format!("{:?}", planned.fault);
             if let Some(executor) = executor.filter(|_| !planned.fault.concerns_controllers()) {
-                what.push_str(&format!(" of executor {executor}"));
+                description.push_str(&format!(" of executor {executor}"));
             }
             let until = self.ledger.now();
             self.ledger.records().faults.push(FaultRecord {
@@ -140,7 +140,7 @@
                 holds_up_answers: planned.fault.holds_up_answers(),
                 telling: planned.fault.telling(),
                 controllers: planned.controllers,
-                what,
+                description,
                 from,
                 until,
             });
--- a/crates/soak/src/controller.rs
+++ b/crates/soak/src/controller.rs
@@ -83,7 +83,7 @@
     controllers: usize,
     longest_timeout_us: i64,
     program: PathBuf,
-    plant: Option<String>,
+    planted_fault: Option<String>,
     config: PathBuf,
     log: PathBuf,
     resolver: SocketAddr,
@@ -103,7 +103,7 @@
     /// The program.
     pub program: PathBuf,
     /// A fault planted in it.
-    pub plant: Option<String>,
+    pub planted_fault: Option<String>,
     /// Where configurations and logs are kept.
     pub folder: PathBuf,
 }
@@ -137,7 +137,7 @@
             controllers: setup.controllers,
             longest_timeout_us: setup.longest_timeout_us,
             program: setup.program.clone(),
-            plant: setup.plant.clone(),
+            planted_fault: setup.planted_fault.clone(),
             config: setup.folder.join(format!("controller-{index}.json")),
             log: log_file(&setup.folder, index),
             resolver,
@@ -161,8 +161,8 @@
             .arg("--config")
             .arg(&self.config)
             .args(["--log", "info,wheelfield_platform=debug"]);
-        if let Some(plant) = &self.plant {
-            command.args(["--plant", plant]);
+        if let Some(planted_fault) = &self.planted_fault {
+            command.args(["--plant", planted_fault]);
         }
         let child = command
             .envs(self.faults.environment())
--- a/crates/soak/src/judge/mod.rs
+++ b/crates/soak/src/judge/mod.rs
@@ -70,7 +70,7 @@
     /// By how much a time was missed, where one was, in microseconds.
     pub excess_us: Option<i64>,
     /// What was seen.
-    pub what: String,
+    pub description: String,
     /// What led to it, a line each.
     pub timeline: Vec<String>,
 }
@@ -213,7 +213,7 @@
         request: RequestId,
         at: i64,
         excess_us: Option<i64>,
-        what: String,
+        description: String,
     ) -> Violation {
         let sent = self.requests.get(&request);
         Violation {
@@ -223,7 +223,7 @@
             at,
             since: sent.map_or(at, |request| request.began_at.min(at)),
             excess_us,
-            what,
+            description,
             timeline: Vec::new(),
         }
     }
@@ -235,8 +235,8 @@
             found.extend(found_wrong.filter(|_| !self.was_killed(request)));
         }
         for (id, at) in &self.records.surplus_answers {
-            let what = "more than one answer".to_string();
-            found.push(self.violation(Invariant::Answer, *id, *at, None, what));
+            let description = "more than one answer".to_string();
+            found.push(self.violation(Invariant::Answer, *id, *at, None, description));
         }
         for (controller, at) in &self.records.refused {
             found.push(Violation {
@@ -246,7 +246,7 @@
                 at: *at,
                 since: *at,
                 excess_us: None,
-                what: "a controller that serves refused a connect".into(),
+                description: "a controller that serves refused a connect".into(),
                 timeline: Vec::new(),
             });
         }
@@ -254,9 +254,9 @@
 
     /// What is wrong with the end of a request.
     fn answer_violation(&self, request: &RequestRecord) -> Option<Violation> {
-        let violation = |excess_us, what: String| {
+        let violation = |excess_us, description: String| {
             let at = request.ended_at;
-            Some(self.violation(Invariant::Answer, request.id, at, excess_us, what))
+            Some(self.violation(Invariant::Answer, request.id, at, excess_us, description))
         };
         match request.end {
             RequestEnd::Abandoned | RequestEnd::CutByProxy | RequestEnd::NotSent => None,
@@ -289,8 +289,15 @@
                 .is_some_and(|request| request.class == Class::Load);
             if is_load {
                 let executors: Vec<usize> = receipts.iter().map(|r| r.executor).collect();
-                let what = format!("ran {} times, at executors {executors:?}", receipts.len());
-                found.push(self.violation(Invariant::Repeat, id, receipts[1].at, None, what));
+                let description =
+                    format!("ran {} times, at executors {executors:?}", receipts.len());
+                found.push(self.violation(
+                    Invariant::Repeat,
+                    id,
+                    receipts[1].at,
+                    None,
+                    description,
+                ));
             }
         }
     }
@@ -309,14 +316,14 @@
                 let past = receipt.at - may_send_until[receipt.id.controller()];
                 if past > 0 {
                     let (executor, change) = (event.executor, event.change);
-                    let what =
+                    let description =
                         format!("sent {past} us past the grace of executor {executor}, {change:?}");
                     found.push(self.violation(
                         Invariant::Drain,
                         receipt.id,
                         receipt.at,
                         Some(past),
-                        what,
+                        description,
                     ));
                 }
             }
@@ -336,13 +343,14 @@
             let noticeable_at = request.ended_at + delay_us;
             let after = receipt.at - noticeable_at - DEPARTURE_US - TIMING_SLACK_US;
             if has_left && after > 0 {
-                let what = format!("attempt began {after} us too late after its client left");
+                let description =
+                    format!("attempt began {after} us too late after its client left");
                 found.push(self.violation(
                     Invariant::Departure,
                     receipt.id,
                     receipt.at,
                     Some(after),
-                    what,
+                    description,
                 ));
             }
             let left = request.sent_at + request.timeout_us - receipt.at;
@@ -350,7 +358,7 @@
             let excess = receipt.limit_us - left - slack_us;
             if excess > 0 && !has_left {
                 let (limit, pipelined) = (receipt.limit_us, request.is_pipelined);
-                let what = format!(
+                let description = format!(
                     "limit {limit} us, its client had {left} us left (pipelined: {pipelined})"
                 );
                 found.push(self.violation(
@@ -358,7 +366,7 @@
                     receipt.id,
                     receipt.at,
                     Some(excess),
-                    what,
+                    description,
                 ));
             }
         }
--- a/crates/soak/src/judge/processes.rs
+++ b/crates/soak/src/judge/processes.rs
@@ -11,7 +11,7 @@
     /// No process ends by itself unless asked to, ends badly, or takes too long to be ready.
     pub(super) fn processes(&self, found: &mut Vec<Violation>) {
         for controller in 0..self.records.controllers {
-            let mut violate = |at: i64, what: String| {
+            let mut violate = |at: i64, description: String| {
                 found.push(Violation {
                     invariant: Invariant::Process,
                     controller: Some(controller),
@@ -19,7 +19,7 @@
                     at,
                     since: at,
                     excess_us: None,
-                    what,
+                    description,
                     timeline: Vec::new(),
                 });
             };
@@ -76,7 +76,7 @@
                     at: 0,
                     since: 0,
                     excess_us: None,
-                    what: line.clone(),
+                    description: line.clone(),
                     timeline: Vec::new(),
                 });
             }
--- a/crates/soak/src/judge/slow_start.rs
+++ b/crates/soak/src/judge/slow_start.rs
@@ -34,8 +34,8 @@
                 if sent as f64 > most {
                     let executor = event.executor;
                     let age = at - event.at;
-                    let what = format!("{sent} requests in the window for executor {executor}, {age} us after its start, at most {most:.0}");
-                    found.push(self.violation(Invariant::SlowStart, *id, *at, None, what));
+                    let description = format!("{sent} requests in the window for executor {executor}, {age} us after its start, at most {most:.0}");
+                    found.push(self.violation(Invariant::SlowStart, *id, *at, None, description));
                     break;
                 }
             }
--- a/crates/soak/src/ledger.rs
+++ b/crates/soak/src/ledger.rs
@@ -174,7 +174,7 @@
     /// The controllers that it concerned; empty for all.
     pub controllers: Vec<usize>,
     /// What it was.
-    pub what: String,
+    pub description: String,
     /// For how long it holds up bytes between clients and controllers at most, in microseconds.
     pub client_delay_us: i64,
     /// Whether it keeps the controllers from accepting, reading or answering while it lasts.
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -38,7 +38,7 @@
     /// Seed of the faults and of the traffic.
     pub seed: u64,
     /// How long clients send requests.
-    pub length: Duration,
+    pub duration: Duration,
     /// Controllers.
     pub controllers: usize,
     /// Clients of each controller.
@@ -48,9 +48,9 @@
     /// The program.
     pub program: PathBuf,
     /// Where logs are kept.
-    pub logs: PathBuf,
+    pub log_dir: PathBuf,
     /// A fault planted in the controllers, in builds that have them.
-    pub plant: Option<String>,
+    pub planted_fault: Option<String>,
 }
 
 /// Plays a run and judges it.
@@ -58,7 +58,7 @@
 /// # Errors
 /// If the run could not be played.
 pub fn run(options: &SoakOptions) -> Result<Verdict> {
-    let plan = Plan::draw(options.seed, options.length, options.controllers);
+    let plan = Plan::draw(options.seed, options.duration, options.controllers);
     run_plan(options, &plan)
 }
 
@@ -67,12 +67,12 @@
 /// # Errors
 /// If the run could not be played.
 pub fn run_plan(options: &SoakOptions, plan: &Plan) -> Result<Verdict> {
-    std::fs::create_dir_all(&options.logs)
-        .with_context(|| format!("cannot make {}", options.logs.display()))?;
+    std::fs::create_dir_all(&options.log_dir)
+        .with_context(|| format!("cannot make {}", options.log_dir.display()))?;
     let mut cluster = Cluster::start(options, &plan.deployment)?;
-    cluster.play(plan, options.length)?;
+    cluster.play(plan, options.duration)?;
     let records = cluster.stop()?;
     let mut verdict = judge::judge(&records);
-    timeline::attach(&mut verdict, &records, &options.logs);
+    timeline::attach(&mut verdict, &records, &options.log_dir);
     Ok(verdict)
 }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -159,7 +159,7 @@
     /// The controllers it concerns, where it concerns some of them.
     pub controllers: Vec<usize>,
     /// Picks the executor, where it concerns one: counted round among those that are up.
-    pub executor: usize,
+    pub executor_choice: usize,
     /// When it begins.
     pub from: i64,
     /// When it ends.
@@ -177,10 +177,10 @@
 
 impl Plan {
     /// Draws the faults of a run.
-    pub fn draw(seed: u64, length: Duration, controllers: usize) -> Plan {
+    pub fn draw(seed: u64, duration: Duration, controllers: usize) -> Plan {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let deployment = Deployment::draw(&mut rng);
-        let end = length.as_micros() as i64 - CALM_AT_END_US;
+        let end = duration.as_micros() as i64 - CALM_AT_END_US;
         let mut faults = Vec::new();
         let mut episode_at = CALM_AT_START_US;
         while episode_at < end {
@@ -194,11 +194,11 @@
                 let fault = draw_fault(&mut rng);
                 let until = from + draw_duration(&fault, &mut rng);
                 let controllers = draw_controllers(controllers, &mut rng);
-                let executor = rng.random_range(0..64);
+                let executor_choice = rng.random_range(0..64);
                 faults.push(PlannedFault {
                     fault,
                     controllers,
-                    executor,
+                    executor_choice,
                     from,
                     until,
                 });
--- a/crates/soak/src/plan/stale_lists.rs
+++ b/crates/soak/src/plan/stale_lists.rs
@@ -30,10 +30,10 @@
         _ => Hidden::Lost,
     };
     let concerned = draw_controllers(controllers, rng);
-    let planned = |fault, from, span, executor| PlannedFault {
+    let planned = |fault, from, span, executor_choice| PlannedFault {
         fault,
         controllers: concerned.clone(),
-        executor,
+        executor_choice,
         from,
         until: from + span,
     };
@@ -42,8 +42,8 @@
         false => Fault::ExecutorUnlist,
     };
     let leaves_at = from + rng.random_range(100_000..400_000);
-    let executor = rng.random_range(0..64);
-    let mut faults = vec![planned(leaving, leaves_at, MOMENT_US, executor)];
+    let executor_choice = rng.random_range(0..64);
+    let mut faults = vec![planned(leaving, leaves_at, MOMENT_US, executor_choice)];
     match hidden {
         Hidden::Suspended => {
             let span = rng.random_range(2_700_000..3_200_000);
--- a/crates/soak/src/timeline.rs
+++ b/crates/soak/src/timeline.rs
@@ -15,18 +15,18 @@
 const MOST_LOG_LINES: usize = 40;
 
 /// Adds a timeline to the first violations.
-pub fn attach(verdict: &mut Verdict, records: &Records, logs: &Path) {
+pub fn attach(verdict: &mut Verdict, records: &Records, log_dir: &Path) {
     let mut read = BTreeMap::new();
     for violation in verdict.violations.iter_mut().take(MOST_TIMELINES) {
         let mut events = around(violation, records);
         events.sort();
         let mut lines: Vec<String> = events
             .into_iter()
-            .map(|(at, what)| format!("{:>10.3} s  {what}", at as f64 / 1e6))
+            .map(|(at, description)| format!("{:>10.3} s  {description}", at as f64 / 1e6))
             .collect();
         if let (Some(controller), Some(id)) = (violation.controller, violation.request) {
             let log = read.entry(controller).or_insert_with(|| {
-                std::fs::read_to_string(log_file(logs, controller)).unwrap_or_default()
+                std::fs::read_to_string(log_file(log_dir, controller)).unwrap_or_default()
             });
             lines.extend(logged(log, id));
         }
@@ -47,8 +47,8 @@
     let receipts = records.receipts.iter();
     for receipt in receipts.filter(|r| Some(r.id) == violation.request) {
         let (executor, limit_us, ran) = (receipt.executor, receipt.limit_us, receipt.ran);
-        let what = format!("executor {executor} read it, limit {limit_us} us, ran: {ran}");
-        events.push((receipt.at, what));
+        let description = format!("executor {executor} read it, limit {limit_us} us, ran: {ran}");
+        events.push((receipt.at, description));
     }
     let is_near = |at: i64| at >= violation.at - BEFORE_US && at <= violation.at + BEFORE_US / 4;
     for event in &records.controller_events {
@@ -57,11 +57,11 @@
         }
     }
     for event in records.executors.iter().filter(|event| is_near(event.at)) {
-        let what = format!(
+        let description = format!(
             "executor {}: {:?} (serial {})",
             event.executor, event.change, event.serial
         );
-        events.push((event.at, what));
+        events.push((event.at, description));
     }
     for fault in &records.faults {
         let is_there = fault.controllers.is_empty()
@@ -69,8 +69,8 @@
                 .controller
                 .is_some_and(|c| fault.controllers.contains(&c));
         if is_there && fault.from <= violation.at && fault.until >= violation.at - BEFORE_US {
-            events.push((fault.from, format!("fault begins: {}", fault.what)));
-            events.push((fault.until, format!("fault ends: {}", fault.what)));
+            events.push((fault.from, format!("fault begins: {}", fault.description)));
+            events.push((fault.until, format!("fault ends: {}", fault.description)));
         }
     }
     events
--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/judge.rs
@@ -29,7 +29,7 @@
 fn fault(from: i64, until: i64) -> FaultRecord {
     FaultRecord {
         controllers: vec![0],
-        what: String::new(),
+        description: String::new(),
         client_delay_us: 0,
         holds_up_answers: false,
         telling: None,
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -239,13 +239,13 @@
     let folder = tempfile::tempdir()?;
     let options = SoakOptions {
         seed: args.seed,
-        length: Duration::from_secs(args.seconds.unwrap_or(60 * args.minutes)),
+        duration: Duration::from_secs(args.seconds.unwrap_or(60 * args.minutes)),
         controllers: args.controllers as usize,
         clients_per_controller: args.clients as usize,
         executors: args.executors as usize,
         program: stage::program("wheelfield-controller", None)?,
-        logs: args.logs.unwrap_or_else(|| folder.path().to_path_buf()),
-        plant: args.plant,
+        log_dir: args.logs.unwrap_or_else(|| folder.path().to_path_buf()),
+        planted_fault: args.plant,
     };
     let verdict = wheelfield_soak::run(&options)?;
     println!("seed {}: {} faults, {:?}", args.seed, verdict.faults, verdict.totals);
@@ -255,7 +255,7 @@
         let request = violation.request.map(|id| id.to_string()).unwrap_or_default();
         println!(
             "{at:.3} s  {invariant} violated at controller {controller:?} {request}: {}",
-            violation.what
+            violation.description
         );
         violation.timeline.iter().for_each(|line| println!("    {line}"));
     }
--- a/crates/testbed/tests/soak.rs
+++ b/crates/testbed/tests/soak.rs
@@ -21,7 +21,7 @@
             .map(|(n, (fault, from, until))| PlannedFault {
                 fault: fault.clone(),
                 controllers: (0..CONTROLLERS).collect(),
-                executor: n,
+                executor_choice: n,
                 from: micros(*from),
                 until: micros(*until),
             })
@@ -34,13 +34,13 @@
     let logs = tempfile::tempdir().expect("a folder");
     let options = SoakOptions {
         seed: 7,
-        length: LENGTH,
+        duration: LENGTH,
         controllers: CONTROLLERS,
         clients_per_controller,
         executors: 6,
         program: stage::program("wheelfield-controller", None).expect("built"),
-        logs: logs.path().to_path_buf(),
-        plant: plant.map(str::to_string),
+        log_dir: logs.path().to_path_buf(),
+        planted_fault: plant.map(str::to_string),
     };
     wheelfield_soak::run_plan(&options, plan).expect("played")
 }
@@ -130,7 +130,9 @@
     let told: Vec<String> = verdict
         .violations
         .iter()
-        .map(|violation| format!("{}: {} {:#?}", violation.invariant, violation.what, violation.timeline))
+        .map(|violation| {
+            format!("{}: {} {:#?}", violation.invariant, violation.description, violation.timeline)
+        })
         .collect();
     assert!(told.is_empty(), "{told:#?}");
     assert!(verdict.totals.served > 100, "{:?}", verdict.totals);
