--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,4 +1,5 @@
-//! Clients of one controller: each sends a request at a time on a kept connection, and notes what becomes of it.
+//! Clients of one controller. Each client sends one request at a time on a keep-alive connection
+//! and records how it ends.
 
 use crate::controller::ControllerState;
 use crate::http::{self, Response};
@@ -15,73 +16,74 @@
 
 /// The mean time between two requests of a client, in milliseconds.
 const MEAN_PAUSE_MS: u64 = 150;
-/// Time for which a client looks for an answer after its time, in microseconds.
-const LOOK_BEYOND_US: i64 = 6_000_000;
-/// A request that crosses the close of its connection is sent again, so many times at most.
-const MOST_REPEATS: u32 = 3;
-/// A request on a kept connection that ends this soon after it was sent has crossed its close, in microseconds: 50 ms, and what two
-/// threads take to notice.
-const CROSSING_US: i64 = 100_000;
-/// Pause of a client that finds its controller away.
-const AWAY_PAUSE: Duration = Duration::from_millis(20);
+/// How long a client keeps waiting for an answer after its own timeout, in microseconds.
+const ANSWER_WAIT_MARGIN_US: i64 = 6_000_000;
+/// How often a request that races the close of its connection is sent again, at most.
+const MAX_RESENDS: u32 = 3;
+/// A request on a keep-alive connection that is lost within this time after it was sent counts as
+/// having raced the close of the connection, in microseconds: 50 ms, plus the time that two threads
+/// take to notice.
+const CLOSE_RACE_US: i64 = 100_000;
+/// Pause before a client tries again while its controller is unavailable.
+const UNAVAILABLE_PAUSE: Duration = Duration::from_millis(20);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Timeouts of clients, in milliseconds.
+/// Timeouts that clients choose from, in milliseconds.
 const TIMEOUTS_MS: [i64; 4] = [60, 500, 1_500, 3_000];
 
-/// What the clients of a controller share.
+/// Settings and state shared by the clients of one controller.
 #[derive(Clone)]
 pub struct ClientSetup {
     /// The number of the controller.
     pub controller: usize,
-    /// The proxy before it.
+    /// The address of the proxy in front of it.
     pub address: SocketAddr,
-    /// Whether it may be used.
+    /// Whether clients may use the controller.
     pub state: Arc<ControllerState>,
-    /// Where everything is recorded.
+    /// Where all events are recorded.
     pub ledger: Ledger,
-    /// Numbers of requests.
+    /// The number of the last request to this controller.
     pub last_request: Arc<AtomicU64>,
-    /// The longest time that it waits, in microseconds.
-    pub longest_timeout_us: i64,
-    /// No more requests are sent.
+    /// The longest timeout of a client, in microseconds.
+    pub max_timeout_us: i64,
+    /// Set once no more requests are to be sent.
     pub has_stopped: Arc<AtomicBool>,
 }
 
 /// How a client sends its next request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Manner {
-    /// It waits for the answer.
-    Waits,
-    /// It leaves after so many milliseconds.
-    Leaves(u64),
-    /// It sends the request in two parts with a pause of so many milliseconds between them.
-    Slowly(u64),
-    /// It sends another one right behind it.
-    Pipelines,
+enum SendMode {
+    /// Waits for the answer.
+    Wait,
+    /// Disconnects after this many milliseconds.
+    Disconnect(u64),
+    /// Sends the request in two parts, this many milliseconds apart.
+    Split(u64),
+    /// Sends a second request right after the first without waiting for its answer.
+    Pipeline,
 }
 
-/// A client.
+/// A client of one controller.
 pub struct Client {
     setup: ClientSetup,
     rng: Pcg64Mcg,
     connection: Option<Connection>,
 }
 
-/// A connection of a client.
+/// A client's connection to its controller.
 struct Connection {
     reader: BufReader<TcpStream>,
     local: SocketAddr,
-    /// Whether a request was answered on it.
+    /// Whether a request has been answered on it.
     is_kept: bool,
-    /// A request that was sent right behind the one that is awaited.
+    /// A request that was pipelined after the one that is being answered.
     pipelined: Option<RequestId>,
-    /// The last response said that the connection ends.
+    /// Whether the last response announced that the connection closes.
     is_closing: bool,
 }
 
 /// A request that was sent.
 #[derive(Clone, Copy)]
-struct Sent {
+struct SentRequest {
     id: RequestId,
     class: Class,
     began_at: i64,
@@ -92,7 +94,7 @@
 }
 
 impl Client {
-    /// A client with its own random numbers.
+    /// Creates a client whose random numbers are drawn from `seed`.
     pub fn new(setup: ClientSetup, seed: u64) -> Client {
         Client {
             setup,
@@ -101,43 +103,44 @@
         }
     }
 
-    /// Sends requests until it is told to stop.
+    /// Sends requests until `has_stopped` is set.
     pub fn run(&mut self) {
         while !self.setup.has_stopped.load(Ordering::SeqCst) {
             let pause = self.rng.random_range(0..2 * MEAN_PAUSE_MS);
             thread::sleep(Duration::from_millis(pause));
-            self.check_surplus();
+            self.check_unsolicited();
             if !self.may_send() {
                 self.connection = None;
-                thread::sleep(AWAY_PAUSE);
+                thread::sleep(UNAVAILABLE_PAUSE);
                 continue;
             }
             let class = if self.rng.random_bool(0.3) {
-                Class::Load
+                Class::Once
             } else {
-                Class::Look
+                Class::Repeatable
             };
             let timeout_ms = TIMEOUTS_MS[self.rng.random_range(0..TIMEOUTS_MS.len())];
-            let timeout_us = (timeout_ms * 1_000).min(self.setup.longest_timeout_us);
-            let manner = self.draw_manner();
-            self.request(class, timeout_us, manner);
+            let timeout_us = (timeout_ms * 1_000).min(self.setup.max_timeout_us);
+            let mode = self.draw_mode();
+            self.request(class, timeout_us, mode);
         }
     }
 
-    /// Whether a request may be sent: on an open connection for as long as the process is there.
+    /// Whether a request may be sent. On a keep-alive connection it may be for as long as the
+    /// process runs.
     fn may_send(&self) -> bool {
         let state = &self.setup.state;
         let now = self.setup.ledger.now();
         let is_kept = self.connection.as_ref().is_some_and(|c| c.is_kept);
-        state.takes_first_requests(now) || (is_kept && state.is_up())
+        state.accepts_first_requests(now) || (is_kept && state.is_up())
     }
 
-    fn draw_manner(&mut self) -> Manner {
+    fn draw_mode(&mut self) -> SendMode {
         match self.rng.random_range(0..100) {
-            0..4 => Manner::Leaves(self.rng.random_range(0..40)),
-            4..8 => Manner::Slowly(self.rng.random_range(1..300)),
-            8..11 => Manner::Pipelines,
-            _ => Manner::Waits,
+            0..4 => SendMode::Disconnect(self.rng.random_range(0..40)),
+            4..8 => SendMode::Split(self.rng.random_range(1..300)),
+            8..11 => SendMode::Pipeline,
+            _ => SendMode::Wait,
         }
     }
 
@@ -146,8 +149,8 @@
         RequestId::new(self.setup.controller, n)
     }
 
-    /// Bytes that came on an idle connection answer nothing.
-    fn check_surplus(&mut self) {
+    /// Records bytes that arrived on an idle connection, where no request is outstanding.
+    fn check_unsolicited(&mut self) {
         let Some(connection) = &mut self.connection else {
             return;
         };
@@ -159,21 +162,26 @@
         let _ = stream.set_nonblocking(false);
         let has_buffered = !connection.reader.buffer().is_empty();
         if matches!(peeked, Ok(0)) && !has_buffered {
-            // It was closed while it was idle.
+            // The connection was closed while it was idle.
             self.connection = None;
         } else if has_buffered || matches!(peeked, Ok(1)) {
             let at = self.setup.ledger.now();
             let last = self.setup.last_request.load(Ordering::SeqCst);
             let id = RequestId::new(self.setup.controller, last);
-            self.setup.ledger.records().surplus_answers.push((id, at));
+            self.setup
+                .ledger
+                .records()
+                .unsolicited_answers
+                .push((id, at));
             self.connection = None;
         }
     }
 
-    /// Sends a request, again on a new connection where it crosses the close of a kept one.
-    fn request(&mut self, class: Class, timeout_us: i64, manner: Manner) {
+    /// Sends a request. One that races the close of a keep-alive connection is sent again on a new
+    /// connection.
+    fn request(&mut self, class: Class, timeout_us: i64, mode: SendMode) {
         let id = self.next_id();
-        for repeat in 0..=MOST_REPEATS {
+        for resend in 0..=MAX_RESENDS {
             if self.connection.is_none() {
                 self.connection = self.connect();
             }
@@ -182,17 +190,17 @@
             };
             let was_kept = connection.is_kept;
             let began_at = self.setup.ledger.now();
-            let sent = connection.send(&self.setup.ledger, id, class, timeout_us, manner);
-            let end = match (&sent, manner) {
+            let sent = connection.send(&self.setup.ledger, id, class, timeout_us, mode);
+            let end = match (&sent, mode) {
                 (Err(_), _) => RequestEnd::NotSent,
-                (Ok(_), Manner::Leaves(after_ms)) => {
+                (Ok(_), SendMode::Disconnect(after_ms)) => {
                     thread::sleep(Duration::from_millis(after_ms));
                     RequestEnd::Abandoned
                 }
                 (Ok(sent), _) => connection.read_answer(&self.setup.ledger, sent),
             };
             let now = self.setup.ledger.now();
-            let sent = sent.unwrap_or(Sent {
+            let sent = sent.unwrap_or(SentRequest {
                 id,
                 class,
                 began_at,
@@ -202,33 +210,33 @@
                 is_first: !was_kept,
             });
             let is_lost = matches!(end, RequestEnd::Lost | RequestEnd::NotSent);
-            let crossed = is_lost && was_kept && now - sent.sent_at < CROSSING_US;
-            if crossed && repeat < MOST_REPEATS && self.setup.state.takes_first_requests(now) {
+            let raced_close = is_lost && was_kept && now - sent.sent_at < CLOSE_RACE_US;
+            if raced_close && resend < MAX_RESENDS && self.setup.state.accepts_first_requests(now) {
                 self.connection = None;
                 continue;
             }
-            let end = match crossed && !self.setup.state.is_accepting(now) {
+            let end = match raced_close && !self.setup.state.is_accepting(now) {
                 true => RequestEnd::CrossedClose,
                 false => end,
             };
-            if manner == Manner::Pipelines && matches!(end, RequestEnd::Answered(_)) {
-                self.request_behind(&sent);
+            if mode == SendMode::Pipeline && matches!(end, RequestEnd::Answered(_)) {
+                self.finish_pipelined(&sent);
             }
             return self.finish(&sent, end);
         }
     }
 
-    /// Reads the answer to the request that was sent right behind another one.
-    fn request_behind(&mut self, first: &Sent) {
+    /// Reads the answer to the pipelined request.
+    fn finish_pipelined(&mut self, first: &SentRequest) {
         let Some(connection) = &mut self.connection else {
             return;
         };
         let Some(id) = connection.pipelined.take() else {
             return;
         };
-        let sent = Sent {
+        let sent = SentRequest {
             id,
-            class: Class::Look,
+            class: Class::Repeatable,
             is_pipelined: true,
             ..*first
         };
@@ -238,12 +246,12 @@
 
     fn connect(&mut self) -> Option<Connection> {
         if !self.setup.state.is_accepting(self.setup.ledger.now()) {
-            thread::sleep(AWAY_PAUSE);
+            thread::sleep(UNAVAILABLE_PAUSE);
             return None;
         }
         let stream = TcpStream::connect_timeout(&self.setup.address, CONNECT_TIMEOUT).ok()?;
         let local = stream.local_addr().ok()?;
-        self.setup.ledger.forget_cut(local);
+        self.setup.ledger.forget_broken_connection(local);
         stream.set_nodelay(true).ok()?;
         Some(Connection {
             reader: BufReader::new(stream),
@@ -254,18 +262,18 @@
         })
     }
 
-    /// Records how a request ended, and drops the connection unless it can be kept.
-    fn finish(&mut self, sent: &Sent, end: RequestEnd) {
+    /// Records how a request ended, and drops the connection unless it can be reused.
+    fn finish(&mut self, sent: &SentRequest, end: RequestEnd) {
         let ended_at = self.setup.ledger.now();
-        let is_cut = self
+        let is_broken_by_proxy = self
             .connection
             .as_ref()
-            .is_some_and(|connection| self.setup.ledger.is_cut(connection.local));
+            .is_some_and(|connection| self.setup.ledger.is_broken_by_proxy(connection.local));
         let is_broken = matches!(
             end,
             RequestEnd::Lost | RequestEnd::Unreadable | RequestEnd::Silent
         );
-        let end = if is_cut && is_broken {
+        let end = if is_broken_by_proxy && is_broken {
             RequestEnd::CutByProxy
         } else {
             end
@@ -299,27 +307,28 @@
         id: RequestId,
         class: Class,
         timeout_us: i64,
-        manner: Manner,
-    ) -> io::Result<Sent> {
+        mode: SendMode,
+    ) -> io::Result<SentRequest> {
         let request = http::query_request(id, class, timeout_us, WORK_MS);
         let began_at = ledger.now();
         let mut stream = self.reader.get_ref();
-        match manner {
-            Manner::Slowly(pause_ms) => {
+        match mode {
+            SendMode::Split(pause_ms) => {
                 let (head, tail) = request.split_at(request.len() / 2);
                 stream.write_all(head.as_bytes())?;
                 thread::sleep(Duration::from_millis(pause_ms));
                 stream.write_all(tail.as_bytes())?;
             }
-            Manner::Pipelines => {
-                let behind = RequestId(id.0 | PIPELINED_BIT);
-                let second = http::query_request(behind, Class::Look, timeout_us, WORK_MS);
+            SendMode::Pipeline => {
+                let pipelined_id = RequestId(id.0 | PIPELINED_BIT);
+                let second =
+                    http::query_request(pipelined_id, Class::Repeatable, timeout_us, WORK_MS);
                 stream.write_all((request + &second).as_bytes())?;
-                self.pipelined = Some(behind);
+                self.pipelined = Some(pipelined_id);
             }
-            Manner::Waits | Manner::Leaves(_) => stream.write_all(request.as_bytes())?,
+            SendMode::Wait | SendMode::Disconnect(_) => stream.write_all(request.as_bytes())?,
         }
-        Ok(Sent {
+        Ok(SentRequest {
             id,
             class,
             began_at,
@@ -330,12 +339,12 @@
         })
     }
 
-    /// Waits for the answer to a request, for some time beyond its own.
-    fn read_answer(&mut self, ledger: &Ledger, sent: &Sent) -> RequestEnd {
+    /// Waits for the answer to a request until some time after its timeout.
+    fn read_answer(&mut self, ledger: &Ledger, sent: &SentRequest) -> RequestEnd {
         use io::ErrorKind::{InvalidData, TimedOut, UnexpectedEof, WouldBlock};
-        let left = sent.sent_at + sent.timeout_us + LOOK_BEYOND_US - ledger.now();
-        let left = Duration::from_micros(left.max(1_000) as u64);
-        if self.reader.get_ref().set_read_timeout(Some(left)).is_err() {
+        let wait = sent.sent_at + sent.timeout_us + ANSWER_WAIT_MARGIN_US - ledger.now();
+        let wait = Duration::from_micros(wait.max(1_000) as u64);
+        if self.reader.get_ref().set_read_timeout(Some(wait)).is_err() {
             return RequestEnd::Lost;
         }
         match http::read_response(&mut self.reader) {
@@ -352,10 +361,11 @@
     }
 }
 
-/// Set in the id of a request that is sent right behind another one.
+/// Set in the id of a pipelined request.
 const PIPELINED_BIT: u64 = 1 << 47;
 
-/// Whether a response is one to this request: served ones hold its rows.
+/// Whether a response answers this request. The rows of a successful response hold the request's
+/// id.
 fn is_answer_to(response: &Response, id: RequestId) -> bool {
     response.status != 200 || response.body.contains(&id.to_string())
 }
--- a/crates/soak/src/cluster.rs
+++ b/crates/soak/src/cluster.rs
@@ -1,12 +1,13 @@
-//! Everything that runs: controllers, proxies, clients, executors and the name service; and the faults as they begin and end.
+//! The processes and threads of a run (controllers, proxies, clients, executors and the name
+//! service), and the faults as they begin and end.
 
 mod executors;
 mod faults;
 
 use crate::client::{Client, ClientSetup};
 use crate::controller::{free_address, log_file, Controller, ControllerSetup};
-use crate::crowd;
 use crate::executor::Executor;
+use crate::idle_clients;
 use crate::ledger::{Ledger, Records};
 use crate::name_service::NameService;
 use crate::plan::{Deployment, Plan, PlannedFault};
@@ -22,14 +23,15 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// How often the run looks what is due.
+/// How often the run checks for due work.
 const TICK: Duration = Duration::from_millis(5);
-/// A sleep that takes this much longer than asked means that this test is late, in microseconds.
-const LATE_US: i64 = 60_000;
-/// How long the controllers may take to be ready at first.
+/// A sleep that takes longer than requested by this much means that the test itself was delayed, in
+/// microseconds.
+const TEST_DELAY_THRESHOLD_US: i64 = 60_000;
+/// How long the controllers may take to become ready at the start, in microseconds.
 const READY_TIMEOUT_US: i64 = 20_000_000;
-/// Lines of a controller's log that tell of something that must not happen.
-const ALARMS: [&str; 2] = ["invariant violated", "panicked"];
+/// Texts in a controller's log that report an event that must not happen.
+const ALARM_TEXTS: [&str; 2] = ["invariant violated", "panicked"];
 
 /// A fault that is in force.
 struct ActiveFault {
@@ -38,7 +40,7 @@
     from: i64,
 }
 
-/// All that runs.
+/// The processes and threads of a run.
 pub struct Cluster {
     ledger: Ledger,
     name_service: NameService,
@@ -47,17 +49,17 @@
     executors: BTreeMap<usize, Executor>,
     executors_started: usize,
     steps: BTreeMap<i64, Vec<ExecutorStep>>,
-    /// Controllers whose configuration is read again at a time.
+    /// Controllers whose configuration is to be reloaded, by time.
     reloads: BTreeMap<i64, Vec<usize>>,
     active: Vec<ActiveFault>,
     clients: Vec<JoinHandle<()>>,
     has_stopped: Arc<AtomicBool>,
-    is_crowded: bool,
+    has_idle_clients: bool,
     log_dir: PathBuf,
 }
 
 impl Cluster {
-    /// Starts everything; all controllers are ready then.
+    /// Starts everything, and returns once all controllers are ready.
     ///
     /// # Errors
     /// If something cannot be started.
@@ -80,16 +82,16 @@
             active: Vec::new(),
             clients: Vec::new(),
             has_stopped: Arc::new(AtomicBool::new(false)),
-            is_crowded: deployment.crowd > 0,
+            has_idle_clients: deployment.max_idle_clients > 0,
             log_dir: options.log_dir.clone(),
         };
         for _ in 0..options.executors {
             cluster.start_executor("127.0.0.1:0".parse()?, 0)?;
         }
         cluster.start_controllers(options, deployment, &addresses)?;
-        cluster.watch_lateness();
+        cluster.record_test_delays();
         cluster.start_clients(options, deployment)?;
-        cluster.start_crowds(deployment, &addresses);
+        cluster.start_idle_clients(deployment, &addresses);
         Ok(cluster)
     }
 
@@ -101,10 +103,10 @@
     ) -> Result<()> {
         let setup = ControllerSetup {
             controllers: options.controllers,
-            longest_timeout_us: deployment.longest_timeout_us,
+            max_timeout_us: deployment.max_timeout_us,
             program: options.program.clone(),
             planted_fault: options.planted_fault.clone(),
-            folder: options.log_dir.clone(),
+            dir: options.log_dir.clone(),
         };
         let resolvers = self.name_service.addresses.clone();
         for (index, address) in addresses.iter().enumerate() {
@@ -113,7 +115,7 @@
             let mut controller =
                 Controller::new(&setup, index, *address, resolver, self.ledger.clone())?;
             controller.start(&self.name_service.list())?;
-            self.name_service.record_known(index);
+            self.name_service.record_initial_list(index);
             let proxy = Proxy::start(
                 index,
                 *address,
@@ -131,11 +133,13 @@
         Ok(())
     }
 
-    fn start_crowds(&self, deployment: &Deployment, addresses: &[SocketAddr]) {
-        let crowd = deployment.crowd;
-        for address in addresses.iter().copied().filter(|_| crowd > 0) {
+    fn start_idle_clients(&self, deployment: &Deployment, addresses: &[SocketAddr]) {
+        let max_idle_clients = deployment.max_idle_clients;
+        for address in addresses.iter().copied().filter(|_| max_idle_clients > 0) {
             let has_stopped = self.has_stopped.clone();
-            thread::spawn(move || crowd::keep_coming(address, crowd, &has_stopped));
+            thread::spawn(move || {
+                idle_clients::connect_until_stopped(address, max_idle_clients, &has_stopped)
+            });
         }
     }
 
@@ -147,7 +151,7 @@
                 state: controller.state.clone(),
                 ledger: self.ledger.clone(),
                 last_request: Arc::new(AtomicU64::new(0)),
-                longest_timeout_us: deployment.longest_timeout_us,
+                max_timeout_us: deployment.max_timeout_us,
                 has_stopped: self.has_stopped.clone(),
             };
             for n in 0..options.clients_per_controller {
@@ -160,26 +164,26 @@
         Ok(())
     }
 
-    /// Notes when this test itself is late.
-    fn watch_lateness(&self) {
+    /// Starts a thread that records when the test itself is delayed.
+    fn record_test_delays(&self) {
         let (ledger, has_stopped) = (self.ledger.clone(), self.has_stopped.clone());
         thread::spawn(move || {
             while !has_stopped.load(Ordering::SeqCst) {
                 let before = ledger.now();
                 thread::sleep(TICK);
                 let after = ledger.now();
-                if after - before > TICK.as_micros() as i64 + LATE_US {
-                    ledger.records().late_spans.push((before, after));
+                if after - before > TICK.as_micros() as i64 + TEST_DELAY_THRESHOLD_US {
+                    ledger.records().test_delay_spans.push((before, after));
                 }
             }
         });
     }
 
-    /// Has all faults of a plan begin and end, until the run is over.
+    /// Begins and ends the faults of a plan until the run is over.
     ///
     /// # Errors
     /// If a process cannot be controlled.
-    pub fn play(&mut self, plan: &Plan, duration: Duration) -> Result<()> {
+    pub fn run_faults(&mut self, plan: &Plan, duration: Duration) -> Result<()> {
         let start = self.ledger.now();
         let mut planned = plan.faults.iter().peekable();
         while self.ledger.now() - start < duration.as_micros() as i64 {
@@ -187,18 +191,18 @@
             while let Some(fault) = planned.next_if(|fault| start + fault.from <= now) {
                 self.begin(fault)?;
             }
-            let is_over = |fault: &ActiveFault| start + fault.planned.until <= now;
+            let has_ended = |fault: &ActiveFault| start + fault.planned.until <= now;
             let (ended, active) = std::mem::take(&mut self.active)
                 .into_iter()
-                .partition(is_over);
+                .partition(has_ended);
             self.active = active;
             self.end_all(ended)?;
-            self.take_steps(now)?;
-            self.take_reloads(now)?;
+            self.run_due_steps(now)?;
+            self.run_due_reloads(now)?;
             let list = self.name_service.list();
             for controller in &mut self.controllers {
-                if controller.look(&list)? {
-                    self.name_service.record_known(controller.index);
+                if controller.supervise(&list)? {
+                    self.name_service.record_initial_list(controller.index);
                 }
             }
             thread::sleep(TICK);
@@ -207,10 +211,10 @@
         self.end_all(ended)
     }
 
-    /// Ends everything, and returns what was seen.
+    /// Stops everything and returns the records.
     ///
     /// # Errors
-    /// If a process cannot be waited for, or a log not read.
+    /// If a process cannot be waited for, or a log cannot be read.
     pub fn stop(mut self) -> Result<Records> {
         self.has_stopped.store(true, Ordering::SeqCst);
         for client in self.clients.drain(..) {
@@ -226,11 +230,11 @@
                 .with_context(|| format!("cannot read {}", path.display()))?;
             let lines = log
                 .lines()
-                .filter(|line| ALARMS.iter().any(|alarm| line.contains(alarm)));
+                .filter(|line| ALARM_TEXTS.iter().any(|alarm| line.contains(alarm)));
             alarms.extend(lines.map(|line| (controller.index, line.to_string())));
         }
         let mut records = self.ledger.records();
-        records.is_crowded = self.is_crowded;
+        records.has_idle_clients = self.has_idle_clients;
         records.alarms = alarms;
         Ok(std::mem::take(&mut *records))
     }
--- a/crates/soak/src/cluster/executors.rs
+++ b/crates/soak/src/cluster/executors.rs
@@ -1,4 +1,5 @@
-//! The lives of the executors of a run: they start, drain, leave the list, crash and are replaced.
+//! The lifecycle of the executors of a run: they start, drain, leave the list, crash and are
+//! replaced.
 
 use super::Cluster;
 use crate::executor::Executor;
@@ -9,33 +10,34 @@
 use std::net::SocketAddr;
 use std::time::SystemTime;
 
-/// Time for which a draining executor stays, and after which another one takes the place of one that is gone, in microseconds.
+/// How long a draining executor stays, and how long after an executor is gone its replacement
+/// starts, in microseconds.
 const DRAIN_TIME_US: i64 = 4_000_000;
-const ABSENCE_US: i64 = 1_000_000;
-/// Time after which the list says that an executor crashed, in microseconds.
-const CRASH_NOTICE_US: i64 = 500_000;
-/// Executors that stay up, whatever the plan says.
-const LEAST_EXECUTORS: usize = 3;
+const REPLACEMENT_DELAY_US: i64 = 1_000_000;
+/// Time from a crash of an executor until the list reports it, in microseconds.
+const CRASH_REPORT_DELAY_US: i64 = 500_000;
+/// The number of executors that stay up whatever the plan says.
+const MIN_EXECUTORS: usize = 3;
 
-/// A step in the life of an executor.
+/// A scheduled step in the lifecycle of an executor.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum ExecutorStep {
-    /// The list stops naming it if it does, and it ends if it runs.
+    /// Stops the executor if it runs, and takes it off the list if it is on it.
     Remove(usize),
-    /// A new one starts at this address.
+    /// Starts a new executor at this address.
     Start(SocketAddr),
 }
 
 impl Cluster {
-    /// An executor drains, is taken off the list or crashes, unless too few would stay.
-    pub(super) fn begin_absence(&mut self, fault: &Fault, executor: Option<usize>) {
+    /// Drains an executor, takes it off the list or crashes it, unless too few would stay up.
+    pub(super) fn begin_departure(&mut self, fault: &Fault, executor: Option<usize>) {
         let Some(number) = executor else {
             return;
         };
         let list = self.name_service.list();
         let up = list.executors.iter().filter(|e| !e.is_draining).count();
         let listed = list.executors.iter().find(|e| e.number == number);
-        let Some(address) = listed.filter(|_| up > LEAST_EXECUTORS).map(|e| e.address) else {
+        let Some(address) = listed.filter(|_| up > MIN_EXECUTORS).map(|e| e.address) else {
             return;
         };
         let now = self.ledger.now();
@@ -45,8 +47,8 @@
                 .change(|executors| executors.retain(|e| e.number != number));
             self.record_executor(number, ExecutorChange::Gone, serial, now);
             self.add_step(now + DRAIN_TIME_US, ExecutorStep::Remove(number));
-            let anywhere = SocketAddr::new(address.ip(), 0);
-            self.add_step(now + ABSENCE_US, ExecutorStep::Start(anywhere));
+            let any_port = SocketAddr::new(address.ip(), 0);
+            self.add_step(now + REPLACEMENT_DELAY_US, ExecutorStep::Start(any_port));
         } else if *fault == Fault::ExecutorDrain {
             let serial = self.name_service.change(|executors| {
                 executors
@@ -56,27 +58,29 @@
             });
             self.record_executor(number, ExecutorChange::Draining, serial, now);
             self.add_step(now + DRAIN_TIME_US, ExecutorStep::Remove(number));
-            let anywhere = SocketAddr::new(address.ip(), 0);
-            let started_at = now + DRAIN_TIME_US + ABSENCE_US;
-            self.add_step(started_at, ExecutorStep::Start(anywhere));
+            let any_port = SocketAddr::new(address.ip(), 0);
+            let started_at = now + DRAIN_TIME_US + REPLACEMENT_DELAY_US;
+            self.add_step(started_at, ExecutorStep::Start(any_port));
         } else {
-            // Its connections are reset at once, and the list says so late.
+            // The connections of a crashed executor are reset at once, and the list reports the
+            // crash later.
             self.executors.remove(&number);
-            self.add_step(now + CRASH_NOTICE_US, ExecutorStep::Remove(number));
-            let started_at = now + CRASH_NOTICE_US + ABSENCE_US;
+            self.add_step(now + CRASH_REPORT_DELAY_US, ExecutorStep::Remove(number));
+            let started_at = now + CRASH_REPORT_DELAY_US + REPLACEMENT_DELAY_US;
             self.add_step(started_at, ExecutorStep::Start(address));
         }
     }
 
-    /// Takes the steps that are due.
-    pub(super) fn take_steps(&mut self, now: i64) -> Result<()> {
+    /// Runs the steps that are due.
+    pub(super) fn run_due_steps(&mut self, now: i64) -> Result<()> {
         while let Some(entry) = self.steps.first_entry().filter(|entry| *entry.key() <= now) {
             for step in entry.remove() {
                 match step {
                     ExecutorStep::Remove(number) => self.remove_executor(number),
                     ExecutorStep::Start(address) => {
-                        let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH)?;
-                        self.start_executor(address, unix.as_millis() as u64)?;
+                        let since_epoch =
+                            SystemTime::now().duration_since(SystemTime::UNIX_EPOCH)?;
+                        self.start_executor(address, since_epoch.as_millis() as u64)?;
                     }
                 }
             }
@@ -130,14 +134,14 @@
         self.steps.entry(at).or_default().push(step);
     }
 
-    /// One of the executors that take work.
-    pub(super) fn pick_executor(&self, pick: usize) -> Option<usize> {
+    /// Picks one of the executors that accept requests.
+    pub(super) fn pick_executor(&self, choice: usize) -> Option<usize> {
         let List { executors, .. } = self.name_service.list();
         let up: Vec<usize> = executors
             .iter()
             .filter(|e| !e.is_draining && self.executors.contains_key(&e.number))
             .map(|e| e.number)
             .collect();
-        up.get(pick % up.len().max(1)).copied()
+        up.get(choice % up.len().max(1)).copied()
     }
 }
--- a/crates/soak/src/cluster/faults.rs
+++ b/crates/soak/src/cluster/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a run as they begin and end at controllers, proxies, executors and the name service.
+//! Begins and ends the faults of a run at controllers, proxies, executors and the name service.
 
 use super::{ActiveFault, Cluster};
 use crate::controller::Controller;
@@ -10,18 +10,18 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Time between two configurations of a series, in microseconds.
+/// Time between two reloads of a series, in microseconds.
 const RELOAD_INTERVAL_US: i64 = 100_000;
 
 impl Cluster {
     pub(super) fn begin(&mut self, planned: &PlannedFault) -> Result<()> {
         let executor = self.pick_executor(planned.executor_choice);
         let mut planned = planned.clone();
-        if planned.fault.concerns_controllers() {
+        if planned.fault.affects_controllers() {
             self.begin_at_controllers(&mut planned)?;
         } else {
             planned.controllers.clear();
-            self.begin_elsewhere(&planned.fault, executor)?;
+            self.begin_at_other_components(&planned.fault, executor)?;
         }
         let from = self.ledger.now();
         self.active.push(ActiveFault {
@@ -32,14 +32,15 @@
         Ok(())
     }
 
-    /// Begins a fault at its controllers; those that it cannot begin at are taken off it.
+    /// Begins a fault at its controllers. Controllers at which it cannot begin are removed from the
+    /// fault.
     fn begin_at_controllers(&mut self, planned: &mut PlannedFault) -> Result<()> {
         let list = self.name_service.list();
         let now = self.ledger.now();
-        let mut concerned = Vec::new();
+        let mut affected = Vec::new();
         for index in planned.controllers.drain(..) {
             let (controller, proxy) = (&mut self.controllers[index], &self.proxies[index]);
-            if needs_serving(&planned.fault) && !controller.is_serving() {
+            if requires_serving(&planned.fault) && !controller.is_serving() {
                 continue;
             }
             match &planned.fault {
@@ -57,10 +58,11 @@
                 Fault::Suspend => controller.suspend()?,
                 Fault::Terminate => controller.terminate()?,
                 Fault::Kill => controller.kill()?,
-                Fault::Reload(behind_ms) => {
+                Fault::Reload(stale_ms) => {
                     let address = (index + self.active.len()) % ADDRESSES;
-                    let behind = Duration::from_millis(*behind_ms);
-                    self.name_service.fall_behind(address, [index], behind);
+                    let staleness = Duration::from_millis(*stale_ms);
+                    self.name_service
+                        .serve_stale_list(address, [index], staleness);
                     controller.reload(&list, self.name_service.addresses[address])?;
                 }
                 Fault::Signals(series) => {
@@ -76,14 +78,14 @@
                 Fault::ProxyReset => proxy.reset_connections(),
                 _ => {}
             }
-            concerned.push(index);
+            affected.push(index);
         }
-        planned.controllers = concerned;
+        planned.controllers = affected;
         Ok(())
     }
 
-    /// Has the configurations read again that are due, each with the next address of the name service.
-    pub(super) fn take_reloads(&mut self, now: i64) -> Result<()> {
+    /// Runs the reloads that are due, each with the next address of the name service.
+    pub(super) fn run_due_reloads(&mut self, now: i64) -> Result<()> {
         while let Some(entry) = self
             .reloads
             .first_entry()
@@ -99,23 +101,23 @@
         Ok(())
     }
 
-    fn begin_elsewhere(&mut self, fault: &Fault, executor: Option<usize>) -> Result<()> {
+    fn begin_at_other_components(&mut self, fault: &Fault, executor: Option<usize>) -> Result<()> {
         match fault {
             Fault::NameServiceSilent => self.name_service.set_silent(true),
             Fault::NameServiceSlow(ms) => self.name_service.set_delay(*ms),
             Fault::NameServiceLossy(per_mille) => self.name_service.set_loss(*per_mille),
             Fault::NameServiceBehind(address, ms) => {
-                let behind = Duration::from_millis(*ms);
+                let staleness = Duration::from_millis(*ms);
                 self.name_service
-                    .fall_behind(*address, 0..self.controllers.len(), behind);
+                    .serve_stale_list(*address, 0..self.controllers.len(), staleness);
             }
             Fault::ExecutorDrain | Fault::ExecutorUnlist | Fault::ExecutorCrash => {
-                self.begin_absence(fault, executor)
+                self.begin_departure(fault, executor)
             }
             _ => {
                 let executor = executor.and_then(|number| self.executors.get(&number));
                 if let Some(executor) = executor {
-                    misbehave(fault, executor);
+                    begin_misbehaviour(fault, executor);
                 }
             }
         }
@@ -131,14 +133,14 @@
                 from,
             } = fault;
             let mut description = format!("{:?}", planned.fault);
-            if let Some(executor) = executor.filter(|_| !planned.fault.concerns_controllers()) {
+            if let Some(executor) = executor.filter(|_| !planned.fault.affects_controllers()) {
                 description.push_str(&format!(" of executor {executor}"));
             }
             let until = self.ledger.now();
             self.ledger.records().faults.push(FaultRecord {
                 client_delay_us: planned.fault.client_delay_us(until - from),
                 holds_up_answers: planned.fault.holds_up_answers(),
-                telling: planned.fault.telling(),
+                name_service_fault: planned.fault.name_service_fault(),
                 controllers: planned.controllers,
                 description,
                 from,
@@ -169,29 +171,29 @@
             (Fault::NameServiceSilent, _) => self.name_service.set_silent(false),
             (Fault::NameServiceSlow(_), _) => self.name_service.set_delay(0),
             (Fault::NameServiceLossy(_), _) => self.name_service.set_loss(0),
-            (_, Some(executor)) => behave(&fault.planned.fault, executor),
+            (_, Some(executor)) => end_misbehaviour(&fault.planned.fault, executor),
             (_, None) => {}
         }
         Ok(())
     }
 }
 
-/// Whether a fault begins only at controllers that serve.
-fn needs_serving(fault: &Fault) -> bool {
+/// Whether a fault begins only at controllers that are serving.
+fn requires_serving(fault: &Fault) -> bool {
     matches!(
         fault,
         Fault::Suspend | Fault::Terminate | Fault::Kill | Fault::Signals(_)
     )
 }
 
-/// Sends the signals of a series at once; how many further configurations follow.
+/// Sends the signals of a series at once. Returns how many further reloads are to follow.
 fn send_signals(
     series: SignalSeries,
     controller: &mut Controller,
-    names: &NameService,
+    name_service: &NameService,
 ) -> Result<u32> {
-    let resolver = names.addresses[(controller.index + 1) % ADDRESSES];
-    let list = names.list();
+    let resolver = name_service.addresses[(controller.index + 1) % ADDRESSES];
+    let list = name_service.list();
     match series {
         SignalSeries::ReloadSuspend => {
             controller.reload(&list, resolver)?;
@@ -229,7 +231,7 @@
     Ok(())
 }
 
-fn misbehave(fault: &Fault, executor: &Executor) {
+fn begin_misbehaviour(fault: &Fault, executor: &Executor) {
     let behaviour = executor.behaviour();
     match fault {
         Fault::ExecutorHang => behaviour.hangs.store(true, Ordering::SeqCst),
@@ -242,7 +244,7 @@
     }
 }
 
-fn behave(fault: &Fault, executor: &Executor) {
+fn end_misbehaviour(fault: &Fault, executor: &Executor) {
     let behaviour = executor.behaviour();
     match fault {
         Fault::ExecutorHang => behaviour.hangs.store(false, Ordering::SeqCst),
--- a/crates/soak/src/controller.rs
+++ b/crates/soak/src/controller.rs
@@ -1,4 +1,4 @@
-//! The process of a controller: started with its faults, signalled, and started again.
+//! The process of a controller: started with its faults, signalled, and restarted.
 
 use crate::http;
 use crate::ledger::{ControllerChange, Ledger};
@@ -16,17 +16,19 @@
 use std::time::Duration;
 use wheelfield_fault_shim::FaultControl;
 
-/// For how long clients connect after the process was asked to end, and for how long they send requests on new connections, in
-/// microseconds. They use those that are open until the process has ended.
+/// For how long after the process was asked to end clients open connections, and for how long they
+/// send the first request of a connection, in microseconds. Open keep-alive connections are used
+/// until the process has ended.
 const CONNECT_GRACE_US: i64 = 350_000;
 const REQUEST_GRACE_US: i64 = 550_000;
-/// The process may be killed no sooner than the longest deadline and this time after it was asked to end, in microseconds.
+/// The process may be killed no sooner than the longest timeout and this time after it was asked to
+/// end, in microseconds.
 const KILL_DELAY_US: i64 = 700_000;
-/// Not asked to end.
+/// The process was not asked to end.
 const NEVER: i64 = i64::MAX;
 const HEALTH_INTERVAL: Duration = Duration::from_millis(20);
 const HEALTH_TIMEOUT: Duration = Duration::from_millis(500);
-/// Descriptors that a controller may hold.
+/// The number of file descriptors that a controller may hold.
 const DESCRIPTORS: usize = 256;
 
 /// Whether clients may use a controller.
@@ -46,17 +48,17 @@
         }
     }
 
-    /// Whether clients may connect at a time.
+    /// Whether clients may open connections at a time.
     pub fn is_accepting(&self, now: i64) -> bool {
         self.is_within(now, CONNECT_GRACE_US)
     }
 
     /// Whether clients may send the first request of a connection at a time.
-    pub fn takes_first_requests(&self, now: i64) -> bool {
+    pub fn accepts_first_requests(&self, now: i64) -> bool {
         self.is_within(now, REQUEST_GRACE_US)
     }
 
-    /// Whether clients may send requests on connections that are open.
+    /// Whether clients may send requests on open connections.
     pub fn is_up(&self) -> bool {
         self.is_up.load(Ordering::SeqCst)
     }
@@ -81,7 +83,7 @@
     /// The faults of its process.
     pub faults: FaultControl,
     controllers: usize,
-    longest_timeout_us: i64,
+    max_timeout_us: i64,
     program: PathBuf,
     planted_fault: Option<String>,
     config: PathBuf,
@@ -93,22 +95,23 @@
     suspended_at: Option<i64>,
 }
 
-/// What all controllers are started with.
+/// Settings shared by all controllers.
 #[derive(Clone, Debug)]
 pub struct ControllerSetup {
-    /// How many there are.
+    /// The number of controllers.
     pub controllers: usize,
-    /// The longest time that a client waits, in microseconds.
-    pub longest_timeout_us: i64,
-    /// The program.
+    /// The longest timeout of a client, in microseconds.
+    pub max_timeout_us: i64,
+    /// The controller program.
     pub program: PathBuf,
-    /// A fault planted in it.
+    /// A fault planted in the program.
     pub planted_fault: Option<String>,
     /// Where configurations and logs are kept.
-    pub folder: PathBuf,
+    pub dir: PathBuf,
 }
 
-/// The address of the controller with this number: each has one of its own, so that datagrams tell who sent them.
+/// A free address for the controller with this number. Each controller has its own IP address, so
+/// that the name service can tell from a datagram's source which controller sent it.
 ///
 /// # Errors
 /// If no port is free there.
@@ -118,10 +121,10 @@
 }
 
 impl Controller {
-    /// A controller that is not started.
+    /// Creates a controller whose process has not been started.
     ///
     /// # Errors
-    /// If the control of its faults cannot be had.
+    /// If the control of its faults cannot be set up.
     pub fn new(
         setup: &ControllerSetup,
         index: usize,
@@ -135,11 +138,11 @@
             state: Arc::new(ControllerState::new()),
             faults: FaultControl::new()?,
             controllers: setup.controllers,
-            longest_timeout_us: setup.longest_timeout_us,
+            max_timeout_us: setup.max_timeout_us,
             program: setup.program.clone(),
             planted_fault: setup.planted_fault.clone(),
-            config: setup.folder.join(format!("controller-{index}.json")),
-            log: log_file(&setup.folder, index),
+            config: setup.dir.join(format!("controller-{index}.json")),
+            log: log_file(&setup.dir, index),
             resolver,
             ledger,
             child: None,
@@ -182,7 +185,7 @@
         Ok(())
     }
 
-    /// Has a thread look for the first health check that is answered.
+    /// Starts a thread that waits for the first successful health check.
     fn await_health(&self, generation: u64) {
         let (state, ledger) = (self.state.clone(), self.ledger.clone());
         let (address, index) = (self.address, self.index);
@@ -215,14 +218,16 @@
             "peers": [], "resolver": self.resolver,
             "known": {"cursor": list.serial,
                 "cmds": [{"cursor": list.serial, "nodes": {"full": true, "servers": servers}}]},
-            "settings": settings(self.controllers, self.index, self.longest_timeout_us)});
-        // In place at once: a half-written file is another test's matter.
+            "settings": settings(self.controllers, self.index, self.max_timeout_us)});
+        // Renamed into place, so that the controller never reads a partly written file. Reading
+        // such a file is covered by another test.
         let partial = self.config.with_extension("partial");
         std::fs::write(&partial, config.to_string())?;
         Ok(std::fs::rename(&partial, &self.config)?)
     }
 
-    /// Whether a fault may begin that its process has to be up and untouched for.
+    /// Whether the process is up and neither suspended nor ending, so that a fault that requires
+    /// this may begin.
     pub fn is_serving(&self) -> bool {
         self.kill_at == NEVER
             && self.suspended_at.is_none()
@@ -236,9 +241,7 @@
     pub fn terminate(&mut self) -> Result<()> {
         let now = self.ledger.now();
         self.state.terminated_at.fetch_min(now, Ordering::SeqCst);
-        self.kill_at = self
-            .kill_at
-            .min(now + self.longest_timeout_us + KILL_DELAY_US);
+        self.kill_at = self.kill_at.min(now + self.max_timeout_us + KILL_DELAY_US);
         self.ledger
             .record_controller(self.index, ControllerChange::Terminated);
         self.signal("-TERM")
@@ -258,10 +261,10 @@
         Ok(())
     }
 
-    /// Tells it to read its configuration again, with this name service.
+    /// Makes the process reload its configuration, which names this address of the name service.
     ///
     /// # Errors
-    /// If the configuration cannot be written or the signal not sent.
+    /// If the configuration cannot be written, or the signal cannot be sent.
     pub fn reload(&mut self, list: &List, resolver: SocketAddr) -> Result<()> {
         self.resolver = resolver;
         self.write_config(list)?;
@@ -295,11 +298,12 @@
         resumed
     }
 
-    /// Kills the process if it should have ended, and starts it again if it has ended; whether it did.
+    /// Kills the process if it should have ended, and restarts it if it has ended. Returns whether
+    /// it was restarted.
     ///
     /// # Errors
     /// If it cannot be started.
-    pub fn look(&mut self, list: &List) -> Result<bool> {
+    pub fn supervise(&mut self, list: &List) -> Result<bool> {
         let Some(child) = &mut self.child else {
             return Ok(false);
         };
@@ -322,7 +326,7 @@
         Ok(false)
     }
 
-    /// Asks the process to end for good, and waits for that; kills it after some seconds.
+    /// Asks the process to end for good and waits for it, and kills it after some seconds.
     ///
     /// # Errors
     /// If it cannot be waited for.
@@ -332,7 +336,7 @@
             return Ok(());
         };
         self.state.generation.fetch_add(1, Ordering::SeqCst);
-        let kill_at = self.ledger.now() + self.longest_timeout_us + 2 * KILL_DELAY_US;
+        let kill_at = self.ledger.now() + self.max_timeout_us + 2 * KILL_DELAY_US;
         send_signal("-TERM", child.id())?;
         while self.ledger.now() < kill_at {
             if child.try_wait()?.is_some() {
@@ -362,13 +366,13 @@
     }
 }
 
-/// The log of a controller.
-pub fn log_file(folder: &Path, index: usize) -> PathBuf {
-    folder.join(format!("controller-{index}.log"))
+/// The path of a controller's log.
+pub fn log_file(dir: &Path, index: usize) -> PathBuf {
+    dir.join(format!("controller-{index}.log"))
 }
 
 fn send_signal(name: &str, process: u32) -> Result<()> {
-    // One that has just ended cannot be signalled any more.
+    // A process that has just ended cannot be signalled; `kill` fails then, which is ignored.
     Command::new("kill")
         .args([name, &process.to_string()])
         .stderr(Stdio::null())
--- a/crates/soak/src/executor.rs
+++ b/crates/soak/src/executor.rs
@@ -1,4 +1,4 @@
-//! An emulated executor: it answers the lines of controllers, and misbehaves when told to.
+//! An emulated executor: it answers the requests of controllers, and misbehaves when told to.
 
 use crate::ledger::{Ledger, Receipt, RequestId};
 use crate::settings::{IDLE_TIMEOUT_US, WORK_MS};
@@ -12,56 +12,58 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often a thread looks whether it is to do something else.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
+/// How often a blocked thread checks whether it has to close its connection.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const ACCEPT_INTERVAL: Duration = Duration::from_millis(1);
-/// The shortest time that a query runs, and what is added by its id, in milliseconds.
-const SHORTEST_RUN_MS: u64 = 4;
-const RUN_SPREAD_MS: u64 = 40;
-/// A request with less time than this is dropped without a word, in milliseconds.
-const HOPELESS_LIMIT_MS: i64 = 8;
-/// Every so many results have several pages.
-const PAGED_RESULTS: u64 = 5;
+/// The shortest run time of a query, and the range of what is added according to its id, in
+/// milliseconds.
+const MIN_RUN_MS: u64 = 4;
+const RUN_RANGE_MS: u64 = 40;
+/// A request with a lower time limit than this is dropped without an answer, in milliseconds.
+const MIN_LIMIT_MS: i64 = 8;
+/// One in this many results has several pages.
+const PAGED_RESULT_INTERVAL: u64 = 5;
 const PAGES: usize = 3;
 const STACK_BYTES: usize = 128 << 10;
 const READ_BYTES: usize = 4 << 10;
 
-/// What an executor does other than serving.
+/// Misbehaviour of an executor.
 #[derive(Debug, Default)]
 pub struct Behaviour {
     /// It answers nothing.
     pub hangs: AtomicBool,
-    /// It is full.
+    /// It rejects requests because it is full.
     pub is_full: AtomicBool,
-    /// It fails what it runs.
+    /// The queries that it runs fail.
     pub fails: AtomicBool,
-    /// Connections older than this count close when they are idle.
+    /// Connections with a lower number than this are closed when they are idle.
     close_idle_before: AtomicU64,
-    /// Connections older than this count are ignored.
+    /// Requests on connections with a lower number than this are ignored.
     forget_before: AtomicU64,
-    /// Connections older than this count are reset.
+    /// Connections with a lower number than this are reset.
     reset_before: AtomicU64,
 }
 
-/// What the threads of an executor share.
+/// State shared by the threads of an executor.
 struct Shared {
     number: usize,
     ledger: Ledger,
     behaviour: Behaviour,
     has_stopped: AtomicBool,
-    connections_made: AtomicU64,
+    connections_accepted: AtomicU64,
     streams: Mutex<BTreeMap<u64, TcpStream>>,
 }
 
 /// An executor that runs until it is dropped.
 pub struct Executor {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl Executor {
-    /// Starts the executor with this number, which is used once, at an address; port 0 for any.
+    /// Starts the executor with this number, which is used only once, at an address; port 0 stands
+    /// for any port.
     ///
     /// # Errors
     /// If it cannot listen there.
@@ -74,7 +76,7 @@
             ledger,
             behaviour: Behaviour::default(),
             has_stopped: AtomicBool::new(false),
-            connections_made: AtomicU64::new(0),
+            connections_accepted: AtomicU64::new(0),
             streams: Mutex::default(),
         });
         let for_listener = shared.clone();
@@ -84,18 +86,19 @@
         Ok(Executor { address, shared })
     }
 
-    /// What it does other than serving.
+    /// The misbehaviour that is switched on.
     pub fn behaviour(&self) -> &Behaviour {
         &self.shared.behaviour
     }
 
     /// Resets all connections.
     pub fn reset_connections(&self) {
-        let made = self.shared.connections_made.load(Ordering::SeqCst);
+        let accepted = self.shared.connections_accepted.load(Ordering::SeqCst);
         let behaviour = &self.shared.behaviour;
-        behaviour.reset_before.store(made, Ordering::SeqCst);
+        behaviour.reset_before.store(accepted, Ordering::SeqCst);
         for stream in self.shared.streams().values() {
-            // Closed by its thread, it sends a reset, as the system does for a process that died.
+            // With a linger time of zero, the close by the connection's thread sends a reset, as
+            // the operating system does for a process that died.
             let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
             let _ = stream.shutdown(std::net::Shutdown::Read);
         }
@@ -103,16 +106,18 @@
 
     /// Closes the connections that are idle now.
     pub fn close_idle(&self) {
-        let made = self.shared.connections_made.load(Ordering::SeqCst);
+        let accepted = self.shared.connections_accepted.load(Ordering::SeqCst);
         let behaviour = &self.shared.behaviour;
-        behaviour.close_idle_before.store(made, Ordering::SeqCst);
+        behaviour
+            .close_idle_before
+            .store(accepted, Ordering::SeqCst);
     }
 
-    /// Ignores from now on whatever comes on the connections of now.
+    /// Ignores from now on all requests on the connections that are open now.
     pub fn forget_connections(&self) {
-        let made = self.shared.connections_made.load(Ordering::SeqCst);
+        let accepted = self.shared.connections_accepted.load(Ordering::SeqCst);
         let behaviour = &self.shared.behaviour;
-        behaviour.forget_before.store(made, Ordering::SeqCst);
+        behaviour.forget_before.store(accepted, Ordering::SeqCst);
     }
 }
 
@@ -132,7 +137,7 @@
         self.has_stopped.load(Ordering::SeqCst)
     }
 
-    /// Whether the connection with this number is reset, or all of them end.
+    /// Whether the connection with this number is reset, or the executor stops.
     fn is_reset(&self, number: u64) -> bool {
         self.has_stopped() || number < self.behaviour.reset_before.load(Ordering::SeqCst)
     }
@@ -144,7 +149,7 @@
             thread::sleep(ACCEPT_INTERVAL);
             continue;
         };
-        let number = shared.connections_made.fetch_add(1, Ordering::SeqCst);
+        let number = shared.connections_accepted.fetch_add(1, Ordering::SeqCst);
         let Ok(copy) = stream.try_clone() else {
             continue;
         };
@@ -162,18 +167,18 @@
     }
 }
 
-/// A query that runs, and what is answered then.
+/// A running query and its answer.
 struct Job {
     due: Instant,
     id: String,
     answer: String,
 }
 
-/// Reads what comes on a connection, while a second thread answers in time.
+/// Reads the requests of a connection, while a second thread sends the answers when they are due.
 fn serve_connection(number: u64, stream: TcpStream, shared: &Arc<Shared>) -> io::Result<()> {
     stream.set_nonblocking(false)?;
     stream.set_nodelay(true)?;
-    stream.set_read_timeout(Some(LOOK_INTERVAL))?;
+    stream.set_read_timeout(Some(POLL_INTERVAL))?;
     let writer = Arc::new(Mutex::new(stream.try_clone()?));
     let (jobs, queue) = channel();
     let (for_worker, worker_shared) = (writer.clone(), shared.clone());
@@ -194,7 +199,7 @@
     served
 }
 
-/// Answers each query when it has run, later if the executor hangs.
+/// Sends the answer to each query when its run time is over, or later if the executor hangs.
 fn answer_jobs(number: u64, queue: &Receiver<Job>, writer: &Mutex<TcpStream>, shared: &Shared) {
     for job in queue {
         thread::sleep(job.due.saturating_duration_since(Instant::now()));
@@ -210,18 +215,18 @@
         } else {
             job.answer
         };
-        if say(writer, &answer).is_err() {
+        if write_text(writer, &answer).is_err() {
             return;
         }
     }
 }
 
-fn say(writer: &Mutex<TcpStream>, text: &str) -> io::Result<()> {
+fn write_text(writer: &Mutex<TcpStream>, text: &str) -> io::Result<()> {
     let mut stream = writer.lock().unwrap_or_else(PoisonError::into_inner);
     stream.write_all(text.as_bytes())
 }
 
-/// A connection of a controller.
+/// A connection from a controller.
 struct Connection {
     number: u64,
     stream: TcpStream,
@@ -240,17 +245,17 @@
                 self.handle_line(&line)?;
                 idle_since = Instant::now();
             }
-            if !self.fill()? {
+            if !self.read_more()? {
                 let idle = idle_since.elapsed().as_micros() as i64;
-                let is_over = idle > IDLE_TIMEOUT_US || self.is_to_close();
-                if self.shared.is_reset(self.number) || is_over {
+                let is_expired = idle > IDLE_TIMEOUT_US || self.closes_when_idle();
+                if self.shared.is_reset(self.number) || is_expired {
                     return Ok(());
                 }
             }
         }
     }
 
-    fn is_to_close(&self) -> bool {
+    fn closes_when_idle(&self) -> bool {
         let behaviour = &self.shared.behaviour;
         self.number < behaviour.close_idle_before.load(Ordering::SeqCst)
     }
@@ -260,8 +265,8 @@
         self.number < behaviour.forget_before.load(Ordering::SeqCst)
     }
 
-    /// Reads more; false if nothing came for a moment.
-    fn fill(&mut self) -> io::Result<bool> {
+    /// Reads more input. Returns false if none arrived within the read timeout.
+    fn read_more(&mut self) -> io::Result<bool> {
         use io::ErrorKind::{Interrupted, TimedOut, WouldBlock};
         let mut buffer = [0; READ_BYTES];
         match self.stream.read(&mut buffer) {
@@ -292,17 +297,17 @@
             ["FETCH", id, page] if !self.is_forgotten() => {
                 let row = format!("{id}\t{page}\tx\n");
                 let length = row.len();
-                self.say(&format!("{id} PART page={page} {length}\r\n{row}\r\n"))
+                self.write_text(&format!("{id} PART page={page} {length}\r\n{row}\r\n"))
             }
-            ["HELO", tag] => self.say(&format!("{tag} PONG\r\n")),
+            ["HELO", tag] => self.write_text(&format!("{tag} PONG\r\n")),
             _ => Ok(()),
         }
     }
 
-    /// Reads and drops so many bytes.
+    /// Reads and drops this many bytes.
     fn discard(&mut self, length: usize) -> io::Result<()> {
         while self.input.len() < length {
-            self.fill()?;
+            self.read_more()?;
             if self.shared.has_stopped() {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
@@ -311,7 +316,7 @@
         Ok(())
     }
 
-    /// Runs a request, unless it is dropped or rejected, and answers it.
+    /// Runs and answers a request, unless it is dropped or rejected.
     fn run(&mut self, id: &str, fields: &str) -> io::Result<()> {
         let at = self.shared.ledger.now();
         let limit = fields
@@ -323,7 +328,7 @@
         let request = RequestId::parse(id).ok_or(io::ErrorKind::InvalidData)?;
         let behaviour = &self.shared.behaviour;
         let is_full = behaviour.is_full.load(Ordering::SeqCst);
-        let is_dropped = self.is_forgotten() || limit_ms < HOPELESS_LIMIT_MS;
+        let is_dropped = self.is_forgotten() || limit_ms < MIN_LIMIT_MS;
         self.shared.ledger.records().receipts.push(Receipt {
             id: request,
             executor: self.shared.number,
@@ -335,9 +340,9 @@
             return Ok(());
         }
         if is_full {
-            return self.say(&format!("{id} SHED - 0\r\n\r\n"));
+            return self.write_text(&format!("{id} SHED - 0\r\n\r\n"));
         }
-        let pages = if request.0 % PAGED_RESULTS == 0 {
+        let pages = if request.0 % PAGED_RESULT_INTERVAL == 0 {
             PAGES
         } else {
             1
@@ -346,18 +351,18 @@
         let length = row.len();
         let answer =
             format!("{id} HIT pages={pages},cost={WORK_MS},meter=util:0.3 {length}\r\n{row}\r\n");
-        let run = Duration::from_millis(SHORTEST_RUN_MS + request.0 % RUN_SPREAD_MS);
+        let run = Duration::from_millis(MIN_RUN_MS + request.0 % RUN_RANGE_MS);
         let job = Job {
             due: Instant::now() + run,
             id: id.to_string(),
             answer,
         };
-        // The second thread has ended if the connection is reset.
+        // The thread that sends answers has ended if the connection was reset.
         let queued = self.jobs.send(job);
         queued.map_err(|_| io::ErrorKind::ConnectionReset.into())
     }
 
-    fn say(&mut self, text: &str) -> io::Result<()> {
-        say(&self.writer, text)
+    fn write_text(&mut self, text: &str) -> io::Result<()> {
+        write_text(&self.writer, text)
     }
 }
--- a/crates/soak/src/http.rs
+++ b/crates/soak/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP as the clients of the platform speak it: requests written, responses read.
+//! HTTP as the clients of the platform use it: writes requests and reads responses.
 
 use crate::ledger::RequestId;
 use crate::settings::Class;
@@ -6,21 +6,21 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// The longest body of a response, in bytes.
+/// The largest accepted body of a response, in bytes.
 const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// A response.
+/// An HTTP response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// Its status.
+    /// The status code.
     pub status: u16,
-    /// Whether the connection ends after it.
+    /// Whether the server closes the connection after it.
     pub closes: bool,
-    /// Its body.
+    /// The body.
     pub body: String,
 }
 
-/// A request that runs a statement.
+/// Formats a request that runs a statement.
 pub fn query_request(id: RequestId, class: Class, timeout_us: i64, work_ms: f64) -> String {
     const STATEMENT: &str = "SELECT a, b, c FROM sales_17.orders";
     format!(
@@ -34,7 +34,8 @@
 /// Reads a response; `None` if the connection ended before its first byte.
 ///
 /// # Errors
-/// Those of the connection; `InvalidData` or `UnexpectedEof` for what is no whole response.
+/// Errors of the connection; `InvalidData` or `UnexpectedEof` for an incomplete or malformed
+/// response.
 pub fn read_response(reader: &mut BufReader<TcpStream>) -> io::Result<Option<Response>> {
     let mut line = String::new();
     if reader.read_line(&mut line)? == 0 {
@@ -74,7 +75,7 @@
     }))
 }
 
-/// The status of a health check; `None` if there was no answer.
+/// The status of a health check; `None` if it was not answered.
 pub fn health(address: SocketAddr, timeout: Duration) -> Option<u16> {
     use std::io::Write as _;
     let mut stream = TcpStream::connect_timeout(&address, timeout).ok()?;
--- a/crates/soak/src/judge/bounds.rs
+++ b/crates/soak/src/judge/bounds.rs
@@ -1,21 +1,26 @@
-//! What a fault of the plan excuses, each as a bound: until when, or by how much. Each names the term of the platform that grants it.
+//! The effects that a fault of the plan excuses. Each excuse is bounded by a time or an amount, and
+//! names the rule of the platform that allows it.
 //!
-//! Nothing else is excused. In particular a process that was suspended, or whose calls failed, has no more time than others to
-//! learn of drains and of clients that left: it can look before it acts.
+//! Nothing else is excused. In particular, a process that was suspended, or whose system calls
+//! failed, gets no more time than others to learn of drains and of clients that disconnected,
+//! because it can check for them before it acts.
 
 use super::Judge;
 use crate::ledger::{ControllerChange, FaultRecord, RequestRecord};
 
-/// Time until which clients may send after a process was asked to end, in microseconds: what comes later, and is not answered as the
-/// process may be killed, is lost by the terms of a planned restart.
+/// Time in which clients may still send requests after a process was asked to end, in microseconds.
+/// A planned restart may lose requests that arrive later, as the process may be killed before it
+/// answers them.
 const SHUTDOWN_GRACE_US: i64 = 700_000;
-/// Time in which a request must have come whole; longer ones may be rejected as overdue, in microseconds.
+/// Time within which a request must have arrived completely; the controller may reject a slower one
+/// as timed out, in microseconds.
 const REQUEST_TIMEOUT_US: i64 = 2_000_000;
-/// What the proxy, the system and two threads take to pass bytes on, in microseconds.
-const PASSING_US: i64 = 50_000;
+/// Time that the proxy, the operating system and two threads take to forward bytes, in
+/// microseconds.
+const FORWARDING_SLACK_US: i64 = 50_000;
 
 impl Judge<'_> {
-    /// The faults that concern a controller within a span.
+    /// The faults that affect a controller within a span.
     fn faults_within(
         &self,
         controller: usize,
@@ -23,31 +28,34 @@
         until: i64,
     ) -> impl Iterator<Item = &FaultRecord> {
         self.records.faults.iter().filter(move |fault| {
-            let concerns = fault.controllers.contains(&controller);
-            concerns && fault.from <= until && fault.until + PASSING_US >= from
+            let affects = fault.controllers.contains(&controller);
+            affects && fault.from <= until && fault.until + FORWARDING_SLACK_US >= from
         })
     }
 
-    /// For how long bytes between a client and its controller were held up within a span, at most: what a client does counts as done
-    /// when its controller can know of it.
+    /// The longest time that bytes between a client and its controller were delayed within a span.
+    /// The controller cannot learn of an action of the client any sooner.
     pub(super) fn client_delay_us(&self, controller: usize, from: i64, until: i64) -> i64 {
         let faults = self.faults_within(controller, from, until);
         faults.map(|fault| fault.client_delay_us).sum()
     }
 
-    /// Whether an outright kill ended what was under way: these may hit controllers at any time.
+    /// Whether the request was in progress when its controller was killed by a fault, or because it
+    /// was suspended when its time to end was over. Such kills may lose requests at any time.
     pub(super) fn was_killed(&self, request: &RequestRecord) -> bool {
         let kills = self.kills[request.id.controller()].iter();
         kills.clone().any(|(at, ended)| {
-            *at <= request.ended_at + PASSING_US && *ended >= request.began_at - PASSING_US
+            *at <= request.ended_at + FORWARDING_SLACK_US
+                && *ended >= request.began_at - FORWARDING_SLACK_US
         })
     }
 
-    /// Whether a request can have reached a controller that was asked to end only after the grace for requests: it was held up.
+    /// Whether a request may have been delayed so much that it reached a controller that was asked
+    /// to end only after the grace period for requests.
     pub(super) fn arrived_after_grace(&self, request: &RequestRecord) -> bool {
         let controller = request.id.controller();
         let delay_us = self.client_delay_us(controller, request.began_at, request.ended_at);
-        let latest_arrival = request.sent_at + delay_us + PASSING_US;
+        let latest_arrival = request.sent_at + delay_us + FORWARDING_SLACK_US;
         self.records.controller_events.iter().any(|event| {
             event.controller == controller
                 && event.change == ControllerChange::Terminated
@@ -57,16 +65,17 @@
         })
     }
 
-    /// Whether a request may have taken so long to arrive that it was rejected as overdue.
+    /// Whether a request may have taken so long to arrive that it was rejected as timed out.
     pub(super) fn was_overdue(&self, request: &RequestRecord) -> bool {
         let controller = request.id.controller();
         let delay_us = self.client_delay_us(controller, request.began_at, request.ended_at);
         delay_us > 0 && request.ended_at - request.began_at >= REQUEST_TIMEOUT_US
     }
 
-    /// Whether a connection was closed unread, as idle clients held all descriptors: a new one may be then.
-    pub(super) fn is_shut_out(&self, request: &RequestRecord) -> bool {
-        self.records.is_crowded && request.is_first
+    /// Whether the connection may have been closed unread because idle clients held all file
+    /// descriptors. This may happen to new connections only.
+    pub(super) fn may_be_shut_out(&self, request: &RequestRecord) -> bool {
+        self.records.has_idle_clients && request.is_first
     }
 
     /// The end of the last suspension of a controller that overlaps a span.
@@ -76,16 +85,18 @@
         overlapping.map(|(_, end)| *end).max()
     }
 
-    /// Whether a process may be there still when it is killed, having been asked to end: SIGKILL comes when it comes, and a process that
-    /// was suspended meanwhile, or could not accept who waits, had less time than others. What it leaves unanswered is lost all the same.
+    /// Whether a process that was asked to end may still run when it is killed. SIGKILL comes at a
+    /// fixed time, and a process that was suspended meanwhile, or could not accept waiting clients,
+    /// had less time than others. The requests that it leaves unanswered still count as lost.
     pub(super) fn may_be_overdue(&self, controller: usize, asked_at: i64, killed_at: i64) -> bool {
         let mut faults = self.faults_within(controller, asked_at, killed_at);
         let was_suspended = self.suspended_until(controller, asked_at, killed_at);
         was_suspended.is_some() || faults.any(|fault| fault.holds_up_answers)
     }
 
-    /// When the answer to a request is due: its client's time, or the end of what kept the process from answering: half a second after
-    /// that it is lost.
+    /// When the answer to a request is due: at the client's timeout, or at the end of the fault or
+    /// suspension that kept the process from answering. An answer that is half a second later
+    /// counts as lost.
     pub(super) fn answer_due_at(&self, request: &RequestRecord) -> i64 {
         let controller = request.id.controller();
         let due_at = request.sent_at + request.timeout_us;
@@ -98,11 +109,17 @@
         held_up_until.chain(suspended_until).fold(due_at, i64::max)
     }
 
-    /// Whether a violation can come from this test being late itself, by no more than it was.
-    pub(super) fn is_own_lateness(&self, from: i64, until: i64, excess_us: Option<i64>) -> bool {
-        let late = self.records.late_spans.iter();
-        let overlapping = late.filter(|(begin, end)| *begin <= until && *end >= from);
-        let late_us: i64 = overlapping.map(|(begin, end)| end - begin).sum();
-        late_us > 0 && excess_us.is_none_or(|excess_us| excess_us <= late_us)
+    /// Whether a violation can come from a delay of the test itself, which excuses no more than its
+    /// own length.
+    pub(super) fn is_within_test_delay(
+        &self,
+        from: i64,
+        until: i64,
+        excess_us: Option<i64>,
+    ) -> bool {
+        let delays = self.records.test_delay_spans.iter();
+        let overlapping = delays.filter(|(begin, end)| *begin <= until && *end >= from);
+        let delay_us: i64 = overlapping.map(|(begin, end)| end - begin).sum();
+        delay_us > 0 && excess_us.is_none_or(|excess_us| excess_us <= delay_us)
     }
 }
--- a/crates/soak/src/judge/mod.rs
+++ b/crates/soak/src/judge/mod.rs
@@ -1,13 +1,14 @@
-//! The invariants, judged from what was seen at both ends of each connection.
+//! Checks the invariants against the events that were recorded at both ends of each connection.
 //!
-//! Slack is given for what this test cannot time better. What a fault of the plan excuses is bounded: `bounds` for bytes and
-//! processes that are held up, `telling` for what the name service tells. What comes from this test being late itself, by no more than
-//! it was, is counted apart.
+//! The limits include slack for what the test cannot time more precisely. What a fault of the plan
+//! excuses is bounded: `bounds` holds the bounds for delayed bytes and processes, `list_updates`
+//! those for the executor lists of the name service. Violations that a delay of the test itself can
+//! explain are counted separately.
 
 mod bounds;
+mod list_updates;
 mod processes;
 mod slow_start;
-mod telling;
 
 use crate::ledger::{
     ControllerChange, ExecutorChange, Receipt, Records, RequestEnd, RequestId, RequestRecord,
@@ -16,35 +17,36 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Time by which an answer may be late before it is lost, in microseconds.
-const LATE_ANSWER_US: i64 = 500_000;
-/// Time after its client left by which an attempt may begin, in microseconds.
-const DEPARTURE_US: i64 = 100_000;
-/// Time by which a limit may exceed what the client has left, in microseconds.
+/// By how much an answer may exceed its due time before it counts as lost, in microseconds.
+const ANSWER_SLACK_US: i64 = 500_000;
+/// How long after a client disconnected an attempt for it may begin, in microseconds.
+const DISCONNECT_SLACK_US: i64 = 100_000;
+/// By how much the time limit of an attempt may exceed the time that the client has left, in
+/// microseconds.
 const LIMIT_SLACK_US: i64 = 150_000;
-/// Time by which every time limit is longer on sockets, in microseconds.
+/// Extra time on every limit that is measured over sockets, in microseconds.
 const SOCKET_SLACK_US: i64 = 50_000;
-/// What this test cannot time better, in microseconds.
+/// Precision with which the test can time events, in microseconds.
 const TIMING_SLACK_US: i64 = 100_000;
 
-/// A rule that was broken.
+/// A rule that every run must satisfy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
-    /// Exactly one final answer in time.
+    /// Each request has exactly one final answer, in time.
     Answer,
-    /// Nothing runs twice that must not.
+    /// A request that must run at most once is not repeated.
     Repeat,
-    /// Nothing new to an executor that drains or is gone.
+    /// An executor that drains or is gone gets no new requests.
     Drain,
-    /// No attempt begins for a client that left.
+    /// No attempt begins for a client that disconnected.
     Departure,
-    /// No attempt has more time than its client.
+    /// No attempt has a longer time limit than its client.
     Limit,
     /// An executor in slow start is not overloaded.
     SlowStart,
-    /// No process crashes, refuses to start or takes too long to be ready.
+    /// No process crashes, fails to start or takes too long to become ready.
     Process,
-    /// The controllers' own guards find nothing.
+    /// The controllers' own invariant checks report nothing.
     Guard,
 }
 
@@ -54,77 +56,77 @@
     }
 }
 
-/// A violation, and what led to it.
+/// A violation of an invariant, and the events that led to it.
 #[derive(Clone, Debug)]
 pub struct Violation {
     /// The invariant.
     pub invariant: Invariant,
-    /// The controller, where one is concerned.
+    /// The controller, if the violation belongs to one.
     pub controller: Option<usize>,
-    /// The request, where one is concerned.
+    /// The request, if the violation belongs to one.
     pub request: Option<RequestId>,
-    /// When, in microseconds since the start.
+    /// When it was observed, in microseconds since the start.
     pub at: i64,
-    /// Since when what was seen is judged, in microseconds.
+    /// Start of the span whose events are judged, in microseconds.
     pub since: i64,
-    /// By how much a time was missed, where one was, in microseconds.
+    /// By how much a time limit was exceeded, if one was, in microseconds.
     pub excess_us: Option<i64>,
-    /// What was seen.
+    /// What was observed.
     pub description: String,
-    /// What led to it, a line each.
+    /// The events that led to it, one on each line.
     pub timeline: Vec<String>,
 }
 
-/// What became of the requests of a run.
+/// Numbers of requests by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
     /// Requests sent.
     pub requests: usize,
-    /// Answered with rows.
+    /// Requests answered with rows.
     pub served: usize,
-    /// Answered as rejected.
+    /// Requests answered as rejected.
     pub rejected: usize,
-    /// Answered as failed.
+    /// Requests answered as failed.
     pub failed: usize,
-    /// Their clients left.
+    /// Requests whose clients disconnected.
     pub abandoned: usize,
-    /// The proxy broke their connections.
+    /// Requests whose connections the proxy broke.
     pub cut: usize,
-    /// They crossed the close of their connections in a shutdown.
+    /// Requests that raced the close of their connections in a shutdown.
     pub crossed: usize,
-    /// Their connections ended before they were sent whole.
+    /// Requests whose connections ended before they were sent completely.
     pub not_sent: usize,
     /// Requests read by executors.
     pub receipts: usize,
-    /// Violations that fall into spans in which the test was late.
+    /// Violations that a delay of the test itself can explain.
     pub not_judged: usize,
 }
 
-/// What was found.
+/// The result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
     /// The violations, in order of time.
     pub violations: Vec<Violation>,
-    /// What became of the requests.
+    /// Numbers of requests by outcome.
     pub totals: Totals,
-    /// Faults that were in force, by name.
+    /// The number of faults that were in force.
     pub faults: usize,
 }
 
-/// Judges a run.
+/// Checks the records of a run against all invariants.
 pub fn judge(records: &Records) -> Verdict {
     let judge = Judge::new(records);
     let mut found = Vec::new();
     judge.answers(&mut found);
     judge.repeats(&mut found);
     judge.drains(&mut found);
-    judge.departures_and_limits(&mut found);
+    judge.disconnects_and_limits(&mut found);
     judge.slow_starts(&mut found);
     judge.processes(&mut found);
     judge.guards(&mut found);
     let (excused, mut violations): (Vec<_>, Vec<_>) = found
         .into_iter()
-        .partition(|violation| judge.was_late(violation));
+        .partition(|violation| judge.is_explained_by_test_delay(violation));
     violations.sort_by_key(|violation| violation.at);
     let totals = Totals {
         not_judged: excused.len(),
@@ -161,7 +163,8 @@
     requests: BTreeMap<RequestId, &'a RequestRecord>,
     /// Spans in which each controller was suspended.
     suspensions: Vec<Vec<(i64, i64)>>,
-    /// When each controller was killed without having been asked to end, and when it had ended.
+    /// For each controller, when it was killed by a fault or while it was suspended, and when the
+    /// process had ended.
     kills: Vec<Vec<(i64, i64)>>,
 }
 
@@ -198,15 +201,15 @@
         }
     }
 
-    /// Whether a violation comes from this test being late.
-    fn was_late(&self, violation: &Violation) -> bool {
+    /// Whether a violation can come from a delay of the test itself.
+    fn is_explained_by_test_delay(&self, violation: &Violation) -> bool {
         let is_timed = !matches!(violation.invariant, Invariant::Repeat | Invariant::Guard);
         let from = violation.since - TIMING_SLACK_US;
         let until = violation.at + TIMING_SLACK_US;
-        is_timed && self.is_own_lateness(from, until, violation.excess_us)
+        is_timed && self.is_within_test_delay(from, until, violation.excess_us)
     }
 
-    /// A violation that was seen at a time; by how much that was too late, if it was.
+    /// Creates a violation that was observed at `at`, and by how much that was too late, if it was.
     fn violation(
         &self,
         invariant: Invariant,
@@ -228,13 +231,13 @@
         }
     }
 
-    /// Each request has one whole answer, not later than half a second after its time.
+    /// Each request has one complete answer, no later than half a second after it is due.
     fn answers(&self, found: &mut Vec<Violation>) {
         for request in &self.records.requests {
-            let found_wrong = self.answer_violation(request);
-            found.extend(found_wrong.filter(|_| !self.was_killed(request)));
+            let violation = self.answer_violation(request);
+            found.extend(violation.filter(|_| !self.was_killed(request)));
         }
-        for (id, at) in &self.records.surplus_answers {
+        for (id, at) in &self.records.unsolicited_answers {
             let description = "more than one answer".to_string();
             found.push(self.violation(Invariant::Answer, *id, *at, None, description));
         }
@@ -252,7 +255,7 @@
         }
     }
 
-    /// What is wrong with the end of a request.
+    /// What is wrong with the outcome of a request, if anything.
     fn answer_violation(&self, request: &RequestRecord) -> Option<Violation> {
         let violation = |excess_us, description: String| {
             let at = request.ended_at;
@@ -262,13 +265,13 @@
             RequestEnd::Abandoned | RequestEnd::CutByProxy | RequestEnd::NotSent => None,
             RequestEnd::CrossedClose => None,
             RequestEnd::Lost if self.arrived_after_grace(request) => None,
-            RequestEnd::Lost if self.is_shut_out(request) => None,
+            RequestEnd::Lost if self.may_be_shut_out(request) => None,
             RequestEnd::Lost => violation(None, "its connection ended without an answer".into()),
             RequestEnd::Unreadable => violation(None, "what came is no whole answer to it".into()),
             RequestEnd::Silent => violation(None, "no answer".into()),
             RequestEnd::Answered(200 | 500 | 503 | 409) => {
-                let lost_at = self.answer_due_at(request) + LATE_ANSWER_US + SOCKET_SLACK_US;
-                let late = request.ended_at - lost_at - TIMING_SLACK_US;
+                let latest_at = self.answer_due_at(request) + ANSWER_SLACK_US + SOCKET_SLACK_US;
+                let late = request.ended_at - latest_at - TIMING_SLACK_US;
                 (late > 0).then(|| violation(Some(late), format!("answered {late} us too late")))?
             }
             RequestEnd::Answered(408) if self.was_overdue(request) => None,
@@ -276,18 +279,18 @@
         }
     }
 
-    /// Nothing that must run at most once runs twice.
+    /// No request that must run at most once runs twice.
     fn repeats(&self, found: &mut Vec<Violation>) {
         let mut runs: BTreeMap<RequestId, Vec<&Receipt>> = BTreeMap::new();
         for receipt in self.records.receipts.iter().filter(|receipt| receipt.ran) {
             runs.entry(receipt.id).or_default().push(receipt);
         }
         for (id, receipts) in runs.into_iter().filter(|(_, receipts)| receipts.len() > 1) {
-            let is_load = self
+            let runs_at_most_once = self
                 .requests
                 .get(&id)
-                .is_some_and(|request| request.class == Class::Load);
-            if is_load {
+                .is_some_and(|request| request.class == Class::Once);
+            if runs_at_most_once {
                 let executors: Vec<usize> = receipts.iter().map(|r| r.executor).collect();
                 let description =
                     format!("ran {} times, at executors {executors:?}", receipts.len());
@@ -302,7 +305,8 @@
         }
     }
 
-    /// Nothing goes to an executor past the grace after its controller was told that it drains or is gone.
+    /// No request goes to an executor after the grace period that follows the notification of its
+    /// controller that the executor drains or is gone.
     fn drains(&self, found: &mut Vec<Violation>) {
         for event in &self.records.executors {
             if event.change == ExecutorChange::Started {
@@ -330,9 +334,9 @@
         }
     }
 
-    /// No attempt begins long after its client left, and none has much more time than its client. What a client does counts as done when
-    /// its controller can know of it.
-    fn departures_and_limits(&self, found: &mut Vec<Violation>) {
+    /// No attempt begins long after its client disconnected, and none has much more time than its
+    /// client. An action of a client counts from when its controller can know of it.
+    fn disconnects_and_limits(&self, found: &mut Vec<Violation>) {
         for receipt in &self.records.receipts {
             let Some(request) = self.requests.get(&receipt.id) else {
                 continue;
@@ -340,8 +344,8 @@
             let controller = receipt.id.controller();
             let delay_us = self.client_delay_us(controller, request.began_at, receipt.at);
             let has_left = request.end == RequestEnd::Abandoned;
-            let noticeable_at = request.ended_at + delay_us;
-            let after = receipt.at - noticeable_at - DEPARTURE_US - TIMING_SLACK_US;
+            let known_at = request.ended_at + delay_us;
+            let after = receipt.at - known_at - DISCONNECT_SLACK_US - TIMING_SLACK_US;
             if has_left && after > 0 {
                 let description =
                     format!("attempt began {after} us too late after its client left");
--- a/crates/soak/src/ledger.rs
+++ b/crates/soak/src/ledger.rs
@@ -1,4 +1,5 @@
-//! What was seen at both ends of each connection, with times in microseconds since the start of the run.
+//! The events recorded at both ends of each connection, with times in microseconds since the start
+//! of the run.
 
 use crate::settings::Class;
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,7 +7,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// The id of a request: the number of its controller, then its own.
+/// The id of a request, made of the number of its controller and its own number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
@@ -18,7 +19,7 @@
         RequestId((controller as u64) << RequestId::CONTROLLER_SHIFT | n)
     }
 
-    /// The controller that it was sent to.
+    /// The controller that the request was sent to.
     pub fn controller(self) -> usize {
         (self.0 >> RequestId::CONTROLLER_SHIFT) as usize
     }
@@ -40,24 +41,25 @@
 pub enum RequestEnd {
     /// It was answered with this status.
     Answered(u16),
-    /// What came is no answer to it.
+    /// The response was malformed, incomplete or for another request.
     Unreadable,
-    /// The connection ended before its last byte was sent.
+    /// The connection ended before the last byte of the request was sent.
     NotSent,
     /// The connection ended without an answer.
     Lost,
-    /// It was sent on a kept connection within the time in which it may cross the close of that, and could not be sent again, as no
-    /// new connections are accepted any more.
+    /// The request was lost shortly after it was sent on a keep-alive connection, so that it may
+    /// have raced the close of the connection. It could not be sent again, as the controller
+    /// accepts no new connections any more.
     CrossedClose,
-    /// Nothing came for as long as the client looked.
+    /// Nothing arrived for as long as the client waited.
     Silent,
-    /// The client left.
+    /// The client disconnected.
     Abandoned,
     /// The proxy broke the connection, or could not reach the controller.
     CutByProxy,
 }
 
-/// A request as its client saw it.
+/// A request as recorded by its client.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestRecord {
     /// Its id.
@@ -74,39 +76,39 @@
     pub end: RequestEnd,
     /// When it ended.
     pub ended_at: i64,
-    /// Sent without waiting for the answer to the one before it.
+    /// Whether it was sent without waiting for the answer to the request before it.
     pub is_pipelined: bool,
-    /// Nothing was answered on its connection before it.
+    /// Whether no request was answered on its connection before it.
     pub is_first: bool,
 }
 
-/// A request as an executor read it.
+/// A request as recorded by an executor.
 #[derive(Clone, Copy, Debug)]
 pub struct Receipt {
     /// Its id.
     pub id: RequestId,
     /// The executor.
     pub executor: usize,
-    /// When it was read whole.
+    /// When it had been read completely.
     pub at: i64,
-    /// Time that the executor is given.
+    /// The time limit given to the executor.
     pub limit_us: i64,
-    /// Whether it ran.
+    /// Whether the executor ran it.
     pub ran: bool,
 }
 
-/// A change of an executor that the name service tells of.
+/// A change of an executor that the name service reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExecutorChange {
     /// It has just started.
     Started,
-    /// It finishes what it has.
+    /// It finishes the requests that it has and then stops.
     Draining,
     /// It is gone.
     Gone,
 }
 
-/// When an executor changed, and the serial number of the list that says so.
+/// A change of an executor, and the serial number of the list that first reports it.
 #[derive(Clone, Copy, Debug)]
 pub struct ExecutorEvent {
     /// The executor.
@@ -126,107 +128,110 @@
     Started,
     /// It answered its first health check.
     Ready,
-    /// It was asked to end.
+    /// It was asked to end with SIGTERM.
     Terminated,
     /// It was killed.
     Killed,
-    /// It ended by itself with this code; `None` if by a signal.
+    /// It exited with this code; `None` if a signal ended it.
     Exited(Option<i32>),
-    /// It was killed as it had not ended in time.
+    /// It was killed because it had not ended in time.
     Overdue,
-    /// It was suspended as its time to end was over, and was killed.
+    /// It was killed because it had not ended in time, while it was suspended.
     KilledSuspended,
     /// It was suspended.
     Suspended,
     /// It was resumed.
     Resumed,
-    /// It was told to read its configuration again.
+    /// It was asked to reload its configuration.
     Reloaded,
 }
 
-/// When something happened to a controller's process.
+/// A change of a controller's process.
 #[derive(Clone, Copy, Debug)]
 pub struct ControllerEvent {
     /// The controller.
     pub controller: usize,
-    /// What happened.
+    /// The change.
     pub change: ControllerChange,
-    /// When.
+    /// When it happened.
     pub at: i64,
 }
 
-/// What a fault does to the answers of the name service.
+/// The effect of a fault on the answers of the name service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TellingFault {
-    /// There are none.
+pub enum NameServiceFault {
+    /// No queries are answered.
     Silent,
-    /// They come so many microseconds later.
+    /// Answers are delayed by this many microseconds.
     Slow(i64),
-    /// They may hold a list that is so many microseconds old.
-    Behind(i64),
-    /// Some are lost.
+    /// Answers may hold a list that is this many microseconds old.
+    Stale(i64),
+    /// Some answers are lost.
     Lossy,
 }
 
-/// A fault that was in force for a while.
+/// A fault that was in force during a span.
 #[derive(Clone, Debug)]
 pub struct FaultRecord {
-    /// The controllers that it concerned; empty for all.
+    /// The controllers that it affected; empty if it affected all.
     pub controllers: Vec<usize>,
-    /// What it was.
+    /// A description for timelines.
     pub description: String,
-    /// For how long it holds up bytes between clients and controllers at most, in microseconds.
+    /// The longest time that it delays bytes between clients and controllers, in microseconds.
     pub client_delay_us: i64,
-    /// Whether it keeps the controllers from accepting, reading or answering while it lasts.
+    /// Whether it keeps the controllers from accepting connections, reading or answering while it
+    /// lasts.
     pub holds_up_answers: bool,
-    /// What it does to the answers of the name service.
-    pub telling: Option<TellingFault>,
+    /// Its effect on the answers of the name service.
+    pub name_service_fault: Option<NameServiceFault>,
     /// When it began.
     pub from: i64,
     /// When it ended.
     pub until: i64,
 }
 
-/// All that was seen in a run.
+/// All events that were recorded in a run.
 #[derive(Clone, Debug, Default)]
 pub struct Records {
-    /// Controllers.
+    /// The number of controllers.
     pub controllers: usize,
-    /// Whether idle clients filled the descriptors of the controllers.
-    pub is_crowded: bool,
-    /// Requests, as they ended.
+    /// Whether idle clients exhausted the file descriptors of the controllers.
+    pub has_idle_clients: bool,
+    /// Requests in the order in which they ended.
     pub requests: Vec<RequestRecord>,
     /// Requests read by executors.
     pub receipts: Vec<Receipt>,
-    /// Answers that arrived on a connection beyond the one that was awaited.
-    pub surplus_answers: Vec<(RequestId, i64)>,
+    /// Answers that arrived on a connection where no request was outstanding: the last request to
+    /// the controller, and the time.
+    pub unsolicited_answers: Vec<(RequestId, i64)>,
     /// Changes of executors.
     pub executors: Vec<ExecutorEvent>,
-    /// When each controller was first told of each serial number.
-    pub told: BTreeMap<(usize, u32), i64>,
-    /// Changes of controllers.
+    /// When each controller was first sent the list with each serial number.
+    pub list_sent_at: BTreeMap<(usize, u32), i64>,
+    /// Changes of controllers' processes.
     pub controller_events: Vec<ControllerEvent>,
     /// Faults.
     pub faults: Vec<FaultRecord>,
-    /// Spans in which this test itself was late, as the machine was busy.
-    pub late_spans: Vec<(i64, i64)>,
-    /// Connects that a controller refused although it serves: its number and the time.
+    /// Spans in which the test itself was delayed because the machine was busy.
+    pub test_delay_spans: Vec<(i64, i64)>,
+    /// Connects that a controller refused although it was serving: its number and the time.
     pub refused: Vec<(usize, i64)>,
-    /// Lines of the controllers' logs that tell of a violated invariant or a panic: the controller and the line.
+    /// Log lines of controllers that report a violated invariant or a panic: the number of the
+    /// controller and the line.
     pub alarms: Vec<(usize, String)>,
 }
 
-/// Where everything is recorded.
+/// Records the events of a run.
 #[derive(Clone)]
 pub struct Ledger {
     started: Instant,
     records: Arc<Mutex<Records>>,
-    /// Client ends of connections that the proxy broke, or could not pass on.
+    /// Client addresses of connections that the proxy broke, or could not forward.
     cut: Arc<Mutex<BTreeSet<SocketAddr>>>,
 }
 
 impl Ledger {
-    /// An empty ledger, whose time starts now.
+    /// Creates an empty ledger; its time starts now.
     pub fn new(controllers: usize) -> Ledger {
         let records = Records {
             controllers,
@@ -239,32 +244,32 @@
         }
     }
 
-    /// The time in microseconds.
+    /// The time since the start of the run, in microseconds.
     pub fn now(&self) -> i64 {
         self.started.elapsed().as_micros() as i64
     }
 
-    /// The records, to be added to.
+    /// The records, locked for reading and writing.
     pub fn records(&self) -> MutexGuard<'_, Records> {
         self.records.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that the proxy broke the connection of this client end.
-    pub fn record_cut(&self, client: SocketAddr) {
-        self.cut_ends().insert(client);
+    /// Records that the proxy broke the connection from this client address.
+    pub fn record_broken_connection(&self, client: SocketAddr) {
+        self.broken_connections().insert(client);
     }
 
-    /// Forgets an end whose address may be used again.
-    pub fn forget_cut(&self, client: SocketAddr) {
-        self.cut_ends().remove(&client);
+    /// Removes a client address, as a new connection may reuse it.
+    pub fn forget_broken_connection(&self, client: SocketAddr) {
+        self.broken_connections().remove(&client);
     }
 
-    /// Whether the proxy broke the connection of this client end.
-    pub fn is_cut(&self, client: SocketAddr) -> bool {
-        self.cut_ends().contains(&client)
+    /// Whether the proxy broke the connection from this client address.
+    pub fn is_broken_by_proxy(&self, client: SocketAddr) -> bool {
+        self.broken_connections().contains(&client)
     }
 
-    /// Notes what happened to a controller.
+    /// Records a change of a controller's process.
     pub fn record_controller(&self, controller: usize, change: ControllerChange) {
         let at = self.now();
         self.records().controller_events.push(ControllerEvent {
@@ -274,7 +279,7 @@
         });
     }
 
-    fn cut_ends(&self) -> MutexGuard<'_, BTreeSet<SocketAddr>> {
+    fn broken_connections(&self) -> MutexGuard<'_, BTreeSet<SocketAddr>> {
         self.cut.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,22 +1,24 @@
-//! A soak test of the platform controller: dozens of processes with clients behind a proxy, emulated executors and a name
-//! service, under faults that overlap; judged by invariants alone.
+//! A soak test of the platform controller: dozens of controller processes, with clients behind a
+//! proxy, emulated executors and a name service, run under overlapping faults. The result is judged
+//! by invariants alone.
 //!
 //! - [`plan`]: the faults of a run, drawn from its seed.
-//! - [`cluster`]: everything that runs, and the faults as they begin and end.
-//! - [`ledger`]: what was seen at both ends of each connection.
-//! - [`judge`]: the invariants, and the bounds within which faults excuse what they cause.
-//! - [`timeline`]: what led to a violation.
+//! - [`cluster`]: the processes and threads of a run, and the faults as they begin and end.
+//! - [`ledger`]: the events recorded at both ends of each connection.
+//! - [`judge`]: the invariants, and the bounds within which faults excuse their effects.
+//! - [`timeline`]: the events that led to a violation.
 //!
-//! What is judged is written in [`judge`]; it never looks into a controller, but for the violations that its own guards log.
+//! The invariants are defined in [`judge`]. They use no internal state of a controller, except the
+//! violations that its own invariant checks log.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod client;
 pub mod cluster;
 mod controller;
-mod crowd;
 mod executor;
 mod http;
+mod idle_clients;
 pub mod judge;
 pub mod ledger;
 mod name_service;
@@ -32,45 +34,45 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// What a run consists of.
+/// The options of a run.
 #[derive(Clone, Debug)]
 pub struct SoakOptions {
     /// Seed of the faults and of the traffic.
     pub seed: u64,
     /// How long clients send requests.
     pub duration: Duration,
-    /// Controllers.
+    /// The number of controllers.
     pub controllers: usize,
-    /// Clients of each controller.
+    /// The number of clients of each controller.
     pub clients_per_controller: usize,
-    /// Executors.
+    /// The number of executors.
     pub executors: usize,
-    /// The program.
+    /// The controller program.
     pub program: PathBuf,
     /// Where logs are kept.
     pub log_dir: PathBuf,
-    /// A fault planted in the controllers, in builds that have them.
+    /// A fault to plant in the controllers, in builds that support it.
     pub planted_fault: Option<String>,
 }
 
-/// Plays a run and judges it.
+/// Draws the faults of a run from its seed, runs it and judges it.
 ///
 /// # Errors
-/// If the run could not be played.
+/// If the run could not be carried out.
 pub fn run(options: &SoakOptions) -> Result<Verdict> {
     let plan = Plan::draw(options.seed, options.duration, options.controllers);
     run_plan(options, &plan)
 }
 
-/// Plays a run with these faults and judges it.
+/// Runs the faults of a given plan and judges the run.
 ///
 /// # Errors
-/// If the run could not be played.
+/// If the run could not be carried out.
 pub fn run_plan(options: &SoakOptions, plan: &Plan) -> Result<Verdict> {
     std::fs::create_dir_all(&options.log_dir)
         .with_context(|| format!("cannot make {}", options.log_dir.display()))?;
     let mut cluster = Cluster::start(options, &plan.deployment)?;
-    cluster.play(plan, options.duration)?;
+    cluster.run_faults(plan, options.duration)?;
     let records = cluster.stop()?;
     let mut verdict = judge::judge(&records);
     timeline::attach(&mut verdict, &records, &options.log_dir);
--- a/crates/soak/src/name_service.rs
+++ b/crates/soak/src/name_service.rs
@@ -1,8 +1,9 @@
-//! A name service: three addresses that answer with the same list; late, not at all, or with one of some time ago when told to.
+//! A DNS name service with three addresses that answer with the same executor list. When told to,
+//! it delays or drops answers, or answers with an old list.
 
 mod losses;
 
-pub(crate) use losses::MAX_LOST_IN_A_ROW;
+pub(crate) use losses::MAX_CONSECUTIVE_LOSSES;
 
 use crate::ledger::Ledger;
 use hickory_proto::op::{Message, MessageType, OpCode};
@@ -17,10 +18,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Addresses of the service.
+/// The number of addresses of the service.
 pub const ADDRESSES: usize = 3;
 const SERVICE_NAME: &str = "_rpc._tcp.mesh.local.";
-const LOOK_INTERVAL: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 const TTL_SECONDS: u32 = 1;
 
 /// An executor in the list.
@@ -32,7 +33,7 @@
     pub address: SocketAddr,
     /// Whether it drains.
     pub is_draining: bool,
-    /// Unix time of its start in milliseconds; 0 if it was there from the beginning.
+    /// Unix time of its start in milliseconds; 0 if it was there from the beginning of the run.
     pub started_ms: u64,
 }
 
@@ -43,18 +44,18 @@
     }
 }
 
-/// A list that an address goes on telling a controller, and until when.
-struct OldList {
+/// An old list that one address sends to a controller until a time.
+struct StaleList {
     list: List,
     until: Instant,
 }
 
-/// The list and its serial number.
+/// The executor list and its serial number.
 #[derive(Clone, Debug, Default)]
 pub struct List {
     /// The serial number.
     pub serial: u32,
-    /// The executors that are not gone.
+    /// The executors that are up or draining.
     pub executors: Vec<ListedExecutor>,
 }
 
@@ -62,8 +63,8 @@
     ledger: Ledger,
     list: Mutex<List>,
     controllers: BTreeMap<IpAddr, usize>,
-    /// By address and controller.
-    old_lists: Mutex<BTreeMap<(usize, usize), OldList>>,
+    /// Keyed by address and controller.
+    stale_lists: Mutex<BTreeMap<(usize, usize), StaleList>>,
     is_silent: AtomicBool,
     delay_ms: AtomicU64,
     losses: Mutex<Losses>,
@@ -78,16 +79,16 @@
 }
 
 impl NameService {
-    /// Starts it for controllers at these addresses; the seed is that of its losses.
+    /// Starts the service for controllers at these addresses; lost answers are drawn from the seed.
     ///
     /// # Errors
-    /// If no sockets can be had.
+    /// If a socket cannot be opened.
     pub fn start(controllers: &[IpAddr], ledger: Ledger, seed: u64) -> io::Result<NameService> {
         let shared = Arc::new(Shared {
             ledger,
             list: Mutex::default(),
             controllers: controllers.iter().copied().zip(0..).collect(),
-            old_lists: Mutex::default(),
+            stale_lists: Mutex::default(),
             is_silent: AtomicBool::new(false),
             delay_ms: AtomicU64::new(0),
             losses: Mutex::new(Losses::new(seed)),
@@ -96,7 +97,7 @@
         let mut addresses = Vec::new();
         for address in 0..ADDRESSES {
             let socket = UdpSocket::bind("127.0.0.1:0")?;
-            socket.set_read_timeout(Some(LOOK_INTERVAL))?;
+            socket.set_read_timeout(Some(POLL_INTERVAL))?;
             addresses.push(socket.local_addr()?);
             let shared = shared.clone();
             thread::spawn(move || serve(address, &socket, &shared));
@@ -104,7 +105,7 @@
         Ok(NameService { addresses, shared })
     }
 
-    /// The list.
+    /// The current list.
     pub fn list(&self) -> List {
         self.shared.list().clone()
     }
@@ -117,18 +118,20 @@
         list.serial
     }
 
-    /// Answers nothing while `is_silent`.
+    /// Answers no queries while `is_silent` is true.
     pub fn set_silent(&self, is_silent: bool) {
         self.shared.is_silent.store(is_silent, Ordering::SeqCst);
     }
 
-    /// Loses so many of a thousand answers, but no more than [`MAX_LOST_IN_A_ROW`] in a row to one controller.
+    /// Loses this many in a thousand answers, but no more than [`MAX_CONSECUTIVE_LOSSES`] in a row
+    /// to one controller.
     pub fn set_loss(&self, per_mille: u64) {
-        self.shared.losses().set_share(per_mille);
+        self.shared.losses().set_rate(per_mille);
     }
 
-    /// Has one address tell some controllers the list of now for so long, whatever it becomes.
-    pub fn fall_behind(
+    /// Makes one address send the current list to these controllers for a time, even if the list
+    /// changes.
+    pub fn serve_stale_list(
         &self,
         address: usize,
         controllers: impl IntoIterator<Item = usize>,
@@ -136,20 +139,20 @@
     ) {
         let list = self.list();
         let until = Instant::now() + span;
-        let mut old_lists = self.shared.old_lists();
+        let mut stale_lists = self.shared.stale_lists();
         for controller in controllers {
             let list = list.clone();
-            old_lists.insert((address, controller), OldList { list, until });
+            stale_lists.insert((address, controller), StaleList { list, until });
         }
     }
 
-    /// Notes that a controller starts with the list of now.
-    pub fn record_known(&self, controller: usize) {
+    /// Records that a controller starts with the current list.
+    pub fn record_initial_list(&self, controller: usize) {
         let serial = self.list().serial;
-        record_told(&self.shared, controller, serial);
+        record_list_sent(&self.shared, controller, serial);
     }
 
-    /// Answers after so many milliseconds.
+    /// Delays answers by this many milliseconds.
     pub fn set_delay(&self, delay_ms: u64) {
         self.shared.delay_ms.store(delay_ms, Ordering::SeqCst);
     }
@@ -170,23 +173,23 @@
         self.losses.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn old_lists(&self) -> std::sync::MutexGuard<'_, BTreeMap<(usize, usize), OldList>> {
-        self.old_lists
+    fn stale_lists(&self) -> std::sync::MutexGuard<'_, BTreeMap<(usize, usize), StaleList>> {
+        self.stale_lists
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The list that an address tells a controller.
+    /// The list that an address sends to a controller.
     fn list_for(&self, address: usize, controller: Option<usize>) -> List {
-        let mut old_lists = self.old_lists();
-        old_lists.retain(|_, old| old.until > Instant::now());
-        let old = controller.and_then(|controller| old_lists.get(&(address, controller)));
-        old.map_or_else(|| self.list().clone(), |old| old.list.clone())
+        let mut stale_lists = self.stale_lists();
+        stale_lists.retain(|_, stale| stale.until > Instant::now());
+        let stale = controller.and_then(|controller| stale_lists.get(&(address, controller)));
+        stale.map_or_else(|| self.list().clone(), |stale| stale.list.clone())
     }
 }
 
-/// An answer that is to be sent.
-struct Pending {
+/// An answer that is to be sent when it is due.
+struct PendingAnswer {
     due: Instant,
     to: SocketAddr,
     bytes: Vec<u8>,
@@ -195,29 +198,29 @@
 
 fn serve(address: usize, socket: &UdpSocket, shared: &Shared) {
     let mut buffer = [0; 2_048];
-    let mut pending: Vec<Pending> = Vec::new();
+    let mut pending: Vec<PendingAnswer> = Vec::new();
     while !shared.has_stopped.load(Ordering::SeqCst) {
         if let Ok((length, from)) = socket.recv_from(&mut buffer) {
             pending.extend(prepare_answer(address, &buffer[..length], from, shared));
         }
         let now = Instant::now();
         for next in pending.extract_if(.., |next| next.due <= now) {
-            // Before it is sent: the controller may act by it at once.
+            // Recorded before the answer is sent, as the controller may act on it at once.
             if let Some(controller) = shared.controllers.get(&next.to.ip()) {
-                record_told(shared, *controller, next.serial);
+                record_list_sent(shared, *controller, next.serial);
             }
             let _ = socket.send_to(&next.bytes, next.to);
         }
     }
 }
 
-/// What is to be sent to whoever asked, unless it is lost.
+/// Builds the answer to a query, unless it is lost.
 fn prepare_answer(
     address: usize,
     query: &[u8],
     from: SocketAddr,
     shared: &Shared,
-) -> Option<Pending> {
+) -> Option<PendingAnswer> {
     if shared.is_silent.load(Ordering::SeqCst) {
         return None;
     }
@@ -227,7 +230,7 @@
     }
     let list = shared.list_for(address, controller);
     let delay = Duration::from_millis(shared.delay_ms.load(Ordering::SeqCst));
-    Some(Pending {
+    Some(PendingAnswer {
         due: Instant::now() + delay,
         to: from,
         bytes: answer(query, &list)?,
@@ -235,13 +238,16 @@
     })
 }
 
-fn record_told(shared: &Shared, controller: usize, serial: u32) {
+fn record_list_sent(shared: &Shared, controller: usize, serial: u32) {
     let at = shared.ledger.now();
     let mut records = shared.ledger.records();
-    records.told.entry((controller, serial)).or_insert(at);
+    records
+        .list_sent_at
+        .entry((controller, serial))
+        .or_insert(at);
 }
 
-/// The answer to a query for the list.
+/// The DNS message that answers a query for the list.
 fn answer(query: &[u8], list: &List) -> Option<Vec<u8>> {
     let query = Message::from_vec(query).ok()?;
     let service = Name::from_ascii(SERVICE_NAME).ok()?;
--- a/crates/soak/src/name_service/losses.rs
+++ b/crates/soak/src/name_service/losses.rs
@@ -1,14 +1,15 @@
-//! Which answers of a name service are lost, while some are.
+//! Draws which answers of a name service are lost.
 
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// Answers to a controller that are lost in a row, at most. One that asks eight times a second hears every second and a half at
-/// least, in time to keep to the grace of a drain; one that asks four times a second does not.
-pub(crate) const MAX_LOST_IN_A_ROW: u32 = 14;
+/// The number of consecutive answers to a controller that are lost at most. A controller that
+/// queries eight times a second then gets an answer at least every 1.5 seconds, in time to observe
+/// the grace period of a drain; one that queries four times a second does not.
+pub(crate) const MAX_CONSECUTIVE_LOSSES: u32 = 14;
 
-/// Draws, by a seed, which answers are lost.
+/// Draws from a seed which answers are lost.
 #[derive(Debug)]
 pub(super) struct Losses {
     seed: u64,
@@ -16,15 +17,15 @@
     controllers: BTreeMap<usize, ControllerLosses>,
 }
 
-/// The answers to one controller.
+/// The losses of one controller.
 #[derive(Debug)]
 struct ControllerLosses {
     generator: Pcg64Mcg,
-    lost_in_a_row: u32,
+    consecutive_losses: u32,
 }
 
 impl Losses {
-    /// None are lost until a share is set.
+    /// Creates a state in which no answers are lost until a rate is set.
     pub(super) fn new(seed: u64) -> Losses {
         Losses {
             seed,
@@ -33,8 +34,8 @@
         }
     }
 
-    /// Has so many of a thousand answers be lost from now on.
-    pub(super) fn set_share(&mut self, per_mille: u64) {
+    /// Loses this many in a thousand answers from now on.
+    pub(super) fn set_rate(&mut self, per_mille: u64) {
         self.per_mille = per_mille;
         self.controllers.clear();
     }
@@ -45,12 +46,12 @@
         let losses = self.controllers.entry(controller);
         let losses = losses.or_insert_with(|| ControllerLosses {
             generator: Pcg64Mcg::seed_from_u64(seed),
-            lost_in_a_row: 0,
+            consecutive_losses: 0,
         });
         let is_drawn = losses.generator.random_range(0..1_000) < self.per_mille;
-        let is_lost = is_drawn && losses.lost_in_a_row < MAX_LOST_IN_A_ROW;
-        losses.lost_in_a_row = match is_lost {
-            true => losses.lost_in_a_row + 1,
+        let is_lost = is_drawn && losses.consecutive_losses < MAX_CONSECUTIVE_LOSSES;
+        losses.consecutive_losses = match is_lost {
+            true => losses.consecutive_losses + 1,
             false => 0,
         };
         is_lost
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,72 +1,75 @@
-//! The faults of a run, drawn from its seed: episodes of two or three that overlap; and the deployment that it plays.
+//! The faults of a run, drawn from its seed in episodes of two or three overlapping faults, and the
+//! deployment of the run.
 
 mod stale_lists;
 
-use crate::ledger::TellingFault;
+use crate::ledger::NameServiceFault;
 use crate::name_service::ADDRESSES;
-use crate::settings::LONGEST_TIMEOUT_US;
+use crate::settings::MAX_TIMEOUT_US;
 use rand::{Rng, RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 use wheelfield_fault_shim::{Call, Errno};
 
-/// Time before the first episode and after the last one, in microseconds.
-const CALM_AT_START_US: i64 = 3_000_000;
-const CALM_AT_END_US: i64 = 7_000_000;
-/// Time from one episode to the next, in microseconds.
-const EPISODE_US: i64 = 3_000_000;
-/// This part of all episodes hides the list of executors as one leaves.
-const STALE_LIST_EPISODES: f64 = 0.5;
-/// Faults of an episode begin within this time of each other, in microseconds.
-const OVERLAP_US: i64 = 600_000;
+/// Time without faults before the first episode and after the last one, in microseconds.
+const INITIAL_CALM_US: i64 = 3_000_000;
+const FINAL_CALM_US: i64 = 7_000_000;
+/// Time from the start of one episode to the start of the next, in microseconds.
+const EPISODE_INTERVAL_US: i64 = 3_000_000;
+/// Fraction of the episodes in which controllers cannot learn that an executor leaves.
+const STALE_LIST_EPISODE_FRACTION: f64 = 0.5;
+/// The faults of an episode begin within this time of each other, in microseconds.
+const MAX_START_SPREAD_US: i64 = 600_000;
 
-/// An address of the name service may tell an older list for so long, and for longer after a configuration that names it, in
-/// milliseconds: what happened is told 1.5 s later, and 4 s after SIGHUP.
-const MAX_BEHIND_MS: u64 = 1_400;
-const MAX_BEHIND_AFTER_RELOAD_MS: u64 = 3_900;
+/// How long an address of the name service may send an old list, normally and after a reload that
+/// selects that address, in milliseconds. The controllers count as informed of a change 1.5 s after
+/// it, or 4 s after SIGHUP.
+const MAX_STALENESS_MS: u64 = 1_400;
+const MAX_STALENESS_AFTER_RELOAD_MS: u64 = 3_900;
 
-/// A fault.
+/// A fault that is injected into a run.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// Calls to the system fail.
+    /// System calls fail.
     Call {
-        /// Which.
+        /// The system call.
         call: Call,
-        /// With which error.
+        /// The error.
         errno: Errno,
-        /// How many of a thousand.
+        /// How many in a thousand calls fail.
         per_mille: u32,
     },
-    /// Reads and writes move so many bytes at most.
+    /// Reads and writes transfer at most this many bytes.
     ShortTransfers(u32),
-    /// The wall clock is stepped by so many seconds.
+    /// The wall clock is stepped by this many seconds.
     WallClock(i64),
-    /// The process is suspended, and resumed as the fault ends.
+    /// The process is suspended, and resumed when the fault ends.
     Suspend,
-    /// The process is asked to end, and started again.
+    /// The process is asked to end, and restarted.
     Terminate,
-    /// The process is killed, and started again.
+    /// The process is killed, and restarted.
     Kill,
-    /// The configuration is read again, with another address of the name service, which tells the list of before for so many
-    /// milliseconds.
+    /// The configuration is reloaded with another address of the name service, which keeps sending
+    /// the list of the time of the reload for this many milliseconds.
     Reload(u64),
-    /// Signals within milliseconds of each other, or one reload after the other.
+    /// Several signals within milliseconds of each other, or a series of reloads.
     Signals(SignalSeries),
-    /// The proxy holds up bytes for so many milliseconds.
+    /// The proxy delays bytes by this many milliseconds.
     ProxyDelay(u64),
-    /// The proxy passes bytes on one by one.
+    /// The proxy forwards bytes one by one.
     ProxySplit,
     /// The proxy resets its connections.
     ProxyReset,
-    /// The proxy passes on nothing.
+    /// The proxy forwards nothing.
     ProxyWithhold,
     /// The name service does not answer.
     NameServiceSilent,
-    /// The name service answers after so many milliseconds.
+    /// The name service delays its answers by this many milliseconds.
     NameServiceSlow(u64),
-    /// The name service loses so many of a thousand answers.
+    /// The name service loses this many in a thousand answers.
     NameServiceLossy(u64),
-    /// One address of the name service tells the list of before for so many milliseconds.
+    /// One address of the name service keeps sending the list of the time at which the fault
+    /// begins, for this many milliseconds.
     NameServiceBehind(usize, u64),
     /// An executor answers nothing.
     ExecutorHang,
@@ -74,39 +77,39 @@
     ExecutorReset,
     /// An executor closes its idle connections.
     ExecutorCloseIdle,
-    /// An executor forgets its connections: it keeps them open and ignores what comes on them.
+    /// An executor keeps its open connections but ignores all requests on them.
     ExecutorForget,
-    /// An executor is full.
+    /// An executor rejects requests because it is full.
     ExecutorFull,
-    /// An executor fails what it gets.
+    /// The queries that an executor runs fail.
     ExecutorFail,
-    /// An executor drains, goes, and another one starts.
+    /// An executor drains and stops, and another one starts.
     ExecutorDrain,
-    /// An executor is taken off the list, serves on for a while, and another one starts.
+    /// An executor is taken off the list, keeps serving for a while, and another one starts.
     ExecutorUnlist,
     /// An executor crashes, and another one starts at its address.
     ExecutorCrash,
 }
 
-/// Signals that a process gets in series.
+/// A series of signals to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SignalSeries {
-    /// HUP, then STOP.
+    /// SIGHUP, then SIGSTOP.
     ReloadSuspend,
-    /// TERM, then STOP.
+    /// SIGTERM, then SIGSTOP.
     TerminateSuspend,
-    /// STOP, then TERM, which is taken as the process is resumed.
+    /// SIGSTOP, then SIGTERM, which is delivered when the process is resumed.
     SuspendTerminate,
-    /// HUP, then TERM.
+    /// SIGHUP, then SIGTERM.
     ReloadTerminate,
-    /// TERM, HUP, TERM.
+    /// SIGTERM, SIGHUP, SIGTERM.
     TerminateReloadTerminate,
-    /// So many configurations, a tenth of a second between them.
+    /// This many reloads, a tenth of a second apart.
     Reloads(u32),
 }
 
 impl SignalSeries {
-    /// Whether the process is suspended, until the fault ends.
+    /// Whether the process is suspended until the fault ends.
     pub fn suspends(self) -> bool {
         matches!(
             self,
@@ -117,48 +120,54 @@
     }
 }
 
-/// What a run plays beside its faults.
+/// Settings of a run other than its faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Deployment {
-    /// The longest time that a client waits, in microseconds.
-    pub longest_timeout_us: i64,
-    /// Idle clients that come to each controller, at most.
-    pub crowd: usize,
+    /// The longest timeout of a client, in microseconds.
+    pub max_timeout_us: i64,
+    /// The largest number of idle clients that connect to each controller.
+    pub max_idle_clients: usize,
 }
 
 impl Default for Deployment {
     fn default() -> Deployment {
         Deployment {
-            longest_timeout_us: LONGEST_TIMEOUT_US,
-            crowd: 0,
+            max_timeout_us: MAX_TIMEOUT_US,
+            max_idle_clients: 0,
         }
     }
 }
 
-/// Longest timeouts of a run: a process that is asked to end may be killed that much and 0.7 s later.
-const LONGEST_TIMEOUTS_US: [i64; 4] = [400_000, 1_500_000, LONGEST_TIMEOUT_US, LONGEST_TIMEOUT_US];
-/// One in so many runs has a crowd of idle clients, of so many for each controller.
-const CROWDED_RUNS: f64 = 0.25;
-const CROWD: usize = 400;
+/// Longest client timeouts that runs are drawn from. A process that is asked to end may be killed
+/// after this time and 0.7 s.
+const MAX_TIMEOUTS_US: [i64; 4] = [400_000, 1_500_000, MAX_TIMEOUT_US, MAX_TIMEOUT_US];
+/// The fraction of runs that have idle clients, and their number for each controller.
+const IDLE_CLIENTS_FRACTION: f64 = 0.25;
+const MAX_IDLE_CLIENTS: usize = 400;
 
 impl Deployment {
     fn draw(rng: &mut impl Rng) -> Deployment {
-        let is_crowded = rng.random_bool(CROWDED_RUNS);
+        let has_idle_clients = rng.random_bool(IDLE_CLIENTS_FRACTION);
         Deployment {
-            longest_timeout_us: *pick(&LONGEST_TIMEOUTS_US, rng),
-            crowd: if is_crowded { CROWD } else { 0 },
+            max_timeout_us: *pick(&MAX_TIMEOUTS_US, rng),
+            max_idle_clients: if has_idle_clients {
+                MAX_IDLE_CLIENTS
+            } else {
+                0
+            },
         }
     }
 }
 
-/// A fault and when it is in force, in microseconds since the start.
+/// A fault and the span in which it is in force, in microseconds since the start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedFault {
     /// The fault.
     pub fault: Fault,
-    /// The controllers it concerns, where it concerns some of them.
+    /// The controllers that it affects, for a fault of controllers.
     pub controllers: Vec<usize>,
-    /// Picks the executor, where it concerns one: counted round among those that are up.
+    /// Selects the executor, for a fault of an executor: an index modulo the number of executors
+    /// that are up.
     pub executor_choice: usize,
     /// When it begins.
     pub from: i64,
@@ -166,7 +175,7 @@
     pub until: i64,
 }
 
-/// All faults of a run, in order of their beginnings, and its deployment.
+/// The faults of a run in the order in which they begin, and its deployment.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
     /// The faults.
@@ -176,21 +185,21 @@
 }
 
 impl Plan {
-    /// Draws the faults of a run.
+    /// Draws the faults and the deployment of a run.
     pub fn draw(seed: u64, duration: Duration, controllers: usize) -> Plan {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let deployment = Deployment::draw(&mut rng);
-        let end = duration.as_micros() as i64 - CALM_AT_END_US;
+        let end = duration.as_micros() as i64 - FINAL_CALM_US;
         let mut faults = Vec::new();
-        let mut episode_at = CALM_AT_START_US;
+        let mut episode_at = INITIAL_CALM_US;
         while episode_at < end {
-            if rng.random_bool(STALE_LIST_EPISODES) {
+            if rng.random_bool(STALE_LIST_EPISODE_FRACTION) {
                 faults.extend(stale_lists::draw(episode_at, controllers, &mut rng));
-                episode_at += EPISODE_US;
+                episode_at += EPISODE_INTERVAL_US;
                 continue;
             }
             for _ in 0..rng.random_range(2..=3) {
-                let from = episode_at + rng.random_range(0..OVERLAP_US);
+                let from = episode_at + rng.random_range(0..MAX_START_SPREAD_US);
                 let fault = draw_fault(&mut rng);
                 let until = from + draw_duration(&fault, &mut rng);
                 let controllers = draw_controllers(controllers, &mut rng);
@@ -203,14 +212,14 @@
                     until,
                 });
             }
-            episode_at += EPISODE_US;
+            episode_at += EPISODE_INTERVAL_US;
         }
         faults.sort_by_key(|fault| fault.from);
         Plan { faults, deployment }
     }
 }
 
-/// A third of the controllers, at least one.
+/// Draws about a third of the controllers, but at least one.
 fn draw_controllers(count: usize, rng: &mut impl Rng) -> Vec<usize> {
     let mut drawn: Vec<usize> = (0..count).filter(|_| rng.random_bool(1.0 / 3.0)).collect();
     if drawn.is_empty() {
@@ -240,7 +249,7 @@
         6 => Fault::Suspend,
         7..9 => Fault::Terminate,
         9 => Fault::Kill,
-        10 => Fault::Reload(rng.random_range(0..MAX_BEHIND_AFTER_RELOAD_MS)),
+        10 => Fault::Reload(rng.random_range(0..MAX_STALENESS_AFTER_RELOAD_MS)),
         11..14 => Fault::Signals(draw_signals(rng)),
         14 => Fault::ProxyDelay(rng.random_range(5..200)),
         15 => Fault::ProxySplit,
@@ -251,7 +260,7 @@
         20 => Fault::NameServiceLossy(rng.random_range(200..600)),
         21 => Fault::NameServiceBehind(
             rng.random_range(0..ADDRESSES),
-            rng.random_range(100..MAX_BEHIND_MS),
+            rng.random_range(100..MAX_STALENESS_MS),
         ),
         22 => Fault::ExecutorHang,
         23 => Fault::ExecutorReset,
@@ -286,7 +295,7 @@
     )
 }
 
-/// Errors that Linux documents for a call, and how many of a thousand calls they hit.
+/// System calls with errors that Linux documents for them, and how many in a thousand calls fail.
 const CALL_FAULTS: [(Call, &[Errno], u32); 13] = [
     (
         Call::Accept,
@@ -369,8 +378,9 @@
 }
 
 impl Fault {
-    /// Whether it concerns some of the controllers, and no executor or service.
-    pub fn concerns_controllers(&self) -> bool {
+    /// Whether the fault affects controllers or their proxies, rather than executors or the name
+    /// service.
+    pub fn affects_controllers(&self) -> bool {
         matches!(
             self,
             Fault::Call { .. }
@@ -388,7 +398,8 @@
         )
     }
 
-    /// For how long it may hold up bytes between clients and controllers, in microseconds, if it is in force for this long.
+    /// The longest time that the fault delays bytes between clients and controllers when it is in
+    /// force for `span_us`, in microseconds.
     pub fn client_delay_us(&self, span_us: i64) -> i64 {
         match self {
             Fault::ProxyDelay(ms) => micros(*ms),
@@ -398,7 +409,8 @@
         }
     }
 
-    /// Whether it keeps a controller from accepting, reading or answering while it lasts.
+    /// Whether the fault keeps a controller from accepting connections, reading or answering while
+    /// it lasts.
     pub fn holds_up_answers(&self) -> bool {
         let is_held_up = |call: &Call| {
             matches!(
@@ -409,19 +421,19 @@
         matches!(self, Fault::Call { call, .. } if is_held_up(call)) || self.client_delay_us(1) > 0
     }
 
-    /// What it does to the answers of the name service.
-    pub fn telling(&self) -> Option<TellingFault> {
+    /// The effect of the fault on the answers of the name service.
+    pub fn name_service_fault(&self) -> Option<NameServiceFault> {
         match self {
-            Fault::NameServiceSilent => Some(TellingFault::Silent),
-            Fault::NameServiceSlow(ms) => Some(TellingFault::Slow(micros(*ms))),
-            Fault::NameServiceBehind(_, ms) => Some(TellingFault::Behind(micros(*ms))),
-            Fault::NameServiceLossy(_) => Some(TellingFault::Lossy),
+            Fault::NameServiceSilent => Some(NameServiceFault::Silent),
+            Fault::NameServiceSlow(ms) => Some(NameServiceFault::Slow(micros(*ms))),
+            Fault::NameServiceBehind(_, ms) => Some(NameServiceFault::Stale(micros(*ms))),
+            Fault::NameServiceLossy(_) => Some(NameServiceFault::Lossy),
             _ => None,
         }
     }
 }
 
-/// What a request that is passed on byte by byte takes longer, in microseconds.
+/// By how much byte-by-byte forwarding delays a request, in microseconds.
 const SPLIT_DELAY_US: i64 = 100_000;
 
 fn micros(ms: u64) -> i64 {
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,4 +1,5 @@
-//! A proxy between the clients and one controller, which delays, splits, withholds and resets when told to.
+//! A proxy between the clients and one controller. It delays, splits or withholds bytes and resets
+//! connections when told to.
 
 use crate::controller::ControllerState;
 use crate::ledger::Ledger;
@@ -16,18 +17,18 @@
 const STACK_BYTES: usize = 128 << 10;
 const CHUNK_BYTES: usize = 4 << 10;
 
-/// What a proxy does to the bytes that it passes on.
+/// The faults that a proxy applies to the bytes that it forwards.
 #[derive(Debug, Default)]
 pub struct ProxyFaults {
-    /// It holds up each chunk for so many milliseconds.
+    /// Delay of each chunk in milliseconds.
     pub delay_ms: AtomicU64,
-    /// It passes bytes on one by one.
+    /// Whether bytes are forwarded one by one.
     pub splits: AtomicBool,
-    /// It passes on nothing.
+    /// Whether nothing is forwarded.
     pub withholds: AtomicBool,
 }
 
-/// Both ends of a connection that is passed on.
+/// The two sides of a forwarded connection.
 struct Pair {
     client_address: SocketAddr,
     client: TcpStream,
@@ -36,7 +37,8 @@
 }
 
 impl Pair {
-    /// Ends both sides once one has ended; those that are reset are closed without that, so that a reset is sent.
+    /// Ends both sides once one has ended. A connection that is reset is not shut down here, so
+    /// that its close sends a reset.
     fn end(&self) {
         if !self.is_reset.load(Ordering::SeqCst) {
             let _ = self.client.shutdown(Shutdown::Both);
@@ -55,15 +57,15 @@
     has_stopped: AtomicBool,
 }
 
-/// A proxy; it ends when it is dropped.
+/// A proxy that runs until it is dropped.
 pub struct Proxy {
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl Proxy {
-    /// Starts a proxy before the controller with this number and address.
+    /// Starts a proxy in front of the controller with this number and address.
     ///
     /// # Errors
     /// If it cannot listen.
@@ -90,7 +92,7 @@
         Ok(Proxy { address, shared })
     }
 
-    /// What it does to the bytes.
+    /// The faults that it applies.
     pub fn faults(&self) -> &ProxyFaults {
         &self.shared.faults
     }
@@ -98,7 +100,9 @@
     /// Resets all connections.
     pub fn reset_connections(&self) {
         for pair in self.shared.pairs().iter() {
-            self.shared.ledger.record_cut(pair.client_address);
+            self.shared
+                .ledger
+                .record_broken_connection(pair.client_address);
             pair.is_reset.store(true, Ordering::SeqCst);
             for stream in [&pair.controller, &pair.client] {
                 let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
@@ -129,11 +133,11 @@
         let shared = shared.clone();
         let _ = thread::Builder::new()
             .stack_size(STACK_BYTES)
-            .spawn(move || pass_on(client, client_address, &shared));
+            .spawn(move || forward(client, client_address, &shared));
     }
 }
 
-fn pass_on(client: TcpStream, client_address: SocketAddr, shared: &Arc<Shared>) {
+fn forward(client: TcpStream, client_address: SocketAddr, shared: &Arc<Shared>) {
     let was_accepting = shared.state.is_accepting(shared.ledger.now());
     let controller = match TcpStream::connect_timeout(&shared.controller, CONNECT_TIMEOUT) {
         Ok(controller) => controller,
@@ -142,7 +146,7 @@
             if was_accepting && shared.state.is_accepting(now) {
                 shared.ledger.records().refused.push((shared.index, now));
             }
-            shared.ledger.record_cut(client_address);
+            shared.ledger.record_broken_connection(client_address);
             return;
         }
     };
@@ -150,7 +154,7 @@
         .try_clone()
         .and_then(|c| Ok((c, controller.try_clone()?)));
     let Ok((client_copy, controller_copy)) = copies else {
-        return shared.ledger.record_cut(client_address);
+        return shared.ledger.record_broken_connection(client_address);
     };
     for stream in [&client, &controller] {
         let _ = stream.set_nonblocking(false);
@@ -163,14 +167,14 @@
         is_reset: AtomicBool::new(false),
     });
     shared.pairs().push(pair.clone());
-    let (back, for_back) = (pair.clone(), shared.clone());
+    let (reverse, reverse_shared) = (pair.clone(), shared.clone());
     let spawned = thread::Builder::new()
         .stack_size(STACK_BYTES)
         .spawn(move || {
-            copy(controller_copy, &back.client, &for_back.faults);
-            back.end();
+            forward_bytes(controller_copy, &reverse.client, &reverse_shared.faults);
+            reverse.end();
         });
-    copy(client_copy, &pair.controller, &shared.faults);
+    forward_bytes(client_copy, &pair.controller, &shared.faults);
     pair.end();
     if let Ok(handle) = spawned {
         let _ = handle.join();
@@ -178,8 +182,8 @@
     shared.pairs().retain(|other| !Arc::ptr_eq(other, &pair));
 }
 
-/// Passes bytes on until one side ends.
-fn copy(mut from: TcpStream, mut to: &TcpStream, faults: &ProxyFaults) {
+/// Forwards bytes until one side ends.
+fn forward_bytes(mut from: TcpStream, mut to: &TcpStream, faults: &ProxyFaults) {
     let mut buffer = [0; CHUNK_BYTES];
     loop {
         let length = match from.read(&mut buffer) {
@@ -192,13 +196,13 @@
         thread::sleep(Duration::from_millis(
             faults.delay_ms.load(Ordering::SeqCst),
         ));
-        let piece = if faults.splits.load(Ordering::SeqCst) {
+        let chunk_bytes = if faults.splits.load(Ordering::SeqCst) {
             1
         } else {
             CHUNK_BYTES
         };
         let sent = buffer[..length]
-            .chunks(piece)
+            .chunks(chunk_bytes)
             .try_for_each(|chunk| to.write_all(chunk));
         if sent.is_err() {
             return;
--- a/crates/soak/src/timeline.rs
+++ b/crates/soak/src/timeline.rs
@@ -1,5 +1,5 @@
-//! What led to a violation: the events of its request at both ends, the faults and process changes around it, and what the
-//! controller logged of it.
+//! The events that led to a violation: those of its request at both ends, faults and process
+//! changes around that time, and the controller's log lines about the request.
 
 use crate::controller::log_file;
 use crate::judge::{Verdict, Violation};
@@ -7,35 +7,36 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Violations that get a timeline; the others are told alone.
-const MOST_TIMELINES: usize = 20;
-/// Faults and changes so long before a violation are told, in microseconds.
-const BEFORE_US: i64 = 4_000_000;
-/// Lines of a log that are told for one request.
-const MOST_LOG_LINES: usize = 40;
+/// The largest number of violations that get a timeline; further ones are reported without one.
+const MAX_TIMELINES: usize = 20;
+/// How long before a violation faults and process changes are included, in microseconds.
+const CONTEXT_US: i64 = 4_000_000;
+/// The largest number of log lines that a timeline includes.
+const MAX_LOG_LINES: usize = 40;
 
-/// Adds a timeline to the first violations.
+/// Adds timelines to the first violations.
 pub fn attach(verdict: &mut Verdict, records: &Records, log_dir: &Path) {
-    let mut read = BTreeMap::new();
-    for violation in verdict.violations.iter_mut().take(MOST_TIMELINES) {
-        let mut events = around(violation, records);
+    let mut logs = BTreeMap::new();
+    for violation in verdict.violations.iter_mut().take(MAX_TIMELINES) {
+        let mut events = context_events(violation, records);
         events.sort();
         let mut lines: Vec<String> = events
             .into_iter()
             .map(|(at, description)| format!("{:>10.3} s  {description}", at as f64 / 1e6))
             .collect();
         if let (Some(controller), Some(id)) = (violation.controller, violation.request) {
-            let log = read.entry(controller).or_insert_with(|| {
+            let log = logs.entry(controller).or_insert_with(|| {
                 std::fs::read_to_string(log_file(log_dir, controller)).unwrap_or_default()
             });
-            lines.extend(logged(log, id));
+            lines.extend(request_log_lines(log, id));
         }
         violation.timeline = lines;
     }
 }
 
-/// Events at both ends of the request's connections, and what went on around its violation.
-fn around(violation: &Violation, records: &Records) -> Vec<(i64, String)> {
+/// The events at both ends of the request's connections, and the faults and process changes around
+/// the violation.
+fn context_events(violation: &Violation, records: &Records) -> Vec<(i64, String)> {
     let mut events = Vec::new();
     let requests = records.requests.iter();
     for request in requests.filter(|r| Some(r.id) == violation.request) {
@@ -50,7 +51,7 @@
         let description = format!("executor {executor} read it, limit {limit_us} us, ran: {ran}");
         events.push((receipt.at, description));
     }
-    let is_near = |at: i64| at >= violation.at - BEFORE_US && at <= violation.at + BEFORE_US / 4;
+    let is_near = |at: i64| at >= violation.at - CONTEXT_US && at <= violation.at + CONTEXT_US / 4;
     for event in &records.controller_events {
         if Some(event.controller) == violation.controller && is_near(event.at) {
             events.push((event.at, format!("process: {:?}", event.change)));
@@ -64,11 +65,14 @@
         events.push((event.at, description));
     }
     for fault in &records.faults {
-        let is_there = fault.controllers.is_empty()
+        let affects_controller = fault.controllers.is_empty()
             || violation
                 .controller
                 .is_some_and(|c| fault.controllers.contains(&c));
-        if is_there && fault.from <= violation.at && fault.until >= violation.at - BEFORE_US {
+        if affects_controller
+            && fault.from <= violation.at
+            && fault.until >= violation.at - CONTEXT_US
+        {
             events.push((fault.from, format!("fault begins: {}", fault.description)));
             events.push((fault.until, format!("fault ends: {}", fault.description)));
         }
@@ -76,12 +80,12 @@
     events
 }
 
-/// Lines of a log that name a request.
-fn logged(log: &str, id: RequestId) -> Vec<String> {
+/// The log lines that name a request.
+fn request_log_lines(log: &str, id: RequestId) -> Vec<String> {
     let id = id.to_string();
     log.lines()
         .filter(|line| line.contains(&id))
-        .take(MOST_LOG_LINES)
+        .take(MAX_LOG_LINES)
         .map(|line| format!("    log  {line}"))
         .collect()
 }
--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/judge.rs
@@ -1,10 +1,11 @@
-//! Each invariant by itself, on records made by hand: what keeps it is passed, what breaks it is found.
+//! Checks each invariant on hand-made records: records that satisfy it pass, and records that
+//! violate it are reported.
 
 use std::time::Duration;
 use wheelfield_soak::judge::{judge, Invariant};
 use wheelfield_soak::ledger::{
-    ControllerChange, ControllerEvent, ExecutorChange, ExecutorEvent, FaultRecord, Receipt,
-    Records, RequestEnd, RequestId, RequestRecord, TellingFault,
+    ControllerChange, ControllerEvent, ExecutorChange, ExecutorEvent, FaultRecord,
+    NameServiceFault, Receipt, Records, RequestEnd, RequestId, RequestRecord,
 };
 use wheelfield_soak::plan::{Deployment, Plan};
 use wheelfield_soak::settings::Class;
@@ -32,13 +33,13 @@
         description: String::new(),
         client_delay_us: 0,
         holds_up_answers: false,
-        telling: None,
+        name_service_fault: None,
         from,
         until,
     }
 }
 
-fn happened(records: &mut Records, change: ControllerChange, at: i64) {
+fn push_controller_event(records: &mut Records, change: ControllerChange, at: i64) {
     records.controller_events.push(ControllerEvent {
         controller: 0,
         change,
@@ -63,7 +64,7 @@
     }
 }
 
-/// The invariants that a run violates, each once.
+/// The violated invariants, without consecutive duplicates.
 fn violated(records: &Records) -> Vec<Invariant> {
     let mut found: Vec<Invariant> = judge(records)
         .violations
@@ -80,7 +81,7 @@
         let mut records = records();
         records.requests.push(RequestRecord {
             ended_at,
-            ..request(1, Class::Look, end)
+            ..request(1, Class::Repeatable, end)
         });
         records
     };
@@ -105,27 +106,28 @@
     let late = with(RequestEnd::Answered(200), 12 * SECOND);
     assert_eq!(violated(&late), [Invariant::Answer]);
     let mut twice = with(RequestEnd::Answered(200), soon);
-    twice.surplus_answers.push((RequestId::new(0, 1), soon));
+    twice.unsolicited_answers.push((RequestId::new(0, 1), soon));
     assert_eq!(violated(&twice), [Invariant::Answer]);
 }
 
 #[test]
-fn a_kill_excuses_what_was_under_way_and_a_suspension_answers_until_half_a_second_after_it() {
+fn a_kill_excuses_requests_in_progress_and_a_suspension_delays_answers_until_half_a_second_after_it(
+) {
     let mut killed = records();
     killed
         .requests
-        .push(request(1, Class::Look, RequestEnd::Lost));
-    happened(&mut killed, ControllerChange::Killed, 10 * SECOND + 40_000);
+        .push(request(1, Class::Repeatable, RequestEnd::Lost));
+    push_controller_event(&mut killed, ControllerChange::Killed, 10 * SECOND + 40_000);
     assert_eq!(violated(&killed), []);
     let suspended = |ended_at| {
         let mut records = records();
         records.requests.push(RequestRecord {
             ended_at,
-            ..request(1, Class::Look, RequestEnd::Answered(503))
+            ..request(1, Class::Repeatable, RequestEnd::Answered(503))
         });
         let (from, until) = (10 * SECOND + 10_000, 13 * SECOND);
-        happened(&mut records, ControllerChange::Suspended, from);
-        happened(&mut records, ControllerChange::Resumed, until);
+        push_controller_event(&mut records, ControllerChange::Suspended, from);
+        push_controller_event(&mut records, ControllerChange::Resumed, until);
         records
     };
     assert_eq!(violated(&suspended(13 * SECOND + 600_000)), []);
@@ -133,14 +135,15 @@
     assert_eq!(violated(&late), [Invariant::Answer]);
 }
 
-/// No answer can be given while no connection can be accepted; half a second after that it is late again.
+/// A controller that cannot accept connections cannot answer. An answer that comes more than half a
+/// second after the fault ended is late again.
 #[test]
 fn a_fault_that_holds_up_answers_excuses_them_while_it_lasts() {
     let with = |ended_at| {
         let mut records = records();
         records.requests.push(RequestRecord {
             ended_at,
-            ..request(1, Class::Look, RequestEnd::Answered(503))
+            ..request(1, Class::Repeatable, RequestEnd::Answered(503))
         });
         records.faults.push(FaultRecord {
             holds_up_answers: true,
@@ -152,20 +155,22 @@
     assert_eq!(violated(&with(14 * SECOND)), [Invariant::Answer]);
 }
 
-/// Only what can have come after the grace for requests may be lost in a shutdown, and what is rejected as overdue took two seconds.
+/// Guards against a fault that excuses too much: a shutdown may lose only requests that may have
+/// arrived after the grace period, and only requests that took two seconds to arrive may be
+/// rejected as timed out.
 #[test]
-fn bytes_that_are_held_up_excuse_what_comes_too_late_and_no_more() {
+fn delayed_bytes_excuse_only_requests_that_arrive_too_late() {
     let with = |client_delay_us, end, ended_at, terminated_at| {
         let mut records = records();
         records.requests.push(RequestRecord {
             ended_at,
-            ..request(1, Class::Look, end)
+            ..request(1, Class::Repeatable, end)
         });
         records.faults.push(FaultRecord {
             client_delay_us,
             ..fault(9 * SECOND, 13 * SECOND)
         });
-        happened(&mut records, ControllerChange::Terminated, terminated_at);
+        push_controller_event(&mut records, ControllerChange::Terminated, terminated_at);
         records
     };
     let soon = 10 * SECOND + 500_000;
@@ -193,15 +198,16 @@
     );
 }
 
-/// Idle clients that fill the descriptors may shut out new connections, and nobody else.
+/// Idle clients that exhaust the file descriptors may shut out new connections, but not those that
+/// are open.
 #[test]
-fn a_crowd_excuses_new_connections_that_are_closed() {
-    let with = |is_crowded, is_first| {
+fn idle_clients_excuse_new_connections_that_are_closed() {
+    let with = |has_idle_clients, is_first| {
         let mut records = records();
-        records.is_crowded = is_crowded;
+        records.has_idle_clients = has_idle_clients;
         records.requests.push(RequestRecord {
             is_first,
-            ..request(1, Class::Look, RequestEnd::Lost)
+            ..request(1, Class::Repeatable, RequestEnd::Lost)
         });
         violated(&records)
     };
@@ -211,10 +217,10 @@
 }
 
 #[test]
-fn what_must_run_at_most_once_runs_once() {
+fn a_request_of_class_once_does_not_run_twice() {
     for (class, expected) in [
-        (Class::Look, vec![]),
-        (Class::Load, vec![Invariant::Repeat]),
+        (Class::Repeatable, vec![]),
+        (Class::Once, vec![Invariant::Repeat]),
     ] {
         let mut records = records();
         records
@@ -231,8 +237,9 @@
     }
 }
 
-/// An executor that drains at second 9; its list is told at `told_at`, and a request is sent to it at `sent_at`.
-fn drained(told_at: i64, sent_at: i64) -> Records {
+/// An executor drains at second 9. The controller is sent the list at `list_sent_at`, and a request
+/// is sent to the executor at `sent_at`.
+fn drained(list_sent_at: i64, sent_at: i64) -> Records {
     let mut records = records();
     records.executors.push(ExecutorEvent {
         executor: 3,
@@ -240,64 +247,66 @@
         serial: 7,
         at: 9 * SECOND,
     });
-    records.told.insert((0, 8), told_at);
+    records.list_sent_at.insert((0, 8), list_sent_at);
     records.receipts.push(receipt(1, 3, sent_at));
     records
 }
 
 #[test]
-fn nothing_goes_to_an_executor_past_its_grace_after_its_drain_was_told_or_counts_as_told() {
-    let told_at = 9 * SECOND + 200_000;
-    assert_eq!(violated(&drained(told_at, 10 * SECOND + 300_000)), []);
-    let late = drained(told_at, 10 * SECOND + 400_000);
+fn no_request_goes_to_a_draining_executor_after_its_grace_period() {
+    let list_sent_at = 9 * SECOND + 200_000;
+    assert_eq!(violated(&drained(list_sent_at, 10 * SECOND + 300_000)), []);
+    let late = drained(list_sent_at, 10 * SECOND + 400_000);
     assert_eq!(violated(&late), [Invariant::Drain]);
-    // Never told: it counts as told 1.5 s after it happened.
+    // The list was never sent: the controller counts as informed 1.5 s after the change.
     let never = 90 * SECOND;
     assert_eq!(violated(&drained(never, 11 * SECOND + 600_000)), []);
     let late = drained(never, 11 * SECOND + 700_000);
     assert_eq!(violated(&late), [Invariant::Drain]);
 }
 
-/// While the name service takes for its answers what it takes; a process that was suspended has no more time than that.
+/// Delays of the name service's answers extend the time until a controller counts as informed. A
+/// controller that was suspended gets no extra time beyond them.
 #[test]
-fn faults_of_the_name_service_put_off_when_a_drain_counts_as_told() {
-    let with = |telling, span: (i64, i64), sent_at| {
+fn name_service_faults_extend_the_time_until_a_drain_counts_as_known() {
+    let with = |name_service_fault, span: (i64, i64), sent_at| {
         let mut records = drained(90 * SECOND, sent_at);
         records.faults.push(FaultRecord {
             controllers: Vec::new(),
-            telling: Some(telling),
+            name_service_fault: Some(name_service_fault),
             ..fault(span.0, span.1)
         });
         violated(&records)
     };
-    let silence = |until, sent_at| with(TellingFault::Silent, (8 * SECOND, until), sent_at);
-    // 4.5 s after the silence began, and the grace.
+    let silence = |until, sent_at| with(NameServiceFault::Silent, (8 * SECOND, until), sent_at);
+    // 4.5 s after the name service stopped answering, and the grace period.
     assert_eq!(silence(11 * SECOND, 13 * SECOND + 600_000), []);
     let late = 13 * SECOND + 700_000;
     assert_eq!(silence(11 * SECOND, late), [Invariant::Drain]);
-    // A longer one can't be heard through.
+    // A controller cannot learn of a change before a longer outage of the name service is over.
     assert_eq!(silence(14 * SECOND, 15 * SECOND + 300_000), []);
     let late = 15 * SECOND + 500_000;
     assert_eq!(silence(14 * SECOND, late), [Invariant::Drain]);
     let slow = |sent_at| {
-        let slow = TellingFault::Slow(2 * SECOND);
+        let slow = NameServiceFault::Slow(2 * SECOND);
         with(slow, (8 * SECOND, 20 * SECOND), sent_at)
     };
     assert_eq!(slow(12 * SECOND + 300_000), []);
     assert_eq!(slow(12 * SECOND + 500_000), [Invariant::Drain]);
 }
 
-/// A program that repeats its questions soon hears in time, however many answers are lost; only where the service is silent or slow as
-/// well does it take as long as that many questions.
+/// A controller that soon retries its queries gets an answer in time however many answers are lost.
+/// Only where the name service is also silent or slow is the limit extended, by the largest number
+/// of consecutive losses times the query interval.
 #[test]
-fn lost_answers_put_off_a_telling_only_with_a_silence_or_slow_answers() {
-    let with = |others: &[(TellingFault, i64, i64)], sent_at| {
+fn lost_answers_extend_the_time_only_with_a_silent_or_slow_name_service() {
+    let with = |others: &[(NameServiceFault, i64, i64)], sent_at| {
         let mut records = drained(90 * SECOND, sent_at);
-        let lossy = (TellingFault::Lossy, 8 * SECOND, 20 * SECOND);
-        for (telling, from, until) in others.iter().chain([&lossy]) {
+        let lossy = (NameServiceFault::Lossy, 8 * SECOND, 20 * SECOND);
+        for (name_service_fault, from, until) in others.iter().chain([&lossy]) {
             records.faults.push(FaultRecord {
                 controllers: Vec::new(),
-                telling: Some(*telling),
+                name_service_fault: Some(*name_service_fault),
                 ..fault(*from, *until)
             });
         }
@@ -305,23 +314,23 @@
     };
     assert_eq!(with(&[], 11 * SECOND + 600_000), []);
     assert_eq!(with(&[], 11 * SECOND + 700_000), [Invariant::Drain]);
-    // Fourteen questions of an eighth of a second after its end.
-    let silence = [(TellingFault::Silent, 8 * SECOND, 14 * SECOND)];
+    // Fourteen queries, 125 ms apart, after the outage.
+    let silence = [(NameServiceFault::Silent, 8 * SECOND, 14 * SECOND)];
     assert_eq!(with(&silence, 17 * SECOND), []);
     assert_eq!(with(&silence, 17 * SECOND + 200_000), [Invariant::Drain]);
-    // Fourteen of a quarter of a second.
-    let slow = [(TellingFault::Slow(SECOND), 8 * SECOND, 20 * SECOND)];
+    // Fourteen queries, 250 ms apart.
+    let slow = [(NameServiceFault::Slow(SECOND), 8 * SECOND, 20 * SECOND)];
     assert_eq!(with(&slow, 14 * SECOND + 800_000), []);
     assert_eq!(with(&slow, SECOND * 15), [Invariant::Drain]);
 }
 
 #[test]
-fn a_reload_puts_off_when_a_drain_counts_as_told_and_a_suspension_does_not() {
+fn a_reload_extends_the_time_until_a_drain_counts_as_known_and_a_suspension_does_not() {
     let never = 90 * SECOND;
     let with = |sent_at, changes: &[(ControllerChange, i64)]| {
         let mut records = drained(never, sent_at);
         for (change, at) in changes {
-            happened(&mut records, *change, *at);
+            push_controller_event(&mut records, *change, *at);
         }
         violated(&records)
     };
@@ -333,15 +342,16 @@
         (ControllerChange::Resumed, 12 * SECOND),
     ];
     assert_eq!(with(12 * SECOND + 1_000, &suspension), [Invariant::Drain]);
-    // It may go by the old list only where an answer takes longer than a request can wait, and until then.
+    // It may use the old list only where an answer takes longer than a request can wait, and only
+    // until the answer.
     let slow = |answer_us, sent_at| {
         let mut records = drained(never, sent_at);
         for (change, at) in suspension {
-            happened(&mut records, change, at);
+            push_controller_event(&mut records, change, at);
         }
         records.faults.push(FaultRecord {
             controllers: Vec::new(),
-            telling: Some(TellingFault::Slow(answer_us)),
+            name_service_fault: Some(NameServiceFault::Slow(answer_us)),
             ..fault(11 * SECOND, 13 * SECOND)
         });
         violated(&records)
@@ -352,10 +362,10 @@
 }
 
 #[test]
-fn attempts_begin_for_clients_that_wait_and_have_no_more_time_than_they() {
+fn attempts_begin_only_for_connected_clients_and_have_no_longer_limit() {
     let with = |end, at, limit_us| {
         let mut records = records();
-        records.requests.push(request(1, Class::Look, end));
+        records.requests.push(request(1, Class::Repeatable, end));
         records.receipts.push(Receipt {
             limit_us,
             ..receipt(1, 0, at)
@@ -370,11 +380,12 @@
     assert_eq!(violated(&with(left, at + 100_000, 900_000)), []);
     let mut long_after = with(left, at + 400_000, 400_000);
     assert_eq!(violated(&long_after), [Invariant::Departure]);
-    // A suspension is no excuse: the process can look before it acts.
-    happened(&mut long_after, ControllerChange::Suspended, at);
-    happened(&mut long_after, ControllerChange::Resumed, at + 399_000);
+    // A suspension is no excuse: the process can check for disconnected clients before it acts.
+    push_controller_event(&mut long_after, ControllerChange::Suspended, at);
+    push_controller_event(&mut long_after, ControllerChange::Resumed, at + 399_000);
     assert_eq!(violated(&long_after), [Invariant::Departure]);
-    // What the proxy holds up can't be known sooner; nor can it be later.
+    // The controller cannot learn of a disconnect while the proxy delays it, which excuses no more
+    // than that delay.
     long_after.faults.push(FaultRecord {
         client_delay_us: 200_000,
         ..fault(9 * SECOND, 12 * SECOND)
@@ -390,8 +401,9 @@
 }
 
 #[test]
-fn an_executor_in_slow_start_gets_its_bound_within_the_window() {
-    // 2.5 x 0.3 x 8 cores x 1 s / 0.2 s = 30 requests, and a margin of 2 x root of 30 + 2, growing with its age.
+fn an_executor_in_slow_start_gets_no_more_than_its_limit_within_the_window() {
+    // 2.5 x 0.3 x 8 cores x 1 s / 0.2 s = 30 requests, plus a margin of 2 x sqrt(30) + 2. The limit
+    // grows with the executor's age.
     let with = |count: u64| {
         let mut records = records();
         records.executors.push(ExecutorEvent {
@@ -400,7 +412,7 @@
             serial: 7,
             at: 9 * SECOND,
         });
-        records.told.insert((0, 7), 9 * SECOND);
+        records.list_sent_at.insert((0, 7), 9 * SECOND);
         let receipts = (1..=count).map(|n| receipt(n, 3, 9 * SECOND + 1_000));
         records.receipts.extend(receipts);
         records
@@ -410,7 +422,7 @@
 }
 
 #[test]
-fn a_process_ends_when_it_is_asked_to_and_is_ready_soon() {
+fn a_process_ends_only_when_asked_to_and_becomes_ready_soon() {
     let with = |changes: &[(ControllerChange, i64)]| {
         let mut records = records();
         let events = changes.iter().map(|(change, second)| ControllerEvent {
@@ -437,7 +449,7 @@
     );
     let slow = with(&[(Started, 0), (Ready, 11)]);
     assert_eq!(violated(&slow), [Invariant::Process]);
-    // It had less time than others, and is killed at the same time.
+    // The process had less time than others to end, but is killed at the same time.
     let mut held_up = with(&[(Started, 0), (Ready, 1), (Terminated, 5), (Overdue, 9)]);
     held_up.faults.push(FaultRecord {
         holds_up_answers: true,
@@ -452,44 +464,44 @@
 }
 
 #[test]
-fn what_the_guards_log_counts_and_what_falls_into_a_late_span_does_not() {
+fn logged_violations_count_and_violations_explained_by_a_test_delay_do_not() {
     let mut records = records();
     records.alarms.push((0, "invariant violated id=x".into()));
     assert_eq!(violated(&records), [Invariant::Guard]);
     records.alarms.clear();
     records
         .requests
-        .push(request(1, Class::Look, RequestEnd::Lost));
+        .push(request(1, Class::Repeatable, RequestEnd::Lost));
     records
-        .late_spans
+        .test_delay_spans
         .push((10 * SECOND, 10 * SECOND + 100_000));
     let verdict = judge(&records);
     assert!(verdict.violations.is_empty());
     assert_eq!(verdict.totals.not_judged, 1);
-    // An answer that is later than this test was is late all the same.
+    // An answer that is later than the delay of the test explains is a violation.
     records.requests[0] = RequestRecord {
         ended_at: 11 * SECOND + 740_000,
-        ..request(1, Class::Look, RequestEnd::Answered(200))
+        ..request(1, Class::Repeatable, RequestEnd::Answered(200))
     };
     assert!(judge(&records).violations.is_empty(), "by 90 ms");
     records.requests[0].ended_at += 20_000;
     assert_eq!(violated(&records), [Invariant::Answer], "by 110 ms");
 }
 
-/// Half of a hundred seeds and more play each of the deployments that differ.
+/// A hundred seeds draw each kind of deployment often enough.
 #[test]
-fn seeds_draw_short_and_long_deadlines_and_crowds() {
+fn seeds_draw_short_and_long_timeouts_and_idle_clients() {
     let deployments: Vec<Deployment> = (0..100)
         .map(|seed| Plan::draw(seed, Duration::from_secs(20), 4).deployment)
         .collect();
     let count = |is: &dyn Fn(&Deployment) -> bool| deployments.iter().filter(|d| is(d)).count();
-    assert!(count(&|d| d.crowd > 0) >= 10);
-    assert!(count(&|d| d.longest_timeout_us < SECOND) >= 10);
-    assert!(count(&|d| d.longest_timeout_us == 3 * SECOND) >= 25);
+    assert!(count(&|d| d.max_idle_clients > 0) >= 10);
+    assert!(count(&|d| d.max_timeout_us < SECOND) >= 10);
+    assert!(count(&|d| d.max_timeout_us == 3 * SECOND) >= 25);
 }
 
 #[test]
-fn a_seed_always_draws_the_same_plan_of_faults_that_overlap() {
+fn a_seed_always_draws_the_same_overlapping_faults() {
     let draw = |seed| Plan::draw(seed, Duration::from_secs(60), 24);
     assert_eq!(draw(1), draw(1));
     assert_ne!(draw(1), draw(2));
