--- a/crates/soak/src/judge/mod.rs
+++ b/crates/soak/src/judge/mod.rs
@@ -249,7 +249,7 @@
                 at: *at,
                 since: *at,
                 excess_us: None,
-                description: "a controller that serves refused a connect".into(),
+                description: "a serving controller refused a connection".into(),
                 timeline: Vec::new(),
             });
         }
@@ -267,7 +267,10 @@
             RequestEnd::Lost if self.arrived_after_grace(request) => None,
             RequestEnd::Lost if self.may_be_shut_out(request) => None,
             RequestEnd::Lost => violation(None, "its connection ended without an answer".into()),
-            RequestEnd::Unreadable => violation(None, "what came is no whole answer to it".into()),
+            RequestEnd::Unreadable => violation(
+                None,
+                "the response was malformed, incomplete or for another request".into(),
+            ),
             RequestEnd::Silent => violation(None, "no answer".into()),
             RequestEnd::Answered(200 | 500 | 503 | 409) => {
                 let latest_at = self.answer_due_at(request) + ANSWER_SLACK_US + SOCKET_SLACK_US;
@@ -320,8 +323,9 @@
                 let past = receipt.at - may_send_until[receipt.id.controller()];
                 if past > 0 {
                     let (executor, change) = (event.executor, event.change);
-                    let description =
-                        format!("sent {past} us past the grace of executor {executor}, {change:?}");
+                    let description = format!(
+                        "sent {past} us after the grace period of executor {executor}, {change:?}"
+                    );
                     found.push(self.violation(
                         Invariant::Drain,
                         receipt.id,
@@ -348,7 +352,7 @@
             let after = receipt.at - known_at - DISCONNECT_SLACK_US - TIMING_SLACK_US;
             if has_left && after > 0 {
                 let description =
-                    format!("attempt began {after} us too late after its client left");
+                    format!("attempt began {after} us too long after its client disconnected");
                 found.push(self.violation(
                     Invariant::Departure,
                     receipt.id,
--- a/crates/soak/src/judge/processes.rs
+++ b/crates/soak/src/judge/processes.rs
@@ -61,7 +61,7 @@
                         if !(was_overdue || was_killed || ended_well) {
                             violate(
                                 event.at,
-                                format!("ended with {code:?}, asked to: {was_asked}"),
+                                format!("exited with {code:?}, asked to end: {was_asked}"),
                             );
                         }
                     }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -70,7 +70,7 @@
 /// If the run could not be carried out.
 pub fn run_plan(options: &SoakOptions, plan: &Plan) -> Result<Verdict> {
     std::fs::create_dir_all(&options.log_dir)
-        .with_context(|| format!("cannot make {}", options.log_dir.display()))?;
+        .with_context(|| format!("cannot create {}", options.log_dir.display()))?;
     let mut cluster = Cluster::start(options, &plan.deployment)?;
     cluster.run_faults(plan, options.duration)?;
     let records = cluster.stop()?;
--- a/crates/soak/src/timeline.rs
+++ b/crates/soak/src/timeline.rs
@@ -41,7 +41,10 @@
     let requests = records.requests.iter();
     for request in requests.filter(|r| Some(r.id) == violation.request) {
         let timeout_us = request.timeout_us;
-        let sent = format!("client sent {} with {timeout_us} us", request.class.name());
+        let sent = format!(
+            "client sent {} with a timeout of {timeout_us} us",
+            request.class.name()
+        );
         events.push((request.sent_at, sent));
         events.push((request.ended_at, format!("client: {:?}", request.end)));
     }
--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/judge.rs
@@ -184,7 +184,7 @@
     assert_eq!(
         violated(&with(450_000, lost, soon, 10 * SECOND)),
         [Invariant::Answer],
-        "it came within the grace"
+        "it arrived within the grace period"
     );
     let overdue = RequestEnd::Answered(408);
     assert_eq!(violated(&with(450_000, overdue, 12 * SECOND, before)), []);
