--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -74,7 +74,7 @@
     reader: BufReader<TcpStream>,
     local: SocketAddr,
     /// Whether a request has been answered on it.
-    is_kept: bool,
+    is_reused: bool,
     /// A request that was pipelined after the one that is being answered.
     pipelined: Option<RequestId>,
     /// Whether the last response announced that the connection closes.
@@ -131,8 +131,8 @@
     fn may_send(&self) -> bool {
         let state = &self.setup.state;
         let now = self.setup.ledger.now();
-        let is_kept = self.connection.as_ref().is_some_and(|c| c.is_kept);
-        state.accepts_first_requests(now) || (is_kept && state.is_up())
+        let is_reused = self.connection.as_ref().is_some_and(|c| c.is_reused);
+        state.accepts_first_requests(now) || (is_reused && state.is_up())
     }
 
     fn draw_mode(&mut self) -> SendMode {
@@ -188,7 +188,7 @@
             let Some(connection) = &mut self.connection else {
                 return;
             };
-            let was_kept = connection.is_kept;
+            let was_reused = connection.is_reused;
             let began_at = self.setup.ledger.now();
             let sent = connection.send(&self.setup.ledger, id, class, timeout_us, mode);
             let end = match (&sent, mode) {
@@ -207,10 +207,10 @@
                 sent_at: now,
                 timeout_us,
                 is_pipelined: false,
-                is_first: !was_kept,
+                is_first: !was_reused,
             });
             let is_lost = matches!(end, RequestEnd::Lost | RequestEnd::NotSent);
-            let raced_close = is_lost && was_kept && now - sent.sent_at < CLOSE_RACE_US;
+            let raced_close = is_lost && was_reused && now - sent.sent_at < CLOSE_RACE_US;
             if raced_close && resend < MAX_RESENDS && self.setup.state.accepts_first_requests(now) {
                 self.connection = None;
                 continue;
@@ -256,7 +256,7 @@
         Some(Connection {
             reader: BufReader::new(stream),
             local,
-            is_kept: false,
+            is_reused: false,
             pipelined: None,
             is_closing: false,
         })
@@ -282,7 +282,7 @@
         if !matches!(end, RequestEnd::Answered(_)) || is_closing {
             self.connection = None;
         } else if let Some(connection) = &mut self.connection {
-            connection.is_kept = true;
+            connection.is_reused = true;
         }
         let record = RequestRecord {
             id: sent.id,
@@ -335,7 +335,7 @@
             sent_at: ledger.now(),
             timeout_us,
             is_pipelined: false,
-            is_first: !self.is_kept,
+            is_first: !self.is_reused,
         })
     }
 
--- a/crates/soak/src/cluster/faults.rs
+++ b/crates/soak/src/cluster/faults.rs
@@ -139,7 +139,7 @@
             let until = self.ledger.now();
             self.ledger.records().faults.push(FaultRecord {
                 client_delay_us: planned.fault.client_delay_us(until - from),
-                holds_up_answers: planned.fault.holds_up_answers(),
+                blocks_answers: planned.fault.blocks_answers(),
                 name_service_fault: planned.fault.name_service_fault(),
                 controllers: planned.controllers,
                 description,
--- a/crates/soak/src/judge/bounds.rs
+++ b/crates/soak/src/judge/bounds.rs
@@ -91,7 +91,7 @@
     pub(super) fn may_be_overdue(&self, controller: usize, asked_at: i64, killed_at: i64) -> bool {
         let mut faults = self.faults_within(controller, asked_at, killed_at);
         let was_suspended = self.suspended_until(controller, asked_at, killed_at);
-        was_suspended.is_some() || faults.any(|fault| fault.holds_up_answers)
+        was_suspended.is_some() || faults.any(|fault| fault.blocks_answers)
     }
 
     /// When the answer to a request is due: at the client's timeout, or at the end of the fault or
@@ -101,12 +101,12 @@
         let controller = request.id.controller();
         let due_at = request.sent_at + request.timeout_us;
         let (from, until) = (request.sent_at, request.ended_at);
-        let held_up = self.faults_within(controller, from, until);
-        let held_up_until = held_up
-            .filter(|fault| fault.holds_up_answers)
+        let blocking = self.faults_within(controller, from, until);
+        let blocked_until = blocking
+            .filter(|fault| fault.blocks_answers)
             .map(|fault| fault.until);
         let suspended_until = self.suspended_until(controller, from, until);
-        held_up_until.chain(suspended_until).fold(due_at, i64::max)
+        blocked_until.chain(suspended_until).fold(due_at, i64::max)
     }
 
     /// Whether a violation can come from a delay of the test itself, which excuses no more than its
--- a/crates/soak/src/ledger.rs
+++ b/crates/soak/src/ledger.rs
@@ -181,7 +181,7 @@
     pub client_delay_us: i64,
     /// Whether it keeps the controllers from accepting connections, reading or answering while it
     /// lasts.
-    pub holds_up_answers: bool,
+    pub blocks_answers: bool,
     /// Its effect on the answers of the name service.
     pub name_service_fault: Option<NameServiceFault>,
     /// When it began.
@@ -227,7 +227,7 @@
     started: Instant,
     records: Arc<Mutex<Records>>,
     /// Client addresses of connections that the proxy broke, or could not forward.
-    cut: Arc<Mutex<BTreeSet<SocketAddr>>>,
+    broken: Arc<Mutex<BTreeSet<SocketAddr>>>,
 }
 
 impl Ledger {
@@ -240,7 +240,7 @@
         Ledger {
             started: Instant::now(),
             records: Arc::new(Mutex::new(records)),
-            cut: Arc::default(),
+            broken: Arc::default(),
         }
     }
 
@@ -280,6 +280,6 @@
     }
 
     fn broken_connections(&self) -> MutexGuard<'_, BTreeSet<SocketAddr>> {
-        self.cut.lock().unwrap_or_else(PoisonError::into_inner)
+        self.broken.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -411,14 +411,14 @@
 
     /// Whether the fault keeps a controller from accepting connections, reading or answering while
     /// it lasts.
-    pub fn holds_up_answers(&self) -> bool {
-        let is_held_up = |call: &Call| {
+    pub fn blocks_answers(&self) -> bool {
+        let is_blocking = |call: &Call| {
             matches!(
                 call,
                 Call::Accept | Call::ReadAccepted | Call::WriteAccepted
             )
         };
-        matches!(self, Fault::Call { call, .. } if is_held_up(call)) || self.client_delay_us(1) > 0
+        matches!(self, Fault::Call { call, .. } if is_blocking(call)) || self.client_delay_us(1) > 0
     }
 
     /// The effect of the fault on the answers of the name service.
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -29,14 +29,14 @@
 }
 
 /// The two sides of a forwarded connection.
-struct Pair {
+struct ForwardedConnection {
     client_address: SocketAddr,
     client: TcpStream,
     controller: TcpStream,
     is_reset: AtomicBool,
 }
 
-impl Pair {
+impl ForwardedConnection {
     /// Ends both sides once one has ended. A connection that is reset is not shut down here, so
     /// that its close sends a reset.
     fn end(&self) {
@@ -53,7 +53,7 @@
     state: Arc<ControllerState>,
     ledger: Ledger,
     faults: ProxyFaults,
-    pairs: Mutex<Vec<Arc<Pair>>>,
+    connections: Mutex<Vec<Arc<ForwardedConnection>>>,
     has_stopped: AtomicBool,
 }
 
@@ -84,7 +84,7 @@
             state,
             ledger,
             faults: ProxyFaults::default(),
-            pairs: Mutex::default(),
+            connections: Mutex::default(),
             has_stopped: AtomicBool::new(false),
         });
         let for_listener = shared.clone();
@@ -99,12 +99,12 @@
 
     /// Resets all connections.
     pub fn reset_connections(&self) {
-        for pair in self.shared.pairs().iter() {
+        for connection in self.shared.connections().iter() {
             self.shared
                 .ledger
-                .record_broken_connection(pair.client_address);
-            pair.is_reset.store(true, Ordering::SeqCst);
-            for stream in [&pair.controller, &pair.client] {
+                .record_broken_connection(connection.client_address);
+            connection.is_reset.store(true, Ordering::SeqCst);
+            for stream in [&connection.controller, &connection.client] {
                 let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
                 let _ = stream.shutdown(Shutdown::Read);
             }
@@ -119,8 +119,10 @@
 }
 
 impl Shared {
-    fn pairs(&self) -> std::sync::MutexGuard<'_, Vec<Arc<Pair>>> {
-        self.pairs.lock().unwrap_or_else(PoisonError::into_inner)
+    fn connections(&self) -> std::sync::MutexGuard<'_, Vec<Arc<ForwardedConnection>>> {
+        self.connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -160,26 +162,28 @@
         let _ = stream.set_nonblocking(false);
         let _ = stream.set_nodelay(true);
     }
-    let pair = Arc::new(Pair {
+    let connection = Arc::new(ForwardedConnection {
         client_address,
         client,
         controller,
         is_reset: AtomicBool::new(false),
     });
-    shared.pairs().push(pair.clone());
-    let (reverse, reverse_shared) = (pair.clone(), shared.clone());
+    shared.connections().push(connection.clone());
+    let (reverse, reverse_shared) = (connection.clone(), shared.clone());
     let spawned = thread::Builder::new()
         .stack_size(STACK_BYTES)
         .spawn(move || {
             forward_bytes(controller_copy, &reverse.client, &reverse_shared.faults);
             reverse.end();
         });
-    forward_bytes(client_copy, &pair.controller, &shared.faults);
-    pair.end();
+    forward_bytes(client_copy, &connection.controller, &shared.faults);
+    connection.end();
     if let Ok(handle) = spawned {
         let _ = handle.join();
     }
-    shared.pairs().retain(|other| !Arc::ptr_eq(other, &pair));
+    shared
+        .connections()
+        .retain(|other| !Arc::ptr_eq(other, &connection));
 }
 
 /// Forwards bytes until one side ends.
--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/judge.rs
@@ -32,7 +32,7 @@
         controllers: vec![0],
         description: String::new(),
         client_delay_us: 0,
-        holds_up_answers: false,
+        blocks_answers: false,
         name_service_fault: None,
         from,
         until,
@@ -138,7 +138,7 @@
 /// A controller that cannot accept connections cannot answer. An answer that comes more than half a
 /// second after the fault ended is late again.
 #[test]
-fn a_fault_that_holds_up_answers_excuses_them_while_it_lasts() {
+fn a_fault_that_blocks_answers_excuses_late_ones_while_it_lasts() {
     let with = |ended_at| {
         let mut records = records();
         records.requests.push(RequestRecord {
@@ -146,7 +146,7 @@
             ..request(1, Class::Repeatable, RequestEnd::Answered(503))
         });
         records.faults.push(FaultRecord {
-            holds_up_answers: true,
+            blocks_answers: true,
             ..fault(10 * SECOND, 13 * SECOND)
         });
         records
@@ -450,14 +450,14 @@
     let slow = with(&[(Started, 0), (Ready, 11)]);
     assert_eq!(violated(&slow), [Invariant::Process]);
     // The process had less time than others to end, but is killed at the same time.
-    let mut held_up = with(&[(Started, 0), (Ready, 1), (Terminated, 5), (Overdue, 9)]);
-    held_up.faults.push(FaultRecord {
-        holds_up_answers: true,
+    let mut blocked = with(&[(Started, 0), (Ready, 1), (Terminated, 5), (Overdue, 9)]);
+    blocked.faults.push(FaultRecord {
+        blocks_answers: true,
         ..fault(8 * SECOND, 10 * SECOND)
     });
-    assert_eq!(violated(&held_up), []);
-    held_up.faults[0].from = 9 * SECOND + 1;
-    assert_eq!(violated(&held_up), [Invariant::Process]);
+    assert_eq!(violated(&blocked), []);
+    blocked.faults[0].from = 9 * SECOND + 1;
+    assert_eq!(violated(&blocked), [Invariant::Process]);
     use ControllerChange::{Resumed, Suspended};
     let suspended = [(Terminated, 5), (Suspended, 6), (Resumed, 7), (Overdue, 9)];
     assert_eq!(after(&suspended), []);
