--- a/crates/controller/tests/common/mod.rs
+++ b/crates/controller/tests/common/mod.rs
@@ -31,7 +31,7 @@
 
 impl Engines {
     pub fn start(count: usize) -> Engines {
-        Engines::with_setup(Setup::plain(count))
+        Engines::with_setup(Setup::with_default_engines(count))
     }
 
     pub fn with_setup(setup: Setup) -> Engines {
--- a/crates/engine-emulator/src/answer.rs
+++ b/crates/engine-emulator/src/answer.rs
@@ -39,9 +39,9 @@
         /// How many.
         count: u64,
         /// Bytes of the text of each.
-        bytes: usize,
+        text_bytes: usize,
         /// Of the name of its query: each row is marked with it.
-        of: u64,
+        query_mark: u64,
     },
     /// No rows: the tag says it all.
     Tag(String),
@@ -212,7 +212,7 @@
     let bare = sql::normalized_preserving_case(text);
     let first = bare.split_whitespace().next().unwrap_or("").to_ascii_uppercase();
     if let Some(count) = wanted.rows {
-        return Plan::Rows { count, bytes: wanted.row_bytes, of: wanted.mark() };
+        return Plan::Rows { count, text_bytes: wanted.row_bytes, query_mark: wanted.mark() };
     }
     match first.as_str() {
         "SELECT" | "VALUES" | "WITH" | "TABLE" | "EXPLAIN" => {
@@ -220,7 +220,7 @@
             let values: Option<Vec<_>> = items(list).into_iter().map(|text| item(text, declared)).collect();
             match values.filter(|_| first == "SELECT") {
                 Some(values) => Plan::Values(values),
-                None => Plan::Rows { count: 1, bytes: wanted.row_bytes, of: wanted.mark() },
+                None => Plan::Rows { count: 1, text_bytes: wanted.row_bytes, query_mark: wanted.mark() },
             }
         }
         "INSERT" => Plan::Tag("INSERT 0 1".into()),
@@ -284,9 +284,9 @@
 
 /// Whether a `DataRow` in text is row `n`, from 0, of `count` that the stand-in gives to the query of this name, where its
 /// rows have the usual length.
-pub fn is_row(message: &[u8], id: &str, n: u64, count: u64) -> bool {
+pub fn is_expected_row(message: &[u8], id: &str, n: u64, count: u64) -> bool {
     let mut expected = BytesMut::new();
-    let plan = Plan::Rows { count, bytes: ROW_BYTES, of: name_mark(id) };
+    let plan = Plan::Rows { count, text_bytes: ROW_BYTES, query_mark: name_mark(id) };
     plan.put_row(n, &Given::default(), &mut expected);
     n < count && message == &expected[..]
 }
@@ -331,22 +331,22 @@
                     .collect();
                 backend_messages::put_data_row(cells.iter().map(|c| c.as_deref()), out);
             }
-            Plan::Rows { bytes, count, of } => {
+            Plan::Rows { text_bytes, count, query_mark } => {
                 let number = match given.result(0) {
                     1 => Bytes::copy_from_slice(&(n as i64 + 1).to_be_bytes()),
                     _ => Bytes::from((n + 1).to_string()),
                 };
                 // Written by hand, as a long text must not be built twice.
                 out.put_u8(b'D');
-                out.put_i32((4 + 2 + 4 + number.len() + 4 + bytes) as i32);
+                out.put_i32((4 + 2 + 4 + number.len() + 4 + text_bytes) as i32);
                 out.put_i16(2);
                 out.put_i32(number.len() as i32);
                 out.put_slice(&number);
-                out.put_i32(*bytes as i32);
-                let mark = mark(*of, n, *count);
-                let marked = mark.len().min(*bytes);
+                out.put_i32(*text_bytes as i32);
+                let mark = mark(*query_mark, n, *count);
+                let marked = mark.len().min(*text_bytes);
                 out.put_slice(&mark[..marked]);
-                out.put_bytes(b'a' + (n % 26) as u8, bytes - marked);
+                out.put_bytes(b'a' + (n % 26) as u8, text_bytes - marked);
             }
             Plan::Tag(_) => {}
         }
--- a/crates/engine-emulator/src/stand.rs
+++ b/crates/engine-emulator/src/engine.rs
@@ -4,7 +4,7 @@
 use crate::answer::BAD_PLAN;
 use crate::model::{Happened, Job, Model};
 use crate::session::{Ask, Session};
-use crate::setup::Hosted;
+use crate::setup::HostedEngine;
 use bytes::{Buf, BytesMut};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
@@ -18,23 +18,23 @@
 
 /// What a stand-in wants done with its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Do {
-    /// Write what [`Stand::output`] holds, and tell by [`Stand::wrote`].
+pub enum EngineAction {
+    /// Write what [`EmulatedEngine::output`] holds, and tell by [`EmulatedEngine::bytes_written`].
     Write(ConnId),
     /// Read on: there is room again.
     Read(ConnId),
     /// Close it; with `true` the other side sees it break.
     Close(ConnId, bool),
     /// The process died: it listens no more.
-    Died,
+    ProcessExited,
     /// It is there again.
-    Started,
+    ProcessStarted,
 }
 
 /// A line of the journal. What is not told of its event is none.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 #[allow(missing_docs)]
-pub struct Entry {
+pub struct JournalEntry {
     pub t: i64,
     #[serde(skip_serializing_if = "String::is_empty")]
     pub engine: String,
@@ -83,7 +83,7 @@
     /// Its name.
     pub engine: String,
     /// How it is listed.
-    pub status: crate::registry::Standing,
+    pub status: crate::registry::EngineStatus,
 }
 
 /// What ails an engine.
@@ -121,7 +121,7 @@
 
 /// A stand-in engine.
 #[derive(Debug)]
-pub struct Stand {
+pub struct EmulatedEngine {
     /// Its name.
     pub name: String,
     /// Its kind, as it is listed.
@@ -142,14 +142,14 @@
     next_pid: i32,
     chance: Pcg64Mcg,
     happened: Vec<Happened>,
-    doing: Vec<Do>,
-    journal: Vec<Entry>,
+    doing: Vec<EngineAction>,
+    journal: Vec<JournalEntry>,
 }
 
-impl Stand {
+impl EmulatedEngine {
     /// An engine that is up and has seen nothing.
-    pub fn new(hosted: Hosted, now: i64, seed: u64) -> Stand {
-        Stand {
+    pub fn new(hosted: HostedEngine, now: i64, seed: u64) -> EmulatedEngine {
+        EmulatedEngine {
             name: hosted.name,
             kind: hosted.kind,
             zone: hosted.zone,
@@ -174,29 +174,29 @@
     }
 
     /// It takes queries and answers none.
-    pub fn hangs(&self) -> bool {
+    pub fn is_hung(&self) -> bool {
         self.faults.hangs
     }
 
     /// What is to be done; `into` is emptied first.
-    pub fn doings(&mut self, into: &mut Vec<Do>) {
+    pub fn take_actions(&mut self, into: &mut Vec<EngineAction>) {
         into.clear();
         std::mem::swap(&mut self.doing, into);
     }
 
     /// What was noted since the last call.
-    pub fn journal(&mut self) -> std::vec::Drain<'_, Entry> {
+    pub fn drain_journal(&mut self) -> std::vec::Drain<'_, JournalEntry> {
         self.journal.drain(..)
     }
 
-    /// When [`Stand::advance`] is next wanted.
-    pub fn next(&self) -> Option<i64> {
+    /// When [`EmulatedEngine::advance`] is next wanted.
+    pub fn next_timer_at(&self) -> Option<i64> {
         self.model.next_event()
     }
 
-    fn note(&mut self, t: i64, event: &'static str, entry: Entry) {
+    fn note(&mut self, t: i64, event: &'static str, entry: JournalEntry) {
         let engine = self.name.clone();
-        self.journal.push(Entry { t, event, engine, ..entry });
+        self.journal.push(JournalEntry { t, event, engine, ..entry });
     }
 
     // --- connections ---
@@ -219,7 +219,7 @@
     }
 
     /// Bytes that may come on a connection now; none while it hangs.
-    pub fn room(&mut self, id: ConnId) -> usize {
+    pub fn read_capacity(&mut self, id: ConnId) -> usize {
         let hangs = self.faults.hangs;
         self.connections.get_mut(id).map_or(0, |c| {
             let room = if hangs { 0 } else { INPUT.saturating_sub(c.input.len()) };
@@ -242,7 +242,7 @@
     }
 
     /// So much of it has gone.
-    pub fn wrote(&mut self, id: ConnId, n: usize, now: i64) {
+    pub fn bytes_written(&mut self, id: ConnId, n: usize, now: i64) {
         let Some(c) = self.connections.get_mut(id) else { return };
         c.output.advance(n.min(c.output.len()));
         if !c.output.is_empty() {
@@ -256,18 +256,23 @@
     }
 
     /// The other side has gone.
-    pub fn gone(&mut self, id: ConnId, now: i64) {
+    pub fn peer_closed(&mut self, id: ConnId, now: i64) {
         self.close(id, now, "client gone");
     }
 
     fn close(&mut self, id: ConnId, now: i64, why: &'static str) {
         let Some(c) = self.connections.remove(id) else { return };
         self.by_pid.remove(&c.session.secret().0);
-        self.doing.push(Do::Close(id, why == "killed"));
+        self.doing.push(EngineAction::Close(id, why == "killed"));
         if let Some(work) = c.work {
             self.jobs.remove(&work.job);
             self.model.cancel(now, work.job, &mut self.happened);
-            let entry = Entry { query: work.query, by: c.session.label, why: Some(why), ..Entry::default() };
+            let entry = JournalEntry {
+                query: work.query,
+                by: c.session.label,
+                why: Some(why),
+                ..JournalEntry::default()
+            };
             self.note(now, "dropped", entry);
             self.carry_out(now);
         }
@@ -281,10 +286,10 @@
         while self.serve(id, now) {}
         let Some(c) = self.connections.get_mut(id) else { return };
         if std::mem::take(&mut c.starved) {
-            self.doing.push(Do::Read(id));
+            self.doing.push(EngineAction::Read(id));
         }
         if !c.output.is_empty() {
-            self.doing.push(Do::Write(id));
+            self.doing.push(EngineAction::Write(id));
         } else if c.last {
             self.close(id, now, "answered");
         }
@@ -341,7 +346,7 @@
         };
         let (by, pid) = (c.session.label.clone(), c.session.secret().0);
         let query = wanted.id.clone();
-        let entry = Entry {
+        let entry = JournalEntry {
             query: query.clone(),
             class: wanted.class.clone(),
             key: wanted.key.clone(),
@@ -353,7 +358,7 @@
             zone: Some(self.zone.clone()),
             kind: Some(self.kind.clone()),
             cell: Some(self.cell),
-            ..Entry::default()
+            ..JournalEntry::default()
         };
         self.note(now, "received", entry);
         let f = self.faults;
@@ -372,7 +377,7 @@
         };
         if trouble.is_none() && job.work <= 0.0 {
             // What costs nothing needs no model.
-            self.note(now, "finished", Entry { query, by, ..Entry::default() });
+            self.note(now, "finished", JournalEntry { query, by, ..JournalEntry::default() });
             if let Some(c) = self.connections.get_mut(id) {
                 c.session.done(load, 0.0, &mut c.output);
             }
@@ -393,7 +398,7 @@
             let refused = matches!(trouble.sqlstate.as_str(), "53300" | "57P03");
             let state = Some(trouble.sqlstate.clone());
             let event = if refused { "refused" } else { "errored" };
-            self.note(now, event, Entry { query, by, state, ..Entry::default() });
+            self.note(now, event, JournalEntry { query, by, state, ..JournalEntry::default() });
             if let Some(c) = self.connections.get_mut(id) {
                 c.session.tell_load(load, None, &mut c.output);
                 c.session.failed(&trouble, &mut c.output);
@@ -413,7 +418,7 @@
         self.jobs.remove(&work.job);
         self.model.cancel(now, work.job, &mut self.happened);
         let load = self.model.load();
-        let entry = Entry { query: work.query, by, why: Some("cancelled"), ..Entry::default() };
+        let entry = JournalEntry { query: work.query, by, why: Some("cancelled"), ..JournalEntry::default() };
         self.note(now, "dropped", entry);
         if let Some(c) = self.connections.get_mut(id) {
             c.session.tell_load(load, None, &mut c.output);
@@ -440,7 +445,7 @@
         for happened in std::mem::take(&mut self.happened) {
             let job = match happened {
                 Happened::FellOver => {
-                    self.note(now, "fell_over", Entry::default());
+                    self.note(now, "fell_over", JournalEntry::default());
                     self.kill(now);
                     continue;
                 }
@@ -460,7 +465,7 @@
                 Happened::Started(_) => {
                     let (query, class) = (work.query.clone(), work.class.clone());
                     let by = c.session.label.clone();
-                    self.note(now, "started", Entry { query, class, by, ..Entry::default() });
+                    self.note(now, "started", JournalEntry { query, class, by, ..JournalEntry::default() });
                 }
                 Happened::Progress(_, share) => c.session.tell("progress", &format!("{share:.4}"), out),
                 Happened::Spills(_, mb) => c.session.tell("spills", &format!("{mb:.0}"), out),
@@ -501,7 +506,7 @@
             "whole"
         });
         let (query, by, work_ms) = (work.query, c.session.label.clone(), Some(done * 1e3));
-        self.note(now, "finished", Entry { query, by, work_ms, answer, ..Entry::default() });
+        self.note(now, "finished", JournalEntry { query, by, work_ms, answer, ..JournalEntry::default() });
     }
 
     // --- what ails it ---
@@ -511,25 +516,26 @@
         self.model.kill(now);
         self.faults = Faults::default();
         self.jobs.clear();
-        self.note(now, "killed", Entry::default());
+        self.note(now, "killed", JournalEntry::default());
         let all: Vec<ConnId> = self.connections.iter().map(|(id, _)| id).collect();
         for id in all {
             self.close(id, now, "killed");
         }
-        self.doing.push(Do::Died);
+        self.doing.push(EngineAction::ProcessExited);
     }
 
     /// Makes it ail, or well again. False if the kind is none of a process: `drain` is the list's.
-    pub fn ail(&mut self, kind: &str, value: f64, now: i64) -> bool {
-        let entry = Entry { kind: Some(kind.to_string()), value: Some(value), ..Entry::default() };
+    pub fn inject_fault(&mut self, kind: &str, value: f64, now: i64) -> bool {
+        let entry =
+            JournalEntry { kind: Some(kind.to_string()), value: Some(value), ..JournalEntry::default() };
         self.note(now, "fault", entry);
         match kind {
             "kill" => self.kill(now),
             "start" => {
-                if !self.model.up() {
+                if !self.model.is_up() {
                     self.model.start(now);
-                    self.note(now, "restarted", Entry::default());
-                    self.doing.push(Do::Started);
+                    self.note(now, "restarted", JournalEntry::default());
+                    self.doing.push(EngineAction::ProcessStarted);
                 }
             }
             "hang" => {
--- a/crates/engine-emulator/src/host.rs
+++ b/crates/engine-emulator/src/host.rs
@@ -1,9 +1,9 @@
 //! Many stand-ins in one process: their sockets, a registry that lists them, and faults on command.
 
-use crate::desk::Desk;
-use crate::registry::{Line, Registry, Standing};
+use crate::engine::{EmulatedEngine, EngineAction, JournalEntry};
+use crate::registry::{EngineStatus, Registry, RegistryEntry};
+use crate::registry_server::RegistryServer;
 use crate::setup::Setup;
-use crate::stand::{Do, Entry, Stand};
 use anyhow::{bail, Context, Result};
 use bytes::BytesMut;
 use mio::net::{TcpListener, TcpStream};
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Owner {
     Engine(usize),
-    Desk,
+    RegistryServer,
 }
 
 enum Role {
@@ -52,7 +52,7 @@
 struct Journal(Option<std::io::BufWriter<std::fs::File>>);
 
 impl Journal {
-    fn write(&mut self, entry: &Entry) {
+    fn write(&mut self, entry: &JournalEntry) {
         if let Some(out) = &mut self.0 {
             // A full disk loses lines, not queries; the reader of the log finds the gap.
             let _ = serde_json::to_writer(&mut *out, entry);
@@ -70,23 +70,23 @@
 pub struct Host {
     clock: Clock,
     poll: Poll,
-    stands: Vec<Stand>,
+    stands: Vec<EmulatedEngine>,
     addresses: Vec<SocketAddr>,
     listeners: Vec<Option<TcpListener>>,
     control: TcpListener,
-    desk: Desk,
+    desk: RegistryServer,
     desk_listener: TcpListener,
     connections: Slab<Connection>,
     by_owner: HashMap<(Owner, ConnId), usize>,
     gone: Vec<usize>,
     /// More is to be written on these in the next turn.
     later: Vec<usize>,
-    notice: i64,
-    listed_after: i64,
+    removal_delay: i64,
+    listing_delay: i64,
     /// Added to both for a while.
     stale: i64,
     journal: Journal,
-    doing: Vec<Do>,
+    doing: Vec<EngineAction>,
     scratch: Vec<u8>,
 }
 
@@ -110,16 +110,16 @@
         for (i, hosted) in setup.engines.into_iter().enumerate() {
             let listener = bind(Token(i))?;
             let address = listener.local_addr()?;
-            lines.push(Line {
+            lines.push(RegistryEntry {
                 id: hosted.name.clone(),
                 address: address.to_string(),
                 zone: hosted.zone.clone(),
                 kind: hosted.kind.clone(),
                 cell: hosted.cell,
-                status: Standing::Up,
+                status: EngineStatus::Up,
                 started_us: None,
             });
-            stands.push(Stand::new(hosted, clock.now(), seed.wrapping_mul(1_000_003) ^ i as u64));
+            stands.push(EmulatedEngine::new(hosted, clock.now(), seed.wrapping_mul(1_000_003) ^ i as u64));
             addresses.push(address);
             listeners.push(Some(listener));
         }
@@ -136,14 +136,14 @@
             addresses,
             listeners,
             control,
-            desk: Desk::new(Registry::new(lines.into_iter())),
+            desk: RegistryServer::new(Registry::new(lines.into_iter())),
             desk_listener,
             connections: Slab::new(),
             by_owner: HashMap::new(),
             gone: Vec::new(),
             later: Vec::new(),
-            notice: setup.notice,
-            listed_after: setup.listed_after,
+            removal_delay: setup.removal_delay,
+            listing_delay: setup.listing_delay,
             stale: 0,
             journal: Journal(file.map(std::io::BufWriter::new)),
             doing: Vec::new(),
@@ -171,8 +171,8 @@
         let mut events = Events::with_capacity(4096);
         while !stop.load(Ordering::Relaxed) {
             let now = self.clock.now();
-            let models = self.stands.iter().filter_map(Stand::next);
-            let next = models.chain(self.desk.next()).min().unwrap_or(i64::MAX);
+            let models = self.stands.iter().filter_map(EmulatedEngine::next_timer_at);
+            let next = models.chain(self.desk.next_timer_at()).min().unwrap_or(i64::MAX);
             // Woken now and then to look at `stop`.
             let next = if self.later.is_empty() { next } else { now };
             let wait = self.clock.until(next.min(now + 100_000));
@@ -192,7 +192,7 @@
                 self.carry_out(Owner::Engine(i))?;
             }
             self.desk.advance(now);
-            self.carry_out(Owner::Desk)?;
+            self.carry_out(Owner::RegistryServer)?;
             for id in std::mem::take(&mut self.gone) {
                 if let Some(c) = self.connections.try_remove(id) {
                     c.socket.close(self.poll.registry());
@@ -206,7 +206,7 @@
     fn on_event(&mut self, event: &mio::event::Event) -> Result<()> {
         match event.token() {
             CONTROL => self.accept(None),
-            REGISTRY => self.accept(Some(Owner::Desk)),
+            REGISTRY => self.accept(Some(Owner::RegistryServer)),
             Token(t) if t < CONNECTIONS => self.accept(Some(Owner::Engine(t))),
             Token(t) => {
                 let id = t - CONNECTIONS;
@@ -231,7 +231,7 @@
                     Some(listener) => listener.accept(),
                     None => return Ok(()),
                 },
-                Some(Owner::Desk) => self.desk_listener.accept(),
+                Some(Owner::RegistryServer) => self.desk_listener.accept(),
                 None => self.control.accept(),
             };
             let Ok((socket, _)) = accepted else { return Ok(()) };
@@ -242,7 +242,7 @@
         // More wait: the listener will not tell of them again.
         let (listener, token) = match owner {
             Some(Owner::Engine(i)) => (self.listeners[i].as_mut(), Token(i)),
-            Some(Owner::Desk) => (Some(&mut self.desk_listener), REGISTRY),
+            Some(Owner::RegistryServer) => (Some(&mut self.desk_listener), REGISTRY),
             None => (Some(&mut self.control), CONTROL),
         };
         if let Some(listener) = listener {
@@ -260,7 +260,7 @@
         }
         let conn = match owner {
             Some(Owner::Engine(i)) => Some(self.stands[i].accept()),
-            Some(Owner::Desk) => Some(self.desk.accept()),
+            Some(Owner::RegistryServer) => Some(self.desk.accept()),
             None => None,
         };
         let role = match owner.zip(conn) {
@@ -280,7 +280,7 @@
         loop {
             let Some(c) = self.connections.get_mut(id) else { return Ok(()) };
             let room = match &c.role {
-                Role::Of(Owner::Engine(i), conn) => self.stands[*i].room(*conn),
+                Role::Of(Owner::Engine(i), conn) => self.stands[*i].read_capacity(*conn),
                 _ => LONGEST_COMMAND,
             };
             let room = room.min(self.scratch.len());
@@ -290,7 +290,7 @@
             let bytes = &self.scratch[..n];
             match &mut c.role {
                 Role::Of(Owner::Engine(i), conn) if n > 0 => self.stands[*i].receive(*conn, bytes, now),
-                Role::Of(Owner::Desk, conn) if n > 0 => self.desk.receive(*conn, bytes, now),
+                Role::Of(Owner::RegistryServer, conn) if n > 0 => self.desk.receive(*conn, bytes, now),
                 Role::Control { input, .. } if n > 0 => {
                     input.extend_from_slice(bytes);
                     self.serve_control(id, now)?;
@@ -301,7 +301,7 @@
                 continue;
             }
             let hangs = matches!(&self.connections[id].role,
-                Role::Of(Owner::Engine(i), _) if self.stands[*i].hangs());
+                Role::Of(Owner::Engine(i), _) if self.stands[*i].is_hung());
             if over && !hangs {
                 self.over(id, now);
             }
@@ -312,8 +312,8 @@
     /// The other side of a connection has gone.
     fn over(&mut self, id: usize, now: i64) {
         match &self.connections[id].role {
-            Role::Of(Owner::Engine(i), conn) => self.stands[*i].gone(*conn, now),
-            Role::Of(Owner::Desk, conn) => self.desk.gone(*conn),
+            Role::Of(Owner::Engine(i), conn) => self.stands[*i].peer_closed(*conn, now),
+            Role::Of(Owner::RegistryServer, conn) => self.desk.peer_closed(*conn),
             Role::Control { .. } => self.gone.push(id),
         }
     }
@@ -325,14 +325,14 @@
             let Some(c) = self.connections.get_mut(id) else { return };
             let bytes = match &c.role {
                 Role::Of(Owner::Engine(i), conn) => self.stands[*i].output(*conn),
-                Role::Of(Owner::Desk, conn) => self.desk.output(*conn),
+                Role::Of(Owner::RegistryServer, conn) => self.desk.output(*conn),
                 Role::Control { output, .. } => &output[..],
             };
             let sent = c.socket.write(bytes);
             match (&mut c.role, sent) {
                 (_, Ok(0)) => return,
-                (Role::Of(Owner::Engine(i), conn), Ok(n)) => self.stands[*i].wrote(*conn, n, now),
-                (Role::Of(Owner::Desk, conn), Ok(n)) => self.desk.wrote(*conn, n),
+                (Role::Of(Owner::Engine(i), conn), Ok(n)) => self.stands[*i].bytes_written(*conn, n, now),
+                (Role::Of(Owner::RegistryServer, conn), Ok(n)) => self.desk.bytes_written(*conn, n),
                 (Role::Control { output, .. }, Ok(n)) => drop(output.split_to(n)),
                 (_, Err(_)) => return self.over(id, now),
             }
@@ -353,8 +353,8 @@
         loop {
             let mut doing = std::mem::take(&mut self.doing);
             match owner {
-                Owner::Engine(i) => self.stands[i].doings(&mut doing),
-                Owner::Desk => self.desk.doings(&mut doing),
+                Owner::Engine(i) => self.stands[i].take_actions(&mut doing),
+                Owner::RegistryServer => self.desk.take_actions(&mut doing),
             }
             if doing.is_empty() {
                 self.doing = doing;
@@ -363,7 +363,7 @@
             for what in doing.drain(..) {
                 let place = |host: &Host, conn: ConnId| host.by_owner.get(&(owner, conn)).copied();
                 match (what, owner) {
-                    (Do::Write(conn), _) => match place(self, conn) {
+                    (EngineAction::Write(conn), _) => match place(self, conn) {
                         // What makes rows as it is written would go on for ever.
                         Some(id) if written.contains(&id) => self.write_later(id),
                         Some(id) => {
@@ -372,12 +372,12 @@
                         }
                         None => {}
                     },
-                    (Do::Read(conn), _) => {
+                    (EngineAction::Read(conn), _) => {
                         if let Some(id) = place(self, conn) {
                             self.read(id)?;
                         }
                     }
-                    (Do::Close(conn, reset), _) => {
+                    (EngineAction::Close(conn, reset), _) => {
                         let id = self.by_owner.remove(&(owner, conn));
                         if let Some(c) = id.and_then(|id| self.connections.try_remove(id)) {
                             match reset {
@@ -386,29 +386,29 @@
                             }
                         }
                     }
-                    (Do::Died, Owner::Engine(i)) => {
+                    (EngineAction::ProcessExited, Owner::Engine(i)) => {
                         if let Some(mut listener) = self.listeners[i].take() {
                             let _ = self.poll.registry().deregister(&mut listener);
                         }
-                        let at = self.clock.now() + self.notice + self.stale;
-                        self.desk.change(at, &self.stands[i].name, Standing::Removed, None);
+                        let at = self.clock.now() + self.removal_delay + self.stale;
+                        self.desk.schedule_change(at, &self.stands[i].name, EngineStatus::Removed, None);
                     }
-                    (Do::Started, Owner::Engine(i)) => {
+                    (EngineAction::ProcessStarted, Owner::Engine(i)) => {
                         let now = self.clock.now();
                         let mut listener = listen(self.addresses[i], 4096)?;
                         self.poll.registry().register(&mut listener, Token(i), Interest::READABLE)?;
                         self.listeners[i] = Some(listener);
-                        let at = now + self.listed_after + self.stale;
-                        self.desk.change(at, &self.stands[i].name, Standing::Up, Some(now));
+                        let at = now + self.listing_delay + self.stale;
+                        self.desk.schedule_change(at, &self.stands[i].name, EngineStatus::Up, Some(now));
                     }
-                    (Do::Died | Do::Started, Owner::Desk) => {}
+                    (EngineAction::ProcessExited | EngineAction::ProcessStarted, Owner::RegistryServer) => {}
                 }
             }
             self.doing = doing;
         }
         match owner {
-            Owner::Engine(i) => self.stands[i].journal().for_each(|e| self.journal.write(&e)),
-            Owner::Desk => self.desk.journal().for_each(|e| self.journal.write(&e)),
+            Owner::Engine(i) => self.stands[i].drain_journal().for_each(|e| self.journal.write(&e)),
+            Owner::RegistryServer => self.desk.drain_journal().for_each(|e| self.journal.write(&e)),
         }
         Ok(())
     }
@@ -448,7 +448,7 @@
                 let engines: Vec<Value> = self
                     .stands
                     .iter()
-                    .map(|e| json!({"id": e.name, "up": e.model.up(), "in_hand": e.model.in_hand(), "warmth": e.model.warmth(now), "sessions": e.sessions()}))
+                    .map(|e| json!({"id": e.name, "up": e.model.is_up(), "in_hand": e.model.in_hand(), "warmth": e.model.warmth(now), "sessions": e.sessions()}))
                     .collect();
                 Ok(json!({"t": now, "version": self.desk.registry.version(), "engines": engines}).to_string())
             }
@@ -459,9 +459,9 @@
                 }
                 let ms = request.query_param("unavailable_ms").context("expected unavailable_ms=N or stale_ms=N")?;
                 let ms: i64 = ms.parse().context("unavailable_ms is no number")?;
-                self.desk.registry.unavailable(now + ms * 1000);
+                self.desk.registry.set_unavailable_until(now + ms * 1000);
                 let event = "registry_unavailable";
-                self.journal.write(&Entry { t: now, event, value: Some(ms as f64), ..Entry::default() });
+                self.journal.write(&JournalEntry { t: now, event, value: Some(ms as f64), ..JournalEntry::default() });
                 Ok("{}".into())
             }
             ("POST", "/fault") => {
@@ -473,12 +473,12 @@
                     Some(v) => v.parse::<f64>().ok().filter(|x| x.is_finite() && *x >= 0.0).context("value is no number of 0 or more")?,
                     None => 1.0,
                 };
-                if !self.stands[engine].ail(kind, value, now) {
+                if !self.stands[engine].inject_fault(kind, value, now) {
                     bail!("no fault is named `{kind}`; known: kill, start, hang, slow, errors, lose, half, full, flush, drain, shut");
                 }
                 if kind == "drain" {
-                    let standing = if value > 0.0 { Standing::Draining } else { Standing::Up };
-                    self.desk.change(now, name, standing, None);
+                    let standing = if value > 0.0 { EngineStatus::Draining } else { EngineStatus::Up };
+                    self.desk.schedule_change(now, name, standing, None);
                 }
                 self.carry_out(Owner::Engine(engine))?;
                 Ok("{}".into())
--- a/crates/engine-emulator/src/lib.rs
+++ b/crates/engine-emulator/src/lib.rs
@@ -6,10 +6,10 @@
 #![warn(missing_docs)]
 
 pub mod answer;
-pub mod desk;
+pub mod engine;
 pub mod host;
 pub mod model;
 pub mod registry;
+pub mod registry_server;
 pub mod session;
 pub mod setup;
-pub mod stand;
--- a/crates/engine-emulator/src/main.rs
+++ b/crates/engine-emulator/src/main.rs
@@ -39,7 +39,7 @@
 fn main() -> ExitCode {
     let args = Args::parse();
     let setup = match &args.config {
-        None => Ok(Setup::plain(usize::from(args.engines))),
+        None => Ok(Setup::with_default_engines(usize::from(args.engines))),
         Some(path) => std::fs::read_to_string(path)
             .with_context(|| format!("cannot read {}", path.display()))
             .and_then(|text| Ok(Setup::parse(&path.display().to_string(), &text)?)),
--- a/crates/engine-emulator/src/model.rs
+++ b/crates/engine-emulator/src/model.rs
@@ -302,7 +302,7 @@
     }
 
     /// Whether it runs.
-    pub fn up(&self) -> bool {
+    pub fn is_up(&self) -> bool {
         !self.down
     }
 
--- a/crates/engine-emulator/src/registry.rs
+++ b/crates/engine-emulator/src/registry.rs
@@ -7,7 +7,7 @@
 /// Whether an engine takes work, as the registry knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Standing {
+pub enum EngineStatus {
     /// It does.
     Up,
     /// It finishes what it has.
@@ -18,7 +18,7 @@
 
 /// A line of the list.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Line {
+pub struct RegistryEntry {
     /// Its name.
     pub id: String,
     /// Where it listens.
@@ -30,7 +30,7 @@
     /// Its cell.
     pub cell: i64,
     /// Whether it takes work.
-    pub status: Standing,
+    pub status: EngineStatus,
     /// When it started, in microseconds of the registry's clock, where that is recent.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub started_us: Option<i64>,
@@ -41,7 +41,7 @@
 struct Coming {
     number: u64,
     id: String,
-    standing: Standing,
+    standing: EngineStatus,
     started: Option<i64>,
 }
 
@@ -49,7 +49,7 @@
 #[derive(Debug, Default)]
 pub struct Registry {
     version: u64,
-    lines: BTreeMap<String, Line>,
+    lines: BTreeMap<String, RegistryEntry>,
     coming: Timers<Coming>,
     /// The number of the last change that named each engine's start.
     starts: BTreeMap<String, u64>,
@@ -59,7 +59,7 @@
 
 impl Registry {
     /// A list at its first version.
-    pub fn new(lines: impl Iterator<Item = Line>) -> Registry {
+    pub fn new(lines: impl Iterator<Item = RegistryEntry>) -> Registry {
         let lines = lines.map(|line| (line.id.clone(), line)).collect();
         Registry { version: 1, lines, ..Registry::default() }
     }
@@ -71,13 +71,13 @@
 
     /// An engine changes; the list will say so at a time. Changes count in the order in which they happen, not in which they
     /// are heard of: the death of a process that is noticed after the next one has registered takes that one off no list.
-    pub fn change(&mut self, at: i64, id: &str, standing: Standing, started: Option<i64>) {
+    pub fn schedule_change(&mut self, at: i64, id: &str, standing: EngineStatus, started: Option<i64>) {
         self.changes += 1;
         self.coming.set(at, Coming { number: self.changes, id: id.to_string(), standing, started });
     }
 
     /// Nobody is answered until a time.
-    pub fn unavailable(&mut self, until: i64) {
+    pub fn set_unavailable_until(&mut self, until: i64) {
         self.unavailable_until = until;
     }
 
@@ -87,7 +87,7 @@
     }
 
     /// When something changes next.
-    pub fn next(&self) -> Option<i64> {
+    pub fn next_timer_at(&self) -> Option<i64> {
         self.coming.next_at()
     }
 
@@ -113,15 +113,15 @@
         #[derive(Serialize)]
         struct List<'a> {
             version: u64,
-            engines: Vec<&'a Line>,
+            engines: Vec<&'a RegistryEntry>,
         }
         let list = List { version: self.version, engines: self.lines.values().collect() };
         serde_json::to_string(&list).unwrap_or_default()
     }
 
     /// Engines that take no work, as told.
-    pub fn not_up(&self) -> Vec<(&str, Standing)> {
-        let all = self.lines.values().filter(|l| l.status != Standing::Up);
+    pub fn not_up(&self) -> Vec<(&str, EngineStatus)> {
+        let all = self.lines.values().filter(|l| l.status != EngineStatus::Up);
         all.map(|l| (l.id.as_str(), l.status)).collect()
     }
 }
@@ -132,28 +132,28 @@
 
     #[test]
     fn it_tells_late_and_in_order() {
-        let line = Line {
+        let line = RegistryEntry {
             id: "e".into(),
             address: "127.0.0.1:1".into(),
             zone: String::new(),
             kind: "std".into(),
             cell: 0,
-            status: Standing::Up,
+            status: EngineStatus::Up,
             started_us: None,
         };
         let mut registry = Registry::new([line].into_iter());
-        registry.change(2_000, "e", Standing::Up, Some(1_500));
-        registry.change(1_000, "e", Standing::Removed, None);
+        registry.schedule_change(2_000, "e", EngineStatus::Up, Some(1_500));
+        registry.schedule_change(1_000, "e", EngineStatus::Removed, None);
         assert!(!registry.advance(999));
         assert!(registry.advance(1_000));
-        assert_eq!(registry.not_up(), [("e", Standing::Removed)]);
+        assert_eq!(registry.not_up(), [("e", EngineStatus::Removed)]);
         assert!(registry.advance(5_000) && registry.not_up().is_empty());
         assert!(registry.list().contains("\"started_us\":1500"));
         // A process dies and the next one starts at once: its death is noticed last, and means nothing any more.
-        registry.change(9_000, "e", Standing::Removed, None);
-        registry.change(6_000, "e", Standing::Up, Some(5_900));
+        registry.schedule_change(9_000, "e", EngineStatus::Removed, None);
+        registry.schedule_change(6_000, "e", EngineStatus::Up, Some(5_900));
         assert!(registry.advance(6_000) && !registry.advance(9_000) && registry.not_up().is_empty());
-        registry.unavailable(9_000);
+        registry.set_unavailable_until(9_000);
         assert!(!registry.available(8_999) && registry.available(9_000));
     }
 }
--- a/crates/engine-emulator/src/desk.rs
+++ b/crates/engine-emulator/src/registry_server.rs
@@ -1,7 +1,7 @@
 //! The registry's HTTP face without sockets: calls are answered at once, or wait for a change.
 
-use crate::registry::{Registry, Standing};
-use crate::stand::{Do, Entry, NotUp};
+use crate::engine::{EngineAction, JournalEntry, NotUp};
+use crate::registry::{EngineStatus, Registry};
 use bytes::{Buf, BytesMut};
 use wheelfield_sans_io::{http, ConnId, ConnectionTable};
 
@@ -19,35 +19,35 @@
 
 /// The registry's calls.
 #[derive(Debug)]
-pub struct Desk {
+pub struct RegistryServer {
     /// The list.
     pub registry: Registry,
     calls: ConnectionTable<Call>,
-    doing: Vec<Do>,
-    journal: Vec<Entry>,
+    doing: Vec<EngineAction>,
+    journal: Vec<JournalEntry>,
 }
 
-impl Desk {
+impl RegistryServer {
     /// A desk that tells this list.
-    pub fn new(registry: Registry) -> Desk {
-        Desk { registry, calls: ConnectionTable::new(1), doing: Vec::new(), journal: Vec::new() }
+    pub fn new(registry: Registry) -> RegistryServer {
+        RegistryServer { registry, calls: ConnectionTable::new(1), doing: Vec::new(), journal: Vec::new() }
     }
 
     /// What is to be done; `into` is emptied first.
-    pub fn doings(&mut self, into: &mut Vec<Do>) {
+    pub fn take_actions(&mut self, into: &mut Vec<EngineAction>) {
         into.clear();
         std::mem::swap(&mut self.doing, into);
     }
 
     /// Who was told what since the last call.
-    pub fn journal(&mut self) -> std::vec::Drain<'_, Entry> {
+    pub fn drain_journal(&mut self) -> std::vec::Drain<'_, JournalEntry> {
         self.journal.drain(..)
     }
 
-    /// When [`Desk::advance`] is next wanted.
-    pub fn next(&self) -> Option<i64> {
+    /// When [`RegistryServer::advance`] is next wanted.
+    pub fn next_timer_at(&self) -> Option<i64> {
         let ends = self.calls.iter().filter_map(|(_, c)| c.waits.as_ref().map(|(_, end, _)| *end));
-        ends.chain(self.registry.next()).min()
+        ends.chain(self.registry.next_timer_at()).min()
     }
 
     /// Somebody has connected.
@@ -61,18 +61,18 @@
     }
 
     /// So much of it has gone.
-    pub fn wrote(&mut self, id: ConnId, n: usize) {
+    pub fn bytes_written(&mut self, id: ConnId, n: usize) {
         let Some(c) = self.calls.get_mut(id) else { return };
         c.output.advance(n.min(c.output.len()));
         if c.output.is_empty() && c.last {
-            self.gone(id);
+            self.peer_closed(id);
         }
     }
 
     /// The other side has gone, or is to be closed.
-    pub fn gone(&mut self, id: ConnId) {
+    pub fn peer_closed(&mut self, id: ConnId) {
         if self.calls.remove(id).is_some() {
-            self.doing.push(Do::Close(id, false));
+            self.doing.push(EngineAction::Close(id, false));
         }
     }
 
@@ -119,18 +119,25 @@
     fn put(&mut self, id: ConnId, status: u16, kind: &str, body: &[u8]) {
         if let Some(c) = self.calls.get_mut(id) {
             http::write_response(status, kind, body, &mut c.output);
-            self.doing.push(Do::Write(id));
+            self.doing.push(EngineAction::Write(id));
         }
     }
 
     fn tell(&mut self, id: ConnId, who: String, now: i64) {
         let list = self.registry.list();
         self.put(id, 200, "application/json", list.as_bytes());
-        let line = |(id, status): (&str, Standing)| NotUp { engine: id.to_string(), status };
+        let line = |(id, status): (&str, EngineStatus)| NotUp { engine: id.to_string(), status };
         let not_up = self.registry.not_up().into_iter().map(line).collect();
         let version = Some(self.registry.version());
         let (who, not_up) = (Some(who), Some(not_up));
-        self.journal.push(Entry { t: now, event: "told", who, version, not_up, ..Entry::default() });
+        self.journal.push(JournalEntry {
+            t: now,
+            event: "told",
+            who,
+            version,
+            not_up,
+            ..JournalEntry::default()
+        });
     }
 
     /// Lets the time pass: changes become known, waits end.
@@ -157,7 +164,7 @@
     }
 
     /// An engine's standing as its own process changes it, and when the list will say so.
-    pub fn change(&mut self, at: i64, id: &str, standing: Standing, started: Option<i64>) {
-        self.registry.change(at, id, standing, started);
+    pub fn schedule_change(&mut self, at: i64, id: &str, standing: EngineStatus, started: Option<i64>) {
+        self.registry.schedule_change(at, id, standing, started);
     }
 }
--- a/crates/engine-emulator/src/setup.rs
+++ b/crates/engine-emulator/src/setup.rs
@@ -8,7 +8,7 @@
 
 /// An engine to be hosted.
 #[derive(Clone, Debug)]
-pub struct Hosted {
+pub struct HostedEngine {
     /// Its name.
     pub name: String,
     /// The name of its kind.
@@ -25,11 +25,11 @@
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// The engines.
-    pub engines: Vec<Hosted>,
+    pub engines: Vec<HostedEngine>,
     /// A process that died is listed as gone so much later, in microseconds,
-    pub notice: i64,
+    pub removal_delay: i64,
     /// and one that started is listed so much later.
-    pub listed_after: i64,
+    pub listing_delay: i64,
 }
 
 #[derive(Deserialize)]
@@ -90,15 +90,15 @@
 
 impl Setup {
     /// So many engines of the usual kind, in zone `a`.
-    pub fn plain(n: usize) -> Setup {
-        let engine = |i: usize| Hosted {
+    pub fn with_default_engines(n: usize) -> Setup {
+        let engine = |i: usize| HostedEngine {
             name: format!("engine-{i:02}"),
             kind: "std".into(),
             zone: "a".into(),
             cell: i as i64 / 4,
             spec: Spec::default(),
         };
-        Setup { engines: (1..=n).map(engine).collect(), notice: 1_000_000, listed_after: 200_000 }
+        Setup { engines: (1..=n).map(engine).collect(), removal_delay: 1_000_000, listing_delay: 200_000 }
     }
 
     /// Reads a file.
@@ -157,7 +157,7 @@
             let listed = kind.listed_as.unwrap_or_else(|| kind.name.clone());
             kinds.insert(kind.name, (listed, spec));
         }
-        let mut engines: Vec<Hosted> = Vec::new();
+        let mut engines: Vec<HostedEngine> = Vec::new();
         for e in file.engines {
             let Some((listed, spec)) = kinds.get(&e.kind) else {
                 let known: Vec<&str> = kinds.keys().map(String::as_str).collect();
@@ -179,7 +179,7 @@
                     "rename one",
                 ));
             }
-            engines.push(Hosted {
+            engines.push(HostedEngine {
                 name: e.id,
                 kind: listed.clone(),
                 zone: e.zone,
@@ -190,9 +190,9 @@
         if engines.is_empty() {
             return Err(ConfigError::at(name, text, 0, "no engine is named", "add [[engines]]"));
         }
-        let notice = file.registry.notice.map_or(1_000_000, |t| t.0 .0);
-        let listed_after = file.registry.listed_after.map_or(200_000, |t| t.0 .0);
-        Ok(Setup { engines, notice, listed_after })
+        let removal_delay = file.registry.notice.map_or(1_000_000, |t| t.0 .0);
+        let listing_delay = file.registry.listed_after.map_or(200_000, |t| t.0 .0);
+        Ok(Setup { engines, removal_delay, listing_delay })
     }
 }
 
--- a/crates/engine-emulator/tests/model.rs
+++ b/crates/engine-emulator/tests/model.rs
@@ -130,9 +130,9 @@
         assert!(model.submit(0, job(id, 0.5), &mut out).is_ok());
     }
     assert!(model.submit(0, job(9, 0.5), &mut out).is_err());
-    assert!(out.contains(&Happened::FellOver) && !model.up());
+    assert!(out.contains(&Happened::FellOver) && !model.is_up());
     model.start(1);
-    assert!(model.up());
+    assert!(model.is_up());
 }
 
 #[test]
--- a/crates/load/tests/sockets.rs
+++ b/crates/load/tests/sockets.rs
@@ -19,7 +19,7 @@
 
 impl Stand {
     fn open(engines: usize) -> Stand {
-        let mut host = Host::open(Setup::plain(engines), None, 1).expect("stand-ins");
+        let mut host = Host::open(Setup::with_default_engines(engines), None, 1).expect("stand-ins");
         let told = host.addresses();
         let addresses = told["engines"]
             .as_array()
--- a/crates/pg-gateway/tests/common/mod.rs
+++ b/crates/pg-gateway/tests/common/mod.rs
@@ -5,8 +5,8 @@
 use bytes::{BufMut as _, BytesMut};
 use std::collections::HashMap;
 use wheelfield_driver::{Driver, DriverLimits};
+use wheelfield_engine_emulator::engine::{EmulatedEngine, EngineAction};
 use wheelfield_engine_emulator::setup::Setup;
-use wheelfield_engine_emulator::stand::{Do, Stand};
 use wheelfield_pg::frontend_messages;
 use wheelfield_pg_gateway::{Effect, GatewayEvent, Listener, PgGateway, PgGatewayOptions};
 use wheelfield_sans_io::ConnId;
@@ -60,7 +60,7 @@
 
 pub struct Harness {
     pub gateway: PgGateway,
-    pub engine: Stand,
+    pub engine: EmulatedEngine,
     pub now: i64,
     /// Maximum number of bytes of a read or write.
     pub chunk_size: usize,
@@ -97,10 +97,10 @@
 impl Harness {
     pub fn new(chunk_size: usize) -> Harness {
         let now = 1_000_000;
-        let hosted_engine = Setup::plain(1).engines.remove(0);
+        let hosted_engine = Setup::with_default_engines(1).engines.remove(0);
         let mut harness = Harness {
             gateway: new_gateway(now),
-            engine: Stand::new(hosted_engine, now, 1),
+            engine: EmulatedEngine::new(hosted_engine, now, 1),
             now,
             chunk_size,
             steps: Vec::new(),
@@ -161,7 +161,7 @@
         for _ in 0..100_000 {
             self.steps.push((self.now, Step::TakeEffects));
             self.gateway.take_effects(&mut effects);
-            self.engine.doings(&mut actions);
+            self.engine.take_actions(&mut actions);
             if effects.is_empty() && actions.is_empty() {
                 return;
             }
@@ -183,7 +183,7 @@
                         self.closed.push(id);
                         if let Some(engine_connection) = self.engine_connections.remove(&id) {
                             self.gateway_connections.remove(&engine_connection);
-                            self.engine.gone(engine_connection, self.now);
+                            self.engine.peer_closed(engine_connection, self.now);
                         }
                     }
                     Effect::StopListening => {
@@ -199,8 +199,8 @@
             }
             for action in actions.drain(..) {
                 match action {
-                    Do::Write(engine_connection) => self.read_engine(engine_connection),
-                    Do::Close(engine_connection, _) => {
+                    EngineAction::Write(engine_connection) => self.read_engine(engine_connection),
+                    EngineAction::Close(engine_connection, _) => {
                         if let Some(id) = self.gateway_connections.remove(&engine_connection) {
                             self.engine_connections.remove(&id);
                             self.apply_step(Step::PeerClosed(id));
@@ -237,7 +237,7 @@
                 return;
             }
             let bytes = self.engine.output(engine_connection)[..count].to_vec();
-            self.engine.wrote(engine_connection, count, self.now);
+            self.engine.bytes_written(engine_connection, count, self.now);
             self.apply_step(Step::Received(id, bytes));
         }
     }
@@ -246,7 +246,8 @@
     pub fn advance(&mut self, us: i64) {
         let end = self.now + us;
         while self.now < end {
-            let next = [self.gateway.next_timer_at(), self.engine.next()].into_iter().flatten().min();
+            let next =
+                [self.gateway.next_timer_at(), self.engine.next_timer_at()].into_iter().flatten().min();
             self.now = next.unwrap_or(end).clamp(self.now + 1, end);
             self.engine.advance(self.now);
             self.apply_step(Step::Timers);
--- a/crates/testbed/src/people.rs
+++ b/crates/testbed/src/people.rs
@@ -375,7 +375,7 @@
         match tag {
             b'T' => tried.is_wrong(rows == 0 || !described(message), "a description of something else"),
             b'D' => {
-                let right = answer::is_row(message, &tried.id, tried.rows, rows);
+                let right = answer::is_expected_row(message, &tried.id, tried.rows, rows);
                 tried.is_wrong(!right, "a row that answers another query, or is out of turn");
                 tried.rows += 1;
             }
@@ -532,7 +532,7 @@
 fn described(message: &[u8]) -> bool {
     let mut expected = BytesMut::new();
     backend_messages::put_row_description(
-        &answer::Plan::Rows { count: 0, bytes: 0, of: 0 }.columns(),
+        &answer::Plan::Rows { count: 0, text_bytes: 0, query_mark: 0 }.columns(),
         &[],
         &mut expected,
     );
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -26,10 +26,10 @@
 use wheelfield_driver::{Driver, DriverLimits};
 use wheelfield_endpoints::tracker::parse_registry_list;
 use wheelfield_endpoints::EngineSet;
-use wheelfield_engine_emulator::desk::Desk;
-use wheelfield_engine_emulator::registry::{Line as Listed, Registry, Standing};
+use wheelfield_engine_emulator::engine::EmulatedEngine;
+use wheelfield_engine_emulator::registry::{EngineStatus, Registry, RegistryEntry as Listed};
+use wheelfield_engine_emulator::registry_server::RegistryServer;
 use wheelfield_engine_emulator::setup::Setup;
-use wheelfield_engine_emulator::stand::Stand;
 use wheelfield_gossip::authentication::Keys;
 use wheelfield_invariants::{ClientOutcome, HistoryEvent, ProcessLifetime, UnavailableEngine};
 use wheelfield_network_faults::LinkEmulator;
@@ -108,7 +108,7 @@
     people: People<'a>,
     /// Requests to cancel of clients that wait for their connection.
     raw: ConnectionTable<Bytes>,
-    stands: Vec<Stand>,
+    stands: Vec<EmulatedEngine>,
     by_address: HashMap<SocketAddr, Proc>,
     gates: Vec<Option<PgGateway>>,
     /// Processes that each controller has had.
@@ -119,7 +119,7 @@
     /// A controller that is being told of much at once.
     batch: Option<usize>,
     log: Vec<HistoryEvent>,
-    desk: Desk,
+    desk: RegistryServer,
     stale: i64,
     set: EngineSet,
     chance: Pcg64Mcg,
@@ -240,13 +240,13 @@
         let config = day.checked()?;
         let setup = Setup::parse("generated", &day.stand_ins(&config.settings, &plan.engines))?;
         let address = |i: usize| format!("127.{}.{}.1:5432", 1 + i / 250, 1 + i % 250);
-        let line = |(i, h): (usize, &wheelfield_engine_emulator::setup::Hosted)| Listed {
+        let line = |(i, h): (usize, &wheelfield_engine_emulator::setup::HostedEngine)| Listed {
             id: h.name.clone(),
             address: address(i),
             zone: h.zone.clone(),
             kind: h.kind.clone(),
             cell: h.cell,
-            status: Standing::Up,
+            status: EngineStatus::Up,
             started_us: None,
         };
         let registry = Registry::new(setup.engines.iter().enumerate().map(line));
@@ -257,8 +257,8 @@
             by_address.extend(address(i).parse().ok().map(|a| (a, Proc::Engine(i))));
         }
         by_address.extend(config.registry.map(|r| (r.address, Proc::Desk)));
-        let stand = |(i, h): (usize, &wheelfield_engine_emulator::setup::Hosted)| {
-            Stand::new(h.clone(), START, seed ^ 0x656e_6769_6e65 ^ (i as u64) << 32)
+        let stand = |(i, h): (usize, &wheelfield_engine_emulator::setup::HostedEngine)| {
+            EmulatedEngine::new(h.clone(), START, seed ^ 0x656e_6769_6e65 ^ (i as u64) << 32)
         };
         let stands = setup.engines.iter().enumerate().map(stand).collect();
         let n = day.controllers;
@@ -292,7 +292,7 @@
             stalled: (0..n).map(|_| None).collect(),
             batch: None,
             log: Vec::new(),
-            desk: Desk::new(registry),
+            desk: RegistryServer::new(registry),
             stale: 0,
             set,
             chance: Pcg64Mcg::seed_from_u64(seed ^ 0x776f_726c_6400),
@@ -415,10 +415,10 @@
         let plan = self.plan;
         match &plan.acts[i].1 {
             Act::Fault { engine, kind, value } => {
-                self.stands[*engine].ail(kind, *value, self.now);
+                self.stands[*engine].inject_fault(kind, *value, self.now);
                 let drains = match *kind {
-                    "drain" if *value > 0.0 => Some((Status::Draining, Standing::Draining)),
-                    "drain" => Some((Status::Up, Standing::Up)),
+                    "drain" if *value > 0.0 => Some((Status::Draining, EngineStatus::Draining)),
+                    "drain" => Some((Status::Up, EngineStatus::Up)),
                     _ => None,
                 };
                 if self.day.registry.files {
@@ -428,12 +428,12 @@
                         _ => {}
                     }
                 } else if let Some((_, standing)) = drains {
-                    self.desk.change(self.now, &self.stands[*engine].name, standing, None);
+                    self.desk.schedule_change(self.now, &self.stands[*engine].name, standing, None);
                 }
                 self.after(Proc::Engine(*engine));
                 self.after(Proc::Desk);
             }
-            Act::RegistryDown(ms) => self.desk.registry.unavailable(self.now + ms * 1000),
+            Act::RegistryDown(ms) => self.desk.registry.set_unavailable_until(self.now + ms * 1000),
             Act::RegistryStale(ms) => self.stale = ms * 1000,
             Act::KillController(c) => self.kill(*c),
             Act::StartController(c) => {
--- a/crates/testbed/src/virtual_time/procs.rs
+++ b/crates/testbed/src/virtual_time/procs.rs
@@ -7,16 +7,16 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use wheelfield_endpoints::EngineFileEvent;
-use wheelfield_engine_emulator::registry::Standing;
-use wheelfield_engine_emulator::stand::{Do, Entry};
+use wheelfield_engine_emulator::engine::{EngineAction, JournalEntry};
+use wheelfield_engine_emulator::registry::EngineStatus;
 use wheelfield_invariants::{HistoryEvent, UnavailableEngine};
 use wheelfield_network_faults::Delivery;
 use wheelfield_pg_gateway::{DatagramSocket, Effect, GatewayEvent, Listener};
 use wheelfield_sans_io::{ConnId, FailureCause, IoEvent, Protocol as _};
 
 /// A line of a stand-in's journal as the judge reads it.
-fn line_of(e: Entry) -> HistoryEvent {
-    let status = |s: Standing| if s == Standing::Draining { "draining" } else { "removed" };
+fn line_of(e: JournalEntry) -> HistoryEvent {
+    let status = |s: EngineStatus| if s == EngineStatus::Draining { "draining" } else { "removed" };
     let not_up = e.not_up.unwrap_or_default().into_iter();
     HistoryEvent {
         at: e.t,
@@ -74,7 +74,7 @@
             Passing::Syn(link) => {
                 let listens = match self.net.owner((link, 1)) {
                     Some((Proc::Controller(c), _)) => self.gates[c].is_some(),
-                    Some((Proc::Engine(e), _)) => self.stands[e].model.up(),
+                    Some((Proc::Engine(e), _)) => self.stands[e].model.is_up(),
                     other => other.is_some(),
                 };
                 if listens {
@@ -155,9 +155,9 @@
         let now = self.now;
         let Some((proc, Some(id))) = self.net.owner(at) else { return };
         if let Proc::Engine(e) = proc {
-            if self.stands[e].hangs() {
+            if self.stands[e].is_hung() {
                 // It is told to read on when it goes on.
-                self.stands[e].room(id);
+                self.stands[e].read_capacity(id);
                 return;
             }
         }
@@ -175,7 +175,7 @@
         loop {
             let room = match proc {
                 Proc::Controller(c) => self.gates[c].as_mut().map_or(0, |g| g.read_capacity(id)),
-                Proc::Engine(e) => self.stands[e].room(id),
+                Proc::Engine(e) => self.stands[e].read_capacity(id),
                 Proc::Desk | Proc::People => usize::MAX,
             };
             match self.net.read(now, at, room) {
@@ -225,8 +225,8 @@
                     gate.handle(now, GatewayEvent::Io(broken));
                 }
             }
-            Proc::Engine(e) => self.stands[e].gone(id, now),
-            Proc::Desk => self.desk.gone(id),
+            Proc::Engine(e) => self.stands[e].peer_closed(id, now),
+            Proc::Desk => self.desk.peer_closed(id),
             Proc::People if id.owner() == 2 => {
                 self.raw.remove(id);
                 self.net.close(now, proc, id, false);
@@ -258,8 +258,8 @@
                             gate.bytes_written(now, id, n);
                         }
                     }
-                    Proc::Engine(e) => self.stands[e].wrote(id, n, now),
-                    Proc::Desk => self.desk.wrote(id, n),
+                    Proc::Engine(e) => self.stands[e].bytes_written(id, n, now),
+                    Proc::Desk => self.desk.bytes_written(id, n),
                     Proc::People => self.people.wrote(id, n),
                 },
             }
@@ -374,55 +374,55 @@
         let (now, proc) = (self.now, Proc::Engine(e));
         let mut doing = Vec::new();
         loop {
-            self.stands[e].doings(&mut doing);
+            self.stands[e].take_actions(&mut doing);
             if doing.is_empty() {
                 break;
             }
             for what in doing.drain(..) {
                 match what {
-                    Do::Write(id) => self.write(proc, id),
-                    Do::Read(id) => {
+                    EngineAction::Write(id) => self.write(proc, id),
+                    EngineAction::Read(id) => {
                         if let Some(at) = self.net.end_of(proc, id) {
                             self.deliver(at);
                         }
                     }
-                    Do::Close(id, reset) => self.net.close(now, proc, id, reset),
-                    Do::Died => {
+                    EngineAction::Close(id, reset) => self.net.close(now, proc, id, reset),
+                    EngineAction::ProcessExited => {
                         self.net.kill(now, proc);
-                        let at = now + self.setup.notice + self.stale;
-                        self.desk.change(at, &self.stands[e].name, Standing::Removed, None);
+                        let at = now + self.setup.removal_delay + self.stale;
+                        self.desk.schedule_change(at, &self.stands[e].name, EngineStatus::Removed, None);
                         self.after(Proc::Desk);
                     }
-                    Do::Started => {
-                        let at = now + self.setup.listed_after + self.stale;
-                        self.desk.change(at, &self.stands[e].name, Standing::Up, Some(now));
+                    EngineAction::ProcessStarted => {
+                        let at = now + self.setup.listing_delay + self.stale;
+                        self.desk.schedule_change(at, &self.stands[e].name, EngineStatus::Up, Some(now));
                         self.after(Proc::Desk);
                     }
                 }
             }
         }
-        self.log.extend(self.stands[e].journal().map(line_of));
-        self.stands[e].next()
+        self.log.extend(self.stands[e].drain_journal().map(line_of));
+        self.stands[e].next_timer_at()
     }
 
     fn after_desk(&mut self) -> Option<i64> {
         let (now, proc) = (self.now, Proc::Desk);
         let mut doing = Vec::new();
         loop {
-            self.desk.doings(&mut doing);
+            self.desk.take_actions(&mut doing);
             if doing.is_empty() {
                 break;
             }
             for what in doing.drain(..) {
                 match what {
-                    Do::Write(id) => self.write(proc, id),
-                    Do::Close(id, reset) => self.net.close(now, proc, id, reset),
-                    Do::Read(_) | Do::Died | Do::Started => {}
+                    EngineAction::Write(id) => self.write(proc, id),
+                    EngineAction::Close(id, reset) => self.net.close(now, proc, id, reset),
+                    EngineAction::Read(_) | EngineAction::ProcessExited | EngineAction::ProcessStarted => {}
                 }
             }
         }
-        self.log.extend(self.desk.journal().map(line_of));
-        self.desk.next()
+        self.log.extend(self.desk.drain_journal().map(line_of));
+        self.desk.next_timer_at()
     }
 
     fn after_people(&mut self) -> Option<i64> {
