--- a/crates/engine-emulator/src/answer.rs
+++ b/crates/engine-emulator/src/answer.rs
@@ -1,10 +1,11 @@
-//! What a stand-in answers: literals and echoed parameters with their types, else rows as the hints ask.
+//! Generates answers of emulated engines: literals and echoed parameters with their types, or rows
+//! as requested by hints in the statement.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use wheelfield_pg::backend_messages::{self, Column};
 use wheelfield_pg::sql;
 
-/// Numbers of the types spoken here.
+/// Object ids of the supported PostgreSQL types.
 pub mod oid {
     /// `bool`
     pub const BOOL: u32 = 16;
@@ -20,89 +21,92 @@
     pub const FLOAT8: u32 = 701;
 }
 
-/// A value of a select list.
+/// Source of a value in a select list.
 #[derive(Clone, Debug, PartialEq)]
-enum Item {
-    /// As text, with its type.
+enum ItemValue {
+    /// A literal in text format (`None` for null) and its type.
     Literal(Option<String>, u32),
-    /// The parameter of this number, from 1, with its type.
+    /// A parameter number, starting at 1, and its type.
     Parameter(usize, u32),
 }
 
-/// What a statement will answer.
+/// The answer to a statement.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Plan {
     /// One row of values.
-    Values(Vec<(Column, ItemOf)>),
-    /// So many rows of a number and a text of so many bytes.
+    Values(Vec<(Column, SelectItem)>),
+    /// Rows of two columns, a number and a text.
     Rows {
-        /// How many.
+        /// Number of rows.
         count: u64,
-        /// Bytes of the text of each.
+        /// Length of the text in bytes.
         text_bytes: usize,
-        /// Of the name of its query: each row is marked with it.
+        /// Value derived from the query's id; the text of each row starts with a mark that depends
+        /// on it.
         query_mark: u64,
     },
-    /// No rows: the tag says it all.
+    /// No rows, only this command tag.
     Tag(String),
 }
 
-/// A value of a plan, as [`Plan::Values`] holds it.
+/// An entry of a select list in [`Plan::Values`].
 #[derive(Clone, Debug, PartialEq)]
-pub struct ItemOf(Item);
+pub struct SelectItem(ItemValue);
 
-/// Bytes of a row's text where a query asks for no other length.
-const ROW_BYTES: usize = 16;
+/// Default length of a row's text in bytes.
+const DEFAULT_ROW_BYTES: usize = 16;
 
-/// An attempt with a bad plan takes so many times as long.
-pub const BAD_PLAN: f64 = 10.0;
+/// Factor by which the work of an attempt with a bad plan increases.
+pub const BAD_PLAN_SLOWDOWN: f64 = 10.0;
 
-/// What the stand-in reads from a statement's trailing comment, beside what a controller does.
+/// Hints in a statement's trailing comment. The emulator reads the controller's hints and further
+/// ones of its own.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Wanted {
-    /// Name of the query in logs.
+pub struct QueryHints {
+    /// Query id in the journal.
     pub id: Option<String>,
-    /// Its class.
+    /// Class of the query.
     pub class: Option<String>,
-    /// The key whose order it keeps.
+    /// Key of the keyed order that the query belongs to.
     pub key: Option<String>,
     /// Estimated work in milliseconds.
     pub work_ms: f64,
-    /// Its true work, where it differs from the estimate.
+    /// Actual work in milliseconds, if it differs from the estimate.
     pub run_ms: Option<f64>,
-    /// The usual work of its kind, where it differs from the estimate: what it weighs on a cold engine.
+    /// Typical work of queries of this kind in milliseconds, if it differs from the estimate. It is
+    /// counted when a cold engine is checked for overload.
     pub usual_ms: Option<f64>,
-    /// Threads.
+    /// Number of threads.
     pub threads: f64,
-    /// Part of the work that reads or writes.
+    /// Fraction of the work that is reading or writing.
     pub io: f64,
-    /// Memory in MB.
+    /// Required memory in MB.
     pub memory_mb: f64,
-    /// Group of tables.
-    pub tables: u64,
-    /// The chance that an attempt gets a bad plan, and takes [`BAD_PLAN`] times as long.
-    pub bad: f64,
-    /// It is a load.
-    pub load: bool,
-    /// It waits for loads.
-    pub waits: bool,
-    /// Rows asked for.
+    /// Table group that the query uses.
+    pub table_group: u64,
+    /// Probability that an attempt gets a bad plan and takes [`BAD_PLAN_SLOWDOWN`] times as long.
+    pub bad_plan_probability: f64,
+    /// Whether the query is a load.
+    pub is_load: bool,
+    /// Whether the query waits for loads.
+    pub waits_for_loads: bool,
+    /// Requested number of rows.
     pub rows: Option<u64>,
-    /// Bytes of a row's text.
+    /// Length of a row's text in bytes.
     pub row_bytes: usize,
-    /// An SQL error to answer with.
+    /// SQLSTATE of the error with which the engine answers.
     pub sqlstate: Option<String>,
 }
 
-impl Wanted {
-    /// Reads the hints of a statement.
-    pub fn of(text: &str) -> Wanted {
+impl QueryHints {
+    /// Parses the hints of a statement.
+    pub fn parse(text: &str) -> QueryHints {
         let hints = sql::comment_pairs(text);
         let get = |name: &str| hints.iter().find(|(n, _)| n == name).map(|(_, v)| v.to_string());
         let number =
             |name: &str| get(name).and_then(|v| v.parse::<f64>().ok()).filter(|x| x.is_finite() && *x >= 0.0);
         let flag = |name: &str| get(name).is_some_and(|v| v == "1" || v == "true");
-        Wanted {
+        QueryHints {
             id: get("id"),
             class: get("class"),
             key: get("key"),
@@ -112,26 +116,26 @@
             threads: number("threads").unwrap_or(1.0).clamp(1.0, 1024.0),
             io: number("io").unwrap_or(0.0).min(1.0),
             memory_mb: number("memory_mb").unwrap_or(0.0),
-            tables: get("tables").and_then(|v| v.parse().ok()).unwrap_or(0),
-            bad: number("bad").unwrap_or(0.0).min(1.0),
-            load: flag("load"),
-            waits: flag("waits"),
+            table_group: get("tables").and_then(|v| v.parse().ok()).unwrap_or(0),
+            bad_plan_probability: number("bad").unwrap_or(0.0).min(1.0),
+            is_load: flag("load"),
+            waits_for_loads: flag("waits"),
             rows: get("rows").and_then(|v| v.parse().ok()),
-            row_bytes: number("row_bytes").map_or(ROW_BYTES, |n| n.min(1e9) as usize),
+            row_bytes: number("row_bytes").map_or(DEFAULT_ROW_BYTES, |n| n.min(1e9) as usize),
             sqlstate: get("sqlstate")
                 .filter(|s| s.len() == 5 && s.bytes().all(|b| b.is_ascii_alphanumeric())),
         }
     }
 }
 
-impl Wanted {
-    fn mark(&self) -> u64 {
-        self.id.as_deref().map_or(0, name_mark)
+impl QueryHints {
+    fn query_mark(&self) -> u64 {
+        self.id.as_deref().map_or(0, query_mark_of)
     }
 }
 
-/// Splits a select list at its commas, outside of strings and brackets.
-fn items(list: &str) -> Vec<&str> {
+/// Splits a select list at its commas, except within quotes and brackets.
+fn split_select_list(list: &str) -> Vec<&str> {
     let (mut out, mut start, mut depth, mut quote) = (Vec::new(), 0, 0, None);
     for (i, b) in list.bytes().enumerate() {
         match (quote, b) {
@@ -151,7 +155,7 @@
     out
 }
 
-fn type_of(name: &str) -> Option<u32> {
+fn type_from_name(name: &str) -> Option<u32> {
     Some(match name.trim().to_ascii_lowercase().as_str() {
         "int" | "int4" | "integer" => oid::INT4,
         "int8" | "bigint" => oid::INT8,
@@ -163,7 +167,7 @@
     })
 }
 
-fn item(text: &str, declared: &[u32]) -> Option<(Column, ItemOf)> {
+fn parse_select_item(text: &str, declared_types: &[u32]) -> Option<(Column, SelectItem)> {
     let text = text.trim();
     let lower = text.to_ascii_lowercase();
     let (value, name) = match lower.rfind(" as ") {
@@ -171,30 +175,30 @@
         None => (text, None),
     };
     let (value, cast) = match value.rsplit_once("::") {
-        Some((value, cast)) => (value.trim(), Some(type_of(cast)?)),
+        Some((value, cast)) => (value.trim(), Some(type_from_name(cast)?)),
         None => (value, None),
     };
-    let low = value.to_ascii_lowercase();
-    let found =
+    let lower_value = value.to_ascii_lowercase();
+    let parsed =
         if let Some(n) = value.strip_prefix('$').and_then(|n| n.parse::<usize>().ok()).filter(|n| *n > 0) {
-            let given = declared.get(n - 1).copied().filter(|t| *t != 0);
-            Item::Parameter(n, cast.or(given).unwrap_or(oid::TEXT))
+            let declared_type = declared_types.get(n - 1).copied().filter(|t| *t != 0);
+            ItemValue::Parameter(n, cast.or(declared_type).unwrap_or(oid::TEXT))
         } else if let Some(inner) = value.strip_prefix('\'').and_then(|v| v.strip_suffix('\'')) {
-            Item::Literal(Some(inner.replace("''", "'")), cast.unwrap_or(oid::TEXT))
-        } else if low == "null" {
-            Item::Literal(None, cast.unwrap_or(oid::TEXT))
-        } else if low == "true" || low == "false" {
-            Item::Literal(Some(low[..1].to_string()), cast.unwrap_or(oid::BOOL))
+            ItemValue::Literal(Some(inner.replace("''", "'")), cast.unwrap_or(oid::TEXT))
+        } else if lower_value == "null" {
+            ItemValue::Literal(None, cast.unwrap_or(oid::TEXT))
+        } else if lower_value == "true" || lower_value == "false" {
+            ItemValue::Literal(Some(lower_value[..1].to_string()), cast.unwrap_or(oid::BOOL))
         } else if let Ok(n) = value.parse::<i64>() {
-            let usual = if i32::try_from(n).is_ok() { oid::INT4 } else { oid::INT8 };
-            Item::Literal(Some(value.to_string()), cast.unwrap_or(usual))
+            let integer_type = if i32::try_from(n).is_ok() { oid::INT4 } else { oid::INT8 };
+            ItemValue::Literal(Some(value.to_string()), cast.unwrap_or(integer_type))
         } else if value.parse::<f64>().is_ok_and(f64::is_finite) {
-            Item::Literal(Some(value.to_string()), cast.unwrap_or(oid::FLOAT8))
+            ItemValue::Literal(Some(value.to_string()), cast.unwrap_or(oid::FLOAT8))
         } else {
             return None;
         };
-    let type_id = match &found {
-        Item::Literal(_, t) | Item::Parameter(_, t) => *t,
+    let type_id = match &parsed {
+        ItemValue::Literal(_, t) | ItemValue::Parameter(_, t) => *t,
     };
     let size = match type_id {
         oid::BOOL => 1,
@@ -204,23 +208,26 @@
         _ => -1,
     };
     let name = name.unwrap_or_else(|| if type_id == oid::BOOL { "bool".into() } else { "?column?".into() });
-    Some((Column { name, type_oid: type_id, type_size: size }, ItemOf(found)))
+    Some((Column { name, type_oid: type_id, type_size: size }, SelectItem(parsed)))
 }
 
-/// What a statement will answer; `declared` are the types its parameters were given.
-pub fn plan(text: &str, wanted: &Wanted, declared: &[u32]) -> Plan {
+/// Determines the answer to a statement; `declared_types` are the declared types of its parameters.
+pub fn plan(text: &str, hints: &QueryHints, declared_types: &[u32]) -> Plan {
     let bare = sql::normalized_preserving_case(text);
     let first = bare.split_whitespace().next().unwrap_or("").to_ascii_uppercase();
-    if let Some(count) = wanted.rows {
-        return Plan::Rows { count, text_bytes: wanted.row_bytes, query_mark: wanted.mark() };
+    if let Some(count) = hints.rows {
+        return Plan::Rows { count, text_bytes: hints.row_bytes, query_mark: hints.query_mark() };
     }
     match first.as_str() {
         "SELECT" | "VALUES" | "WITH" | "TABLE" | "EXPLAIN" => {
             let list = bare.get(6..).unwrap_or("").trim();
-            let values: Option<Vec<_>> = items(list).into_iter().map(|text| item(text, declared)).collect();
+            let values: Option<Vec<_>> = split_select_list(list)
+                .into_iter()
+                .map(|text| parse_select_item(text, declared_types))
+                .collect();
             match values.filter(|_| first == "SELECT") {
                 Some(values) => Plan::Values(values),
-                None => Plan::Rows { count: 1, text_bytes: wanted.row_bytes, query_mark: wanted.mark() },
+                None => Plan::Rows { count: 1, text_bytes: hints.row_bytes, query_mark: hints.query_mark() },
             }
         }
         "INSERT" => Plan::Tag("INSERT 0 1".into()),
@@ -232,9 +239,10 @@
     }
 }
 
-/// The types of a statement's parameters: as declared or cast, else text.
-pub fn parameters(text: &str, declared: &[u32]) -> Vec<u32> {
-    let mut types: Vec<u32> = declared.iter().map(|t| if *t == 0 { oid::TEXT } else { *t }).collect();
+/// Returns the types of a statement's parameters: the declared type, else the type of a cast, else
+/// text.
+pub fn parameters(text: &str, declared_types: &[u32]) -> Vec<u32> {
+    let mut types: Vec<u32> = declared_types.iter().map(|t| if *t == 0 { oid::TEXT } else { *t }).collect();
     let bytes = text.as_bytes();
     let mut i = 0;
     while i < bytes.len() {
@@ -250,8 +258,8 @@
                     .strip_prefix("::")
                     .map(|c| c.chars().take_while(|c| c.is_ascii_alphanumeric()).collect::<String>());
                 if let Some(t) = cast
-                    .and_then(|c| type_of(&c))
-                    .filter(|_| declared.get(number - 1).is_none_or(|t| *t == 0))
+                    .and_then(|c| type_from_name(&c))
+                    .filter(|_| declared_types.get(number - 1).is_none_or(|t| *t == 0))
                 {
                     types[number - 1] = t;
                 }
@@ -263,10 +271,11 @@
     types
 }
 
-/// What marks a row: drawn from its query's name, its position and the number of rows.
-fn mark(of: u64, n: u64, count: u64) -> [u8; 16] {
-    // The finish of splitmix64: every bit of what goes in moves every bit of what comes out.
-    let mut x = of ^ n.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ count.rotate_left(32);
+/// Computes the mark of row `n`, as hexadecimal digits, from the query, the row's position and the
+/// number of rows.
+fn row_mark(query_mark: u64, n: u64, count: u64) -> [u8; 16] {
+    // Finalizer of splitmix64: every input bit affects every output bit.
+    let mut x = query_mark ^ n.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ count.rotate_left(32);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^= x >> 31;
@@ -277,22 +286,22 @@
     text
 }
 
-/// Of a query's name.
-fn name_mark(id: &str) -> u64 {
+/// Computes the query mark of a query id.
+fn query_mark_of(id: &str) -> u64 {
     u64::from(crc32fast::hash(id.as_bytes())) << 32 | id.len() as u64
 }
 
-/// Whether a `DataRow` in text is row `n`, from 0, of `count` that the stand-in gives to the query of this name, where its
-/// rows have the usual length.
+/// Returns whether `message` equals the `DataRow` in text format that the emulator generates as row
+/// `n`, starting at 0, of `count` rows for the query `id` with the default row length.
 pub fn is_expected_row(message: &[u8], id: &str, n: u64, count: u64) -> bool {
     let mut expected = BytesMut::new();
-    let plan = Plan::Rows { count, text_bytes: ROW_BYTES, query_mark: name_mark(id) };
-    plan.put_row(n, &Given::default(), &mut expected);
+    let plan = Plan::Rows { count, text_bytes: DEFAULT_ROW_BYTES, query_mark: query_mark_of(id) };
+    plan.put_row(n, &BoundParameters::default(), &mut expected);
     n < count && message == &expected[..]
 }
 
 impl Plan {
-    /// Its columns; none where it has no rows.
+    /// Returns the columns; empty for an answer without rows.
     pub fn columns(&self) -> Vec<Column> {
         match self {
             Plan::Values(values) => values.iter().map(|(column, _)| column.clone()).collect(),
@@ -303,7 +312,7 @@
         }
     }
 
-    /// Rows in all.
+    /// Returns the total number of rows.
     pub fn rows(&self) -> u64 {
         match self {
             Plan::Values(_) => 1,
@@ -312,7 +321,7 @@
         }
     }
 
-    /// The tag of the completed statement.
+    /// Returns the command tag of the completed statement.
     pub fn tag(&self) -> String {
         match self {
             Plan::Tag(tag) => tag.clone(),
@@ -320,52 +329,54 @@
         }
     }
 
-    /// Appends row number `n`, from 0.
-    pub fn put_row(&self, n: u64, given: &Given, out: &mut BytesMut) {
+    /// Appends row `n`, starting at 0.
+    pub fn put_row(&self, n: u64, parameters: &BoundParameters, out: &mut BytesMut) {
         match self {
             Plan::Values(values) => {
                 let cells: Vec<Option<Bytes>> = values
                     .iter()
                     .enumerate()
-                    .map(|(i, (_, item))| item.cell(given, given.result(i)))
+                    .map(|(i, (_, select_item))| {
+                        select_item.cell_value(parameters, parameters.result_format(i))
+                    })
                     .collect();
                 backend_messages::put_data_row(cells.iter().map(|c| c.as_deref()), out);
             }
             Plan::Rows { text_bytes, count, query_mark } => {
-                let number = match given.result(0) {
+                let number = match parameters.result_format(0) {
                     1 => Bytes::copy_from_slice(&(n as i64 + 1).to_be_bytes()),
                     _ => Bytes::from((n + 1).to_string()),
                 };
-                // Written by hand, as a long text must not be built twice.
+                // Encoded directly, so that a long text is not copied twice.
                 out.put_u8(b'D');
                 out.put_i32((4 + 2 + 4 + number.len() + 4 + text_bytes) as i32);
                 out.put_i16(2);
                 out.put_i32(number.len() as i32);
                 out.put_slice(&number);
                 out.put_i32(*text_bytes as i32);
-                let mark = mark(*query_mark, n, *count);
-                let marked = mark.len().min(*text_bytes);
-                out.put_slice(&mark[..marked]);
-                out.put_bytes(b'a' + (n % 26) as u8, text_bytes - marked);
+                let row_mark_text = row_mark(*query_mark, n, *count);
+                let mark_length = row_mark_text.len().min(*text_bytes);
+                out.put_slice(&row_mark_text[..mark_length]);
+                out.put_bytes(b'a' + (n % 26) as u8, text_bytes - mark_length);
             }
             Plan::Tag(_) => {}
         }
     }
 }
 
-/// What a portal was given.
+/// Parameters and formats that were bound to a portal.
 #[derive(Clone, Debug, Default)]
-pub struct Given {
-    /// Values of parameters.
+pub struct BoundParameters {
+    /// Parameter values; `None` for null.
     pub values: Vec<Option<Bytes>>,
-    /// Their formats: none for text, one for all, or one each.
-    pub formats: Vec<i16>,
-    /// Formats wanted of the results.
-    pub results: Vec<i16>,
+    /// Format codes of the parameters: empty for text, one for all parameters, or one for each.
+    pub parameter_formats: Vec<i16>,
+    /// Format codes of the result columns, in the same form.
+    pub result_formats: Vec<i16>,
 }
 
-impl Given {
-    fn format(formats: &[i16], i: usize) -> i16 {
+impl BoundParameters {
+    fn format_at(formats: &[i16], i: usize) -> i16 {
         match formats {
             [] => 0,
             [one] => *one,
@@ -373,13 +384,13 @@
         }
     }
 
-    fn result(&self, i: usize) -> i16 {
-        Given::format(&self.results, i)
+    fn result_format(&self, i: usize) -> i16 {
+        BoundParameters::format_at(&self.result_formats, i)
     }
 }
 
-/// A number's text from its binary form.
-fn text_of(value: &[u8], type_id: u32) -> Option<String> {
+/// Converts a value in binary format to text format.
+fn binary_to_text(value: &[u8], type_id: u32) -> Option<String> {
     Some(match (type_id, value.len()) {
         (oid::BOOL, 1) => {
             if value[0] == 0 {
@@ -388,7 +399,7 @@
                 "t".into()
             }
         }
-        // A cast may widen what its client sent as a shorter one.
+        // A cast may widen a value that the client sent as a shorter integer type.
         (oid::INT2 | oid::INT4 | oid::INT8, 2) => i16::from_be_bytes(value.try_into().ok()?).to_string(),
         (oid::INT4 | oid::INT8, 4) => i32::from_be_bytes(value.try_into().ok()?).to_string(),
         (oid::INT8, 8) => i64::from_be_bytes(value.try_into().ok()?).to_string(),
@@ -397,7 +408,7 @@
     })
 }
 
-fn binary_of(text: &str, type_id: u32) -> Option<Bytes> {
+fn text_to_binary(text: &str, type_id: u32) -> Option<Bytes> {
     let bytes = |b: &[u8]| Bytes::copy_from_slice(b);
     Some(match type_id {
         oid::BOOL => bytes(&[u8::from(matches!(text, "t" | "true" | "1"))]),
@@ -409,24 +420,24 @@
     })
 }
 
-impl ItemOf {
-    fn cell(&self, given: &Given, format: i16) -> Option<Bytes> {
+impl SelectItem {
+    fn cell_value(&self, parameters: &BoundParameters, format: i16) -> Option<Bytes> {
         let (text, type_id) = match &self.0 {
-            Item::Literal(text, type_id) => (text.clone()?, *type_id),
-            Item::Parameter(n, type_id) => {
-                let value = given.values.get(n - 1)?.clone()?;
-                if Given::format(&given.formats, n - 1) == format {
+            ItemValue::Literal(text, type_id) => (text.clone()?, *type_id),
+            ItemValue::Parameter(n, type_id) => {
+                let value = parameters.values.get(n - 1)?.clone()?;
+                if BoundParameters::format_at(&parameters.parameter_formats, n - 1) == format {
                     return Some(value);
                 }
                 if format == 1 {
                     (String::from_utf8_lossy(&value).into_owned(), *type_id)
                 } else {
-                    (text_of(&value, *type_id)?, *type_id)
+                    (binary_to_text(&value, *type_id)?, *type_id)
                 }
             }
         };
         if format == 1 {
-            binary_of(&text, type_id)
+            text_to_binary(&text, type_id)
         } else {
             Some(Bytes::from(text))
         }
@@ -437,18 +448,18 @@
 mod tests {
     use super::*;
 
-    fn of(text: &str) -> Plan {
-        plan(text, &Wanted::of(text), &[])
+    fn plan_of(text: &str) -> Plan {
+        plan(text, &QueryHints::parse(text), &[])
     }
 
     #[test]
-    fn literals_have_their_types() {
-        let plan = of("SELECT 1, 'it''s' AS word, null, TRUE, 2.5, 5000000000 -- end");
+    fn literals_have_the_expected_types() {
+        let plan = plan_of("SELECT 1, 'it''s' AS word, null, TRUE, 2.5, 5000000000 -- end");
         let types: Vec<u32> = plan.columns().iter().map(|c| c.type_oid).collect();
         assert_eq!(types, [oid::INT4, oid::TEXT, oid::TEXT, oid::BOOL, oid::FLOAT8, oid::INT8]);
         assert_eq!(plan.columns()[1].name, "word");
         let mut out = BytesMut::new();
-        plan.put_row(0, &Given::default(), &mut out);
+        plan.put_row(0, &BoundParameters::default(), &mut out);
         assert!(out.windows(4).any(|w| w == b"it's"));
     }
 
@@ -456,39 +467,39 @@
     fn parameters_are_echoed_in_either_format() {
         let text = "select $1::int4, $2";
         assert_eq!(parameters(text, &[]), [oid::INT4, oid::TEXT]);
-        let plan = plan(text, &Wanted::default(), &[]);
-        let given = Given {
+        let plan = plan(text, &QueryHints::default(), &[]);
+        let parameters = BoundParameters {
             values: vec![Some(Bytes::from_static(&[0, 0, 0, 7])), None],
-            formats: vec![1, 0],
-            results: vec![0],
+            parameter_formats: vec![1, 0],
+            result_formats: vec![0],
         };
         let mut out = BytesMut::new();
-        plan.put_row(0, &given, &mut out);
+        plan.put_row(0, &parameters, &mut out);
         assert_eq!(&out[7..], [0, 0, 0, 1, b'7', 255, 255, 255, 255]);
     }
 
     #[test]
-    fn a_short_number_is_widened_by_its_cast() {
-        let plan = plan("select $1::int8", &Wanted::default(), &[oid::INT2]);
-        let given = Given {
+    fn a_cast_widens_a_shorter_integer() {
+        let plan = plan("select $1::int8", &QueryHints::default(), &[oid::INT2]);
+        let parameters = BoundParameters {
             values: vec![Some(Bytes::from_static(&[0xff, 0xfe]))],
-            formats: vec![1],
-            results: vec![0],
+            parameter_formats: vec![1],
+            result_formats: vec![0],
         };
         let mut out = BytesMut::new();
-        plan.put_row(0, &given, &mut out);
+        plan.put_row(0, &parameters, &mut out);
         assert!(out.ends_with(b"-2"), "{out:?}");
     }
 
     #[test]
-    fn hints_ask_for_rows_and_errors() {
+    fn hints_determine_rows_and_errors() {
         let text = "select * from t /*rows='3',row_bytes='5',sqlstate='22012',run_ms='7'*/";
-        let wanted = Wanted::of(text);
-        assert_eq!((wanted.rows, wanted.row_bytes, wanted.run_ms), (Some(3), 5, Some(7.0)));
-        assert_eq!(wanted.sqlstate.as_deref(), Some("22012"));
-        assert_eq!(of(text).tag(), "SELECT 3");
-        assert_eq!(of("insert into t values (1)").tag(), "INSERT 0 1");
-        assert_eq!(of("create table t (x int)").tag(), "CREATE TABLE");
-        assert_eq!(of("select * from t").rows(), 1);
+        let hints = QueryHints::parse(text);
+        assert_eq!((hints.rows, hints.row_bytes, hints.run_ms), (Some(3), 5, Some(7.0)));
+        assert_eq!(hints.sqlstate.as_deref(), Some("22012"));
+        assert_eq!(plan_of(text).tag(), "SELECT 3");
+        assert_eq!(plan_of("insert into t values (1)").tag(), "INSERT 0 1");
+        assert_eq!(plan_of("create table t (x int)").tag(), "CREATE TABLE");
+        assert_eq!(plan_of("select * from t").rows(), 1);
     }
 }
--- a/crates/engine-emulator/src/host.rs
+++ b/crates/engine-emulator/src/host.rs
@@ -1,4 +1,5 @@
-//! Many stand-ins in one process: their sockets, a registry that lists them, and faults on command.
+//! Hosts several emulated engines in one process: their sockets, a registry that lists them, and
+//! fault injection.
 
 use crate::engine::{EmulatedEngine, EngineAction, JournalEntry};
 use crate::registry::{EngineStatus, Registry, RegistryEntry};
@@ -18,20 +19,21 @@
 use wheelfield_net::{http, listen, Clock, Socket};
 use wheelfield_sans_io::ConnId;
 
-/// Tokens of connections come behind those of the listeners.
-const CONNECTIONS: usize = 1 << 20;
-const CONTROL: Token = Token(CONNECTIONS - 1);
-const REGISTRY: Token = Token(CONNECTIONS - 2);
-/// Connections of all engines together; more are closed as they come.
-const MOST_CONNECTIONS: usize = 18_000;
-/// Written on one connection in a turn, in parts of 64 kB: rows are made as they go, and others must get on meanwhile.
-const WRITES: usize = 16;
-/// Accepted in one turn by one listener.
-const ACCEPTS: usize = 256;
-/// Bytes of a command.
-const LONGEST_COMMAND: usize = 64 << 10;
+/// First token of accepted connections; lower tokens belong to listeners.
+const FIRST_CONNECTION_TOKEN: usize = 1 << 20;
+const CONTROL_TOKEN: Token = Token(FIRST_CONNECTION_TOKEN - 1);
+const REGISTRY_TOKEN: Token = Token(FIRST_CONNECTION_TOKEN - 2);
+/// Maximum number of connections in the process; further connections are closed when accepted.
+const MAX_CONNECTIONS: usize = 18_000;
+/// Maximum number of writes to one connection per turn, with at most about 64 kB of rows generated
+/// for each. The limit keeps a large result from delaying other connections.
+const MAX_WRITES_PER_TURN: usize = 16;
+/// Maximum number of connections that one listener accepts per turn.
+const MAX_ACCEPTS_PER_TURN: usize = 256;
+/// Maximum size of a command on the control port.
+const MAX_COMMAND_BYTES: usize = 64 << 10;
 
-/// Whose connection it is.
+/// The server to which a connection belongs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Owner {
     Engine(usize),
@@ -39,7 +41,7 @@
 }
 
 enum Role {
-    Of(Owner, ConnId),
+    Emulated(Owner, ConnId),
     Control { input: BytesMut, output: BytesMut },
 }
 
@@ -48,13 +50,14 @@
     role: Role,
 }
 
-/// Writes what happens as JSON lines.
+/// Writes journal entries as JSON lines.
 struct Journal(Option<std::io::BufWriter<std::fs::File>>);
 
 impl Journal {
     fn write(&mut self, entry: &JournalEntry) {
         if let Some(out) = &mut self.0 {
-            // A full disk loses lines, not queries; the reader of the log finds the gap.
+            // Write errors such as a full disk are ignored: journal lines are lost, but queries are
+            // still served. Readers of the journal detect the gap.
             let _ = serde_json::to_writer(&mut *out, entry);
             let _ = out.write_all(b"\n");
         }
@@ -66,60 +69,60 @@
     }
 }
 
-/// The process's state.
+/// State of the host process.
 pub struct Host {
     clock: Clock,
     poll: Poll,
-    stands: Vec<EmulatedEngine>,
+    engines: Vec<EmulatedEngine>,
     addresses: Vec<SocketAddr>,
     listeners: Vec<Option<TcpListener>>,
     control: TcpListener,
-    desk: RegistryServer,
-    desk_listener: TcpListener,
+    registry_server: RegistryServer,
+    registry_listener: TcpListener,
     connections: Slab<Connection>,
     by_owner: HashMap<(Owner, ConnId), usize>,
-    gone: Vec<usize>,
-    /// More is to be written on these in the next turn.
-    later: Vec<usize>,
+    closing: Vec<usize>,
+    /// Connections that continue to be written in the next turn.
+    write_queue: Vec<usize>,
     removal_delay: i64,
     listing_delay: i64,
-    /// Added to both for a while.
-    stale: i64,
+    /// Additional delay, set by `stale_ms`, for both registry delays above.
+    extra_registry_delay: i64,
     journal: Journal,
-    doing: Vec<EngineAction>,
+    actions: Vec<EngineAction>,
     scratch: Vec<u8>,
 }
 
 impl Host {
-    /// Opens all sockets, on ports that the system chooses.
+    /// Opens all sockets, on ports chosen by the operating system.
     ///
     /// # Errors
-    /// As the system tells.
+    /// Errors from opening the sockets or from creating the journal file.
     pub fn open(setup: Setup, log: Option<&std::path::Path>, seed: u64) -> Result<Host> {
         let clock = Clock::start();
         let poll = Poll::new()?;
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
+        let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
         let bind = |token: Token| -> Result<TcpListener> {
-            let mut listener = listen(any, 4096)?;
+            let mut listener = listen(loopback, 4096)?;
             poll.registry().register(&mut listener, token, Interest::READABLE)?;
             Ok(listener)
         };
-        let (control, desk_listener) = (bind(CONTROL)?, bind(REGISTRY)?);
-        let (mut stands, mut addresses, mut listeners, mut lines) =
+        let (control, registry_listener) = (bind(CONTROL_TOKEN)?, bind(REGISTRY_TOKEN)?);
+        let (mut engines, mut addresses, mut listeners, mut registry_entries) =
             (Vec::new(), Vec::new(), Vec::new(), Vec::new());
-        for (i, hosted) in setup.engines.into_iter().enumerate() {
+        for (i, engine) in setup.engines.into_iter().enumerate() {
             let listener = bind(Token(i))?;
             let address = listener.local_addr()?;
-            lines.push(RegistryEntry {
-                id: hosted.name.clone(),
+            registry_entries.push(RegistryEntry {
+                id: engine.name.clone(),
                 address: address.to_string(),
-                zone: hosted.zone.clone(),
-                kind: hosted.kind.clone(),
-                cell: hosted.cell,
+                zone: engine.zone.clone(),
+                kind: engine.kind.clone(),
+                cell: engine.cell,
                 status: EngineStatus::Up,
                 started_us: None,
             });
-            stands.push(EmulatedEngine::new(hosted, clock.now(), seed.wrapping_mul(1_000_003) ^ i as u64));
+            engines.push(EmulatedEngine::new(engine, clock.now(), seed.wrapping_mul(1_000_003) ^ i as u64));
             addresses.push(address);
             listeners.push(Some(listener));
         }
@@ -132,49 +135,50 @@
         Ok(Host {
             clock,
             poll,
-            stands,
+            engines,
             addresses,
             listeners,
             control,
-            desk: RegistryServer::new(Registry::new(lines.into_iter())),
-            desk_listener,
+            registry_server: RegistryServer::new(Registry::new(registry_entries.into_iter())),
+            registry_listener,
             connections: Slab::new(),
             by_owner: HashMap::new(),
-            gone: Vec::new(),
-            later: Vec::new(),
+            closing: Vec::new(),
+            write_queue: Vec::new(),
             removal_delay: setup.removal_delay,
             listing_delay: setup.listing_delay,
-            stale: 0,
+            extra_registry_delay: 0,
             journal: Journal(file.map(std::io::BufWriter::new)),
-            doing: Vec::new(),
+            actions: Vec::new(),
             scratch: vec![0; 64 << 10],
         })
     }
 
-    /// Where everything listens, for whoever started the process.
+    /// Returns the listen addresses as JSON, which is printed for the parent process.
     pub fn addresses(&self) -> Value {
-        let engines: Vec<Value> = self
-            .stands
+        let engine_values: Vec<Value> = self
+            .engines
             .iter()
             .zip(&self.addresses)
             .map(|(e, at)| json!({"id": e.name, "address": at.to_string(), "zone": e.zone, "kind": e.kind, "cell": e.cell}))
             .collect();
         let address = |l: &TcpListener| l.local_addr().map(|a| a.to_string()).unwrap_or_default();
-        json!({"control": address(&self.control), "registry": address(&self.desk_listener), "engines": engines})
+        json!({"control": address(&self.control), "registry": address(&self.registry_listener), "engines": engine_values})
     }
 
     /// Serves until `stop` is set.
     ///
     /// # Errors
-    /// As the system tells of the poll itself; a connection's trouble is its own.
+    /// Errors of the poll, and of listening again for a restarted engine. Errors on single
+    /// connections only close them.
     pub fn serve(&mut self, stop: &Arc<AtomicBool>) -> Result<()> {
         let mut events = Events::with_capacity(4096);
         while !stop.load(Ordering::Relaxed) {
             let now = self.clock.now();
-            let models = self.stands.iter().filter_map(EmulatedEngine::next_timer_at);
-            let next = models.chain(self.desk.next_timer_at()).min().unwrap_or(i64::MAX);
-            // Woken now and then to look at `stop`.
-            let next = if self.later.is_empty() { next } else { now };
+            let engine_timers = self.engines.iter().filter_map(EmulatedEngine::next_timer_at);
+            let next = engine_timers.chain(self.registry_server.next_timer_at()).min().unwrap_or(i64::MAX);
+            // Continues at once if writes are queued; wakes up at least every 100 ms to check `stop`.
+            let next = if self.write_queue.is_empty() { next } else { now };
             let wait = self.clock.until(next.min(now + 100_000));
             match self.poll.poll(&mut events, Some(wait)) {
                 Err(e) if e.kind() != std::io::ErrorKind::Interrupted => return Err(e.into()),
@@ -183,17 +187,17 @@
             for event in &events {
                 self.on_event(event)?;
             }
-            for id in std::mem::take(&mut self.later) {
+            for id in std::mem::take(&mut self.write_queue) {
                 self.write(id);
             }
             let now = self.clock.now();
-            for i in 0..self.stands.len() {
-                self.stands[i].advance(now);
-                self.carry_out(Owner::Engine(i))?;
+            for i in 0..self.engines.len() {
+                self.engines[i].advance(now);
+                self.perform_actions(Owner::Engine(i))?;
             }
-            self.desk.advance(now);
-            self.carry_out(Owner::RegistryServer)?;
-            for id in std::mem::take(&mut self.gone) {
+            self.registry_server.advance(now);
+            self.perform_actions(Owner::RegistryServer)?;
+            for id in std::mem::take(&mut self.closing) {
                 if let Some(c) = self.connections.try_remove(id) {
                     c.socket.close(self.poll.registry());
                 }
@@ -205,19 +209,19 @@
 
     fn on_event(&mut self, event: &mio::event::Event) -> Result<()> {
         match event.token() {
-            CONTROL => self.accept(None),
-            REGISTRY => self.accept(Some(Owner::RegistryServer)),
-            Token(t) if t < CONNECTIONS => self.accept(Some(Owner::Engine(t))),
+            CONTROL_TOKEN => self.accept(None),
+            REGISTRY_TOKEN => self.accept(Some(Owner::RegistryServer)),
+            Token(t) if t < FIRST_CONNECTION_TOKEN => self.accept(Some(Owner::Engine(t))),
             Token(t) => {
-                let id = t - CONNECTIONS;
+                let id = t - FIRST_CONNECTION_TOKEN;
                 let Some(c) = self.connections.get_mut(id) else { return Ok(()) };
                 c.socket.handle_event(event);
                 self.read(id)?;
                 self.write(id);
                 let owner = self.connections.get(id).map(|c| &c.role);
-                if let Some(Role::Of(owner, _)) = owner {
+                if let Some(Role::Emulated(owner, _)) = owner {
                     let owner = *owner;
-                    self.carry_out(owner)?;
+                    self.perform_actions(owner)?;
                 }
                 Ok(())
             }
@@ -225,25 +229,26 @@
     }
 
     fn accept(&mut self, owner: Option<Owner>) -> Result<()> {
-        for _ in 0..ACCEPTS {
-            let accepted = match owner {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
+            let accept_result = match owner {
                 Some(Owner::Engine(i)) => match self.listeners.get(i).and_then(Option::as_ref) {
                     Some(listener) => listener.accept(),
                     None => return Ok(()),
                 },
-                Some(Owner::RegistryServer) => self.desk_listener.accept(),
+                Some(Owner::RegistryServer) => self.registry_listener.accept(),
                 None => self.control.accept(),
             };
-            let Ok((socket, _)) = accepted else { return Ok(()) };
-            if self.connections.len() < MOST_CONNECTIONS {
-                self.accepted(socket, owner)?;
+            let Ok((socket, _)) = accept_result else { return Ok(()) };
+            if self.connections.len() < MAX_CONNECTIONS {
+                self.register_connection(socket, owner)?;
             }
         }
-        // More wait: the listener will not tell of them again.
+        // More connections may be waiting. The poll is edge-triggered, so the listener is registered
+        // again to be notified of them.
         let (listener, token) = match owner {
             Some(Owner::Engine(i)) => (self.listeners[i].as_mut(), Token(i)),
-            Some(Owner::RegistryServer) => (Some(&mut self.desk_listener), REGISTRY),
-            None => (Some(&mut self.control), CONTROL),
+            Some(Owner::RegistryServer) => (Some(&mut self.registry_listener), REGISTRY_TOKEN),
+            None => (Some(&mut self.control), CONTROL_TOKEN),
         };
         if let Some(listener) = listener {
             let _ = self.poll.registry().reregister(listener, token, Interest::READABLE);
@@ -251,22 +256,22 @@
         Ok(())
     }
 
-    fn accepted(&mut self, socket: TcpStream, owner: Option<Owner>) -> Result<()> {
+    fn register_connection(&mut self, socket: TcpStream, owner: Option<Owner>) -> Result<()> {
         let entry = self.connections.vacant_entry();
         let id = entry.key();
-        let socket = Socket::from_accepted(socket, self.poll.registry(), Token(CONNECTIONS + id));
+        let socket = Socket::from_accepted(socket, self.poll.registry(), Token(FIRST_CONNECTION_TOKEN + id));
         if !socket.is_registered() {
             return Ok(());
         }
         let conn = match owner {
-            Some(Owner::Engine(i)) => Some(self.stands[i].accept()),
-            Some(Owner::RegistryServer) => Some(self.desk.accept()),
+            Some(Owner::Engine(i)) => Some(self.engines[i].accept()),
+            Some(Owner::RegistryServer) => Some(self.registry_server.accept()),
             None => None,
         };
         let role = match owner.zip(conn) {
             Some((owner, conn)) => {
                 self.by_owner.insert((owner, conn), id);
-                Role::Of(owner, conn)
+                Role::Emulated(owner, conn)
             }
             None => Role::Control { input: BytesMut::new(), output: BytesMut::new() },
         };
@@ -274,23 +279,27 @@
         self.read(id)
     }
 
-    /// Reads what there is, as far as there is room.
+    /// Reads available data, up to the read capacity of the receiver.
     fn read(&mut self, id: usize) -> Result<()> {
         let now = self.clock.now();
         loop {
             let Some(c) = self.connections.get_mut(id) else { return Ok(()) };
-            let room = match &c.role {
-                Role::Of(Owner::Engine(i), conn) => self.stands[*i].read_capacity(*conn),
-                _ => LONGEST_COMMAND,
+            let capacity = match &c.role {
+                Role::Emulated(Owner::Engine(i), conn) => self.engines[*i].read_capacity(*conn),
+                _ => MAX_COMMAND_BYTES,
             };
-            let room = room.min(self.scratch.len());
-            let got = c.socket.read(&mut self.scratch[..room]);
-            let over = got.is_err() || c.socket.is_read_finished() || c.socket.is_peer_closed();
-            let n = got.unwrap_or(0);
+            let capacity = capacity.min(self.scratch.len());
+            let result = c.socket.read(&mut self.scratch[..capacity]);
+            let peer_closed = result.is_err() || c.socket.is_read_finished() || c.socket.is_peer_closed();
+            let n = result.unwrap_or(0);
             let bytes = &self.scratch[..n];
             match &mut c.role {
-                Role::Of(Owner::Engine(i), conn) if n > 0 => self.stands[*i].receive(*conn, bytes, now),
-                Role::Of(Owner::RegistryServer, conn) if n > 0 => self.desk.receive(*conn, bytes, now),
+                Role::Emulated(Owner::Engine(i), conn) if n > 0 => {
+                    self.engines[*i].receive(*conn, bytes, now)
+                }
+                Role::Emulated(Owner::RegistryServer, conn) if n > 0 => {
+                    self.registry_server.receive(*conn, bytes, now)
+                }
                 Role::Control { input, .. } if n > 0 => {
                     input.extend_from_slice(bytes);
                     self.serve_control(id, now)?;
@@ -300,72 +309,78 @@
             if n > 0 {
                 continue;
             }
-            let hangs = matches!(&self.connections[id].role,
-                Role::Of(Owner::Engine(i), _) if self.stands[*i].is_hung());
-            if over && !hangs {
-                self.over(id, now);
+            let hung = matches!(&self.connections[id].role,
+                Role::Emulated(Owner::Engine(i), _) if self.engines[*i].is_hung());
+            if peer_closed && !hung {
+                self.handle_peer_closed(id, now);
             }
             return Ok(());
         }
     }
 
-    /// The other side of a connection has gone.
-    fn over(&mut self, id: usize, now: i64) {
+    /// Handles the end or failure of the peer's side of a connection.
+    fn handle_peer_closed(&mut self, id: usize, now: i64) {
         match &self.connections[id].role {
-            Role::Of(Owner::Engine(i), conn) => self.stands[*i].peer_closed(*conn, now),
-            Role::Of(Owner::RegistryServer, conn) => self.desk.peer_closed(*conn),
-            Role::Control { .. } => self.gone.push(id),
+            Role::Emulated(Owner::Engine(i), conn) => self.engines[*i].peer_closed(*conn, now),
+            Role::Emulated(Owner::RegistryServer, conn) => self.registry_server.peer_closed(*conn),
+            Role::Control { .. } => self.closing.push(id),
         }
     }
 
-    /// Writes what is to go, as far as the other side takes it.
+    /// Writes pending output until the socket accepts no more.
     fn write(&mut self, id: usize) {
         let now = self.clock.now();
-        for _ in 0..WRITES {
+        for _ in 0..MAX_WRITES_PER_TURN {
             let Some(c) = self.connections.get_mut(id) else { return };
             let bytes = match &c.role {
-                Role::Of(Owner::Engine(i), conn) => self.stands[*i].output(*conn),
-                Role::Of(Owner::RegistryServer, conn) => self.desk.output(*conn),
+                Role::Emulated(Owner::Engine(i), conn) => self.engines[*i].output(*conn),
+                Role::Emulated(Owner::RegistryServer, conn) => self.registry_server.output(*conn),
                 Role::Control { output, .. } => &output[..],
             };
             let sent = c.socket.write(bytes);
             match (&mut c.role, sent) {
                 (_, Ok(0)) => return,
-                (Role::Of(Owner::Engine(i), conn), Ok(n)) => self.stands[*i].bytes_written(*conn, n, now),
-                (Role::Of(Owner::RegistryServer, conn), Ok(n)) => self.desk.bytes_written(*conn, n),
+                (Role::Emulated(Owner::Engine(i), conn), Ok(n)) => {
+                    self.engines[*i].bytes_written(*conn, n, now)
+                }
+                (Role::Emulated(Owner::RegistryServer, conn), Ok(n)) => {
+                    self.registry_server.bytes_written(*conn, n)
+                }
                 (Role::Control { output, .. }, Ok(n)) => drop(output.split_to(n)),
-                (_, Err(_)) => return self.over(id, now),
+                (_, Err(_)) => return self.handle_peer_closed(id, now),
             }
         }
-        self.write_later(id);
+        self.queue_write(id);
     }
 
-    fn write_later(&mut self, id: usize) {
-        if !self.later.contains(&id) {
-            self.later.push(id);
+    fn queue_write(&mut self, id: usize) {
+        if !self.write_queue.contains(&id) {
+            self.write_queue.push(id);
         }
     }
 
-    /// Does what an engine or the desk wants done.
+    /// Performs the actions requested by an engine or by the registry server.
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
-    fn carry_out(&mut self, owner: Owner) -> Result<()> {
+    fn perform_actions(&mut self, owner: Owner) -> Result<()> {
         let mut written: Vec<usize> = Vec::new();
         loop {
-            let mut doing = std::mem::take(&mut self.doing);
+            let mut actions = std::mem::take(&mut self.actions);
             match owner {
-                Owner::Engine(i) => self.stands[i].take_actions(&mut doing),
-                Owner::RegistryServer => self.desk.take_actions(&mut doing),
+                Owner::Engine(i) => self.engines[i].take_actions(&mut actions),
+                Owner::RegistryServer => self.registry_server.take_actions(&mut actions),
             }
-            if doing.is_empty() {
-                self.doing = doing;
+            if actions.is_empty() {
+                self.actions = actions;
                 break;
             }
-            for what in doing.drain(..) {
-                let place = |host: &Host, conn: ConnId| host.by_owner.get(&(owner, conn)).copied();
-                match (what, owner) {
-                    (EngineAction::Write(conn), _) => match place(self, conn) {
-                        // What makes rows as it is written would go on for ever.
-                        Some(id) if written.contains(&id) => self.write_later(id),
+            for action in actions.drain(..) {
+                let connection_of = |host: &Host, conn: ConnId| host.by_owner.get(&(owner, conn)).copied();
+                match (action, owner) {
+                    (EngineAction::Write(conn), _) => match connection_of(self, conn) {
+                        // Writing makes the engine generate more rows and request another write, so
+                        // a second write in the same turn is queued for the next one; otherwise this
+                        // loop might not end.
+                        Some(id) if written.contains(&id) => self.queue_write(id),
                         Some(id) => {
                             written.push(id);
                             self.write(id);
@@ -373,7 +388,7 @@
                         None => {}
                     },
                     (EngineAction::Read(conn), _) => {
-                        if let Some(id) = place(self, conn) {
+                        if let Some(id) = connection_of(self, conn) {
                             self.read(id)?;
                         }
                     }
@@ -390,30 +405,42 @@
                         if let Some(mut listener) = self.listeners[i].take() {
                             let _ = self.poll.registry().deregister(&mut listener);
                         }
-                        let at = self.clock.now() + self.removal_delay + self.stale;
-                        self.desk.schedule_change(at, &self.stands[i].name, EngineStatus::Removed, None);
+                        let at = self.clock.now() + self.removal_delay + self.extra_registry_delay;
+                        self.registry_server.schedule_change(
+                            at,
+                            &self.engines[i].name,
+                            EngineStatus::Removed,
+                            None,
+                        );
                     }
                     (EngineAction::ProcessStarted, Owner::Engine(i)) => {
                         let now = self.clock.now();
                         let mut listener = listen(self.addresses[i], 4096)?;
                         self.poll.registry().register(&mut listener, Token(i), Interest::READABLE)?;
                         self.listeners[i] = Some(listener);
-                        let at = now + self.listing_delay + self.stale;
-                        self.desk.schedule_change(at, &self.stands[i].name, EngineStatus::Up, Some(now));
+                        let at = now + self.listing_delay + self.extra_registry_delay;
+                        self.registry_server.schedule_change(
+                            at,
+                            &self.engines[i].name,
+                            EngineStatus::Up,
+                            Some(now),
+                        );
                     }
                     (EngineAction::ProcessExited | EngineAction::ProcessStarted, Owner::RegistryServer) => {}
                 }
             }
-            self.doing = doing;
+            self.actions = actions;
         }
         match owner {
-            Owner::Engine(i) => self.stands[i].drain_journal().for_each(|e| self.journal.write(&e)),
-            Owner::RegistryServer => self.desk.drain_journal().for_each(|e| self.journal.write(&e)),
+            Owner::Engine(i) => self.engines[i].drain_journal().for_each(|e| self.journal.write(&e)),
+            Owner::RegistryServer => {
+                self.registry_server.drain_journal().for_each(|e| self.journal.write(&e))
+            }
         }
         Ok(())
     }
 
-    // --- the control port ---
+    // --- Control port ---
 
     fn serve_control(&mut self, id: usize, now: i64) -> Result<()> {
         loop {
@@ -421,21 +448,21 @@
             else {
                 return Ok(());
             };
-            let (status, kind, body) = match http::take_request(input, LONGEST_COMMAND) {
+            let (status, content_type, body) = match http::take_request(input, MAX_COMMAND_BYTES) {
                 Ok(Some(request)) => match self.command(&request, now) {
                     Ok(body) => (200, "application/json", body),
-                    Err(fault) => (400, "application/json", format!("{fault:#}\n")),
+                    Err(error) => (400, "application/json", format!("{error:#}\n")),
                 },
                 Ok(None) => break,
-                Err(fault) => {
+                Err(error) => {
                     input.clear();
-                    self.gone.push(id);
-                    (400, "text/plain", fault.to_string())
+                    self.closing.push(id);
+                    (400, "text/plain", error.to_string())
                 }
             };
             if let Some(Connection { role: Role::Control { output, .. }, .. }) = self.connections.get_mut(id)
             {
-                http::write_response(status, kind, body.as_bytes(), output);
+                http::write_response(status, content_type, body.as_bytes(), output);
             }
         }
         self.write(id);
@@ -445,42 +472,42 @@
     fn command(&mut self, request: &http::Request, now: i64) -> Result<String> {
         match (request.method.as_str(), request.path()) {
             ("GET", "/state") => {
-                let engines: Vec<Value> = self
-                    .stands
+                let engine_values: Vec<Value> = self
+                    .engines
                     .iter()
-                    .map(|e| json!({"id": e.name, "up": e.model.is_up(), "in_hand": e.model.in_hand(), "warmth": e.model.warmth(now), "sessions": e.sessions()}))
+                    .map(|e| json!({"id": e.name, "up": e.model.is_up(), "in_hand": e.model.in_flight_count(), "warmth": e.model.warmth(now), "sessions": e.sessions()}))
                     .collect();
-                Ok(json!({"t": now, "version": self.desk.registry.version(), "engines": engines}).to_string())
+                Ok(json!({"t": now, "version": self.registry_server.registry.version(), "engines": engine_values}).to_string())
             }
             ("POST", "/registry") => {
                 if let Some(ms) = request.query_param("stale_ms") {
-                    self.stale = ms.parse::<i64>().context("stale_ms is no number")?.clamp(0, 60_000) * 1000;
+                    self.extra_registry_delay = ms.parse::<i64>().context("stale_ms is not an integer")?.clamp(0, 60_000) * 1000;
                     return Ok("{}".into());
                 }
                 let ms = request.query_param("unavailable_ms").context("expected unavailable_ms=N or stale_ms=N")?;
-                let ms: i64 = ms.parse().context("unavailable_ms is no number")?;
-                self.desk.registry.set_unavailable_until(now + ms * 1000);
+                let ms: i64 = ms.parse().context("unavailable_ms is not an integer")?;
+                self.registry_server.registry.set_unavailable_until(now + ms * 1000);
                 let event = "registry_unavailable";
                 self.journal.write(&JournalEntry { t: now, event, value: Some(ms as f64), ..JournalEntry::default() });
                 Ok("{}".into())
             }
             ("POST", "/fault") => {
                 let name = request.query_param("engine").context("expected engine=NAME")?;
-                let engine = self.stands.iter().position(|e| e.name == name);
-                let engine = engine.with_context(|| format!("no engine is named `{name}`"))?;
+                let engine = self.engines.iter().position(|e| e.name == name);
+                let engine = engine.with_context(|| format!("unknown engine `{name}`"))?;
                 let kind = request.query_param("kind").context("expected kind=KIND")?;
                 let value = match request.query_param("value") {
-                    Some(v) => v.parse::<f64>().ok().filter(|x| x.is_finite() && *x >= 0.0).context("value is no number of 0 or more")?,
+                    Some(v) => v.parse::<f64>().ok().filter(|x| x.is_finite() && *x >= 0.0).context("value is not a non-negative number")?,
                     None => 1.0,
                 };
-                if !self.stands[engine].inject_fault(kind, value, now) {
-                    bail!("no fault is named `{kind}`; known: kill, start, hang, slow, errors, lose, half, full, flush, drain, shut");
+                if !self.engines[engine].inject_fault(kind, value, now) {
+                    bail!("unknown fault `{kind}`; known: kill, start, hang, slow, errors, lose, half, full, flush, drain, shut");
                 }
                 if kind == "drain" {
-                    let standing = if value > 0.0 { EngineStatus::Draining } else { EngineStatus::Up };
-                    self.desk.schedule_change(now, name, standing, None);
+                    let status = if value > 0.0 { EngineStatus::Draining } else { EngineStatus::Up };
+                    self.registry_server.schedule_change(now, name, status, None);
                 }
-                self.carry_out(Owner::Engine(engine))?;
+                self.perform_actions(Owner::Engine(engine))?;
                 Ok("{}".into())
             }
             _ => bail!("known: GET /state, POST /fault?engine=NAME&kind=KIND&value=X, POST /registry?unavailable_ms=N"),
--- a/crates/engine-emulator/src/lib.rs
+++ b/crates/engine-emulator/src/lib.rs
@@ -1,7 +1,9 @@
-//! Stand-in engines: an emulator in virtual work, its PostgreSQL face, a registry and faults on command.
+//! Emulated engines: an execution model in virtual time, the PostgreSQL protocol, a registry and
+//! fault injection.
 //!
-//! They stand in for analytic engines in tests, in the laboratory and on a first look at the controller. The models are
-//! the project's own; what they cost in virtual work they do not cost in processor time.
+//! They replace analytic engines in tests, in experiments and for trying out the controller. The
+//! execution models are specific to this project and use no processor time for the work that they
+//! emulate.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/engine-emulator/src/main.rs
+++ b/crates/engine-emulator/src/main.rs
@@ -1,4 +1,4 @@
-//! `wheelfield-engine`: stand-in engines for a controller to run against.
+//! `wheelfield-engine`: emulated engines for running a controller against.
 
 use anyhow::{Context, Result};
 use clap::Parser;
@@ -10,19 +10,21 @@
 use wheelfield_engine_emulator::host::Host;
 use wheelfield_engine_emulator::setup::Setup;
 
-/// Stand-in engines: PostgreSQL on loopback ports, a registry that lists them, and faults on command.
+/// Emulated engines: PostgreSQL on loopback ports, a registry that lists them, and fault injection.
 ///
-/// One line of JSON on standard output tells where everything listens. The process stops on SIGTERM or SIGINT.
+/// Prints the listen addresses as one line of JSON on standard output. The process stops on SIGTERM
+/// or SIGINT.
 ///
-/// Faults: POST /fault?engine=NAME&kind=KIND&value=X to the control port, where KIND is kill, start, hang, slow,
-/// errors, lose, half, full, flush, drain or shut. POST /registry?unavailable_ms=N silences the registry.
+/// Faults: POST /fault?engine=NAME&kind=KIND&value=X to the control port, where KIND is kill, start,
+/// hang, slow, errors, lose, half, full, flush, drain or shut. POST /registry?unavailable_ms=N makes
+/// the registry unavailable.
 #[derive(Parser)]
 #[command(name = "wheelfield-engine", version)]
 struct Args {
     /// Engines, kinds and registry as TOML.
     #[arg(long, value_name = "FILE", conflicts_with = "engines")]
     config: Option<PathBuf>,
-    /// So many engines of the usual kind, without a file.
+    /// Number of engines with the default properties, without a file.
     #[arg(long, value_name = "N", default_value_t = 8, value_parser = clap::value_parser!(u16).range(1..=1000))]
     engines: u16,
     /// Only check the file.
@@ -31,7 +33,7 @@
     /// Writes what each engine received, started, finished or dropped, as JSON lines.
     #[arg(long, value_name = "FILE")]
     log: Option<PathBuf>,
-    /// Seed of the chances of faults.
+    /// Seed of the random draws for faults.
     #[arg(long, value_name = "N", default_value_t = 1)]
     seed: u64,
 }
@@ -46,8 +48,8 @@
     };
     let setup = match setup {
         Ok(setup) => setup,
-        Err(fault) => {
-            eprintln!("wheelfield-engine: {fault:#}");
+        Err(error) => {
+            eprintln!("wheelfield-engine: {error:#}");
             return ExitCode::from(2);
         }
     };
@@ -56,8 +58,8 @@
     }
     match run(setup, &args) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("wheelfield-engine: {fault:#}");
+        Err(error) => {
+            eprintln!("wheelfield-engine: {error:#}");
             ExitCode::FAILURE
         }
     }
--- a/crates/engine-emulator/src/model.rs
+++ b/crates/engine-emulator/src/model.rs
@@ -1,132 +1,143 @@
-//! An engine's inside, in virtual work: what runs shares cores, disks and memory. No I/O and no clock.
+//! Execution model of one engine: running queries share cores, disks and memory in virtual time. No
+//! I/O and no clock.
 //!
-//! Time is told in microseconds; between two events the rates of all that runs are constant, so the model is exact
-//! for what it models. It burns no processor: a day of 41 engines is some arithmetic.
+//! Times are in microseconds. Between two events the progress rates of all running queries are
+//! constant, so events are computed exactly. Executing emulated work uses no processor time: a day
+//! of 41 engines costs only some arithmetic.
 //!
-//! - **Cores and disks** are shared by weights of priority (1 : 4 : 8 : 16), each query wanting its threads of them.
-//! - **Beyond the knee** of threads a core the whole does less: `1 / (1 + thrash * excess)`.
-//! - **Memory** is granted at the start. What gets less than it needs spills, and does more work. Where grants pass the
-//!   memory there is, a query waits in line, gets what is left, or is let in and all slow down.
-//! - **Tables** read lately are warm, and save a part of the reading.
-//! - **A load** holds its tables; other loads on them, and queries that wait for loads, stand still meanwhile.
-//! - **A cold engine** does a part of its work, rising with time; sent much more than that, it falls over.
+//! - **Cores and disks** are shared by priority weight (1 : 4 : 8 : 16). The demand of each query is
+//!   proportional to its threads.
+//! - **Saturation**: above a threshold of threads per core, total throughput is divided by `1 +
+//!   thrashing_penalty * excess`.
+//! - **Memory** is granted when a query starts. A query that gets less than it needs spills, which
+//!   increases its work. When the grants would exceed the memory, a query waits, gets a smaller
+//!   grant, or is admitted while all queries slow down; see [`MemoryShortage`].
+//! - **Warm tables**: a query on a recently used table group needs less reading.
+//! - **Loads** lock their tables. Later loads of the same tables, and queries that wait for loads,
+//!   make no progress until the load ends.
+//! - **Cold start**: a started engine has reduced throughput that rises over time. It crashes when
+//!   it is sent much more work than it can process.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// What an engine is like.
+/// Properties of an engine.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Spec {
-    /// Cores.
+pub struct EngineSpec {
+    /// Number of cores.
     pub cores: f64,
-    /// Work a core does in a second, in thread-seconds.
+    /// Work that one core completes per second, in thread-seconds.
     pub speed: f64,
-    /// Reads that go on at full speed at once.
+    /// Number of threads that can read or write at full speed at the same time.
     pub disks: f64,
     /// Memory in MB.
     pub memory_mb: f64,
-    /// Share of it that one query gets at most.
-    pub most_grant: f64,
-    /// Queries in hand at most; one more is turned away.
-    pub sessions: usize,
-    /// Threads a core from which the whole does less.
-    pub knee: f64,
-    /// How much less, for each thread a core beyond.
-    pub thrash: f64,
-    /// Work added for want of all its memory, as a multiple of a query's own.
-    pub spill: f64,
-    /// What happens when memory is short.
-    pub short: Short,
-    /// Where it pages: slowdown for each multiple of the memory used beyond it.
-    pub page: f64,
-    /// Priorities are heeded.
-    pub priorities: bool,
-    /// Memory grants asked for are heeded.
-    pub grants: bool,
-    /// Groups of tables kept warm.
-    pub warm_groups: usize,
-    /// Part of the reading that a warm group saves.
-    pub warm_gain: f64,
-    /// A started engine does this share of its work,
-    pub cold_from: f64,
-    /// and all of it after so many microseconds.
-    pub cold_for: i64,
-    /// Sent this multiple of what it can do,
-    pub fall_multiple: f64,
-    /// for so many microseconds, it falls over; zero for never.
-    pub fall_span: i64,
-    /// Its load is looked at so often, in microseconds,
-    pub report_every: i64,
-    /// and told so much later.
+    /// Maximum fraction of the memory that is granted to one query.
+    pub max_grant_fraction: f64,
+    /// Maximum number of queries that are running or queued; further queries are rejected.
+    pub max_sessions: usize,
+    /// Threads per core above which total throughput decreases.
+    pub knee_threads_per_core: f64,
+    /// Decrease in throughput per thread per core above the threshold.
+    pub thrashing_penalty: f64,
+    /// Additional work of a query that has no memory at all, as a multiple of its own work. The
+    /// addition is proportional to the fraction of memory that is missing.
+    pub spill_work_factor: f64,
+    /// Behavior when memory is short.
+    pub memory_shortage: MemoryShortage,
+    /// With [`MemoryShortage::Overcommit`]: slowdown per multiple of the memory that is used in
+    /// excess of it.
+    pub paging_slowdown: f64,
+    /// Whether query priorities affect scheduling.
+    pub honor_priorities: bool,
+    /// Whether requested memory grants are honored.
+    pub honor_grants: bool,
+    /// Number of table groups that are kept warm.
+    pub warm_table_groups: usize,
+    /// Fraction of the reading that a warm table group saves.
+    pub warm_read_saving: f64,
+    /// Fraction of the full throughput that is available right after a start.
+    pub cold_start_fraction: f64,
+    /// Time from the start until full throughput, in microseconds. The throughput rises linearly.
+    pub warmup_duration: i64,
+    /// A cold engine crashes when the work submitted within `overload_window` exceeds this multiple
+    /// of what the engine can complete in that time. Zero disables such crashes.
+    pub overload_factor: f64,
+    /// Window for `overload_factor`, in microseconds. Zero disables crashes by overload.
+    pub overload_window: i64,
+    /// Interval of load samples, in microseconds.
+    pub report_interval: i64,
+    /// Delay until a load sample is published, in microseconds.
     pub report_delay: i64,
-    /// Word on what runs comes so often; zero for never.
-    pub note_every: i64,
+    /// Interval of progress messages about running queries, in microseconds; zero disables them.
+    pub progress_interval: i64,
 }
 
-/// What happens when memory is short.
+/// Behavior when the requested memory exceeds the free memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Short {
-    /// A query waits in line, by priority and then in turn.
-    Wait,
-    /// It gets what is left.
-    Shrink,
-    /// It is let in, and all slow down.
-    Page,
+pub enum MemoryShortage {
+    /// The query waits in a queue that is ordered by priority and then by arrival.
+    Queue,
+    /// The query gets the remaining memory.
+    ShrinkGrant,
+    /// The query is admitted with its full grant, and all queries slow down.
+    Overcommit,
 }
 
-impl Default for Spec {
+impl Default for EngineSpec {
     fn default() -> Self {
-        Spec {
+        EngineSpec {
             cores: 8.0,
             speed: 1.0,
             disks: 8.0,
             memory_mb: 16_384.0,
-            most_grant: 0.4,
-            sessions: 64,
-            knee: 2.0,
-            thrash: 0.3,
-            spill: 2.0,
-            short: Short::Wait,
-            page: 6.0,
-            priorities: true,
-            grants: true,
-            warm_groups: 4,
-            warm_gain: 0.5,
-            cold_from: 0.35,
-            cold_for: 10_000_000,
-            fall_multiple: 3.0,
-            fall_span: 1_500_000,
-            report_every: 200_000,
+            max_grant_fraction: 0.4,
+            max_sessions: 64,
+            knee_threads_per_core: 2.0,
+            thrashing_penalty: 0.3,
+            spill_work_factor: 2.0,
+            memory_shortage: MemoryShortage::Queue,
+            paging_slowdown: 6.0,
+            honor_priorities: true,
+            honor_grants: true,
+            warm_table_groups: 4,
+            warm_read_saving: 0.5,
+            cold_start_fraction: 0.35,
+            warmup_duration: 10_000_000,
+            overload_factor: 3.0,
+            overload_window: 1_500_000,
+            report_interval: 200_000,
             report_delay: 100_000,
-            note_every: 1_000_000,
+            progress_interval: 1_000_000,
         }
     }
 }
 
-/// A query for the model.
+/// A query as submitted to the model.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Job {
-    /// Its number, given by the host.
+    /// Job number, assigned by the host.
     pub id: u64,
-    /// Work of all its threads, in seconds of one.
+    /// Total work of all threads, in thread-seconds.
     pub work: f64,
-    /// What it weighs on a cold engine: the usual work of its kind, in seconds of one thread.
-    pub usual: f64,
-    /// Threads it runs on.
+    /// Typical work of queries of this kind, in thread-seconds. It is counted when a cold engine is
+    /// checked for overload.
+    pub nominal_work: f64,
+    /// Number of threads.
     pub threads: f64,
-    /// Part of its work that is reading or writing.
+    /// Fraction of the work that is reading or writing.
     pub io: f64,
-    /// Memory it needs, in MB.
+    /// Required memory in MB.
     pub memory_mb: f64,
-    /// Memory it is to get; none leaves it to the engine.
-    pub grant_mb: Option<f64>,
-    /// 0 to 3.
+    /// Requested memory grant in MB; `None` lets the engine choose.
+    pub requested_grant_mb: Option<f64>,
+    /// Priority from 0 to 3; a higher value is more important.
     pub priority: u8,
-    /// Its group of tables.
-    pub tables: u64,
-    /// It holds its tables.
-    pub load: bool,
-    /// It waits for loads on its tables.
-    pub waits: bool,
+    /// Table group that the query uses.
+    pub table_group: u64,
+    /// Whether the query is a load, which locks its tables.
+    pub is_load: bool,
+    /// Whether the query waits for loads of its tables.
+    pub waits_for_loads: bool,
 }
 
 impl Default for Job {
@@ -134,453 +145,516 @@
         Job {
             id: 0,
             work: 0.0,
-            usual: 0.0,
+            nominal_work: 0.0,
             threads: 1.0,
             io: 0.0,
             memory_mb: 0.0,
-            grant_mb: None,
+            requested_grant_mb: None,
             priority: 1,
-            tables: 0,
-            load: false,
-            waits: false,
+            table_group: 0,
+            is_load: false,
+            waits_for_loads: false,
         }
     }
 }
 
-/// What happened inside.
+/// Events reported by the model.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Happened {
-    /// A query began to run.
+pub enum ModelEvent {
+    /// A query started to run.
     Started(u64),
-    /// A query is done; its work in thread-seconds, spill and all.
+    /// A query finished.
     Finished {
-        /// Which.
+        /// Job number.
         id: u64,
-        /// Work done for it.
+        /// Work done in thread-seconds, including spilling.
         work: f64,
     },
-    /// Word on a query: the share of it done.
+    /// Completed fraction of a query.
     Progress(u64, f64),
-    /// It spills, for want of so many MB.
-    Spills(u64, f64),
-    /// It waits for memory.
-    WaitsForMemory(u64),
-    /// It stands still behind a load.
-    WaitsForLoad(u64),
-    /// It was cold, was sent too much, and is down.
-    FellOver,
+    /// A query spills because this many MB of its memory are missing.
+    Spilling(u64, f64),
+    /// A query waits for memory.
+    WaitingForMemory(u64),
+    /// A query is blocked by a load.
+    WaitingForLoad(u64),
+    /// The engine was overloaded while it was cold, and crashed.
+    Overloaded,
 }
 
-/// The load as the engine tells it.
+/// Load report of the engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
-    /// Share of its cores busy.
+pub struct LoadReport {
+    /// Fraction of the cores that is busy.
     pub util: f64,
-    /// Queries in hand.
+    /// Number of queries that are running or queued.
     pub in_flight: f64,
-    /// Queries waiting for memory.
+    /// Number of queries that wait for memory.
     pub queue: f64,
-    /// Share of its memory granted.
+    /// Fraction of the memory that is granted.
     pub memory: f64,
-    /// Share of its disks busy.
+    /// Fraction of the disks that is busy.
     pub disks: f64,
 }
 
-/// No more sessions.
+/// Error: the query was not accepted, because the session limit is reached or the engine is down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Full;
+pub struct SessionLimitReached;
 
 #[derive(Debug)]
-struct Running {
+struct RunningJob {
     job: Job,
-    /// Work in all, spill and warm tables reckoned in.
-    total: f64,
-    left: f64,
+    /// Total work, including the effects of spilling and of warm tables.
+    total_work: f64,
+    remaining_work: f64,
     grant: f64,
     rate: f64,
-    next_note: i64,
+    next_progress_at: i64,
 }
 
-/// The inside of one engine.
+/// State of the execution model of one engine.
 #[derive(Debug)]
 pub struct Model {
-    spec: Spec,
+    spec: EngineSpec,
     now: i64,
     started: Option<i64>,
-    running: BTreeMap<u64, Running>,
-    line: Vec<(Job, i64)>,
-    warm: VecDeque<u64>,
-    received: VecDeque<(i64, f64)>,
-    slow: f64,
+    running: BTreeMap<u64, RunningJob>,
+    memory_queue: Vec<(Job, i64)>,
+    warm_tables: VecDeque<u64>,
+    recent_submissions: VecDeque<(i64, f64)>,
+    slowdown: f64,
     frozen: bool,
     down: bool,
-    util: f64,
-    disks: f64,
-    next_report: i64,
-    reports: VecDeque<(i64, Load)>,
-    told: Load,
-    fell: bool,
+    cpu_utilization: f64,
+    disk_utilization: f64,
+    next_sample_at: i64,
+    unpublished_reports: VecDeque<(i64, LoadReport)>,
+    published_load: LoadReport,
+    overloaded: bool,
 }
 
-/// Shares what there is by weight, each taker up to what it wants.
-fn share(capacity: f64, wants: &[(f64, f64)]) -> Vec<f64> {
-    let mut got = vec![0.0; wants.len()];
-    let mut open: Vec<usize> = (0..wants.len()).filter(|i| wants[*i].0 > 0.0).collect();
-    let mut left = capacity;
-    while !open.is_empty() && left > 1e-12 {
-        let weights: f64 = open.iter().map(|i| wants[*i].1).sum();
-        let unit = left / weights;
-        let sated: Vec<usize> =
-            open.iter().copied().filter(|i| wants[*i].0 - got[*i] <= unit * wants[*i].1).collect();
-        if sated.is_empty() {
-            for i in open {
-                got[i] += unit * wants[i].1;
+/// Distributes `capacity` in proportion to the weights, without exceeding any demand. `demands`
+/// holds pairs of demand and weight.
+fn allocate_by_weight(capacity: f64, demands: &[(f64, f64)]) -> Vec<f64> {
+    let mut allocated = vec![0.0; demands.len()];
+    let mut unsatisfied: Vec<usize> = (0..demands.len()).filter(|i| demands[*i].0 > 0.0).collect();
+    let mut remaining = capacity;
+    while !unsatisfied.is_empty() && remaining > 1e-12 {
+        let weights: f64 = unsatisfied.iter().map(|i| demands[*i].1).sum();
+        let per_weight = remaining / weights;
+        let satisfied: Vec<usize> = unsatisfied
+            .iter()
+            .copied()
+            .filter(|i| demands[*i].0 - allocated[*i] <= per_weight * demands[*i].1)
+            .collect();
+        if satisfied.is_empty() {
+            for i in unsatisfied {
+                allocated[i] += per_weight * demands[i].1;
             }
             break;
         }
-        for i in &sated {
-            left -= wants[*i].0 - got[*i];
-            got[*i] = wants[*i].0;
+        for i in &satisfied {
+            remaining -= demands[*i].0 - allocated[*i];
+            allocated[*i] = demands[*i].0;
         }
-        open.retain(|i| !sated.contains(i));
+        unsatisfied.retain(|i| !satisfied.contains(i));
     }
-    got
+    allocated
 }
 
 impl Model {
-    /// An engine that has long been up.
-    pub fn new(spec: Spec, now: i64) -> Model {
+    /// Creates an engine that is warmed up.
+    pub fn new(spec: EngineSpec, now: i64) -> Model {
         Model {
             spec,
             now,
             started: None,
             running: BTreeMap::new(),
-            line: Vec::new(),
-            warm: VecDeque::new(),
-            received: VecDeque::new(),
-            slow: 1.0,
+            memory_queue: Vec::new(),
+            warm_tables: VecDeque::new(),
+            recent_submissions: VecDeque::new(),
+            slowdown: 1.0,
             frozen: false,
             down: false,
-            util: 0.0,
-            disks: 0.0,
-            next_report: now,
-            reports: VecDeque::new(),
-            told: Load::default(),
-            fell: false,
+            cpu_utilization: 0.0,
+            disk_utilization: 0.0,
+            next_sample_at: now,
+            unpublished_reports: VecDeque::new(),
+            published_load: LoadReport::default(),
+            overloaded: false,
         }
     }
 
-    /// What it is like.
-    pub fn spec(&self) -> &Spec {
+    /// Returns the properties of the engine.
+    pub fn spec(&self) -> &EngineSpec {
         &self.spec
     }
 
-    /// The share of its work that it can do now.
+    /// Returns the fraction of the full throughput that is available at `now`.
     pub fn warmth(&self, now: i64) -> f64 {
         let Some(started) = self.started else { return 1.0 };
-        let age = (now - started) as f64 / (self.spec.cold_for as f64).max(1.0);
-        (self.spec.cold_from + (1.0 - self.spec.cold_from) * age.max(0.0)).min(1.0)
+        let age = (now - started) as f64 / (self.spec.warmup_duration as f64).max(1.0);
+        (self.spec.cold_start_fraction + (1.0 - self.spec.cold_start_fraction) * age.max(0.0)).min(1.0)
     }
 
-    /// It ends all at once; what it had is lost.
+    /// Stops the engine at once; all queries are lost.
     pub fn kill(&mut self, now: i64) {
         self.now = now;
         self.running.clear();
-        self.line.clear();
-        self.warm.clear();
-        self.received.clear();
-        self.reports.clear();
-        self.told = Load::default();
-        (self.util, self.disks, self.down) = (0.0, 0.0, true);
+        self.memory_queue.clear();
+        self.warm_tables.clear();
+        self.recent_submissions.clear();
+        self.unpublished_reports.clear();
+        self.published_load = LoadReport::default();
+        (self.cpu_utilization, self.disk_utilization, self.down) = (0.0, 0.0, true);
     }
 
-    /// It starts, cold and empty.
+    /// Starts the engine with cold, empty state.
     pub fn start(&mut self, now: i64) {
         self.kill(now);
-        (self.started, self.next_report) = (Some(now), now);
-        (self.slow, self.frozen, self.down, self.fell) = (1.0, false, false, false);
+        (self.started, self.next_sample_at) = (Some(now), now);
+        (self.slowdown, self.frozen, self.down, self.overloaded) = (1.0, false, false, false);
     }
 
-    /// Whether it runs.
+    /// Returns whether the engine is running.
     pub fn is_up(&self) -> bool {
         !self.down
     }
 
-    /// It does everything so many times slower.
-    pub fn slow(&mut self, now: i64, times: f64) {
-        self.integrate(now);
-        self.slow = times.max(1e-3);
-        self.rates();
+    /// Divides the engine's speed by `factor`.
+    pub fn set_slowdown(&mut self, now: i64, factor: f64) {
+        self.advance_work(now);
+        self.slowdown = factor.max(1e-3);
+        self.update_rates();
     }
 
-    /// It stands still, or goes on.
-    pub fn freeze(&mut self, now: i64, frozen: bool) {
-        self.integrate(now);
+    /// Suspends or resumes all execution.
+    pub fn set_frozen(&mut self, now: i64, frozen: bool) {
+        self.advance_work(now);
         self.frozen = frozen;
-        self.rates();
+        self.update_rates();
     }
 
-    /// Forgets the warm tables.
-    pub fn flush(&mut self) {
-        self.warm.clear();
+    /// Removes all table groups from the set of warm ones.
+    pub fn clear_warm_tables(&mut self) {
+        self.warm_tables.clear();
     }
 
-    /// Queries in hand.
-    pub fn in_hand(&self) -> usize {
-        self.running.len() + self.line.len()
+    /// Returns the number of queries that are running or queued.
+    pub fn in_flight_count(&self) -> usize {
+        self.running.len() + self.memory_queue.len()
     }
 
-    /// The load as it is told at this time: as it was some time ago.
-    pub fn load(&self) -> Load {
-        self.told
+    /// Returns the latest published load report. Samples are published after `report_delay`.
+    pub fn load(&self) -> LoadReport {
+        self.published_load
     }
 
     fn granted(&self) -> f64 {
         self.running.values().map(|r| r.grant).sum()
     }
 
-    /// Takes a query.
+    /// Submits a query.
     ///
     /// # Errors
-    /// [`Full`] when all sessions are taken.
-    pub fn submit(&mut self, now: i64, job: Job, out: &mut Vec<Happened>) -> Result<(), Full> {
+    /// [`SessionLimitReached`] when the session limit is reached or the engine is down.
+    pub fn submit(
+        &mut self,
+        now: i64,
+        job: Job,
+        out: &mut Vec<ModelEvent>,
+    ) -> Result<(), SessionLimitReached> {
         self.advance(now, out);
-        if self.down || self.in_hand() >= self.spec.sessions {
-            return Err(Full);
+        if self.down || self.in_flight_count() >= self.spec.max_sessions {
+            return Err(SessionLimitReached);
         }
-        self.received.push_back((now, job.usual));
-        self.weigh_down(now, out);
-        if self.fell {
-            return Err(Full);
+        self.recent_submissions.push_back((now, job.nominal_work));
+        self.check_cold_overload(now, out);
+        if self.overloaded {
+            return Err(SessionLimitReached);
         }
-        self.line.push((job, now));
-        self.let_in(out);
+        self.memory_queue.push((job, now));
+        self.admit_queued(out);
         Ok(())
     }
 
-    /// A cold engine that is sent too much falls over.
-    fn weigh_down(&mut self, now: i64, out: &mut Vec<Happened>) {
-        let span = self.spec.fall_span;
-        while self.received.front().is_some_and(|(at, _)| *at < now - span) {
-            self.received.pop_front();
+    /// Crashes a cold engine when the recently submitted work exceeds its overload limit.
+    fn check_cold_overload(&mut self, now: i64, out: &mut Vec<ModelEvent>) {
+        let window = self.spec.overload_window;
+        while self.recent_submissions.front().is_some_and(|(at, _)| *at < now - window) {
+            self.recent_submissions.pop_front();
         }
         let warmth = self.warmth(now);
-        if warmth >= 1.0 || self.spec.fall_multiple <= 0.0 || span <= 0 {
+        if warmth >= 1.0 || self.spec.overload_factor <= 0.0 || window <= 0 {
             return;
         }
-        let sent: f64 = self.received.iter().map(|(_, work)| work).sum();
-        // One query alone is no flood, however large.
-        let able = self.spec.cores * self.spec.speed * warmth * span as f64 / 1e6;
-        if self.received.len() > 1 && sent > self.spec.fall_multiple * able {
+        let submitted_work: f64 = self.recent_submissions.iter().map(|(_, work)| work).sum();
+        // A single query never causes an overload, however large it is.
+        let capacity = self.spec.cores * self.spec.speed * warmth * window as f64 / 1e6;
+        if self.recent_submissions.len() > 1 && submitted_work > self.spec.overload_factor * capacity {
             self.kill(now);
-            self.fell = true;
-            out.push(Happened::FellOver);
+            self.overloaded = true;
+            out.push(ModelEvent::Overloaded);
         }
     }
 
-    /// Lets in from the line what there is room for.
-    fn let_in(&mut self, out: &mut Vec<Happened>) {
+    /// Starts queued queries while there is memory for them.
+    fn admit_queued(&mut self, out: &mut Vec<ModelEvent>) {
         let spec = &self.spec;
-        // By priority, then in turn; the sort keeps the turn.
-        if spec.priorities {
-            self.line.sort_by_key(|(job, _)| std::cmp::Reverse(job.priority));
+        // The sort is stable, so queries of equal priority stay in order of arrival.
+        if spec.honor_priorities {
+            self.memory_queue.sort_by_key(|(job, _)| std::cmp::Reverse(job.priority));
         }
         let mut granted = self.granted();
-        while let Some((job, _)) = self.line.first() {
-            let most = spec.most_grant * spec.memory_mb;
-            let asked = job.grant_mb.filter(|_| spec.grants).unwrap_or(1.25 * job.memory_mb).min(most);
+        while let Some((job, _)) = self.memory_queue.first() {
+            let max_grant = spec.max_grant_fraction * spec.memory_mb;
+            let requested = job
+                .requested_grant_mb
+                .filter(|_| spec.honor_grants)
+                .unwrap_or(1.25 * job.memory_mb)
+                .min(max_grant);
             let free = spec.memory_mb - granted;
-            let grant = match spec.short {
-                Short::Wait if asked > free && !self.running.is_empty() => break,
-                Short::Shrink => asked.min(free.max(0.0)),
-                _ => asked,
+            let grant = match spec.memory_shortage {
+                MemoryShortage::Queue if requested > free && !self.running.is_empty() => break,
+                MemoryShortage::ShrinkGrant => requested.min(free.max(0.0)),
+                _ => requested,
             };
-            let (job, _) = self.line.remove(0);
-            let warm = self.warm.contains(&job.tables);
-            self.warm.retain(|t| *t != job.tables);
-            self.warm.push_front(job.tables);
-            self.warm.truncate(spec.warm_groups);
-            let missing = if job.memory_mb > 0.0 { (1.0 - grant / job.memory_mb).max(0.0) } else { 0.0 };
-            let reading = if warm { 1.0 - spec.warm_gain * job.io } else { 1.0 };
-            let total = job.work.max(0.0) * reading * (1.0 + spec.spill * missing);
+            let (job, _) = self.memory_queue.remove(0);
+            let warm = self.warm_tables.contains(&job.table_group);
+            self.warm_tables.retain(|t| *t != job.table_group);
+            self.warm_tables.push_front(job.table_group);
+            self.warm_tables.truncate(spec.warm_table_groups);
+            let missing_fraction =
+                if job.memory_mb > 0.0 { (1.0 - grant / job.memory_mb).max(0.0) } else { 0.0 };
+            let reading_factor = if warm { 1.0 - spec.warm_read_saving * job.io } else { 1.0 };
+            let total_work =
+                job.work.max(0.0) * reading_factor * (1.0 + spec.spill_work_factor * missing_fraction);
             granted += grant;
-            out.push(Happened::Started(job.id));
-            let next_note = if spec.note_every > 0 { self.now + spec.note_every } else { i64::MAX };
-            self.running.insert(job.id, Running { job, total, left: total, grant, rate: 0.0, next_note });
+            out.push(ModelEvent::Started(job.id));
+            let next_progress_at =
+                if spec.progress_interval > 0 { self.now + spec.progress_interval } else { i64::MAX };
+            self.running.insert(
+                job.id,
+                RunningJob {
+                    job,
+                    total_work,
+                    remaining_work: total_work,
+                    grant,
+                    rate: 0.0,
+                    next_progress_at,
+                },
+            );
         }
-        self.rates();
+        self.update_rates();
     }
 
-    /// Whether a query stands still behind a load that came before it.
-    fn held(&self, r: &Running) -> bool {
+    /// Returns whether a query is blocked by an earlier load of the same tables.
+    fn is_blocked_by_load(&self, r: &RunningJob) -> bool {
         let job = &r.job;
-        (job.load || job.waits)
-            && self.running.values().any(|o| o.job.load && o.job.id < job.id && o.job.tables == job.tables)
+        (job.is_load || job.waits_for_loads)
+            && self
+                .running
+                .values()
+                .any(|o| o.job.is_load && o.job.id < job.id && o.job.table_group == job.table_group)
     }
 
-    fn rates(&mut self) {
+    fn update_rates(&mut self) {
         let spec = &self.spec;
-        let weight = |r: &Running| {
-            if spec.priorities {
+        let weight = |r: &RunningJob| {
+            if spec.honor_priorities {
                 [1.0, 4.0, 8.0, 16.0][usize::from(r.job.priority.min(3))]
             } else {
                 1.0
             }
         };
-        let moving: Vec<u64> = self.running.values().filter(|r| !self.held(r)).map(|r| r.job.id).collect();
-        let all: Vec<&Running> = moving.iter().filter_map(|id| self.running.get(id)).collect();
-        let threads: f64 = all.iter().map(|r| r.job.threads).sum();
-        let excess = (threads / spec.cores - spec.knee).max(0.0);
-        let whole = self.warmth(self.now) / (1.0 + spec.thrash * excess);
-        let cpu: Vec<(f64, f64)> =
-            all.iter().map(|r| (r.job.threads * (1.0 - r.job.io), weight(r))).collect();
-        let io: Vec<(f64, f64)> = all.iter().map(|r| (r.job.threads * r.job.io, weight(r))).collect();
-        let (cpu_got, io_got) = (share(spec.cores * whole, &cpu), share(spec.disks * whole, &io));
+        let runnable: Vec<u64> =
+            self.running.values().filter(|r| !self.is_blocked_by_load(r)).map(|r| r.job.id).collect();
+        let jobs: Vec<&RunningJob> = runnable.iter().filter_map(|id| self.running.get(id)).collect();
+        let threads: f64 = jobs.iter().map(|r| r.job.threads).sum();
+        let excess = (threads / spec.cores - spec.knee_threads_per_core).max(0.0);
+        let efficiency = self.warmth(self.now) / (1.0 + spec.thrashing_penalty * excess);
+        let cpu_demand: Vec<(f64, f64)> =
+            jobs.iter().map(|r| (r.job.threads * (1.0 - r.job.io), weight(r))).collect();
+        let io_demand: Vec<(f64, f64)> = jobs.iter().map(|r| (r.job.threads * r.job.io, weight(r))).collect();
+        let (cpu_alloc, io_alloc) = (
+            allocate_by_weight(spec.cores * efficiency, &cpu_demand),
+            allocate_by_weight(spec.disks * efficiency, &io_demand),
+        );
         let used: f64 = self.running.values().map(|r| r.grant.min(r.job.memory_mb)).sum();
-        let over = (used / spec.memory_mb.max(1.0) - 1.0).max(0.0);
-        let paging = if spec.short == Short::Page { 1.0 + spec.page * over } else { 1.0 };
-        let pace = if self.frozen || self.down { 0.0 } else { spec.speed / self.slow / paging };
-        let part = |got: f64, want: f64| if want > 0.0 { got / want } else { 1.0 };
-        let rates: Vec<f64> = (0..all.len())
-            .map(|i| pace * all[i].job.threads * part(cpu_got[i], cpu[i].0).min(part(io_got[i], io[i].0)))
+        let overcommit = (used / spec.memory_mb.max(1.0) - 1.0).max(0.0);
+        let paging = if spec.memory_shortage == MemoryShortage::Overcommit {
+            1.0 + spec.paging_slowdown * overcommit
+        } else {
+            1.0
+        };
+        let base_rate = if self.frozen || self.down { 0.0 } else { spec.speed / self.slowdown / paging };
+        let ratio = |allocated: f64, demand: f64| if demand > 0.0 { allocated / demand } else { 1.0 };
+        let rates: Vec<f64> = (0..jobs.len())
+            .map(|i| {
+                base_rate
+                    * jobs[i].job.threads
+                    * ratio(cpu_alloc[i], cpu_demand[i].0).min(ratio(io_alloc[i], io_demand[i].0))
+            })
             .collect();
-        let busy: f64 =
-            (0..all.len()).map(|i| cpu[i].0 * part(cpu_got[i], cpu[i].0).min(part(io_got[i], io[i].0))).sum();
-        let reads: f64 =
-            (0..all.len()).map(|i| io[i].0 * part(cpu_got[i], cpu[i].0).min(part(io_got[i], io[i].0))).sum();
-        (self.util, self.disks) = (busy / spec.cores, reads / spec.disks.max(1e-6));
+        let busy_cores: f64 = (0..jobs.len())
+            .map(|i| {
+                cpu_demand[i].0 * ratio(cpu_alloc[i], cpu_demand[i].0).min(ratio(io_alloc[i], io_demand[i].0))
+            })
+            .sum();
+        let busy_disks: f64 = (0..jobs.len())
+            .map(|i| {
+                io_demand[i].0 * ratio(cpu_alloc[i], cpu_demand[i].0).min(ratio(io_alloc[i], io_demand[i].0))
+            })
+            .sum();
+        (self.cpu_utilization, self.disk_utilization) =
+            (busy_cores / spec.cores, busy_disks / spec.disks.max(1e-6));
         self.running.values_mut().for_each(|r| r.rate = 0.0);
-        for (id, rate) in moving.into_iter().zip(rates) {
+        for (id, rate) in runnable.into_iter().zip(rates) {
             if let Some(r) = self.running.get_mut(&id) {
                 r.rate = rate;
             }
         }
     }
 
-    fn integrate(&mut self, now: i64) {
-        let passed = (now - self.now).max(0) as f64 / 1e6;
+    fn advance_work(&mut self, now: i64) {
+        let elapsed_seconds = (now - self.now).max(0) as f64 / 1e6;
         for r in self.running.values_mut() {
-            r.left -= r.rate * passed;
+            r.remaining_work -= r.rate * elapsed_seconds;
         }
         self.now = self.now.max(now);
     }
 
-    /// When something happens next, if nothing comes before.
+    /// Returns the time of the next event if no further calls are made.
     pub fn next_event(&self) -> Option<i64> {
         if self.down {
             return None;
         }
-        let done = |r: &Running| {
-            if r.left <= 1e-9 {
+        let completion_time = |r: &RunningJob| {
+            if r.remaining_work <= 1e-9 {
                 return Some(self.now);
             }
-            (r.rate > 0.0).then(|| self.now + ((r.left / r.rate) * 1e6).ceil().min(1e15) as i64)
+            (r.rate > 0.0).then(|| self.now + ((r.remaining_work / r.rate) * 1e6).ceil().min(1e15) as i64)
         };
-        let ends = self.running.values().filter_map(done).min();
-        let notes =
-            self.running.values().map(|r| r.next_note).filter(|at| *at < i64::MAX && !self.frozen).min();
-        // While it is cold its pace rises, and is reckoned anew at every report.
-        let report = (self.in_hand() > 0 || !self.reports.is_empty()).then_some(self.next_report);
-        [ends, notes, report].into_iter().flatten().min()
+        let completions = self.running.values().filter_map(completion_time).min();
+        let progress_due = self
+            .running
+            .values()
+            .map(|r| r.next_progress_at)
+            .filter(|at| *at < i64::MAX && !self.frozen)
+            .min();
+        // While the engine is cold its speed rises. The rates are recomputed at every load sample,
+        // so samples are also scheduled while queries are in flight.
+        let next_sample = (self.in_flight_count() > 0 || !self.unpublished_reports.is_empty())
+            .then_some(self.next_sample_at);
+        [completions, progress_due, next_sample].into_iter().flatten().min()
     }
 
-    /// Lets the time pass; what happened is appended in its order.
-    pub fn advance(&mut self, now: i64, out: &mut Vec<Happened>) {
+    /// Advances to `now` and appends the events in chronological order.
+    pub fn advance(&mut self, now: i64, out: &mut Vec<ModelEvent>) {
         while let Some(at) = self.next_event().filter(|at| *at <= now) {
-            self.integrate(at);
-            self.happen(at, out);
+            self.advance_work(at);
+            self.process_due(at, out);
         }
-        self.integrate(now);
-        while let Some((_, load)) = self.reports.front().copied().filter(|(at, _)| *at <= now) {
-            self.told = load;
-            self.reports.pop_front();
+        self.advance_work(now);
+        while let Some((_, load)) = self.unpublished_reports.front().copied().filter(|(at, _)| *at <= now) {
+            self.published_load = load;
+            self.unpublished_reports.pop_front();
         }
     }
 
-    fn happen(&mut self, at: i64, out: &mut Vec<Happened>) {
-        let done: Vec<u64> =
-            self.running.values().filter(|r| r.left <= 1e-9 && !self.frozen).map(|r| r.job.id).collect();
-        for id in &done {
+    fn process_due(&mut self, at: i64, out: &mut Vec<ModelEvent>) {
+        let finished: Vec<u64> = self
+            .running
+            .values()
+            .filter(|r| r.remaining_work <= 1e-9 && !self.frozen)
+            .map(|r| r.job.id)
+            .collect();
+        for id in &finished {
             if let Some(r) = self.running.remove(id) {
-                out.push(Happened::Finished { id: *id, work: r.total });
+                out.push(ModelEvent::Finished { id: *id, work: r.total_work });
             }
         }
-        if self.spec.note_every > 0 && !self.frozen {
-            let noted: Vec<u64> =
-                self.running.values().filter(|r| r.next_note <= at).map(|r| r.job.id).collect();
-            for id in noted {
-                let held = self.running.get(&id).is_some_and(|r| self.held(r));
+        if self.spec.progress_interval > 0 && !self.frozen {
+            let reporting: Vec<u64> =
+                self.running.values().filter(|r| r.next_progress_at <= at).map(|r| r.job.id).collect();
+            for id in reporting {
+                let blocked = self.running.get(&id).is_some_and(|r| self.is_blocked_by_load(r));
                 let Some(r) = self.running.get_mut(&id) else { continue };
-                r.next_note = at + self.spec.note_every;
-                let missing = r.job.memory_mb - r.grant;
-                out.push(if held {
-                    Happened::WaitsForLoad(id)
+                r.next_progress_at = at + self.spec.progress_interval;
+                let missing_mb = r.job.memory_mb - r.grant;
+                out.push(if blocked {
+                    ModelEvent::WaitingForLoad(id)
                 } else {
-                    Happened::Progress(id, (1.0 - r.left / r.total.max(1e-9)).clamp(0.0, 1.0))
+                    ModelEvent::Progress(
+                        id,
+                        (1.0 - r.remaining_work / r.total_work.max(1e-9)).clamp(0.0, 1.0),
+                    )
                 });
-                if missing > 0.0 && !held {
-                    out.push(Happened::Spills(id, missing));
+                if missing_mb > 0.0 && !blocked {
+                    out.push(ModelEvent::Spilling(id, missing_mb));
                 }
             }
         }
-        if at >= self.next_report {
-            self.report(at, out);
+        if at >= self.next_sample_at {
+            self.sample_load(at, out);
         }
-        if !done.is_empty() {
-            self.let_in(out);
+        if !finished.is_empty() {
+            self.admit_queued(out);
         } else {
-            self.rates();
+            self.update_rates();
         }
     }
 
-    fn report(&mut self, at: i64, out: &mut Vec<Happened>) {
-        self.next_report = at + self.spec.report_every.max(1_000);
-        let load = Load {
-            util: self.util,
-            in_flight: self.in_hand() as f64,
-            queue: self.line.len() as f64,
+    fn sample_load(&mut self, at: i64, out: &mut Vec<ModelEvent>) {
+        self.next_sample_at = at + self.spec.report_interval.max(1_000);
+        let load = LoadReport {
+            util: self.cpu_utilization,
+            in_flight: self.in_flight_count() as f64,
+            queue: self.memory_queue.len() as f64,
             memory: self.granted() / self.spec.memory_mb.max(1.0),
-            disks: self.disks,
+            disks: self.disk_utilization,
         };
-        self.reports.push_back((at + self.spec.report_delay, load));
-        if self.spec.note_every > 0 {
-            let every = self.spec.note_every;
-            // Word on what waits in line comes on the same beat.
-            for (job, since) in &self.line {
-                if at - since >= every && (at - since) % every < self.spec.report_every {
-                    out.push(Happened::WaitsForMemory(job.id));
+        self.unpublished_reports.push_back((at + self.spec.report_delay, load));
+        if self.spec.progress_interval > 0 {
+            let interval = self.spec.progress_interval;
+            // Messages about queued queries are sent at load samples, at most once per progress
+            // interval.
+            for (job, queued_at) in &self.memory_queue {
+                if at - queued_at >= interval && (at - queued_at) % interval < self.spec.report_interval {
+                    out.push(ModelEvent::WaitingForMemory(job.id));
                 }
             }
         }
-        // Nothing in hand: one last report of it, then silence until something comes.
-        if self.in_hand() == 0 && self.reports.len() > 1 {
-            self.told = load;
-            self.reports.clear();
+        // The engine is idle: publish the last sample at once and stop sampling until the next
+        // query.
+        if self.in_flight_count() == 0 && self.unpublished_reports.len() > 1 {
+            self.published_load = load;
+            self.unpublished_reports.clear();
         }
     }
 
-    /// Ends a query; false if it was not in hand.
-    pub fn cancel(&mut self, now: i64, id: u64, out: &mut Vec<Happened>) -> bool {
+    /// Removes a query; returns false if it was neither running nor queued.
+    pub fn cancel(&mut self, now: i64, id: u64, out: &mut Vec<ModelEvent>) -> bool {
         self.advance(now, out);
-        let before = self.in_hand();
+        let before = self.in_flight_count();
         self.running.remove(&id);
-        self.line.retain(|(job, _)| job.id != id);
-        let was = self.in_hand() < before;
-        if was {
-            self.let_in(out);
+        self.memory_queue.retain(|(job, _)| job.id != id);
+        let removed = self.in_flight_count() < before;
+        if removed {
+            self.admit_queued(out);
         }
-        was
+        removed
     }
 
-    /// Changes a query's priority.
-    pub fn set_priority(&mut self, now: i64, id: u64, priority: u8, out: &mut Vec<Happened>) {
+    /// Changes the priority of a running or queued query.
+    pub fn set_priority(&mut self, now: i64, id: u64, priority: u8, out: &mut Vec<ModelEvent>) {
         self.advance(now, out);
         if let Some(r) = self.running.get_mut(&id) {
             r.job.priority = priority;
         }
-        for (job, _) in self.line.iter_mut().filter(|(job, _)| job.id == id) {
+        for (job, _) in self.memory_queue.iter_mut().filter(|(job, _)| job.id == id) {
             job.priority = priority;
         }
-        self.rates();
+        self.update_rates();
     }
 }
--- a/crates/engine-emulator/src/registry.rs
+++ b/crates/engine-emulator/src/registry.rs
@@ -1,127 +1,134 @@
-//! A stand-in registry: it tells who is there, late, and at times not at all. No I/O and no clock.
+//! An emulated registry that lists the engines. Changes are published with a delay, and the registry
+//! can be made unavailable. No I/O and no clock.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
 use wheelfield_sans_io::Timers;
 
-/// Whether an engine takes work, as the registry knows it.
+/// Status of an engine in the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EngineStatus {
-    /// It does.
+    /// The engine accepts queries.
     Up,
-    /// It finishes what it has.
+    /// The engine finishes its running queries and accepts no new ones.
     Draining,
-    /// It is gone.
+    /// The engine's process has ended.
     Removed,
 }
 
-/// A line of the list.
+/// An engine's entry in the list.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RegistryEntry {
-    /// Its name.
+    /// Engine name.
     pub id: String,
-    /// Where it listens.
+    /// Listen address.
     pub address: String,
-    /// Its zone.
+    /// Zone of the engine.
     pub zone: String,
-    /// Its kind.
+    /// Engine kind.
     pub kind: String,
-    /// Its cell.
+    /// Cell of the engine.
     pub cell: i64,
-    /// Whether it takes work.
+    /// Status of the engine.
     pub status: EngineStatus,
-    /// When it started, in microseconds of the registry's clock, where that is recent.
+    /// Time of the last restart, in microseconds on the host's clock, if the engine has been
+    /// restarted.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub started_us: Option<i64>,
 }
 
-/// A change on its way.
+/// A change that is not published yet.
 #[derive(Debug)]
-struct Coming {
-    number: u64,
+struct PendingChange {
+    change_number: u64,
     id: String,
-    standing: EngineStatus,
+    status: EngineStatus,
     started: Option<i64>,
 }
 
-/// The list, and what of it is on its way.
+/// The published list and the changes that are not published yet.
 #[derive(Debug, Default)]
 pub struct Registry {
     version: u64,
-    lines: BTreeMap<String, RegistryEntry>,
-    coming: Timers<Coming>,
-    /// The number of the last change that named each engine's start.
-    starts: BTreeMap<String, u64>,
-    changes: u64,
+    entries: BTreeMap<String, RegistryEntry>,
+    pending_changes: Timers<PendingChange>,
+    /// For each engine, the number of the latest published change that reported a start.
+    last_start_change: BTreeMap<String, u64>,
+    change_count: u64,
     unavailable_until: i64,
 }
 
 impl Registry {
-    /// A list at its first version.
-    pub fn new(lines: impl Iterator<Item = RegistryEntry>) -> Registry {
-        let lines = lines.map(|line| (line.id.clone(), line)).collect();
-        Registry { version: 1, lines, ..Registry::default() }
+    /// Creates a list with version 1.
+    pub fn new(entries: impl Iterator<Item = RegistryEntry>) -> Registry {
+        let entries = entries.map(|entry| (entry.id.clone(), entry)).collect();
+        Registry { version: 1, entries, ..Registry::default() }
     }
 
-    /// The version of the list as it is told now.
+    /// Returns the version of the published list.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// An engine changes; the list will say so at a time. Changes count in the order in which they happen, not in which they
-    /// are heard of: the death of a process that is noticed after the next one has registered takes that one off no list.
-    pub fn schedule_change(&mut self, at: i64, id: &str, standing: EngineStatus, started: Option<i64>) {
-        self.changes += 1;
-        self.coming.set(at, Coming { number: self.changes, id: id.to_string(), standing, started });
+    /// Schedules a change to an engine's entry for publication at `at`. Changes are numbered in the
+    /// order in which they happen, which may differ from the order of publication. If the exit of a
+    /// process is published after the start of its successor, it is ignored, so that the successor
+    /// stays in the list.
+    pub fn schedule_change(&mut self, at: i64, id: &str, status: EngineStatus, started: Option<i64>) {
+        self.change_count += 1;
+        self.pending_changes
+            .set(at, PendingChange { change_number: self.change_count, id: id.to_string(), status, started });
     }
 
-    /// Nobody is answered until a time.
+    /// Makes the registry unavailable until a time.
     pub fn set_unavailable_until(&mut self, until: i64) {
         self.unavailable_until = until;
     }
 
-    /// Whether calls are answered.
+    /// Returns whether requests are answered.
     pub fn available(&self, now: i64) -> bool {
         now >= self.unavailable_until
     }
 
-    /// When something changes next.
+    /// Returns the time of the next scheduled change.
     pub fn next_timer_at(&self) -> Option<i64> {
-        self.coming.next_at()
+        self.pending_changes.next_at()
     }
 
-    /// Lets the time pass; true if the list changed.
+    /// Publishes the changes that are due; returns whether the list changed.
     pub fn advance(&mut self, now: i64) -> bool {
         let before = self.version;
-        while let Some(Coming { number, id, standing, started }) = self.coming.pop_due(now) {
+        while let Some(PendingChange { change_number, id, status, started }) =
+            self.pending_changes.pop_due(now)
+        {
             if started.is_some() {
-                self.starts.insert(id.clone(), number);
+                self.last_start_change.insert(id.clone(), change_number);
             }
-            let overtaken = self.starts.get(&id).is_some_and(|start| *start > number);
-            if let Some(line) = self.lines.get_mut(&id).filter(|_| !overtaken) {
-                line.status = standing;
-                line.started_us = started.or(line.started_us);
+            let superseded = self.last_start_change.get(&id).is_some_and(|start| *start > change_number);
+            if let Some(entry) = self.entries.get_mut(&id).filter(|_| !superseded) {
+                entry.status = status;
+                entry.started_us = started.or(entry.started_us);
                 self.version += 1;
             }
         }
         self.version != before
     }
 
-    /// The list as it is told.
+    /// Returns the published list as JSON.
     pub fn list(&self) -> String {
         #[derive(Serialize)]
-        struct List<'a> {
+        struct EngineList<'a> {
             version: u64,
             engines: Vec<&'a RegistryEntry>,
         }
-        let list = List { version: self.version, engines: self.lines.values().collect() };
+        let list = EngineList { version: self.version, engines: self.entries.values().collect() };
         serde_json::to_string(&list).unwrap_or_default()
     }
 
-    /// Engines that take no work, as told.
+    /// Returns the engines that are published with a status other than `Up`.
     pub fn not_up(&self) -> Vec<(&str, EngineStatus)> {
-        let all = self.lines.values().filter(|l| l.status != EngineStatus::Up);
+        let all = self.entries.values().filter(|l| l.status != EngineStatus::Up);
         all.map(|l| (l.id.as_str(), l.status)).collect()
     }
 }
@@ -131,8 +138,8 @@
     use super::*;
 
     #[test]
-    fn it_tells_late_and_in_order() {
-        let line = RegistryEntry {
+    fn changes_are_published_with_delay_and_stale_exits_are_ignored() {
+        let entry = RegistryEntry {
             id: "e".into(),
             address: "127.0.0.1:1".into(),
             zone: String::new(),
@@ -141,7 +148,7 @@
             status: EngineStatus::Up,
             started_us: None,
         };
-        let mut registry = Registry::new([line].into_iter());
+        let mut registry = Registry::new([entry].into_iter());
         registry.schedule_change(2_000, "e", EngineStatus::Up, Some(1_500));
         registry.schedule_change(1_000, "e", EngineStatus::Removed, None);
         assert!(!registry.advance(999));
@@ -149,7 +156,8 @@
         assert_eq!(registry.not_up(), [("e", EngineStatus::Removed)]);
         assert!(registry.advance(5_000) && registry.not_up().is_empty());
         assert!(registry.list().contains("\"started_us\":1500"));
-        // A process dies and the next one starts at once: its death is noticed last, and means nothing any more.
+        // A process exits and its successor starts at once. The exit is published after the start,
+        // and must be ignored.
         registry.schedule_change(9_000, "e", EngineStatus::Removed, None);
         registry.schedule_change(6_000, "e", EngineStatus::Up, Some(5_900));
         assert!(registry.advance(6_000) && !registry.advance(9_000) && registry.not_up().is_empty());
--- a/crates/engine-emulator/src/registry_server.rs
+++ b/crates/engine-emulator/src/registry_server.rs
@@ -1,133 +1,144 @@
-//! The registry's HTTP face without sockets: calls are answered at once, or wait for a change.
+//! HTTP interface of the emulated registry, without sockets. Requests are answered at once or, as
+//! long polls, when the list changes.
 
 use crate::engine::{EngineAction, JournalEntry, NotUp};
 use crate::registry::{EngineStatus, Registry};
 use bytes::{Buf, BytesMut};
 use wheelfield_sans_io::{http, ConnId, ConnectionTable};
 
-/// A call may wait so long at most, in milliseconds.
-const LONGEST_WAIT: i64 = 60_000;
+/// Maximum wait of a long poll, in milliseconds.
+const MAX_WAIT_MS: i64 = 60_000;
 
 #[derive(Debug, Default)]
-struct Call {
+struct HttpConnection {
     input: BytesMut,
     output: BytesMut,
-    /// The version it has, its end and who it is, for one that waits.
-    waits: Option<(u64, i64, String)>,
-    last: bool,
+    /// For a long poll: the version that the client has, the deadline, and the client's name.
+    long_poll: Option<(u64, i64, String)>,
+    close_after_write: bool,
 }
 
-/// The registry's calls.
+/// The registry and its HTTP connections.
 #[derive(Debug)]
 pub struct RegistryServer {
-    /// The list.
+    /// The list of engines.
     pub registry: Registry,
-    calls: ConnectionTable<Call>,
-    doing: Vec<EngineAction>,
+    connections: ConnectionTable<HttpConnection>,
+    actions: Vec<EngineAction>,
     journal: Vec<JournalEntry>,
 }
 
 impl RegistryServer {
-    /// A desk that tells this list.
+    /// Creates a server for a registry.
     pub fn new(registry: Registry) -> RegistryServer {
-        RegistryServer { registry, calls: ConnectionTable::new(1), doing: Vec::new(), journal: Vec::new() }
+        RegistryServer {
+            registry,
+            connections: ConnectionTable::new(1),
+            actions: Vec::new(),
+            journal: Vec::new(),
+        }
     }
 
-    /// What is to be done; `into` is emptied first.
+    /// Moves the requested actions to `into`, which is cleared first.
     pub fn take_actions(&mut self, into: &mut Vec<EngineAction>) {
         into.clear();
-        std::mem::swap(&mut self.doing, into);
+        std::mem::swap(&mut self.actions, into);
     }
 
-    /// Who was told what since the last call.
+    /// Removes and returns the journal entries since the last call.
     pub fn drain_journal(&mut self) -> std::vec::Drain<'_, JournalEntry> {
         self.journal.drain(..)
     }
 
-    /// When [`RegistryServer::advance`] is next wanted.
+    /// Returns the time at which [`RegistryServer::advance`] must be called next.
     pub fn next_timer_at(&self) -> Option<i64> {
-        let ends = self.calls.iter().filter_map(|(_, c)| c.waits.as_ref().map(|(_, end, _)| *end));
-        ends.chain(self.registry.next_timer_at()).min()
+        let deadlines = self
+            .connections
+            .iter()
+            .filter_map(|(_, c)| c.long_poll.as_ref().map(|(_, deadline, _)| *deadline));
+        deadlines.chain(self.registry.next_timer_at()).min()
     }
 
-    /// Somebody has connected.
+    /// Adds an accepted connection.
     pub fn accept(&mut self) -> ConnId {
-        self.calls.insert(Call::default())
+        self.connections.insert(HttpConnection::default())
     }
 
-    /// What is to go.
+    /// Returns the bytes to write.
     pub fn output(&self, id: ConnId) -> &[u8] {
-        self.calls.get(id).map_or(&[], |c| &c.output)
+        self.connections.get(id).map_or(&[], |c| &c.output)
     }
 
-    /// So much of it has gone.
+    /// Removes `n` bytes, which were written, from the output.
     pub fn bytes_written(&mut self, id: ConnId, n: usize) {
-        let Some(c) = self.calls.get_mut(id) else { return };
+        let Some(c) = self.connections.get_mut(id) else { return };
         c.output.advance(n.min(c.output.len()));
-        if c.output.is_empty() && c.last {
+        if c.output.is_empty() && c.close_after_write {
             self.peer_closed(id);
         }
     }
 
-    /// The other side has gone, or is to be closed.
+    /// Closes a connection after the peer closed it or after its last response.
     pub fn peer_closed(&mut self, id: ConnId) {
-        if self.calls.remove(id).is_some() {
-            self.doing.push(EngineAction::Close(id, false));
+        if self.connections.remove(id).is_some() {
+            self.actions.push(EngineAction::Close(id, false));
         }
     }
 
-    /// Bytes came.
+    /// Handles received bytes.
     pub fn receive(&mut self, id: ConnId, bytes: &[u8], now: i64) {
-        if let Some(c) = self.calls.get_mut(id) {
+        if let Some(c) = self.connections.get_mut(id) {
             c.input.extend_from_slice(bytes);
             self.serve(id, now);
         }
     }
 
     fn serve(&mut self, id: ConnId, now: i64) {
-        while let Some(c) = self.calls.get_mut(id).filter(|c| c.waits.is_none() && !c.last) {
+        while let Some(c) =
+            self.connections.get_mut(id).filter(|c| c.long_poll.is_none() && !c.close_after_write)
+        {
             let request = match http::take_request(&mut c.input, 64 << 10) {
                 Ok(Some(request)) => request,
                 Ok(None) => return,
-                Err(fault) => {
-                    c.last = true;
-                    self.put(id, 400, "text/plain", fault.to_string().as_bytes());
+                Err(error) => {
+                    c.close_after_write = true;
+                    self.send_response(id, 400, "text/plain", error.to_string().as_bytes());
                     return;
                 }
             };
             if request.path() != "/engines" {
-                self.put(id, 404, "text/plain", b"GET /engines\n");
+                self.send_response(id, 404, "text/plain", b"GET /engines\n");
                 continue;
             }
             if !self.registry.available(now) {
-                self.put(id, 503, "text/plain", b"unavailable\n");
+                self.send_response(id, 503, "text/plain", b"unavailable\n");
                 continue;
             }
             let number =
                 |name: &str| request.query_param(name).and_then(|v| v.parse::<i64>().ok()).unwrap_or(0);
             let since = u64::try_from(number("since")).unwrap_or(0);
-            let wait = number("wait_ms").clamp(0, LONGEST_WAIT);
+            let wait = number("wait_ms").clamp(0, MAX_WAIT_MS);
             let who = request.query_param("who").unwrap_or("").to_string();
             if since >= self.registry.version() && wait > 0 {
-                c.waits = Some((since, now + wait * 1000, who));
+                c.long_poll = Some((since, now + wait * 1000, who));
             } else {
-                self.tell(id, who, now);
+                self.send_list(id, who, now);
             }
         }
     }
 
-    fn put(&mut self, id: ConnId, status: u16, kind: &str, body: &[u8]) {
-        if let Some(c) = self.calls.get_mut(id) {
-            http::write_response(status, kind, body, &mut c.output);
-            self.doing.push(EngineAction::Write(id));
+    fn send_response(&mut self, id: ConnId, status: u16, content_type: &str, body: &[u8]) {
+        if let Some(c) = self.connections.get_mut(id) {
+            http::write_response(status, content_type, body, &mut c.output);
+            self.actions.push(EngineAction::Write(id));
         }
     }
 
-    fn tell(&mut self, id: ConnId, who: String, now: i64) {
+    fn send_list(&mut self, id: ConnId, who: String, now: i64) {
         let list = self.registry.list();
-        self.put(id, 200, "application/json", list.as_bytes());
-        let line = |(id, status): (&str, EngineStatus)| NotUp { engine: id.to_string(), status };
-        let not_up = self.registry.not_up().into_iter().map(line).collect();
+        self.send_response(id, 200, "application/json", list.as_bytes());
+        let not_up_entry = |(id, status): (&str, EngineStatus)| NotUp { engine: id.to_string(), status };
+        let not_up = self.registry.not_up().into_iter().map(not_up_entry).collect();
         let version = Some(self.registry.version());
         let (who, not_up) = (Some(who), Some(not_up));
         self.journal.push(JournalEntry {
@@ -140,31 +151,36 @@
         });
     }
 
-    /// Lets the time pass: changes become known, waits end.
+    /// Advances to `now`: publishes changes and answers the long polls that are due.
     pub fn advance(&mut self, now: i64) {
         if self.registry.advance(now) && self.registry.available(now) {
             let version = self.registry.version();
-            self.answer(now, |since, _| since < version);
+            self.answer_long_polls(now, |since, _| since < version);
         }
-        self.answer(now, |_, end| end <= now);
+        self.answer_long_polls(now, |_, deadline| deadline <= now);
     }
 
-    fn answer(&mut self, now: i64, which: impl Fn(u64, i64) -> bool) {
-        let ripe = |c: &Call| c.waits.as_ref().is_some_and(|(since, end, _)| which(*since, *end));
-        let all: Vec<ConnId> = self.calls.iter().filter(|(_, c)| ripe(c)).map(|(id, _)| id).collect();
-        for id in all {
-            let Some((_, _, who)) = self.calls.get_mut(id).and_then(|c| c.waits.take()) else { continue };
+    fn answer_long_polls(&mut self, now: i64, is_answered: impl Fn(u64, i64) -> bool) {
+        let is_due = |c: &HttpConnection| {
+            c.long_poll.as_ref().is_some_and(|(since, deadline, _)| is_answered(*since, *deadline))
+        };
+        let due_connections: Vec<ConnId> =
+            self.connections.iter().filter(|(_, c)| is_due(c)).map(|(id, _)| id).collect();
+        for id in due_connections {
+            let Some((_, _, who)) = self.connections.get_mut(id).and_then(|c| c.long_poll.take()) else {
+                continue;
+            };
             if self.registry.available(now) {
-                self.tell(id, who, now);
+                self.send_list(id, who, now);
             } else {
-                self.put(id, 503, "text/plain", b"unavailable\n");
+                self.send_response(id, 503, "text/plain", b"unavailable\n");
             }
             self.serve(id, now);
         }
     }
 
-    /// An engine's standing as its own process changes it, and when the list will say so.
-    pub fn schedule_change(&mut self, at: i64, id: &str, standing: EngineStatus, started: Option<i64>) {
-        self.registry.schedule_change(at, id, standing, started);
+    /// Schedules a status change of an engine for publication at `at`.
+    pub fn schedule_change(&mut self, at: i64, id: &str, status: EngineStatus, started: Option<i64>) {
+        self.registry.schedule_change(at, id, status, started);
     }
 }
--- a/crates/engine-emulator/tests/queueing.rs
+++ b/crates/engine-emulator/tests/queueing.rs
@@ -1,101 +1,116 @@
-//! The emulator against queueing theory: what has a closed form must come out of it, within a stated error.
+//! Compares the execution model with queueing theory: results with a closed form must be matched
+//! within a stated error.
 //!
-//! Arrivals and work are drawn by a fixed seed, so each verdict is the same each time.
+//! Arrivals and work are drawn with fixed seeds, so the results are reproducible.
 
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 use wheelfield_engine_emulator::model::*;
 
-/// Jobs of a run; the first tenth fills the system and is left out.
+/// Number of jobs in a run; the first tenth is a warm-up and not measured.
 const JOBS: u64 = 120_000;
-/// Relative error allowed.
-const WITHIN: f64 = 0.04;
+/// Maximum relative error.
+const MAX_RELATIVE_ERROR: f64 = 0.04;
 
-fn bare() -> Spec {
-    Spec {
+fn base_spec() -> EngineSpec {
+    EngineSpec {
         cores: 1.0,
         disks: 1.0,
         memory_mb: 1e9,
-        most_grant: 1.0,
-        sessions: 100_000,
-        knee: 1e9,
-        warm_groups: 0,
-        note_every: 0,
-        report_every: 3_600_000_000,
-        ..Spec::default()
+        max_grant_fraction: 1.0,
+        max_sessions: 100_000,
+        knee_threads_per_core: 1e9,
+        warm_table_groups: 0,
+        progress_interval: 0,
+        report_interval: 3_600_000_000,
+        ..EngineSpec::default()
     }
 }
 
-fn exponential(chance: &mut Pcg64Mcg) -> f64 {
-    -(1.0 - chance.random::<f64>()).ln()
+fn exponential(rng: &mut Pcg64Mcg) -> f64 {
+    -(1.0 - rng.random::<f64>()).ln()
 }
 
-/// What was seen of a run.
-struct Seen {
+/// Statistics of a run.
+struct RunStatistics {
     /// Mean time in the system, in seconds.
-    sojourn: f64,
-    /// Mean number in it over time.
-    number: f64,
-    /// Arrivals a second.
+    mean_sojourn: f64,
+    /// Time-averaged number of jobs in the system.
+    mean_number_in_system: f64,
+    /// Completed jobs per second.
     rate: f64,
-    /// Share of the time in which the cores or disks were busy, weighed by how many.
+    /// Work done per second, in thread-seconds.
     work_done: f64,
 }
 
-/// Poisson arrivals at a rate, jobs made by `make`.
-fn run(spec: Spec, rate: f64, seed: u64, mut make: impl FnMut(u64, &mut Pcg64Mcg) -> Job) -> Seen {
+/// Simulates Poisson arrivals at a rate, with jobs from `make_job`.
+fn run(
+    spec: EngineSpec,
+    rate: f64,
+    seed: u64,
+    mut make_job: impl FnMut(u64, &mut Pcg64Mcg) -> Job,
+) -> RunStatistics {
     let mut model = Model::new(spec, 0);
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
+    let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut out = Vec::new();
-    let mut came: BTreeMap<u64, i64> = BTreeMap::new();
+    let mut arrived_at: BTreeMap<u64, i64> = BTreeMap::new();
     let (mut next, mut id) = (0.0, 0);
-    let (mut sum, mut n, mut area, mut last, mut work_done) = (0.0, 0_u64, 0.0, 0_i64, 0.0);
-    let warm = JOBS / 10;
-    let mut first = 0;
+    let (mut sojourn_sum, mut completed, mut number_integral, mut last, mut work_done) =
+        (0.0, 0_u64, 0.0, 0_i64, 0.0);
+    let warmup_jobs = JOBS / 10;
+    let mut measured_from = 0;
     loop {
         let due = (next * 1e6) as i64;
         let event = model.next_event().filter(|at| *at <= due || id >= JOBS);
         let now = event.unwrap_or(due);
-        if id > warm {
-            area += came.len() as f64 * (now - last) as f64 / 1e6;
+        if id > warmup_jobs {
+            number_integral += arrived_at.len() as f64 * (now - last) as f64 / 1e6;
         }
         last = now;
         if event.is_some() {
             model.advance(now, &mut out);
         } else if id < JOBS {
             id += 1;
-            if id == warm + 1 {
-                first = now;
+            if id == warmup_jobs + 1 {
+                measured_from = now;
             }
-            came.insert(id, now);
-            let job = make(id, &mut chance);
-            model.submit(now, job, &mut out).expect("room for all");
-            next += exponential(&mut chance) / rate;
+            arrived_at.insert(id, now);
+            let job = make_job(id, &mut rng);
+            model.submit(now, job, &mut out).expect("within the session limit");
+            next += exponential(&mut rng) / rate;
         }
-        for happened in out.drain(..) {
-            if let Happened::Finished { id, work } = happened {
-                let at = came.remove(&id).expect("it came");
-                if id > warm {
-                    sum += (now - at) as f64 / 1e6;
-                    n += 1;
+        for model_event in out.drain(..) {
+            if let ModelEvent::Finished { id, work } = model_event {
+                let at = arrived_at.remove(&id).expect("job was submitted");
+                if id > warmup_jobs {
+                    sojourn_sum += (now - at) as f64 / 1e6;
+                    completed += 1;
                     work_done += work;
                 }
             }
         }
-        if id >= JOBS && came.is_empty() {
+        if id >= JOBS && arrived_at.is_empty() {
             break;
         }
     }
-    let span = (last - first) as f64 / 1e6;
-    Seen { sojourn: sum / n as f64, number: area / span, rate: n as f64 / span, work_done: work_done / span }
+    let duration = (last - measured_from) as f64 / 1e6;
+    RunStatistics {
+        mean_sojourn: sojourn_sum / completed as f64,
+        mean_number_in_system: number_integral / duration,
+        rate: completed as f64 / duration,
+        work_done: work_done / duration,
+    }
 }
 
-fn near(what: &str, seen: f64, theory: f64, within: f64) {
-    assert!((seen / theory - 1.0).abs() < within, "{what}: {seen:.4} seen, {theory:.4} by theory");
+fn assert_near(label: &str, measured: f64, theory: f64, tolerance: f64) {
+    assert!(
+        (measured / theory - 1.0).abs() < tolerance,
+        "{label}: measured {measured:.4}, expected {theory:.4}"
+    );
 }
 
-/// Erlang's C: the chance to wait with `c` servers at an offered load of `a`.
+/// Erlang's C formula: the probability of waiting with `c` servers at an offered load of `a`.
 fn erlang_c(c: usize, a: f64) -> f64 {
     let (mut term, mut sum) = (1.0, 1.0);
     for k in 1..c {
@@ -106,169 +121,197 @@
     last / (sum + last)
 }
 
-fn plain(id: u64, work: f64) -> Job {
-    Job { id, work, usual: work, ..Job::default() }
+fn cpu_job(id: u64, work: f64) -> Job {
+    Job { id, work, nominal_work: work, ..Job::default() }
 }
 
 #[test]
-fn one_core_shared_is_a_processor_sharing_queue_whatever_the_work_is_like() {
+fn one_shared_core_matches_processor_sharing_for_any_work_distribution() {
     for rho in [0.5, 0.8] {
         let mean = 0.1;
         let theory = mean / (1.0 - rho);
-        let m = run(bare(), rho / mean, 1, |id, chance| plain(id, mean * exponential(chance)));
-        near("M/M/1-PS", m.sojourn, theory, WITHIN);
-        // Processor sharing does not mind how work is spread: two sizes, of which one is rare and ten times as large.
-        let g = run(bare(), rho / mean, 2, |id, chance| {
-            let large = chance.random::<f64>() < 0.1;
-            plain(id, mean * if large { 10.0 } else { 1.0 } / 1.9)
+        let m = run(base_spec(), rho / mean, 1, |id, rng| cpu_job(id, mean * exponential(rng)));
+        assert_near("M/M/1-PS", m.mean_sojourn, theory, MAX_RELATIVE_ERROR);
+        // The mean sojourn time of processor sharing depends only on the mean work. Here there are
+        // two job sizes, of which one is rare and ten times as large.
+        let g = run(base_spec(), rho / mean, 2, |id, rng| {
+            let large = rng.random::<f64>() < 0.1;
+            cpu_job(id, mean * if large { 10.0 } else { 1.0 } / 1.9)
         });
-        near("M/G/1-PS", g.sojourn, theory, WITHIN);
-        near("use of the core", g.work_done, rho, WITHIN);
+        assert_near("M/G/1-PS", g.mean_sojourn, theory, MAX_RELATIVE_ERROR);
+        assert_near("core utilization", g.work_done, rho, MAX_RELATIVE_ERROR);
     }
 }
 
 #[test]
-fn many_cores_are_as_many_servers() {
+fn cores_match_the_servers_of_an_mmc_queue() {
     for (c, rho) in [(4_usize, 0.7), (8, 0.9)] {
         let (mean, a) = (0.1, rho * c as f64);
         let rate = a / mean;
-        // With exponential work the number in the system is that of M/M/c, shared or in turn.
+        // With exponentially distributed work the number in the system equals that of M/M/c, whether
+        // the cores are shared or the jobs queue.
         let theory = mean + erlang_c(c, a) * mean / (c as f64 - a);
-        let spec = Spec { cores: c as f64, disks: c as f64, ..bare() };
-        let m = run(spec.clone(), rate, 3, |id, chance| plain(id, mean * exponential(chance)));
-        near("M/M/c, cores shared", m.sojourn, theory, WITHIN);
-        // The same by memory that lets in as many as there are cores: M/M/c in turn.
-        let line = Spec { memory_mb: c as f64 * 125.0, short: Short::Wait, ..spec };
-        let m = run(line, rate, 4, |id, chance| Job {
+        let spec = EngineSpec { cores: c as f64, disks: c as f64, ..base_spec() };
+        let m = run(spec.clone(), rate, 3, |id, rng| cpu_job(id, mean * exponential(rng)));
+        assert_near("M/M/c, cores shared", m.mean_sojourn, theory, MAX_RELATIVE_ERROR);
+        // A queue for memory that admits as many jobs as there are cores: M/M/c in order of arrival.
+        let queue_spec =
+            EngineSpec { memory_mb: c as f64 * 125.0, memory_shortage: MemoryShortage::Queue, ..spec };
+        let m = run(queue_spec, rate, 4, |id, rng| Job {
             memory_mb: 100.0,
-            ..plain(id, mean * exponential(chance))
+            ..cpu_job(id, mean * exponential(rng))
         });
-        near("M/M/c, in line for memory", m.sojourn, theory, WITHIN);
+        assert_near("M/M/c, queued for memory", m.mean_sojourn, theory, MAX_RELATIVE_ERROR);
     }
 }
 
 #[test]
-fn littles_law_holds_under_all_effects_together() {
-    let spec = Spec {
+fn littles_law_holds_with_all_effects_combined() {
+    let spec = EngineSpec {
         cores: 4.0,
         disks: 3.0,
         memory_mb: 900.0,
-        knee: 2.0,
-        thrash: 0.3,
-        warm_groups: 4,
-        sessions: 100_000,
-        note_every: 0,
-        short: Short::Shrink,
-        most_grant: 0.4,
-        ..Spec::default()
+        knee_threads_per_core: 2.0,
+        thrashing_penalty: 0.3,
+        warm_table_groups: 4,
+        max_sessions: 100_000,
+        progress_interval: 0,
+        memory_shortage: MemoryShortage::ShrinkGrant,
+        max_grant_fraction: 0.4,
+        ..EngineSpec::default()
     };
-    let seen = run(spec, 20.0, 5, |id, chance| Job {
-        memory_mb: 50.0 + 200.0 * chance.random::<f64>(),
-        io: chance.random(),
-        tables: chance.random_range(0..12),
-        priority: chance.random_range(0..4),
-        ..plain(id, 0.08 * exponential(chance))
+    let measured = run(spec, 20.0, 5, |id, rng| Job {
+        memory_mb: 50.0 + 200.0 * rng.random::<f64>(),
+        io: rng.random(),
+        table_group: rng.random_range(0..12),
+        priority: rng.random_range(0..4),
+        ..cpu_job(id, 0.08 * exponential(rng))
     });
-    near("L = lambda W", seen.number, seen.rate * seen.sojourn, 0.01);
+    assert_near("L = lambda W", measured.mean_number_in_system, measured.rate * measured.mean_sojourn, 0.01);
 }
 
 #[test]
-fn disks_are_servers_of_their_own() {
+fn disks_match_the_servers_of_an_mmc_queue() {
     let (c, rho, mean) = (3_usize, 0.75, 0.2);
     let a = rho * c as f64;
     let theory = mean + erlang_c(c, a) * mean / (c as f64 - a);
-    let spec = Spec { cores: 100.0, disks: c as f64, ..bare() };
-    let m = run(spec, a / mean, 6, |id, chance| Job { io: 1.0, ..plain(id, mean * exponential(chance)) });
-    near("M/M/c of disks", m.sojourn, theory, WITHIN);
+    let spec = EngineSpec { cores: 100.0, disks: c as f64, ..base_spec() };
+    let m = run(spec, a / mean, 6, |id, rng| Job { io: 1.0, ..cpu_job(id, mean * exponential(rng)) });
+    assert_near("M/M/c with disks as servers", m.mean_sojourn, theory, MAX_RELATIVE_ERROR);
 }
 
 #[test]
-fn warm_tables_are_hit_as_a_list_of_the_last_used_says() {
-    // Uniform over n groups with the g last used kept: a share g / n is warm, and saves its gain of the reading.
+fn warm_table_hits_match_an_lru_list() {
+    // With uniform access to n groups, of which the g last used are kept warm, a fraction g / n of
+    // the jobs is warm and saves `gain` of its reading.
     let (n, g, gain, io, mean) = (20_u64, 5_usize, 0.6, 0.5, 0.1);
-    let spec = Spec { cores: 1e6, disks: 1e6, warm_groups: g, warm_gain: gain, ..bare() };
+    let spec =
+        EngineSpec { cores: 1e6, disks: 1e6, warm_table_groups: g, warm_read_saving: gain, ..base_spec() };
     let rate = 50.0;
-    let seen =
-        run(spec, rate, 7, |id, chance| Job { io, tables: chance.random_range(0..n), ..plain(id, mean) });
+    let measured =
+        run(spec, rate, 7, |id, rng| Job { io, table_group: rng.random_range(0..n), ..cpu_job(id, mean) });
     let theory = mean * (1.0 - gain * io * g as f64 / n as f64);
-    near("work with warm tables", seen.work_done / seen.rate, theory, 0.01);
+    assert_near("work with warm tables", measured.work_done / measured.rate, theory, 0.01);
 }
 
 #[test]
-fn a_spilling_query_does_as_much_more_as_it_lacks() {
-    let spec = Spec { cores: 1e6, disks: 1e6, memory_mb: 1_000.0, most_grant: 0.1, spill: 3.0, ..bare() };
-    // All ask for 200 and get 100: half is missing, and costs three times that in work.
-    let seen = run(spec, 1.0, 8, |id, _| Job { memory_mb: 200.0, ..plain(id, 0.05) });
-    near("work with spill", seen.work_done / seen.rate, 0.05 * (1.0 + 3.0 * 0.5), 0.01);
+fn spilling_adds_work_in_proportion_to_the_missing_memory() {
+    let spec = EngineSpec {
+        cores: 1e6,
+        disks: 1e6,
+        memory_mb: 1_000.0,
+        max_grant_fraction: 0.1,
+        spill_work_factor: 3.0,
+        ..base_spec()
+    };
+    // All jobs need 200 MB and get 100: half is missing, which adds 3 * 0.5 times the work.
+    let measured = run(spec, 1.0, 8, |id, _| Job { memory_mb: 200.0, ..cpu_job(id, 0.05) });
+    assert_near("work with spilling", measured.work_done / measured.rate, 0.05 * (1.0 + 3.0 * 0.5), 0.01);
 }
 
 #[test]
-fn beyond_the_knee_the_whole_falls_as_the_formula_says() {
-    // Twelve at once on two cores, knee 2: six threads a core, four beyond.
-    for thrash in [0.0, 0.25, 1.0] {
-        let mut model = Model::new(Spec { cores: 2.0, disks: 2.0, knee: 2.0, thrash, ..bare() }, 0);
+fn throughput_above_the_knee_follows_the_formula() {
+    // Twelve jobs on two cores with a threshold of 2: six threads per core, four above the
+    // threshold.
+    for thrashing_penalty in [0.0, 0.25, 1.0] {
+        let mut model = Model::new(
+            EngineSpec {
+                cores: 2.0,
+                disks: 2.0,
+                knee_threads_per_core: 2.0,
+                thrashing_penalty,
+                ..base_spec()
+            },
+            0,
+        );
         let mut out = Vec::new();
-        (1..=12).for_each(|id| model.submit(0, plain(id, 1.0), &mut out).expect("room"));
-        let at = model.next_event().expect("they end") as f64 / 1e6;
-        near("the end of all", at, 6.0 * (1.0 + thrash * 4.0), 1e-4);
+        (1..=12)
+            .for_each(|id| model.submit(0, cpu_job(id, 1.0), &mut out).expect("within the session limit"));
+        let at = model.next_event().expect("queries are running") as f64 / 1e6;
+        assert_near("finish time of all jobs", at, 6.0 * (1.0 + thrashing_penalty * 4.0), 1e-4);
     }
 }
 
 #[test]
-fn a_cold_engine_does_the_integral_of_its_ramp() {
-    let (from, span) = (0.4, 10.0);
-    let spec =
-        Spec { cold_from: from, cold_for: 10_000_000, fall_multiple: 0.0, report_every: 50_000, ..bare() };
+fn a_cold_engine_completes_the_integral_of_its_ramp() {
+    let (from, ramp_duration) = (0.4, 10.0);
+    let spec = EngineSpec {
+        cold_start_fraction: from,
+        warmup_duration: 10_000_000,
+        overload_factor: 0.0,
+        report_interval: 50_000,
+        ..base_spec()
+    };
     for work in [0.5, 3.0, 6.0, 20.0] {
         let mut model = Model::new(spec.clone(), 0);
         model.start(0);
         let mut out = Vec::new();
-        model.submit(0, plain(1, work), &mut out).expect("room");
+        model.submit(0, cpu_job(1, work), &mut out).expect("within the session limit");
         let mut at = 0;
-        while !out.iter().any(|h| matches!(h, Happened::Finished { .. })) {
-            at = model.next_event().expect("it goes on");
+        while !out.iter().any(|h| matches!(h, ModelEvent::Finished { .. })) {
+            at = model.next_event().expect("query is running");
             model.advance(at, &mut out);
         }
-        // from t + (1 - from) t^2 / 2 span, until the ramp is over.
-        let ramp = span * (from + (1.0 - from) / 2.0);
-        let theory = if work > ramp {
-            span + work - ramp
+        // Integral of the throughput: from * t + (1 - from) * t^2 / (2 * ramp_duration) until the ramp ends.
+        let ramp_work = ramp_duration * (from + (1.0 - from) / 2.0);
+        let theory = if work > ramp_work {
+            ramp_duration + work - ramp_work
         } else {
-            let b = (1.0 - from) / span;
-            ((from * from + 2.0 * b * work).sqrt() - from) / b
+            let slope = (1.0 - from) / ramp_duration;
+            ((from * from + 2.0 * slope * work).sqrt() - from) / slope
         };
-        near("the end on a cold engine", at as f64 / 1e6, theory, 0.01);
+        assert_near("finish time on a cold engine", at as f64 / 1e6, theory, 0.01);
     }
 }
 
 #[test]
-fn a_cold_engine_falls_over_at_the_multiple_of_what_it_could_do() {
-    let spec = Spec {
+fn a_cold_engine_crashes_at_the_overload_factor() {
+    let spec = EngineSpec {
         cores: 4.0,
-        cold_from: 0.5,
-        cold_for: 3_600_000_000,
-        fall_multiple: 2.0,
-        fall_span: 1_000_000,
-        ..bare()
+        cold_start_fraction: 0.5,
+        warmup_duration: 3_600_000_000,
+        overload_factor: 2.0,
+        overload_window: 1_000_000,
+        ..base_spec()
     };
-    // Able: 4 cores at 0.5 for a second; twice that is 4 s of work.
-    for (jobs, falls) in [(40, false), (42, true)] {
+    // The engine can complete 4 cores * 0.5 * 1 s; twice that is 4 s of work.
+    for (jobs, crashes) in [(40, false), (42, true)] {
         let mut model = Model::new(spec.clone(), 0);
         model.start(0);
         let mut out = Vec::new();
         for id in 1..=jobs {
-            let _ = model.submit(id as i64 * 20_000, plain(id, 0.1), &mut out);
+            let _ = model.submit(id as i64 * 20_000, cpu_job(id, 0.1), &mut out);
         }
-        assert_eq!(out.contains(&Happened::FellOver), falls, "{jobs} of 0.1 s within a second");
+        assert_eq!(out.contains(&ModelEvent::Overloaded), crashes, "{jobs} jobs of 0.1 s within a second");
     }
 }
 
-/// A judge that can't fail judges nothing: a server a tenth slower is seen.
+/// Checks that the comparison detects an error: a server that is a tenth slower must differ.
 #[test]
-fn a_planted_error_of_a_tenth_is_seen() {
+fn a_server_slower_by_a_tenth_is_detected() {
     let mean = 0.1;
     let slower =
-        run(Spec { speed: 0.9, ..bare() }, 5.0, 1, |id, chance| plain(id, mean * exponential(chance)));
+        run(EngineSpec { speed: 0.9, ..base_spec() }, 5.0, 1, |id, rng| cpu_job(id, mean * exponential(rng)));
     let theory = mean / (1.0 - 0.5);
-    assert!((slower.sojourn / theory - 1.0).abs() > 2.0 * WITHIN, "{}", slower.sojourn);
+    assert!((slower.mean_sojourn / theory - 1.0).abs() > 2.0 * MAX_RELATIVE_ERROR, "{}", slower.mean_sojourn);
 }
