--- a/crates/load/tests/sockets.rs
+++ b/crates/load/tests/sockets.rs
@@ -19,7 +19,7 @@
 
 impl EmulatedEngines {
     fn start(engines: usize) -> EmulatedEngines {
-        let mut host = Host::open(Setup::plain(engines), None, 1).expect("emulated engines");
+        let mut host = Host::open(Setup::with_default_engines(engines), None, 1).expect("emulated engines");
         let addresses_json = host.addresses();
         let addresses = addresses_json["engines"]
             .as_array()
