--- a/crates/testbed/examples/scale.rs
+++ b/crates/testbed/examples/scale.rs
@@ -11,8 +11,8 @@
 use wheelfield_testbed::day::Day;
 use wheelfield_testbed::plan::Plan;
 use wheelfield_testbed::report::{lines, Line, Plot};
-use wheelfield_testbed::virtual_time::mind::DecisionEngine;
-use wheelfield_testbed::virtual_time::{play_with, Conditions};
+use wheelfield_testbed::virtual_time::policy::DecisionEngine;
+use wheelfield_testbed::virtual_time::{simulate_with_decision_engines, SimulationOptions};
 
 struct Timed {
     driver: Driver,
@@ -68,8 +68,8 @@
         let driver = Driver::new(settings, seed, DriverLimits::default());
         Box::new(Timed { driver, spent: spent.clone() })
     };
-    let played =
-        play_with(&day, &plan, 1, &minds, Conditions::default()).unwrap_or_else(|fault| panic!("{fault}"));
+    let played = simulate_with_decision_engines(&day, &plan, 1, &minds, SimulationOptions::default())
+        .unwrap_or_else(|fault| panic!("{fault}"));
     (spent.get().as_secs_f64() * 1e6 / played.tries.len().max(1) as f64, played.tries.len())
 }
 
--- a/crates/testbed/src/day.rs
+++ b/crates/testbed/src/day.rs
@@ -1,6 +1,6 @@
 //! The script of a day.
 
-use crate::fleet::script::{self, Road};
+use crate::fleet::script::{self, LinkFault};
 use serde::Deserialize;
 use std::fmt::Write as _;
 use wheelfield::interface::Settings;
@@ -50,7 +50,7 @@
     pub troubles: Vec<Trouble>,
     /// What goes wrong between controllers that gossip.
     #[serde(default)]
-    pub roads: Vec<Road>,
+    pub roads: Vec<LinkFault>,
     /// Periods of the gossip: as in a controller's configuration.
     #[serde(default)]
     pub gossip: toml::Table,
@@ -440,7 +440,7 @@
                 "write gossip = true under [registry]",
             );
         }
-        if let Err((n, fault)) = script::timetable(&day.roads, day.controllers, 0) {
+        if let Err((n, fault)) = script::fault_schedule(&day.roads, day.controllers, 0) {
             let place = text.match_indices("[[roads]]").nth(n).map_or(0, |(at, _)| at);
             return Err(ConfigError::at(name, text, place, fault, "see docs/lab.md, fleets"));
         }
@@ -503,7 +503,7 @@
     /// # Errors
     /// What is wrong with the script, for a person.
     pub fn timetable(&self, seed: u64) -> Result<FaultSchedule, String> {
-        script::timetable(&self.roads, self.controllers, seed)
+        script::fault_schedule(&self.roads, self.controllers, seed)
             .map_err(|(n, fault)| format!("[[roads]] {n}: {fault}"))
     }
 
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -7,7 +7,7 @@
 use crate::series::Series;
 use crate::stats::{bootstrap, compare, Compared, Interval};
 use crate::virtual_time;
-use crate::virtual_time::mind::Policy;
+use crate::virtual_time::policy::Policy;
 use anyhow::{bail, ensure, Context, Result};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -321,9 +321,10 @@
     let (report, series) = match mode {
         Mode::Virtual => {
             let plan = Plan::draw(&t.day, t.key.seed);
-            let played = virtual_time::play(&t.day, &plan, t.key.seed, t.policy)?;
+            let played = virtual_time::simulate(&t.day, &plan, t.key.seed, t.policy)?;
             let report = play::report_virtual(&t.day, &plan, t.key.seed, &played)?;
-            let series = Series::of(&t.day, &plan, virtual_time::start(), &played.tries, &played.log);
+            let series =
+                Series::of(&t.day, &plan, virtual_time::first_arrival_time(), &played.tries, &played.log);
             (report, series)
         }
         Mode::Sockets => {
--- a/crates/testbed/src/explore/mod.rs
+++ b/crates/testbed/src/explore/mod.rs
@@ -10,8 +10,8 @@
 use crate::day::Day;
 use crate::evidence::Known;
 use crate::plan::Plan;
-use crate::virtual_time::mind::Policy;
-use crate::virtual_time::{self, Conditions, Played};
+use crate::virtual_time::policy::Policy;
+use crate::virtual_time::{self, SimulationOptions, SimulationResult};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
@@ -21,27 +21,27 @@
 
 /// What came of a day.
 #[derive(Clone, Debug, Default)]
-pub struct Outcome {
+pub struct ScenarioOutcome {
     /// The first few things that are wrong, each by its rule: those of the judge, and `leak` for connections that a
     /// controller holds and does not know of.
-    pub wrong: Vec<(String, String)>,
+    pub failures: Vec<(String, String)>,
     /// Tries of clients.
     pub tries: u64,
     /// Events of the course.
     pub events: u64,
     /// What came to pass, by name, and how often: in controllers, at engines, and what clients were told.
-    pub seen: BTreeMap<String, u64>,
+    pub coverage: BTreeMap<String, u64>,
 }
 
-impl Outcome {
+impl ScenarioOutcome {
     /// Nothing is wrong.
-    pub fn sound(&self) -> bool {
-        self.wrong.is_empty()
+    pub fn passed(&self) -> bool {
+        self.failures.is_empty()
     }
 
     /// What is wrong first.
     pub fn rule(&self) -> Option<&str> {
-        self.wrong.first().map(|(rule, _)| rule.as_str())
+        self.failures.first().map(|(rule, _)| rule.as_str())
     }
 }
 
@@ -49,15 +49,15 @@
 ///
 /// # Errors
 /// The first fault of its script.
-pub fn course(
+pub fn simulate(
     scenario: &Scenario,
     plant: Option<FaultInjection>,
-) -> Result<(Day, Plan, Played), ConfigError> {
+) -> Result<(Day, Plan, SimulationResult), ConfigError> {
     let day = scenario.day()?;
     let plan = Plan::draw(&day, scenario.seed);
     let visits = scenario.visits_ms as i64 * 1000;
-    let conditions = Conditions { weather: scenario.weather, plant, visits };
-    let played = virtual_time::play_under(&day, &plan, scenario.seed, Policy::Module, conditions)?;
+    let conditions = SimulationOptions { weather: scenario.weather, plant, visits };
+    let played = virtual_time::simulate_with_options(&day, &plan, scenario.seed, Policy::Module, conditions)?;
     Ok((day, plan, played))
 }
 
@@ -65,28 +65,29 @@
 ///
 /// # Errors
 /// The first fault of its script.
-pub fn play(scenario: &Scenario, plant: Option<FaultInjection>) -> Result<Outcome, ConfigError> {
+pub fn run(scenario: &Scenario, plant: Option<FaultInjection>) -> Result<ScenarioOutcome, ConfigError> {
     std::panic::catch_unwind(|| judged(scenario, plant)).unwrap_or_else(|panic| {
         let text = panic.downcast_ref::<String>().cloned();
         let text = text.or_else(|| panic.downcast_ref::<&str>().map(|s| (*s).to_string()));
-        let wrong = vec![("panic".to_string(), text.unwrap_or_default())];
-        Ok(Outcome { wrong, ..Outcome::default() })
+        let failures = vec![("panic".to_string(), text.unwrap_or_default())];
+        Ok(ScenarioOutcome { failures, ..ScenarioOutcome::default() })
     })
 }
 
-fn judged(scenario: &Scenario, plant: Option<FaultInjection>) -> Result<Outcome, ConfigError> {
-    let (day, plan, played) = course(scenario, plant)?;
+fn judged(scenario: &Scenario, plant: Option<FaultInjection>) -> Result<ScenarioOutcome, ConfigError> {
+    let (day, plan, played) = simulate(scenario, plant)?;
     let settings = day.settings()?;
-    let known = Known { day: &day, settings: &settings, plan: &plan, start: virtual_time::start() };
-    let (breaches, cold_peak) = known.judge(&played.tries, &played.log, &played.lives);
-    let mut wrong: Vec<(String, String)> =
+    let known =
+        Known { day: &day, settings: &settings, plan: &plan, start: virtual_time::first_arrival_time() };
+    let (breaches, cold_peak) = known.judge(&played.tries, &played.log, &played.lifetimes);
+    let mut failures: Vec<(String, String)> =
         breaches.iter().take(20).map(|b| (b.rule.to_string(), b.description.clone())).collect();
     if played.leaks > 0 {
-        wrong.push(("leak".into(), format!("{} connections that their controller forgot", played.leaks)));
+        failures.push(("leak".into(), format!("{} connections that their controller forgot", played.leaks)));
     }
-    let mut seen: BTreeMap<String, u64> =
+    let mut coverage: BTreeMap<String, u64> =
         played.seen.iter().map(|(what, n)| (format!("controller: {what}"), *n)).collect();
-    let mut note = |what: String| *seen.entry(what).or_default() += 1;
+    let mut note = |what: String| *coverage.entry(what).or_default() += 1;
     for t in &played.tries {
         note(match t.end {
             Some(ClientOutcome::Failed | ClientOutcome::Refused) => format!("client: {}", t.state),
@@ -104,12 +105,12 @@
     if played.tries.iter().any(|t| late(&t)) {
         note("near: an answer within 100 ms of its client's patience".into());
     }
-    Ok(Outcome { wrong, tries: played.tries.len() as u64, events: played.events, seen })
+    Ok(ScenarioOutcome { failures, tries: played.tries.len() as u64, events: played.events, coverage })
 }
 
 /// What came of many.
 #[derive(Clone, Debug, Default)]
-pub struct Explored {
+pub struct ExplorationSummary {
     /// Days that were played.
     pub days: u64,
     /// Tries of their clients.
@@ -119,21 +120,21 @@
     /// Those that failed, with what is wrong first.
     pub failed: Vec<(Scenario, String, String)>,
     /// What came to pass, by name: in how many days, and how often.
-    pub seen: BTreeMap<String, (u64, u64)>,
+    pub coverage: BTreeMap<String, (u64, u64)>,
 }
 
 /// At most so many failing days are kept.
-const FAILED: usize = 50;
+const MAX_FAILED_SCENARIOS: usize = 50;
 
 /// Plays the days of these numbers, on so many threads; `until` ends it early when it says so.
 pub fn explore(
     numbers: std::ops::Range<u64>,
     jobs: usize,
     plant: Option<FaultInjection>,
-    until: impl Fn(&Explored) -> bool + Sync,
-) -> Explored {
+    until: impl Fn(&ExplorationSummary) -> bool + Sync,
+) -> ExplorationSummary {
     let next = AtomicU64::new(numbers.start);
-    let all = Mutex::new(Explored::default());
+    let all = Mutex::new(ExplorationSummary::default());
     let ended = std::sync::atomic::AtomicBool::new(false);
     std::thread::scope(|scope| {
         for _ in 0..jobs.max(1) {
@@ -144,7 +145,7 @@
                         return;
                     }
                     let scenario = Scenario::draw(number);
-                    let outcome = play(&scenario, plant);
+                    let outcome = run(&scenario, plant);
                     let Ok(mut all) = all.lock() else { return };
                     add(&mut all, scenario, outcome);
                     if until(&all) {
@@ -159,25 +160,25 @@
     all
 }
 
-fn add(all: &mut Explored, scenario: Scenario, outcome: Result<Outcome, ConfigError>) {
+fn add(all: &mut ExplorationSummary, scenario: Scenario, outcome: Result<ScenarioOutcome, ConfigError>) {
     all.days += 1;
     match outcome {
         Ok(outcome) => {
             all.tries += outcome.tries;
             all.events += outcome.events;
-            for (what, n) in outcome.seen {
-                let of = all.seen.entry(what).or_default();
+            for (what, n) in outcome.coverage {
+                let of = all.coverage.entry(what).or_default();
                 *of = (of.0 + u64::from(n > 0), of.1 + n);
             }
-            if let Some((rule, what)) = outcome.wrong.into_iter().next() {
-                if all.failed.len() < FAILED {
+            if let Some((rule, what)) = outcome.failures.into_iter().next() {
+                if all.failed.len() < MAX_FAILED_SCENARIOS {
                     all.failed.push((scenario, rule, what));
                 }
             }
         }
         // A day that could not be is a fault of the drawing.
         Err(fault) => {
-            if all.failed.len() < FAILED {
+            if all.failed.len() < MAX_FAILED_SCENARIOS {
                 all.failed.push((scenario, "script".into(), fault.to_string()));
             }
         }
--- a/crates/testbed/src/explore/shrink.rs
+++ b/crates/testbed/src/explore/shrink.rs
@@ -1,6 +1,6 @@
 //! A failing day made smaller: troubles, weather, sizes and traffic are taken away as long as it still fails the same way.
 
-use super::{play, Scenario};
+use super::{run, Scenario};
 use crate::virtual_time::network::Weather;
 use wheelfield_pg_gateway::fault_injection::FaultInjection;
 
@@ -59,7 +59,7 @@
 
 /// Makes a scenario smaller that breaks a rule, and still breaks it. How many days were played for it.
 pub fn shrink(scenario: &Scenario, rule: &str, plant: Option<FaultInjection>) -> (Scenario, usize) {
-    let fails = |s: &Scenario| play(s, plant).is_ok_and(|o| o.wrong.iter().any(|(r, _)| r == rule));
+    let fails = |s: &Scenario| run(s, plant).is_ok_and(|o| o.failures.iter().any(|(r, _)| r == rule));
     let mut best = scenario.clone();
     let mut played = 0;
     'again: while played < TRIES {
--- a/crates/testbed/src/fleet/relay.rs
+++ b/crates/testbed/src/fleet/relay.rs
@@ -31,23 +31,23 @@
 
 /// What was carried.
 #[derive(Debug)]
-pub struct Carried {
+pub struct RelayCounters {
     /// By the controller that sent it.
-    pub from: Vec<LinkCounters>,
+    pub by_sender: Vec<LinkCounters>,
     /// Datagrams of processes that nobody knows: of one that was killed since, or of a stranger.
-    pub strangers: u64,
+    pub unknown_senders: u64,
     /// Lost as too much was under way.
-    pub crowded: u64,
+    pub dropped_at_capacity: u64,
 }
 
 /// A relay, which runs until it is ended.
 #[derive(Debug)]
 pub struct Relay {
     /// Where each controller is reached.
-    pub reached: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
     words: Sender<Word>,
     waker: Waker,
-    thread: Option<JoinHandle<Result<Carried>>>,
+    thread: Option<JoinHandle<Result<RelayCounters>>>,
 }
 
 impl Relay {
@@ -63,13 +63,13 @@
             poll.registry().register(&mut socket, Token(i), Interest::READABLE)?;
             sockets.push(socket);
         }
-        let reached = sockets.iter().map(|s| Ok(s.local_addr()?)).collect::<Result<Vec<_>>>()?;
+        let addresses = sockets.iter().map(|s| Ok(s.local_addr()?)).collect::<Result<Vec<_>>>()?;
         let waker = Waker::new(poll.registry(), WAKE)?;
         let (words, heard) = channel();
         let carrier = Carrier {
             clock,
             poll,
-            listens: vec![None; controllers],
+            listen_addresses: vec![None; controllers],
             owners: HashMap::new(),
             again: vec![false; controllers],
             sockets,
@@ -77,11 +77,11 @@
             seed,
             under_way: BinaryHeap::new(),
             numbered: 0,
-            strangers: 0,
-            crowded: 0,
+            unknown_senders: 0,
+            dropped_at_capacity: 0,
         };
         let thread = std::thread::Builder::new().name("relay".into()).spawn(move || carrier.run(&heard))?;
-        Ok(Relay { reached, words, waker, thread: Some(thread) })
+        Ok(Relay { addresses, words, waker, thread: Some(thread) })
     }
 
     fn tell(&self, word: Word) -> Result<()> {
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     /// If the relay has come down.
-    pub fn listens(&self, controller: usize, at: SocketAddr) -> Result<()> {
+    pub fn set_listen_address(&self, controller: usize, at: SocketAddr) -> Result<()> {
         self.tell(Word::Listens(controller, at))
     }
 
@@ -101,7 +101,7 @@
     ///
     /// # Errors
     /// If the relay has come down.
-    pub fn begin(&self, timetable: FaultSchedule) -> Result<()> {
+    pub fn start_faults(&self, timetable: FaultSchedule) -> Result<()> {
         self.tell(Word::Begin(Box::new(timetable)))
     }
 
@@ -109,7 +109,7 @@
     ///
     /// # Errors
     /// If it has come down.
-    pub fn end(mut self) -> Result<Carried> {
+    pub fn stop(mut self) -> Result<RelayCounters> {
         self.tell(Word::End)?;
         let thread = self.thread.take().context("ended before")?;
         thread.join().map_err(|_| anyhow::anyhow!("the relay panicked"))?
@@ -152,7 +152,7 @@
     poll: Poll,
     sockets: Vec<UdpSocket>,
     /// Where the process of each controller listens, and whose an address is.
-    listens: Vec<Option<SocketAddr>>,
+    listen_addresses: Vec<Option<SocketAddr>>,
     owners: HashMap<SocketAddr, usize>,
     /// More may wait at a socket, though the system will not tell so.
     again: Vec<bool>,
@@ -160,12 +160,12 @@
     seed: u64,
     under_way: BinaryHeap<Parcel>,
     numbered: u64,
-    strangers: u64,
-    crowded: u64,
+    unknown_senders: u64,
+    dropped_at_capacity: u64,
 }
 
 impl Carrier {
-    fn run(mut self, heard: &Receiver<Word>) -> Result<Carried> {
+    fn run(mut self, heard: &Receiver<Word>) -> Result<RelayCounters> {
         let mut events = Events::with_capacity(256);
         loop {
             let wait = match self.under_way.peek() {
@@ -180,7 +180,7 @@
             while let Ok(word) = heard.try_recv() {
                 match word {
                     Word::Listens(controller, at) => {
-                        if let Some(before) = self.listens[controller].replace(at) {
+                        if let Some(before) = self.listen_addresses[controller].replace(at) {
                             self.owners.remove(&before);
                         }
                         self.owners.insert(at, controller);
@@ -203,9 +203,13 @@
         }
     }
 
-    fn carried(&self) -> Carried {
+    fn carried(&self) -> RelayCounters {
         let from = (0..self.sockets.len()).map(|i| self.roads.counters_from(i)).collect();
-        Carried { from, strangers: self.strangers, crowded: self.crowded }
+        RelayCounters {
+            by_sender: from,
+            unknown_senders: self.unknown_senders,
+            dropped_at_capacity: self.dropped_at_capacity,
+        }
     }
 
     /// Takes what was sent to a controller.
@@ -219,13 +223,13 @@
                 Err(_) => continue,
             };
             let Some(from) = self.owners.get(&from).copied() else {
-                self.strangers += 1;
+                self.unknown_senders += 1;
                 continue;
             };
             let now = self.clock.now();
             for arrival in self.roads.transmit(from, to, now, &buffer[..length]) {
                 if self.under_way.len() >= UNDER_WAY {
-                    self.crowded += 1;
+                    self.dropped_at_capacity += 1;
                     continue;
                 }
                 self.numbered += 1;
@@ -241,7 +245,7 @@
         let now = self.clock.now();
         while self.under_way.peek().is_some_and(|p| p.at <= now) {
             let Some(parcel) = self.under_way.pop() else { return };
-            if let Some(at) = self.listens[parcel.to] {
+            if let Some(at) = self.listen_addresses[parcel.to] {
                 // What can't go is lost, as datagrams may be.
                 let _ = self.sockets[parcel.from].send_to(&parcel.bytes, at);
             }
--- a/crates/testbed/src/fleet/script.rs
+++ b/crates/testbed/src/fleet/script.rs
@@ -7,13 +7,13 @@
 use wheelfield_network_faults::{Fault, FaultSchedule, NodeSet, ScheduledFault};
 
 /// Entries at most.
-pub const MOST: usize = 1_000;
+pub const MAX_ENTRIES: usize = 1_000;
 
 /// What a fleet's script leaves out: machines, classes, rules.
 const USUAL: &str = include_str!("../../fleets/usual.toml");
 
 /// The script of a fleet with the usual tables, if it has none of its own; its own lines keep their numbers.
-pub fn whole(text: &str) -> String {
+pub fn with_default_tables(text: &str) -> String {
     match text.lines().any(|l| l.trim() == "[fleet]") {
         true => text.to_string(),
         false => format!("{text}\n{USUAL}"),
@@ -23,7 +23,7 @@
 /// One entry of `[[roads]]`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Road {
+pub struct LinkFault {
     /// From when on.
     pub at: Time,
     /// For how long.
@@ -100,7 +100,7 @@
     Ok(NodeSet::Only(these))
 }
 
-impl Road {
+impl LinkFault {
     /// As an entry of the timetable.
     ///
     /// # Errors
@@ -155,11 +155,15 @@
 ///
 /// # Errors
 /// The number of the first entry that can't be used, from 0, and what is wrong with it.
-pub fn timetable(roads: &[Road], among: usize, seed: u64) -> Result<FaultSchedule, (usize, String)> {
-    if roads.len() > MOST {
-        return Err((MOST, format!("{} entries; {MOST} at most", roads.len())));
+pub fn fault_schedule(
+    roads: &[LinkFault],
+    among: usize,
+    seed: u64,
+) -> Result<FaultSchedule, (usize, String)> {
+    if roads.len() > MAX_ENTRIES {
+        return Err((MAX_ENTRIES, format!("{} entries; {MAX_ENTRIES} at most", roads.len())));
     }
     let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x0072_6f61_6473);
-    let entry = |(n, road): (usize, &Road)| road.entry(among, &mut chance).map_err(|fault| (n, fault));
+    let entry = |(n, road): (usize, &LinkFault)| road.entry(among, &mut chance).map_err(|fault| (n, fault));
     Ok(FaultSchedule(roads.iter().enumerate().map(entry).collect::<Result<_, _>>()?))
 }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -18,7 +18,7 @@
 use wheelfield_testbed::play::{self, Options};
 use wheelfield_testbed::stage;
 use wheelfield_testbed::stats::Verdict;
-use wheelfield_testbed::virtual_time::mind::Policy;
+use wheelfield_testbed::virtual_time::policy::Policy;
 use wheelfield_testbed::{measure, report};
 
 /// Scripted days of traffic and troubles on real processes, judged from what crossed their sockets.
@@ -321,7 +321,7 @@
         Some(text) => text,
         None => std::fs::read_to_string(&name).with_context(|| format!("cannot read the fleet {name}"))?,
     };
-    Ok(Day::parse(&name, &script::whole(&text))?)
+    Ok(Day::parse(&name, &script::with_default_tables(&text))?)
 }
 
 #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
@@ -425,7 +425,7 @@
     }
     tell(&report, args.json)?;
     let length = day.length.0 .0 as f64 / 1e6;
-    eprintln!("{length:.0} s in {took:.2} s: {} events, {} messages", played.events, played.messages);
+    eprintln!("{length:.0} s in {took:.2} s: {} events, {} messages", played.events, played.datagrams_sent);
     Ok(report.kept())
 }
 
@@ -517,8 +517,8 @@
 }
 
 fn tell_course(scenario: &Scenario, plant: Option<FaultInjection>) -> Result<()> {
-    let (_, _, played) = explore::course(scenario, plant)?;
-    let start = wheelfield_testbed::virtual_time::start();
+    let (_, _, played) = explore::simulate(scenario, plant)?;
+    let start = wheelfield_testbed::virtual_time::first_arrival_time();
     let ms = |t: i64| (t - start) as f64 / 1e3;
     let mut lines: Vec<(i64, String)> = Vec::new();
     for t in &played.tries {
@@ -560,19 +560,19 @@
     if args.course {
         tell_course(&scenario, plant)?;
     }
-    let outcome = explore::play(&scenario, plant)?;
+    let outcome = explore::run(&scenario, plant)?;
     println!("{} tries, {} events", outcome.tries, outcome.events);
-    for (rule, what) in &outcome.wrong {
+    for (rule, what) in &outcome.failures {
         println!("{rule}: {what}");
     }
-    Ok(outcome.sound())
+    Ok(outcome.passed())
 }
 
 fn explored(args: &ExploreArgs) -> Result<bool> {
     let began = std::time::Instant::now();
     let limit = std::time::Duration::from_secs(args.seconds);
     let last = std::sync::atomic::AtomicU64::new(0);
-    let until = |all: &explore::Explored| {
+    let until = |all: &explore::ExplorationSummary| {
         let s = began.elapsed().as_secs();
         if last.swap(s, std::sync::atomic::Ordering::Relaxed) != s {
             eprint!("\r{} days, {} failed   ", all.days, all.failed.len());
@@ -592,7 +592,7 @@
         all.failed.len()
     );
     if args.seen {
-        for (what, (days, times)) in &all.seen {
+        for (what, (days, times)) in &all.coverage {
             println!(
                 "{what:<60} {days:>8} days {times:>10} times{}",
                 if *times == 0 { "  NEVER" } else { "" }
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -3,12 +3,12 @@
 use crate::crowd::{Crowd, Manners, Try};
 use crate::day::Day;
 use crate::evidence::Known;
-use crate::fleet::judge::{self, Evidence, Verdict};
+use crate::fleet::judge::{self, MembershipHistory, Verdict};
 use crate::plan::Plan;
 use crate::series::Series;
 use crate::stage::{Setting, Stage};
-use crate::virtual_time::mind::Policy;
-use crate::virtual_time::{self, Played};
+use crate::virtual_time::policy::Policy;
+use crate::virtual_time::{self, SimulationResult};
 use anyhow::{anyhow, Context, Result};
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -126,7 +126,7 @@
 impl Report {
     /// All rules were kept.
     pub fn kept(&self) -> bool {
-        let fleet = self.fleet.as_ref().is_none_or(|f| f.agreed && f.verdict.kept());
+        let fleet = self.fleet.as_ref().is_none_or(|f| f.agreed && f.verdict.passed());
         fleet && self.rules.values().all(|n| *n == 0)
     }
 }
@@ -252,13 +252,21 @@
         let mut lines = Vec::new();
         for by in 0..day.controllers {
             let text = std::fs::read_to_string(options.dir.join(format!("controller-{by}.jsonl")))?;
-            lines.extend(text.lines().filter_map(|l| judge::read(by, l)));
+            lines.extend(text.lines().filter_map(|l| judge::parse_log_line(by, l)));
         }
-        let evidence = Evidence { reached: &reached, lives: &stage.lives, roads: &roads, from: start, until };
-        let told = |l: &&judge::Line| matches!(l.said, judge::Said::Member(..)) && l.at <= until;
+        let evidence = MembershipHistory {
+            addresses: &reached,
+            lifetimes: &stage.lives,
+            fault_schedule: &roads,
+            starts_at: start,
+            ends_at: until,
+        };
+        let told = |l: &&judge::MembershipLogEntry| {
+            matches!(l.event, judge::MembershipEvent::Member(..)) && l.at <= until
+        };
         let last = lines.iter().filter(told).map(|l| l.at).max().unwrap_or(healed);
         let sum = carried
-            .from
+            .by_sender
             .iter()
             .fold(wheelfield_network_faults::LinkCounters::default(), |sum, c| sum.merge(*c));
         let member_hours = day.controllers as f64 * (until - start) as f64 / 3.6e9;
@@ -317,9 +325,9 @@
 ///
 /// # Errors
 /// The first fault of its script.
-pub fn play_virtual(day: &Day, seed: u64, policy: Policy) -> Result<(Report, Played)> {
+pub fn play_virtual(day: &Day, seed: u64, policy: Policy) -> Result<(Report, SimulationResult)> {
     let plan = Plan::draw(day, seed);
-    let played = virtual_time::play(day, &plan, seed, policy)?;
+    let played = virtual_time::simulate(day, &plan, seed, policy)?;
     Ok((report_virtual(day, &plan, seed, &played)?, played))
 }
 
@@ -327,11 +335,11 @@
 ///
 /// # Errors
 /// The first fault of its script.
-pub fn report_virtual(day: &Day, plan: &Plan, seed: u64, played: &Played) -> Result<Report> {
+pub fn report_virtual(day: &Day, plan: &Plan, seed: u64, played: &SimulationResult) -> Result<Report> {
     let settings = day.settings()?;
-    let start = virtual_time::start();
+    let start = virtual_time::first_arrival_time();
     let known = Known { day, settings: &settings, plan, start };
-    let (breaches, cold_peak) = known.judge(&played.tries, &played.log, &played.lives);
+    let (breaches, cold_peak) = known.judge(&played.tries, &played.log, &played.lifetimes);
     let mut report = sum_up(day, plan, start, &played.tries, breaches);
     (report.seed, report.cold_peak) = (seed, cold_peak);
     Ok(report)
@@ -469,16 +477,16 @@
         writeln!(
             out,
             "fleet: {:.0} suspicions raised a member and hour, {} believed of members that ran; {} given up behind cuts and pauses",
-            f.suspicions, v.false_suspicions, v.given_up_cut
+            f.suspicions, v.false_suspicions, v.declared_dead_unreachable
         )?;
-        let (deaths, half, most) = (v.deaths, v.detected_p50_ms / 1e3, v.detected_most_ms / 1e3);
+        let (deaths, half, most) = (v.deaths, v.detection_p50_ms / 1e3, v.detection_max_ms / 1e3);
         if deaths > 0 {
             writeln!(out, "fleet: {deaths} deaths found after {half:.1} s (half of them) to {most:.1} s")?;
         }
         for (what, wrong) in [
             ("acts on too few", &v.undercounts),
             ("acts on too many", &v.overcounts),
-            ("gives up who runs", &v.given_up_alive),
+            ("gives up who runs", &v.declared_dead_reachable),
         ] {
             let n = wrong.len();
             writeln!(
@@ -487,7 +495,7 @@
                 if n == 0 { "never".into() } else { format!("{n} TIMES") }
             )?;
             for w in wrong.iter().take(5) {
-                writeln!(out, "  at {:.2} s: {}", w.at as f64 / 1e6, w.what)?;
+                writeln!(out, "  at {:.2} s: {}", w.at as f64 / 1e6, w.description)?;
             }
         }
     }
--- a/crates/testbed/src/stage.rs
+++ b/crates/testbed/src/stage.rs
@@ -1,7 +1,7 @@
 //! The processes of a day: stand-ins, controllers; started, hurt and ended by their ids.
 
 use crate::day::Day;
-use crate::fleet::relay::{Carried, Relay};
+use crate::fleet::relay::{Relay, RelayCounters};
 use crate::lists::Lists;
 use crate::plan::{Act, Plan};
 use anyhow::{bail, ensure, Context, Result};
@@ -238,7 +238,7 @@
             .map(|_| UdpSocket::bind("127.0.0.1:0"))
             .collect::<std::io::Result<_>>()?;
         let gossip = match &relay {
-            Some(relay) => relay.reached.iter().map(ToString::to_string).collect(),
+            Some(relay) => relay.addresses.iter().map(ToString::to_string).collect(),
             None => {
                 gossips.iter().map(|s| Ok(s.local_addr()?.to_string())).collect::<Result<Vec<String>>>()?
             }
@@ -350,7 +350,7 @@
         let programs = self.beside.as_deref().filter(|_| i % 2 == 1).or(self.programs.as_deref());
         let process = Process::start(&program("wheelfield-controller", programs)?, &args, Some(&log))?;
         if let Some(relay) = &self.relay {
-            relay.listens(i, process.address("gossip")?)?;
+            relay.set_listen_address(i, process.address("gossip")?)?;
         }
         self.lives.push(ProcessLifetime {
             controller: i,
@@ -365,7 +365,7 @@
 
     /// Where each controller is reached by the others, if a relay stands between them.
     pub fn reached(&self) -> Option<&[SocketAddr]> {
-        self.relay.as_ref().map(|r| r.reached.as_slice())
+        self.relay.as_ref().map(|r| r.addresses.as_slice())
     }
 
     /// From now on roads between controllers have these faults, in times of the clock.
@@ -373,15 +373,15 @@
     /// # Errors
     /// If the relay has come down.
     pub fn begin_roads(&self, timetable: FaultSchedule) -> Result<()> {
-        self.relay.as_ref().map_or(Ok(()), |r| r.begin(timetable))
+        self.relay.as_ref().map_or(Ok(()), |r| r.start_faults(timetable))
     }
 
     /// Ends the relay; what it carried.
     ///
     /// # Errors
     /// If it has come down.
-    pub fn end_roads(&mut self) -> Result<Option<Carried>> {
-        self.relay.take().map(Relay::end).transpose()
+    pub fn end_roads(&mut self) -> Result<Option<RelayCounters>> {
+        self.relay.take().map(Relay::stop).transpose()
     }
 
     /// The controllers that run.
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -5,18 +5,18 @@
 //! What a message takes is a constant and a small chance part ([`HOP`]); a process's own work takes no time. A stalled
 //! process finds all that came meanwhile when it goes on, but for datagrams, which are lost with its socket's buffer.
 
-pub mod mind;
 pub mod network;
-mod procs;
+pub mod policy;
+mod processes;
 
 use crate::crowd::{Manners, Try};
 use crate::day::Day;
 use crate::people::People;
 use crate::plan::{Act, Plan};
 use bytes::Bytes;
-use mind::{DecisionEngine, Plain, Policy};
 pub use network::HOP;
 use network::{At, Network, Passing, Proc, Weather};
+use policy::{DecisionEngine, Plain, Policy};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, HashMap};
@@ -69,17 +69,17 @@
 
 /// What came of a day.
 #[derive(Debug, Default)]
-pub struct Played {
+pub struct SimulationResult {
     /// All tries.
     pub tries: Vec<Try>,
     /// The engines' log, and who was told what.
     pub log: Vec<HistoryEvent>,
     /// The lives of the controllers.
-    pub lives: Vec<ProcessLifetime>,
+    pub lifetimes: Vec<ProcessLifetime>,
     /// Events that were played.
     pub events: u64,
     /// Messages between controllers, each to each.
-    pub messages: u64,
+    pub datagrams_sent: u64,
     /// Connections that controllers hold and do not know of, at the end.
     pub leaks: usize,
     /// What came to pass in controllers, by name, and how often.
@@ -129,7 +129,7 @@
 
 /// How a day is played, beside its script, plan and seed.
 #[derive(Clone, Copy, Debug)]
-pub struct Conditions {
+pub struct SimulationOptions {
     /// How the network behaves.
     pub weather: Weather,
     /// A fault planted in the controllers.
@@ -138,9 +138,9 @@
     pub visits: i64,
 }
 
-impl Default for Conditions {
+impl Default for SimulationOptions {
     fn default() -> Self {
-        Conditions { weather: Weather::FAIR, plant: None, visits: 0 }
+        SimulationOptions { weather: Weather::FAIR, plant: None, visits: 0 }
     }
 }
 
@@ -151,21 +151,21 @@
 ///
 /// # Errors
 /// The first [`ConfigError`] of its script.
-pub fn play(day: &Day, plan: &Plan, seed: u64, policy: Policy) -> Result<Played, ConfigError> {
-    play_under(day, plan, seed, policy, Conditions::default())
+pub fn simulate(day: &Day, plan: &Plan, seed: u64, policy: Policy) -> Result<SimulationResult, ConfigError> {
+    simulate_with_options(day, plan, seed, policy, SimulationOptions::default())
 }
 
 /// Plays a day under conditions.
 ///
 /// # Errors
 /// The first [`ConfigError`] of its script.
-pub fn play_under(
+pub fn simulate_with_options(
     day: &Day,
     plan: &Plan,
     seed: u64,
     policy: Policy,
-    conditions: Conditions,
-) -> Result<Played, ConfigError> {
+    conditions: SimulationOptions,
+) -> Result<SimulationResult, ConfigError> {
     let config = day.checked()?;
     let bounds = DriverLimits {
         max_queries: config.limits.max_queries,
@@ -177,20 +177,20 @@
             _ => Box::new(Plain::new(policy, settings, seed)),
         }
     };
-    play_with(day, plan, seed, &minds, conditions)
+    simulate_with_decision_engines(day, plan, seed, &minds, conditions)
 }
 
 /// Plays a day with controllers that decide in a way of their own.
 ///
 /// # Errors
 /// The first [`ConfigError`] of its script.
-pub fn play_with(
+pub fn simulate_with_decision_engines(
     day: &Day,
     plan: &Plan,
     seed: u64,
     minds: &Minds<'_>,
-    conditions: Conditions,
-) -> Result<Played, ConfigError> {
+    conditions: SimulationOptions,
+) -> Result<SimulationResult, ConfigError> {
     let mut world = World::new(day, plan, seed, minds, conditions)?;
     let longest = day.classes.iter().map(|c| c.deadline.0 .0).max().unwrap_or(0);
     let mut end = START + LEAD + day.length.0 .0 + 2 * longest + 5_000_000;
@@ -220,11 +220,11 @@
     for t in tries.iter_mut().filter(|t| t.end.is_none()) {
         (t.end, t.ended) = (Some(ClientOutcome::NoAnswer), end);
     }
-    Ok(Played { tries, log, lives: lived, events, messages, leaks, seen })
+    Ok(SimulationResult { tries, log, lifetimes: lived, events, datagrams_sent: messages, leaks, seen })
 }
 
 /// When a day's first query may come.
-pub fn start() -> i64 {
+pub fn first_arrival_time() -> i64 {
     START + LEAD
 }
 
@@ -235,7 +235,7 @@
         plan: &'a Plan,
         seed: u64,
         minds: &'a Minds<'a>,
-        conditions: Conditions,
+        conditions: SimulationOptions,
     ) -> Result<World<'a>, ConfigError> {
         let config = day.checked()?;
         let setup = Setup::parse("generated", &day.stand_ins(&config.settings, &plan.engines))?;
@@ -282,7 +282,7 @@
             wakes: Wakes::default(),
             net: Network::new(conditions.weather, seed ^ 0x6e65_7477_6f72),
             roads: LinkEmulator::new(plan.roads.clone().shifted_by(START + LEAD), seed),
-            people: People::new(plan, manners, n, start()),
+            people: People::new(plan, manners, n, first_arrival_time()),
             raw: ConnectionTable::new(2),
             stands,
             by_address,
@@ -302,7 +302,7 @@
         world.people.visited(conditions.visits);
         (0..n).for_each(|c| world.boot(c));
         for (i, (at, _)) in plan.acts.iter().enumerate() {
-            world.events.set(start() + at, Event::Act(i));
+            world.events.set(first_arrival_time() + at, Event::Act(i));
         }
         world.after(Proc::People);
         Ok(world)
@@ -364,12 +364,12 @@
         }
         let mut secret = [0; 32];
         secret[..8].copy_from_slice(&seed.to_be_bytes());
-        let mind = (self.minds)(config.settings.clone(), seed);
+        let policy = (self.minds)(config.settings.clone(), seed);
         let start = PgGatewayOptions {
             now: self.now,
             seed,
             cancel_key_seed: secret,
-            decision_engine: mind,
+            decision_engine: policy,
             recorder: None,
             peer_address: peers,
             gossip,
--- a/crates/testbed/tests/explore.rs
+++ b/crates/testbed/tests/explore.rs
@@ -2,7 +2,7 @@
 //! were found stay mended.
 
 use wheelfield_pg_gateway::fault_injection::{FaultInjection, FAULT_INJECTIONS};
-use wheelfield_testbed::explore::{explore, play, shrink, Scenario};
+use wheelfield_testbed::explore::{explore, run, shrink, Scenario};
 
 #[test]
 fn drawn_days_keep_the_rules() {
@@ -24,14 +24,14 @@
         "client: left",
         "engine: killed",
     ] {
-        assert!(all.seen.get(what).is_some_and(|(days, _)| *days > 0), "{what} never came to pass");
+        assert!(all.coverage.get(what).is_some_and(|(days, _)| *days > 0), "{what} never came to pass");
     }
 }
 
 /// Days until a fault is found, and the rule that it broke.
 fn found(plant: FaultInjection) -> Option<(u64, String)> {
     (0..600).find_map(|number| {
-        let outcome = play(&Scenario::draw(number), Some(plant)).ok()?;
+        let outcome = run(&Scenario::draw(number), Some(plant)).ok()?;
         outcome.rule().map(|rule| (number, rule.to_string()))
     })
 }
@@ -52,8 +52,8 @@
         (FaultInjection::LoseAnswer, "lost"),
     ] {
         let shows = |number: &u64| {
-            let outcome = play(&Scenario::draw(*number), Some(plant)).expect("a day");
-            outcome.wrong.iter().any(|(r, _)| r == rule)
+            let outcome = run(&Scenario::draw(*number), Some(plant)).expect("a day");
+            outcome.failures.iter().any(|(r, _)| r == rule)
         };
         assert!((0..40).any(|number| shows(&number)), "{plant:?} never broke {rule}");
     }
@@ -68,16 +68,16 @@
     let text = toml::to_string(&small).expect("TOML");
     let again: Scenario = toml::from_str(&text).expect("read back");
     assert_eq!(again, small);
-    let outcome = play(&again, Some(FaultInjection::DuplicateError)).expect("a day");
-    assert!(outcome.wrong.iter().any(|(r, _)| *r == rule));
-    assert!(play(&again, None).expect("a day").sound(), "without the fault nothing is wrong");
+    let outcome = run(&again, Some(FaultInjection::DuplicateError)).expect("a day");
+    assert!(outcome.failures.iter().any(|(r, _)| *r == rule));
+    assert!(run(&again, None).expect("a day").passed(), "without the fault nothing is wrong");
 }
 
 #[test]
 fn the_same_scenario_gives_the_same_course() {
     let of = |number: u64| {
-        let outcome = play(&Scenario::draw(number), None).expect("a day");
-        (outcome.tries, outcome.events, outcome.seen)
+        let outcome = run(&Scenario::draw(number), None).expect("a day");
+        (outcome.tries, outcome.events, outcome.coverage)
     };
     for number in [1, 17, 99] {
         assert_eq!(of(number), of(number));
@@ -91,8 +91,8 @@
         let path = file.expect("a file").path();
         let text = std::fs::read_to_string(&path).expect("a text");
         let scenario: Scenario = toml::from_str(&text).expect("a scenario");
-        let outcome = play(&scenario, None).expect("a day");
-        assert!(outcome.sound(), "{path:?}: {:?}", outcome.wrong);
+        let outcome = run(&scenario, None).expect("a day");
+        assert!(outcome.passed(), "{path:?}: {:?}", outcome.failures);
         cases += 1;
     }
     assert!(cases >= 3, "{cases} cases");
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -8,13 +8,15 @@
 use wheelfield_invariants::ProcessLifetime;
 use wheelfield_network_faults::{Fault, FaultSchedule, NodeSet, ScheduledFault};
 use wheelfield_testbed::day::Day;
-use wheelfield_testbed::fleet::judge::{read, Evidence, Line, Said};
+use wheelfield_testbed::fleet::judge::{
+    parse_log_line, MembershipEvent, MembershipHistory, MembershipLogEntry,
+};
 use wheelfield_testbed::fleet::script;
 use wheelfield_testbed::play::{play, play_virtual, OfFleet, Options, Report};
-use wheelfield_testbed::virtual_time::mind::Policy;
+use wheelfield_testbed::virtual_time::policy::Policy;
 
 fn day(text: &str) -> Day {
-    Day::parse("fleet", &script::whole(text)).unwrap_or_else(|fault| panic!("{fault}"))
+    Day::parse("fleet", &script::with_default_tables(text)).unwrap_or_else(|fault| panic!("{fault}"))
 }
 
 fn short() -> Day {
@@ -41,7 +43,7 @@
     let (report, fleet) = played(None);
     assert!(report.kept(), "{:?} {fleet:?}", report.breaches);
     // The faults came to pass.
-    assert!(fleet.hurt > 50 && fleet.verdict.given_up_cut > 0, "{fleet:?}");
+    assert!(fleet.hurt > 50 && fleet.verdict.declared_dead_unreachable > 0, "{fleet:?}");
     assert!(report.served > 300, "{report:?}");
 }
 
@@ -60,10 +62,10 @@
     let one = play_virtual(&short(), 1, Policy::Module).expect("played");
     let two = play_virtual(&short(), 1, Policy::Module).expect("played");
     assert!(one.0.kept(), "{:?}", one.0.breaches);
-    assert_eq!((one.1.events, one.1.messages), (two.1.events, two.1.messages));
+    assert_eq!((one.1.events, one.1.datagrams_sent), (two.1.events, two.1.datagrams_sent));
     let quiet = Day { roads: Vec::new(), ..short() };
     let without = play_virtual(&quiet, 1, Policy::Module).expect("played");
-    assert_ne!(one.1.messages, without.1.messages, "what goes wrong on the roads is felt");
+    assert_ne!(one.1.datagrams_sent, without.1.datagrams_sent, "what goes wrong on the roads is felt");
 }
 
 #[test]
@@ -80,7 +82,7 @@
         ("cut = true\nevery = \"1s\"", "shorter than"),
         ("cut = true\ntimes = 3", "needs `every`"),
     ] {
-        let fault = Day::parse("x", &script::whole(&with(road))).expect_err(road);
+        let fault = Day::parse("x", &script::with_default_tables(&with(road))).expect_err(road);
         assert!(fault.to_string().contains("x:7") && fault.to_string().contains(expected), "{road}: {fault}");
     }
 }
@@ -103,7 +105,7 @@
 }
 
 /// Three controllers; the third is killed at 100 and its first is paused from 40 to 50.
-fn judged(said: &[(i64, usize, Said)]) -> wheelfield_testbed::fleet::judge::Verdict {
+fn judged(event: &[(i64, usize, MembershipEvent)]) -> wheelfield_testbed::fleet::judge::Verdict {
     let life = |controller, killed, stalls| ProcessLifetime {
         controller,
         started_at: 0,
@@ -126,37 +128,60 @@
         repetitions: 1,
     };
     let roads = FaultSchedule(vec![cut]);
-    let lines: Vec<Line> =
-        said.iter().map(|(at, by, said)| Line { at: *at, by: *by, said: said.clone() }).collect();
-    Evidence { reached: &reached, lives: &lives, roads: &roads, from: 0, until: 1_000 }.judge(&lines, 5)
+    let lines: Vec<MembershipLogEntry> = event
+        .iter()
+        .map(|(at, by, event)| MembershipLogEntry { at: *at, by: *by, event: event.clone() })
+        .collect();
+    MembershipHistory {
+        addresses: &reached,
+        lifetimes: &lives,
+        fault_schedule: &roads,
+        starts_at: 0,
+        ends_at: 1_000,
+    }
+    .judge(&lines, 5)
 }
 
 #[test]
 fn the_judge_tells_what_was_so_from_what_was_believed() {
-    let acts = |count| Said::Acts { count, index: 0 };
-    let gone = |n| Said::Member(at(n), MembershipChange::DeclaredDead);
-    assert!(judged(&[(10, 0, acts(3)), (150, 0, acts(2)), (160, 0, gone(2))]).kept());
+    let acts = |count| MembershipEvent::CountInUse { count, index: 0 };
+    let gone = |n| MembershipEvent::Member(at(n), MembershipChange::DeclaredDead);
+    assert!(judged(&[(10, 0, acts(3)), (150, 0, acts(2)), (160, 0, gone(2))]).passed());
     assert_eq!(judged(&[(10, 0, acts(2))]).undercounts.len(), 1, "three run");
     assert_eq!(judged(&[(150, 1, acts(1))]).undercounts.len(), 1, "two run");
     assert_eq!(judged(&[(10, 0, acts(4))]).overcounts.len(), 1);
-    assert_eq!(judged(&[(20, 1, gone(0))]).given_up_alive.len(), 1, "it runs and is heard");
+    assert_eq!(judged(&[(20, 1, gone(0))]).declared_dead_reachable.len(), 1, "it runs and is heard");
     let behind = judged(&[(45, 1, gone(0)), (54, 1, gone(0)), (65, 1, gone(2)), (65, 2, gone(1))]);
-    assert_eq!((behind.given_up_cut, behind.given_up_alive.len()), (4, 0), "paused, or on a cut road");
-    assert_eq!(judged(&[(56, 1, gone(0)), (80, 1, gone(2))]).given_up_alive.len(), 2, "that is over");
+    assert_eq!(
+        (behind.declared_dead_unreachable, behind.declared_dead_reachable.len()),
+        (4, 0),
+        "paused, or on a cut road"
+    );
+    assert_eq!(
+        judged(&[(56, 1, gone(0)), (80, 1, gone(2))]).declared_dead_reachable.len(),
+        2,
+        "that is over"
+    );
     let found = judged(&[(160, 0, gone(2)), (140, 1, gone(2))]);
-    assert_eq!((found.deaths, found.detected_most_ms), (1, 0.04), "by the first that did");
+    assert_eq!((found.deaths, found.detection_max_ms), (1, 0.04), "by the first that did");
 }
 
 #[test]
 fn what_controllers_log_is_read() {
     let line = r#"{"timestamp":"2026-12-01T00:00:01.500000Z","level":"INFO","message":"member: given up","member":"127.0.0.1:1002","by":"127.0.0.1:1001","target":"x"}"#;
-    let Some(Line { at: time, by: 7, said: Said::Member(member, MembershipChange::DeclaredDead) }) =
-        read(7, line)
+    let Some(MembershipLogEntry {
+        at: time,
+        by: 7,
+        event: MembershipEvent::Member(member, MembershipChange::DeclaredDead),
+    }) = parse_log_line(7, line)
     else {
         panic!("not read")
     };
     assert_eq!((time % 60_000_000, member), (1_500_000, at(2)));
     let count = r#"{"timestamp":"2026-12-01T00:00:01Z","message":"controllers","count":5,"index":2,"alive":4,"settled":true}"#;
-    assert_eq!(read(0, count).map(|l| l.said), Some(Said::Acts { count: 5, index: 2 }));
-    assert_eq!(read(0, r#"{"timestamp":"2026-12-01T00:00:01Z","message":"started"}"#), None);
+    assert_eq!(
+        parse_log_line(0, count).map(|l| l.event),
+        Some(MembershipEvent::CountInUse { count: 5, index: 2 })
+    );
+    assert_eq!(parse_log_line(0, r#"{"timestamp":"2026-12-01T00:00:01Z","message":"started"}"#), None);
 }
--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -6,8 +6,8 @@
 use wheelfield_testbed::day::Day;
 use wheelfield_testbed::plan::Plan;
 use wheelfield_testbed::play::{play_virtual, report_virtual, Report};
-use wheelfield_testbed::virtual_time::mind::{DecisionEngine, Policy};
-use wheelfield_testbed::virtual_time::{play_with, Conditions};
+use wheelfield_testbed::virtual_time::policy::{DecisionEngine, Policy};
+use wheelfield_testbed::virtual_time::{simulate_with_decision_engines, SimulationOptions};
 
 fn day(name: &str) -> Day {
     let path = format!("{}/days/{name}.toml", env!("CARGO_MANIFEST_DIR"));
@@ -157,7 +157,8 @@
         let driver = Driver::new(settings, seed, DriverLimits::default());
         Box::new(Planted { driver, plant, listed: false, answers: 0 })
     };
-    let played = play_with(&day, &plan, 3, &minds, Conditions::default()).expect("sound");
+    let played =
+        simulate_with_decision_engines(&day, &plan, 3, &minds, SimulationOptions::default()).expect("sound");
     report_virtual(&day, &plan, 3, &played).expect("sound")
 }
 
