--- a/crates/testbed/src/fleet/judge.rs
+++ b/crates/testbed/src/fleet/judge.rs
@@ -1,7 +1,8 @@
-//! What the processes of a fleet believed of each other, judged against what was so.
+//! Compares what the processes of a fleet believed about each other with what happened.
 //!
-//! The evidence is what each process logged and the lives that the laboratory gave them, not what the processes say of themselves
-//! at the end. A process that was paused is alive; one that was killed is dead until another starts under its address.
+//! The evidence is what each process logged and the process lifetimes that the test bed recorded,
+//! not what the processes report about themselves at the end. A paused process is alive; a killed
+//! one is dead until another starts under its address.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -10,39 +11,42 @@
 use wheelfield_invariants::ProcessLifetime;
 use wheelfield_network_faults::FaultSchedule;
 
-/// Something that a process logged of the membership.
+/// An event of the membership, as a process logged it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipEvent {
-    /// So many controllers it acts on, with this number for itself.
+    /// The number of controllers on which the process bases its decisions, and its own index among
+    /// them.
     CountInUse {
-        /// The count,
+        /// Number of controllers.
         count: usize,
-        /// and its own number.
+        /// Index of the process that logged the event.
         index: usize,
     },
-    /// What it believes became of a member.
+    /// A change of a member's state, as the process sees it.
     Member(SocketAddr, MembershipChange),
 }
 
-/// When it was logged, by which controller's process.
+/// An entry of a controller's log about the membership.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipLogEntry {
-    /// In microseconds of the clock.
+    /// Time of the wall clock, in microseconds.
     pub at: i64,
-    /// Which controller.
+    /// The controller that logged it.
     pub by: usize,
-    /// What.
+    /// The logged event.
     pub event: MembershipEvent,
 }
 
-/// A line of a controller's log, as JSON; none if it is about something else.
+/// Parses a JSON line of a controller's log. Returns `None` if it is not about the membership.
 pub fn parse_log_line(by: usize, line: &str) -> Option<MembershipLogEntry> {
     let value: serde_json::Value = serde_json::from_str(line).ok()?;
     let time = humantime::parse_rfc3339(value["timestamp"].as_str()?).ok()?;
     let at = i64::try_from(time.duration_since(std::time::UNIX_EPOCH).ok()?.as_micros()).ok()?;
-    let figure = |name: &str| value[name].as_u64().map(|n| n as usize);
+    let number_field = |name: &str| value[name].as_u64().map(|n| n as usize);
     let event = match value["message"].as_str()? {
-        "controllers" => MembershipEvent::CountInUse { count: figure("count")?, index: figure("index")? },
+        "controllers" => {
+            MembershipEvent::CountInUse { count: number_field("count")?, index: number_field("index")? }
+        }
         message => {
             let change = match message.strip_prefix("member: ")? {
                 "suspected" => MembershipChange::Suspected,
@@ -58,130 +62,137 @@
     Some(MembershipLogEntry { at, by, event })
 }
 
-/// What is known of a fleet's day.
+/// What the test bed recorded of a fleet's day.
 #[derive(Debug)]
 pub struct MembershipHistory<'a> {
-    /// Where each controller is reached by the others.
+    /// Address at which the other controllers reach each controller.
     pub addresses: &'a [SocketAddr],
-    /// The lives of all processes.
+    /// Lifetimes of all processes.
     pub lifetimes: &'a [ProcessLifetime],
-    /// What went wrong on the roads, in times of the clock.
+    /// Faults on the links, in times of the wall clock.
     pub fault_schedule: &'a FaultSchedule,
-    /// What is judged, in microseconds of the clock: from then on
+    /// Start of the checked period, in microseconds of the wall clock.
     pub starts_at: i64,
-    /// and until then.
+    /// End of the checked period.
     pub ends_at: i64,
 }
 
-/// What a process believed that was not so.
+/// A false belief of a process.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct MembershipViolation {
-    /// When, in microseconds from the day's start.
+    /// Time in microseconds from the start of the day.
     pub at: i64,
-    /// What, for a person.
+    /// Description for the report.
     #[serde(rename = "what")]
     pub description: String,
 }
 
-/// What came of it.
+/// Result of the check.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Verdict {
-    /// A process acted on fewer controllers than ran.
+    /// A process reckoned with fewer controllers than were running.
     pub undercounts: Vec<MembershipViolation>,
-    /// A process acted on more controllers than there are addresses.
+    /// A process reckoned with more controllers than there are addresses.
     pub overcounts: Vec<MembershipViolation>,
-    /// A process gave up one that ran, was not paused, and was on no cut road to or from it.
+    /// A process declared a member dead that was running, was not paused, and had no blocked link
+    /// to or from it.
     #[serde(rename = "given_up_alive")]
     pub declared_dead_reachable: Vec<MembershipViolation>,
-    /// The same of one that was paused or on a cut road: silence that nobody can tell from death.
+    /// How often a running member was declared dead while it was paused or behind a blocked link.
+    /// Nobody can tell such a silence from a death.
     #[serde(rename = "given_up_cut")]
     pub declared_dead_unreachable: u64,
-    /// Suspicions, by whichever process, of members that ran; each process that believes one counts.
+    /// Suspicions of members that were running; each process that holds one is counted.
     pub false_suspicions: u64,
-    /// Controllers that were killed and stayed so until others noticed.
+    /// Controllers that were killed and stayed dead until others noticed.
     pub deaths: u64,
-    /// From a kill to the first that gave it up, in milliseconds: the half,
+    /// Time from a kill until the first process declared the member dead, in milliseconds: the
+    /// median.
     #[serde(rename = "detected_p50_ms")]
     pub detection_p50_ms: f64,
-    /// and the latest.
+    /// The maximum of the same time.
     #[serde(rename = "detected_most_ms")]
     pub detection_max_ms: f64,
 }
 
 impl Verdict {
-    /// Nobody believed what must never be believed.
+    /// Whether no process held a belief that must never occur.
     pub fn passed(&self) -> bool {
         self.undercounts.is_empty() && self.overcounts.is_empty() && self.declared_dead_reachable.is_empty()
     }
 }
 
 impl MembershipHistory<'_> {
-    fn life(&self, controller: usize, at: i64) -> Option<&ProcessLifetime> {
-        let ran = |l: &&ProcessLifetime| {
+    fn lifetime_at(&self, controller: usize, at: i64) -> Option<&ProcessLifetime> {
+        let covers = |l: &&ProcessLifetime| {
             l.controller == controller && l.started_at <= at && l.ended_at.is_none_or(|k| at < k)
         };
-        self.lifetimes.iter().find(ran)
+        self.lifetimes.iter().find(covers)
     }
 
-    /// Controllers whose processes run at a time, paused ones among them.
-    fn alive(&self, at: i64) -> usize {
-        (0..self.addresses.len()).filter(|c| self.life(*c, at).is_some()).count()
+    /// Number of controllers whose process exists at a time, including paused ones.
+    fn running_count(&self, at: i64) -> usize {
+        (0..self.addresses.len()).filter(|c| self.lifetime_at(*c, at).is_some()).count()
     }
 
-    /// Whether a controller could not be heard by another at some time within `before` a time.
-    fn unheard(&self, whom: usize, by: usize, at: i64, before: i64) -> bool {
-        let paused = |l: &ProcessLifetime| l.stalls.iter().any(|(from, to)| *from <= at && at - before < *to);
-        let still = |c: usize| self.life(c, at).is_some_and(paused);
-        let cut = |e: &wheelfield_network_faults::ScheduledFault| {
-            let concerns = e.applies_to(whom, by) || e.applies_to(by, whom);
-            e.fault.blocked && concerns && e.starts_at <= at && at - before < e.ends_at()
+    /// Whether one of two controllers was paused, or a link between them blocked, at some time in
+    /// the `window` before `at`.
+    fn is_unreachable(&self, other: usize, by: usize, at: i64, window: i64) -> bool {
+        let has_stall =
+            |l: &ProcessLifetime| l.stalls.iter().any(|(from, to)| *from <= at && at - window < *to);
+        let was_paused = |c: usize| self.lifetime_at(c, at).is_some_and(has_stall);
+        let blocks_link = |e: &wheelfield_network_faults::ScheduledFault| {
+            let is_between = e.applies_to(other, by) || e.applies_to(by, other);
+            e.fault.blocked && is_between && e.starts_at <= at && at - window < e.ends_at()
         };
-        still(whom) || still(by) || self.fault_schedule.0.iter().any(cut)
+        was_paused(other) || was_paused(by) || self.fault_schedule.0.iter().any(blocks_link)
     }
 
-    /// Judges what the processes logged. `patience` is how long a silence lasts until it is believed, in microseconds.
-    pub fn judge(&self, lines: &[MembershipLogEntry], patience: i64) -> Verdict {
+    /// Checks what the processes logged. `timeout` is how long a silence lasts until others
+    /// act on it, in microseconds.
+    pub fn judge(&self, entries: &[MembershipLogEntry], timeout: i64) -> Verdict {
         let mut verdict = Verdict::default();
-        let numbers: BTreeMap<SocketAddr, usize> =
+        let controller_by_address: BTreeMap<SocketAddr, usize> =
             self.addresses.iter().enumerate().map(|(n, a)| (*a, n)).collect();
-        let mut found: BTreeMap<(usize, i64), i64> = BTreeMap::new();
-        for line in lines.iter().filter(|l| (self.starts_at..=self.ends_at).contains(&l.at)) {
-            let wrong =
-                |description: String| MembershipViolation { at: line.at - self.starts_at, description };
-            match line.event {
+        let mut first_declared_at: BTreeMap<(usize, i64), i64> = BTreeMap::new();
+        for entry in entries.iter().filter(|l| (self.starts_at..=self.ends_at).contains(&l.at)) {
+            let violation =
+                |description: String| MembershipViolation { at: entry.at - self.starts_at, description };
+            match entry.event {
                 MembershipEvent::CountInUse { count, .. } => {
-                    let alive = self.alive(line.at);
-                    if count < alive {
-                        let what = format!("controller {} acts on {count} while {alive} run", line.by);
-                        verdict.undercounts.push(wrong(what));
+                    let running = self.running_count(entry.at);
+                    if count < running {
+                        let text = format!("controller {} counted {count} of {running} running", entry.by);
+                        verdict.undercounts.push(violation(text));
                     }
                     if count > self.addresses.len() {
-                        let what =
-                            format!("controller {} acts on {count} of {}", line.by, self.addresses.len());
-                        verdict.overcounts.push(wrong(what));
+                        let text =
+                            format!("controller {} counted {count} of {}", entry.by, self.addresses.len());
+                        verdict.overcounts.push(violation(text));
                     }
                 }
                 MembershipEvent::Member(member, change) => {
-                    let Some(whom) = numbers.get(&member).copied() else { continue };
-                    let lives = self.life(whom, line.at).is_some();
+                    let Some(other) = controller_by_address.get(&member).copied() else { continue };
+                    let running = self.lifetime_at(other, entry.at).is_some();
                     match change {
-                        MembershipChange::Suspected if lives => verdict.false_suspicions += 1,
+                        MembershipChange::Suspected if running => verdict.false_suspicions += 1,
                         MembershipChange::DeclaredDead
-                            if lives && self.unheard(whom, line.by, line.at, patience) =>
+                            if running && self.is_unreachable(other, entry.by, entry.at, timeout) =>
                         {
                             verdict.declared_dead_unreachable += 1;
                         }
-                        MembershipChange::DeclaredDead if lives => {
-                            let what = format!("controller {} gave up {whom}, which runs", line.by);
-                            verdict.declared_dead_reachable.push(wrong(what));
+                        MembershipChange::DeclaredDead if running => {
+                            let text =
+                                format!("controller {} declared {other} dead, but it is running", entry.by);
+                            verdict.declared_dead_reachable.push(violation(text));
                         }
                         MembershipChange::DeclaredDead => {
-                            let died = self.lifetimes.iter().filter(|l| l.controller == whom);
-                            if let Some(died) =
-                                died.filter_map(|l| l.ended_at).filter(|k| *k <= line.at).max()
+                            let killed_at = self.lifetimes.iter().filter(|l| l.controller == other);
+                            if let Some(killed_at) =
+                                killed_at.filter_map(|l| l.ended_at).filter(|k| *k <= entry.at).max()
                             {
-                                let first = found.entry((whom, died)).or_insert(line.at);
-                                *first = line.at.min(*first);
+                                let first = first_declared_at.entry((other, killed_at)).or_insert(entry.at);
+                                *first = entry.at.min(*first);
                             }
                         }
                         _ => {}
@@ -189,11 +200,12 @@
                 }
             }
         }
-        let mut took: Vec<i64> = found.iter().map(|((_, died), at)| at - died).collect();
-        took.sort_unstable();
-        verdict.deaths = took.len() as u64;
-        verdict.detection_p50_ms = took.get(took.len() / 2).map_or(0.0, |t| *t as f64 / 1e3);
-        verdict.detection_max_ms = took.last().map_or(0.0, |t| *t as f64 / 1e3);
+        let mut times: Vec<i64> =
+            first_declared_at.iter().map(|((_, killed_at), at)| at - killed_at).collect();
+        times.sort_unstable();
+        verdict.deaths = times.len() as u64;
+        verdict.detection_p50_ms = times.get(times.len() / 2).map_or(0.0, |t| *t as f64 / 1e3);
+        verdict.detection_max_ms = times.last().map_or(0.0, |t| *t as f64 / 1e3);
         verdict
     }
 }
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -1,9 +1,9 @@
-//! Fleets: many controllers with faults on the roads between them. The same script plays on processes, with a relay between
-//! them, and in virtual time.
+//! Fleets: many controllers with faults on the links between them. The same script runs on
+//! processes, with a relay between them, and in virtual time.
 //!
-//! - [`script`]: `[[roads]]` of a day's script, as a timetable; no I/O.
-//! - [`relay`]: carries datagrams between processes by that timetable.
-//! - [`judge`]: what the processes believed of each other, against what was so; no I/O.
+//! - [`script`]: the link faults of a day's script (`[[roads]]`) as a schedule; no I/O.
+//! - [`relay`]: forwards datagrams between processes and applies the schedule.
+//! - [`judge`]: compares what the processes believed about each other with what happened; no I/O.
 
 pub mod judge;
 pub mod relay;
--- a/crates/testbed/src/fleet/relay.rs
+++ b/crates/testbed/src/fleet/relay.rs
@@ -1,5 +1,7 @@
-//! A network between processes: each controller is reached at an address of the relay's, which carries what comes there to where
-//! the controller listens, from the address at which the others reach the sender. What happens on the way is [`Roads`]'.
+//! A network between processes. Each controller is reached at an address of the relay, which
+//! forwards what arrives there to the address at which the controller listens, and sends it from
+//! the address at which the others reach the sender. [`LinkEmulator`] applies the faults on the
+//! way.
 
 use anyhow::{Context, Result};
 use mio::net::UdpSocket;
@@ -13,163 +15,169 @@
 use wheelfield_net::Clock;
 use wheelfield_network_faults::{FaultSchedule, LinkCounters, LinkEmulator};
 
-/// The longest datagram that is carried.
-const LONGEST: usize = 2_048;
-/// Datagrams under way at most; what comes beyond them is lost, as in a network whose buffers are full.
-const UNDER_WAY: usize = 100_000;
-/// Datagrams taken from one socket in a turn.
-const TURN: usize = 256;
-const WAKE: Token = Token(usize::MAX);
-
-enum Word {
-    /// This controller's process listens there now.
-    Listens(usize, SocketAddr),
-    /// Faults begin to count from this time of the clock.
-    Begin(Box<FaultSchedule>),
-    End,
+/// Maximum length of a forwarded datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 2_048;
+/// Maximum number of datagrams in transit. Further ones are lost, as in a network whose buffers are
+/// full.
+const MAX_IN_TRANSIT: usize = 100_000;
+/// Maximum number of datagrams that are read from one socket before the next socket has its turn.
+const MAX_READS_PER_TURN: usize = 256;
+const WAKE_TOKEN: Token = Token(usize::MAX);
+
+enum Command {
+    /// The process of this controller listens at this address now.
+    SetListenAddress(usize, SocketAddr),
+    /// Faults follow this schedule, in times of the wall clock.
+    StartFaults(Box<FaultSchedule>),
+    Stop,
 }
 
-/// What was carried.
+/// What a relay forwarded.
 #[derive(Debug)]
 pub struct RelayCounters {
-    /// By the controller that sent it.
+    /// Counters of the links by the controller that sent.
     pub by_sender: Vec<LinkCounters>,
-    /// Datagrams of processes that nobody knows: of one that was killed since, or of a stranger.
+    /// Datagrams from unknown addresses: of a process that has been killed, or of another program.
     pub unknown_senders: u64,
-    /// Lost as too much was under way.
+    /// Datagrams lost because too many were in transit.
     pub dropped_at_capacity: u64,
 }
 
-/// A relay, which runs until it is ended.
+/// A relay on its own thread, which runs until it is stopped.
 #[derive(Debug)]
 pub struct Relay {
-    /// Where each controller is reached.
+    /// Relay address of each controller.
     pub addresses: Vec<SocketAddr>,
-    words: Sender<Word>,
+    commands: Sender<Command>,
     waker: Waker,
     thread: Option<JoinHandle<Result<RelayCounters>>>,
 }
 
 impl Relay {
-    /// Takes an address for each of so many controllers, and begins to carry. Until [`Relay::begin`], roads are without faults.
+    /// Binds an address for each controller and starts to forward. Links have no faults until
+    /// [`Relay::start_faults`].
     ///
     /// # Errors
-    /// As the system tells.
+    /// Errors of the operating system.
     pub fn start(controllers: usize, seed: u64, clock: Clock) -> Result<Relay> {
         let poll = Poll::new()?;
         let mut sockets = Vec::new();
         for i in 0..controllers {
-            let mut socket = UdpSocket::bind("127.0.0.1:0".parse()?).context("no port for the relay")?;
+            let mut socket =
+                UdpSocket::bind("127.0.0.1:0".parse()?).context("cannot bind a UDP port for the relay")?;
             poll.registry().register(&mut socket, Token(i), Interest::READABLE)?;
             sockets.push(socket);
         }
         let addresses = sockets.iter().map(|s| Ok(s.local_addr()?)).collect::<Result<Vec<_>>>()?;
-        let waker = Waker::new(poll.registry(), WAKE)?;
-        let (words, heard) = channel();
-        let carrier = Carrier {
+        let waker = Waker::new(poll.registry(), WAKE_TOKEN)?;
+        let (commands, receiver) = channel();
+        let relay_thread = RelayThread {
             clock,
             poll,
             listen_addresses: vec![None; controllers],
-            owners: HashMap::new(),
-            again: vec![false; controllers],
+            controller_by_address: HashMap::new(),
+            may_have_more: vec![false; controllers],
             sockets,
-            roads: LinkEmulator::new(FaultSchedule::default(), seed),
+            links: LinkEmulator::new(FaultSchedule::default(), seed),
             seed,
-            under_way: BinaryHeap::new(),
-            numbered: 0,
+            in_transit: BinaryHeap::new(),
+            last_sequence: 0,
             unknown_senders: 0,
             dropped_at_capacity: 0,
         };
-        let thread = std::thread::Builder::new().name("relay".into()).spawn(move || carrier.run(&heard))?;
-        Ok(Relay { addresses, words, waker, thread: Some(thread) })
+        let thread =
+            std::thread::Builder::new().name("relay".into()).spawn(move || relay_thread.run(&receiver))?;
+        Ok(Relay { addresses, commands, waker, thread: Some(thread) })
     }
 
-    fn tell(&self, word: Word) -> Result<()> {
-        self.words.send(word).ok().context("the relay has ended")?;
+    fn send_command(&self, command: Command) -> Result<()> {
+        self.commands.send(command).ok().context("the relay thread has ended")?;
         Ok(self.waker.wake()?)
     }
 
-    /// A controller's process listens here now.
+    /// Sets the address at which a controller's process listens.
     ///
     /// # Errors
-    /// If the relay has come down.
+    /// If the relay's thread has failed.
     pub fn set_listen_address(&self, controller: usize, at: SocketAddr) -> Result<()> {
-        self.tell(Word::Listens(controller, at))
+        self.send_command(Command::SetListenAddress(controller, at))
     }
 
-    /// From now on faults come by this timetable, in times of the clock.
+    /// Applies the faults of this schedule from now on, in times of the wall clock.
     ///
     /// # Errors
-    /// If the relay has come down.
-    pub fn start_faults(&self, timetable: FaultSchedule) -> Result<()> {
-        self.tell(Word::Begin(Box::new(timetable)))
+    /// If the relay's thread has failed.
+    pub fn start_faults(&self, schedule: FaultSchedule) -> Result<()> {
+        self.send_command(Command::StartFaults(Box::new(schedule)))
     }
 
-    /// Ends it; what it carried.
+    /// Stops the relay and returns its counters.
     ///
     /// # Errors
-    /// If it has come down.
+    /// If the relay's thread has failed.
     pub fn stop(mut self) -> Result<RelayCounters> {
-        self.tell(Word::End)?;
-        let thread = self.thread.take().context("ended before")?;
-        thread.join().map_err(|_| anyhow::anyhow!("the relay panicked"))?
+        self.send_command(Command::Stop)?;
+        let thread = self.thread.take().context("the relay was stopped before")?;
+        thread.join().map_err(|_| anyhow::anyhow!("the relay thread panicked"))?
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
         if let Some(thread) = self.thread.take() {
-            let _ = self.tell(Word::End);
+            let _ = self.send_command(Command::Stop);
             let _ = thread.join();
         }
     }
 }
 
-/// A datagram under way; the one that arrives first is the greatest.
+/// A datagram in transit. The order is reversed, so that the heap's maximum is the next one to
+/// arrive.
 #[derive(PartialEq, Eq)]
-struct Parcel {
+struct DatagramInTransit {
     at: i64,
-    number: u64,
+    sequence: u64,
     from: usize,
     to: usize,
     bytes: Vec<u8>,
 }
 
-impl Ord for Parcel {
+impl Ord for DatagramInTransit {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (other.at, other.number).cmp(&(self.at, self.number))
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
-impl PartialOrd for Parcel {
+impl PartialOrd for DatagramInTransit {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-struct Carrier {
+struct RelayThread {
     clock: Clock,
     poll: Poll,
     sockets: Vec<UdpSocket>,
-    /// Where the process of each controller listens, and whose an address is.
+    /// Listen address of each controller's process, and the controller of each such address.
     listen_addresses: Vec<Option<SocketAddr>>,
-    owners: HashMap<SocketAddr, usize>,
-    /// More may wait at a socket, though the system will not tell so.
-    again: Vec<bool>,
-    roads: LinkEmulator,
+    controller_by_address: HashMap<SocketAddr, usize>,
+    /// Sockets that may have more datagrams to read. The poll is edge-triggered and doesn't report
+    /// them again.
+    may_have_more: Vec<bool>,
+    links: LinkEmulator,
     seed: u64,
-    under_way: BinaryHeap<Parcel>,
-    numbered: u64,
+    in_transit: BinaryHeap<DatagramInTransit>,
+    last_sequence: u64,
     unknown_senders: u64,
     dropped_at_capacity: u64,
 }
 
-impl Carrier {
-    fn run(mut self, heard: &Receiver<Word>) -> Result<RelayCounters> {
+impl RelayThread {
+    fn run(mut self, commands: &Receiver<Command>) -> Result<RelayCounters> {
         let mut events = Events::with_capacity(256);
         loop {
-            let wait = match self.under_way.peek() {
-                _ if self.again.contains(&true) => Duration::ZERO,
+            let wait = match self.in_transit.peek() {
+                _ if self.may_have_more.contains(&true) => Duration::ZERO,
                 Some(next) => self.clock.until(next.at),
                 None => Duration::from_secs(1),
             };
@@ -177,77 +185,77 @@
                 Err(e) if e.kind() != ErrorKind::Interrupted => return Err(e.into()),
                 _ => {}
             }
-            while let Ok(word) = heard.try_recv() {
-                match word {
-                    Word::Listens(controller, at) => {
-                        if let Some(before) = self.listen_addresses[controller].replace(at) {
-                            self.owners.remove(&before);
+            while let Ok(command) = commands.try_recv() {
+                match command {
+                    Command::SetListenAddress(controller, at) => {
+                        if let Some(previous) = self.listen_addresses[controller].replace(at) {
+                            self.controller_by_address.remove(&previous);
                         }
-                        self.owners.insert(at, controller);
+                        self.controller_by_address.insert(at, controller);
                     }
-                    Word::Begin(timetable) => self.roads = LinkEmulator::new(*timetable, self.seed),
-                    Word::End => return Ok(self.carried()),
+                    Command::StartFaults(schedule) => self.links = LinkEmulator::new(*schedule, self.seed),
+                    Command::Stop => return Ok(self.counters()),
                 }
             }
             for event in &events {
-                if let Some(again) = self.again.get_mut(event.token().0) {
-                    *again = true;
+                if let Some(flag) = self.may_have_more.get_mut(event.token().0) {
+                    *flag = true;
                 }
             }
-            for to in 0..self.again.len() {
-                if std::mem::take(&mut self.again[to]) {
-                    self.take(to);
+            for to in 0..self.may_have_more.len() {
+                if std::mem::take(&mut self.may_have_more[to]) {
+                    self.receive(to);
                 }
             }
             self.deliver();
         }
     }
 
-    fn carried(&self) -> RelayCounters {
-        let from = (0..self.sockets.len()).map(|i| self.roads.counters_from(i)).collect();
+    fn counters(&self) -> RelayCounters {
+        let by_sender = (0..self.sockets.len()).map(|i| self.links.counters_from(i)).collect();
         RelayCounters {
-            by_sender: from,
+            by_sender,
             unknown_senders: self.unknown_senders,
             dropped_at_capacity: self.dropped_at_capacity,
         }
     }
 
-    /// Takes what was sent to a controller.
-    fn take(&mut self, to: usize) {
-        let mut buffer = [0; LONGEST];
-        for _ in 0..TURN {
+    /// Reads the datagrams that were sent to a controller.
+    fn receive(&mut self, to: usize) {
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
+        for _ in 0..MAX_READS_PER_TURN {
             let (length, from) = match self.sockets[to].recv_from(&mut buffer) {
                 Ok(got) => got,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                // Somebody's port is closed: what was sent there is lost.
+                // An earlier datagram was sent to a closed port; it is lost.
                 Err(_) => continue,
             };
-            let Some(from) = self.owners.get(&from).copied() else {
+            let Some(from) = self.controller_by_address.get(&from).copied() else {
                 self.unknown_senders += 1;
                 continue;
             };
             let now = self.clock.now();
-            for arrival in self.roads.transmit(from, to, now, &buffer[..length]) {
-                if self.under_way.len() >= UNDER_WAY {
+            for arrival in self.links.transmit(from, to, now, &buffer[..length]) {
+                if self.in_transit.len() >= MAX_IN_TRANSIT {
                     self.dropped_at_capacity += 1;
                     continue;
                 }
-                self.numbered += 1;
+                self.last_sequence += 1;
                 let (at, bytes) = (arrival.at, arrival.bytes);
-                self.under_way.push(Parcel { at, number: self.numbered, from, to, bytes });
+                self.in_transit.push(DatagramInTransit { at, sequence: self.last_sequence, from, to, bytes });
             }
         }
-        self.again[to] = true;
+        self.may_have_more[to] = true;
     }
 
-    /// Hands over what has arrived.
+    /// Sends the datagrams whose arrival time has come.
     fn deliver(&mut self) {
         let now = self.clock.now();
-        while self.under_way.peek().is_some_and(|p| p.at <= now) {
-            let Some(parcel) = self.under_way.pop() else { return };
-            if let Some(at) = self.listen_addresses[parcel.to] {
-                // What can't go is lost, as datagrams may be.
-                let _ = self.sockets[parcel.from].send_to(&parcel.bytes, at);
+        while self.in_transit.peek().is_some_and(|p| p.at <= now) {
+            let Some(datagram) = self.in_transit.pop() else { return };
+            if let Some(at) = self.listen_addresses[datagram.to] {
+                // A datagram that cannot be sent is lost, as on a real network.
+                let _ = self.sockets[datagram.from].send_to(&datagram.bytes, at);
             }
         }
     }
--- a/crates/testbed/src/fleet/script.rs
+++ b/crates/testbed/src/fleet/script.rs
@@ -1,4 +1,4 @@
-//! What goes wrong between controllers, as a day's script tells it.
+//! The faults on the links between controllers, as a day's script lists them.
 
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
@@ -6,164 +6,176 @@
 use wheelfield_config::units::{Size, Time};
 use wheelfield_network_faults::{Fault, FaultSchedule, NodeSet, ScheduledFault};
 
-/// Entries at most.
+/// Maximum number of entries.
 pub const MAX_ENTRIES: usize = 1_000;
 
-/// What a fleet's script leaves out: machines, classes, rules.
-const USUAL: &str = include_str!("../../fleets/usual.toml");
+/// Default tables of a fleet's script: machines, classes, rules.
+const DEFAULT_TABLES: &str = include_str!("../../fleets/usual.toml");
 
-/// The script of a fleet with the usual tables, if it has none of its own; its own lines keep their numbers.
+/// Appends the default tables to a fleet's script unless it has its own. The script's lines keep
+/// their numbers.
 pub fn with_default_tables(text: &str) -> String {
     match text.lines().any(|l| l.trim() == "[fleet]") {
         true => text.to_string(),
-        false => format!("{text}\n{USUAL}"),
+        false => format!("{text}\n{DEFAULT_TABLES}"),
     }
 }
 
-/// One entry of `[[roads]]`.
+/// An entry of `[[roads]]`: a fault on the links between some controllers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LinkFault {
-    /// From when on.
-    pub at: Time,
-    /// For how long.
+    /// Start of the fault.
+    #[serde(rename = "at")]
+    pub starts_at: Time,
+    /// Duration of the fault.
     #[serde(rename = "for")]
-    pub lasts: Time,
-    /// Again after so long from its last beginning,
-    pub every: Option<Time>,
-    /// so many times in all.
-    pub times: Option<u32>,
-    /// On what these send: `all`, numbers and spans of them (`0,3,7-9`), or a share that the seed draws (`30%`);
-    #[serde(default = "all")]
-    pub from: String,
-    /// to those.
-    #[serde(default = "all")]
-    pub to: String,
-    /// And on what those send to these.
-    #[serde(default)]
-    pub both: bool,
-    /// Nothing passes.
-    #[serde(default)]
-    pub cut: bool,
-    /// The chance that a datagram is lost,
+    pub duration: Time,
+    /// Period of a repeated fault, from one start to the next.
+    #[serde(rename = "every")]
+    pub period: Option<Time>,
+    /// Number of times that the fault occurs; needs a period.
+    #[serde(rename = "times")]
+    pub repetitions: Option<u32>,
+    /// Controllers whose outgoing links are affected: `all`, numbers and ranges (`0,3,7-9`), or a
+    /// percentage of them that the seed draws (`30%`).
+    #[serde(default = "all", rename = "from")]
+    pub senders: String,
+    /// Controllers to which these links lead, in the same form.
+    #[serde(default = "all", rename = "to")]
+    pub receivers: String,
+    /// Whether the links of the opposite direction are affected too.
+    #[serde(default, rename = "both")]
+    pub bidirectional: bool,
+    /// Whether all datagrams are blocked.
+    #[serde(default, rename = "cut")]
+    pub blocked: bool,
+    /// Probability that a datagram is lost.
     #[serde(default)]
     pub loss: f64,
-    /// that it comes twice,
-    #[serde(default)]
-    pub doubled: f64,
-    /// that a bit of it is turned.
+    /// Probability that a datagram is duplicated.
+    #[serde(default, rename = "doubled")]
+    pub duplicate: f64,
+    /// Probability that a bit of a datagram is flipped.
     #[serde(default)]
     pub corrupt: f64,
-    /// So much later,
+    /// Constant delay.
     pub delay: Option<Time>,
-    /// and up to so much more.
+    /// Maximum random delay in addition to it.
     pub jitter: Option<Time>,
-    /// Bytes a second that pass,
+    /// Limit of throughput, in bytes per second.
     pub rate: Option<Size>,
-    /// and that wait for it.
-    pub queue: Option<Size>,
+    /// Maximum number of bytes queued for it.
+    #[serde(rename = "queue")]
+    pub queue_limit: Option<Size>,
 }
 
 fn all() -> String {
     "all".into()
 }
 
-/// Whom a text names among so many, by a draw where it names a share.
-fn parties(text: &str, among: usize, chance: &mut Pcg64Mcg) -> Result<NodeSet, String> {
+/// Parses a set of controller numbers below `controllers`. A percentage is drawn at random.
+fn parse_controllers(text: &str, controllers: usize, rng: &mut Pcg64Mcg) -> Result<NodeSet, String> {
     if text == "all" {
         return Ok(NodeSet::All);
     }
-    if let Some(share) = text.strip_suffix('%') {
-        let share: f64 = share.trim().parse().map_err(|_| format!("`{text}` is no share"))?;
-        if !(0.0..=100.0).contains(&share) {
-            return Err(format!("`{text}` is no share of 0% to 100%"));
+    if let Some(fraction) = text.strip_suffix('%') {
+        let fraction: f64 = fraction.trim().parse().map_err(|_| format!("`{text}` is not a percentage"))?;
+        if !(0.0..=100.0).contains(&fraction) {
+            return Err(format!("`{text}` is not between 0% and 100%"));
         }
-        let mut all: Vec<usize> = (0..among).collect();
-        let wanted = (share / 100.0 * among as f64).round() as usize;
-        let drawn = (0..wanted).map(|_| all.swap_remove(chance.random_range(0..all.len())));
-        return Ok(NodeSet::Only(drawn.collect()));
+        let mut all: Vec<usize> = (0..controllers).collect();
+        let count = (fraction / 100.0 * controllers as f64).round() as usize;
+        let selected = (0..count).map(|_| all.swap_remove(rng.random_range(0..all.len())));
+        return Ok(NodeSet::Only(selected.collect()));
     }
-    let mut these = std::collections::BTreeSet::new();
+    let mut selected = std::collections::BTreeSet::new();
     for part in text.split(',') {
         let (first, last) = part.trim().split_once('-').unwrap_or((part.trim(), part.trim()));
-        let number =
-            |n: &str| n.parse::<usize>().map_err(|_| format!("`{part}` in `{text}` names no controller"));
+        let number = |n: &str| {
+            n.parse::<usize>().map_err(|_| format!("`{part}` in `{text}` is not a controller number"))
+        };
         let (first, last) = (number(first)?, number(last)?);
-        if first > last || last >= among {
+        if first > last || last >= controllers {
             return Err(format!(
                 "`{part}` in `{text}` is not among the controllers 0 to {}",
-                among.saturating_sub(1)
+                controllers.saturating_sub(1)
             ));
         }
-        these.extend(first..=last);
+        selected.extend(first..=last);
     }
-    Ok(NodeSet::Only(these))
+    Ok(NodeSet::Only(selected))
 }
 
 impl LinkFault {
-    /// As an entry of the timetable.
+    /// Converts the entry to a fault of the schedule.
     ///
     /// # Errors
-    /// What is wrong with it, for a person.
-    fn entry(&self, among: usize, chance: &mut Pcg64Mcg) -> Result<ScheduledFault, String> {
+    /// A readable description of what is wrong with the entry.
+    fn to_scheduled_fault(&self, controllers: usize, rng: &mut Pcg64Mcg) -> Result<ScheduledFault, String> {
         let micros = |t: Option<Time>| t.map_or(0, |t| t.0 .0);
-        for (name, share) in [("loss", self.loss), ("doubled", self.doubled), ("corrupt", self.corrupt)] {
-            if !(0.0..=1.0).contains(&share) {
-                return Err(format!("{name} = {share} is no chance of 0 to 1"));
+        for (name, fraction) in [("loss", self.loss), ("doubled", self.duplicate), ("corrupt", self.corrupt)]
+        {
+            if !(0.0..=1.0).contains(&fraction) {
+                return Err(format!("{name} = {fraction} is not a probability from 0 to 1"));
             }
         }
-        let (lasts, every) = (self.lasts.0 .0, micros(self.every));
-        if self.every.is_some() && every < lasts {
-            return Err("`every` is shorter than `for`: it would never pause".into());
+        let (duration, period) = (self.duration.0 .0, micros(self.period));
+        if self.period.is_some() && period < duration {
+            return Err("`every` is shorter than `for`: the fault would never pause".into());
         }
-        if self.times.is_some_and(|n| n != 1) && every == 0 {
+        if self.repetitions.is_some_and(|n| n != 1) && period == 0 {
             return Err("`times` needs `every`".into());
         }
-        // Where only a rate is told, a second of it may wait.
+        // Without a limit of its own, the queue holds one second's worth of the rate.
         let rate = self.rate.map_or(0, |s| s.0);
         let fault = Fault {
-            blocked: self.cut,
+            blocked: self.blocked,
             loss: self.loss,
             delay: micros(self.delay),
             jitter: micros(self.jitter),
-            duplicate: self.doubled,
+            duplicate: self.duplicate,
             corrupt: self.corrupt,
             rate,
-            queue_limit: self.queue.map_or(rate, |s| s.0),
+            queue_limit: self.queue_limit.map_or(rate, |s| s.0),
         };
         if fault == Fault::default() {
             return Err(
-                "nothing is wrong on these roads: give cut, loss, doubled, corrupt, delay, jitter or rate"
-                    .into(),
+                "the entry has no fault: set cut, loss, doubled, corrupt, delay, jitter or rate".into()
             );
         }
-        let (from, to) = (parties(&self.from, among, chance)?, parties(&self.to, among, chance)?);
+        let (senders, receivers) = (
+            parse_controllers(&self.senders, controllers, rng)?,
+            parse_controllers(&self.receivers, controllers, rng)?,
+        );
         Ok(ScheduledFault {
             fault,
-            from,
-            to,
-            bidirectional: self.both,
-            starts_at: self.at.0 .0,
-            duration: lasts,
-            period: every,
-            repetitions: self.times.unwrap_or(1),
+            from: senders,
+            to: receivers,
+            bidirectional: self.bidirectional,
+            starts_at: self.starts_at.0 .0,
+            duration,
+            period,
+            repetitions: self.repetitions.unwrap_or(1),
         })
     }
 }
 
-/// The timetable of all entries, with times from the day's start.
+/// The schedule of all entries, with times from the start of the day.
 ///
 /// # Errors
-/// The number of the first entry that can't be used, from 0, and what is wrong with it.
+/// The index of the first invalid entry, from 0, and what is wrong with it.
 pub fn fault_schedule(
-    roads: &[LinkFault],
-    among: usize,
+    link_faults: &[LinkFault],
+    controllers: usize,
     seed: u64,
 ) -> Result<FaultSchedule, (usize, String)> {
-    if roads.len() > MAX_ENTRIES {
-        return Err((MAX_ENTRIES, format!("{} entries; {MAX_ENTRIES} at most", roads.len())));
+    if link_faults.len() > MAX_ENTRIES {
+        return Err((MAX_ENTRIES, format!("{} entries; the maximum is {MAX_ENTRIES}", link_faults.len())));
     }
-    let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x0072_6f61_6473);
-    let entry = |(n, road): (usize, &LinkFault)| road.entry(among, &mut chance).map_err(|fault| (n, fault));
-    Ok(FaultSchedule(roads.iter().enumerate().map(entry).collect::<Result<_, _>>()?))
+    let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x0072_6f61_6473);
+    let scheduled_fault = |(n, link_fault): (usize, &LinkFault)| {
+        link_fault.to_scheduled_fault(controllers, &mut rng).map_err(|error| (n, error))
+    };
+    Ok(FaultSchedule(link_faults.iter().enumerate().map(scheduled_fault).collect::<Result<_, _>>()?))
 }
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! Fleets on real processes, with faults on the roads between them; and faults planted in the controllers, which the judge must
-//! find. Nothing here asserts how soon something happens.
+//! Fleets of real processes, with faults on the links between them or faults injected into the
+//! controllers, which the membership check must find. No test here depends on how soon something
+//! happens.
 //!
 //! The programs are those that `cargo test` builds for the whole workspace.
 
@@ -16,158 +17,179 @@
 use wheelfield_testbed::virtual_time::policy::Policy;
 
 fn day(text: &str) -> Day {
-    Day::parse("fleet", &script::with_default_tables(text)).unwrap_or_else(|fault| panic!("{fault}"))
+    Day::parse("fleet", &script::with_default_tables(text)).unwrap_or_else(|error| panic!("{error}"))
 }
 
-fn short() -> Day {
+fn short_fleet() -> Day {
     day(include_str!("../fleets/short.toml"))
 }
 
-fn played(plant: Option<&str>) -> (Report, OfFleet) {
-    let dir = tempfile::tempdir().expect("a folder");
+fn run_short_fleet(fault: Option<&str>) -> (Report, OfFleet) {
+    let dir = tempfile::tempdir().expect("a temporary directory");
     let options = Options {
         seed: 1,
         dir: dir.path().to_path_buf(),
-        plant: plant.map(str::to_string),
+        plant: fault.map(str::to_string),
         log_level: "warn".into(),
         quiet: true,
         ..Options::default()
     };
-    let report = play(&short(), &options).unwrap_or_else(|fault| panic!("{fault:#}"));
-    let fleet = report.fleet.clone().expect("a fleet's report");
+    let report = play(&short_fleet(), &options).unwrap_or_else(|error| panic!("{error:#}"));
+    let fleet = report.fleet.clone().expect("a report of the fleet");
     (report, fleet)
 }
 
 #[test]
-fn a_short_bad_time_between_controllers_is_borne() {
-    let (report, fleet) = played(None);
+fn a_fleet_survives_short_link_faults() {
+    let (report, fleet) = run_short_fleet(None);
     assert!(report.kept(), "{:?} {fleet:?}", report.breaches);
-    // The faults came to pass.
+    // The faults took effect.
     assert!(fleet.hurt > 50 && fleet.verdict.declared_dead_unreachable > 0, "{fleet:?}");
     assert!(report.served > 300, "{report:?}");
 }
 
 #[test]
-fn a_planted_count_that_sinks_a_death_taken_for_a_goodbye_and_a_number_held_by_two_are_found() {
-    for plant in ["sink", "goodbye"] {
-        let (report, fleet) = played(Some(plant));
-        assert!(!fleet.verdict.undercounts.is_empty() && !report.kept(), "{plant}: {fleet:?}");
+fn injected_membership_faults_are_found() {
+    for fault in ["sink", "goodbye"] {
+        let (report, fleet) = run_short_fleet(Some(fault));
+        assert!(!fleet.verdict.undercounts.is_empty() && !report.kept(), "{fault}: {fleet:?}");
     }
-    let (report, fleet) = played(Some("number"));
+    let (report, fleet) = run_short_fleet(Some("number"));
     assert!(!fleet.agreed && !report.kept(), "{fleet:?}");
 }
 
 #[test]
-fn the_same_script_plays_in_virtual_time_the_same_again() {
-    let one = play_virtual(&short(), 1, Policy::Module).expect("played");
-    let two = play_virtual(&short(), 1, Policy::Module).expect("played");
-    assert!(one.0.kept(), "{:?}", one.0.breaches);
-    assert_eq!((one.1.events, one.1.datagrams_sent), (two.1.events, two.1.datagrams_sent));
-    let quiet = Day { roads: Vec::new(), ..short() };
-    let without = play_virtual(&quiet, 1, Policy::Module).expect("played");
-    assert_ne!(one.1.datagrams_sent, without.1.datagrams_sent, "what goes wrong on the roads is felt");
+fn a_fleet_in_virtual_time_is_deterministic() {
+    let first = play_virtual(&short_fleet(), 1, Policy::Module).expect("a valid day");
+    let second = play_virtual(&short_fleet(), 1, Policy::Module).expect("a valid day");
+    assert!(first.0.kept(), "{:?}", first.0.breaches);
+    assert_eq!((first.1.events, first.1.datagrams_sent), (second.1.events, second.1.datagrams_sent));
+    let without_faults = Day { roads: Vec::new(), ..short_fleet() };
+    let faultless_run = play_virtual(&without_faults, 1, Policy::Module).expect("a valid day");
+    assert_ne!(first.1.datagrams_sent, faultless_run.1.datagrams_sent, "the link faults changed nothing");
 }
 
 #[test]
-fn a_script_that_cannot_be_played_is_refused_with_its_line() {
-    let with = |road: &str| {
-        format!("name = \"x\"\nlength = \"5s\"\nrate = 1\nengines = 1\ncontrollers = 4\n\n[[roads]]\nat = \"1s\"\nfor = \"2s\"\n{road}\n")
+fn an_invalid_link_fault_is_reported_with_its_line() {
+    let script_with = |link_fault: &str| {
+        format!("name = \"x\"\nlength = \"5s\"\nrate = 1\nengines = 1\ncontrollers = 4\n\n[[roads]]\nat = \"1s\"\nfor = \"2s\"\n{link_fault}\n")
     };
-    for (road, expected) in [
-        ("", "nothing is wrong"),
-        ("loss = 1.5", "no chance"),
+    for (link_fault, expected) in [
+        ("", "has no fault"),
+        ("loss = 1.5", "not a probability"),
         ("cut = true\nfrom = \"0-4\"", "not among the controllers"),
-        ("cut = true\nfrom = \"a\"", "names no controller"),
-        ("cut = true\nto = \"120%\"", "no share"),
+        ("cut = true\nfrom = \"a\"", "not a controller number"),
+        ("cut = true\nto = \"120%\"", "not between 0% and 100%"),
         ("cut = true\nevery = \"1s\"", "shorter than"),
         ("cut = true\ntimes = 3", "needs `every`"),
     ] {
-        let fault = Day::parse("x", &script::with_default_tables(&with(road))).expect_err(road);
-        assert!(fault.to_string().contains("x:7") && fault.to_string().contains(expected), "{road}: {fault}");
+        let error =
+            Day::parse("x", &script::with_default_tables(&script_with(link_fault))).expect_err(link_fault);
+        assert!(
+            error.to_string().contains("x:7") && error.to_string().contains(expected),
+            "{link_fault}: {error}"
+        );
     }
 }
 
 #[test]
-fn every_built_in_fleet_is_sound_and_drawn_alike_by_its_seed() {
+fn every_built_in_fleet_is_valid_and_deterministic_by_seed() {
     for file in std::fs::read_dir(concat!(env!("CARGO_MANIFEST_DIR"), "/fleets")).expect("the fleets") {
-        let path = file.expect("a file").path();
+        let path = file.expect("a directory entry").path();
         if path.ends_with("usual.toml") {
             continue;
         }
-        let day = day(&std::fs::read_to_string(&path).expect("a text"));
+        let day = day(&std::fs::read_to_string(&path).expect("a readable file"));
         assert!(!day.roads.is_empty() && day.registry.gossip, "{path:?}");
         assert_eq!(day.timetable(3), day.timetable(3));
     }
 }
 
-fn at(n: u16) -> SocketAddr {
+fn address(n: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1_000 + n))
 }
 
-/// Three controllers; the third is killed at 100 and its first is paused from 40 to 50.
-fn judged(event: &[(i64, usize, MembershipEvent)]) -> wheelfield_testbed::fleet::judge::Verdict {
-    let life = |controller, killed, stalls| ProcessLifetime {
+/// Checks these log entries for three controllers. The first is paused from 40 to 50, the link from
+/// the second to the third is blocked from 60 to 70, and the third is killed at 100.
+fn check(events: &[(i64, usize, MembershipEvent)]) -> wheelfield_testbed::fleet::judge::Verdict {
+    let lifetime = |controller, killed_at, stalls| ProcessLifetime {
         controller,
         started_at: 0,
-        ended_at: killed,
+        ended_at: killed_at,
         stalls,
         begins_mid_run: false,
     };
-    let lives = [life(0, None, vec![(40, 50)]), life(1, None, vec![]), life(2, Some(100), vec![])];
-    let reached: Vec<SocketAddr> = (0..3).map(at).collect();
+    let lifetimes =
+        [lifetime(0, None, vec![(40, 50)]), lifetime(1, None, vec![]), lifetime(2, Some(100), vec![])];
+    let addresses: Vec<SocketAddr> = (0..3).map(address).collect();
     let fault = Fault { blocked: true, ..Fault::default() };
-    let these = |n: usize| NodeSet::Only([n].into());
-    let cut = ScheduledFault {
+    let only = |n: usize| NodeSet::Only([n].into());
+    let blocked_link = ScheduledFault {
         fault,
-        from: these(1),
-        to: these(2),
+        from: only(1),
+        to: only(2),
         bidirectional: false,
         starts_at: 60,
         duration: 10,
         period: 0,
         repetitions: 1,
     };
-    let roads = FaultSchedule(vec![cut]);
-    let lines: Vec<MembershipLogEntry> = event
+    let link_faults = FaultSchedule(vec![blocked_link]);
+    let entries: Vec<MembershipLogEntry> = events
         .iter()
         .map(|(at, by, event)| MembershipLogEntry { at: *at, by: *by, event: event.clone() })
         .collect();
     MembershipHistory {
-        addresses: &reached,
-        lifetimes: &lives,
-        fault_schedule: &roads,
+        addresses: &addresses,
+        lifetimes: &lifetimes,
+        fault_schedule: &link_faults,
         starts_at: 0,
         ends_at: 1_000,
     }
-    .judge(&lines, 5)
+    .judge(&entries, 5)
 }
 
 #[test]
-fn the_judge_tells_what_was_so_from_what_was_believed() {
-    let acts = |count| MembershipEvent::CountInUse { count, index: 0 };
-    let gone = |n| MembershipEvent::Member(at(n), MembershipChange::DeclaredDead);
-    assert!(judged(&[(10, 0, acts(3)), (150, 0, acts(2)), (160, 0, gone(2))]).passed());
-    assert_eq!(judged(&[(10, 0, acts(2))]).undercounts.len(), 1, "three run");
-    assert_eq!(judged(&[(150, 1, acts(1))]).undercounts.len(), 1, "two run");
-    assert_eq!(judged(&[(10, 0, acts(4))]).overcounts.len(), 1);
-    assert_eq!(judged(&[(20, 1, gone(0))]).declared_dead_reachable.len(), 1, "it runs and is heard");
-    let behind = judged(&[(45, 1, gone(0)), (54, 1, gone(0)), (65, 1, gone(2)), (65, 2, gone(1))]);
+fn the_membership_check_finds_false_beliefs() {
+    let count_in_use = |count| MembershipEvent::CountInUse { count, index: 0 };
+    let declared_dead = |n| MembershipEvent::Member(address(n), MembershipChange::DeclaredDead);
+    assert!(
+        check(&[(10, 0, count_in_use(3)), (150, 0, count_in_use(2)), (160, 0, declared_dead(2))]).passed()
+    );
+    assert_eq!(check(&[(10, 0, count_in_use(2))]).undercounts.len(), 1, "three are running");
+    assert_eq!(check(&[(150, 1, count_in_use(1))]).undercounts.len(), 1, "two are running");
+    assert_eq!(check(&[(10, 0, count_in_use(4))]).overcounts.len(), 1);
+    assert_eq!(
+        check(&[(20, 1, declared_dead(0))]).declared_dead_reachable.len(),
+        1,
+        "it runs and can be heard"
+    );
+    let unreachable = check(&[
+        (45, 1, declared_dead(0)),
+        (54, 1, declared_dead(0)),
+        (65, 1, declared_dead(2)),
+        (65, 2, declared_dead(1)),
+    ]);
     assert_eq!(
-        (behind.declared_dead_unreachable, behind.declared_dead_reachable.len()),
+        (unreachable.declared_dead_unreachable, unreachable.declared_dead_reachable.len()),
         (4, 0),
-        "paused, or on a cut road"
+        "paused, or behind a blocked link"
     );
     assert_eq!(
-        judged(&[(56, 1, gone(0)), (80, 1, gone(2))]).declared_dead_reachable.len(),
+        check(&[(56, 1, declared_dead(0)), (80, 1, declared_dead(2))]).declared_dead_reachable.len(),
         2,
-        "that is over"
+        "the pause and the blocked link are over"
+    );
+    let detected = check(&[(160, 0, declared_dead(2)), (140, 1, declared_dead(2))]);
+    assert_eq!(
+        (detected.deaths, detected.detection_max_ms),
+        (1, 0.04),
+        "the first to declare it dead counts"
     );
-    let found = judged(&[(160, 0, gone(2)), (140, 1, gone(2))]);
-    assert_eq!((found.deaths, found.detection_max_ms), (1, 0.04), "by the first that did");
 }
 
 #[test]
-fn what_controllers_log_is_read() {
+fn membership_log_lines_are_parsed() {
     let line = r#"{"timestamp":"2026-12-01T00:00:01.500000Z","level":"INFO","message":"member: given up","member":"127.0.0.1:1002","by":"127.0.0.1:1001","target":"x"}"#;
     let Some(MembershipLogEntry {
         at: time,
@@ -175,9 +197,9 @@
         event: MembershipEvent::Member(member, MembershipChange::DeclaredDead),
     }) = parse_log_line(7, line)
     else {
-        panic!("not read")
+        panic!("the line was not parsed")
     };
-    assert_eq!((time % 60_000_000, member), (1_500_000, at(2)));
+    assert_eq!((time % 60_000_000, member), (1_500_000, address(2)));
     let count = r#"{"timestamp":"2026-12-01T00:00:01Z","message":"controllers","count":5,"index":2,"alive":4,"settled":true}"#;
     assert_eq!(
         parse_log_line(0, count).map(|l| l.event),
