--- a/crates/testbed/src/explore/scenario.rs
+++ b/crates/testbed/src/explore/scenario.rs
@@ -1,90 +1,111 @@
-//! A short day drawn from one number: its size, traffic, settings, troubles and network. Written as TOML it can be played
-//! again, and made smaller.
+//! A short scenario drawn from a seed: its size, traffic, settings, faults and network. It is
+//! written as TOML, from which it can be run again and reduced.
 
 use crate::day::Day;
-use crate::virtual_time::network::Weather;
+use crate::virtual_time::network::NetworkFaults;
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 use std::fmt::Write as _;
 use wheelfield_config::ConfigError;
 
-/// Something that goes wrong, as a day's script has it.
+/// A fault, as an entry of `[[troubles]]` in a day's script.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Ill {
+pub struct ScenarioFault {
     /// Its kind.
     pub kind: String,
-    /// When it begins, in milliseconds.
-    pub at_ms: u64,
-    /// How long it lasts, in milliseconds.
-    pub for_ms: u64,
-    /// Its part of the engines or controllers.
-    pub part: f64,
-    /// How bad it is, as its kind has it.
-    #[serde(default)]
-    pub size: Option<f64>,
+    /// Start, in milliseconds.
+    #[serde(rename = "at_ms")]
+    pub start_ms: u64,
+    /// Duration, in milliseconds.
+    #[serde(rename = "for_ms")]
+    pub duration_ms: u64,
+    /// Fraction of the engines or controllers that are affected.
+    #[serde(rename = "part")]
+    pub fraction: f64,
+    /// Severity; the unit depends on the kind.
+    #[serde(default, rename = "size")]
+    pub severity: Option<f64>,
 }
 
-/// A short day.
+/// A short scenario.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Seed of its traffic, troubles and chance.
+    /// Seed of its traffic, faults and random draws.
     pub seed: u64,
-    /// How long queries come, in milliseconds.
+    /// How long queries arrive, in milliseconds.
     pub length_ms: u64,
-    /// Queries a second.
-    pub rate: f64,
-    /// Engines.
+    /// Queries per second.
+    #[serde(rename = "rate")]
+    pub queries_per_second: f64,
+    /// Number of engines.
     pub engines: usize,
-    /// Controllers.
+    /// Number of controllers.
     pub controllers: usize,
-    /// Zones; zero for none.
+    /// Number of zones; zero for none.
     pub zones: usize,
-    /// What engines do when memory is short.
-    pub when_short: String,
+    /// What engines do when memory is short: `wait`, `page` or `shrink`.
+    #[serde(rename = "when_short")]
+    pub memory_shortage_action: String,
     /// Cores of an engine.
     pub cores: u64,
-    /// Sessions that an engine takes; zero for no limit worth a name.
-    pub engine_sessions: u64,
-    /// Sessions of a controller with an engine.
-    pub sessions: u64,
-    /// Queries that a controller holds.
-    pub queries: u64,
-    /// Bytes on their way to a client.
-    pub buffer: u64,
-    /// Rows of a report.
-    pub rows: u64,
-    /// Classes, by name: lookup, report, load, posting, upload, local.
+    /// Maximum number of sessions that an engine accepts; zero for the default.
+    #[serde(rename = "engine_sessions")]
+    pub max_engine_sessions: u64,
+    /// Maximum number of sessions of a controller with an engine.
+    #[serde(rename = "sessions")]
+    pub max_sessions_per_engine: u64,
+    /// Maximum number of queries that a controller holds.
+    #[serde(rename = "queries")]
+    pub max_queries: u64,
+    /// Maximum number of bytes that a controller buffers for a client.
+    #[serde(rename = "buffer")]
+    pub client_buffer_bytes: u64,
+    /// Rows of an answer in the class `report`.
+    #[serde(rename = "rows")]
+    pub report_rows: u64,
+    /// Names of the classes: lookup, report, load, posting, upload, local.
     pub classes: Vec<String>,
-    /// Whether cancels are heeded.
-    pub cancel: bool,
-    /// Whether priorities are heeded.
-    pub priorities: bool,
-    /// Controllers tell each other.
-    pub messages: bool,
-    /// Where loads are told: `answers` or `probe`.
-    pub reports: String,
-    /// How the list is kept: `watch`, `poll` or `files`.
-    pub list: String,
-    /// Controllers count each other.
+    /// Whether engines support cancel requests.
+    #[serde(rename = "cancel")]
+    pub supports_cancel: bool,
+    /// Whether engines support priorities.
+    #[serde(rename = "priorities")]
+    pub supports_priorities: bool,
+    /// Whether controllers send each other messages.
+    #[serde(rename = "messages")]
+    pub sends_messages: bool,
+    /// Source of load reports: `answers` or `probe`.
+    #[serde(rename = "reports")]
+    pub load_report_source: String,
+    /// How controllers receive the engine list: `watch`, `poll` or `files`.
+    #[serde(rename = "list")]
+    pub engine_list_source: String,
+    /// Whether controllers discover each other by gossip.
     pub gossip: bool,
-    /// Part of the clients that leave early.
-    pub leaves: f64,
-    /// Further tries of a client.
-    pub retries: u64,
-    /// Somebody who is no client comes so often, in milliseconds; zero for never.
-    #[serde(default)]
-    pub visits_ms: u64,
-    /// What goes wrong.
-    pub troubles: Vec<Ill>,
-    /// The network.
-    pub weather: Weather,
+    /// Fraction of the clients that leave before their answer.
+    #[serde(rename = "leaves")]
+    pub leaving_fraction: f64,
+    /// Maximum number of retries of a client.
+    #[serde(rename = "retries")]
+    pub max_retries: u64,
+    /// Period of stray connections that send malformed or unauthorised data, in milliseconds; zero
+    /// for none.
+    #[serde(default, rename = "visits_ms")]
+    pub stray_connection_period_ms: u64,
+    /// The faults.
+    #[serde(rename = "troubles")]
+    pub faults: Vec<ScenarioFault>,
+    /// Faults of the network.
+    #[serde(rename = "weather")]
+    pub network: NetworkFaults,
 }
 
-/// Kinds of trouble with the sizes that are drawn for them; none where they need none.
-const ILLS: [(&str, Option<(f64, f64)>); 18] = [
+/// Kinds of faults with the range from which their severity is drawn; `None` for kinds that have no
+/// severity.
+const FAULT_KINDS: [(&str, Option<(f64, f64)>); 18] = [
     ("crash", None),
     ("hang", None),
     ("slow", Some((2.0, 20.0))),
@@ -106,90 +127,101 @@
 ];
 
 impl Scenario {
-    /// Draws a day.
+    /// Draws a scenario from a seed.
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
     pub fn draw(seed: u64) -> Scenario {
-        let mut r = Pcg64Mcg::seed_from_u64(seed ^ 0x6578_706c_6f72_6500);
-        let mut one_of = |chance: f64| r.random::<f64>() < chance;
-        let (cancel, priorities, messages) = (one_of(0.85), one_of(0.5), one_of(0.3));
-        let (probes, gossip, torn, tight, harsh, lossy) =
-            (one_of(0.3), one_of(0.25), one_of(0.5), one_of(0.25), one_of(0.3), one_of(0.5));
+        let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x6578_706c_6f72_6500);
+        let mut random_bool = |probability: f64| rng.random::<f64>() < probability;
+        let (supports_cancel, supports_priorities, sends_messages) =
+            (random_bool(0.85), random_bool(0.5), random_bool(0.3));
+        let (uses_probes, gossip, splits_data, has_small_window, loses_connections, loses_datagrams) = (
+            random_bool(0.3),
+            random_bool(0.25),
+            random_bool(0.5),
+            random_bool(0.25),
+            random_bool(0.3),
+            random_bool(0.5),
+        );
         let classes = ["lookup", "report", "load", "posting", "upload", "local"];
         let mut chosen: Vec<String> =
-            classes.iter().filter(|_| one_of(0.6)).map(|c| (*c).to_string()).collect();
+            classes.iter().filter(|_| random_bool(0.6)).map(|c| (*c).to_string()).collect();
         if chosen.is_empty() {
             chosen.push("lookup".into());
         }
-        let length_ms = r.random_range(800..4_000);
-        let zones = r.random_range(0..4_usize).saturating_sub(1);
-        // A class that is bound to a zone needs two.
+        let length_ms = rng.random_range(800..4_000);
+        let zones = rng.random_range(0..4_usize).saturating_sub(1);
+        // The class `local` is bound to the zone `z1`, which exists only if there are two zones or
+        // more.
         chosen.retain(|c| c != "local" || zones > 1);
         if chosen.is_empty() {
             chosen.push("lookup".into());
         }
-        let troubles = (0..r.random_range(0..5))
+        let faults = (0..rng.random_range(0..5))
             .map(|_| {
-                let (kind, sizes) = ILLS[r.random_range(0..ILLS.len())];
-                let at_ms = r.random_range(0..length_ms);
-                Ill {
+                let (kind, severity_range) = FAULT_KINDS[rng.random_range(0..FAULT_KINDS.len())];
+                let start_ms = rng.random_range(0..length_ms);
+                ScenarioFault {
                     kind: kind.to_string(),
-                    at_ms,
-                    for_ms: r.random_range(50..2_500),
-                    part: r.random_range(0.1..1.0),
-                    size: sizes.map(|(a, b)| (r.random_range(a..b) * 100.0_f64).round() / 100.0),
+                    start_ms,
+                    duration_ms: rng.random_range(50..2_500),
+                    fraction: rng.random_range(0.1..1.0),
+                    severity: severity_range
+                        .map(|(a, b)| (rng.random_range(a..b) * 100.0_f64).round() / 100.0),
                 }
             })
-            .filter(|ill| zones > 1 || ill.kind != "zone_loss")
+            .filter(|fault| zones > 1 || fault.kind != "zone_loss")
             .collect();
-        let pick = |r: &mut Pcg64Mcg, of: &[u64]| of[r.random_range(0..of.len())];
-        let weather = Weather {
-            torn: if torn { r.random_range(0.05..0.9) } else { 0.0 },
-            window: if tight { pick(&mut r, &[1_024, 4_096]) as usize } else { 1 << 20 },
-            loss: if lossy { r.random_range(0.0..0.5) } else { 0.0 },
-            doubled: if lossy { 0.1 } else { 0.0 },
-            late: if lossy { 200_000 } else { 0 },
-            resets: if harsh { r.random_range(0.0..0.05) } else { 0.0 },
-            refused: if harsh { r.random_range(0.0..0.2) } else { 0.0 },
-            lost_connects: if harsh { r.random_range(0.0..0.2) } else { 0.0 },
+        let pick = |rng: &mut Pcg64Mcg, choices: &[u64]| choices[rng.random_range(0..choices.len())];
+        let network = NetworkFaults {
+            split_probability: if splits_data { rng.random_range(0.05..0.9) } else { 0.0 },
+            window_bytes: if has_small_window { pick(&mut rng, &[1_024, 4_096]) as usize } else { 1 << 20 },
+            datagram_loss: if loses_datagrams { rng.random_range(0.0..0.5) } else { 0.0 },
+            datagram_duplication: if loses_datagrams { 0.1 } else { 0.0 },
+            max_datagram_delay_us: if loses_datagrams { 200_000 } else { 0 },
+            reset_probability: if loses_connections { rng.random_range(0.0..0.05) } else { 0.0 },
+            refusal_probability: if loses_connections { rng.random_range(0.0..0.2) } else { 0.0 },
+            connect_loss_probability: if loses_connections { rng.random_range(0.0..0.2) } else { 0.0 },
         };
-        // A long answer takes its time through a narrow window: that is nobody's fault.
-        let rows = pick(&mut r, if tight { &[1, 20] } else { &[1, 20, 200, 3_000] });
+        // A large answer through a small window may miss its deadline without any fault, so these
+        // scenarios have small answers.
+        let report_rows = pick(&mut rng, if has_small_window { &[1, 20] } else { &[1, 20, 200, 3_000] });
         Scenario {
             seed,
             length_ms,
-            rate: r.random_range(5.0_f64..150.0).round(),
-            engines: r.random_range(1..8),
-            controllers: r.random_range(1..5),
+            queries_per_second: rng.random_range(5.0_f64..150.0).round(),
+            engines: rng.random_range(1..8),
+            controllers: rng.random_range(1..5),
             zones,
-            when_short: ["wait", "page", "shrink"][r.random_range(0..3)].to_string(),
-            cores: pick(&mut r, &[1, 2, 4, 8]),
-            engine_sessions: pick(&mut r, &[0, 0, 3, 12]),
-            sessions: pick(&mut r, &[200, 200, 2, 8]),
-            queries: pick(&mut r, &[20_000, 20_000, 5, 40]),
-            buffer: pick(&mut r, &[262_144, 4_096, 16_384]),
-            rows,
+            memory_shortage_action: ["wait", "page", "shrink"][rng.random_range(0..3)].to_string(),
+            cores: pick(&mut rng, &[1, 2, 4, 8]),
+            max_engine_sessions: pick(&mut rng, &[0, 0, 3, 12]),
+            max_sessions_per_engine: pick(&mut rng, &[200, 200, 2, 8]),
+            max_queries: pick(&mut rng, &[20_000, 20_000, 5, 40]),
+            client_buffer_bytes: pick(&mut rng, &[262_144, 4_096, 16_384]),
+            report_rows,
             classes: chosen,
-            cancel,
-            priorities,
-            messages,
-            reports: if probes { "probe" } else { "answers" }.to_string(),
-            list: ["watch", "watch", "poll", "files"][r.random_range(0..4)].to_string(),
+            supports_cancel,
+            supports_priorities,
+            sends_messages,
+            load_report_source: if uses_probes { "probe" } else { "answers" }.to_string(),
+            engine_list_source: ["watch", "watch", "poll", "files"][rng.random_range(0..4)].to_string(),
             gossip,
-            leaves: if r.random::<f64>() < 0.5 { r.random_range(0.0..0.4) } else { 0.0 },
-            retries: r.random_range(0..3),
-            // Drawn last, so that what is above is what it was before.
-            visits_ms: if r.random::<f64>() < 0.3 { r.random_range(5..200) } else { 0 },
-            troubles,
-            weather,
+            leaving_fraction: if rng.random::<f64>() < 0.5 { rng.random_range(0.0..0.4) } else { 0.0 },
+            max_retries: rng.random_range(0..3),
+            // Drawn last, so that the fields above have the same values as before this one was
+            // added.
+            stray_connection_period_ms: if rng.random::<f64>() < 0.3 { rng.random_range(5..200) } else { 0 },
+            faults,
+            network,
         }
     }
 
     fn class(&self, name: &str) -> String {
-        let rows = self.rows;
+        let report_rows = self.report_rows;
         match name {
             "report" => format!(
                 "share = 14\nwork = \"400ms\"\nspread = 1.0\nestimate_error = 0.5\nio = 0.5\nmemory = \"300MB\"\n\
-                 bad_plans = 0.05\nrows = {rows}\naim = \"2s\"\ndeadline = \"5s\"\nworth = 4\n\
+                 bad_plans = 0.05\nrows = {report_rows}\naim = \"2s\"\ndeadline = \"5s\"\nworth = 4\n\
                  effect = \"repeatable\"\nthreads = 2\nwaits_for_loads = true"
             ),
             "load" => "share = 8\nwork = \"500ms\"\nestimate_error = 0.5\nio = 0.5\nmemory = \"200MB\"\naim = \"2s\"\n\
@@ -210,7 +242,7 @@
         }
     }
 
-    /// Its script.
+    /// The scenario as a day's script.
     pub fn script(&self) -> String {
         let zones: Vec<String> = (0..self.zones).map(|z| format!("\"z{z}\"")).collect();
         let mut out = format!(
@@ -218,52 +250,53 @@
              drain_grace = \"1s\"\n[fleet]\nzones = [{}]\nwhen_short = {:?}\n\
              [[fleet.kinds]]\nname = \"std\"\ncores = {}\nmemory = \"2GB\"\n",
             self.length_ms,
-            self.rate,
+            self.queries_per_second,
             self.engines,
             self.controllers,
             zones.join(", "),
-            self.when_short,
+            self.memory_shortage_action,
             self.cores
         );
-        if self.engine_sessions > 0 {
-            let _ = writeln!(out, "sessions = {}", self.engine_sessions);
+        if self.max_engine_sessions > 0 {
+            let _ = writeln!(out, "sessions = {}", self.max_engine_sessions);
         }
         for name in &self.classes {
             let _ = writeln!(out, "[[classes]]\nname = {name:?}\n{}", self.class(name));
         }
-        let (cancel, priorities, messages) = (self.cancel, self.priorities, self.messages);
-        let probes = self.reports == "probe";
+        let (supports_cancel, supports_priorities, sends_messages) =
+            (self.supports_cancel, self.supports_priorities, self.sends_messages);
+        let uses_probes = self.load_report_source == "probe";
         let _ = writeln!(
             out,
-            "[signals]\nreports = {:?}\nnotes_every = \"500ms\"\n[means]\ncancel = {cancel}\n\
-             priorities = {priorities}\nmessages = {messages}\nprobes = {probes}\nmax_attempts = 3\n[rules]\ncold_from = 0.35\n\
+            "[signals]\nreports = {:?}\nnotes_every = \"500ms\"\n[means]\ncancel = {supports_cancel}\n\
+             priorities = {supports_priorities}\nmessages = {sends_messages}\nprobes = {uses_probes}\nmax_attempts = 3\n[rules]\ncold_from = 0.35\n\
              cold_for = \"4s\"\nfall_multiple = 2.5\nfall_span = \"1.5s\"\norder_pause = \"8s\"\n\
              budget = {{ free = 2, share = 0.1, span = \"5s\" }}\n\
              [limits]\nsessions = {}\nqueries = {}\nbuffer = \"{}B\"\n[timing]\nstall = \"1s\"\n\
              [habits]\nleaves = {:?}\nretries = {}",
-            self.reports, self.sessions, self.queries, self.buffer, self.leaves, self.retries
+            self.load_report_source, self.max_sessions_per_engine, self.max_queries, self.client_buffer_bytes, self.leaving_fraction, self.max_retries
         );
-        let mode = if self.list == "poll" { "poll" } else { "watch" };
-        let files = self.list == "files";
+        let mode = if self.engine_list_source == "poll" { "poll" } else { "watch" };
+        let files = self.engine_list_source == "files";
         let gossip = self.gossip;
         let _ = writeln!(out, "[registry]\nmode = {mode:?}\nfiles = {files}\ngossip = {gossip}");
-        for ill in &self.troubles {
-            let Ill { kind, at_ms, for_ms, part, size } = ill;
+        for fault in &self.faults {
+            let ScenarioFault { kind, start_ms, duration_ms, fraction, severity } = fault;
             let _ = writeln!(
                 out,
-                "[[troubles]]\nkind = {kind:?}\nat = \"{at_ms}ms\"\nfor = \"{for_ms}ms\"\npart = {part:?}"
+                "[[troubles]]\nkind = {kind:?}\nat = \"{start_ms}ms\"\nfor = \"{duration_ms}ms\"\npart = {fraction:?}"
             );
-            if let Some(size) = size {
-                let _ = writeln!(out, "size = {size:?}");
+            if let Some(severity) = severity {
+                let _ = writeln!(out, "size = {severity:?}");
             }
         }
         out
     }
 
-    /// Its day, checked.
+    /// Parses and checks the scenario's script as a day.
     ///
     /// # Errors
-    /// The first fault of its script.
+    /// The first error of the script.
     pub fn day(&self) -> Result<Day, ConfigError> {
         Day::parse(&format!("scenario {}", self.seed), &self.script())
     }
--- a/crates/testbed/src/explore/shrink.rs
+++ b/crates/testbed/src/explore/shrink.rs
@@ -1,79 +1,85 @@
-//! A failing day made smaller: troubles, weather, sizes and traffic are taken away as long as it still fails the same way.
+//! Reduces a failing scenario: removes faults, controllers, engines and traffic as long as it still
+//! breaks the same rule.
 
 use super::{run, Scenario};
-use crate::virtual_time::network::Weather;
+use crate::virtual_time::network::NetworkFaults;
 use wheelfield_pg_gateway::fault_injection::FaultInjection;
 
-/// Days that are played at most.
-const TRIES: usize = 400;
+/// Maximum number of scenarios that are run.
+const MAX_RUNS: usize = 400;
 
-/// Smaller ones of a scenario, the boldest first.
-fn smaller(s: &Scenario) -> Vec<Scenario> {
-    let mut all = Vec::new();
-    let mut push = |change: &dyn Fn(&mut Scenario)| {
-        let mut other = s.clone();
-        change(&mut other);
-        if other != *s {
-            all.push(other);
+/// Reduced variants of a scenario, the largest reductions first.
+fn reduced_variants(s: &Scenario) -> Vec<Scenario> {
+    let mut variants = Vec::new();
+    let mut add_variant = |change: &dyn Fn(&mut Scenario)| {
+        let mut variant = s.clone();
+        change(&mut variant);
+        if variant != *s {
+            variants.push(variant);
         }
     };
-    push(&|s| s.troubles.clear());
-    push(&|s| s.weather = Weather::FAIR);
-    push(&|s| s.length_ms = (s.length_ms / 2).max(100));
-    push(&|s| s.rate = (s.rate / 2.0).max(1.0));
-    push(&|s| s.controllers = (s.controllers / 2).max(1));
-    push(&|s| s.engines = (s.engines / 2).max(1));
-    push(&|s| s.engines = (s.engines - 1).max(1));
-    push(&|s| s.controllers = (s.controllers - 1).max(1));
-    for i in 0..s.troubles.len() {
-        push(&|s| drop(s.troubles.remove(i)));
-        push(&|s| s.troubles[i].for_ms = (s.troubles[i].for_ms / 2).max(10));
+    add_variant(&|s| s.faults.clear());
+    add_variant(&|s| s.network = NetworkFaults::NONE);
+    add_variant(&|s| s.length_ms = (s.length_ms / 2).max(100));
+    add_variant(&|s| s.queries_per_second = (s.queries_per_second / 2.0).max(1.0));
+    add_variant(&|s| s.controllers = (s.controllers / 2).max(1));
+    add_variant(&|s| s.engines = (s.engines / 2).max(1));
+    add_variant(&|s| s.engines = (s.engines - 1).max(1));
+    add_variant(&|s| s.controllers = (s.controllers - 1).max(1));
+    for i in 0..s.faults.len() {
+        add_variant(&|s| drop(s.faults.remove(i)));
+        add_variant(&|s| s.faults[i].duration_ms = (s.faults[i].duration_ms / 2).max(10));
     }
     for i in 0..s.classes.len() {
         if s.classes.len() > 1 {
-            push(&|s| drop(s.classes.remove(i)));
+            add_variant(&|s| drop(s.classes.remove(i)));
         }
     }
-    push(&|s| s.visits_ms = 0);
-    push(&|s| s.leaves = 0.0);
-    push(&|s| s.retries = 0);
-    push(&|s| s.rows = 1);
-    push(&|s| s.gossip = false);
-    push(&|s| s.messages = false);
-    push(&|s| s.priorities = false);
-    push(&|s| s.list = "watch".into());
-    push(&|s| s.reports = "answers".into());
-    push(&|s| s.engine_sessions = 0);
-    push(&|s| s.sessions = 200);
-    push(&|s| s.queries = 20_000);
-    push(&|s| s.buffer = 262_144);
-    push(&|s| s.weather.torn = 0.0);
-    push(&|s| s.weather.window = Weather::FAIR.window);
-    push(&|s| (s.weather.loss, s.weather.doubled, s.weather.late) = (0.0, 0.0, 0));
-    push(&|s| s.weather.resets = 0.0);
-    push(&|s| (s.weather.refused, s.weather.lost_connects) = (0.0, 0.0));
-    push(&|s| s.length_ms = (s.length_ms * 9 / 10).max(100));
-    push(&|s| s.rate = (s.rate * 0.9).max(1.0));
-    all
+    add_variant(&|s| s.stray_connection_period_ms = 0);
+    add_variant(&|s| s.leaving_fraction = 0.0);
+    add_variant(&|s| s.max_retries = 0);
+    add_variant(&|s| s.report_rows = 1);
+    add_variant(&|s| s.gossip = false);
+    add_variant(&|s| s.sends_messages = false);
+    add_variant(&|s| s.supports_priorities = false);
+    add_variant(&|s| s.engine_list_source = "watch".into());
+    add_variant(&|s| s.load_report_source = "answers".into());
+    add_variant(&|s| s.max_engine_sessions = 0);
+    add_variant(&|s| s.max_sessions_per_engine = 200);
+    add_variant(&|s| s.max_queries = 20_000);
+    add_variant(&|s| s.client_buffer_bytes = 262_144);
+    add_variant(&|s| s.network.split_probability = 0.0);
+    add_variant(&|s| s.network.window_bytes = NetworkFaults::NONE.window_bytes);
+    add_variant(&|s| {
+        (s.network.datagram_loss, s.network.datagram_duplication, s.network.max_datagram_delay_us) =
+            (0.0, 0.0, 0)
+    });
+    add_variant(&|s| s.network.reset_probability = 0.0);
+    add_variant(&|s| (s.network.refusal_probability, s.network.connect_loss_probability) = (0.0, 0.0));
+    add_variant(&|s| s.length_ms = (s.length_ms * 9 / 10).max(100));
+    add_variant(&|s| s.queries_per_second = (s.queries_per_second * 0.9).max(1.0));
+    variants
 }
 
-/// Makes a scenario smaller that breaks a rule, and still breaks it. How many days were played for it.
-pub fn shrink(scenario: &Scenario, rule: &str, plant: Option<FaultInjection>) -> (Scenario, usize) {
-    let fails = |s: &Scenario| run(s, plant).is_ok_and(|o| o.failures.iter().any(|(r, _)| r == rule));
-    let mut best = scenario.clone();
-    let mut played = 0;
-    'again: while played < TRIES {
-        for other in smaller(&best) {
-            played += 1;
-            if fails(&other) {
-                best = other;
+/// Reduces a scenario that breaks a rule to a smaller one that still breaks it. Also returns how
+/// many scenarios were run.
+pub fn shrink(scenario: &Scenario, rule: &str, injected_fault: Option<FaultInjection>) -> (Scenario, usize) {
+    let still_fails =
+        |s: &Scenario| run(s, injected_fault).is_ok_and(|o| o.failures.iter().any(|(r, _)| r == rule));
+    let mut smallest = scenario.clone();
+    let mut run_count = 0;
+    'again: while run_count < MAX_RUNS {
+        for variant in reduced_variants(&smallest) {
+            run_count += 1;
+            if still_fails(&variant) {
+                smallest = variant;
                 continue 'again;
             }
-            if played >= TRIES {
+            if run_count >= MAX_RUNS {
                 break;
             }
         }
         break;
     }
-    (best, played)
+    (smallest, run_count)
 }
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -1,9 +1,12 @@
-//! A day in one process and in virtual time: the controllers' own code ([`wheelfield_pg_gateway::PgGateway`]), the stand-ins' and the
-//! clients' as on sockets, byte for byte, and a modelled network between them. No sockets, no threads, no clock: the same
-//! day, seed and build give the same tries and log.
+//! Simulates a day in one process and in virtual time. The controllers
+//! ([`wheelfield_pg_gateway::PgGateway`]), the emulated engines and the clients run the same code
+//! as on sockets, byte for byte, over a model of the network. There are no sockets, no threads and
+//! no wall clock: the same day, seed and build give the same tries of clients and the same event
+//! log.
 //!
-//! What a message takes is a constant and a small chance part ([`HOP`]); a process's own work takes no time. A stalled
-//! process finds all that came meanwhile when it goes on, but for datagrams, which are lost with its socket's buffer.
+//! A message takes a constant time and a small random part ([`BASE_LATENCY`]); the work of a
+//! process takes no time. When a stalled process resumes, it receives everything that arrived
+//! meanwhile except datagrams, which are lost as in an overflowing socket buffer.
 
 pub mod network;
 pub mod policy;
@@ -14,9 +17,9 @@
 use crate::people::People;
 use crate::plan::{Act, Plan};
 use bytes::Bytes;
-pub use network::HOP;
-use network::{At, Network, Passing, Proc, Weather};
-use policy::{DecisionEngine, Plain, Policy};
+pub use network::BASE_LATENCY;
+use network::{EndId, Network, NetworkEvent, NetworkFaults, ProcessId};
+use policy::{BaselinePolicy, DecisionEngine, Policy};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, HashMap};
@@ -37,117 +40,128 @@
 use wheelfield_pg_gateway::{DatagramSocket, PgGateway, PgGatewayOptions};
 use wheelfield_sans_io::{ConnId, ConnectionTable, TimerKey, Timers};
 
-/// A day begins at this time of the virtual clock: 2020-01-01, in microseconds since 1970.
-pub const START: i64 = 1_577_836_800_000_000;
-/// A controller that is started listens after this.
-const BOOT: i64 = 30_000;
-/// The stage is set this long before the first query.
-const LEAD: i64 = 500_000;
-/// A file that has changed is taken after so long: it must stand still, and is read on another thread.
-const SETTLES: i64 = 25_000;
-/// Once all clients have their answers, what is under way may still come for so long.
-const AFTERMATH: i64 = 3_000_000;
-/// Ports of the gossip, from this one on.
-const GOSSIP_PORTS: u16 = 20_000;
+/// Time of the virtual clock at which every simulation starts: 2020-01-01, in microseconds since
+/// 1970.
+pub const CLOCK_START: i64 = 1_577_836_800_000_000;
+/// Time from the start of a controller's process until it listens, in microseconds.
+const CONTROLLER_START_TIME: i64 = 30_000;
+/// Time between the start of the simulation and the first query, in microseconds; controllers start
+/// and read the engine list in it.
+const SETUP_TIME: i64 = 500_000;
+/// Minimum time until a controller has read a changed engine file, in microseconds: the file must
+/// stay unchanged for a while, and another thread reads it.
+const FILE_SETTLE_TIME: i64 = 25_000;
+/// How long the simulation continues after all clients have their answers, in microseconds, so that
+/// operations still in progress can end.
+const FINAL_EVENTS_TIME: i64 = 3_000_000;
+/// Gossip port of controller 0; the ports of the others follow it.
+const FIRST_GOSSIP_PORT: u16 = 20_000;
 
 enum Event {
-    Net(Passing),
-    /// A process takes a connection that is through.
+    Network(NetworkEvent),
+    /// A process accepts an established connection.
     Accept(ConnId),
-    /// A process reads what an end has.
-    Deliver(At),
+    /// A process reads the data that is available at an end of a connection.
+    Deliver(EndId),
+    /// A datagram arrives: its socket, its sender, the receiving controller and its bytes.
     Datagram(DatagramSocket, SocketAddr, usize, Bytes),
-    GateDue(usize, u64),
-    EngineDue(usize),
-    DeskDue,
-    PeopleDue,
-    /// A controller reads the file as it is then.
-    Files(usize, u64),
-    Boot(usize),
-    Act(usize),
+    ControllerTimer(usize, u64),
+    EngineTimer(usize),
+    RegistryTimer,
+    ClientsTimer,
+    /// A controller reads the engine file in its current state. Holds the controller and the
+    /// generation of its process.
+    ReadEngineFile(usize, u64),
+    StartController(usize),
+    /// An action of the plan, by its index.
+    Action(usize),
 }
 
-/// What came of a day.
+/// Result of a simulated day.
 #[derive(Debug, Default)]
 pub struct SimulationResult {
-    /// All tries.
+    /// All tries of clients.
     pub tries: Vec<Try>,
-    /// The engines' log, and who was told what.
+    /// Events that the engines logged, and the engine lists that controllers received.
     pub log: Vec<HistoryEvent>,
-    /// The lives of the controllers.
+    /// When each controller process started and ended.
     pub lifetimes: Vec<ProcessLifetime>,
-    /// Events that were played.
+    /// Number of simulated events.
     pub events: u64,
-    /// Messages between controllers, each to each.
+    /// Datagrams that controllers sent each other.
     pub datagrams_sent: u64,
-    /// Connections that controllers hold and do not know of, at the end.
-    pub leaks: usize,
-    /// What came to pass in controllers, by name, and how often.
-    pub seen: BTreeMap<&'static str, u64>,
+    /// Connections of controllers that were open at the end although their controller no longer
+    /// tracked them.
+    pub leaked_connections: usize,
+    /// How often controllers met each kind of event, by name.
+    pub coverage: BTreeMap<&'static str, u64>,
 }
 
-/// A process that may be woken.
+/// The pending timer of each process.
 #[derive(Default)]
-struct Wakes {
-    set: HashMap<Proc, (i64, TimerKey)>,
+struct WakeTimers {
+    by_process: HashMap<ProcessId, (i64, TimerKey)>,
 }
 
-pub(crate) struct World<'a> {
+pub(crate) struct Simulation<'a> {
     day: &'a Day,
     plan: &'a Plan,
     config: Config,
     setup: Setup,
-    minds: &'a Minds<'a>,
-    plant: Option<FaultInjection>,
+    new_decision_engine: &'a DecisionEngineFactory<'a>,
+    fault: Option<FaultInjection>,
     seed: u64,
     now: i64,
     events: Timers<Event>,
-    wakes: Wakes,
-    net: Network,
-    roads: LinkEmulator,
-    people: People<'a>,
-    /// Requests to cancel of clients that wait for their connection.
-    raw: ConnectionTable<Bytes>,
-    stands: Vec<Stand>,
-    by_address: HashMap<SocketAddr, Proc>,
-    gates: Vec<Option<PgGateway>>,
-    /// Processes that each controller has had.
-    lives: Vec<u64>,
-    lived: Vec<ProcessLifetime>,
-    /// What reached a controller that stands still.
-    stalled: Vec<Option<Vec<Event>>>,
-    /// A controller that is being told of much at once.
-    batch: Option<usize>,
+    wake_timers: WakeTimers,
+    network: Network,
+    gossip_links: LinkEmulator,
+    clients: People<'a>,
+    /// Data of cancel requests and stray connections that are not established yet. The owner number
+    /// of their ids is 2; that of the other client connections is 1.
+    cancel_requests: ConnectionTable<Bytes>,
+    engines: Vec<Stand>,
+    process_by_address: HashMap<SocketAddr, ProcessId>,
+    gateways: Vec<Option<PgGateway>>,
+    /// Generation of each controller's process: how many earlier ones were killed.
+    generations: Vec<u64>,
+    lifetimes: Vec<ProcessLifetime>,
+    /// Events withheld from a stalled controller; `None` while it runs.
+    withheld_events: Vec<Option<Vec<Event>>>,
+    /// A resumed controller that is receiving its withheld events. Its effects are applied after
+    /// the last of them.
+    resuming_controller: Option<usize>,
     log: Vec<HistoryEvent>,
-    desk: Desk,
-    stale: i64,
-    set: EngineSet,
-    chance: Pcg64Mcg,
-    messages: u64,
-    seen: BTreeMap<&'static str, u64>,
+    registry_server: Desk,
+    registry_delay: i64,
+    engine_set: EngineSet,
+    rng: Pcg64Mcg,
+    datagrams_sent: u64,
+    coverage: BTreeMap<&'static str, u64>,
 }
 
-/// How a day is played, beside its script, plan and seed.
+/// Options of a simulation in addition to its script, plan and seed.
 #[derive(Clone, Copy, Debug)]
 pub struct SimulationOptions {
-    /// How the network behaves.
-    pub weather: Weather,
-    /// A fault planted in the controllers.
-    pub plant: Option<FaultInjection>,
-    /// Somebody who is no client comes so often, in microseconds; zero for never.
-    pub visits: i64,
+    /// Faults of the network.
+    pub network: NetworkFaults,
+    /// A fault injected into the controllers.
+    pub fault: Option<FaultInjection>,
+    /// Period, in microseconds, of stray connections that send malformed or unauthorised data
+    /// instead of a client's startup; zero for none.
+    pub stray_connection_period_us: i64,
 }
 
 impl Default for SimulationOptions {
     fn default() -> Self {
-        SimulationOptions { weather: Weather::FAIR, plant: None, visits: 0 }
+        SimulationOptions { network: NetworkFaults::NONE, fault: None, stray_connection_period_us: 0 }
     }
 }
 
-/// Makes what decides in a process of a controller, of its settings and its seed.
-pub type Minds<'a> = dyn Fn(Settings, u64) -> Box<dyn DecisionEngine> + 'a;
+/// Creates the decision engine of a controller's process from its settings and its seed.
+pub type DecisionEngineFactory<'a> = dyn Fn(Settings, u64) -> Box<dyn DecisionEngine> + 'a;
 
-/// Plays a day.
+/// Simulates a day.
 ///
 /// # Errors
 /// The first [`ConfigError`] of its script.
@@ -155,7 +169,7 @@
     simulate_with_options(day, plan, seed, policy, SimulationOptions::default())
 }
 
-/// Plays a day under conditions.
+/// Simulates a day with these options.
 ///
 /// # Errors
 /// The first [`ConfigError`] of its script.
@@ -164,23 +178,23 @@
     plan: &Plan,
     seed: u64,
     policy: Policy,
-    conditions: SimulationOptions,
+    options: SimulationOptions,
 ) -> Result<SimulationResult, ConfigError> {
     let config = day.checked()?;
-    let bounds = DriverLimits {
+    let driver_limits = DriverLimits {
         max_queries: config.limits.max_queries,
         cancel_confirmation_timeout: config.timing.cancel_timeout,
     };
-    let minds = |settings: Settings, seed: u64| -> Box<dyn DecisionEngine> {
+    let new_decision_engine = |settings: Settings, seed: u64| -> Box<dyn DecisionEngine> {
         match policy {
-            Policy::Module => Box::new(Driver::new(settings, seed, bounds)),
-            _ => Box::new(Plain::new(policy, settings, seed)),
+            Policy::Module => Box::new(Driver::new(settings, seed, driver_limits)),
+            _ => Box::new(BaselinePolicy::new(policy, settings, seed)),
         }
     };
-    simulate_with_decision_engines(day, plan, seed, &minds, conditions)
+    simulate_with_decision_engines(day, plan, seed, &new_decision_engine, options)
 }
 
-/// Plays a day with controllers that decide in a way of their own.
+/// Simulates a day with controllers that use their own decision engines.
 ///
 /// # Errors
 /// The first [`ConfigError`] of its script.
@@ -188,59 +202,62 @@
     day: &Day,
     plan: &Plan,
     seed: u64,
-    minds: &Minds<'_>,
-    conditions: SimulationOptions,
+    new_decision_engine: &DecisionEngineFactory<'_>,
+    options: SimulationOptions,
 ) -> Result<SimulationResult, ConfigError> {
-    let mut world = World::new(day, plan, seed, minds, conditions)?;
-    let longest = day.classes.iter().map(|c| c.deadline.0 .0).max().unwrap_or(0);
-    let mut end = START + LEAD + day.length.0 .0 + 2 * longest + 5_000_000;
+    let mut simulation = Simulation::new(day, plan, seed, new_decision_engine, options)?;
+    let longest_deadline = day.classes.iter().map(|c| c.deadline.0 .0).max().unwrap_or(0);
+    let mut end = CLOCK_START + SETUP_TIME + day.length.0 .0 + 2 * longest_deadline + 5_000_000;
     let (mut events, mut done) = (0, false);
-    while let Some(at) = world.events.next_at().filter(|at| *at <= end) {
-        world.now = world.now.max(at);
-        if let Some(event) = world.events.pop_due(at) {
+    while let Some(at) = simulation.events.next_at().filter(|at| *at <= end) {
+        simulation.now = simulation.now.max(at);
+        if let Some(event) = simulation.events.pop_due(at) {
             events += 1;
-            world.happen(event);
+            simulation.dispatch(event);
         }
-        if !done && world.people.done() {
+        if !done && simulation.clients.done() {
             done = true;
-            end = end.min(world.now + AFTERMATH);
+            end = end.min(simulation.now + FINAL_EVENTS_TIME);
         }
     }
-    let mut leaks = 0;
-    for c in 0..world.gates.len() {
-        if let Some(gate) = world.gates[c].take() {
-            if world.stalled[c].is_none() {
-                leaks += world.net.of(Proc::Controller(c)).saturating_sub(gate.connection_count());
+    let mut leaked_connections = 0;
+    for c in 0..simulation.gateways.len() {
+        if let Some(gateway) = simulation.gateways[c].take() {
+            if simulation.withheld_events[c].is_none() {
+                leaked_connections += simulation
+                    .network
+                    .connection_count(ProcessId::Controller(c))
+                    .saturating_sub(gateway.connection_count());
             }
-            world.note_seen(&gate);
+            simulation.record_coverage(&gateway);
         }
     }
-    let World { people, log, lived, messages, seen, .. } = world;
-    let mut tries = people.into_tries();
+    let Simulation { clients, log, lifetimes, datagrams_sent, coverage, .. } = simulation;
+    let mut tries = clients.into_tries();
     for t in tries.iter_mut().filter(|t| t.end.is_none()) {
         (t.end, t.ended) = (Some(ClientOutcome::NoAnswer), end);
     }
-    Ok(SimulationResult { tries, log, lifetimes: lived, events, datagrams_sent: messages, leaks, seen })
+    Ok(SimulationResult { tries, log, lifetimes, events, datagrams_sent, leaked_connections, coverage })
 }
 
-/// When a day's first query may come.
+/// Time of the virtual clock at which the first query may arrive.
 pub fn first_arrival_time() -> i64 {
-    START + LEAD
+    CLOCK_START + SETUP_TIME
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
     fn new(
         day: &'a Day,
         plan: &'a Plan,
         seed: u64,
-        minds: &'a Minds<'a>,
-        conditions: SimulationOptions,
-    ) -> Result<World<'a>, ConfigError> {
+        new_decision_engine: &'a DecisionEngineFactory<'a>,
+        options: SimulationOptions,
+    ) -> Result<Simulation<'a>, ConfigError> {
         let config = day.checked()?;
         let setup = Setup::parse("generated", &day.stand_ins(&config.settings, &plan.engines))?;
         let address = |i: usize| format!("127.{}.{}.1:5432", 1 + i / 250, 1 + i % 250);
-        let line = |(i, h): (usize, &wheelfield_engine_emulator::setup::Hosted)| Listed {
+        let registry_line = |(i, h): (usize, &wheelfield_engine_emulator::setup::Hosted)| Listed {
             id: h.name.clone(),
             address: address(i),
             zone: h.zone.clone(),
@@ -249,106 +266,108 @@
             status: Standing::Up,
             started_us: None,
         };
-        let registry = Registry::new(setup.engines.iter().enumerate().map(line));
-        let set = from_registry(registry.list().as_bytes(), &config.names, 0)
-            .map_err(|e| ConfigError::at("generated", "", 0, e.to_string(), "mend the fleet"))?;
-        let mut by_address: HashMap<SocketAddr, Proc> = HashMap::new();
+        let registry = Registry::new(setup.engines.iter().enumerate().map(registry_line));
+        let engine_set = from_registry(registry.list().as_bytes(), &config.names, 0)
+            .map_err(|e| ConfigError::at("generated", "", 0, e.to_string(), "correct the fleet"))?;
+        let mut process_by_address: HashMap<SocketAddr, ProcessId> = HashMap::new();
         for i in 0..setup.engines.len() {
-            by_address.extend(address(i).parse().ok().map(|a| (a, Proc::Engine(i))));
+            process_by_address.extend(address(i).parse().ok().map(|a| (a, ProcessId::Engine(i))));
         }
-        by_address.extend(config.registry.map(|r| (r.address, Proc::Desk)));
-        let stand = |(i, h): (usize, &wheelfield_engine_emulator::setup::Hosted)| {
-            Stand::new(h.clone(), START, seed ^ 0x656e_6769_6e65 ^ (i as u64) << 32)
+        process_by_address.extend(config.registry.map(|r| (r.address, ProcessId::Registry)));
+        let emulated_engine = |(i, h): (usize, &wheelfield_engine_emulator::setup::Hosted)| {
+            Stand::new(h.clone(), CLOCK_START, seed ^ 0x656e_6769_6e65 ^ (i as u64) << 32)
         };
-        let stands = setup.engines.iter().enumerate().map(stand).collect();
+        let engines = setup.engines.iter().enumerate().map(emulated_engine).collect();
         let n = day.controllers;
-        let manners = Manners {
+        let client_config = Manners {
             classes: day.classes.clone(),
             tenants: day.tenants.iter().map(|t| t.name.clone()).collect(),
             habits: day.habits.clone(),
             connections: day.clients,
             seed,
         };
-        let mut world = World {
+        let mut simulation = Simulation {
             day,
             plan,
             config,
             setup,
-            minds,
-            plant: conditions.plant,
+            new_decision_engine,
+            fault: options.fault,
             seed,
-            now: START,
+            now: CLOCK_START,
             events: Timers::default(),
-            wakes: Wakes::default(),
-            net: Network::new(conditions.weather, seed ^ 0x6e65_7477_6f72),
-            roads: LinkEmulator::new(plan.roads.clone().shifted_by(START + LEAD), seed),
-            people: People::new(plan, manners, n, first_arrival_time()),
-            raw: ConnectionTable::new(2),
-            stands,
-            by_address,
-            gates: (0..n).map(|_| None).collect(),
-            lives: vec![0; n],
-            lived: Vec::new(),
-            stalled: (0..n).map(|_| None).collect(),
-            batch: None,
+            wake_timers: WakeTimers::default(),
+            network: Network::new(options.network, seed ^ 0x6e65_7477_6f72),
+            gossip_links: LinkEmulator::new(plan.roads.clone().shifted_by(CLOCK_START + SETUP_TIME), seed),
+            clients: People::new(plan, client_config, n, first_arrival_time()),
+            cancel_requests: ConnectionTable::new(2),
+            engines,
+            process_by_address,
+            gateways: (0..n).map(|_| None).collect(),
+            generations: vec![0; n],
+            lifetimes: Vec::new(),
+            withheld_events: (0..n).map(|_| None).collect(),
+            resuming_controller: None,
             log: Vec::new(),
-            desk: Desk::new(registry),
-            stale: 0,
-            set,
-            chance: Pcg64Mcg::seed_from_u64(seed ^ 0x776f_726c_6400),
-            messages: 0,
-            seen: BTreeMap::new(),
+            registry_server: Desk::new(registry),
+            registry_delay: 0,
+            engine_set,
+            rng: Pcg64Mcg::seed_from_u64(seed ^ 0x776f_726c_6400),
+            datagrams_sent: 0,
+            coverage: BTreeMap::new(),
         };
-        world.people.visited(conditions.visits);
-        (0..n).for_each(|c| world.boot(c));
+        simulation.clients.visited(options.stray_connection_period_us);
+        (0..n).for_each(|c| simulation.start_controller(c));
         for (i, (at, _)) in plan.acts.iter().enumerate() {
-            world.events.set(first_arrival_time() + at, Event::Act(i));
+            simulation.events.set(first_arrival_time() + at, Event::Action(i));
         }
-        world.after(Proc::People);
-        Ok(world)
+        simulation.apply_effects(ProcessId::Clients);
+        Ok(simulation)
     }
 
-    fn happen(&mut self, event: Event) {
-        if let Some(event) = self.held_back(event) {
+    fn dispatch(&mut self, event: Event) {
+        if let Some(event) = self.withhold_if_stalled(event) {
             match event {
-                Event::Net(passing) => self.passed(passing),
-                Event::Accept(link) => self.accept(link),
-                Event::Deliver(at) => self.deliver(at),
-                Event::Datagram(port, from, to, bytes) => self.heard(port, from, to, &bytes),
-                Event::GateDue(c, life) => {
-                    if let Some(gate) = self.gates[c].as_mut().filter(|_| self.lives[c] == life) {
-                        gate.handle_timers(self.now);
-                        self.after(Proc::Controller(c));
+                Event::Network(event) => self.handle_network_event(event),
+                Event::Accept(connection) => self.accept(connection),
+                Event::Deliver(end) => self.deliver(end),
+                Event::Datagram(port, from, to, bytes) => self.receive_datagram(port, from, to, &bytes),
+                Event::ControllerTimer(c, generation) => {
+                    if let Some(gateway) =
+                        self.gateways[c].as_mut().filter(|_| self.generations[c] == generation)
+                    {
+                        gateway.handle_timers(self.now);
+                        self.apply_effects(ProcessId::Controller(c));
                     }
                 }
-                Event::EngineDue(e) => {
-                    self.stands[e].advance(self.now);
-                    self.after(Proc::Engine(e));
+                Event::EngineTimer(e) => {
+                    self.engines[e].advance(self.now);
+                    self.apply_effects(ProcessId::Engine(e));
                 }
-                Event::DeskDue => {
-                    self.desk.advance(self.now);
-                    self.after(Proc::Desk);
+                Event::RegistryTimer => {
+                    self.registry_server.advance(self.now);
+                    self.apply_effects(ProcessId::Registry);
                 }
-                Event::PeopleDue => {
-                    self.people.pass(self.now);
-                    self.after(Proc::People);
+                Event::ClientsTimer => {
+                    self.clients.pass(self.now);
+                    self.apply_effects(ProcessId::Clients);
                 }
-                Event::Files(c, life) => self.read_file(c, life),
-                Event::Boot(c) => self.boot(c),
-                Event::Act(i) => self.act(i),
+                Event::ReadEngineFile(c, generation) => self.read_engine_file(c, generation),
+                Event::StartController(c) => self.start_controller(c),
+                Event::Action(i) => self.apply_action(i),
             }
         }
-        self.spread();
+        self.schedule_network_events();
     }
 
     // --- processes ---
 
-    fn boot(&mut self, c: usize) {
-        if self.gates[c].is_some() {
+    fn start_controller(&mut self, c: usize) {
+        if self.gateways[c].is_some() {
             return;
         }
-        let life = self.lives[c];
-        let seed = self.seed.wrapping_mul(1_000_003).wrapping_add(c as u64 * 1_009 + life);
+        let generation = self.generations[c];
+        let seed = self.seed.wrapping_mul(1_000_003).wrapping_add(c as u64 * 1_009 + generation);
         let mut config = self.config.clone();
         config.settings.gateway_index = c as f64;
         config.settings.zone = c.checked_rem(self.day.fleet.zones.len());
@@ -359,27 +378,27 @@
         }
         let mut gossip = None;
         if let Some(g) = &mut config.gossip {
-            g.listen.set_port(GOSSIP_PORTS + c as u16);
+            g.listen.set_port(FIRST_GOSSIP_PORT + c as u16);
             gossip = Keys::parse("1 000102030405060708090a0b0c0d0e0f").ok().map(|keys| (g.listen, keys));
         }
         let mut secret = [0; 32];
         secret[..8].copy_from_slice(&seed.to_be_bytes());
-        let policy = (self.minds)(config.settings.clone(), seed);
-        let start = PgGatewayOptions {
+        let decision_engine = (self.new_decision_engine)(config.settings.clone(), seed);
+        let options = PgGatewayOptions {
             now: self.now,
             seed,
             cancel_key_seed: secret,
-            decision_engine: policy,
+            decision_engine,
             recorder: None,
             peer_address: peers,
             gossip,
-            fault: self.plant,
+            fault: self.fault,
         };
-        let mut gate = PgGateway::new(config, start);
-        gate.handle(self.now, wheelfield_pg_gateway::GatewayEvent::Started);
-        self.gates[c] = Some(gate);
-        self.people.up(c);
-        self.lived.push(ProcessLifetime {
+        let mut gateway = PgGateway::new(config, options);
+        gateway.handle(self.now, wheelfield_pg_gateway::GatewayEvent::Started);
+        self.gateways[c] = Some(gateway);
+        self.clients.up(c);
+        self.lifetimes.push(ProcessLifetime {
             controller: c,
             started_at: self.now,
             ended_at: None,
@@ -387,35 +406,35 @@
             begins_mid_run: false,
         });
         if self.day.registry.files {
-            let at = self.now + HOP;
-            self.events.set(at, Event::Files(c, life));
+            let at = self.now + BASE_LATENCY;
+            self.events.set(at, Event::ReadEngineFile(c, generation));
         }
-        self.after(Proc::Controller(c));
+        self.apply_effects(ProcessId::Controller(c));
     }
 
-    fn note_seen(&mut self, gate: &PgGateway) {
-        for (what, n) in gate.coverage() {
-            *self.seen.entry(what).or_default() += n;
+    fn record_coverage(&mut self, gateway: &PgGateway) {
+        for (what, n) in gateway.coverage() {
+            *self.coverage.entry(what).or_default() += n;
         }
     }
 
-    fn kill(&mut self, c: usize) {
-        let Some(gate) = self.gates[c].take() else { return };
-        self.note_seen(&gate);
-        self.lives[c] += 1;
-        self.stalled[c] = None;
-        self.people.down(c, self.now);
-        if let Some(life) = self.lived.iter_mut().rev().find(|l| l.controller == c) {
-            life.ended_at = Some(self.now);
+    fn kill_controller(&mut self, c: usize) {
+        let Some(gateway) = self.gateways[c].take() else { return };
+        self.record_coverage(&gateway);
+        self.generations[c] += 1;
+        self.withheld_events[c] = None;
+        self.clients.down(c, self.now);
+        if let Some(lifetime) = self.lifetimes.iter_mut().rev().find(|l| l.controller == c) {
+            lifetime.ended_at = Some(self.now);
         }
-        self.net.kill(self.now, Proc::Controller(c));
+        self.network.kill(self.now, ProcessId::Controller(c));
     }
 
-    fn act(&mut self, i: usize) {
+    fn apply_action(&mut self, i: usize) {
         let plan = self.plan;
         match &plan.acts[i].1 {
             Act::Fault { engine, kind, value } => {
-                self.stands[*engine].ail(kind, *value, self.now);
+                self.engines[*engine].ail(kind, *value, self.now);
                 let drains = match *kind {
                     "drain" if *value > 0.0 => Some((Status::Draining, Standing::Draining)),
                     "drain" => Some((Status::Up, Standing::Up)),
@@ -423,60 +442,60 @@
                 };
                 if self.day.registry.files {
                     match (drains, *kind) {
-                        (Some((status, _)), _) => self.put_file(*engine, status, None),
-                        (None, "start") => self.put_file(*engine, Status::Up, Some(self.now)),
+                        (Some((status, _)), _) => self.write_engine_file(*engine, status, None),
+                        (None, "start") => self.write_engine_file(*engine, Status::Up, Some(self.now)),
                         _ => {}
                     }
                 } else if let Some((_, standing)) = drains {
-                    self.desk.change(self.now, &self.stands[*engine].name, standing, None);
+                    self.registry_server.change(self.now, &self.engines[*engine].name, standing, None);
                 }
-                self.after(Proc::Engine(*engine));
-                self.after(Proc::Desk);
+                self.apply_effects(ProcessId::Engine(*engine));
+                self.apply_effects(ProcessId::Registry);
             }
-            Act::RegistryDown(ms) => self.desk.registry.unavailable(self.now + ms * 1000),
-            Act::RegistryStale(ms) => self.stale = ms * 1000,
-            Act::KillController(c) => self.kill(*c),
+            Act::RegistryDown(ms) => self.registry_server.registry.unavailable(self.now + ms * 1000),
+            Act::RegistryStale(ms) => self.registry_delay = ms * 1000,
+            Act::KillController(c) => self.kill_controller(*c),
             Act::StartController(c) => {
-                self.events.set(self.now + BOOT, Event::Boot(*c));
+                self.events.set(self.now + CONTROLLER_START_TIME, Event::StartController(*c));
             }
             Act::StallController(c) => {
-                if self.gates[*c].is_some() && self.stalled[*c].is_none() {
-                    self.stalled[*c] = Some(Vec::new());
-                    if let Some(life) = self.lived.iter_mut().rev().find(|l| l.controller == *c) {
-                        life.stalls.push((self.now, i64::MAX));
+                if self.gateways[*c].is_some() && self.withheld_events[*c].is_none() {
+                    self.withheld_events[*c] = Some(Vec::new());
+                    if let Some(lifetime) = self.lifetimes.iter_mut().rev().find(|l| l.controller == *c) {
+                        lifetime.stalls.push((self.now, i64::MAX));
                     }
                 }
             }
             Act::ResumeController(c) => {
-                let Some(waiting) = self.stalled[*c].take() else { return };
-                let life = self.lived.iter_mut().rev().find(|l| l.controller == *c);
-                if let Some(last) = life.and_then(|l| l.stalls.last_mut()) {
+                let Some(withheld) = self.withheld_events[*c].take() else { return };
+                let lifetime = self.lifetimes.iter_mut().rev().find(|l| l.controller == *c);
+                if let Some(last) = lifetime.and_then(|l| l.stalls.last_mut()) {
                     last.1 = self.now;
                 }
-                // Its system tells it of all that at once.
-                self.batch = Some(*c);
-                for event in waiting {
-                    self.happen(event);
+                // The operating system reports everything that is pending at once.
+                self.resuming_controller = Some(*c);
+                for event in withheld {
+                    self.dispatch(event);
                 }
-                self.batch = None;
-                let life = self.lives[*c];
-                self.happen(Event::GateDue(*c, life));
+                self.resuming_controller = None;
+                let generation = self.generations[*c];
+                self.dispatch(Event::ControllerTimer(*c, generation));
             }
         }
     }
 
-    // --- who takes work ---
+    // --- engine list ---
 
-    /// The file of engines is written anew.
-    fn put_file(&mut self, e: usize, status: Status, started: Option<i64>) {
-        let id = wheelfield_config::engine_id(&self.stands[e].name);
-        if let Some(k) = self.set.engines.get_mut(&id) {
+    /// Updates the engine file and schedules each controller to read it.
+    fn write_engine_file(&mut self, e: usize, status: Status, started: Option<i64>) {
+        let id = wheelfield_config::engine_id(&self.engines[e].name);
+        if let Some(k) = self.engine_set.engines.get_mut(&id) {
             k.entry.status = status;
             k.entry.started_at = started.map(wheelfield::interface::Micros).or(k.entry.started_at);
         }
-        self.set.version += 1;
+        self.engine_set.version += 1;
         let not_up: Vec<UnavailableEngine> = self
-            .set
+            .engine_set
             .engines
             .values()
             .filter(|k| k.entry.status != Status::Up)
@@ -485,8 +504,9 @@
                 status: wheelfield_endpoints::word(k.entry.status).to_string(),
             })
             .collect();
-        for c in 0..self.gates.len() {
-            // From the writing on: the judge is to be the stricter for it.
+        for c in 0..self.gateways.len() {
+            // Logged at the time of the write, before the controllers read the file: this makes the
+            // check of the drain rule stricter.
             self.log.push(HistoryEvent {
                 at: self.now,
                 event: "told".into(),
@@ -494,8 +514,8 @@
                 unavailable_engines: not_up.clone(),
                 ..HistoryEvent::default()
             });
-            let at = self.now + SETTLES + self.chance.random_range(0..SETTLES);
-            self.events.set(at, Event::Files(c, self.lives[c]));
+            let at = self.now + FILE_SETTLE_TIME + self.rng.random_range(0..FILE_SETTLE_TIME);
+            self.events.set(at, Event::ReadEngineFile(c, self.generations[c]));
         }
     }
 }
--- a/crates/testbed/src/virtual_time/policy.rs
+++ b/crates/testbed/src/virtual_time/policy.rs
@@ -1,4 +1,5 @@
-//! What decides in a controller of a day in virtual time: the driver around the module, or a plain policy beside it.
+//! Decision engines of a simulated controller: the driver around the policy module, or a baseline
+//! policy to compare it with.
 
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
@@ -8,146 +9,154 @@
 
 pub use wheelfield_pg_gateway::DecisionEngine;
 
-/// How engines are chosen.
+/// How a controller chooses the engine for a query.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum Policy {
-    /// By the module.
+    /// The policy module chooses.
     #[default]
     Module,
-    /// Any engine that is up, at random.
+    /// A random engine among those that are up.
     Random,
-    /// The engine with the fewest attempts of this controller out.
+    /// The engine with the fewest attempts of this controller in flight.
     Least,
-    /// As [`Policy::Least`], with a fixed number of attempts an engine over all controllers, as poolers have it; what
-    /// finds none free waits in line, first in first out, until its time is up.
+    /// As [`Policy::Least`], but with a fixed limit of concurrent attempts per engine, summed over
+    /// all controllers, as connection poolers have it. A query that finds no engine below its limit
+    /// waits in a FIFO queue until its deadline.
     Pool,
 }
 
-/// Attempts an engine for each of its cores, over all controllers, under [`Policy::Pool`]. Twice the cores is what poolers'
-/// manuals start from.
-const POOL_PER_CORE: f64 = 2.0;
+/// Limit of concurrent attempts per core of an engine, summed over all controllers, under
+/// [`Policy::Pool`]. Manuals of connection poolers recommend twice the number of cores as a
+/// starting value.
+const POOL_ATTEMPTS_PER_CORE: f64 = 2.0;
 
 #[derive(Debug)]
-struct Held {
-    due: Micros,
+struct PendingQuery {
+    deadline: Micros,
     arrival: Arrival,
     engine: Option<EngineId>,
 }
 
-/// A controller without the module: one attempt for each query, none that is withdrawn, refusals never.
+/// A decision engine without the policy module: it makes one attempt per query, cancels it only at
+/// the query's deadline, and never refuses a query.
 #[derive(Debug)]
-pub struct Plain {
+pub struct BaselinePolicy {
     policy: Policy,
     settings: Settings,
-    chance: Pcg64Mcg,
+    rng: Pcg64Mcg,
     engines: BTreeMap<EngineId, (Status, usize, usize)>,
-    out: BTreeMap<EngineId, usize>,
-    held: BTreeMap<QueryId, Held>,
-    by_due: BTreeMap<(Micros, QueryId), ()>,
-    line: VecDeque<QueryId>,
-    next: u64,
+    in_flight: BTreeMap<EngineId, usize>,
+    pending: BTreeMap<QueryId, PendingQuery>,
+    by_deadline: BTreeMap<(Micros, QueryId), ()>,
+    wait_queue: VecDeque<QueryId>,
+    last_query_id: u64,
 }
 
-impl Plain {
-    /// A controller of this policy.
-    pub fn new(policy: Policy, settings: Settings, seed: u64) -> Plain {
-        Plain {
+impl BaselinePolicy {
+    /// Creates a decision engine with this policy.
+    pub fn new(policy: Policy, settings: Settings, seed: u64) -> BaselinePolicy {
+        BaselinePolicy {
             policy,
             settings,
-            chance: Pcg64Mcg::seed_from_u64(seed),
+            rng: Pcg64Mcg::seed_from_u64(seed),
             engines: BTreeMap::new(),
-            out: BTreeMap::new(),
-            held: BTreeMap::new(),
-            by_due: BTreeMap::new(),
-            line: VecDeque::new(),
-            next: 0,
+            in_flight: BTreeMap::new(),
+            pending: BTreeMap::new(),
+            by_deadline: BTreeMap::new(),
+            wait_queue: VecDeque::new(),
+            last_query_id: 0,
         }
     }
 
-    /// Attempts of this controller that an engine may have.
-    fn limit(&self, kind: usize) -> usize {
+    /// Maximum number of concurrent attempts of this controller on an engine of this kind.
+    fn attempt_limit(&self, kind: usize) -> usize {
         let cores = self.settings.cores.get(kind).copied().unwrap_or(1.0);
-        // A fixed pool is divided evenly; nobody has less than one session.
-        ((cores * POOL_PER_CORE / self.settings.gateway_count.max(1.0)).round() as usize).max(1)
+        // The limit is divided evenly among the controllers; each has at least one session per
+        // engine.
+        ((cores * POOL_ATTEMPTS_PER_CORE / self.settings.gateway_count.max(1.0)).round() as usize).max(1)
     }
 
-    fn choose(&mut self, class: usize) -> Option<EngineId> {
+    fn choose_engine(&mut self, class: usize) -> Option<EngineId> {
         let class = self.settings.classes.get(class)?;
-        let fits = |zone: usize, kind: usize| {
+        let is_eligible = |zone: usize, kind: usize| {
             (class.zones.is_empty() || class.zones.contains(&zone))
                 && (class.kinds.is_empty() || class.kinds.contains(&kind))
         };
         let up: Vec<(usize, EngineId)> = self
             .engines
             .iter()
-            .filter(|(_, (status, zone, kind))| *status == Status::Up && fits(*zone, *kind))
+            .filter(|(_, (status, zone, kind))| *status == Status::Up && is_eligible(*zone, *kind))
             .map(|(id, (_, _, kind))| (*kind, *id))
             .collect();
-        let out = |id: &EngineId| self.out.get(id).copied().unwrap_or(0);
-        let able: Vec<EngineId> = match self.policy {
-            Policy::Pool => up.iter().filter(|(k, id)| out(id) < self.limit(*k)).map(|(_, id)| *id).collect(),
+        let in_flight = |id: &EngineId| self.in_flight.get(id).copied().unwrap_or(0);
+        let candidates: Vec<EngineId> = match self.policy {
+            Policy::Pool => up
+                .iter()
+                .filter(|(k, id)| in_flight(id) < self.attempt_limit(*k))
+                .map(|(_, id)| *id)
+                .collect(),
             _ => up.iter().map(|(_, id)| *id).collect(),
         };
-        let fewest = able.iter().map(out).min()?;
-        let able: Vec<EngineId> = match self.policy {
-            Policy::Random => able,
-            _ => able.into_iter().filter(|id| out(id) == fewest).collect(),
+        let fewest = candidates.iter().map(in_flight).min()?;
+        let candidates: Vec<EngineId> = match self.policy {
+            Policy::Random => candidates,
+            _ => candidates.into_iter().filter(|id| in_flight(id) == fewest).collect(),
         };
-        (!able.is_empty()).then(|| able[self.chance.random_range(0..able.len())])
+        (!candidates.is_empty()).then(|| candidates[self.rng.random_range(0..candidates.len())])
     }
 
-    fn start(&mut self, id: QueryId, instructions: &mut Vec<Instruction>) -> bool {
-        let Some(class) = self.held.get(&id).map(|h| h.arrival.class) else { return true };
-        let Some(engine) = self.choose(class) else { return false };
-        *self.out.entry(engine).or_default() += 1;
-        if let Some(held) = self.held.get_mut(&id) {
-            held.engine = Some(engine);
+    fn start_attempt(&mut self, id: QueryId, instructions: &mut Vec<Instruction>) -> bool {
+        let Some(class) = self.pending.get(&id).map(|h| h.arrival.class) else { return true };
+        let Some(engine) = self.choose_engine(class) else { return false };
+        *self.in_flight.entry(engine).or_default() += 1;
+        if let Some(pending) = self.pending.get_mut(&id) {
+            pending.engine = Some(engine);
         }
         let attempt = AttemptId { query: id, number: 0 };
         instructions.push(Instruction::Start { attempt, engine, options: AttemptOptions::default() });
         true
     }
 
-    fn forget(&mut self, id: QueryId) -> Option<Held> {
-        let held = self.held.remove(&id)?;
-        self.by_due.remove(&(held.due, id));
-        Some(held)
+    fn remove_query(&mut self, id: QueryId) -> Option<PendingQuery> {
+        let pending = self.pending.remove(&id)?;
+        self.by_deadline.remove(&(pending.deadline, id));
+        Some(pending)
     }
 
-    fn free(&mut self, engine: EngineId, out: &mut Vec<Instruction>) {
-        if let Some(n) = self.out.get_mut(&engine) {
+    fn release_engine(&mut self, engine: EngineId, instructions: &mut Vec<Instruction>) {
+        if let Some(n) = self.in_flight.get_mut(&engine) {
             *n = n.saturating_sub(1);
         }
-        while let Some(id) = self.line.front().copied() {
-            if self.held.contains_key(&id) && !self.start(id, out) {
+        while let Some(id) = self.wait_queue.front().copied() {
+            if self.pending.contains_key(&id) && !self.start_attempt(id, instructions) {
                 return;
             }
-            self.line.pop_front();
+            self.wait_queue.pop_front();
         }
     }
 }
 
-impl DecisionEngine for Plain {
+impl DecisionEngine for BaselinePolicy {
     fn submit(
         &mut self,
         _: Micros,
         arrival: Arrival,
-        out: &mut Vec<Instruction>,
+        instructions: &mut Vec<Instruction>,
     ) -> Result<QueryId, CapacityExceeded> {
-        self.next += 1;
-        let (id, due) = (QueryId(self.next), arrival.deadline);
-        self.held.insert(id, Held { due, arrival, engine: None });
-        self.by_due.insert((due, id), ());
-        if !self.line.is_empty() || !self.start(id, out) {
-            self.line.push_back(id);
+        self.last_query_id += 1;
+        let (id, deadline) = (QueryId(self.last_query_id), arrival.deadline);
+        self.pending.insert(id, PendingQuery { deadline, arrival, engine: None });
+        self.by_deadline.insert((deadline, id), ());
+        if !self.wait_queue.is_empty() || !self.start_attempt(id, instructions) {
+            self.wait_queue.push_back(id);
         }
         Ok(id)
     }
 
-    fn handle_input(&mut self, _: Micros, input: Input, out: &mut Vec<Instruction>) {
+    fn handle_input(&mut self, _: Micros, input: Input, instructions: &mut Vec<Instruction>) {
         match input {
-            Input::Engines { complete: whole, entries } => {
-                if whole {
+            Input::Engines { complete: is_complete, entries } => {
+                if is_complete {
                     self.engines.clear();
                 }
                 for e in entries {
@@ -155,50 +164,54 @@
                 }
             }
             Input::AttemptEnded { attempt, outcome, .. } => {
-                let Some(held) = self.forget(attempt.query) else { return };
+                let Some(pending) = self.remove_query(attempt.query) else { return };
                 if outcome != Outcome::Served {
                     let may_have_run = !outcome.never_ran();
-                    out.push(Instruction::Answer(attempt.query, Answer::Failed { may_have_run }));
+                    instructions.push(Instruction::Answer(attempt.query, Answer::Failed { may_have_run }));
                 }
-                held.engine.into_iter().for_each(|engine| self.free(engine, out));
+                pending.engine.into_iter().for_each(|engine| self.release_engine(engine, instructions));
             }
             Input::Abandoned(query) => {
-                let held = self.forget(query);
-                held.and_then(|h| h.engine).into_iter().for_each(|engine| self.free(engine, out));
+                let pending = self.remove_query(query);
+                pending
+                    .and_then(|h| h.engine)
+                    .into_iter()
+                    .for_each(|engine| self.release_engine(engine, instructions));
             }
-            Input::Started if self.settings.subscribe => out.push(Instruction::Subscribe),
+            Input::Started if self.settings.subscribe => instructions.push(Instruction::Subscribe),
             _ => {}
         }
     }
 
-    fn handle_timers(&mut self, now: Micros, out: &mut Vec<Instruction>) -> bool {
-        let ripe: Vec<QueryId> =
-            self.by_due.keys().take_while(|(due, _)| *due <= now).map(|(_, id)| *id).collect();
-        for id in &ripe {
-            let Some(held) = self.forget(*id) else { continue };
-            out.push(Instruction::Answer(*id, Answer::Failed { may_have_run: held.engine.is_some() }));
-            if let Some(engine) = held.engine {
-                out.push(Instruction::Cancel(AttemptId { query: *id, number: 0 }));
-                self.free(engine, out);
+    fn handle_timers(&mut self, now: Micros, instructions: &mut Vec<Instruction>) -> bool {
+        let expired: Vec<QueryId> =
+            self.by_deadline.keys().take_while(|(deadline, _)| *deadline <= now).map(|(_, id)| *id).collect();
+        for id in &expired {
+            let Some(pending) = self.remove_query(*id) else { continue };
+            instructions
+                .push(Instruction::Answer(*id, Answer::Failed { may_have_run: pending.engine.is_some() }));
+            if let Some(engine) = pending.engine {
+                instructions.push(Instruction::Cancel(AttemptId { query: *id, number: 0 }));
+                self.release_engine(engine, instructions);
             }
         }
-        !ripe.is_empty()
+        !expired.is_empty()
     }
 
     fn next_timer_at(&self) -> Option<Micros> {
-        self.by_due.keys().next().map(|(due, _)| *due)
+        self.by_deadline.keys().next().map(|(deadline, _)| *deadline)
     }
 
     fn may_write(&self, _: Micros, attempt: AttemptId) -> bool {
-        let engine = self.held.get(&attempt.query).and_then(|h| h.engine);
+        let engine = self.pending.get(&attempt.query).and_then(|h| h.engine);
         engine.is_some_and(|e| self.engines.get(&e).is_some_and(|(s, ..)| *s == Status::Up))
     }
 
     fn may_answer(&self, attempt: AttemptId) -> bool {
-        self.held.contains_key(&attempt.query)
+        self.pending.contains_key(&attempt.query)
     }
 
     fn is_in_flight(&self, attempt: AttemptId) -> bool {
-        self.held.contains_key(&attempt.query)
+        self.pending.contains_key(&attempt.query)
     }
 }
--- a/crates/testbed/src/virtual_time/processes.rs
+++ b/crates/testbed/src/virtual_time/processes.rs
@@ -1,7 +1,8 @@
-//! What processes do on the modelled network: what arrives is handed to their own code, and what that wants is done.
+//! The processes on the modelled network: passes events to their protocol code and applies the
+//! effects that the code requests.
 
-use super::network::{At, Got, Passing, Proc};
-use super::{Event, World, GOSSIP_PORTS};
+use super::network::{EndId, NetworkEvent, ProcessId, ReadResult};
+use super::{Event, Simulation, FIRST_GOSSIP_PORT};
 use crate::people::Wish;
 use bytes::Bytes;
 use std::net::SocketAddr;
@@ -14,8 +15,9 @@
 use wheelfield_pg_gateway::{DatagramSocket, Effect, GatewayEvent, Listener};
 use wheelfield_sans_io::{ConnId, FailureCause, IoEvent, Protocol as _};
 
-/// A line of a stand-in's journal as the judge reads it.
-fn line_of(e: Entry) -> HistoryEvent {
+/// Converts a log entry of an emulated engine or of the registry to the form that the rule checks
+/// read.
+fn history_event(e: Entry) -> HistoryEvent {
     let status = |s: Standing| if s == Standing::Draining { "draining" } else { "removed" };
     let not_up = e.not_up.unwrap_or_default().into_iter();
     HistoryEvent {
@@ -36,31 +38,35 @@
     }
 }
 
-impl World<'_> {
-    /// What came to pass on the network is put into the course of events.
-    pub(super) fn spread(&mut self) {
-        for (at, passing) in self.net.passing.drain(..) {
-            self.events.set(at.max(self.now), Event::Net(passing));
+impl Simulation<'_> {
+    /// Schedules the events that the network has produced.
+    pub(super) fn schedule_network_events(&mut self) {
+        for (at, event) in self.network.pending_events.drain(..) {
+            self.events.set(at.max(self.now), Event::Network(event));
         }
     }
 
-    /// What is for a process that stands still waits, but for what its system does without it.
-    pub(super) fn held_back(&mut self, event: Event) -> Option<Event> {
-        let proc = match &event {
-            Event::Net(Passing::SynAck(link) | Passing::Refused(link)) => {
-                self.net.owner((*link, 0)).map(|(p, _)| p)
+    /// Withholds an event if it is for a stalled controller, and returns it otherwise. What the
+    /// operating system does without the process, such as establishing connections and receiving
+    /// data, still happens. Datagrams to a stalled controller are lost.
+    pub(super) fn withhold_if_stalled(&mut self, event: Event) -> Option<Event> {
+        let process = match &event {
+            Event::Network(NetworkEvent::SynAck(connection) | NetworkEvent::Refused(connection)) => {
+                self.network.owner((*connection, 0)).map(|(p, _)| p)
             }
-            Event::Net(Passing::Window(at)) | Event::Deliver(at) => self.net.owner(*at).map(|(p, _)| p),
-            Event::Accept(link) => self.net.owner((*link, 1)).map(|(p, _)| p),
-            Event::GateDue(c, _) | Event::Files(c, ..) => Some(Proc::Controller(*c)),
-            Event::Datagram(_, _, c, _) if self.stalled[*c].is_some() => return None,
+            Event::Network(NetworkEvent::Window(end)) | Event::Deliver(end) => {
+                self.network.owner(*end).map(|(p, _)| p)
+            }
+            Event::Accept(connection) => self.network.owner((*connection, 1)).map(|(p, _)| p),
+            Event::ControllerTimer(c, _) | Event::ReadEngineFile(c, ..) => Some(ProcessId::Controller(*c)),
+            Event::Datagram(_, _, c, _) if self.withheld_events[*c].is_some() => return None,
             _ => None,
         };
-        let Some(Proc::Controller(c)) = proc else { return Some(event) };
-        match (&mut self.stalled[c], &event) {
-            (Some(_), Event::GateDue(..)) => None,
-            (Some(waiting), _) => {
-                waiting.push(event);
+        let Some(ProcessId::Controller(c)) = process else { return Some(event) };
+        match (&mut self.withheld_events[c], &event) {
+            (Some(_), Event::ControllerTimer(..)) => None,
+            (Some(withheld), _) => {
+                withheld.push(event);
                 None
             }
             _ => Some(event),
@@ -68,383 +74,391 @@
     }
 
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
-    pub(super) fn passed(&mut self, passing: Passing) {
+    pub(super) fn handle_network_event(&mut self, event: NetworkEvent) {
         let now = self.now;
-        match passing {
-            Passing::Syn(link) => {
-                let listens = match self.net.owner((link, 1)) {
-                    Some((Proc::Controller(c), _)) => self.gates[c].is_some(),
-                    Some((Proc::Engine(e), _)) => self.stands[e].model.up(),
+        match event {
+            NetworkEvent::Syn(connection) => {
+                let is_listening = match self.network.owner((connection, 1)) {
+                    Some((ProcessId::Controller(c), _)) => self.gateways[c].is_some(),
+                    Some((ProcessId::Engine(e), _)) => self.engines[e].model.up(),
                     other => other.is_some(),
                 };
-                if listens {
-                    self.net.listened(now, link);
-                    self.happen(Event::Accept(link));
+                if is_listening {
+                    self.network.establish(now, connection);
+                    self.dispatch(Event::Accept(connection));
                 } else {
-                    self.net.refuse(now, link);
+                    self.network.refuse(now, connection);
                 }
             }
-            Passing::SynAck(link) => match self.net.owner((link, 0)) {
-                Some((Proc::Controller(c), Some(id))) => {
-                    if let Some(gate) = &mut self.gates[c] {
-                        gate.handle(now, GatewayEvent::Io(IoEvent::Connected(id)));
+            NetworkEvent::SynAck(connection) => match self.network.owner((connection, 0)) {
+                Some((ProcessId::Controller(c), Some(id))) => {
+                    if let Some(gateway) = &mut self.gateways[c] {
+                        gateway.handle(now, GatewayEvent::Io(IoEvent::Connected(id)));
                     }
-                    self.after(Proc::Controller(c));
+                    self.apply_effects(ProcessId::Controller(c));
                 }
-                Some((Proc::People, Some(id))) if id.owner() == 2 => {
-                    if let Some(bytes) = self.raw.remove(id) {
-                        self.net.write(now, (link, 0), &bytes);
-                        self.net.close(now, Proc::People, id, false);
+                Some((ProcessId::Clients, Some(id))) if id.owner() == 2 => {
+                    if let Some(bytes) = self.cancel_requests.remove(id) {
+                        self.network.write(now, (connection, 0), &bytes);
+                        self.network.close(now, ProcessId::Clients, id, false);
                     }
                 }
-                Some((Proc::People, Some(id))) => {
-                    self.people.connected(id);
-                    self.after(Proc::People);
+                Some((ProcessId::Clients, Some(id))) => {
+                    self.clients.connected(id);
+                    self.apply_effects(ProcessId::Clients);
                 }
                 _ => {}
             },
-            Passing::Refused(link) => {
-                if let Some((proc, Some(id))) = self.net.owner((link, 0)) {
-                    self.broke(proc, id, true);
-                    self.after(proc);
+            NetworkEvent::Refused(connection) => {
+                if let Some((process, Some(id))) = self.network.owner((connection, 0)) {
+                    self.connection_failed(process, id, true);
+                    self.apply_effects(process);
                 }
             }
-            Passing::Data(at, bytes) => {
-                if self.net.arrived(now, at, bytes) {
-                    self.happen(Event::Deliver(at));
+            NetworkEvent::Data(end, bytes) => {
+                if self.network.receive(now, end, bytes) {
+                    self.dispatch(Event::Deliver(end));
                 }
             }
-            Passing::Fin(at) => {
-                if self.net.over(at, false) {
-                    self.happen(Event::Deliver(at));
+            NetworkEvent::Fin(end) => {
+                if self.network.end_stream(end, false) {
+                    self.dispatch(Event::Deliver(end));
                 }
             }
-            Passing::Rst(at) => {
-                if self.net.over(at, true) {
-                    self.happen(Event::Deliver(at));
+            NetworkEvent::Rst(end) => {
+                if self.network.end_stream(end, true) {
+                    self.dispatch(Event::Deliver(end));
                 }
             }
-            Passing::Window(at) => {
-                if let Some((proc, Some(id))) = self.net.owner(at) {
-                    self.write(proc, id);
-                    self.after(proc);
+            NetworkEvent::Window(end) => {
+                if let Some((process, Some(id))) = self.network.owner(end) {
+                    self.write(process, id);
+                    self.apply_effects(process);
                 }
             }
         }
     }
 
-    pub(super) fn accept(&mut self, link: ConnId) {
-        let Some((proc, None)) = self.net.owner((link, 1)) else { return };
-        let id = match proc {
-            Proc::Controller(c) => {
+    pub(super) fn accept(&mut self, connection: ConnId) {
+        let Some((process, None)) = self.network.owner((connection, 1)) else { return };
+        let id = match process {
+            ProcessId::Controller(c) => {
                 let now = self.now;
-                self.gates[c].as_mut().and_then(|g| g.accept(now, Listener::Clients))
+                self.gateways[c].as_mut().and_then(|g| g.accept(now, Listener::Clients))
             }
-            Proc::Engine(e) => Some(self.stands[e].accept()),
-            Proc::Desk => Some(self.desk.accept()),
-            Proc::People => None,
+            ProcessId::Engine(e) => Some(self.engines[e].accept()),
+            ProcessId::Registry => Some(self.registry_server.accept()),
+            ProcessId::Clients => None,
         };
         if let Some(id) = id {
-            self.net.accepted(link, id);
-            self.deliver((link, 1));
+            self.network.accept(connection, id);
+            self.deliver((connection, 1));
         }
     }
 
-    /// A process reads what one of its connections has, as far as it has room.
-    pub(super) fn deliver(&mut self, at: At) {
+    /// A process reads from one of its connections as much as it has room for.
+    pub(super) fn deliver(&mut self, end: EndId) {
         let now = self.now;
-        let Some((proc, Some(id))) = self.net.owner(at) else { return };
-        if let Proc::Engine(e) = proc {
-            if self.stands[e].hangs() {
-                // It is told to read on when it goes on.
-                self.stands[e].room(id);
+        let Some((process, Some(id))) = self.network.owner(end) else { return };
+        if let ProcessId::Engine(e) = process {
+            if self.engines[e].hangs() {
+                // After this call the engine requests a read when it resumes.
+                self.engines[e].room(id);
                 return;
             }
         }
-        if self.net.closing(at) {
-            match proc {
-                Proc::Controller(c) => {
-                    if let Some(gate) = &mut self.gates[c] {
-                        gate.handle(now, GatewayEvent::Io(IoEvent::PeerClosing(id)));
+        if self.network.is_ending(end) {
+            match process {
+                ProcessId::Controller(c) => {
+                    if let Some(gateway) = &mut self.gateways[c] {
+                        gateway.handle(now, GatewayEvent::Io(IoEvent::PeerClosing(id)));
                     }
                 }
-                Proc::People if id.owner() == 1 => self.people.closing(id),
+                ProcessId::Clients if id.owner() == 1 => self.clients.closing(id),
                 _ => {}
             }
         }
         loop {
-            let room = match proc {
-                Proc::Controller(c) => self.gates[c].as_mut().map_or(0, |g| g.read_capacity(id)),
-                Proc::Engine(e) => self.stands[e].room(id),
-                Proc::Desk | Proc::People => usize::MAX,
+            let capacity = match process {
+                ProcessId::Controller(c) => self.gateways[c].as_mut().map_or(0, |g| g.read_capacity(id)),
+                ProcessId::Engine(e) => self.engines[e].room(id),
+                ProcessId::Registry | ProcessId::Clients => usize::MAX,
             };
-            match self.net.read(now, at, room) {
-                Got::Bytes(bytes) => match proc {
-                    Proc::Controller(c) => {
-                        if let Some(gate) = &mut self.gates[c] {
-                            gate.handle(now, GatewayEvent::Io(IoEvent::Received(id, &bytes)));
+            match self.network.read(now, end, capacity) {
+                ReadResult::Bytes(bytes) => match process {
+                    ProcessId::Controller(c) => {
+                        if let Some(gateway) = &mut self.gateways[c] {
+                            gateway.handle(now, GatewayEvent::Io(IoEvent::Received(id, &bytes)));
                         }
                     }
-                    Proc::Engine(e) => self.stands[e].receive(id, &bytes, now),
-                    Proc::Desk => self.desk.receive(id, &bytes, now),
-                    Proc::People => self.people.receive(id, &bytes, now),
+                    ProcessId::Engine(e) => self.engines[e].receive(id, &bytes, now),
+                    ProcessId::Registry => self.registry_server.receive(id, &bytes, now),
+                    ProcessId::Clients => self.clients.receive(id, &bytes, now),
                 },
-                Got::Fin => {
-                    match proc {
-                        Proc::Controller(c) => {
-                            if let Some(gate) = &mut self.gates[c] {
-                                gate.handle(now, GatewayEvent::Io(IoEvent::ReadClosed(id)));
+                ReadResult::Fin => {
+                    match process {
+                        ProcessId::Controller(c) => {
+                            if let Some(gateway) = &mut self.gateways[c] {
+                                gateway.handle(now, GatewayEvent::Io(IoEvent::ReadClosed(id)));
                             }
                         }
-                        _ => self.broke(proc, id, false),
+                        _ => self.connection_failed(process, id, false),
                     }
                     break;
                 }
-                Got::Broke => {
-                    self.broke(proc, id, false);
+                ReadResult::Reset => {
+                    self.connection_failed(process, id, false);
                     break;
                 }
-                Got::Nothing => break,
+                ReadResult::Empty => break,
             }
         }
-        self.after(proc);
+        self.apply_effects(process);
     }
 
-    /// A connection broke, or could not be made.
-    fn broke(&mut self, proc: Proc, id: ConnId, writing: bool) {
+    /// Tells a process that its connection was reset or could not be established.
+    fn connection_failed(&mut self, process: ProcessId, id: ConnId, writing: bool) {
         let now = self.now;
-        match proc {
-            Proc::Controller(c) => {
-                if let Some(gate) = &mut self.gates[c] {
-                    let broken = IoEvent::ConnectionFailed {
+        match process {
+            ProcessId::Controller(c) => {
+                if let Some(gateway) = &mut self.gateways[c] {
+                    let failure = IoEvent::ConnectionFailed {
                         id,
                         writing,
                         cause: FailureCause::ConnectionLost,
                         reason: "broken",
                     };
-                    gate.handle(now, GatewayEvent::Io(broken));
+                    gateway.handle(now, GatewayEvent::Io(failure));
                 }
             }
-            Proc::Engine(e) => self.stands[e].gone(id, now),
-            Proc::Desk => self.desk.gone(id),
-            Proc::People if id.owner() == 2 => {
-                self.raw.remove(id);
-                self.net.close(now, proc, id, false);
+            ProcessId::Engine(e) => self.engines[e].gone(id, now),
+            ProcessId::Registry => self.registry_server.gone(id),
+            ProcessId::Clients if id.owner() == 2 => {
+                self.cancel_requests.remove(id);
+                self.network.close(now, process, id, false);
             }
-            Proc::People => self.people.broke(id, now),
+            ProcessId::Clients => self.clients.broke(id, now),
         }
     }
 
-    /// Writes what a connection has to go, as far as the network takes it.
-    fn write(&mut self, proc: Proc, id: ConnId) {
+    /// Writes the output of a connection, as far as the network accepts it.
+    fn write(&mut self, process: ProcessId, id: ConnId) {
         let now = self.now;
-        let Some(at) = self.net.end_of(proc, id) else { return };
+        let Some(end) = self.network.end_of(process, id) else { return };
         loop {
-            let bytes = match proc {
-                Proc::Controller(c) => self.gates[c].as_mut().map_or(&[][..], |g| g.output(id)),
-                Proc::Engine(e) => self.stands[e].output(id),
-                Proc::Desk => self.desk.output(id),
-                Proc::People => self.people.output(id),
+            let bytes = match process {
+                ProcessId::Controller(c) => self.gateways[c].as_mut().map_or(&[][..], |g| g.output(id)),
+                ProcessId::Engine(e) => self.engines[e].output(id),
+                ProcessId::Registry => self.registry_server.output(id),
+                ProcessId::Clients => self.clients.output(id),
             };
             if bytes.is_empty() {
                 return;
             }
-            match self.net.write(now, at, bytes) {
-                None => return self.broke(proc, id, true),
+            match self.network.write(now, end, bytes) {
+                None => return self.connection_failed(process, id, true),
                 Some(0) => return,
-                Some(n) => match proc {
-                    Proc::Controller(c) => {
-                        if let Some(gate) = &mut self.gates[c] {
-                            gate.bytes_written(now, id, n);
+                Some(n) => match process {
+                    ProcessId::Controller(c) => {
+                        if let Some(gateway) = &mut self.gateways[c] {
+                            gateway.bytes_written(now, id, n);
                         }
                     }
-                    Proc::Engine(e) => self.stands[e].wrote(id, n, now),
-                    Proc::Desk => self.desk.wrote(id, n),
-                    Proc::People => self.people.wrote(id, n),
+                    ProcessId::Engine(e) => self.engines[e].wrote(id, n, now),
+                    ProcessId::Registry => self.registry_server.wrote(id, n),
+                    ProcessId::Clients => self.clients.wrote(id, n),
                 },
             }
         }
     }
 
-    pub(super) fn heard(&mut self, port: DatagramSocket, from: SocketAddr, to: usize, bytes: &[u8]) {
-        let Some(gate) = &mut self.gates[to] else { return };
+    pub(super) fn receive_datagram(
+        &mut self,
+        port: DatagramSocket,
+        from: SocketAddr,
+        to: usize,
+        bytes: &[u8],
+    ) {
+        let Some(gateway) = &mut self.gateways[to] else { return };
         if port == DatagramSocket::Discovery {
             return;
         }
-        gate.handle(self.now, GatewayEvent::Io(IoEvent::Datagram(port, from, bytes)));
-        self.after(Proc::Controller(to));
+        gateway.handle(self.now, GatewayEvent::Io(IoEvent::Datagram(port, from, bytes)));
+        self.apply_effects(ProcessId::Controller(to));
     }
 
-    pub(super) fn read_file(&mut self, c: usize, life: u64) {
-        let set = Arc::new(self.set.clone());
-        let Some(gate) = self.gates[c].as_mut().filter(|_| self.lives[c] == life) else { return };
-        gate.handle(self.now, GatewayEvent::EndpointFiles(News::Set(set)));
-        self.after(Proc::Controller(c));
+    pub(super) fn read_engine_file(&mut self, c: usize, generation: u64) {
+        let set = Arc::new(self.engine_set.clone());
+        let Some(gateway) = self.gateways[c].as_mut().filter(|_| self.generations[c] == generation) else {
+            return;
+        };
+        gateway.handle(self.now, GatewayEvent::EndpointFiles(News::Set(set)));
+        self.apply_effects(ProcessId::Controller(c));
     }
 
-    // --- what processes want ---
+    // --- effects of processes ---
 
-    /// Does what a process wants done, and sees to its next waking.
-    pub(super) fn after(&mut self, proc: Proc) {
-        let next = match proc {
-            Proc::Controller(c) if self.batch == Some(c) => return,
-            Proc::Controller(c) => self.after_gate(c),
-            Proc::Engine(e) => self.after_engine(e),
-            Proc::Desk => self.after_desk(),
-            Proc::People => self.after_people(),
+    /// Applies the effects that a process requests, and schedules its next timer.
+    pub(super) fn apply_effects(&mut self, process: ProcessId) {
+        let next = match process {
+            ProcessId::Controller(c) if self.resuming_controller == Some(c) => return,
+            ProcessId::Controller(c) => self.apply_controller_effects(c),
+            ProcessId::Engine(e) => self.apply_engine_effects(e),
+            ProcessId::Registry => self.apply_registry_effects(),
+            ProcessId::Clients => self.apply_client_effects(),
         };
         let next = next.map(|at| at.max(self.now + 1));
-        let old = self.wakes.set.get(&proc).copied();
-        if old.map(|(at, _)| at).filter(|at| *at > self.now) == next {
+        let scheduled = self.wake_timers.by_process.get(&process).copied();
+        if scheduled.map(|(at, _)| at).filter(|at| *at > self.now) == next {
             return;
         }
-        if let Some((_, key)) = self.wakes.set.remove(&proc) {
+        if let Some((_, key)) = self.wake_timers.by_process.remove(&process) {
             self.events.cancel(key);
         }
         if let Some(at) = next {
-            let event = match proc {
-                Proc::Controller(c) => Event::GateDue(c, self.lives[c]),
-                Proc::Engine(e) => Event::EngineDue(e),
-                Proc::Desk => Event::DeskDue,
-                Proc::People => Event::PeopleDue,
+            let event = match process {
+                ProcessId::Controller(c) => Event::ControllerTimer(c, self.generations[c]),
+                ProcessId::Engine(e) => Event::EngineTimer(e),
+                ProcessId::Registry => Event::RegistryTimer,
+                ProcessId::Clients => Event::ClientsTimer,
             };
             let key = self.events.set(at, event);
-            self.wakes.set.insert(proc, (at, key));
+            self.wake_timers.by_process.insert(process, (at, key));
         }
     }
 
-    fn after_gate(&mut self, c: usize) -> Option<i64> {
-        let (now, proc) = (self.now, Proc::Controller(c));
+    fn apply_controller_effects(&mut self, c: usize) -> Option<i64> {
+        let (now, process) = (self.now, ProcessId::Controller(c));
         let mut effects = Vec::new();
         loop {
-            self.gates[c].as_mut()?.take_effects(&mut effects);
+            self.gateways[c].as_mut()?.take_effects(&mut effects);
             if effects.is_empty() {
                 break;
             }
             for effect in effects.drain(..) {
                 match effect {
-                    Effect::Connect(id, to) => match self.by_address.get(&to) {
-                        Some(target) => self.net.connect(now, proc, id, *target),
-                        None => self.broke(proc, id, true),
+                    Effect::Connect(id, to) => match self.process_by_address.get(&to) {
+                        Some(target) => self.network.connect(now, process, id, *target),
+                        None => self.connection_failed(process, id, true),
                     },
-                    Effect::Write(id) => self.write(proc, id),
+                    Effect::Write(id) => self.write(process, id),
                     Effect::ResumeReading(id) => {
-                        if let Some(at) = self.net.end_of(proc, id) {
-                            self.deliver(at);
+                        if let Some(end) = self.network.end_of(process, id) {
+                            self.deliver(end);
                         }
                     }
-                    Effect::Close(id) => self.net.close(now, proc, id, false),
+                    Effect::Close(id) => self.network.close(now, process, id, false),
                     Effect::Send(port, to, datagram) => self.send(port, c, to, datagram),
-                    Effect::StopListening => self.gates[c].as_mut()?.handle_listening_stopped(now),
+                    Effect::StopListening => self.gateways[c].as_mut()?.handle_listening_stopped(now),
                     Effect::Stopped => {}
                 }
             }
         }
-        self.gates[c].as_ref()?.next_timer_at()
+        self.gateways[c].as_ref()?.next_timer_at()
     }
 
     fn send(&mut self, port: DatagramSocket, c: usize, to: SocketAddr, datagram: Vec<u8>) {
         let peers = self.config.peers.as_ref().map_or(&[][..], |p| &p.addresses);
         let (target, from) = match port {
-            // Peers are numbered by their ports, from 1 on.
+            // Controller `i` has the peer port `i + 1`.
             DatagramSocket::Peers => (usize::from(to.port()).wrapping_sub(1), peers.get(c).copied()),
             DatagramSocket::Discovery => return,
             DatagramSocket::Gossip => {
-                let own = SocketAddr::new(to.ip(), GOSSIP_PORTS + c as u16);
-                (usize::from(to.port().wrapping_sub(GOSSIP_PORTS)), Some(own))
+                let own = SocketAddr::new(to.ip(), FIRST_GOSSIP_PORT + c as u16);
+                (usize::from(to.port().wrapping_sub(FIRST_GOSSIP_PORT)), Some(own))
             }
         };
-        let Some(from) = from.filter(|_| target < self.gates.len()) else { return };
-        self.messages += 1;
+        let Some(from) = from.filter(|_| target < self.gateways.len()) else { return };
+        self.datagrams_sent += 1;
         let datagram = Bytes::from(datagram);
-        // Roads are between those who gossip; weather is everywhere.
+        // Link faults apply to gossip alone; the faults of the network apply to all datagrams.
         let arrivals = match port {
-            DatagramSocket::Gossip => self.roads.transmit(c, target, self.now, &datagram),
+            DatagramSocket::Gossip => self.gossip_links.transmit(c, target, self.now, &datagram),
             _ => vec![Delivery { at: self.now, bytes: datagram.to_vec() }],
         };
         for arrival in arrivals {
             let bytes = Bytes::from(arrival.bytes);
-            for at in self.net.datagram(arrival.at).into_iter().flatten() {
+            for at in self.network.datagram_arrivals(arrival.at).into_iter().flatten() {
                 self.events.set(at, Event::Datagram(port, from, target, bytes.clone()));
             }
         }
     }
 
-    fn after_engine(&mut self, e: usize) -> Option<i64> {
-        let (now, proc) = (self.now, Proc::Engine(e));
-        let mut doing = Vec::new();
+    fn apply_engine_effects(&mut self, e: usize) -> Option<i64> {
+        let (now, process) = (self.now, ProcessId::Engine(e));
+        let mut actions = Vec::new();
         loop {
-            self.stands[e].doings(&mut doing);
-            if doing.is_empty() {
+            self.engines[e].doings(&mut actions);
+            if actions.is_empty() {
                 break;
             }
-            for what in doing.drain(..) {
-                match what {
-                    Do::Write(id) => self.write(proc, id),
+            for action in actions.drain(..) {
+                match action {
+                    Do::Write(id) => self.write(process, id),
                     Do::Read(id) => {
-                        if let Some(at) = self.net.end_of(proc, id) {
-                            self.deliver(at);
+                        if let Some(end) = self.network.end_of(process, id) {
+                            self.deliver(end);
                         }
                     }
-                    Do::Close(id, reset) => self.net.close(now, proc, id, reset),
+                    Do::Close(id, reset) => self.network.close(now, process, id, reset),
                     Do::Died => {
-                        self.net.kill(now, proc);
-                        let at = now + self.setup.notice + self.stale;
-                        self.desk.change(at, &self.stands[e].name, Standing::Removed, None);
-                        self.after(Proc::Desk);
+                        self.network.kill(now, process);
+                        let at = now + self.setup.notice + self.registry_delay;
+                        self.registry_server.change(at, &self.engines[e].name, Standing::Removed, None);
+                        self.apply_effects(ProcessId::Registry);
                     }
                     Do::Started => {
-                        let at = now + self.setup.listed_after + self.stale;
-                        self.desk.change(at, &self.stands[e].name, Standing::Up, Some(now));
-                        self.after(Proc::Desk);
+                        let at = now + self.setup.listed_after + self.registry_delay;
+                        self.registry_server.change(at, &self.engines[e].name, Standing::Up, Some(now));
+                        self.apply_effects(ProcessId::Registry);
                     }
                 }
             }
         }
-        self.log.extend(self.stands[e].journal().map(line_of));
-        self.stands[e].next()
+        self.log.extend(self.engines[e].journal().map(history_event));
+        self.engines[e].next()
     }
 
-    fn after_desk(&mut self) -> Option<i64> {
-        let (now, proc) = (self.now, Proc::Desk);
-        let mut doing = Vec::new();
+    fn apply_registry_effects(&mut self) -> Option<i64> {
+        let (now, process) = (self.now, ProcessId::Registry);
+        let mut actions = Vec::new();
         loop {
-            self.desk.doings(&mut doing);
-            if doing.is_empty() {
+            self.registry_server.doings(&mut actions);
+            if actions.is_empty() {
                 break;
             }
-            for what in doing.drain(..) {
-                match what {
-                    Do::Write(id) => self.write(proc, id),
-                    Do::Close(id, reset) => self.net.close(now, proc, id, reset),
+            for action in actions.drain(..) {
+                match action {
+                    Do::Write(id) => self.write(process, id),
+                    Do::Close(id, reset) => self.network.close(now, process, id, reset),
                     Do::Read(_) | Do::Died | Do::Started => {}
                 }
             }
         }
-        self.log.extend(self.desk.journal().map(line_of));
-        self.desk.next()
+        self.log.extend(self.registry_server.journal().map(history_event));
+        self.registry_server.next()
     }
 
-    fn after_people(&mut self) -> Option<i64> {
-        let (now, proc) = (self.now, Proc::People);
-        let mut wishes = Vec::new();
+    fn apply_client_effects(&mut self) -> Option<i64> {
+        let (now, process) = (self.now, ProcessId::Clients);
+        let mut requests = Vec::new();
         loop {
-            self.people.wishes(&mut wishes);
-            if wishes.is_empty() {
+            self.clients.wishes(&mut requests);
+            if requests.is_empty() {
                 break;
             }
-            for wish in wishes.drain(..) {
-                match wish {
-                    Wish::Connect(id, c) => self.net.connect(now, proc, id, Proc::Controller(c)),
-                    Wish::Write(id) => self.write(proc, id),
-                    Wish::Close(id) => self.net.close(now, proc, id, false),
+            for request in requests.drain(..) {
+                match request {
+                    Wish::Connect(id, c) => self.network.connect(now, process, id, ProcessId::Controller(c)),
+                    Wish::Write(id) => self.write(process, id),
+                    Wish::Close(id) => self.network.close(now, process, id, false),
                     Wish::Cancel(c, bytes) => {
-                        let id = self.raw.insert(bytes);
-                        self.net.connect(now, proc, id, Proc::Controller(c));
+                        let id = self.cancel_requests.insert(bytes);
+                        self.network.connect(now, process, id, ProcessId::Controller(c));
                     }
                 }
             }
         }
-        self.people.next()
+        self.clients.next()
     }
 }
--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -1,4 +1,5 @@
-//! Days in virtual time: the same each time, the rules kept at size, and the judge not blind there.
+//! Simulated days: they are deterministic, controllers keep the rules, and the rule checks find
+//! injected faults.
 
 use wheelfield::interface::{Micros, QueryId, Settings};
 use wheelfield_driver::{Arrival, AttemptId, CapacityExceeded, Driver, DriverLimits, Input, Instruction};
@@ -11,86 +12,87 @@
 
 fn day(name: &str) -> Day {
     let path = format!("{}/days/{name}.toml", env!("CARGO_MANIFEST_DIR"));
-    let text = std::fs::read_to_string(path).expect("a day");
-    Day::parse(name, &text).expect("sound")
+    let script = std::fs::read_to_string(path).expect("the file of a day");
+    Day::parse(name, &script).expect("a valid day")
 }
 
-fn broken(report: &Report, rule: &str) -> u64 {
+fn violations(report: &Report, rule: &str) -> u64 {
     report.rules.get(rule).copied().unwrap_or(0)
 }
 
 #[test]
 fn the_same_day_and_seed_give_the_same_tries_and_log() {
     let day = day("everything");
-    let whole = |seed: u64| {
-        let (report, played) = play_virtual(&day, seed, Policy::Module).expect("sound");
+    let run = |seed: u64| {
+        let (report, simulation) = play_virtual(&day, seed, Policy::Module).expect("a valid day");
         let tries: Vec<String> =
-            played.tries.iter().map(|t| serde_json::to_string(t).expect("JSON")).collect();
-        (serde_json::to_string(&report).expect("JSON"), tries, format!("{:?}", played.log))
+            simulation.tries.iter().map(|t| serde_json::to_string(t).expect("JSON")).collect();
+        (serde_json::to_string(&report).expect("JSON"), tries, format!("{:?}", simulation.log))
     };
-    let (one, other) = (whole(5), whole(5));
-    assert_eq!(one, other);
-    assert_ne!(one.1, whole(6).1, "another seed is another day");
+    let (first, second) = (run(5), run(5));
+    assert_eq!(first, second);
+    assert_ne!(first.1, run(6).1, "another seed gave the same tries");
 }
 
 #[test]
-fn days_of_all_troubles_keep_the_seven_rules() {
+fn days_with_each_kind_of_fault_keep_the_seven_rules() {
     for name in ["short", "bad", "crashes", "hangs", "slow", "drains", "controllers", "answers", "keys"] {
         for seed in 1..=2 {
-            let (report, played) = play_virtual(&day(name), seed, Policy::Module).expect("sound");
+            let (report, simulation) = play_virtual(&day(name), seed, Policy::Module).expect("a valid day");
             assert!(report.kept(), "{name} {seed}: {:?}", report.breaches);
             assert!(report.answers > report.queries / 2, "{name} {seed}: {report:?}");
-            assert!(played.tries.iter().all(|t| t.end.is_some()));
-            let received = played.log.iter().filter(|l| l.event == "received").count() as u64;
-            assert!(received >= report.served, "what was served had been received");
+            assert!(simulation.tries.iter().all(|t| t.end.is_some()));
+            let received = simulation.log.iter().filter(|l| l.event == "received").count() as u64;
+            assert!(received >= report.served, "more queries were served than received");
         }
     }
 }
 
 #[test]
-fn the_grown_size_keeps_the_rules() {
+fn the_grown_day_keeps_the_rules() {
     let mut grown = day("grown");
-    // A quarter of its length, with a crash and controllers killed.
+    // A quarter of its length, which still has a crash and killed controllers.
     grown.length = wheelfield_config::units::parse_time("10s").expect("a time");
-    let (report, _) = play_virtual(&grown, 1, Policy::Module).expect("sound");
+    let (report, _) = play_virtual(&grown, 1, Policy::Module).expect("a valid day");
     assert!(report.kept(), "{:?}", report.breaches);
     assert!(report.queries > 3_000 && report.service > 0.9, "{report:?}");
 }
 
-/// What is done wrong.
+/// A fault in a controller's decisions.
 #[derive(Clone, Copy, PartialEq)]
-enum FaultInjection {
-    /// Nothing.
+enum DecisionFault {
+    /// No fault.
     None,
-    /// Each second answer is forgotten.
-    Mute,
-    /// What the list says after the first time is not heeded, nor is any drain at the moment of writing.
-    Deaf,
-    /// Each attempt is started twice, under another number.
-    Twice,
+    /// Every second answer is dropped.
+    DropAnswers,
+    /// Every engine list after the first is ignored, so that a drain is not noticed right before a
+    /// write either.
+    IgnoreLists,
+    /// Each attempt is started a second time, under another number.
+    DuplicateAttempts,
 }
 
-/// The driver with a fault planted around it.
-struct Planted {
+/// The driver with a fault injected around it.
+struct FaultyDriver {
     driver: Driver,
-    plant: FaultInjection,
-    listed: bool,
+    fault: DecisionFault,
+    has_list: bool,
     answers: u32,
 }
 
-impl Planted {
-    fn spoil(&mut self, from: usize, out: &mut Vec<Instruction>) {
-        match self.plant {
-            FaultInjection::Mute => {
-                let mut kept = out.split_off(from);
-                kept.retain(|i| {
+impl FaultyDriver {
+    fn inject_fault(&mut self, from: usize, out: &mut Vec<Instruction>) {
+        match self.fault {
+            DecisionFault::DropAnswers => {
+                let mut remaining = out.split_off(from);
+                remaining.retain(|i| {
                     self.answers += u32::from(matches!(i, Instruction::Answer(..)));
                     !(matches!(i, Instruction::Answer(..)) && self.answers.is_multiple_of(2))
                 });
-                out.append(&mut kept);
+                out.append(&mut remaining);
             }
-            FaultInjection::Twice => {
-                let twins: Vec<Instruction> = out[from..]
+            DecisionFault::DuplicateAttempts => {
+                let duplicates: Vec<Instruction> = out[from..]
                     .iter()
                     .filter_map(|i| match i {
                         Instruction::Start { attempt, engine, options: terms } => {
@@ -100,14 +102,14 @@
                         _ => None,
                     })
                     .collect();
-                out.extend(twins);
+                out.extend(duplicates);
             }
-            FaultInjection::None | FaultInjection::Deaf => {}
+            DecisionFault::None | DecisionFault::IgnoreLists => {}
         }
     }
 }
 
-impl DecisionEngine for Planted {
+impl DecisionEngine for FaultyDriver {
     fn submit(
         &mut self,
         now: Micros,
@@ -115,26 +117,26 @@
         out: &mut Vec<Instruction>,
     ) -> Result<QueryId, CapacityExceeded> {
         let from = out.len();
-        let taken = Driver::submit(&mut self.driver, now, a, out);
-        self.spoil(from, out);
-        taken
+        let result = Driver::submit(&mut self.driver, now, a, out);
+        self.inject_fault(from, out);
+        result
     }
     fn handle_input(&mut self, now: Micros, input: Input, out: &mut Vec<Instruction>) {
         if matches!(input, Input::Engines { .. })
-            && std::mem::replace(&mut self.listed, true)
-            && self.plant == FaultInjection::Deaf
+            && std::mem::replace(&mut self.has_list, true)
+            && self.fault == DecisionFault::IgnoreLists
         {
             return;
         }
         let from = out.len();
         Driver::handle_input(&mut self.driver, now, input, out);
-        self.spoil(from, out);
+        self.inject_fault(from, out);
     }
     fn handle_timers(&mut self, now: Micros, out: &mut Vec<Instruction>) -> bool {
         let from = out.len();
-        let some = Driver::handle_timers(&mut self.driver, now, out);
-        self.spoil(from, out);
-        some
+        let expired = Driver::handle_timers(&mut self.driver, now, out);
+        self.inject_fault(from, out);
+        expired
     }
     fn next_timer_at(&self) -> Option<Micros> {
         Driver::next_timer_at(&self.driver)
@@ -150,72 +152,86 @@
     }
 }
 
-fn planted(name: &str, plant: FaultInjection) -> Report {
+fn report_with_fault(name: &str, fault: DecisionFault) -> Report {
     let day = day(name);
     let plan = Plan::draw(&day, 3);
-    let minds = |settings: Settings, seed: u64| -> Box<dyn DecisionEngine> {
+    let new_decision_engine = |settings: Settings, seed: u64| -> Box<dyn DecisionEngine> {
         let driver = Driver::new(settings, seed, DriverLimits::default());
-        Box::new(Planted { driver, plant, listed: false, answers: 0 })
+        Box::new(FaultyDriver { driver, fault, has_list: false, answers: 0 })
     };
-    let played =
-        simulate_with_decision_engines(&day, &plan, 3, &minds, SimulationOptions::default()).expect("sound");
-    report_virtual(&day, &plan, 3, &played).expect("sound")
+    let simulation =
+        simulate_with_decision_engines(&day, &plan, 3, &new_decision_engine, SimulationOptions::default())
+            .expect("a valid day");
+    report_virtual(&day, &plan, 3, &simulation).expect("a valid day")
 }
 
 #[test]
-fn a_planted_fault_is_found_as_its_own_rules() {
+fn an_injected_fault_breaks_its_own_rules() {
     for name in ["drains", "everything"] {
-        let sound = planted(name, FaultInjection::None);
-        assert!(sound.kept(), "{name}: {:?}", sound.breaches);
+        let without_fault = report_with_fault(name, DecisionFault::None);
+        assert!(without_fault.kept(), "{name}: {:?}", without_fault.breaches);
     }
-    assert!(broken(&planted("everything", FaultInjection::Mute), "lost") > 0);
-    assert!(broken(&planted("drains", FaultInjection::Deaf), "drain") > 0);
-    let twice = planted("everything", FaultInjection::Twice);
-    assert!(broken(&twice, "twice") > 0 && broken(&twice, "budget") > 0, "{:?}", twice.rules);
+    assert!(violations(&report_with_fault("everything", DecisionFault::DropAnswers), "lost") > 0);
+    assert!(violations(&report_with_fault("drains", DecisionFault::IgnoreLists), "drain") > 0);
+    let duplicated = report_with_fault("everything", DecisionFault::DuplicateAttempts);
+    assert!(
+        violations(&duplicated, "twice") > 0 && violations(&duplicated, "budget") > 0,
+        "{:?}",
+        duplicated.rules
+    );
 }
 
 #[test]
-fn plain_policies_answer_all_and_refuse_nothing() {
+fn baseline_policies_answer_all_queries_and_refuse_none() {
     for policy in [Policy::Random, Policy::Least, Policy::Pool] {
-        let (report, played) = play_virtual(&day("bad"), 1, policy).expect("sound");
-        assert_eq!((report.refused, broken(&report, "lost")), (0, 0), "{policy:?}: {:?}", report.breaches);
+        let (report, simulation) = play_virtual(&day("bad"), 1, policy).expect("a valid day");
+        assert_eq!(
+            (report.refused, violations(&report, "lost")),
+            (0, 0),
+            "{policy:?}: {:?}",
+            report.breaches
+        );
         assert!(report.served > report.queries / 2, "{policy:?}: {report:?}");
-        assert!(played.tries.iter().all(|t| t.end != Some(ClientOutcome::NoAnswer)));
+        assert!(simulation.tries.iter().all(|t| t.end != Some(ClientOutcome::NoAnswer)));
     }
 }
 
 #[test]
 fn half_of_the_controllers_on_an_older_list_break_no_rule() {
     let path = format!("{}/days/drains.toml", env!("CARGO_MANIFEST_DIR"));
-    // Controllers poll every four seconds, and half of them have started two seconds later: each change is known to one half
-    // long before the other.
-    let text = std::fs::read_to_string(path).expect("a day").replace("length = ", "#")
+    // Controllers poll every four seconds, and half of them start again two seconds later: each
+    // change reaches one half long before the other.
+    let script = std::fs::read_to_string(path).expect("the file of a day").replace("length = ", "#")
         + "\n[[troubles]]\nkind = \"balancer_roll\"\nat = \"2s\"\nfor = \"1ms\"\npart = 0.5\nsize = 0.1\n\
            [registry]\nmode = \"poll\"\nevery = \"4s\"\n";
-    let text = format!("length = \"20s\"\n{text}");
-    let mut day = Day::parse("halves", &text).unwrap_or_else(|fault| panic!("{fault}"));
+    let script = format!("length = \"20s\"\n{script}");
+    let mut day = Day::parse("halves", &script).unwrap_or_else(|fault| panic!("{fault}"));
     day.controllers = 6;
-    let (report, played) = play_virtual(&day, 1, Policy::Module).expect("sound");
+    let (report, simulation) = play_virtual(&day, 1, Policy::Module).expect("a valid day");
     assert!(report.kept(), "{:?}", report.breaches);
-    // When each first heard that an engine drains or is gone.
-    let mut heard: std::collections::BTreeMap<String, std::collections::BTreeMap<String, i64>> =
+    // When each controller first learned that an engine drains or is removed.
+    let mut learned_at: std::collections::BTreeMap<String, std::collections::BTreeMap<String, i64>> =
         Default::default();
-    for line in played.log.iter().filter(|l| l.event == "told") {
+    for line in simulation.log.iter().filter(|l| l.event == "told") {
         for gone in &line.unavailable_engines {
-            heard.entry(gone.engine.clone()).or_default().entry(line.controller.clone()).or_insert(line.at);
+            learned_at
+                .entry(gone.engine.clone())
+                .or_default()
+                .entry(line.controller.clone())
+                .or_insert(line.at);
         }
     }
-    let apart = |times: &std::collections::BTreeMap<String, i64>| {
-        let mut all: Vec<i64> = times.values().copied().collect();
+    let delay_between_halves = |learned: &std::collections::BTreeMap<String, i64>| {
+        let mut all: Vec<i64> = learned.values().copied().collect();
         all.sort_unstable();
-        // So long the first half knew, and the second did not.
+        // Time during which the first half knew and the second did not.
         if all.len() == 6 {
             all[3] - all[2]
         } else {
             0
         }
     };
-    let longest = heard.values().map(apart).max().unwrap_or(0);
-    assert!(longest > 1_000_000, "halves were apart for {longest} us at most");
+    let longest = learned_at.values().map(delay_between_halves).max().unwrap_or(0);
+    assert!(longest > 1_000_000, "the halves had different lists for at most {longest} us");
     assert!(report.served > report.queries / 2, "{report:?}");
 }
