--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -20,7 +20,7 @@
 /// The controller that a try goes to: its own door, or the next that is not known to be dead.
 pub fn door(doors: &[Door], habits: &Habits, arrival: &Arrival, number: u32, now: i64) -> usize {
     let n = doors.len();
-    let first = ((arrival.door * n as f64) as usize).min(n - 1) + number as usize;
+    let first = ((arrival.controller_position * n as f64) as usize).min(n - 1) + number as usize;
     let open = |i: &usize| {
         let d = doors[*i];
         d.known && !(d.down && now - d.since > habits.notice.0 .0)
@@ -46,10 +46,10 @@
         }
         _ => false,
     };
-    if !again || tried.number >= habits.retries || left < 100_000 || arrival.leaves.is_some() {
+    if !again || tried.number >= habits.retries || left < 100_000 || arrival.abandonment.is_some() {
         return None;
     }
     let backoff = habits.backoff.0 .0 << tried.number.min(6);
     let backoff = (backoff as f64 * chance.random_range(0.5..1.5)) as i64;
-    Some(tried.advice_ms.filter(|_| arrival.honours).map_or(backoff, |ms| ms as i64 * 1000))
+    Some(tried.advice_ms.filter(|_| arrival.honours_retry_after).map_or(backoff, |ms| ms as i64 * 1000))
 }
--- a/crates/testbed/src/crowd.rs
+++ b/crates/testbed/src/crowd.rs
@@ -117,7 +117,7 @@
     let _ = write!(
         out,
         "{verb} /*class='{}',id='{id}',due_ms='{due_ms}',tables='{}'",
-        class.name, arrival.tables
+        class.name, arrival.table_group
     );
     if let Some(estimate) = arrival.estimate {
         let _ = write!(out, ",work_ms='{:.1}'", estimate * 1e3);
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -18,7 +18,7 @@
 use wheelfield_config::ConfigError;
 
 /// Runs of an experiment at most.
-const MOST_RUNS: usize = 20_000;
+const MAX_RUNS: usize = 20_000;
 
 /// Where days are played.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -122,8 +122,8 @@
             );
         }
         let runs = e.days.len() as u64 * e.variants.len() as u64 * e.sizes.len() as u64;
-        if runs.saturating_mul(e.seeds) > MOST_RUNS as u64 {
-            return wrong("seeds", format!("more than {MOST_RUNS} runs"), "ask for fewer");
+        if runs.saturating_mul(e.seeds) > MAX_RUNS as u64 {
+            return wrong("seeds", format!("more than {MAX_RUNS} runs"), "ask for fewer");
         }
         let names: BTreeSet<&str> = e.variants.iter().map(|v| v.name.as_str()).collect();
         if names.len() < e.variants.len() {
@@ -323,7 +323,7 @@
             let plan = Plan::draw(&t.day, t.key.seed);
             let played = virtual_time::play(&t.day, &plan, t.key.seed, t.policy)?;
             let report = play::report_virtual(&t.day, &plan, t.key.seed, &played)?;
-            let series = Series::of(&t.day, &plan, virtual_time::start(), &played.tries, &played.log);
+            let series = Series::from_run(&t.day, &plan, virtual_time::start(), &played.tries, &played.log);
             (report, series)
         }
         Mode::Sockets => {
@@ -460,7 +460,7 @@
 }
 
 /// All figures of all variants, each beside the first.
-pub fn sum_up(runs: &[Run], first: &str) -> Vec<Cell> {
+pub fn summarize(runs: &[Run], first: &str) -> Vec<Cell> {
     let mut out = Vec::new();
     for ((day, size), variants) in cells(runs) {
         let base = variants.get(first);
@@ -487,7 +487,7 @@
 }
 
 /// The same variants of two experiments beside each other, paired by day, size, variant and seed.
-pub fn beside(one: &[Run], other: &[Run]) -> Vec<Cell> {
+pub fn compare_runs(one: &[Run], other: &[Run]) -> Vec<Cell> {
     let (one, other) = (cells(one), cells(other));
     let mut out = Vec::new();
     for ((day, size), variants) in &other {
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -488,7 +488,7 @@
     let runs = experiment::load(&dir.join("runs.jsonl"))?;
     anyhow::ensure!(!runs.is_empty(), "{} holds no results", dir.display());
     let first = e.variants.first().map_or("", |v| v.name.as_str());
-    let cells = experiment::sum_up(&runs, first);
+    let cells = experiment::summarize(&runs, first);
     let summary = report::markdown(&e.name, &cells);
     std::fs::write(dir.join("report.html"), report::html(&e.name, &runs, &cells)?)?;
     std::fs::write(dir.join("report.md"), &summary)?;
@@ -498,7 +498,7 @@
 
 fn compare(one: &std::path::Path, other: &std::path::Path, only: &[String]) -> Result<bool> {
     let load = |dir: &std::path::Path| experiment::load(&dir.join("runs.jsonl"));
-    let mut cells = experiment::beside(&load(one)?, &load(other)?);
+    let mut cells = experiment::compare_runs(&load(one)?, &load(other)?);
     cells.retain(|c| only.is_empty() || only.contains(&c.figure));
     anyhow::ensure!(
         !cells.is_empty(),
--- a/crates/testbed/src/people.rs
+++ b/crates/testbed/src/people.rs
@@ -188,7 +188,7 @@
                 }
             }
             Wake::Leave(t) => {
-                let leaves = self.plan.arrivals[self.tries[t].arrival].leaves;
+                let leaves = self.plan.arrivals[self.tries[t].arrival].abandonment;
                 if self.tries[t].end.is_some() {
                 } else if leaves.is_some_and(|(_, cancels)| cancels) {
                     self.cancel(t);
@@ -210,7 +210,7 @@
         self.coming -= 1;
         let controller = door(&self.doors, &self.manners.habits, arrival, number, now);
         let t = self.tries.len();
-        let due = now + arrival.patience;
+        let due = now + arrival.timeout_us;
         let late_us = if number == 0 { now - (self.start + arrival.at) } else { 0 };
         self.tries.push(Try { late_us, ..Try::new(a, number, controller, now, due) });
         self.who.push(arrival.tenant.unwrap_or(0));
@@ -218,7 +218,7 @@
         self.tally.sent += 1;
         self.open += 1;
         self.timers.set(due, Wake::Due(t));
-        if let Some((after, _)) = arrival.leaves.filter(|_| number == 0) {
+        if let Some((after, _)) = arrival.abandonment.filter(|_| number == 0) {
             self.timers.set(now + after, Wake::Leave(t));
         }
         let place = (controller, self.who[t]);
@@ -393,7 +393,8 @@
                 let advice = text.split("retry_after_ms=").nth(1);
                 tried.advice_ms =
                     advice.and_then(|a| a.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok());
-                let cancels = self.plan.arrivals[tried.arrival].leaves.is_some_and(|(_, cancels)| cancels);
+                let cancels =
+                    self.plan.arrivals[tried.arrival].abandonment.is_some_and(|(_, cancels)| cancels);
                 tried.is_wrong(state == "57014" && !cancels, "a cancel that its client never asked for");
                 tried.state = state;
             }
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -16,7 +16,7 @@
     /// Its customer.
     pub tenant: Option<usize>,
     /// Which controller it comes to first, as a share of all.
-    pub door: f64,
+    pub controller_position: f64,
     /// Its true work in seconds of one thread.
     pub work: f64,
     /// What its hint says.
@@ -24,20 +24,20 @@
     /// Memory in MB.
     pub memory_mb: f64,
     /// Its group of tables.
-    pub tables: u64,
+    pub table_group: u64,
     /// Its key.
     pub key: Option<u64>,
     /// A try is given up after this, in microseconds.
-    pub patience: i64,
+    pub timeout_us: i64,
     /// The client leaves early, so long after its send; true if it cancels first.
-    pub leaves: Option<(i64, bool)>,
+    pub abandonment: Option<(i64, bool)>,
     /// Advice on when to come back is heeded.
-    pub honours: bool,
+    pub honours_retry_after: bool,
 }
 
 /// Something done to the stage.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum StageAction {
     /// A fault of a stand-in, by its control port.
     Fault {
         /// Which engine.
@@ -63,7 +63,7 @@
 
 /// A trouble as it was drawn.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Drawn {
+pub struct DrawnTrouble {
     /// Its kind.
     pub kind: String,
     /// From, in microseconds from the day's start,
@@ -75,7 +75,7 @@
     /// and its second.
     pub extra: f64,
     /// The engines or controllers it strikes.
-    pub whom: Vec<usize>,
+    pub targets: Vec<usize>,
 }
 
 /// A day as it will be played.
@@ -84,17 +84,17 @@
     /// By time.
     pub arrivals: Vec<Arrival>,
     /// By time.
-    pub acts: Vec<(i64, Act)>,
+    pub actions: Vec<(i64, StageAction)>,
     /// Kind and speed of each engine.
     pub engines: Vec<(usize, f64)>,
     /// For the report.
-    pub troubles: Vec<Drawn>,
+    pub troubles: Vec<DrawnTrouble>,
     /// What goes wrong between controllers, in microseconds from the day's start.
-    pub roads: FaultSchedule,
+    pub network_faults: FaultSchedule,
 }
 
 /// What a kind's figures are when its script leaves them out: size, extra, and the part it strikes.
-fn usual(kind: &str) -> ([f64; 2], [f64; 2], [f64; 2]) {
+fn default_ranges(kind: &str) -> ([f64; 2], [f64; 2], [f64; 2]) {
     match kind {
         "crash" => ([0.0; 2], [0.0; 2], [0.1, 0.25]),
         "hang" => ([0.0; 2], [0.0; 2], [0.05, 0.2]),
@@ -121,143 +121,144 @@
     }
 }
 
-struct Painter<'a> {
+struct TroubleScheduler<'a> {
     day: &'a Day,
-    chance: Pcg64Mcg,
-    acts: Vec<(i64, Act)>,
+    rng: Pcg64Mcg,
+    actions: Vec<(i64, StageAction)>,
 }
 
-impl Painter<'_> {
-    fn between(&mut self, [low, high]: [f64; 2]) -> f64 {
+impl TroubleScheduler<'_> {
+    fn uniform(&mut self, [low, high]: [f64; 2]) -> f64 {
         if high > low {
-            self.chance.random_range(low..high)
+            self.rng.random_range(low..high)
         } else {
             low
         }
     }
 
     /// So many of `n`, at least one.
-    fn some(&mut self, n: usize, part: f64) -> Vec<usize> {
+    fn sample_indices(&mut self, n: usize, part: f64) -> Vec<usize> {
         let wanted = ((n as f64 * part).round() as usize).clamp(1, n);
         let mut all: Vec<usize> = (0..n).collect();
         for i in 0..wanted {
-            let j = self.chance.random_range(i..n);
+            let j = self.rng.random_range(i..n);
             all.swap(i, j);
         }
         all.truncate(wanted);
         all
     }
 
-    fn fault(&mut self, at: i64, engine: usize, kind: &'static str, value: f64) {
-        self.acts.push((at, Act::Fault { engine, kind, value }));
+    fn push_fault(&mut self, at: i64, engine: usize, kind: &'static str, value: f64) {
+        self.actions.push((at, StageAction::Fault { engine, kind, value }));
     }
 
     /// Draws what a trouble leaves out, and its blows.
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
-    fn draw(&mut self, trouble: &Trouble) -> Drawn {
+    fn draw(&mut self, trouble: &Trouble) -> DrawnTrouble {
         let length = self.day.length.0 .0;
-        let (size, extra, part) = usual(&trouble.kind);
+        let (size, extra, part) = default_ranges(&trouble.kind);
         let from = trouble.at.map(|t| t.0 .0);
-        let from = from.unwrap_or_else(|| (length as f64 * self.chance.random_range(0.1..0.7)) as i64);
-        let lasts = trouble.lasts.map(|t| t.0 .0);
-        let lasts = lasts.unwrap_or_else(|| (length as f64 * self.chance.random_range(0.1..0.3)) as i64);
-        let to = (from + lasts.max(1)).min(length);
-        let size = trouble.size.unwrap_or_else(|| self.between(size));
-        let extra = trouble.extra.unwrap_or_else(|| self.between(extra));
-        let part = trouble.part.unwrap_or_else(|| self.between(part)).clamp(0.0, 1.0);
+        let from = from.unwrap_or_else(|| (length as f64 * self.rng.random_range(0.1..0.7)) as i64);
+        let duration = trouble.lasts.map(|t| t.0 .0);
+        let duration = duration.unwrap_or_else(|| (length as f64 * self.rng.random_range(0.1..0.3)) as i64);
+        let to = (from + duration.max(1)).min(length);
+        let size = trouble.size.unwrap_or_else(|| self.uniform(size));
+        let extra = trouble.extra.unwrap_or_else(|| self.uniform(extra));
+        let part = trouble.part.unwrap_or_else(|| self.uniform(part)).clamp(0.0, 1.0);
         let (engines, controllers) = (self.day.engines, self.day.controllers);
         let second = |s: f64| (s * 1e6) as i64;
-        let whom = match trouble.kind.as_str() {
-            "balancer_roll" | "balancer_stall" => self.some(controllers, part),
+        let targets = match trouble.kind.as_str() {
+            "balancer_roll" | "balancer_stall" => self.sample_indices(controllers, part),
             "zone_loss" => {
-                let zone = self.chance.random_range(0..self.day.fleet.zones.len().max(1));
+                let zone = self.rng.random_range(0..self.day.fleet.zones.len().max(1));
                 (0..engines).filter(|e| e % self.day.fleet.zones.len().max(1) == zone).collect()
             }
-            _ => self.some(engines, part),
+            _ => self.sample_indices(engines, part),
         };
-        let until = |kind: &'static str, value: f64, me: &mut Self| {
-            for e in whom.clone() {
-                me.fault(from, e, kind, value);
-                me.fault(to, e, kind, if kind == "slow" { 1.0 } else { 0.0 });
+        let push_for_duration = |kind: &'static str, value: f64, me: &mut Self| {
+            for e in targets.clone() {
+                me.push_fault(from, e, kind, value);
+                me.push_fault(to, e, kind, if kind == "slow" { 1.0 } else { 0.0 });
             }
         };
         match trouble.kind.as_str() {
             "crash" | "zone_loss" => {
-                for e in whom.clone() {
-                    let jitter = self.chance.random_range(0..200_000);
-                    self.fault(from + jitter, e, "kill", 1.0);
-                    self.fault(to.max(from + jitter + 100_000), e, "start", 1.0);
+                for e in targets.clone() {
+                    let jitter = self.rng.random_range(0..200_000);
+                    self.push_fault(from + jitter, e, "kill", 1.0);
+                    self.push_fault(to.max(from + jitter + 100_000), e, "start", 1.0);
                 }
             }
-            "hang" => until("hang", 1.0, self),
-            "slow" | "shared_slow" => until("slow", size, self),
-            "fast_errors" => until("errors", size, self),
-            "full" => until("full", 1.0, self),
-            "answer_lost" => until("lose", size, self),
-            "half_answer" => until("half", size, self),
+            "hang" => push_for_duration("hang", 1.0, self),
+            "slow" | "shared_slow" => push_for_duration("slow", size, self),
+            "fast_errors" => push_for_duration("errors", size, self),
+            "full" => push_for_duration("full", 1.0, self),
+            "answer_lost" => push_for_duration("lose", size, self),
+            "half_answer" => push_for_duration("half", size, self),
             "ageing" => {
-                for e in whom.clone() {
+                for e in targets.clone() {
                     for step in 1..=5 {
                         let share = f64::from(step) / 5.0;
-                        let at = from + (lasts as f64 * 0.9 * (share - 0.2)) as i64;
-                        self.fault(at, e, "slow", 1.0 + (size - 1.0) * share);
+                        let at = from + (duration as f64 * 0.9 * (share - 0.2)) as i64;
+                        self.push_fault(at, e, "slow", 1.0 + (size - 1.0) * share);
                     }
-                    self.fault(to, e, "kill", 1.0);
-                    self.fault(to + 1_000_000, e, "start", 1.0);
+                    self.push_fault(to, e, "kill", 1.0);
+                    self.push_fault(to + 1_000_000, e, "start", 1.0);
                 }
             }
-            "flush" => whom
-                .iter()
-                .for_each(|e| self.acts.push((from, Act::Fault { engine: *e, kind: "flush", value: 1.0 }))),
+            "flush" => targets.iter().for_each(|e| {
+                self.actions.push((from, StageAction::Fault { engine: *e, kind: "flush", value: 1.0 }))
+            }),
             "preempt" | "deploy" => {
-                let waves = if trouble.kind == "deploy" { whom.len().max(engines) } else { whom.len() };
-                let struck: Vec<usize> =
-                    if trouble.kind == "deploy" { (0..engines).collect() } else { whom.clone() };
-                let step = lasts / waves.max(1) as i64;
-                for (i, e) in struck.into_iter().enumerate() {
+                let restarts =
+                    if trouble.kind == "deploy" { targets.len().max(engines) } else { targets.len() };
+                let restarted: Vec<usize> =
+                    if trouble.kind == "deploy" { (0..engines).collect() } else { targets.clone() };
+                let step = duration / restarts.max(1) as i64;
+                for (i, e) in restarted.into_iter().enumerate() {
                     let at = if trouble.kind == "deploy" { from + step * i as i64 } else { from };
-                    let dies = at + second(size);
-                    self.fault(at, e, "drain", 1.0);
-                    self.fault(dies, e, "kill", 1.0);
-                    self.fault(dies + second(extra.max(0.2)), e, "start", 1.0);
+                    let killed_at = at + second(size);
+                    self.push_fault(at, e, "drain", 1.0);
+                    self.push_fault(killed_at, e, "kill", 1.0);
+                    self.push_fault(killed_at + second(extra.max(0.2)), e, "start", 1.0);
                 }
             }
-            "discovery_down" => self.acts.push((from, Act::RegistryDown((to - from) / 1000))),
+            "discovery_down" => self.actions.push((from, StageAction::RegistryDown((to - from) / 1000))),
             "discovery_stale" => {
-                self.acts.push((from, Act::RegistryStale((size * 1e3) as i64)));
-                self.acts.push((to, Act::RegistryStale(0)));
+                self.actions.push((from, StageAction::RegistryStale((size * 1e3) as i64)));
+                self.actions.push((to, StageAction::RegistryStale(0)));
             }
             "balancer_roll" => {
-                let step = lasts / whom.len().max(1) as i64;
-                for (i, c) in whom.iter().enumerate() {
+                let step = duration / targets.len().max(1) as i64;
+                for (i, c) in targets.iter().enumerate() {
                     let at = from + step * i as i64;
-                    self.acts.push((at, Act::KillController(*c)));
-                    self.acts.push((at + second(size), Act::StartController(*c)));
+                    self.actions.push((at, StageAction::KillController(*c)));
+                    self.actions.push((at + second(size), StageAction::StartController(*c)));
                 }
             }
             "balancer_stall" => {
-                for c in whom.clone() {
-                    let mut at = from + self.chance.random_range(0..second(extra.max(0.1)));
+                for c in targets.clone() {
+                    let mut at = from + self.rng.random_range(0..second(extra.max(0.1)));
                     while at < to {
-                        self.acts.push((at, Act::StallController(c)));
-                        self.acts.push((at + second(size), Act::ResumeController(c)));
+                        self.actions.push((at, StageAction::StallController(c)));
+                        self.actions.push((at + second(size), StageAction::ResumeController(c)));
                         at += second(size + extra.max(0.1));
                     }
                 }
             }
             _ => {}
         }
-        Drawn { kind: trouble.kind.clone(), from, to, size, extra, whom }
+        DrawnTrouble { kind: trouble.kind.clone(), from, to, size, extra, targets }
     }
 }
 
 /// One of several by weight.
-fn pick(chance: &mut Pcg64Mcg, weights: &[f64]) -> usize {
+fn choose_weighted(rng: &mut Pcg64Mcg, weights: &[f64]) -> usize {
     let total: f64 = weights.iter().sum();
-    let mut mark = chance.random::<f64>() * total;
+    let mut remaining = rng.random::<f64>() * total;
     for (i, w) in weights.iter().enumerate() {
-        mark -= w;
-        if mark < 0.0 {
+        remaining -= w;
+        if remaining < 0.0 {
             return i;
         }
     }
@@ -265,7 +266,7 @@
 }
 
 /// A lognormal of mean 1 and this deviation.
-fn spread(deviation: f64) -> Option<LogNormal<f64>> {
+fn unit_mean_lognormal(deviation: f64) -> Option<LogNormal<f64>> {
     let sigma = (1.0 + deviation * deviation).ln().sqrt();
     LogNormal::new(-sigma * sigma / 2.0, sigma).ok()
 }
@@ -273,46 +274,46 @@
 impl Plan {
     /// Draws a day. The same script and seed give the same plan.
     pub fn draw(day: &Day, seed: u64) -> Plan {
-        let mut painter = Painter { day, chance: Pcg64Mcg::seed_from_u64(seed), acts: Vec::new() };
+        let mut scheduler = TroubleScheduler { day, rng: Pcg64Mcg::seed_from_u64(seed), actions: Vec::new() };
         let shares: Vec<f64> = day.fleet.kinds.iter().map(|k| k.share).collect();
         let engines = (0..day.engines)
             .map(|_| {
-                let kind = pick(&mut painter.chance, &shares);
-                (kind, painter.between(day.fleet.kinds[kind].speed))
+                let kind = choose_weighted(&mut scheduler.rng, &shares);
+                (kind, scheduler.uniform(day.fleet.kinds[kind].speed))
             })
             .collect();
-        let troubles: Vec<Drawn> = day.troubles.iter().map(|t| painter.draw(t)).collect();
-        let Painter { mut acts, .. } = painter;
+        let troubles: Vec<DrawnTrouble> = day.troubles.iter().map(|t| scheduler.draw(t)).collect();
+        let TroubleScheduler { mut actions, .. } = scheduler;
         // Traffic has a source of its own, so that a trouble more or less leaves it as it is.
-        let chance = Pcg64Mcg::seed_from_u64(seed ^ 0x0074_7261_6666_6963);
-        let arrivals = Traffic { day, troubles: &troubles, chance }.draw();
-        acts.sort_by_key(|(at, _)| *at);
+        let rng = Pcg64Mcg::seed_from_u64(seed ^ 0x0074_7261_6666_6963);
+        let arrivals = TrafficGenerator { day, troubles: &troubles, rng }.draw();
+        actions.sort_by_key(|(at, _)| *at);
         // A script whose roads can't be drawn was refused where it was read, or where its size was changed.
-        let roads = day.timetable(seed).unwrap_or_default();
-        Plan { arrivals, acts, engines, troubles, roads }
+        let network_faults = day.timetable(seed).unwrap_or_default();
+        Plan { arrivals, actions, engines, troubles, network_faults }
     }
 }
 
-struct Traffic<'a> {
+struct TrafficGenerator<'a> {
     day: &'a Day,
-    troubles: &'a [Drawn],
-    chance: Pcg64Mcg,
+    troubles: &'a [DrawnTrouble],
+    rng: Pcg64Mcg,
 }
 
-impl Traffic<'_> {
-    fn now(&self, kind: &str, at: i64) -> Option<&Drawn> {
+impl TrafficGenerator<'_> {
+    fn active_trouble(&self, kind: &str, at: i64) -> Option<&DrawnTrouble> {
         self.troubles.iter().find(|t| t.kind == kind && (t.from..t.to).contains(&at))
     }
 
     /// The rate at a time, as a multiple of the mean.
-    fn pace(&self, at: i64) -> f64 {
+    fn relative_rate(&self, at: i64) -> f64 {
         let x = at as f64 / self.day.length.0 .0 as f64;
         let shape = match self.day.shape {
             Shape::Steady => 1.0,
             Shape::Ramp => 0.5 + x,
             Shape::Wave => 1.0 + (x * 4.0 * std::f64::consts::PI).sin() / 3.0,
         };
-        shape * self.now("burst", at).map_or(1.0, |t| t.size)
+        shape * self.active_trouble("burst", at).map_or(1.0, |t| t.size)
     }
 
     fn draw(&mut self) -> Vec<Arrival> {
@@ -320,26 +321,27 @@
         let length = day.length.0 .0;
         let most =
             self.troubles.iter().filter(|t| t.kind == "burst").map(|t| t.size).fold(1.0, f64::max) * 1.5;
-        let works: Vec<_> = day.classes.iter().map(|c| spread(c.spread)).collect();
-        let errors: Vec<_> = day.classes.iter().map(|c| c.estimate_error.and_then(spread)).collect();
+        let works: Vec<_> = day.classes.iter().map(|c| unit_mean_lognormal(c.spread)).collect();
+        let errors: Vec<_> =
+            day.classes.iter().map(|c| c.estimate_error.and_then(unit_mean_lognormal)).collect();
         let tables = Zipf::new(day.habits.groups.max(1) as f64, day.habits.zipf.max(0.0)).ok();
         let (mut out, mut at) = (Vec::new(), 0.0);
         loop {
-            let gap: f64 = Exp1.sample(&mut self.chance);
+            let gap: f64 = Exp1.sample(&mut self.rng);
             at += gap / (day.rate * most) * 1e6;
             if at >= length as f64 {
                 return out;
             }
             let at = at as i64;
-            if self.chance.random::<f64>() * most > self.pace(at) {
+            if self.rng.random::<f64>() * most > self.relative_rate(at) {
                 continue;
             }
-            out.push(self.one(at, &works, &errors, tables.as_ref()));
+            out.push(self.draw_arrival(at, &works, &errors, tables.as_ref()));
         }
     }
 
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
-    fn one(
+    fn draw_arrival(
         &mut self,
         at: i64,
         works: &[Option<LogNormal<f64>>],
@@ -351,70 +353,69 @@
         let heaviest = (0..shares.len()).max_by_key(|i| day.classes[*i].work).unwrap_or(0);
         let shifted = self.troubles.iter().find(|t| t.kind == "shift" && t.from <= at);
         shares[heaviest] *= shifted.map_or(1.0, |t| t.size);
-        let class = pick(&mut self.chance, &shares);
+        let class = choose_weighted(&mut self.rng, &shares);
         let c = &day.classes[class];
         let tenant = (!day.tenants.is_empty()).then(|| {
             let mut weights: Vec<f64> = day.tenants.iter().map(|t| t.share).collect();
-            weights[0] *= self.now("tenant_burst", at).map_or(1.0, |t| t.size);
-            pick(&mut self.chance, &weights)
+            weights[0] *= self.active_trouble("tenant_burst", at).map_or(1.0, |t| t.size);
+            choose_weighted(&mut self.rng, &weights)
         });
-        let of =
-            |d: &Option<LogNormal<f64>>, chance: &mut Pcg64Mcg| d.as_ref().map_or(1.0, |d| d.sample(chance));
-        let varies = of(&works[class], &mut self.chance);
+        let of = |d: &Option<LogNormal<f64>>, rng: &mut Pcg64Mcg| d.as_ref().map_or(1.0, |d| d.sample(rng));
+        let work_factor = of(&works[class], &mut self.rng);
         let mean = c.work.0 .0 as f64 / 1e6;
-        let mut work = mean * varies.min(30.0);
+        let mut work = mean * work_factor.min(30.0);
         if let Some((times, share)) =
-            self.now("heavy_tail", at).map(|t| (t.size, t.extra)).filter(|_| class == heaviest)
+            self.active_trouble("heavy_tail", at).map(|t| (t.size, t.extra)).filter(|_| class == heaviest)
         {
-            if self.chance.random::<f64>() < share {
+            if self.rng.random::<f64>() < share {
                 work *= times;
             }
         }
-        let error = of(&errors[class], &mut self.chance);
-        let drawn = tables.map_or(1.0, |z| z.sample(&mut self.chance)) as u64;
-        let hot = self.now("hot_key", at).map(|t| (t.size, t.extra.round().max(1.0) as u64));
-        let tables = match hot {
-            Some((share, groups)) if self.chance.random::<f64>() < share => {
-                self.chance.random_range(1..=groups)
-            }
+        let error = of(&errors[class], &mut self.rng);
+        let drawn = tables.map_or(1.0, |z| z.sample(&mut self.rng)) as u64;
+        let hot = self.active_trouble("hot_key", at).map(|t| (t.size, t.extra.round().max(1.0) as u64));
+        let table_group = match hot {
+            Some((share, groups)) if self.rng.random::<f64>() < share => self.rng.random_range(1..=groups),
             _ => drawn,
         };
-        let key = (c.keys > 0).then(|| self.chance.random_range(0..c.keys));
+        let key = (c.keys > 0).then(|| self.rng.random_range(0..c.keys));
         let part = {
             let [low, high] = day.habits.patience;
             if high > low {
-                self.chance.random_range(low..high)
+                self.rng.random_range(low..high)
             } else {
                 low
             }
         };
-        let patience = (c.deadline.0 .0 as f64 * part.clamp(0.01, 1.0)) as i64;
-        let leaving = self.now("give_up", at).map_or(day.habits.leaves, |t| t.size);
-        let (leaves, when, cancels): (f64, f64, f64) = self.chance.random();
-        let leaves =
-            (leaves < leaving).then_some(((patience as f64 * 0.5 * when * when) as i64, cancels < 0.5));
-        let door = self.chance.random::<f64>();
+        let timeout_us = (c.deadline.0 .0 as f64 * part.clamp(0.01, 1.0)) as i64;
+        let abandonment_probability =
+            self.active_trouble("give_up", at).map_or(day.habits.leaves, |t| t.size);
+        let (leaves, when, cancels): (f64, f64, f64) = self.rng.random();
+        let abandonment = (leaves < abandonment_probability)
+            .then_some(((timeout_us as f64 * 0.5 * when * when) as i64, cancels < 0.5));
+        let controller_position = self.rng.random::<f64>();
         // Keys keep to one controller, and to its order.
-        let door = key.map_or(door, |k| (k as f64 * 0.618_033_988_75).fract());
-        let hot = self.now("hot_caller", at).map(|t| t.size);
-        let door = if key.is_none() && hot.is_some_and(|share| self.chance.random::<f64>() < share) {
-            0.0
-        } else {
-            door
-        };
+        let controller_position = key.map_or(controller_position, |k| (k as f64 * 0.618_033_988_75).fract());
+        let hot = self.active_trouble("hot_caller", at).map(|t| t.size);
+        let controller_position =
+            if key.is_none() && hot.is_some_and(|share| self.rng.random::<f64>() < share) {
+                0.0
+            } else {
+                controller_position
+            };
         Arrival {
             at,
             class,
             tenant,
-            door,
+            controller_position,
             work,
             estimate: c.estimate_error.map(|_| work * error),
-            memory_mb: c.memory.map_or(0.0, |m| m.0 as f64 / 1_048_576.0) * varies.sqrt(),
-            tables,
+            memory_mb: c.memory.map_or(0.0, |m| m.0 as f64 / 1_048_576.0) * work_factor.sqrt(),
+            table_group,
             key,
-            patience,
-            leaves,
-            honours: self.chance.random::<f64>() < day.habits.honour,
+            timeout_us,
+            abandonment,
+            honours_retry_after: self.rng.random::<f64>() < day.habits.honour,
         }
     }
 }
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -162,7 +162,7 @@
     };
     let mut stage = Stage::set(day, &plan, setting, clock)?;
     let start = clock.now() + LEAD;
-    let roads = plan.roads.clone().shifted_by(start);
+    let roads = plan.network_faults.clone().shifted_by(start);
     stage.begin_roads(roads.clone())?;
     let (sender, receiver) = channel();
     for change in stage.doors() {
@@ -196,7 +196,7 @@
     // The blows fall from a thread of their own, as a process that starts must not hold up the clients.
     let (tries, directed) = std::thread::scope(|scope| {
         let director = scope.spawn(|| -> Result<()> {
-            for (at, act) in &plan.acts {
+            for (at, act) in &plan.actions {
                 std::thread::sleep(clock.until(start + at));
                 for change in stage.act(act).with_context(|| format!("{act:?}"))? {
                     // The crowd may be through already.
@@ -216,7 +216,7 @@
     directed?;
     let fleet = match stage.reached().map(<[_]>::to_vec) {
         Some(reached) => {
-            let acts = plan.acts.iter().map(|(at, _)| start + at).max();
+            let acts = plan.actions.iter().map(|(at, _)| start + at).max();
             let healed = roads.ends_at().max(acts).unwrap_or(start);
             std::thread::sleep(clock.until(healed));
             let agreed = agree(&stage, clock);
@@ -275,7 +275,7 @@
     let lines: Vec<String> = tries.iter().map(|t| serde_json::to_string(t).unwrap_or_default()).collect();
     std::fs::write(options.dir.join("clients.jsonl"), lines.join("\n"))?;
     std::fs::write(options.dir.join("report.json"), serde_json::to_string_pretty(&report)?)?;
-    let series = Series::of(day, &plan, start, &tries, &log);
+    let series = Series::from_run(day, &plan, start, &tries, &log);
     Ok((report, series))
 }
 
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -251,7 +251,7 @@
     match cell.compared.as_ref().map(|c| c.verdict) {
         Some(Verdict::Better) => "better",
         Some(Verdict::Worse) => "WORSE",
-        Some(Verdict::NotToldApart) => "not told apart",
+        Some(Verdict::Inconclusive) => "not told apart",
         None => "",
     }
 }
--- a/crates/testbed/src/series.rs
+++ b/crates/testbed/src/series.rs
@@ -68,7 +68,7 @@
 impl Series {
     /// Of a day that was played from `start` on.
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
-    pub fn of(day: &Day, plan: &Plan, start: i64, tries: &[Try], log: &[HistoryEvent]) -> Series {
+    pub fn from_run(day: &Day, plan: &Plan, start: i64, tries: &[Try], log: &[HistoryEvent]) -> Series {
         let seconds = (day.length.0 .0 as usize).div_ceil(1_000_000).max(1);
         let second = |t: i64| ((t - start).max(0) as usize / 1_000_000).min(seconds - 1);
         let zeros = || vec![0_u32; seconds];
@@ -124,7 +124,7 @@
         if let Some(h) = latency.filter(|h| !h.is_empty()) {
             s.latency_ms = SHARES.iter().map(|q| (*q, h.value_at_quantile(*q) as f64 / 1e3)).collect();
         }
-        let shade = |t: &crate::plan::Drawn| Shade {
+        let shade = |t: &crate::plan::DrawnTrouble| Shade {
             kind: t.kind.clone(),
             from: t.from as f64 / 1e6,
             to: t.to as f64 / 1e6,
--- a/crates/testbed/src/stage.rs
+++ b/crates/testbed/src/stage.rs
@@ -3,7 +3,7 @@
 use crate::day::Day;
 use crate::fleet::relay::{Carried, Relay};
 use crate::lists::Lists;
-use crate::plan::{Act, Plan};
+use crate::plan::{Plan, StageAction};
 use anyhow::{bail, ensure, Context, Result};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
@@ -422,9 +422,9 @@
     ///
     /// # Errors
     /// If the stand-ins don't do as they are told, or a controller does not start.
-    pub fn act(&mut self, act: &Act) -> Result<Vec<Change>> {
+    pub fn act(&mut self, act: &StageAction) -> Result<Vec<Change>> {
         match act {
-            Act::Fault { engine, kind, value } => {
+            StageAction::Fault { engine, kind, value } => {
                 self.call(&format!("/fault?engine=engine-{engine:02}&kind={kind}&value={value}"))?;
                 let now = self.clock.now();
                 if let Some(lists) = &mut self.lists {
@@ -436,9 +436,9 @@
                     }
                 }
             }
-            Act::RegistryDown(ms) => self.call(&format!("/registry?unavailable_ms={ms}"))?,
-            Act::RegistryStale(ms) => self.call(&format!("/registry?stale_ms={ms}"))?,
-            Act::KillController(i) => {
+            StageAction::RegistryDown(ms) => self.call(&format!("/registry?unavailable_ms={ms}"))?,
+            StageAction::RegistryStale(ms) => self.call(&format!("/registry?stale_ms={ms}"))?,
+            StageAction::KillController(i) => {
                 if let Some(process) = self.controllers[*i].take() {
                     self.spent += process.usage().map_or(0.0, |(cpu, _)| cpu);
                     let now = self.clock.now();
@@ -449,7 +449,7 @@
                     return Ok(vec![Change::Down(*i)]);
                 }
             }
-            Act::StartController(i) => {
+            StageAction::StartController(i) => {
                 if self.controllers[*i].is_none() {
                     self.start_controller(*i)?;
                     return Ok(self
@@ -459,8 +459,8 @@
                         .collect());
                 }
             }
-            Act::StallController(i) | Act::ResumeController(i) => {
-                let stall = matches!(act, Act::StallController(_));
+            StageAction::StallController(i) | StageAction::ResumeController(i) => {
+                let stall = matches!(act, StageAction::StallController(_));
                 if let Some(process) = &self.controllers[*i] {
                     process.signal(if stall { Signal::STOP } else { Signal::CONT });
                     let now = self.clock.now();
--- a/crates/testbed/src/stats.rs
+++ b/crates/testbed/src/stats.rs
@@ -60,7 +60,8 @@
     /// It is worse.
     Worse,
     /// Chance alone may have made the difference.
-    NotToldApart,
+    #[serde(rename = "not_told_apart")]
+    Inconclusive,
 }
 
 /// Two samples, paired by seed.
@@ -102,7 +103,7 @@
         && difference.mean.abs() > half
         && (difference.low > 0.0 || difference.high < 0.0);
     let verdict = match apart {
-        false => Verdict::NotToldApart,
+        false => Verdict::Inconclusive,
         true if (difference.mean > 0.0) == higher_is_better => Verdict::Better,
         true => Verdict::Worse,
     };
@@ -154,7 +155,7 @@
                 let (a, b) = pairs(seed, 30, -0.03, skewed);
                 found += usize::from(compare(&a, &b, true, seed).verdict == Verdict::Worse);
                 let (a, b) = pairs(1_000 + seed, 30, 0.0, skewed);
-                made_up += usize::from(compare(&a, &b, true, seed).verdict != Verdict::NotToldApart);
+                made_up += usize::from(compare(&a, &b, true, seed).verdict != Verdict::Inconclusive);
             }
             assert!(found >= 80, "skewed {skewed}: found {found} of 100");
             assert!(made_up <= 5, "skewed {skewed}: made up {made_up} of 100");
@@ -164,9 +165,9 @@
     #[test]
     fn few_pairs_tell_nothing_and_equal_ones_are_equal() {
         let c = compare(&[0.5], &[0.9], true, 1);
-        assert_eq!((c.verdict, c.pairs), (Verdict::NotToldApart, 1));
+        assert_eq!((c.verdict, c.pairs), (Verdict::Inconclusive, 1));
         let c = compare(&[0.5, 0.6, 0.7], &[0.5, 0.6, 0.7], true, 1);
-        assert_eq!((c.verdict, c.needed, c.effect), (Verdict::NotToldApart, None, 0.0));
+        assert_eq!((c.verdict, c.needed, c.effect), (Verdict::Inconclusive, None, 0.0));
         let c = compare(&[], &[], true, 1);
         assert_eq!(c.pairs, 0);
     }
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -12,7 +12,7 @@
 use crate::crowd::{Manners, Try};
 use crate::day::Day;
 use crate::people::People;
-use crate::plan::{Act, Plan};
+use crate::plan::{Plan, StageAction};
 use bytes::Bytes;
 use mind::{DecisionEngine, Plain, Policy};
 pub use network::HOP;
@@ -281,7 +281,7 @@
             events: Timers::default(),
             wakes: Wakes::default(),
             net: Network::new(conditions.weather, seed ^ 0x6e65_7477_6f72),
-            roads: LinkEmulator::new(plan.roads.clone().shifted_by(START + LEAD), seed),
+            roads: LinkEmulator::new(plan.network_faults.clone().shifted_by(START + LEAD), seed),
             people: People::new(plan, manners, n, start()),
             raw: ConnectionTable::new(2),
             stands,
@@ -301,7 +301,7 @@
         };
         world.people.visited(conditions.visits);
         (0..n).for_each(|c| world.boot(c));
-        for (i, (at, _)) in plan.acts.iter().enumerate() {
+        for (i, (at, _)) in plan.actions.iter().enumerate() {
             world.events.set(start() + at, Event::Act(i));
         }
         world.after(Proc::People);
@@ -413,8 +413,8 @@
 
     fn act(&mut self, i: usize) {
         let plan = self.plan;
-        match &plan.acts[i].1 {
-            Act::Fault { engine, kind, value } => {
+        match &plan.actions[i].1 {
+            StageAction::Fault { engine, kind, value } => {
                 self.stands[*engine].ail(kind, *value, self.now);
                 let drains = match *kind {
                     "drain" if *value > 0.0 => Some((Status::Draining, Standing::Draining)),
@@ -433,13 +433,13 @@
                 self.after(Proc::Engine(*engine));
                 self.after(Proc::Desk);
             }
-            Act::RegistryDown(ms) => self.desk.registry.unavailable(self.now + ms * 1000),
-            Act::RegistryStale(ms) => self.stale = ms * 1000,
-            Act::KillController(c) => self.kill(*c),
-            Act::StartController(c) => {
+            StageAction::RegistryDown(ms) => self.desk.registry.unavailable(self.now + ms * 1000),
+            StageAction::RegistryStale(ms) => self.stale = ms * 1000,
+            StageAction::KillController(c) => self.kill(*c),
+            StageAction::StartController(c) => {
                 self.events.set(self.now + BOOT, Event::Boot(*c));
             }
-            Act::StallController(c) => {
+            StageAction::StallController(c) => {
                 if self.gates[*c].is_some() && self.stalled[*c].is_none() {
                     self.stalled[*c] = Some(Vec::new());
                     if let Some(life) = self.lived.iter_mut().rev().find(|l| l.controller == *c) {
@@ -447,7 +447,7 @@
                     }
                 }
             }
-            Act::ResumeController(c) => {
+            StageAction::ResumeController(c) => {
                 let Some(waiting) = self.stalled[*c].take() else { return };
                 let life = self.lived.iter_mut().rev().find(|l| l.controller == *c);
                 if let Some(last) = life.and_then(|l| l.stalls.last_mut()) {
--- a/crates/testbed/tests/days.rs
+++ b/crates/testbed/tests/days.rs
@@ -97,7 +97,7 @@
         let text = std::fs::read_to_string(&path).expect("a text");
         let day = Day::parse(&path.display().to_string(), &text).unwrap_or_else(|fault| panic!("{fault}"));
         let (one, two, other) = (Plan::draw(&day, 5), Plan::draw(&day, 5), Plan::draw(&day, 6));
-        assert!(one.arrivals == two.arrivals && one.acts == two.acts, "{path:?}");
+        assert!(one.arrivals == two.arrivals && one.actions == two.actions, "{path:?}");
         assert!(one.arrivals != other.arrivals, "{path:?}");
         let expected = day.rate * day.length.0.as_secs_f64();
         let got = one.arrivals.len() as f64;
--- a/crates/testbed/tests/experiment.rs
+++ b/crates/testbed/tests/experiment.rs
@@ -1,7 +1,7 @@
 //! Experiments: the same results each time, resumed after a kill, and comparisons that find what was planted.
 
 use std::path::Path;
-use wheelfield_testbed::experiment::{beside, load, run, sum_up, Experiment, Run};
+use wheelfield_testbed::experiment::{compare_runs, load, run, summarize, Experiment, Run};
 use wheelfield_testbed::report;
 use wheelfield_testbed::stats::Verdict;
 
@@ -78,7 +78,7 @@
         })
         .collect();
     assert_eq!(first, ["random", "module", "random", "module"], "neither always goes first");
-    let cells = sum_up(&runs, "module");
+    let cells = summarize(&runs, "module");
     let cell = cells
         .iter()
         .find(|c| c.variant == "random" && c.figure == "service" && c.size == "as it is")
@@ -98,10 +98,12 @@
     };
     let (a, _) = played(&text(""), dirs[0].path());
     let (same, _) = played(&text(""), dirs[1].path());
-    assert!(beside(&a, &same).iter().all(|c| c.compared.expect("compared").verdict == Verdict::NotToldApart));
+    assert!(compare_runs(&a, &same)
+        .iter()
+        .all(|c| c.compared.expect("compared").verdict == Verdict::Inconclusive));
     let slower = "set.fleet.kinds = [{ name = \"std\", cores = 8, memory = \"8GB\", speed = [0.5, 0.5] }]\n";
     let (worse, _) = played(&text(slower), dirs[2].path());
-    let cells = beside(&a, &worse);
+    let cells = compare_runs(&a, &worse);
     let service = cells.iter().find(|c| c.figure == "service").expect("compared");
     assert_eq!(service.compared.expect("compared").verdict, Verdict::Worse, "{service:?}");
 }
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -78,10 +78,10 @@
         let settings = day.settings().expect("sound");
         let plan = Plan {
             arrivals: Vec::new(),
-            acts: Vec::new(),
+            actions: Vec::new(),
             engines: vec![(0, 1.0); 3],
             troubles: Vec::new(),
-            roads: Default::default(),
+            network_faults: Default::default(),
         };
         let life = |controller| ProcessLifetime {
             controller,
@@ -101,15 +101,15 @@
             at: sent * 1000,
             class,
             tenant: None,
-            door: 0.0,
+            controller_position: 0.0,
             work: 1.0,
             estimate: None,
             memory_mb: 0.0,
-            tables: 0,
+            table_group: 0,
             key,
-            patience: 10_000_000,
-            leaves: None,
-            honours: false,
+            timeout_us: 10_000_000,
+            abandonment: None,
+            honours_retry_after: false,
         });
         let answers =
             u32::from(matches!(end, ClientOutcome::Served | ClientOutcome::Refused | ClientOutcome::Failed));
