--- a/crates/testbed/benches/hot.rs
+++ b/crates/testbed/benches/hot.rs
@@ -1,6 +1,7 @@
-//! What each query costs in memory alone: decisions, protocol, buffers. `cargo bench -p wheelfield-testbed`.
+//! Benchmarks of the in-memory cost of a query: routing decisions, protocol parsing and buffers, without any I/O. Run with
+//! `cargo bench -p wheelfield-testbed`.
 //!
-//! Figures of one run stand beside each other; those of two machines or two hours do not.
+//! Compare only results of the same run: the speed of a machine changes over time.
 
 use bytes::{Bytes, BytesMut};
 use criterion::{criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion, Throughput};
@@ -9,11 +10,11 @@
 use wheelfield_pg::{backend_messages, frame, frontend_messages};
 use wheelfield_testbed::day::Day;
 
-/// A driver that knows of so many engines, all with a report.
+/// A started driver whose engine list holds this many engines.
 fn driver(engines: usize, controllers: usize) -> Driver {
-    let mut day = Day::parse("grown", include_str!("../days/grown.toml")).expect("sound");
+    let mut day = Day::parse("grown", include_str!("../days/grown.toml")).expect("the built-in day is valid");
     (day.engines, day.controllers) = (engines, controllers);
-    let settings = day.settings().expect("sound");
+    let settings = day.settings().expect("the built-in day is valid");
     let mut driver = Driver::new(settings, 1, DriverLimits::default());
     let mut out = Vec::new();
     let entry = |i: usize| EngineEntry {
@@ -33,8 +34,8 @@
     driver
 }
 
-/// A query from its arrival to its service.
-fn serve(driver: &mut Driver, now: &mut Micros, out: &mut Vec<Instruction>) {
+/// Drives one query from its arrival until it is served.
+fn serve_query(driver: &mut Driver, now: &mut Micros, out: &mut Vec<Instruction>) {
     *now = *now + Micros(3_000);
     out.clear();
     while driver.next_timer_at().is_some_and(|at| at <= *now) && driver.handle_timers(*now, out) {}
@@ -66,19 +67,19 @@
     driver.handle_input(*now, ended, out);
 }
 
-fn decisions(c: &mut Criterion) {
+fn bench_decisions(c: &mut Criterion) {
     let mut group = c.benchmark_group("decision, arrival to service");
     for (engines, controllers) in [(8, 24), (41, 24), (41, 180), (200, 180)] {
         let name = BenchmarkId::from_parameter(format!("{engines} engines, {controllers} controllers"));
         let mut driver = driver(engines, controllers);
-        // Long enough after the start that nothing is cold.
+        // Starts a minute after the driver, when its slow start of engines is over.
         let (mut now, mut out) = (Micros(60_000_000), Vec::new());
-        group.bench_function(name, |b| b.iter(|| serve(&mut driver, &mut now, &mut out)));
+        group.bench_function(name, |b| b.iter(|| serve_query(&mut driver, &mut now, &mut out)));
     }
     group.finish();
 }
 
-fn protocol(c: &mut Criterion) {
+fn bench_protocol(c: &mut Criterion) {
     let mut group = c.benchmark_group("protocol");
     let mut query = BytesMut::new();
     frontend_messages::put_query(
@@ -116,7 +117,7 @@
     group.finish();
 }
 
-fn buffers(c: &mut Criterion) {
+fn bench_buffers(c: &mut Criterion) {
     let mut group = c.benchmark_group("buffers");
     let part = Bytes::from(vec![7_u8; 16 << 10]);
     group.throughput(Throughput::Bytes(part.len() as u64));
@@ -134,5 +135,5 @@
     group.finish();
 }
 
-criterion_group!(hot, decisions, protocol, buffers);
+criterion_group!(hot, bench_decisions, bench_protocol, bench_buffers);
 criterion_main!(hot);
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -1,4 +1,5 @@
-//! A day drawn from its script by a seed: every arrival and every blow, before anything runs. No I/O.
+//! Draws a day's schedule from its script and a seed: every query arrival and every fault is fixed before anything runs.
+//! No I/O.
 
 use crate::day::{Day, Shape, Trouble};
 use rand::{RngExt as _, SeedableRng as _};
@@ -9,91 +10,92 @@
 /// A query that a client will send.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// When, in microseconds from the day's start.
+    /// Send time, in microseconds from the start of the day.
     pub at: i64,
-    /// Its class.
+    /// Index of its class in the script.
     pub class: usize,
-    /// Its customer.
+    /// Index of its tenant in the script.
     pub tenant: Option<usize>,
-    /// Which controller it comes to first, as a share of all.
+    /// The controller of the first try, as a position from 0 to 1 in the list of controllers.
     pub controller_position: f64,
-    /// Its true work in seconds of one thread.
+    /// The actual work, in seconds of one thread.
     pub work: f64,
-    /// What its hint says.
+    /// The work that the client announces, in seconds of one thread; none if it sends no hint.
     pub estimate: Option<f64>,
-    /// Memory in MB.
+    /// Memory that the query needs, in MB.
     pub memory_mb: f64,
-    /// Its group of tables.
+    /// The group of tables that it reads.
     pub table_group: u64,
-    /// Its key.
+    /// The ordering key, for classes whose queries have one.
     pub key: Option<u64>,
-    /// A try is given up after this, in microseconds.
+    /// Client-side timeout of one try, in microseconds.
     pub timeout_us: i64,
-    /// The client leaves early, so long after its send; true if it cancels first.
+    /// For a client that abandons the query: how long after sending it, in microseconds, and whether it sends a cancel first.
     pub abandonment: Option<(i64, bool)>,
-    /// Advice on when to come back is heeded.
+    /// Whether the client waits as long as a refusal's retry-after advice says.
     pub honours_retry_after: bool,
 }
 
-/// Something done to the stage.
+/// An action on the emulated engines, the registry or the controllers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StageAction {
-    /// A fault of a stand-in, by its control port.
+    /// Sets a fault of an emulated engine through its control port.
     Fault {
-        /// Which engine.
+        /// Index of the engine.
         engine: usize,
-        /// As the control port names it.
+        /// The fault's name on the control port.
         kind: &'static str,
-        /// Its figure.
+        /// The fault's parameter, such as a slowdown factor or a probability.
         value: f64,
     },
-    /// The registry answers nobody for so many milliseconds.
+    /// The registry answers no requests for this many milliseconds.
     RegistryDown(i64),
-    /// The registry tells so many milliseconds later.
+    /// The registry publishes changes this many milliseconds late.
     RegistryStale(i64),
-    /// A controller's process is killed.
+    /// Kills a controller's process.
     KillController(usize),
-    /// It is started again.
+    /// Starts a killed controller again.
     StartController(usize),
-    /// A controller's process stands still.
+    /// Suspends a controller's process.
     StallController(usize),
-    /// It goes on.
+    /// Resumes a suspended controller.
     ResumeController(usize),
 }
 
-/// A trouble as it was drawn.
+/// A trouble of the script with all parameters drawn.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DrawnTrouble {
-    /// Its kind.
+    /// Its kind, as in the script.
     pub kind: String,
-    /// From, in microseconds from the day's start,
+    /// Start, in microseconds from the start of the day.
     pub from: i64,
-    /// to.
+    /// End, in microseconds from the start of the day.
     pub to: i64,
-    /// Its first figure,
+    /// First parameter; its meaning depends on the kind.
     pub size: f64,
-    /// and its second.
+    /// Second parameter; its meaning depends on the kind.
     pub extra: f64,
-    /// The engines or controllers it strikes.
+    /// Indexes of the engines or controllers that it affects.
     pub targets: Vec<usize>,
 }
 
-/// A day as it will be played.
+/// The schedule of a day.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// By time.
+    /// Queries, in order of their send times.
     pub arrivals: Vec<Arrival>,
-    /// By time.
+    /// Actions with their times in microseconds from the start of the day, in order.
     pub actions: Vec<(i64, StageAction)>,
-    /// Kind and speed of each engine.
+    /// Index of the kind, and the speed, of each engine.
     pub engines: Vec<(usize, f64)>,
-    /// For the report.
+    /// Troubles with their drawn parameters.
     pub troubles: Vec<DrawnTrouble>,
-    /// What goes wrong between controllers, in microseconds from the day's start.
+    /// Faults of the network between controllers, in microseconds from the start of the day.
     pub network_faults: FaultSchedule,
 }
 
-/// What a kind's figures are when its script leaves them out: size, extra, and the part it strikes.
+/// Ranges from which the parameters of a trouble are drawn when the script omits them: `size`, `extra`, and `part`, the
+/// share of engines or controllers that it affects.
 fn default_ranges(kind: &str) -> ([f64; 2], [f64; 2], [f64; 2]) {
     match kind {
         "crash" => ([0.0; 2], [0.0; 2], [0.1, 0.25]),
@@ -121,6 +123,7 @@
     }
 }
 
+/// Draws the troubles of a day and collects their actions.
 struct TroubleScheduler<'a> {
     day: &'a Day,
     rng: Pcg64Mcg,
@@ -136,7 +139,7 @@
         }
     }
 
-    /// So many of `n`, at least one.
+    /// Draws distinct indexes below `n`: the share `part` of them, but at least one.
     fn sample_indices(&mut self, n: usize, part: f64) -> Vec<usize> {
         let wanted = ((n as f64 * part).round() as usize).clamp(1, n);
         let mut all: Vec<usize> = (0..n).collect();
@@ -152,7 +155,7 @@
         self.actions.push((at, StageAction::Fault { engine, kind, value }));
     }
 
-    /// Draws what a trouble leaves out, and its blows.
+    /// Draws the parameters that the script omits, and schedules the trouble's actions.
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
     fn draw(&mut self, trouble: &Trouble) -> DrawnTrouble {
         let length = self.day.length.0 .0;
@@ -166,7 +169,7 @@
         let extra = trouble.extra.unwrap_or_else(|| self.uniform(extra));
         let part = trouble.part.unwrap_or_else(|| self.uniform(part)).clamp(0.0, 1.0);
         let (engines, controllers) = (self.day.engines, self.day.controllers);
-        let second = |s: f64| (s * 1e6) as i64;
+        let micros = |s: f64| (s * 1e6) as i64;
         let targets = match trouble.kind.as_str() {
             "balancer_roll" | "balancer_stall" => self.sample_indices(controllers, part),
             "zone_loss" => {
@@ -175,10 +178,10 @@
             }
             _ => self.sample_indices(engines, part),
         };
-        let push_for_duration = |kind: &'static str, value: f64, me: &mut Self| {
+        let push_for_duration = |kind: &'static str, value: f64, scheduler: &mut Self| {
             for e in targets.clone() {
-                me.push_fault(from, e, kind, value);
-                me.push_fault(to, e, kind, if kind == "slow" { 1.0 } else { 0.0 });
+                scheduler.push_fault(from, e, kind, value);
+                scheduler.push_fault(to, e, kind, if kind == "slow" { 1.0 } else { 0.0 });
             }
         };
         match trouble.kind.as_str() {
@@ -217,10 +220,10 @@
                 let step = duration / restarts.max(1) as i64;
                 for (i, e) in restarted.into_iter().enumerate() {
                     let at = if trouble.kind == "deploy" { from + step * i as i64 } else { from };
-                    let killed_at = at + second(size);
+                    let killed_at = at + micros(size);
                     self.push_fault(at, e, "drain", 1.0);
                     self.push_fault(killed_at, e, "kill", 1.0);
-                    self.push_fault(killed_at + second(extra.max(0.2)), e, "start", 1.0);
+                    self.push_fault(killed_at + micros(extra.max(0.2)), e, "start", 1.0);
                 }
             }
             "discovery_down" => self.actions.push((from, StageAction::RegistryDown((to - from) / 1000))),
@@ -233,16 +236,16 @@
                 for (i, c) in targets.iter().enumerate() {
                     let at = from + step * i as i64;
                     self.actions.push((at, StageAction::KillController(*c)));
-                    self.actions.push((at + second(size), StageAction::StartController(*c)));
+                    self.actions.push((at + micros(size), StageAction::StartController(*c)));
                 }
             }
             "balancer_stall" => {
                 for c in targets.clone() {
-                    let mut at = from + self.rng.random_range(0..second(extra.max(0.1)));
+                    let mut at = from + self.rng.random_range(0..micros(extra.max(0.1)));
                     while at < to {
                         self.actions.push((at, StageAction::StallController(c)));
-                        self.actions.push((at + second(size), StageAction::ResumeController(c)));
-                        at += second(size + extra.max(0.1));
+                        self.actions.push((at + micros(size), StageAction::ResumeController(c)));
+                        at += micros(size + extra.max(0.1));
                     }
                 }
             }
@@ -252,7 +255,7 @@
     }
 }
 
-/// One of several by weight.
+/// Draws an index with a probability proportional to its weight.
 fn choose_weighted(rng: &mut Pcg64Mcg, weights: &[f64]) -> usize {
     let total: f64 = weights.iter().sum();
     let mut remaining = rng.random::<f64>() * total;
@@ -265,14 +268,14 @@
     weights.len().saturating_sub(1)
 }
 
-/// A lognormal of mean 1 and this deviation.
+/// Lognormal distribution with mean 1 and this standard deviation.
 fn unit_mean_lognormal(deviation: f64) -> Option<LogNormal<f64>> {
     let sigma = (1.0 + deviation * deviation).ln().sqrt();
     LogNormal::new(-sigma * sigma / 2.0, sigma).ok()
 }
 
 impl Plan {
-    /// Draws a day. The same script and seed give the same plan.
+    /// Draws the schedule of a day. The same script and seed give the same plan.
     pub fn draw(day: &Day, seed: u64) -> Plan {
         let mut scheduler = TroubleScheduler { day, rng: Pcg64Mcg::seed_from_u64(seed), actions: Vec::new() };
         let shares: Vec<f64> = day.fleet.kinds.iter().map(|k| k.share).collect();
@@ -284,16 +287,18 @@
             .collect();
         let troubles: Vec<DrawnTrouble> = day.troubles.iter().map(|t| scheduler.draw(t)).collect();
         let TroubleScheduler { mut actions, .. } = scheduler;
-        // Traffic has a source of its own, so that a trouble more or less leaves it as it is.
+        // Traffic has its own random generator, so that adding or removing a trouble doesn't change the queries.
+        // The constant is "traffic" in ASCII.
         let rng = Pcg64Mcg::seed_from_u64(seed ^ 0x0074_7261_6666_6963);
         let arrivals = TrafficGenerator { day, troubles: &troubles, rng }.draw();
         actions.sort_by_key(|(at, _)| *at);
-        // A script whose roads can't be drawn was refused where it was read, or where its size was changed.
+        // A script with invalid `[[roads]]` entries was rejected when it was parsed or when its size was changed.
         let network_faults = day.timetable(seed).unwrap_or_default();
         Plan { arrivals, actions, engines, troubles, network_faults }
     }
 }
 
+/// Draws the queries of a day as a Poisson process whose rate follows the day's shape and troubles.
 struct TrafficGenerator<'a> {
     day: &'a Day,
     troubles: &'a [DrawnTrouble],
@@ -305,13 +310,13 @@
         self.troubles.iter().find(|t| t.kind == kind && (t.from..t.to).contains(&at))
     }
 
-    /// The rate at a time, as a multiple of the mean.
+    /// The arrival rate at a time, as a multiple of the script's rate.
     fn relative_rate(&self, at: i64) -> f64 {
-        let x = at as f64 / self.day.length.0 .0 as f64;
+        let progress = at as f64 / self.day.length.0 .0 as f64;
         let shape = match self.day.shape {
             Shape::Steady => 1.0,
-            Shape::Ramp => 0.5 + x,
-            Shape::Wave => 1.0 + (x * 4.0 * std::f64::consts::PI).sin() / 3.0,
+            Shape::Ramp => 0.5 + progress,
+            Shape::Wave => 1.0 + (progress * 4.0 * std::f64::consts::PI).sin() / 3.0,
         };
         shape * self.active_trouble("burst", at).map_or(1.0, |t| t.size)
     }
@@ -319,24 +324,24 @@
     fn draw(&mut self) -> Vec<Arrival> {
         let day = self.day;
         let length = day.length.0 .0;
-        let most =
+        let max_relative_rate =
             self.troubles.iter().filter(|t| t.kind == "burst").map(|t| t.size).fold(1.0, f64::max) * 1.5;
-        let works: Vec<_> = day.classes.iter().map(|c| unit_mean_lognormal(c.spread)).collect();
-        let errors: Vec<_> =
+        let work_factors: Vec<_> = day.classes.iter().map(|c| unit_mean_lognormal(c.spread)).collect();
+        let estimate_factors: Vec<_> =
             day.classes.iter().map(|c| c.estimate_error.and_then(unit_mean_lognormal)).collect();
-        let tables = Zipf::new(day.habits.groups.max(1) as f64, day.habits.zipf.max(0.0)).ok();
+        let table_groups = Zipf::new(day.habits.groups.max(1) as f64, day.habits.zipf.max(0.0)).ok();
         let (mut out, mut at) = (Vec::new(), 0.0);
         loop {
             let gap: f64 = Exp1.sample(&mut self.rng);
-            at += gap / (day.rate * most) * 1e6;
+            at += gap / (day.rate * max_relative_rate) * 1e6;
             if at >= length as f64 {
                 return out;
             }
             let at = at as i64;
-            if self.rng.random::<f64>() * most > self.relative_rate(at) {
+            if self.rng.random::<f64>() * max_relative_rate > self.relative_rate(at) {
                 continue;
             }
-            out.push(self.draw_arrival(at, &works, &errors, tables.as_ref()));
+            out.push(self.draw_arrival(at, &work_factors, &estimate_factors, table_groups.as_ref()));
         }
     }
 
@@ -344,15 +349,15 @@
     fn draw_arrival(
         &mut self,
         at: i64,
-        works: &[Option<LogNormal<f64>>],
-        errors: &[Option<LogNormal<f64>>],
-        tables: Option<&Zipf<f64>>,
+        work_factors: &[Option<LogNormal<f64>>],
+        estimate_factors: &[Option<LogNormal<f64>>],
+        table_groups: Option<&Zipf<f64>>,
     ) -> Arrival {
         let day = self.day;
         let mut shares: Vec<f64> = day.classes.iter().map(|c| c.share).collect();
         let heaviest = (0..shares.len()).max_by_key(|i| day.classes[*i].work).unwrap_or(0);
-        let shifted = self.troubles.iter().find(|t| t.kind == "shift" && t.from <= at);
-        shares[heaviest] *= shifted.map_or(1.0, |t| t.size);
+        let shift = self.troubles.iter().find(|t| t.kind == "shift" && t.from <= at);
+        shares[heaviest] *= shift.map_or(1.0, |t| t.size);
         let class = choose_weighted(&mut self.rng, &shares);
         let c = &day.classes[class];
         let tenant = (!day.tenants.is_empty()).then(|| {
@@ -360,26 +365,27 @@
             weights[0] *= self.active_trouble("tenant_burst", at).map_or(1.0, |t| t.size);
             choose_weighted(&mut self.rng, &weights)
         });
-        let of = |d: &Option<LogNormal<f64>>, rng: &mut Pcg64Mcg| d.as_ref().map_or(1.0, |d| d.sample(rng));
-        let work_factor = of(&works[class], &mut self.rng);
+        let sample_or_one =
+            |d: &Option<LogNormal<f64>>, rng: &mut Pcg64Mcg| d.as_ref().map_or(1.0, |d| d.sample(rng));
+        let work_factor = sample_or_one(&work_factors[class], &mut self.rng);
         let mean = c.work.0 .0 as f64 / 1e6;
         let mut work = mean * work_factor.min(30.0);
-        if let Some((times, share)) =
+        if let Some((multiple, share)) =
             self.active_trouble("heavy_tail", at).map(|t| (t.size, t.extra)).filter(|_| class == heaviest)
         {
             if self.rng.random::<f64>() < share {
-                work *= times;
+                work *= multiple;
             }
         }
-        let error = of(&errors[class], &mut self.rng);
-        let drawn = tables.map_or(1.0, |z| z.sample(&mut self.rng)) as u64;
-        let hot = self.active_trouble("hot_key", at).map(|t| (t.size, t.extra.round().max(1.0) as u64));
-        let table_group = match hot {
+        let estimate_factor = sample_or_one(&estimate_factors[class], &mut self.rng);
+        let drawn_group = table_groups.map_or(1.0, |z| z.sample(&mut self.rng)) as u64;
+        let hot_key = self.active_trouble("hot_key", at).map(|t| (t.size, t.extra.round().max(1.0) as u64));
+        let table_group = match hot_key {
             Some((share, groups)) if self.rng.random::<f64>() < share => self.rng.random_range(1..=groups),
-            _ => drawn,
+            _ => drawn_group,
         };
         let key = (c.keys > 0).then(|| self.rng.random_range(0..c.keys));
-        let part = {
+        let timeout_fraction = {
             let [low, high] = day.habits.patience;
             if high > low {
                 self.rng.random_range(low..high)
@@ -387,18 +393,19 @@
                 low
             }
         };
-        let timeout_us = (c.deadline.0 .0 as f64 * part.clamp(0.01, 1.0)) as i64;
+        let timeout_us = (c.deadline.0 .0 as f64 * timeout_fraction.clamp(0.01, 1.0)) as i64;
         let abandonment_probability =
             self.active_trouble("give_up", at).map_or(day.habits.leaves, |t| t.size);
-        let (leaves, when, cancels): (f64, f64, f64) = self.rng.random();
-        let abandonment = (leaves < abandonment_probability)
-            .then_some(((timeout_us as f64 * 0.5 * when * when) as i64, cancels < 0.5));
+        let (abandon_draw, delay_draw, cancel_draw): (f64, f64, f64) = self.rng.random();
+        let abandonment = (abandon_draw < abandonment_probability)
+            .then_some(((timeout_us as f64 * 0.5 * delay_draw * delay_draw) as i64, cancel_draw < 0.5));
         let controller_position = self.rng.random::<f64>();
-        // Keys keep to one controller, and to its order.
+        // All queries with one key go to the same controller, which keeps them in order. The factor, the golden ratio's
+        // fractional part, spreads consecutive keys evenly over the controllers.
         let controller_position = key.map_or(controller_position, |k| (k as f64 * 0.618_033_988_75).fract());
-        let hot = self.active_trouble("hot_caller", at).map(|t| t.size);
+        let hot_caller = self.active_trouble("hot_caller", at).map(|t| t.size);
         let controller_position =
-            if key.is_none() && hot.is_some_and(|share| self.rng.random::<f64>() < share) {
+            if key.is_none() && hot_caller.is_some_and(|share| self.rng.random::<f64>() < share) {
                 0.0
             } else {
                 controller_position
@@ -409,7 +416,7 @@
             tenant,
             controller_position,
             work,
-            estimate: c.estimate_error.map(|_| work * error),
+            estimate: c.estimate_error.map(|_| work * estimate_factor),
             memory_mb: c.memory.map_or(0.0, |m| m.0 as f64 / 1_048_576.0) * work_factor.sqrt(),
             table_group,
             key,
