--- a/crates/testbed/examples/scale.rs
+++ b/crates/testbed/examples/scale.rs
@@ -1,7 +1,8 @@
-//! What the module costs for each query by the number of engines and of controllers, as a table and a plot.
+//! Measures the CPU cost per query of the driver and its policy module for several numbers of engines and controllers, and
+//! writes a table and a plot.
 //!
-//! `cargo run --release -p wheelfield-testbed --example scale -- DAY.toml PLOT.svg`: a day in virtual time, at loads that keep
-//! what an engine has to do the same; the time that drivers (with their modules) take is summed by a clock around each call.
+//! Usage: `cargo run --release -p wheelfield-testbed --example scale -- DAY.toml PLOT.svg`. Plays the day in virtual time, at
+//! a query rate proportional to the number of engines. The cost is the wall-clock time spent in calls of the drivers.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,25 +11,26 @@
 use wheelfield_driver::{Arrival, AttemptId, CapacityExceeded, Driver, DriverLimits, Input, Instruction};
 use wheelfield_testbed::day::Day;
 use wheelfield_testbed::plan::Plan;
-use wheelfield_testbed::report::{lines, Line, Plot};
+use wheelfield_testbed::report::{draw_lines, Line, Plot};
 use wheelfield_testbed::virtual_time::mind::DecisionEngine;
 use wheelfield_testbed::virtual_time::{play_with, Conditions};
 
-struct Timed {
+/// A driver that measures the time spent in its calls.
+struct TimedDriver {
     driver: Driver,
     spent: Rc<Cell<Duration>>,
 }
 
-impl Timed {
-    fn time<T>(&mut self, what: impl FnOnce(&mut Driver) -> T) -> T {
+impl TimedDriver {
+    fn time<T>(&mut self, call: impl FnOnce(&mut Driver) -> T) -> T {
         let began = Instant::now();
-        let done = what(&mut self.driver);
+        let result = call(&mut self.driver);
         self.spent.set(self.spent.get() + began.elapsed());
-        done
+        result
     }
 }
 
-impl DecisionEngine for Timed {
+impl DecisionEngine for TimedDriver {
     fn submit(
         &mut self,
         now: Micros,
@@ -57,47 +59,47 @@
     }
 }
 
-/// Microseconds of the module for each query, and queries.
-fn cost(day: &Day, engines: usize, controllers: usize) -> (f64, usize) {
+/// Returns the microseconds per query, and the number of queries.
+fn cost_per_query(day: &Day, engines: usize, controllers: usize) -> (f64, usize) {
     let mut day = day.clone();
     day.rate *= engines as f64 / day.engines as f64;
     (day.engines, day.controllers) = (engines, controllers);
     let plan = Plan::draw(&day, 1);
     let spent = Rc::new(Cell::new(Duration::ZERO));
-    let minds = |settings: Settings, seed: u64| -> Box<dyn DecisionEngine> {
+    let create_driver = |settings: Settings, seed: u64| -> Box<dyn DecisionEngine> {
         let driver = Driver::new(settings, seed, DriverLimits::default());
-        Box::new(Timed { driver, spent: spent.clone() })
+        Box::new(TimedDriver { driver, spent: spent.clone() })
     };
-    let played =
-        play_with(&day, &plan, 1, &minds, Conditions::default()).unwrap_or_else(|fault| panic!("{fault}"));
+    let played = play_with(&day, &plan, 1, &create_driver, Conditions::default())
+        .unwrap_or_else(|error| panic!("{error}"));
     (spent.get().as_secs_f64() * 1e6 / played.tries.len().max(1) as f64, played.tries.len())
 }
 
 fn main() {
     let mut args = std::env::args().skip(1);
     let (Some(file), Some(plot)) = (args.next(), args.next()) else {
-        eprintln!("scale DAY.toml PLOT.svg");
+        eprintln!("usage: scale DAY.toml PLOT.svg");
         std::process::exit(2);
     };
-    let text = std::fs::read_to_string(&file).unwrap_or_else(|fault| panic!("{file}: {fault}"));
-    let day = Day::parse(&file, &text).unwrap_or_else(|fault| panic!("{fault}"));
+    let text = std::fs::read_to_string(&file).unwrap_or_else(|error| panic!("{file}: {error}"));
+    let day = Day::parse(&file, &text).unwrap_or_else(|error| panic!("{error}"));
     let mut all = Vec::new();
     for controllers in [1, 24, 180] {
         let mut points = Vec::new();
         for engines in [8, 20, 41, 100, 200, 400] {
-            let (us, tries) = cost(&day, engines, controllers);
+            let (us, tries) = cost_per_query(&day, engines, controllers);
             println!("| {controllers} | {engines} | {tries} | {us:.1} |");
             points.push((engines as f64, us));
         }
-        all.push(Line { name: format!("{controllers} controllers"), points, bars: Vec::new() });
+        all.push(Line { name: format!("{controllers} controllers"), points, error_bars: Vec::new() });
     }
     let p = Plot {
-        title: "driver and module, microseconds a query",
-        x: "engines",
-        y: "us a query",
-        log: true,
+        title: "driver and module, microseconds per query",
+        x_label: "engines",
+        y_label: "us per query",
+        is_log_scale: true,
         ..Plot::default()
     };
-    let svg = lines(&p, &all).unwrap_or_else(|fault| panic!("{fault}"));
-    std::fs::write(&plot, svg).unwrap_or_else(|fault| panic!("{plot}: {fault}"));
+    let svg = draw_lines(&p, &all).unwrap_or_else(|error| panic!("{error}"));
+    std::fs::write(&plot, svg).unwrap_or_else(|error| panic!("{plot}: {error}"));
 }
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -1,5 +1,5 @@
-//! Experiments: many days by many seeds of several variants, in an order that machine drift can't favour one, resumed
-//! where they were stopped.
+//! Experiments: plays each combination of day, size, seed and variant, and compares the variants. Runs are ordered so that
+//! a drift of the machine's speed affects all variants alike. An interrupted experiment resumes with the missing runs.
 
 use crate::day::Day;
 use crate::plan::Plan;
@@ -17,7 +17,7 @@
 use std::sync::Mutex;
 use wheelfield_config::ConfigError;
 
-/// Runs of an experiment at most.
+/// Maximum number of runs of an experiment.
 const MAX_RUNS: usize = 20_000;
 
 /// Where days are played.
@@ -31,36 +31,36 @@
     Sockets,
 }
 
-/// One of the things that are compared.
+/// One of the configurations that an experiment compares.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Variant {
-    /// Its name.
+    /// Name of the variant, unique in the experiment.
     pub name: String,
-    /// What decides, in virtual time.
+    /// Routing policy of the controllers, in virtual time; the gateway module if empty.
     #[serde(default)]
     pub policy: String,
-    /// The folder of the programs, on sockets; if left out, those beside the laboratory.
+    /// Directory of the programs for runs on sockets; by default the directory of this program.
     pub programs: Option<PathBuf>,
-    /// Tables of the day that it replaces, key by key: `set.means.cancel = false`.
+    /// Settings of the day that this variant overrides, merged key by key: `set.means.cancel = false`.
     #[serde(default)]
     pub set: toml::Table,
 }
 
-/// A size at which all is played.
+/// A scale at which all days and variants are played. Its `Debug` output is part of [`Run::fingerprint`].
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Size {
-    /// The day's rate times this.
+    /// Multiplier of the day's query rate.
     pub load: Option<f64>,
-    /// Engines.
+    /// Number of engines, if not the day's.
     pub engines: Option<usize>,
-    /// Controllers.
+    /// Number of controllers, if not the day's.
     pub controllers: Option<usize>,
 }
 
 impl Size {
-    fn name(&self) -> String {
+    fn label(&self) -> String {
         let mut parts = Vec::new();
         parts.extend(self.load.map(|x| format!("x{x}")));
         parts.extend(self.engines.map(|n| format!("{n} engines")));
@@ -73,81 +73,94 @@
     }
 }
 
-/// An experiment as its file tells it.
+/// An experiment as described by its file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Its name.
+    /// Name of the experiment, the title of its report.
     pub name: String,
-    /// Where.
+    /// Whether days are played in virtual time or on sockets.
     #[serde(default)]
     pub mode: Mode,
-    /// Days: names of built-in ones, or files beside this one.
+    /// Names of built-in days, or files in the directory of the experiment's file.
     pub days: Vec<String>,
-    /// The first seed,
-    #[serde(default = "one")]
+    /// The first seed.
+    #[serde(default = "default_first_seed")]
     pub first_seed: u64,
-    /// and how many.
+    /// Number of consecutive seeds.
     pub seeds: u64,
-    /// What is compared; the first is what the others are compared with.
+    /// Variants; the first is the baseline of the comparisons.
     pub variants: Vec<Variant>,
-    /// Sizes.
-    #[serde(default = "one_size")]
+    /// Sizes; by default the day's own size alone.
+    #[serde(default = "default_sizes")]
     pub sizes: Vec<Size>,
 }
 
-fn one() -> u64 {
+fn default_first_seed() -> u64 {
     1
 }
 
-fn one_size() -> Vec<Size> {
+fn default_sizes() -> Vec<Size> {
     vec![Size::default()]
 }
 
 impl Experiment {
-    /// Reads a file.
+    /// Parses and validates the text of an experiment's file.
     ///
     /// # Errors
     /// The first [`ConfigError`] found.
     pub fn parse(name: &str, text: &str) -> Result<Experiment, ConfigError> {
-        let e: Experiment = toml::from_str(text).map_err(|e| ConfigError::from_toml(name, text, &e))?;
-        let at = |what: &str| text.find(what).unwrap_or(0);
-        let wrong =
-            |what: &str, fault: String, mend: &str| Err(ConfigError::at(name, text, at(what), fault, mend));
-        if e.days.is_empty() || e.variants.is_empty() || e.seeds == 0 || e.sizes.is_empty() {
-            return wrong(
+        let experiment: Experiment =
+            toml::from_str(text).map_err(|e| ConfigError::from_toml(name, text, &e))?;
+        let position = |key: &str| text.find(key).unwrap_or(0);
+        let invalid = |key: &str, error: String, hint: &str| {
+            Err(ConfigError::at(name, text, position(key), error, hint))
+        };
+        if experiment.days.is_empty()
+            || experiment.variants.is_empty()
+            || experiment.seeds == 0
+            || experiment.sizes.is_empty()
+        {
+            return invalid(
                 "name",
-                "no day, no variant, no seed or no size".into(),
-                "name at least one of each",
+                "an experiment needs days, variants, seeds and sizes".into(),
+                "give at least one of each",
             );
         }
-        let runs = e.days.len() as u64 * e.variants.len() as u64 * e.sizes.len() as u64;
-        if runs.saturating_mul(e.seeds) > MAX_RUNS as u64 {
-            return wrong("seeds", format!("more than {MAX_RUNS} runs"), "ask for fewer");
+        let runs =
+            experiment.days.len() as u64 * experiment.variants.len() as u64 * experiment.sizes.len() as u64;
+        if runs.saturating_mul(experiment.seeds) > MAX_RUNS as u64 {
+            return invalid(
+                "seeds",
+                format!("more than {MAX_RUNS} runs"),
+                "reduce the days, variants, sizes or seeds",
+            );
         }
-        let names: BTreeSet<&str> = e.variants.iter().map(|v| v.name.as_str()).collect();
-        if names.len() < e.variants.len() {
-            return wrong("[[variants]]", "two variants have one name".into(), "rename one");
+        let names: BTreeSet<&str> = experiment.variants.iter().map(|v| v.name.as_str()).collect();
+        if names.len() < experiment.variants.len() {
+            return invalid("[[variants]]", "two variants have the same name".into(), "rename one");
         }
-        for v in &e.variants {
-            if policy(&v.policy).is_none() {
-                let fault = format!("no policy is named `{}`", v.policy);
-                return wrong(&format!("\"{}\"", v.policy), fault, "known: module, random, least, pool");
+        for v in &experiment.variants {
+            if parse_policy(&v.policy).is_none() {
+                let error = format!("no policy is named `{}`", v.policy);
+                return invalid(&format!("\"{}\"", v.policy), error, "known: module, random, least, pool");
             }
-            if e.mode == Mode::Sockets && !v.policy.is_empty() && v.policy != "module" {
-                let fault = format!("`{}` is for virtual time alone", v.policy);
-                return wrong(&format!("\"{}\"", v.policy), fault, "write mode = \"virtual\"");
+            if experiment.mode == Mode::Sockets && !v.policy.is_empty() && v.policy != "module" {
+                let error = format!("policy `{}` works only in virtual time", v.policy);
+                return invalid(&format!("\"{}\"", v.policy), error, "write mode = \"virtual\"");
             }
         }
-        if let Some(size) = e.sizes.iter().find(|s| s.load.is_some_and(|x| !(x > 0.0 && x <= 1000.0))) {
-            let fault = format!("a load of {}", size.load.unwrap_or_default());
-            return wrong("load", fault, "write above 0, at most 1000 times the day's rate");
+        if let Some(size) =
+            experiment.sizes.iter().find(|s| s.load.is_some_and(|x| !(x > 0.0 && x <= 1000.0)))
+        {
+            let error = format!("a load of {}", size.load.unwrap_or_default());
+            return invalid("load", error, "write above 0, at most 1000 times the day's rate");
         }
-        Ok(e)
+        Ok(experiment)
     }
 }
 
-fn policy(name: &str) -> Option<Policy> {
+fn parse_policy(name: &str) -> Option<Policy> {
     use clap::ValueEnum as _;
     if name.is_empty() {
         return Some(Policy::Module);
@@ -155,36 +168,38 @@
     Policy::from_str(name, false).ok()
 }
 
-/// One run.
+/// Identifies one run of an experiment.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Key {
-    /// The day.
+    /// Name of the day.
     pub day: String,
-    /// The size.
+    /// Label of the size.
     pub size: String,
-    /// The seed.
+    /// Seed of the day.
     pub seed: u64,
-    /// The variant.
+    /// Name of the variant.
     pub variant: String,
 }
 
-/// What came of a run, as a line of the results.
+/// Result of one run, stored as one line of `runs.jsonl`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Run {
-    /// Which.
+    /// Identity of the run.
     pub key: Key,
-    /// Its order in the file.
+    /// Position of the run in the experiment's execution order.
     pub order: usize,
-    /// What it was played with; results of another day, size or variant under the same names are not taken for it.
-    pub print: u32,
-    /// Its figures by name.
-    pub figures: BTreeMap<String, f64>,
-    /// Its course, of the first seed.
+    /// Checksum of the day, size and variant that were played; tells apart runs that differ only in what their names stand for.
+    #[serde(rename = "print")]
+    pub fingerprint: u32,
+    /// Metrics by name.
+    #[serde(rename = "figures")]
+    pub metrics: BTreeMap<String, f64>,
+    /// Time series, kept for the first seed only.
     pub series: Option<Series>,
 }
 
-/// Figures of a report, and whether higher is better.
-pub const FIGURES: [(&str, bool); 9] = [
+/// Metrics of a report, and whether higher is better.
+pub const METRICS: [(&str, bool); 9] = [
     ("service", true),
     ("goodput_per_s", true),
     ("served", true),
@@ -196,28 +211,29 @@
     ("broken_rules", false),
 ];
 
-/// Whether more of a figure is better; services of classes are named after them.
-fn higher_is_better(figure: &str) -> bool {
-    figure.starts_with("service") || FIGURES.iter().any(|(name, higher)| *name == figure && *higher)
+/// Whether a higher value of a metric is better. The service of each class is a metric named `service CLASS`.
+fn higher_is_better(metric: &str) -> bool {
+    metric.starts_with("service") || METRICS.iter().any(|(name, higher)| *name == metric && *higher)
 }
 
-fn figures(day: &Day, report: &Report, series: &Series) -> BTreeMap<String, f64> {
+fn collect_metrics(day: &Day, report: &Report, series: &Series) -> BTreeMap<String, f64> {
     let mut all = BTreeMap::new();
     let seconds = day.length.0 .0 as f64 / 1e6;
     let mut put = |name: &str, x: f64| {
         all.insert(name.to_string(), x);
     };
     let share = |n: u64| n as f64 / report.queries.max(1) as f64;
-    let wanted: f64 = series.wanted.iter().zip(&series.service).map(|(n, s)| f64::from(*n) * s).sum();
+    let served_in_time: f64 =
+        series.queries_due.iter().zip(&series.service).map(|(n, s)| f64::from(*n) * s).sum();
     put("service", report.service);
-    put("goodput_per_s", wanted / seconds.max(1e-9));
+    put("goodput_per_s", served_in_time / seconds.max(1e-9));
     put("served", share(report.served));
     put("refused", share(report.refused));
     put("failed", share(report.failed));
     put("unanswered", share(report.unanswered));
     put("broken_rules", report.rules.values().sum::<u64>() as f64);
     let at = |q: f64| series.latency_ms.iter().find(|(s, _)| *s == q).map_or(f64::NAN, |(_, ms)| *ms);
-    // A day on which nothing was served has no latency.
+    // The latency is undefined if no query was served.
     [("p50_ms", 0.5), ("p99_ms", 0.99)]
         .iter()
         .map(|(n, q)| (*n, at(*q)))
@@ -227,21 +243,21 @@
     all
 }
 
-/// A run that is to be done.
-struct Todo {
+/// A run to be executed.
+struct PendingRun {
     key: Key,
     order: usize,
-    print: u32,
+    fingerprint: u32,
     day: Day,
     policy: Policy,
     programs: Option<PathBuf>,
-    draw: bool,
+    keep_series: bool,
 }
 
-fn merge(into: &mut toml::Table, from: &toml::Table) {
+fn merge_tables(into: &mut toml::Table, from: &toml::Table) {
     for (key, value) in from {
         match (into.get_mut(key), value) {
-            (Some(toml::Value::Table(old)), toml::Value::Table(new)) => merge(old, new),
+            (Some(toml::Value::Table(old)), toml::Value::Table(new)) => merge_tables(old, new),
             _ => {
                 into.insert(key.clone(), value.clone());
             }
@@ -249,40 +265,41 @@
     }
 }
 
-/// All runs, in the order in which they are done: by seed, then day and size, and the variants of each side by side, in
-/// turn from another one on.
-fn todo(e: &Experiment, read: &dyn Fn(&str) -> Result<String>) -> Result<Vec<Todo>> {
+/// All runs, in execution order: by seed, day and size. The variants of one seed, day and size run one after the other, and
+/// the variant that runs first changes with each seed.
+fn pending_runs(experiment: &Experiment, read: &dyn Fn(&str) -> Result<String>) -> Result<Vec<PendingRun>> {
     let mut texts = BTreeMap::new();
-    for name in &e.days {
+    for name in &experiment.days {
         texts.insert(name.clone(), read(name)?);
     }
     let mut all = Vec::new();
-    for seed in e.first_seed..e.first_seed.saturating_add(e.seeds) {
-        for name in &e.days {
-            for size in &e.sizes {
-                for turn in 0..e.variants.len() {
-                    let v = &e.variants[(turn + seed as usize) % e.variants.len()];
+    for seed in experiment.first_seed..experiment.first_seed.saturating_add(experiment.seeds) {
+        for name in &experiment.days {
+            for size in &experiment.sizes {
+                for offset in 0..experiment.variants.len() {
+                    let v = &experiment.variants[(offset + seed as usize) % experiment.variants.len()];
                     let mut table: toml::Table = toml::from_str(&texts[name])
                         .map_err(|f| ConfigError::from_toml(name, &texts[name], &f))?;
-                    merge(&mut table, &v.set);
-                    let text = toml::to_string(&table).context("a day can't be written")?;
+                    merge_tables(&mut table, &v.set);
+                    let text = toml::to_string(&table)
+                        .context("cannot serialize a day after merging a variant's settings")?;
                     let mut day = Day::parse(&format!("{name} of variant {}", v.name), &text)?;
                     day.rate *= size.load.unwrap_or(1.0);
                     day.engines = size.engines.unwrap_or(day.engines).clamp(1, 10_000);
                     day.controllers = size.controllers.unwrap_or(day.controllers).clamp(1, 10_000);
-                    // Guards against roads that name controllers which this size does not have, and would be left out.
+                    // Rejects `[[roads]]` entries that name controllers which don't exist at this size.
                     day.timetable(seed)
-                        .map_err(|fault| anyhow::anyhow!("{name} at {}: {fault}", size.name()))?;
+                        .map_err(|error| anyhow::anyhow!("{name} at {}: {error}", size.label()))?;
                     let programs = v.programs.as_ref().map(|p| p.display().to_string()).unwrap_or_default();
-                    let what = format!("{text}{size:?}{}{programs}{:?}", v.policy, e.mode);
-                    all.push(Todo {
-                        key: Key { day: name.clone(), size: size.name(), seed, variant: v.name.clone() },
+                    let identity = format!("{text}{size:?}{}{programs}{:?}", v.policy, experiment.mode);
+                    all.push(PendingRun {
+                        key: Key { day: name.clone(), size: size.label(), seed, variant: v.name.clone() },
                         order: all.len(),
-                        print: crc32fast::hash(what.as_bytes()),
+                        fingerprint: crc32fast::hash(identity.as_bytes()),
                         day,
-                        policy: policy(&v.policy).unwrap_or_default(),
+                        policy: parse_policy(&v.policy).unwrap_or_default(),
                         programs: v.programs.clone(),
-                        draw: seed == e.first_seed,
+                        keep_series: seed == experiment.first_seed,
                     });
                 }
             }
@@ -291,11 +308,11 @@
     Ok(all)
 }
 
-/// Results that are at hand. A last line that was torn is left out; another one that can't be read is a fault.
+/// Reads recorded results. A last line that is incomplete is skipped.
 ///
 /// # Errors
-/// With the number of the line.
-pub fn load(path: &Path) -> Result<Vec<Run>> {
+/// If the file or one of its other lines can't be read; the error names the line.
+pub fn load_runs(path: &Path) -> Result<Vec<Run>> {
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(Vec::new()),
@@ -303,21 +320,21 @@
     };
     let mut runs = Vec::new();
     for (n, line) in text.split_inclusive('\n').enumerate() {
-        // Without its end a line is torn, even where it reads as whole: the next run is written over it.
+        // A line without a newline is incomplete, even if it parses: the next run overwrites it.
         if !line.ends_with('\n') {
             break;
         }
         match serde_json::from_str(line) {
             Ok(run) => runs.push(run),
-            Err(fault) => {
-                bail!("{}:{}: {fault}; remove that line, and its run is done anew", path.display(), n + 1)
+            Err(error) => {
+                bail!("{}:{}: {error}; remove that line to repeat its run", path.display(), n + 1)
             }
         }
     }
     Ok(runs)
 }
 
-fn do_one(t: &Todo, mode: Mode) -> Result<Run> {
+fn execute_run(t: &PendingRun, mode: Mode) -> Result<Run> {
     let (report, series) = match mode {
         Mode::Virtual => {
             let plan = Plan::draw(&t.day, t.key.seed);
@@ -339,35 +356,35 @@
             play::play_with_series(&t.day, &options)?
         }
     };
-    let figures = figures(&t.day, &report, &series);
-    let series = t.draw.then_some(series);
-    Ok(Run { key: t.key.clone(), order: t.order, print: t.print, figures, series })
+    let metrics = collect_metrics(&t.day, &report, &series);
+    let series = t.keep_series.then_some(series);
+    Ok(Run { key: t.key.clone(), order: t.order, fingerprint: t.fingerprint, metrics, series })
 }
 
-/// Does what is not done yet, and gives all results. Each run is a line of `runs.jsonl`, written through to the disk as it
-/// ends. `jobs` days at once in virtual time; one at a time on sockets.
+/// Executes the runs that have no recorded result, and returns all results. Each result is appended to `runs.jsonl` and
+/// synced to disk when its run ends. Runs up to `jobs` days at once in virtual time, and one at a time on sockets.
 ///
 /// # Errors
 /// If a day can't be read or played, or results can't be written.
 #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
 pub fn run(
-    e: &Experiment,
+    experiment: &Experiment,
     dir: &Path,
     jobs: usize,
     read: &dyn Fn(&str) -> Result<String>,
     progress: &mut dyn FnMut(usize, usize, &Key),
 ) -> Result<Vec<Run>> {
-    std::fs::create_dir_all(dir).with_context(|| format!("cannot make {}", dir.display()))?;
+    std::fs::create_dir_all(dir).with_context(|| format!("cannot create {}", dir.display()))?;
     let path = dir.join("runs.jsonl");
-    let todo = todo(e, read)?;
+    let pending = pending_runs(experiment, read)?;
     let mut done: BTreeMap<Key, Run> = BTreeMap::new();
-    let wanted: BTreeMap<&Key, u32> = todo.iter().map(|t| (&t.key, t.print)).collect();
-    let at_hand = load(&path)?;
-    for run in at_hand {
-        match wanted.get(&run.key) {
-            Some(print) => ensure!(
-                *print == run.print,
-                "{} holds {:?}, played from another day or variant of that name; use another --out",
+    let expected: BTreeMap<&Key, u32> = pending.iter().map(|t| (&t.key, t.fingerprint)).collect();
+    let recorded = load_runs(&path)?;
+    for run in recorded {
+        match expected.get(&run.key) {
+            Some(fingerprint) => ensure!(
+                *fingerprint == run.fingerprint,
+                "{} holds a result of {:?} that was played with a different day, size or variant of that name; use another --out",
                 path.display(),
                 run.key
             ),
@@ -375,37 +392,41 @@
         }
         done.insert(run.key.clone(), run);
     }
-    // Lines are written whole, so a torn end can only be the last; it is cut off.
+    // Only the last line can be incomplete, after an interrupted write; it is truncated.
     let text = std::fs::read_to_string(&path).unwrap_or_default();
-    let whole = text.rfind('\n').map_or(0, |n| n + 1);
+    let complete_bytes = text.rfind('\n').map_or(0, |n| n + 1);
     let mut out = std::fs::OpenOptions::new().create(true).append(true).open(&path)?;
-    out.set_len(whole as u64)?;
-    let all = todo.len();
-    let rest: VecDeque<Todo> = todo.into_iter().filter(|t| !done.contains_key(&t.key)).collect();
-    let left = Mutex::new(rest);
-    let jobs = if e.mode == Mode::Sockets { 1 } else { jobs.max(1) };
+    out.set_len(complete_bytes as u64)?;
+    let all = pending.len();
+    let remaining: VecDeque<PendingRun> =
+        pending.into_iter().filter(|t| !done.contains_key(&t.key)).collect();
+    let queue = Mutex::new(remaining);
+    let jobs = if experiment.mode == Mode::Sockets { 1 } else { jobs.max(1) };
     std::thread::scope(|scope| -> Result<()> {
-        let (tell, heard) = channel();
+        let (sender, receiver) = channel();
         for _ in 0..jobs {
-            let (tell, left) = (tell.clone(), &left);
+            let (sender, queue) = (sender.clone(), &queue);
             scope.spawn(move || loop {
-                let next = left.lock().ok().and_then(|mut l| l.pop_front());
+                let next = queue.lock().ok().and_then(|mut l| l.pop_front());
                 let Some(t) = next else { return };
-                if tell.send(do_one(&t, e.mode).with_context(|| format!("{:?}", t.key))).is_err() {
+                if sender
+                    .send(execute_run(&t, experiment.mode).with_context(|| format!("{:?}", t.key)))
+                    .is_err()
+                {
                     return;
                 }
             });
         }
-        drop(tell);
-        for run in heard {
+        drop(sender);
+        for run in receiver {
             let run = match run {
                 Ok(run) => run,
-                Err(fault) => {
-                    // The others end with the run that they are at.
-                    if let Ok(mut l) = left.lock() {
+                Err(error) => {
+                    // The other threads end after their current run.
+                    if let Ok(mut l) = queue.lock() {
                         l.clear();
                     }
-                    return Err(fault);
+                    return Err(error);
                 }
             };
             let mut line = serde_json::to_string(&run)?;
@@ -422,61 +443,63 @@
     Ok(runs)
 }
 
-/// A figure of a day and size, for one variant and beside the first.
+/// Summary of one metric for one day, size and variant.
 #[derive(Clone, Debug, Serialize)]
-pub struct Cell {
-    /// The day.
+pub struct MetricSummary {
+    /// Name of the day.
     pub day: String,
-    /// The size.
+    /// Label of the size.
     pub size: String,
-    /// The variant.
+    /// Name of the variant.
     pub variant: String,
-    /// The figure.
-    pub figure: String,
-    /// Its mean.
+    /// Name of the metric.
+    #[serde(rename = "figure")]
+    pub metric: String,
+    /// Mean over all seeds.
     pub mean: Interval,
-    /// Beside the first variant; none for that itself.
+    /// Comparison with the baseline; none for the baseline itself.
     pub compared: Option<Compared>,
 }
 
-type Cells = BTreeMap<(String, String), BTreeMap<String, BTreeMap<u64, BTreeMap<String, f64>>>>;
+/// Metrics by day and size, variant, seed and metric name.
+type GroupedMetrics = BTreeMap<(String, String), BTreeMap<String, BTreeMap<u64, BTreeMap<String, f64>>>>;
 
-fn cells(runs: &[Run]) -> Cells {
-    let mut all = Cells::new();
+fn group_metrics(runs: &[Run]) -> GroupedMetrics {
+    let mut all = GroupedMetrics::new();
     for run in runs {
         let by_variant = all.entry((run.key.day.clone(), run.key.size.clone())).or_default();
-        by_variant.entry(run.key.variant.clone()).or_default().insert(run.key.seed, run.figures.clone());
+        by_variant.entry(run.key.variant.clone()).or_default().insert(run.key.seed, run.metrics.clone());
     }
     all
 }
 
-/// Figures of one variant beside those of another, by the seeds that both have.
-fn paired(
+/// Values of a metric for two variants, for the seeds that both have.
+fn paired_values(
     a: &BTreeMap<u64, BTreeMap<String, f64>>,
     b: &BTreeMap<u64, BTreeMap<String, f64>>,
-    figure: &str,
+    metric: &str,
 ) -> (Vec<f64>, Vec<f64>) {
-    a.iter().filter_map(|(seed, one)| Some((*one.get(figure)?, *b.get(seed)?.get(figure)?))).unzip()
+    a.iter().filter_map(|(seed, one)| Some((*one.get(metric)?, *b.get(seed)?.get(metric)?))).unzip()
 }
 
-/// All figures of all variants, each beside the first.
-pub fn summarize(runs: &[Run], first: &str) -> Vec<Cell> {
+/// Summarizes all metrics of all variants, each compared with the variant `baseline`.
+pub fn summarize(runs: &[Run], baseline: &str) -> Vec<MetricSummary> {
     let mut out = Vec::new();
-    for ((day, size), variants) in cells(runs) {
-        let base = variants.get(first);
+    for ((day, size), variants) in group_metrics(runs) {
+        let baseline_seeds = variants.get(baseline);
         for (variant, seeds) in &variants {
             let names: BTreeSet<&String> = seeds.values().flat_map(BTreeMap::keys).collect();
-            for figure in names {
-                let xs: Vec<f64> = seeds.values().filter_map(|f| f.get(figure).copied()).collect();
-                let compared = base.filter(|_| variant != first).map(|base| {
-                    let (a, b) = paired(base, seeds, figure);
-                    compare(&a, &b, higher_is_better(figure), 1)
+            for metric in names {
+                let xs: Vec<f64> = seeds.values().filter_map(|f| f.get(metric).copied()).collect();
+                let compared = baseline_seeds.filter(|_| variant != baseline).map(|baseline_seeds| {
+                    let (a, b) = paired_values(baseline_seeds, seeds, metric);
+                    compare(&a, &b, higher_is_better(metric), 1)
                 });
-                out.push(Cell {
+                out.push(MetricSummary {
                     day: day.clone(),
                     size: size.clone(),
                     variant: variant.clone(),
-                    figure: figure.clone(),
+                    metric: metric.clone(),
                     mean: bootstrap(&xs, 1),
                     compared,
                 });
@@ -486,28 +509,29 @@
     out
 }
 
-/// The same variants of two experiments beside each other, paired by day, size, variant and seed.
-pub fn compare_runs(one: &[Run], other: &[Run]) -> Vec<Cell> {
-    let (one, other) = (cells(one), cells(other));
+/// Compares each variant of one experiment with the same variant of another, paired by day, size, variant and seed.
+pub fn compare_runs(one: &[Run], other: &[Run]) -> Vec<MetricSummary> {
+    let (one, other) = (group_metrics(one), group_metrics(other));
     let mut out = Vec::new();
     for ((day, size), variants) in &other {
         for (variant, seeds) in variants {
-            let Some(base) = one.get(&(day.clone(), size.clone())).and_then(|v| v.get(variant)) else {
+            let Some(baseline_seeds) = one.get(&(day.clone(), size.clone())).and_then(|v| v.get(variant))
+            else {
                 continue;
             };
             let names: BTreeSet<&String> = seeds.values().flat_map(BTreeMap::keys).collect();
-            for figure in names {
-                let (a, b) = paired(base, seeds, figure);
+            for metric in names {
+                let (a, b) = paired_values(baseline_seeds, seeds, metric);
                 if a.is_empty() {
                     continue;
                 }
-                out.push(Cell {
+                out.push(MetricSummary {
                     day: day.clone(),
                     size: size.clone(),
                     variant: variant.clone(),
-                    figure: figure.clone(),
+                    metric: metric.clone(),
                     mean: bootstrap(&b, 1),
-                    compared: Some(compare(&a, &b, higher_is_better(figure), 1)),
+                    compared: Some(compare(&a, &b, higher_is_better(metric), 1)),
                 });
             }
         }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! `wheelfield-testbed`: scripted days on real processes, judged from their logs.
+//! `wheelfield-testbed`: plays scripted days of traffic and faults, and checks them against the invariants.
 
 use anyhow::{Context, Result};
 use clap::{Args, Parser, Subcommand};
@@ -21,9 +21,9 @@
 use wheelfield_testbed::virtual_time::mind::Policy;
 use wheelfield_testbed::{measure, report};
 
-/// Scripted days of traffic and troubles on real processes, judged from what crossed their sockets.
+/// Plays scripted days of traffic and faults on real processes or in virtual time, and checks the recorded events.
 ///
-/// Exit codes: 0 all rules kept, 1 a rule broken or the day fell through, 2 bad use.
+/// Exit codes: 0 no violation, 1 a rule was violated or the run failed, 2 invalid arguments or input.
 #[derive(Parser)]
 #[command(name = "wheelfield-testbed", version)]
 struct Cli {
@@ -33,43 +33,43 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays a day and judges the seven rules; without a file, a bad day of about 30 s.
+    /// Plays a day and checks the seven rules; without a file, the built-in day `bad` of about 30 s.
     Day(DayArgs),
-    /// Starts stand-in engines and one controller, and stays until ^C.
+    /// Starts emulated engines and one controller, and runs until interrupted with Ctrl-C.
     Up(UpArgs),
-    /// Runs platform controllers as processes under faults that overlap, and judges them by invariants.
+    /// Runs platform controllers as processes under overlapping faults, and checks invariants.
     ///
-    /// The faults are drawn from the seed. Each violation is printed with what led to it. 1 if there was one.
+    /// The faults are drawn from the seed. Each violation is printed with the events that led to it. Exits with 1 on a violation.
     Soak(SoakArgs),
-    /// Measures what a controller costs: latency added, queries a second of a core, memory of idle clients.
+    /// Measures the overhead of a controller: added latency, queries per second of a core, memory of idle clients.
     Measure(MeasureArgs),
-    /// Plays a matrix of days, sizes, variants and seeds, and writes its report; goes on where it was stopped.
+    /// Plays a matrix of days, sizes, variants and seeds, and writes a report; resumes an interrupted experiment.
     Experiment(ExperimentArgs),
-    /// Writes the report of an experiment anew, from its results.
+    /// Writes the report of an experiment again, from its recorded results.
     Report {
-        /// The folder of its results.
+        /// Directory of the results.
         dir: PathBuf,
     },
-    /// Compares two experiments, figure by figure: 1 if a figure is worse.
+    /// Compares two experiments metric by metric; exits with 1 if a metric is worse in the second.
     Compare {
-        /// The folder of the one,
+        /// Directory of the first experiment's results.
         one: PathBuf,
-        /// and of the other.
+        /// Directory of the second experiment's results.
         other: PathBuf,
-        /// Only these figures.
+        /// Compares only these metrics.
         #[arg(long, value_name = "NAME")]
         figure: Vec<String>,
     },
-    /// Plays thousands of short drawn days in virtual time and judges them; makes what fails smaller.
+    /// Plays thousands of short random days in virtual time and checks them; shrinks those that fail.
     Explore(ExploreArgs),
-    /// Plays controllers with faults on the roads between them, and judges what they believed of each other.
+    /// Plays controllers with faults of the network between them, and checks their views of the membership.
     ///
-    /// 1 if a rule was broken, if a process acted on fewer controllers than ran or gave up one that it could hear, or if they
-    /// came to no one view after the last fault.
+    /// Exits with 1 if a rule was violated, if a process counted fewer controllers than were running or removed one that it
+    /// could reach, or if the views did not converge after the last fault.
     Fleet(DayArgs),
-    /// Lists the kinds of trouble, or the days or fleets that are built in.
+    /// Lists the kinds of trouble, or the built-in days or fleets.
     List {
-        /// `troubles`, `days` or `fleets`.
+        /// What to list: `troubles`, `days` or `fleets`.
         #[arg(value_parser = ["troubles", "days", "fleets"])]
         what: String,
     },
@@ -77,109 +77,109 @@
 
 #[derive(Args)]
 struct DayArgs {
-    /// The script, or the name of a day that is built in.
+    /// File of the script, or name of a built-in day.
     file: Option<PathBuf>,
-    /// Seed of the day; the same script and seed draw the same traffic and troubles.
+    /// Seed of the day; the same script and seed give the same traffic and troubles.
     #[arg(long, value_name = "N", default_value_t = 1)]
     seed: u64,
-    /// Engines, in place of the script's.
+    /// Number of engines; overrides the script.
     #[arg(long, value_name = "N")]
     engines: Option<usize>,
-    /// Controllers, in place of the script's.
+    /// Number of controllers; overrides the script.
     #[arg(long, value_name = "N")]
     controllers: Option<usize>,
-    /// Connections of clients at most, in place of the script's.
+    /// Maximum number of client connections; overrides the script.
     #[arg(long, value_name = "N")]
     clients: Option<usize>,
-    /// Queries a second, in place of the script's.
+    /// Queries per second; overrides the script.
     #[arg(long, value_name = "X")]
     rate: Option<f64>,
-    /// How long queries come, in place of the script's; troubles stay where they are.
-    #[arg(long, value_name = "TIME", value_parser = span)]
+    /// How long clients send queries; overrides the script without moving its troubles.
+    #[arg(long, value_name = "TIME", value_parser = parse_duration)]
     length: Option<Time>,
-    /// In one process and in virtual time, without sockets: the same day and seed give the same report.
+    /// Simulates the day in one process and in virtual time, without sockets; the same day and seed give the same report.
     #[arg(long = "virtual", conflicts_with_all = ["capture", "clients", "plant"])]
     virtual_time: bool,
-    /// What decides in the controllers of a day in virtual time.
+    /// Routing policy of the controllers in virtual time.
     #[arg(long, value_enum, default_value_t, requires = "virtual_time")]
     policy: Policy,
-    /// Keeps logs, configurations and the report here; else they go when the day is over.
+    /// Directory for logs, configurations and the report; without it they are deleted at the end of the day.
     #[arg(long, value_name = "DIR")]
     out: Option<PathBuf>,
-    /// Prints the report as one JSON object.
+    /// Prints the report as a JSON object.
     #[arg(long)]
     json: bool,
-    /// Controllers leave a capture each in the folder of --out, ending in .wfcap.
+    /// Makes each controller write a capture, a .wfcap file, to the directory of --out.
     #[arg(long, requires = "out")]
     capture: bool,
-    /// Only checks the script.
+    /// Validates the script without playing it.
     #[arg(long)]
     check: bool,
-    /// Every second controller runs the program of another build, which is in this folder.
+    /// Runs every second controller with the program of another build, from this directory.
     #[arg(long, value_name = "DIR", conflicts_with = "virtual_time")]
     beside: Option<PathBuf>,
-    /// What controllers log: error, warn, info or debug.
+    /// Log level of the controllers: error, warn, info or debug.
     #[arg(long, value_name = "LEVEL", default_value = "info")]
     log: String,
-    /// A fault planted in the controllers, in builds that have them.
+    /// Enables a deliberate bug in the controllers, in builds with the feature `planted`.
     #[arg(long, value_name = "FAULT", hide = true)]
     plant: Option<String>,
 }
 
 #[derive(Args)]
 struct ExperimentArgs {
-    /// The experiment's file.
+    /// File of the experiment.
     file: PathBuf,
-    /// The folder of its results; those at hand are not done anew.
+    /// Directory of the results; runs with a recorded result are not repeated.
     #[arg(long, value_name = "DIR")]
     out: PathBuf,
-    /// Days at once in virtual time; as many as there are cores if not said.
+    /// Days played in parallel in virtual time; 0 for the number of cores.
     #[arg(long, value_name = "N", default_value_t = 0)]
     jobs: usize,
-    /// Only checks the file and its days.
+    /// Validates the file and its days without playing them.
     #[arg(long)]
     check: bool,
 }
 
 #[derive(Args)]
 struct ExploreArgs {
-    /// Plays this scenario again, in place of drawn ones.
+    /// Scenario file to play again, instead of random days.
     file: Option<PathBuf>,
-    /// The number of the first day.
+    /// Number of the first day; each day is drawn from its number.
     #[arg(long, value_name = "N", default_value_t = 0)]
     from: u64,
-    /// Days at most.
+    /// Maximum number of days.
     #[arg(long, value_name = "N", default_value_t = 1000)]
     days: u64,
-    /// Seconds at most.
+    /// Maximum duration in seconds.
     #[arg(long, value_name = "N", default_value_t = 3600)]
     seconds: u64,
-    /// Days at once; as many as there are cores if not said.
+    /// Days played in parallel; 0 for the number of cores.
     #[arg(long, value_name = "N", default_value_t = 0)]
     jobs: usize,
-    /// Failing days, made small, are written here.
+    /// Directory to which failing days are written after shrinking.
     #[arg(long, value_name = "DIR")]
     out: Option<PathBuf>,
-    /// Ends at the first failing day.
+    /// Stops at the first failing day.
     #[arg(long)]
     first: bool,
-    /// With a scenario: tells its course, what clients sent and were told and what engines saw, in milliseconds.
+    /// With a scenario file: prints a timeline of client and engine events, in milliseconds.
     #[arg(long, requires = "file")]
     course: bool,
-    /// Tells what came to pass, and what never did.
+    /// Prints how often each tracked situation occurred, including those that never did.
     #[arg(long)]
     seen: bool,
-    /// A fault planted in the controllers, in builds that have them.
+    /// Enables a deliberate bug in the controllers, in builds with the feature `planted`.
     #[arg(long, value_name = "FAULT", hide = true, value_parser = FaultInjection::parse)]
     plant: Option<FaultInjection>,
 }
 
 #[derive(Args)]
 struct UpArgs {
-    /// Where the controller listens.
+    /// Address on which the controller listens.
     #[arg(long, value_name = "ADDR", default_value = "127.0.0.1:6432")]
     listen: SocketAddr,
-    /// Engines.
+    /// Number of engines.
     #[arg(long, value_name = "N", default_value_t = 4)]
     engines: usize,
 }
@@ -195,48 +195,48 @@
     /// The same in seconds, for short runs.
     #[arg(long, value_name = "N", conflicts_with = "minutes", value_parser = clap::value_parser!(u64).range(11..))]
     seconds: Option<u64>,
-    /// Controllers.
+    /// Number of controllers.
     #[arg(long, value_name = "N", default_value_t = 24, value_parser = clap::value_parser!(u64).range(1..=100))]
     controllers: u64,
-    /// Clients of each controller.
+    /// Number of clients of each controller.
     #[arg(long, value_name = "N", default_value_t = 4, value_parser = clap::value_parser!(u64).range(1..=20))]
     clients: u64,
-    /// Executors.
+    /// Number of executors.
     #[arg(long, value_name = "N", default_value_t = 6, value_parser = clap::value_parser!(u64).range(4..=64))]
     executors: u64,
-    /// Logs are kept here; else they go when the run is over.
+    /// Directory for logs; without it they are deleted at the end of the run.
     #[arg(long, value_name = "DIR")]
     logs: Option<PathBuf>,
-    /// A fault planted in the controllers, in builds that have them.
+    /// Enables a deliberate bug in the controllers, in builds with the feature `planted`.
     #[arg(long, value_name = "FAULT", hide = true)]
     plant: Option<String>,
 }
 
 #[derive(Args)]
 struct MeasureArgs {
-    /// Pairs of queries for the latency.
+    /// Number of latency samples, each one direct query and one through the controller.
     #[arg(long, value_name = "N", default_value_t = 20_000)]
     pairs: usize,
-    /// Seconds of full load.
+    /// Duration of each full-load phase, in seconds.
     #[arg(long, value_name = "N", default_value_t = 5)]
     seconds: u64,
-    /// Connections of full load.
+    /// Number of connections in full-load phases.
     #[arg(long, value_name = "N", default_value_t = 64)]
     connections: usize,
-    /// Idle connections.
+    /// Number of idle connections.
     #[arg(long, value_name = "N", default_value_t = 10_000)]
     idle: usize,
-    /// Rounds of a second in which a controller that records is loaded in turn with one that does not.
+    /// Rounds that load a controller with a capture and one without for one second each.
     #[arg(long, value_name = "N", default_value_t = 7)]
     rounds: usize,
-    /// Prints the figures as one JSON object.
+    /// Prints the measurements as a JSON object.
     #[arg(long)]
     json: bool,
 }
 
-/// Runs a soak and prints its verdict; whether no invariant was violated.
+/// Runs a soak test and prints its result. Returns whether no invariant was violated.
 fn soak(args: SoakArgs) -> Result<bool> {
-    let folder = tempfile::tempdir()?;
+    let temporary = tempfile::tempdir()?;
     let options = SoakOptions {
         seed: args.seed,
         length: Duration::from_secs(args.seconds.unwrap_or(60 * args.minutes)),
@@ -244,7 +244,7 @@
         clients_per_controller: args.clients as usize,
         executors: args.executors as usize,
         program: stage::program("wheelfield-controller", None)?,
-        logs: args.logs.unwrap_or_else(|| folder.path().to_path_buf()),
+        logs: args.logs.unwrap_or_else(|| temporary.path().to_path_buf()),
         plant: args.plant,
     };
     let verdict = wheelfield_soak::run(&options)?;
@@ -263,7 +263,7 @@
     Ok(verdict.violations.is_empty())
 }
 
-/// The days that are built in.
+/// Built-in days by name.
 const DAYS: [(&str, &str); 14] = [
     ("bad", include_str!("../days/bad.toml")),
     ("crashes", include_str!("../days/crashes.toml")),
@@ -281,7 +281,7 @@
     ("short", include_str!("../days/short.toml")),
 ];
 
-/// Fleets by name.
+/// Built-in fleets by name.
 const FLEETS: [(&str, &str); 15] = [
     ("short", include_str!("../fleets/short.toml")),
     ("one-way", include_str!("../fleets/one-way.toml")),
@@ -300,11 +300,11 @@
     ("all-at-once", include_str!("../fleets/all-at-once.toml")),
 ];
 
-fn span(text: &str) -> Result<Time, String> {
+fn parse_duration(text: &str) -> Result<Time, String> {
     wheelfield_config::units::parse_time(text).map_err(|error| error.to_string())
 }
 
-fn read(file: Option<&PathBuf>) -> Result<Day> {
+fn read_day(file: Option<&PathBuf>) -> Result<Day> {
     let name = file.map_or("bad".to_string(), |f| f.display().to_string());
     let built_in = DAYS.iter().find(|(n, _)| *n == name).map(|(_, text)| (*text).to_string());
     let text = match built_in {
@@ -327,7 +327,7 @@
 #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let done = match cli.command {
+    let result = match cli.command {
         Command::List { what } => {
             let scripts: &[(&str, &str)] = if what == "fleets" { &FLEETS } else { &DAYS };
             if what != "troubles" {
@@ -341,67 +341,72 @@
         }
         Command::Day(ref args) | Command::Fleet(ref args) => {
             let fleet = matches!(cli.command, Command::Fleet(_));
-            let read = if fleet { read_fleet } else { read };
-            let mut day = match read(args.file.as_ref()) {
+            let read_script = if fleet { read_fleet } else { read_day };
+            let mut day = match read_script(args.file.as_ref()) {
                 Ok(day) => day,
-                Err(fault) => return bad_use(&fault),
+                Err(error) => return report_invalid_use(&error),
             };
             day.engines = args.engines.unwrap_or(day.engines);
             day.controllers = args.controllers.unwrap_or(day.controllers);
             day.clients = args.clients.unwrap_or(day.clients);
             day.rate = args.rate.unwrap_or(day.rate);
             day.length = args.length.unwrap_or(day.length);
-            let most = if args.virtual_time { 10_000 } else { 1000 };
-            let sound = day.engines > 0 && day.controllers > 0 && day.clients > 0 && day.rate > 0.0;
-            let long = !(1..=3_600_000_000).contains(&day.length.0 .0);
-            if !sound || long || day.engines > most || day.controllers > most || day.clients > 18_000 {
-                return bad_use(&anyhow::anyhow!(
-                    "engines and controllers from 1 to {most}, clients to 18000, a rate above 0, up to an hour"
+            let max_processes = if args.virtual_time { 10_000 } else { 1000 };
+            let is_positive = day.engines > 0 && day.controllers > 0 && day.clients > 0 && day.rate > 0.0;
+            let is_length_invalid = !(1..=3_600_000_000).contains(&day.length.0 .0);
+            if !is_positive
+                || is_length_invalid
+                || day.engines > max_processes
+                || day.controllers > max_processes
+                || day.clients > 18_000
+            {
+                return report_invalid_use(&anyhow::anyhow!(
+                    "engines and controllers must be 1 to {max_processes}, clients 1 to 18000, the rate above 0 and the length at most an hour"
                 ));
             }
-            if let Err(fault) = day.timetable(args.seed) {
-                return bad_use(&anyhow::anyhow!(fault));
+            if let Err(error) = day.timetable(args.seed) {
+                return report_invalid_use(&anyhow::anyhow!(error));
             }
             if args.check {
                 return ExitCode::SUCCESS;
             }
             if args.virtual_time {
-                virtual_day(&day, args)
+                play_in_virtual_time(&day, args)
             } else {
-                one_day(&day, args)
+                play_on_processes(&day, args)
             }
         }
-        Command::Experiment(args) => match experiment_of(&args.file) {
+        Command::Experiment(args) => match read_experiment(&args.file) {
             Ok(_) if args.check => Ok(true),
-            Ok((e, text)) => run_experiment(&e, &text, &args),
-            Err(fault) => return bad_use(&fault),
+            Ok((experiment, text)) => run_experiment(&experiment, &text, &args),
+            Err(error) => return report_invalid_use(&error),
         },
         Command::Report { dir } => write_report(&dir),
         Command::Explore(args) => match &args.file {
-            Some(file) => replay(file, &args),
-            None => explored(&args),
+            Some(file) => replay_scenario(file, &args),
+            None => run_exploration(&args),
         },
         Command::Compare { one, other, figure } => compare(&one, &other, &figure),
-        Command::Up(args) => up(&args),
+        Command::Up(args) => run_until_interrupted(&args),
         Command::Soak(args) => soak(args),
-        Command::Measure(args) => figures(&args),
+        Command::Measure(args) => run_measurement(&args),
     };
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
-        Err(fault) => {
-            eprintln!("wheelfield-testbed: {fault:#}");
+        Err(error) => {
+            eprintln!("wheelfield-testbed: {error:#}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn bad_use(fault: &anyhow::Error) -> ExitCode {
-    eprintln!("wheelfield-testbed: {fault:#}");
+fn report_invalid_use(error: &anyhow::Error) -> ExitCode {
+    eprintln!("wheelfield-testbed: {error:#}");
     ExitCode::from(2)
 }
 
-fn tell(report: &play::Report, json: bool) -> Result<()> {
+fn print_report(report: &play::Report, json: bool) -> Result<()> {
     let mut out = std::io::stdout().lock();
     if json {
         serde_json::to_writer(&mut out, report)?;
@@ -412,27 +417,30 @@
     Ok(())
 }
 
-fn virtual_day(day: &Day, args: &DayArgs) -> Result<bool> {
+fn play_in_virtual_time(day: &Day, args: &DayArgs) -> Result<bool> {
     let began = std::time::Instant::now();
     let (report, played) = play::play_virtual(day, args.seed, args.policy)?;
     let took = began.elapsed().as_secs_f64();
     if let Some(dir) = &args.out {
-        std::fs::create_dir_all(dir).with_context(|| format!("cannot make {}", dir.display()))?;
+        std::fs::create_dir_all(dir).with_context(|| format!("cannot create {}", dir.display()))?;
         let lines: Vec<String> =
             played.tries.iter().map(|t| serde_json::to_string(t).unwrap_or_default()).collect();
         std::fs::write(dir.join("clients.jsonl"), lines.join("\n"))?;
         std::fs::write(dir.join("report.json"), serde_json::to_string_pretty(&report)?)?;
     }
-    tell(&report, args.json)?;
+    print_report(&report, args.json)?;
     let length = day.length.0 .0 as f64 / 1e6;
-    eprintln!("{length:.0} s in {took:.2} s: {} events, {} messages", played.events, played.messages);
+    eprintln!(
+        "simulated {length:.0} s in {took:.2} s: {} events, {} messages",
+        played.events, played.messages
+    );
     Ok(report.kept())
 }
 
-fn one_day(day: &Day, args: &DayArgs) -> Result<bool> {
-    let kept = tempfile::tempdir()?;
-    let dir = args.out.clone().unwrap_or_else(|| kept.path().to_path_buf());
-    std::fs::create_dir_all(&dir).with_context(|| format!("cannot make {}", dir.display()))?;
+fn play_on_processes(day: &Day, args: &DayArgs) -> Result<bool> {
+    let temporary = tempfile::tempdir()?;
+    let dir = args.out.clone().unwrap_or_else(|| temporary.path().to_path_buf());
+    std::fs::create_dir_all(&dir).with_context(|| format!("cannot create {}", dir.display()))?;
     let options = Options {
         seed: args.seed,
         dir,
@@ -444,79 +452,79 @@
         beside: args.beside.clone(),
     };
     let report = play::play(day, &options)?;
-    tell(&report, args.json)?;
+    print_report(&report, args.json)?;
     Ok(report.kept())
 }
 
-/// The text of a built-in day, or of a file beside the experiment's.
-fn day_text(name: &str, beside: &std::path::Path) -> Result<String> {
+/// The text of a built-in day, or of a file in the directory of the experiment's file.
+fn day_text(name: &str, experiment_file: &std::path::Path) -> Result<String> {
     if let Some((_, text)) = DAYS.iter().find(|(n, _)| *n == name) {
         return Ok((*text).to_string());
     }
-    let path = beside.parent().unwrap_or(std::path::Path::new(".")).join(name);
+    let path = experiment_file.parent().unwrap_or(std::path::Path::new(".")).join(name);
     std::fs::read_to_string(&path).with_context(|| format!("cannot read the day {}", path.display()))
 }
 
-fn experiment_of(file: &std::path::Path) -> Result<(Experiment, String)> {
+fn read_experiment(file: &std::path::Path) -> Result<(Experiment, String)> {
     let text = std::fs::read_to_string(file).with_context(|| format!("cannot read {}", file.display()))?;
-    let e = Experiment::parse(&file.display().to_string(), &text)?;
-    for name in &e.days {
+    let experiment = Experiment::parse(&file.display().to_string(), &text)?;
+    for name in &experiment.days {
         Day::parse(name, &day_text(name, file)?)?;
     }
-    Ok((e, text))
+    Ok((experiment, text))
 }
 
-fn run_experiment(e: &Experiment, text: &str, args: &ExperimentArgs) -> Result<bool> {
-    let jobs = jobs_of(args.jobs);
-    let read = |name: &str| day_text(name, &args.file);
+fn run_experiment(experiment: &Experiment, text: &str, args: &ExperimentArgs) -> Result<bool> {
+    let jobs = resolve_jobs(args.jobs);
+    let read_day_text = |name: &str| day_text(name, &args.file);
     let mut progress = |done: usize, all: usize, key: &experiment::Key| {
         eprint!("\r{done} of {all}: {} {} {} seed {}    ", key.day, key.size, key.variant, key.seed);
     };
-    experiment::run(e, &args.out, jobs, &read, &mut progress)?;
+    experiment::run(experiment, &args.out, jobs, &read_day_text, &mut progress)?;
     eprintln!();
     std::fs::write(args.out.join("experiment.toml"), text)?;
     write_report(&args.out)
 }
 
 fn write_report(dir: &std::path::Path) -> Result<bool> {
-    let (e, _) = {
+    let (experiment, _) = {
         let path = dir.join("experiment.toml");
         let text =
             std::fs::read_to_string(&path).with_context(|| format!("cannot read {}", path.display()))?;
         (Experiment::parse(&path.display().to_string(), &text)?, text)
     };
-    let runs = experiment::load(&dir.join("runs.jsonl"))?;
-    anyhow::ensure!(!runs.is_empty(), "{} holds no results", dir.display());
-    let first = e.variants.first().map_or("", |v| v.name.as_str());
-    let cells = experiment::summarize(&runs, first);
-    let summary = report::markdown(&e.name, &cells);
-    std::fs::write(dir.join("report.html"), report::html(&e.name, &runs, &cells)?)?;
+    let runs = experiment::load_runs(&dir.join("runs.jsonl"))?;
+    anyhow::ensure!(!runs.is_empty(), "{} has no recorded results", dir.display());
+    let baseline = experiment.variants.first().map_or("", |v| v.name.as_str());
+    let summaries = experiment::summarize(&runs, baseline);
+    let summary = report::markdown(&experiment.name, &summaries);
+    std::fs::write(dir.join("report.html"), report::html(&experiment.name, &runs, &summaries)?)?;
     std::fs::write(dir.join("report.md"), &summary)?;
     print!("{summary}");
     Ok(true)
 }
 
-fn compare(one: &std::path::Path, other: &std::path::Path, only: &[String]) -> Result<bool> {
-    let load = |dir: &std::path::Path| experiment::load(&dir.join("runs.jsonl"));
-    let mut cells = experiment::compare_runs(&load(one)?, &load(other)?);
-    cells.retain(|c| only.is_empty() || only.contains(&c.figure));
+fn compare(one: &std::path::Path, other: &std::path::Path, metrics: &[String]) -> Result<bool> {
+    let load = |dir: &std::path::Path| experiment::load_runs(&dir.join("runs.jsonl"));
+    let mut summaries = experiment::compare_runs(&load(one)?, &load(other)?);
+    summaries.retain(|c| metrics.is_empty() || metrics.contains(&c.metric));
     anyhow::ensure!(
-        !cells.is_empty(),
-        "nothing of the one is in the other: day, size, variant and seed must be the same"
+        !summaries.is_empty(),
+        "the experiments have no run in common: day, size, variant and seed must be equal"
     );
-    print!("{}", report::markdown("comparison", &cells));
-    let worse = |c: &experiment::Cell| c.compared.is_some_and(|c| c.verdict == Verdict::Worse);
-    Ok(!cells.iter().any(worse))
+    print!("{}", report::markdown("comparison", &summaries));
+    let worse = |c: &experiment::MetricSummary| c.compared.is_some_and(|c| c.verdict == Verdict::Worse);
+    Ok(!summaries.iter().any(worse))
 }
 
-fn jobs_of(asked: usize) -> usize {
-    match asked {
+fn resolve_jobs(requested: usize) -> usize {
+    match requested {
         0 => std::thread::available_parallelism().map_or(1, usize::from),
         n => n.min(256),
     }
 }
 
-fn tell_course(scenario: &Scenario, plant: Option<FaultInjection>) -> Result<()> {
+fn print_timeline(scenario: &Scenario, plant: Option<FaultInjection>) -> Result<()> {
     let (_, _, played) = explore::course(scenario, plant)?;
     let start = wheelfield_testbed::virtual_time::start();
     let ms = |t: i64| (t - start) as f64 / 1e3;
@@ -532,7 +540,7 @@
     }
     for l in &played.log {
         let query = l.query.as_deref().unwrap_or("");
-        let told: Vec<String> =
+        let unavailable: Vec<String> =
             l.unavailable_engines.iter().map(|n| format!("{} {}", n.engine, n.status)).collect();
         lines.push((
             l.at,
@@ -542,7 +550,7 @@
                 l.event,
                 l.sent_by,
                 l.controller,
-                told.join(", ")
+                unavailable.join(", ")
             ),
         ));
     }
@@ -553,12 +561,12 @@
     Ok(())
 }
 
-fn replay(file: &std::path::Path, args: &ExploreArgs) -> Result<bool> {
+fn replay_scenario(file: &std::path::Path, args: &ExploreArgs) -> Result<bool> {
     let plant = args.plant;
     let text = std::fs::read_to_string(file).with_context(|| format!("cannot read {}", file.display()))?;
     let scenario: Scenario = toml::from_str(&text).with_context(|| format!("{}", file.display()))?;
     if args.course {
-        tell_course(&scenario, plant)?;
+        print_timeline(&scenario, plant)?;
     }
     let outcome = explore::play(&scenario, plant)?;
     println!("{} tries, {} events", outcome.tries, outcome.events);
@@ -568,23 +576,23 @@
     Ok(outcome.sound())
 }
 
-fn explored(args: &ExploreArgs) -> Result<bool> {
+fn run_exploration(args: &ExploreArgs) -> Result<bool> {
     let began = std::time::Instant::now();
     let limit = std::time::Duration::from_secs(args.seconds);
-    let last = std::sync::atomic::AtomicU64::new(0);
-    let until = |all: &explore::Explored| {
+    let last_printed_second = std::sync::atomic::AtomicU64::new(0);
+    let should_stop = |all: &explore::Explored| {
         let s = began.elapsed().as_secs();
-        if last.swap(s, std::sync::atomic::Ordering::Relaxed) != s {
+        if last_printed_second.swap(s, std::sync::atomic::Ordering::Relaxed) != s {
             eprint!("\r{} days, {} failed   ", all.days, all.failed.len());
         }
         began.elapsed() >= limit || (args.first && !all.failed.is_empty())
     };
     let numbers = args.from..args.from.saturating_add(args.days);
-    let all = explore::explore(numbers, jobs_of(args.jobs), args.plant, until);
+    let all = explore::explore(numbers, resolve_jobs(args.jobs), args.plant, should_stop);
     let took = began.elapsed().as_secs_f64();
     eprintln!();
     println!(
-        "{} days in {took:.1} s ({:.0} a second): {} tries, {} events, {} days failed",
+        "{} days in {took:.1} s ({:.0} per second): {} tries, {} events, {} days failed",
         all.days,
         all.days as f64 / took.max(1e-9),
         all.tries,
@@ -603,16 +611,16 @@
         println!("seed {}: {rule}: {what}", scenario.seed);
         let Some(dir) = &args.out else { continue };
         std::fs::create_dir_all(dir)?;
-        let (small, played) = explore::shrink(scenario, rule, args.plant);
+        let (shrunk, played) = explore::shrink(scenario, rule, args.plant);
         let path = dir.join(format!("{}-{rule}.toml", scenario.seed));
-        std::fs::write(&path, toml::to_string(&small)?)?;
-        println!("  made small in {played} days: {}", path.display());
+        std::fs::write(&path, toml::to_string(&shrunk)?)?;
+        println!("  shrunk in {played} runs: {}", path.display());
     }
     Ok(all.failed.is_empty())
 }
 
-fn up(args: &UpArgs) -> Result<bool> {
-    let mut day = read(None)?;
+fn run_until_interrupted(args: &UpArgs) -> Result<bool> {
+    let mut day = read_day(None)?;
     (day.engines, day.controllers, day.troubles) = (args.engines.clamp(1, 1000), 1, Vec::new());
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
@@ -624,8 +632,8 @@
     Ok(true)
 }
 
-fn figures(args: &MeasureArgs) -> Result<bool> {
-    let plans = measure::Plans {
+fn run_measurement(args: &MeasureArgs) -> Result<bool> {
+    let options = measure::MeasureOptions {
         pairs: args.pairs.clamp(1, 10_000_000),
         seconds: args.seconds.clamp(1, 600),
         connections: args.connections.clamp(1, 10_000),
@@ -633,13 +641,13 @@
         rounds: args.rounds.min(1000),
     };
     let dir = tempfile::tempdir()?;
-    let figures = measure::measure(&read(None)?, dir.path(), plans)?;
+    let measurements = measure::measure(&read_day(None)?, dir.path(), options)?;
     let mut out = std::io::stdout().lock();
     if args.json {
-        serde_json::to_writer(&mut out, &figures)?;
+        serde_json::to_writer(&mut out, &measurements)?;
         std::io::Write::write_all(&mut out, b"\n")?;
     } else {
-        measure::print(&figures, &mut out)?;
+        measure::print(&measurements, &mut out)?;
     }
     Ok(true)
 }
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -1,5 +1,5 @@
-//! What a controller costs: latency it adds, queries a second of one core, memory of idle clients. Each in one run, as
-//! figures of different runs on a shared machine can't be compared.
+//! Measures the overhead of a controller: added latency, queries per second of one core, and memory of idle clients. Values
+//! that are compared are measured in one run, because different runs on a shared machine are not comparable.
 
 use crate::day::Day;
 use crate::plan::Plan;
@@ -16,76 +16,76 @@
 use wheelfield_net::{Clock, Stream};
 use wheelfield_pg::{frame, frontend_messages};
 
-/// What is measured, and how long.
+/// Options of a measurement.
 #[derive(Clone, Copy, Debug)]
-pub struct Plans {
-    /// Pairs of queries for the latency.
+pub struct MeasureOptions {
+    /// Number of latency samples, each one direct query and one through the controller.
     pub pairs: usize,
-    /// Seconds of full load.
+    /// Duration of each full-load phase, in seconds.
     pub seconds: u64,
-    /// Connections of full load.
+    /// Number of connections in full-load phases.
     pub connections: usize,
-    /// Idle connections.
+    /// Number of idle connections.
     pub idle: usize,
-    /// Rounds in which a controller that records is loaded in turn with one that does not.
+    /// Number of rounds that alternate load between a controller with a capture and one without.
     pub rounds: usize,
 }
 
-/// What was measured.
+/// Measured values.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Figures {
-    /// Latency straight to the stand-in, in microseconds: the half, and ninety-nine in a hundred,
+pub struct Measurements {
+    /// Latency of direct queries to an emulated engine in microseconds: 50th and 99th percentile.
     pub direct_us: [f64; 2],
-    /// and through the controller.
+    /// Latency through the controller in microseconds: 50th and 99th percentile.
     pub through_us: [f64; 2],
-    /// What the controller adds.
+    /// Latency added by the controller: difference of the percentiles above.
     pub added_us: [f64; 2],
-    /// Queries a second through the controller under full load,
+    /// Queries per second through the controller under full load.
     pub rate: f64,
-    /// and for each second of its processor.
+    /// Queries per second of the controller's CPU time under full load.
     pub rate_of_core: f64,
-    /// Extended protocol, prepared once: queries for each second of its processor.
+    /// The same with the extended protocol and a statement that is prepared once.
     pub rate_of_core_prepared: f64,
-    /// Connections that were held idle,
+    /// Number of idle connections.
     pub idle: usize,
-    /// the controller's memory without them, in MB,
+    /// The controller's memory without idle connections, in MB.
     pub empty_mb: f64,
-    /// and with them.
+    /// The controller's memory with idle connections, in MB.
     pub idle_mb: f64,
-    /// With a capture, in turn with a controller without: queries a second over those without (median of the rounds),
+    /// Rate with a capture divided by the rate without; median of the rounds.
     pub capture_rate: f64,
-    /// the same for each second of processor, that of the capture's writer reckoned in,
+    /// The same for the rate per second of CPU time, which includes the thread that writes the capture.
     pub capture_rate_of_core: f64,
-    /// and latency over latency: the half, and ninety-nine in a hundred.
+    /// Latency with a capture divided by the latency without: 50th and 99th percentile.
     pub capture_latency: [f64; 2],
-    /// Records that the capture lost, of all,
+    /// Fraction of the capture's records that were lost.
     pub capture_lost: f64,
-    /// and bytes written for each query.
+    /// Bytes written to the capture per query.
     pub capture_bytes: f64,
-    /// Queries a second straight to the stand-in under the same load.
+    /// Queries per second sent directly to an emulated engine under the same load.
     pub direct_rate: f64,
 }
 
-/// One connection that sends its next query as it has its answer.
-struct Caller {
+/// A connection that sends its next query when the previous one is answered.
+struct ClientConnection {
     stream: Stream,
     ready: bool,
-    sent: Instant,
+    sent_at: Instant,
 }
 
-/// What a caller sends at its start, and then again and again.
-struct Script {
+/// Messages that a connection sends: once after startup, and for each query.
+struct Workload {
     prepare: BytesMut,
     query: BytesMut,
 }
 
-fn simple() -> Script {
+fn simple_workload() -> Workload {
     let mut query = BytesMut::new();
     frontend_messages::put_query("select 1", &mut query);
-    Script { prepare: BytesMut::new(), query }
+    Workload { prepare: BytesMut::new(), query }
 }
 
-fn prepared() -> Script {
+fn prepared_workload() -> Workload {
     use pgwire::messages::extendedquery::{Bind, Execute, Parse, Sync};
     let (mut prepare, mut query) = (BytesMut::new(), BytesMut::new());
     frontend_messages::put(&Parse::new(Some("s".into()), "select 1".into(), Vec::new()), &mut prepare);
@@ -96,19 +96,20 @@
     );
     frontend_messages::put(&Execute::new(None, 0), &mut query);
     frontend_messages::put(&Sync::new(), &mut query);
-    Script { prepare, query }
+    Workload { prepare, query }
 }
 
-struct Callers {
+/// Sends queries over many connections from one thread.
+struct LoadGenerator {
     poll: Poll,
     events: Events,
-    all: Slab<Caller>,
+    all: Slab<ClientConnection>,
     scratch: Vec<u8>,
 }
 
-impl Callers {
-    fn new() -> Result<Callers> {
-        Ok(Callers {
+impl LoadGenerator {
+    fn new() -> Result<LoadGenerator> {
+        Ok(LoadGenerator {
             poll: Poll::new()?,
             events: Events::with_capacity(4096),
             all: Slab::new(),
@@ -116,18 +117,18 @@
         })
     }
 
-    fn call(&mut self, address: SocketAddr, script: &Script) -> Result<usize> {
+    fn connect(&mut self, address: SocketAddr, workload: &Workload) -> Result<usize> {
         let entry = self.all.vacant_entry();
         let id = entry.key();
         let mut stream = Stream::connect(None, address, self.poll.registry(), Token(id))?;
         frontend_messages::put_startup(&[("user", "lab"), ("database", "lab")], &mut stream.output);
-        stream.output.extend_from_slice(&script.prepare);
-        entry.insert(Caller { stream, ready: false, sent: Instant::now() });
+        stream.output.extend_from_slice(&workload.prepare);
+        entry.insert(ClientConnection { stream, ready: false, sent_at: Instant::now() });
         Ok(id)
     }
 
-    /// Waits once, and tells which callers have a whole answer.
-    fn turn(&mut self, wait: Duration, answered: &mut Vec<usize>) -> Result<()> {
+    /// Polls once, and adds the connections that received a complete answer to `answered`.
+    fn poll_once(&mut self, wait: Duration, answered: &mut Vec<usize>) -> Result<()> {
         self.poll.poll(&mut self.events, Some(wait))?;
         for event in &self.events {
             let Token(id) = event.token();
@@ -141,7 +142,7 @@
             while let Some((tag, message)) = frame::take_message(&mut c.stream.input, 1 << 20)? {
                 ensure!(
                     tag != b'E',
-                    "refused: {:?}",
+                    "the server sent an error: {:?}",
                     wheelfield_pg::backend_messages::parse_sqlstate_and_message(&message)
                 );
                 if tag == b'Z' {
@@ -149,91 +150,95 @@
                 }
             }
             c.stream.release_empty_input();
-            ensure!(!c.stream.is_read_finished(), "a connection was closed");
+            ensure!(!c.stream.is_read_finished(), "the server closed a connection");
         }
         Ok(())
     }
 
-    /// Opens so many, a few at a time, and waits until each was let in.
-    fn open(&mut self, n: usize, address: SocketAddr, script: &Script) -> Result<()> {
+    /// Opens `n` connections, with at most 200 in their startup at a time, and waits until all are ready for queries.
+    fn open(&mut self, n: usize, address: SocketAddr, workload: &Workload) -> Result<()> {
         let mut answered = Vec::new();
         let until = Instant::now() + Duration::from_secs(60);
-        // The end of the startup, and that of the preparation.
-        let ends = if script.prepare.is_empty() { 1 } else { 2 };
-        let (mut begun, mut seen) = (0, 0);
-        while seen < n * ends {
-            while begun < n && begun < seen / ends + 200 {
-                self.call(address, script)?;
-                begun += 1;
+        // The server sends ReadyForQuery after the startup, and again after the preparation.
+        let ready_messages = if workload.prepare.is_empty() { 1 } else { 2 };
+        let (mut opened, mut seen) = (0, 0);
+        while seen < n * ready_messages {
+            while opened < n && opened < seen / ready_messages + 200 {
+                self.connect(address, workload)?;
+                opened += 1;
             }
-            self.turn(Duration::from_millis(20), &mut answered)?;
+            self.poll_once(Duration::from_millis(20), &mut answered)?;
             seen += answered.len();
             answered.clear();
-            ensure!(Instant::now() < until, "{seen} of {n} connections within a minute");
+            ensure!(
+                Instant::now() < until,
+                "only {seen} of {} ReadyForQuery messages within 60 s",
+                n * ready_messages
+            );
         }
         self.all.iter_mut().for_each(|(_, c)| c.ready = true);
         Ok(())
     }
 
-    fn send(&mut self, id: usize, script: &Script) -> Result<()> {
+    fn send(&mut self, id: usize, workload: &Workload) -> Result<()> {
         let c = &mut self.all[id];
-        c.stream.output.extend_from_slice(&script.query);
-        c.sent = Instant::now();
+        c.stream.output.extend_from_slice(&workload.query);
+        c.sent_at = Instant::now();
         c.stream.flush()?;
         Ok(())
     }
 
-    /// Each caller sends as fast as it is answered; queries a second.
-    fn load(&mut self, seconds: u64, script: &Script) -> Result<(u64, f64)> {
+    /// Loads the server with one query at a time on each connection. Returns the number of answers and the seconds taken.
+    fn load(&mut self, seconds: u64, workload: &Workload) -> Result<(u64, f64)> {
         let ids: Vec<usize> = self.all.iter().map(|(id, _)| id).collect();
         for id in ids {
-            self.send(id, script)?;
+            self.send(id, workload)?;
         }
         let start = Instant::now();
         let until = start + Duration::from_secs(seconds);
         let (mut answered, mut done) = (Vec::new(), 0u64);
         while Instant::now() < until {
-            self.turn(Duration::from_millis(100), &mut answered)?;
+            self.poll_once(Duration::from_millis(100), &mut answered)?;
             done += answered.len() as u64;
             for id in answered.drain(..) {
-                self.send(id, script)?;
+                self.send(id, workload)?;
             }
         }
         Ok((done, start.elapsed().as_secs_f64()))
     }
 
-    /// Waits for the answers that a load has left under way.
+    /// Waits for the answers to the `n` queries that are outstanding when [`Self::load`] returns.
     fn drain(&mut self, n: usize) -> Result<()> {
         let (mut answered, mut seen) = (Vec::new(), 0);
         let until = Instant::now() + Duration::from_secs(10);
         while seen < n {
-            self.turn(Duration::from_millis(100), &mut answered)?;
+            self.poll_once(Duration::from_millis(100), &mut answered)?;
             seen += answered.len();
             answered.clear();
-            ensure!(Instant::now() < until, "{seen} of {n} answers within 10 s");
+            ensure!(Instant::now() < until, "only {seen} of {n} answers within 10 s");
         }
         Ok(())
     }
 
-    /// One query, and how long it took.
-    fn once(&mut self, id: usize, script: &Script) -> Result<Duration> {
-        self.send(id, script)?;
+    /// Sends one query and returns its latency.
+    fn timed_query(&mut self, id: usize, workload: &Workload) -> Result<Duration> {
+        self.send(id, workload)?;
         let mut answered = Vec::new();
         let until = Instant::now() + Duration::from_secs(10);
         while answered.is_empty() {
-            self.turn(Duration::from_millis(100), &mut answered)?;
+            self.poll_once(Duration::from_millis(100), &mut answered)?;
             ensure!(Instant::now() < until, "no answer within 10 s");
         }
-        Ok(self.all[id].sent.elapsed())
+        Ok(self.all[id].sent_at.elapsed())
     }
 }
 
-/// Measures a controller before stand-ins that answer at once.
+/// Measures a controller in front of emulated engines that answer immediately.
 ///
 /// # Errors
-/// If the stage can't be set, or an answer is not what it should be.
+/// If a process can't be started, a connection fails, or the server answers with an error.
 #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
-pub fn measure(day: &Day, dir: &Path, plans: Plans) -> Result<Figures> {
+pub fn measure(day: &Day, dir: &Path, options: MeasureOptions) -> Result<Measurements> {
     let mut day = day.clone();
     (day.engines, day.controllers, day.troubles) = (4, 2, Vec::new());
     for (name, value) in [("clients", 60_000), ("sessions", 1000)] {
@@ -250,65 +255,67 @@
         beside: None,
     };
     let mut stage = Stage::set(&day, &plan, setting, Clock::start())?;
-    let doors = stage.doors();
-    let [Change::Up(_, controller), Change::Up(_, records)] = doors[..] else {
-        anyhow::bail!("two controllers were to start")
+    let controllers = stage.doors();
+    let [Change::Up(_, controller), Change::Up(_, capturing_controller)] = controllers[..] else {
+        anyhow::bail!("expected two running controllers")
     };
-    let engine: SocketAddr = stage.engine_addresses().first().context("no engine")?.parse()?;
+    let engine: SocketAddr = stage.engine_addresses().first().context("no engine was started")?.parse()?;
     let memory = |stage: &Stage| stage.usage(0).map_or(0.0, |(_, bytes)| bytes as f64 / 1_048_576.0);
     let cpu = |stage: &Stage| stage.usage(0).map_or(0.0, |(cpu, _)| cpu);
-    let mut figures = Figures { empty_mb: memory(&stage), ..Figures::default() };
-    let script = simple();
+    let mut measurements = Measurements { empty_mb: memory(&stage), ..Measurements::default() };
+    let workload = simple_workload();
 
-    // Idle clients first, before load has grown any table.
-    let mut idle = Callers::new()?;
-    idle.open(plans.idle, controller, &script)?;
-    (figures.idle, figures.idle_mb) = (plans.idle, memory(&stage));
+    // Idle clients are measured first, before load grows the controller's tables.
+    let mut idle = LoadGenerator::new()?;
+    idle.open(options.idle, controller, &workload)?;
+    (measurements.idle, measurements.idle_mb) = (options.idle, memory(&stage));
     drop(idle);
 
-    // Latency: one query at a time, straight and through in turn.
-    let mut callers = Callers::new()?;
-    callers.open(1, engine, &script)?;
+    // Latency: one query at a time, alternately direct and through the controller.
+    let mut generator = LoadGenerator::new()?;
+    generator.open(1, engine, &workload)?;
     let direct = 0;
-    callers.open(1, controller, &script)?;
+    generator.open(1, controller, &workload)?;
     let through = 1;
     let mut histograms = [Histogram::<u64>::new(3)?, Histogram::<u64>::new(3)?];
-    for n in 0..plans.pairs + 500 {
+    // The first 500 pairs warm up the processes and are not recorded.
+    for n in 0..options.pairs + 500 {
         for (i, id) in [direct, through].into_iter().enumerate() {
-            let took = callers.once(id, &script)?;
+            let took = generator.timed_query(id, &workload)?;
             if n >= 500 {
                 histograms[i].record(took.as_nanos() as u64)?;
             }
         }
     }
-    let of = |h: &Histogram<u64>| [0.5, 0.99].map(|q| h.value_at_quantile(q) as f64 / 1e3);
-    (figures.direct_us, figures.through_us) = (of(&histograms[0]), of(&histograms[1]));
-    figures.added_us = [0, 1].map(|i| figures.through_us[i] - figures.direct_us[i]);
-    drop(callers);
+    let percentiles = |h: &Histogram<u64>| [0.5, 0.99].map(|q| h.value_at_quantile(q) as f64 / 1e3);
+    (measurements.direct_us, measurements.through_us) =
+        (percentiles(&histograms[0]), percentiles(&histograms[1]));
+    measurements.added_us = [0, 1].map(|i| measurements.through_us[i] - measurements.direct_us[i]);
+    drop(generator);
 
-    // Full load: straight, through, and through with a prepared statement.
-    let mut callers = Callers::new()?;
-    callers.open(plans.connections, engine, &script)?;
-    let (done, took) = callers.load(plans.seconds, &script)?;
-    figures.direct_rate = done as f64 / took;
-    drop(callers);
-    for (script, is_prepared) in [(simple(), false), (prepared(), true)] {
-        let mut callers = Callers::new()?;
-        callers.open(plans.connections, controller, &script)?;
+    // Full load: direct, through the controller, and through the controller with a prepared statement.
+    let mut generator = LoadGenerator::new()?;
+    generator.open(options.connections, engine, &workload)?;
+    let (done, took) = generator.load(options.seconds, &workload)?;
+    measurements.direct_rate = done as f64 / took;
+    drop(generator);
+    for (workload, is_prepared) in [(simple_workload(), false), (prepared_workload(), true)] {
+        let mut generator = LoadGenerator::new()?;
+        generator.open(options.connections, controller, &workload)?;
         let before = cpu(&stage);
-        let (done, took) = callers.load(plans.seconds, &script)?;
+        let (done, took) = generator.load(options.seconds, &workload)?;
         let used = (cpu(&stage) - before).max(0.01);
         if is_prepared {
-            figures.rate_of_core_prepared = done as f64 / used;
+            measurements.rate_of_core_prepared = done as f64 / used;
         } else {
-            (figures.rate, figures.rate_of_core) = (done as f64 / took, done as f64 / used);
+            (measurements.rate, measurements.rate_of_core) = (done as f64 / took, done as f64 / used);
         }
     }
-    if plans.rounds > 0 {
-        in_turn(&stage, [controller, records], plans, &mut figures)?;
+    if options.rounds > 0 {
+        measure_capture(&stage, [controller, capturing_controller], options, &mut measurements)?;
     }
     stage.end()?;
-    Ok(figures)
+    Ok(measurements)
 }
 
 fn median(mut all: Vec<f64>) -> f64 {
@@ -316,58 +323,64 @@
     all.get(all.len() / 2).copied().unwrap_or(0.0)
 }
 
-/// A controller that records in turn with one that does not: ratios, as the machine's speed drifts.
-fn in_turn(stage: &Stage, doors: [SocketAddr; 2], plans: Plans, figures: &mut Figures) -> Result<()> {
-    let script = simple();
+/// Alternates load between a controller with a capture and one without. Records ratios, because the machine's speed drifts.
+fn measure_capture(
+    stage: &Stage,
+    addresses: [SocketAddr; 2],
+    options: MeasureOptions,
+    measurements: &mut Measurements,
+) -> Result<()> {
+    let workload = simple_workload();
     let cpu = |i: usize| stage.usage(i).map_or(0.0, |(cpu, _)| cpu);
-    let mut sets = Vec::new();
-    for door in doors {
-        let mut callers = Callers::new()?;
-        callers.open(plans.connections, door, &script)?;
-        sets.push(callers);
+    let mut generators = Vec::new();
+    for address in addresses {
+        let mut generator = LoadGenerator::new()?;
+        generator.open(options.connections, address, &workload)?;
+        generators.push(generator);
     }
-    let (mut rates, mut of_core) = (Vec::new(), Vec::new());
-    for _ in 0..plans.rounds {
+    let (mut rate_ratios, mut core_rate_ratios) = (Vec::new(), Vec::new());
+    for _ in 0..options.rounds {
         let mut round = [(0.0, 0.0); 2];
-        for (i, callers) in sets.iter_mut().enumerate() {
+        for (i, generator) in generators.iter_mut().enumerate() {
             let before = cpu(i);
-            let (done, took) = callers.load(1, &script)?;
+            let (done, took) = generator.load(1, &workload)?;
             round[i] = (done as f64 / took, done as f64 / (cpu(i) - before).max(0.01));
-            callers.drain(plans.connections)?;
+            generator.drain(options.connections)?;
         }
-        rates.push(round[1].0 / round[0].0);
-        of_core.push(round[1].1 / round[0].1);
+        rate_ratios.push(round[1].0 / round[0].0);
+        core_rate_ratios.push(round[1].1 / round[0].1);
     }
-    (figures.capture_rate, figures.capture_rate_of_core) = (median(rates), median(of_core));
+    (measurements.capture_rate, measurements.capture_rate_of_core) =
+        (median(rate_ratios), median(core_rate_ratios));
     let mut histograms = [Histogram::<u64>::new(3)?, Histogram::<u64>::new(3)?];
-    for _ in 0..plans.pairs {
-        for (i, callers) in sets.iter_mut().enumerate() {
-            let took = callers.once(0, &script)?;
+    for _ in 0..options.pairs {
+        for (i, generator) in generators.iter_mut().enumerate() {
+            let took = generator.timed_query(0, &workload)?;
             histograms[i].record(took.as_nanos() as u64)?;
         }
     }
-    let of =
+    let latency_ratio =
         |q: f64| histograms[1].value_at_quantile(q) as f64 / histograms[0].value_at_quantile(q).max(1) as f64;
-    figures.capture_latency = [of(0.5), of(0.99)];
-    let figure = |name: &str| stage.figure(1, name).unwrap_or(0) as f64;
-    let (lost, recorded) = (figure("capture_lost"), figure("capture_recorded"));
-    figures.capture_lost = lost / (lost + recorded).max(1.0);
-    figures.capture_bytes = figure("capture_bytes") / figure("queries_taken").max(1.0);
+    measurements.capture_latency = [latency_ratio(0.5), latency_ratio(0.99)];
+    let counter = |name: &str| stage.figure(1, name).unwrap_or(0) as f64;
+    let (lost, recorded) = (counter("capture_lost"), counter("capture_recorded"));
+    measurements.capture_lost = lost / (lost + recorded).max(1.0);
+    measurements.capture_bytes = counter("capture_bytes") / counter("queries_taken").max(1.0);
     Ok(())
 }
 
-/// The figures for people.
-pub fn print(f: &Figures, out: &mut impl std::io::Write) -> std::io::Result<()> {
-    writeln!(out, "latency of a query that costs nothing, one at a time, in turn (p50, p99, us):")?;
-    writeln!(out, "  straight to the stand-in   {:>8.1} {:>8.1}", f.direct_us[0], f.direct_us[1])?;
+/// Prints the measurements as text.
+pub fn print(f: &Measurements, out: &mut impl std::io::Write) -> std::io::Result<()> {
+    writeln!(out, "latency of a trivial query, one at a time, alternating (p50, p99, us):")?;
+    writeln!(out, "  direct to an engine        {:>8.1} {:>8.1}", f.direct_us[0], f.direct_us[1])?;
     writeln!(out, "  through the controller     {:>8.1} {:>8.1}", f.through_us[0], f.through_us[1])?;
     writeln!(out, "  added                      {:>8.1} {:>8.1}", f.added_us[0], f.added_us[1])?;
-    writeln!(out, "full load, queries a second:")?;
-    writeln!(out, "  straight to one stand-in   {:>8.0}", f.direct_rate)?;
+    writeln!(out, "full load, queries per second:")?;
+    writeln!(out, "  direct to one engine       {:>8.0}", f.direct_rate)?;
     writeln!(out, "  through the controller     {:>8.0}", f.rate)?;
     writeln!(
         out,
-        "  for a second of its processor: simple {:.0}, prepared {:.0}",
+        "  per second of its CPU time: simple {:.0}, prepared {:.0}",
         f.rate_of_core, f.rate_of_core_prepared
     )?;
     writeln!(
@@ -378,7 +391,7 @@
     if f.capture_rate > 0.0 {
         writeln!(
             out,
-            "with a capture over without, in turn: rate {:.3}, for a second of processor {:.3}, latency p50 {:.3} p99 {:.3}; lost {:.4} of the records, {:.0} bytes a query",
+            "with a capture relative to without, alternating: rate {:.3}, rate per CPU second {:.3}, latency p50 {:.3} p99 {:.3}; lost {:.4} of the records, {:.0} bytes per query",
             f.capture_rate, f.capture_rate_of_core, f.capture_latency[0], f.capture_latency[1], f.capture_lost, f.capture_bytes
         )?;
     }
--- a/crates/testbed/src/series.rs
+++ b/crates/testbed/src/series.rs
@@ -1,4 +1,4 @@
-//! A day as it went: what a report draws. No I/O.
+//! Time series of one played day, from which reports are drawn. No I/O.
 
 use crate::crowd::Try;
 use crate::day::Day;
@@ -8,49 +8,51 @@
 use std::collections::BTreeMap;
 use wheelfield_invariants::{ClientOutcome, HistoryEvent};
 
-/// A trouble, in seconds from the day's start.
+/// A trouble's time span, in seconds from the start of the day.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Shade {
-    /// Its kind.
+pub struct TroubleSpan {
+    /// Kind of the trouble, as in the script.
     pub kind: String,
-    /// From
+    /// Start.
     pub from: f64,
-    /// to.
+    /// End.
     pub to: f64,
 }
 
-/// The course of a day, by second.
+/// Counts of one day by second, with summaries of the whole day.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Series {
-    /// Queries that were first wanted in each second,
-    pub wanted: Vec<u32>,
-    /// the share of their worth that was answered in time,
+    /// Queries whose first try was due in each second, without those that their clients abandoned.
+    #[serde(rename = "wanted")]
+    pub queries_due: Vec<u32>,
+    /// Share of the value (`worth`) of those queries that was delivered; late answers count in part.
     pub service: Vec<f64>,
-    /// final answers given: served,
+    /// Tries that ended as served.
     pub served: Vec<u32>,
-    /// refused,
+    /// Tries that ended as refused.
     pub refused: Vec<u32>,
-    /// failed;
+    /// Tries that ended as failed.
     pub failed: Vec<u32>,
-    /// attempts that engines received: the decisions to send.
+    /// Attempts that engines received.
     pub attempts: Vec<u32>,
-    /// Attempts received by each engine, by its name.
+    /// Attempts that each engine received, by the engine's name.
     pub engines: BTreeMap<String, Vec<u32>>,
-    /// Ends without a service, by their reason.
+    /// Tries that were not served, by reason.
     pub reasons: BTreeMap<String, u64>,
-    /// Latency from the intended send time in milliseconds, at these shares of all that were served.
+    /// Latency quantiles of served tries, as pairs of quantile and milliseconds from the intended send time.
     pub latency_ms: Vec<(f64, f64)>,
-    /// Troubles.
-    pub shades: Vec<Shade>,
+    /// Troubles of the day, shaded in plots.
+    #[serde(rename = "shades")]
+    pub trouble_spans: Vec<TroubleSpan>,
 }
 
-/// Shares at which the latency is kept.
-const SHARES: [f64; 20] = [
+/// Quantiles at which the latency is recorded.
+const LATENCY_QUANTILES: [f64; 20] = [
     0.0, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.75, 0.8, 0.85, 0.9, 0.93, 0.95, 0.97, 0.98, 0.99, 0.995,
     0.999,
 ];
 
-fn reason(t: &Try) -> Option<&'static str> {
+fn failure_reason(t: &Try) -> Option<&'static str> {
     Some(match (t.end?, t.state.as_str()) {
         (ClientOutcome::Served, _) => return None,
         (ClientOutcome::Refused, _) if t.advice_ms.is_some() => "refused, with advice",
@@ -66,25 +68,25 @@
 }
 
 impl Series {
-    /// Of a day that was played from `start` on.
+    /// Builds the series of a day that started at `start`.
     #[expect(clippy::too_many_lines, reason = "to be split: docs/ROADMAP.md lists it")]
     pub fn from_run(day: &Day, plan: &Plan, start: i64, tries: &[Try], log: &[HistoryEvent]) -> Series {
         let seconds = (day.length.0 .0 as usize).div_ceil(1_000_000).max(1);
         let second = |t: i64| ((t - start).max(0) as usize / 1_000_000).min(seconds - 1);
         let zeros = || vec![0_u32; seconds];
         let mut s = Series {
-            wanted: zeros(),
+            queries_due: zeros(),
             served: zeros(),
             refused: zeros(),
             failed: zeros(),
             attempts: zeros(),
             ..Series::default()
         };
-        let (mut worth, mut got) = (vec![0.0; seconds], vec![0.0; seconds]);
-        let mut last: BTreeMap<usize, &Try> = BTreeMap::new();
+        let (mut worth, mut delivered) = (vec![0.0; seconds], vec![0.0; seconds]);
+        let mut last_tries: BTreeMap<usize, &Try> = BTreeMap::new();
         let mut latency = Histogram::<u64>::new_with_bounds(1, 3_600_000_000, 3).ok();
         for t in tries {
-            last.insert(t.arrival, t);
+            last_tries.insert(t.arrival, t);
             let at = second(t.ended);
             match t.end {
                 Some(ClientOutcome::Served) => s.served[at] += 1,
@@ -92,7 +94,7 @@
                 Some(ClientOutcome::Failed) => s.failed[at] += 1,
                 _ => {}
             }
-            if let Some(why) = reason(t) {
+            if let Some(why) = failure_reason(t) {
                 *s.reasons.entry(why.to_string()).or_default() += 1;
             }
             if t.end == Some(ClientOutcome::Served) {
@@ -103,33 +105,34 @@
         }
         for (i, a) in plan.arrivals.iter().enumerate() {
             let at = (a.at as usize / 1_000_000).min(seconds - 1);
-            let (c, Some(t)) = (&day.classes[a.class], last.get(&i)) else { continue };
+            let (class, Some(t)) = (&day.classes[a.class], last_tries.get(&i)) else { continue };
             if t.end == Some(ClientOutcome::Left) {
                 continue;
             }
-            s.wanted[at] += 1;
-            worth[at] += c.worth;
+            s.queries_due[at] += 1;
+            worth[at] += class.worth;
             if t.end == Some(ClientOutcome::Served) {
-                let aim = c.aim.0 .0 as f64 + c.aim_stretch * a.work / c.threads * 1e6;
-                let in_time = (t.ended - (start + a.at)) as f64 <= aim;
-                got[at] += if in_time { c.worth } else { c.worth * c.late_worth };
+                let target_us = class.aim.0 .0 as f64 + class.aim_stretch * a.work / class.threads * 1e6;
+                let in_time = (t.ended - (start + a.at)) as f64 <= target_us;
+                delivered[at] += if in_time { class.worth } else { class.worth * class.late_worth };
             }
         }
-        s.service = worth.iter().zip(&got).map(|(w, g)| if *w > 0.0 { g / w } else { 1.0 }).collect();
+        s.service = worth.iter().zip(&delivered).map(|(w, g)| if *w > 0.0 { g / w } else { 1.0 }).collect();
         for line in log.iter().filter(|l| l.event == "received") {
             let at = second(line.at);
             s.attempts[at] += 1;
             s.engines.entry(line.engine.clone()).or_insert_with(zeros)[at] += 1;
         }
         if let Some(h) = latency.filter(|h| !h.is_empty()) {
-            s.latency_ms = SHARES.iter().map(|q| (*q, h.value_at_quantile(*q) as f64 / 1e3)).collect();
+            s.latency_ms =
+                LATENCY_QUANTILES.iter().map(|q| (*q, h.value_at_quantile(*q) as f64 / 1e3)).collect();
         }
-        let shade = |t: &crate::plan::DrawnTrouble| Shade {
+        let span = |t: &crate::plan::DrawnTrouble| TroubleSpan {
             kind: t.kind.clone(),
             from: t.from as f64 / 1e6,
             to: t.to as f64 / 1e6,
         };
-        s.shades = plan.troubles.iter().map(shade).collect();
+        s.trouble_spans = plan.troubles.iter().map(span).collect();
         s
     }
 }
