--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -15,7 +15,7 @@
 use crate::crowd::{Manners, Try};
 use crate::day::Day;
 use crate::people::People;
-use crate::plan::{Act, Plan};
+use crate::plan::{Plan, StageAction};
 use bytes::Bytes;
 pub use network::BASE_LATENCY;
 use network::{EndId, Network, NetworkEvent, NetworkFaults, ProcessId};
@@ -298,7 +298,10 @@
             events: Timers::default(),
             wake_timers: WakeTimers::default(),
             network: Network::new(options.network, seed ^ 0x6e65_7477_6f72),
-            gossip_links: LinkEmulator::new(plan.roads.clone().shifted_by(CLOCK_START + SETUP_TIME), seed),
+            gossip_links: LinkEmulator::new(
+                plan.network_faults.clone().shifted_by(CLOCK_START + SETUP_TIME),
+                seed,
+            ),
             clients: People::new(plan, client_config, n, first_arrival_time()),
             cancel_requests: ConnectionTable::new(2),
             engines,
@@ -318,7 +321,7 @@
         };
         simulation.clients.visited(options.stray_connection_period_us);
         (0..n).for_each(|c| simulation.start_controller(c));
-        for (i, (at, _)) in plan.acts.iter().enumerate() {
+        for (i, (at, _)) in plan.actions.iter().enumerate() {
             simulation.events.set(first_arrival_time() + at, Event::Action(i));
         }
         simulation.apply_effects(ProcessId::Clients);
@@ -432,8 +435,8 @@
 
     fn apply_action(&mut self, i: usize) {
         let plan = self.plan;
-        match &plan.acts[i].1 {
-            Act::Fault { engine, kind, value } => {
+        match &plan.actions[i].1 {
+            StageAction::Fault { engine, kind, value } => {
                 self.engines[*engine].inject_fault(kind, *value, self.now);
                 let drains = match *kind {
                     "drain" if *value > 0.0 => Some((Status::Draining, EngineStatus::Draining)),
@@ -457,15 +460,15 @@
                 self.apply_effects(ProcessId::Engine(*engine));
                 self.apply_effects(ProcessId::Registry);
             }
-            Act::RegistryDown(ms) => {
+            StageAction::RegistryDown(ms) => {
                 self.registry_server.registry.set_unavailable_until(self.now + ms * 1000)
             }
-            Act::RegistryStale(ms) => self.registry_delay = ms * 1000,
-            Act::KillController(c) => self.kill_controller(*c),
-            Act::StartController(c) => {
+            StageAction::RegistryStale(ms) => self.registry_delay = ms * 1000,
+            StageAction::KillController(c) => self.kill_controller(*c),
+            StageAction::StartController(c) => {
                 self.events.set(self.now + CONTROLLER_START_TIME, Event::StartController(*c));
             }
-            Act::StallController(c) => {
+            StageAction::StallController(c) => {
                 if self.gateways[*c].is_some() && self.withheld_events[*c].is_none() {
                     self.withheld_events[*c] = Some(Vec::new());
                     if let Some(lifetime) = self.lifetimes.iter_mut().rev().find(|l| l.controller == *c) {
@@ -473,7 +476,7 @@
                     }
                 }
             }
-            Act::ResumeController(c) => {
+            StageAction::ResumeController(c) => {
                 let Some(withheld) = self.withheld_events[*c].take() else { return };
                 let lifetime = self.lifetimes.iter_mut().rev().find(|l| l.controller == *c);
                 if let Some(last) = lifetime.and_then(|l| l.stalls.last_mut()) {
